--- /dev/null
+++ b/internal/golden/record.go
@@ -0,0 +1,92 @@
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Recorder is an HTTP server on the loopback address that writes down the requests it gets, for Check to compare.
+type Recorder struct {
+	Addr string
+
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+// Record starts a server that answers as told, until the test ends.
+func Record(t testing.TB, answer func(r *http.Request) (status int, header http.Header, body []byte)) *Recorder {
+	t.Helper()
+	r := &Recorder{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		r.Note("%s %s\n%s", request.Method, request.RequestURI, Message(request.Header, body))
+		status, header, body := answer(request)
+		for name, values := range header {
+			w.Header()[name] = values
+		}
+		w.WriteHeader(status)
+		_, _ = w.Write(body)
+	}))
+	t.Cleanup(server.Close)
+	r.Addr = server.Listener.Addr().String()
+	return r
+}
+
+// Note adds a line to the record, such as what was made of an answer.
+func (r *Recorder) Note(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	fmt.Fprintf(&r.text, format+"\n", args...)
+}
+
+// Text gives the record, with the server's address, which is another one in each run, spelled ADDR.
+func (r *Recorder) Text() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return bytes.ReplaceAll(r.text.Bytes(), []byte(r.Addr), []byte("ADDR"))
+}
+
+// Message spells an HTTP message's headers and body: a body in MessagePack as JSON with a hex dump, any other as it is.
+func Message(header http.Header, body []byte) string {
+	var b strings.Builder
+	for name, values := range header {
+		fmt.Fprintf(&b, "%s: %s\n", name, strings.Join(values, ", "))
+	}
+	lines := strings.SplitAfter(b.String(), "\n")
+	slices.Sort(lines)
+	return strings.Join(lines, "") + Body(body)
+}
+
+// Body spells a body as Message does.
+func Body(body []byte) string {
+	var message map[string]any
+	if len(body) == 0 {
+		return ""
+	}
+	if msgpack.Unmarshal(body, &message) != nil {
+		return strings.TrimSuffix(string(body), "\n") + "\n"
+	}
+	var b strings.Builder
+	spelled, err := json.Marshal(message)
+	if err != nil {
+		return fmt.Sprintf("%x\n", body)
+	}
+	fmt.Fprintf(&b, "%s\n", spelled)
+	for line := range slices.Chunk(body, bytesPerLine) {
+		fmt.Fprintf(&b, "%x\n", line)
+	}
+	return b.String()
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,225 @@
+package wire
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"fieldhill/internal/golden"
+)
+
+func set[T any](v T) *T { return &v }
+
+// fullMessages has every message of the platform's interfaces with no field at its zero value, so that a tag or a byte
+// that is not read shows.
+func fullMessages() map[string]any {
+	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: set(2.5)}
+	value := LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9, Seq: 1 << 40, Count: 3, Data: "\x01\x02text"}
+	raw, _ := Marshal(&value)
+	return map[string]any{
+		"job-spec": &JobSpec{ID: "req-000412", Class: "train", Team: "vision", Shape: Gang, Priority: High, Tasks: 16, CPUs: 8,
+			GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: set("a"), SameZone: true,
+			Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: set(900.0)},
+		"job-status": &JobStatus{ID: "req-000412", State: JobRunning, Done: 3, Running: 13},
+		"problem":    &Problem{Error: "pieces: out of range"},
+		"report": &Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, Session: 1 << 40, Seq: 300,
+			Token: 7, NoticeS: set(30.5), Tasks: []TaskStatus{{Task: "req-000412/3", Attempt: 2, State: TaskExited,
+				Cause: CauseStopped, Saved: true}}},
+		"report-answer": &ReportAnswer{Token: 7, Commands: []Command{command}},
+		"redirect":      &Redirect{Node: "10.0.0.2:80"},
+		"orders":        &Orders{Token: 7, Session: 1 << 40, Commands: []Command{command}},
+		"machine-types": &MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100,
+			FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1e-9, BootS: 40, Zones: []string{"a", "b"}}}},
+		"hire":          &Hire{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 50},
+		"machine-names": &MachineNames{Machines: []string{"m-7", "m-8"}},
+		"machine-list": &MachineList{More: true, Machines: []ListedMachine{{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8",
+			Zone: "a", Spot: true, State: MachineRunning, AgeS: 7.25}}},
+		"log-value": &value,
+		"item":      &Item{Key: "f/log/1", Value: raw, Version: 12, Lease: 9},
+		"items":     &Items{Items: []Item{{Key: "f/log/1", Value: raw, Version: 12, Lease: 9}}, More: true, Revision: 77},
+		"txn": &Txn{If: []Guard{{Key: "f/lead", Version: 12}}, Then: []Write{{Put: "f/log/2", Value: &value, Lease: 9,
+			Delete: "f/log/1"}}},
+		"txn-answer":   &TxnAnswer{Revision: 77, Failed: []string{"f/lead"}},
+		"lease-ask":    &LeaseAsk{TTLMillis: 2500},
+		"lease-answer": &LeaseAnswer{Lease: 9},
+		"events":       &Events{Revision: 77, Events: []Event{{Put: "f/log/2", Delete: "f/log/1", Value: raw, Version: 13}}},
+	}
+}
+
+// sparseMessages has messages as they are sent with fields left out, null or empty.
+func sparseMessages() map[string]any {
+	raw, _ := Marshal(&LogValue{Version: 1})
+	all := map[string]any{
+		"job-spec-nulls": &JobSpec{ID: "req-1000000", Class: "web", Team: "red", Shape: Service, Priority: Production, Tasks: 1,
+			Image: "i"},
+		"job-spec-empty":       &JobSpec{ID: "req-000001", Shape: Array, Priority: Low, Types: []string{}, Zone: set("")},
+		"problem-empty":        &Problem{},
+		"report-idle":          &Report{Machine: "m-7", Session: 1, Tasks: []TaskStatus{}},
+		"report-nulls":         &Report{Machine: "m-7", Session: 1},
+		"report-running":       &Report{Machine: "m", Session: 1, Tasks: []TaskStatus{{Task: "req-000412/0", State: TaskRunning}}},
+		"report-answer-empty":  &ReportAnswer{Token: 7, Commands: []Command{}},
+		"report-answer-nulls":  &ReportAnswer{},
+		"report-answer-starts": &ReportAnswer{Commands: []Command{{Verb: Start, Task: "req-000412/0", Attempt: 1}, {Verb: Forget}}},
+		"redirect-nowhere":     &Redirect{},
+		"orders-no-grace":      &Orders{Token: 1, Session: 2, Commands: []Command{{Verb: Stop, GraceS: set(0.0)}}},
+		"machine-types-nulls":  &MachineTypes{Types: []MachineType{{}}},
+		"hire-zeros":           &Hire{},
+		"machine-names-empty":  &MachineNames{Machines: []string{}},
+		"machine-list-booting": &MachineList{Machines: []ListedMachine{{State: MachineBooting}, {State: MachineFailed}}},
+		"log-value-leader":     &LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9},
+		"log-value-term":       &LogValue{Version: 1, Term: 7},
+		"items-empty":          &Items{Items: []Item{}},
+		"items-short":          &Items{Items: []Item{{Key: "f/term", Value: raw, Version: 1}}},
+		"txn-create": &Txn{If: []Guard{{Key: "f/term"}}, Then: []Write{{Put: "f/term", Value: &LogValue{Version: 1, Term: 1}},
+			{Delete: "f/old"}}},
+		"txn-nulls":        &Txn{},
+		"txn-answer-taken": &TxnAnswer{Revision: 77, Failed: []string{}},
+		"events-deleted":   &Events{Revision: 77, Events: []Event{{Delete: "f/old", Version: 14}}},
+	}
+	for _, state := range []string{JobPending, JobRunning, JobDone, JobCancelled} {
+		all["job-status-"+state] = &JobStatus{ID: "req-000412", State: state}
+	}
+	return all
+}
+
+// rewriter reads a message of the kind of value and writes it again.
+func rewriter(value any) func(b []byte) ([]byte, error) {
+	return func(b []byte) ([]byte, error) {
+		again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+		if err := Unmarshal(b, again); err != nil {
+			return nil, err
+		}
+		return Marshal(again)
+	}
+}
+
+func rewriteJob(b []byte) ([]byte, error) {
+	job, err := ParseJob(b)
+	if err != nil {
+		return nil, err
+	}
+	return Marshal(job)
+}
+
+// TestGoldenMessages: every message is written as in the stored files and read from them; one byte that differs and one
+// tag of another name are found in each. messages.txt spells all of them with their tags.
+func TestGoldenMessages(t *testing.T) {
+	messages, full := fullMessages(), fullMessages()
+	maps.Copy(messages, sparseMessages())
+	var spelled strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(messages)) {
+		want, file := messages[name], "messages/"+name+".hex"
+		written, err := Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, file, written)
+		stored := golden.Read(t, file)
+		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+		if err := Unmarshal(stored, got); err != nil {
+			t.Errorf("%s isn't read: %v", name, err)
+		}
+		if d := cmp.Diff(want, got); d != "" {
+			t.Errorf("%s was read as\n%s", name, d)
+		}
+		if again, err := rewriter(want)(stored); err != nil || string(again) != string(stored) {
+			t.Errorf("%s was written again as %x, %v", name, again, err)
+		}
+		var tagged map[string]any
+		if err := msgpack.Unmarshal(written, &tagged); err != nil {
+			t.Fatal(err)
+		}
+		b, err := json.Marshal(tagged)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&spelled, "%s %s\n", name, b)
+		if full[name] != nil {
+			golden.FlipFinds(t, file, rewriter(want))
+			golden.TagFinds(t, name, stored, rewriter(want))
+		}
+	}
+	golden.Check(t, "messages.txt", []byte(spelled.String()))
+
+	for _, name := range []string{"job-spec", "job-spec-nulls"} {
+		stored := golden.Read(t, "messages/"+name+".hex")
+		job, err := ParseJob(stored)
+		if d := cmp.Diff(messages[name], any(job)); d != "" || err != nil {
+			t.Errorf("%s was parsed as\n%s, %v", name, d, err)
+		}
+		if number, err := PeekJobID(stored); err != nil || JobID(number) != job.ID {
+			t.Errorf("%s is of job %d, %v", name, number, err)
+		}
+	}
+	golden.FlipFinds(t, "messages/job-spec.hex", rewriteJob)
+	golden.TagFinds(t, "job-spec", golden.Read(t, "messages/job-spec.hex"), rewriteJob)
+}
+
+// TestGoldenRefusals: what users hear of a malformed submission, by the protocol's names of fields.
+func TestGoldenRefusals(t *testing.T) {
+	var b strings.Builder
+	try := func(what string, body []byte) {
+		_, err := ParseJob(body)
+		_, peeked := PeekJobID(body)
+		fmt.Fprintf(&b, "%s: %v; id: %v\n", what, err, peeked)
+	}
+	for _, field := range slices.Sorted(maps.Keys(goodJob())) {
+		job := goodJob()
+		for _, value := range []any{nil, "?", "", -1, 1 << 40, -0.5, true, []any{1}} {
+			job[field] = value
+			body, _ := Marshal(sorted(job))
+			try(fmt.Sprintf("%s %#v", field, value), body)
+		}
+		delete(job, field)
+		body, _ := Marshal(sorted(job))
+		try(field+" left out", body)
+	}
+	body, _ := Marshal(sorted(goodJob()))
+	try("empty", nil)
+	try("list", []byte{0x90})
+	try("trailing", append(body[:len(body):len(body)], 0xc0))
+	try("deep", append([]byte{0x81, 0xa1, 'x'}, make91(100)...))
+	try("binary", []byte{0x81, 0xa1, 'x', 0xc4, 0})
+	try("key", []byte{0x81, 1, 1})
+	golden.Check(t, "refusals.txt", []byte(b.String()))
+}
+
+// sorted writes a map in one order, so that the first field at fault is the same in each run.
+type sorted map[string]any
+
+// EncodeMsgpack is called by the encoder.
+func (s sorted) EncodeMsgpack(e *msgpack.Encoder) error {
+	e.SetSortMapKeys(true)
+	return e.EncodeMapSorted(s)
+}
+
+// TestGoldenConstants: paths, words and limits of the protocol are spelled as in the stored file.
+func TestGoldenConstants(t *testing.T) {
+	var b strings.Builder
+	for _, group := range []struct {
+		name string
+		all  []any
+	}{
+		{"paths", []any{PathJobs, PathReady, PathReport, PathOrders, PathShow, PathTypes, PathMachines, PathRelease, PathKeys,
+			PathTxn, PathLeases, PathFollow, CancelSuffix, PathOpJobs, WhySuffix, PathOpQueue, PathOpDuties}},
+		{"limits", []any{MaxBody, MaxTasks, MaxHire, MaxRelease, MaxList, maxDepth, uint64(maxJobNumber), MostQueued}},
+		{"content", []any{ContentType, jobIDPrefix, JobID(0), JobID(412), JobID(1_000_000), TaskID(412, 31)}},
+		{"shapes", []any{Array, Gang, Service}},
+		{"priorities", []any{Production, High, Normal, Low}},
+		{"job states", []any{JobPending, JobRunning, JobDone, JobCancelled}},
+		{"task states", []any{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}},
+		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseAlone, CauseError, CauseNoRoom, CauseBusy, CauseUnknown}},
+		{"verbs", []any{Start, Stop, Forget}},
+		{"machine states", []any{MachineBooting, MachineRunning, MachineFailed}},
+	} {
+		fmt.Fprintf(&b, "%s: %v\n", group.name, group.all)
+	}
+	golden.Check(t, "constants.txt", []byte(b.String()))
+}
