--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -15,12 +14,11 @@
 	generate "github.com/invopop/jsonschema"
 	validate "github.com/santhosh-tekuri/jsonschema/v6"
 
+	"fieldhill/internal/golden"
 	"fieldhill/internal/peer"
 	"fieldhill/wire"
 )
 
-var update = flag.Bool("update", false, "write the schemas anew")
-
 // said answers with what it was given, and notes what it was asked.
 type said struct {
 	why   *wire.Explanation
@@ -70,7 +68,7 @@
 			t.Fatal(err)
 		}
 		at := filepath.Join("..", "..", "docs", "schema", c.file)
-		if *update {
+		if golden.Updating() {
 			if err := os.WriteFile(at, append(b, '\n'), 0o644); err != nil {
 				t.Fatal(err)
 			}
