--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -50,7 +50,8 @@
 // TestGoldenHTTP: routes, statuses, headers and bodies are those of the stored file, for each kind of answer and for
 // what is refused before anybody is asked.
 func TestGoldenHTTP(t *testing.T) {
-	report, err := wire.Marshal(&wire.Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Session: 1 << 40, Seq: 3,
+	report, err := wire.Marshal(&wire.Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
+		Session: 1 << 40, Seq: 3,
 		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskRunning}}})
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +59,8 @@
 	nobody, _ := wire.Marshal(&wire.Report{Machine: "m-7"})
 	status := &wire.JobStatus{ID: "req-000412", State: wire.JobPending}
 	ok := Encode(http.StatusOK, status)
-	taken := Encode(http.StatusOK, &wire.ReportAnswer{Token: 7, Commands: []wire.Command{{Verb: wire.Start, Task: "req-000412/3", Attempt: 2}}})
+	taken := Encode(http.StatusOK, &wire.ReportAnswer{Token: 7, Commands: []wire.Command{{Verb: wire.Start,
+		Task: "req-000412/3", Attempt: 2}}})
 	slow := Later("not now", 2)
 	slow.Status = http.StatusTooManyRequests
 	job := wire.PathJobs + "/req-000412"
@@ -97,7 +99,8 @@
 		{"POST", wire.PathReport, bytes.NewReader(report), taken, 0},
 		{"POST", wire.PathReport, bytes.NewReader(report), taken, 7},
 		{"POST", wire.PathReport, bytes.NewReader(report), taken, 8},
-		{"POST", wire.PathReport, bytes.NewReader(report), Encode(http.StatusMisdirectedRequest, &wire.Redirect{Node: "n2"}), 0},
+		{"POST", wire.PathReport, bytes.NewReader(report), Encode(http.StatusMisdirectedRequest,
+			&wire.Redirect{Node: "n2"}), 0},
 		{"POST", wire.PathReport, bytes.NewReader(report), Encode(http.StatusMisdirectedRequest, &wire.Redirect{}), 0},
 		{"POST", wire.PathReport, bytes.NewReader(report), &peer.Reply{Status: http.StatusGone}, 0},
 		{"POST", wire.PathReport, bytes.NewReader(report[:20]), taken, 0},
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -11,25 +11,14 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenRequests: the cloud is asked as in the stored file, and its answers, a list of two pages among them, are read
-// as they were.
+// TestGoldenRequests: the cloud is asked as in the stored file, and its answers, a list of two pages among
+// them, are read as they were.
 func TestGoldenRequests(t *testing.T) {
-	row := wire.ListedMachine{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, State: wire.MachineRunning, AgeS: 7.25}
+	row := wire.ListedMachine{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true,
+		State: wire.MachineRunning, AgeS: 7.25}
 	second := row
 	second.Name, second.State = "m-8 &", wire.MachineFailed
-	var status int
-	var answers []any
-	r := golden.Record(t, func(*http.Request) (int, http.Header, []byte) {
-		if len(answers) == 0 {
-			return status, nil, nil
-		}
-		body, err := wire.Marshal(answers[0])
-		if err != nil {
-			t.Error(err)
-		}
-		answers = answers[1:]
-		return status, nil, body
-	})
+	r := golden.Record(t)
 	c := New(host.Real{}, r.Addr, 1000)
 	defer c.Close()
 	ctx := context.Background()
@@ -39,7 +28,8 @@
 		of   []any
 	}{
 		{"types", func() (any, error) { types, err := c.Types(ctx); return &wire.MachineTypes{Types: types}, err },
-			[]any{&wire.MachineTypes{Types: []wire.MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100,
+			[]any{&wire.MachineTypes{Types: []wire.MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256,
+				CacheGB:     100,
 				FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1.25, BootS: 40, Zones: []string{"a", "b"}}}}}},
 		{"hire", func() (any, error) {
 			names, err := c.Hire(ctx, &wire.Hire{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2})
@@ -51,10 +41,17 @@
 			[]any{&wire.MachineList{Machines: []wire.ListedMachine{row, second}, More: true},
 				&wire.MachineList{Machines: []wire.ListedMachine{row}}}},
 	} {
-		for _, status = range []int{http.StatusOK, http.StatusNotFound, http.StatusServiceUnavailable} {
-			answers = nil
-			if status == http.StatusOK {
-				answers = call.of
+		var answers [][]byte
+		for _, answer := range call.of {
+			body, err := wire.Marshal(answer)
+			if err != nil {
+				t.Fatal(err)
+			}
+			answers = append(answers, body)
+		}
+		for _, status := range []int{http.StatusOK, http.StatusNotFound, http.StatusServiceUnavailable} {
+			if r.Reply(status, nil); status == http.StatusOK {
+				r.Reply(status, nil, answers...)
 			}
 			r.Note("=== %s, answered with %d", call.name, status)
 			got, err := call.do()
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -19,32 +19,50 @@
 type Recorder struct {
 	Addr string
 
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu     sync.Mutex
+	text   bytes.Buffer
+	status int
+	header http.Header
+	bodies [][]byte
 }
 
-// Record starts a server that answers as told, until the test ends.
-func Record(t testing.TB, answer func(r *http.Request) (status int, header http.Header, body []byte)) *Recorder {
+// Record starts a server that answers as Reply says, until the test ends.
+func Record(t testing.TB) *Recorder {
 	t.Helper()
-	r := &Recorder{}
+	r := &Recorder{status: http.StatusOK}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		r.Note("%s %s\n%s", request.Method, request.RequestURI, Message(request.Header, body))
-		status, header, body := answer(request)
-		for name, values := range header {
-			w.Header()[name] = values
-		}
-		w.WriteHeader(status)
-		_, _ = w.Write(body)
+		r.answer(w)
 	}))
 	t.Cleanup(server.Close)
 	r.Addr = server.Listener.Addr().String()
 	return r
 }
 
+// Reply sets what is answered from now on: the bodies in turn, and none after them.
+func (r *Recorder) Reply(status int, header http.Header, bodies ...[]byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status, r.header, r.bodies = status, header, bodies
+}
+
+func (r *Recorder) answer(w http.ResponseWriter) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for name, values := range r.header {
+		w.Header()[name] = values
+	}
+	w.WriteHeader(r.status)
+	if len(r.bodies) > 0 {
+		_, _ = w.Write(r.bodies[0]) // a client that went away fails its own test
+		r.bodies = r.bodies[1:]
+	}
+}
+
 // Note adds a line to the record, such as what was made of an answer.
 func (r *Recorder) Note(format string, args ...any) {
 	r.mu.Lock()
--- a/internal/operate/golden_test.go
+++ b/internal/operate/golden_test.go
@@ -22,22 +22,24 @@
 // operatorMessages has every message of the operators' interface, no field at its zero value.
 func operatorMessages() map[string]any {
 	return map[string]any{
-		"why.json": &wire.Explanation{ID: "req-000412", State: wire.JobPending, Log: 1 << 40, Node: "n1", AgeS: 1.5, Waiting: 4,
-			Starting: 2, Places: 1, Stops: 3, Reasons: []wire.Reason{{Code: "team-limit", Text: "its team's limit", Binds: true,
-				Gains: 4, Stops: 1, ForS: 2.5, Number: 3, First: "req-000007", Of: "GPUs", Need: 4, Used: 62, Limit: 64}},
-			Together: [][2]string{{"queue", "no-room"}}, Complete: true, Partial: true, Past: []wire.Past{{Code: "paced", SinceS: 65}}},
-		"queue.json": &wire.Queue{Node: "n1", Log: 7, Jobs: []wire.Queued{{Place: 1, ID: "req-000412", Team: "red", Class: "train",
-			Priority: wire.High, Waiting: 4, Reason: "no-room", Text: "no room on machines that suit it", SinceS: 5, AgeS: 6}},
-			Tasks: 9, More: 2},
-		"duties.json": &wire.Duties{Node: "n1", Leader: "n2", Spread: true, Duties: []wire.Duty{{Duty: "rent", Holder: "n1", Term: 7,
-			ForS: 3, GotOnS: 0.25, Stuck: 1, Why: "no answer"}}, Rentals: []string{"fh-1-2"}},
+		"why.json": &wire.Explanation{ID: "req-000412", State: wire.JobPending, Log: 1 << 40, Node: "n1", AgeS: 1.5,
+			Waiting: 4, Starting: 2, Places: 1, Stops: 3, Complete: true, Partial: true,
+			Reasons: []wire.Reason{{Code: "team-limit", Text: "its team's limit", Binds: true, Gains: 4, Stops: 1,
+				ForS: 2.5, Number: 3, First: "req-000007", Of: "GPUs", Need: 4, Used: 62, Limit: 64}},
+			Together: [][2]string{{"queue", "no-room"}}, Past: []wire.Past{{Code: "paced", SinceS: 65}}},
+		"queue.json": &wire.Queue{Node: "n1", Log: 7, Tasks: 9, More: 2, Jobs: []wire.Queued{
+			{Place: 1, ID: "req-000412", Team: "red", Class: "train", Priority: wire.High, Waiting: 4,
+				Reason: "no-room", Text: "no room on machines that suit it", SinceS: 5, AgeS: 6}}},
+		"duties.json": &wire.Duties{Node: "n1", Leader: "n2", Spread: true, Rentals: []string{"fh-1-2"},
+			Duties: []wire.Duty{{Duty: "rent", Holder: "n1", Term: 7, ForS: 3, GotOnS: 0.25, Stuck: 1,
+				Why: "no answer"}}},
 		"problem.json": &wire.OpProblem{Error: "unknown"},
 		"filter.json":  &Filter{Team: "red", Class: "train", Reason: "paced", Most: 500}, // between controllers
 	}
 }
 
-// TestGoldenMessages: the messages are written as in the stored files and read from them; one byte that differs and one
-// name that differs are found in each.
+// TestGoldenMessages: the messages are written as in the stored files and read from them; one byte that
+// differs and one name that differs are found in each.
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range operatorMessages() {
 		golden.Check(t, file, Encode(http.StatusOK, want).Body)
@@ -116,7 +118,8 @@
 	} {
 		s, w := &scripted{answer: c.answer}, httptest.NewRecorder()
 		Handler(s).ServeHTTP(w, httptest.NewRequest(c.method, c.path, nil))
-		fmt.Fprintf(&b, "=== %s %s\nasked: %s\n%d\n%s", c.method, c.path, s.asked, w.Code, golden.Message(w.Header(), w.Body.Bytes()))
+		fmt.Fprintf(&b, "=== %s %s\nasked: %s\n%d\n%s", c.method, c.path, s.asked, w.Code,
+			golden.Message(w.Header(), w.Body.Bytes()))
 	}
 	golden.Check(t, "http.txt", []byte(b.String()))
 }
--- a/internal/stats/golden_test.go
+++ b/internal/stats/golden_test.go
@@ -12,8 +12,8 @@
 	"fieldhill/internal/standby"
 )
 
-// TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of the view
-// has a value of its own, so that names that changed places are found too.
+// TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of
+// the view has a value of its own, so that names that changed places are found too.
 func TestGoldenPage(t *testing.T) {
 	s := New(api.Kinds...)
 	s.Placed.Set(101)
@@ -41,8 +41,9 @@
 	}
 	ok := false
 	page := s.Page(func() (View, bool) {
-		return View{Leads: true, Term: 1, Applied: 2, Jobs: 3, Waiting: 4, Running: 5, Up: 6, Booting: 7, Idle: 8, Suspect: 9,
-			Returning: 10, WorstClass: 0.25, WorstTeam: 0.5, OwedClasses: 11, OwedTeams: 12, Rents: ok, Cleans: !ok, Rentals: 13,
+		return View{Leads: true, Term: 1, Applied: 2, Jobs: 3, Waiting: 4, Running: 5, Up: 6, Booting: 7, Idle: 8,
+			Suspect: 9, Returning: 10, WorstClass: 0.25, WorstTeam: 0.5, OwedClasses: 11, OwedTeams: 12,
+			Rents: ok, Cleans: !ok, Rentals: 13,
 			PeerFrames: 14, PeerBytes: 15, PeerWrites: 16, Seats: 17}, ok
 	})
 	var b strings.Builder
--- a/internal/why/golden_test.go
+++ b/internal/why/golden_test.go
@@ -21,7 +21,8 @@
 		}
 	}
 	slices.Sort(lines)
-	r := Reason{Code: Team, N: 3, Of: "GPUs", Need: 4, Used: 62, Limit: 64, Who: "req-000007", In: 1500 * time.Millisecond}
+	r := Reason{Code: Team, N: 3, Of: "GPUs", Need: 4, Used: 62, Limit: 64, Who: "req-000007",
+		In: 1500 * time.Millisecond}
 	lines = append(lines, "\n"+r.String()+"\n")
 	r.Limit = 0
 	lines = append(lines, r.String()+"\n", codes.String()+"\n")
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
 	"testing"
 	"time"
 
@@ -12,22 +11,24 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenRequests: commands and questions are sent to workers as in the stored file, and each answer is taken for the
-// same fate, by number, with the same report.
+// TestGoldenRequests: commands and questions are sent to workers as in the stored file, and each answer is
+// taken for the same fate, by number, with the same report.
 func TestGoldenRequests(t *testing.T) {
-	report, err := wire.Marshal(&wire.Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Session: 1 << 40, Seq: 3, Token: 7,
-		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone, Saved: true}}})
+	report, err := wire.Marshal(&wire.Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Session: 1 << 40,
+		Seq: 3, Token: 7,
+		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone,
+			Saved: true}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var status int
-	var body []byte
-	r := golden.Record(t, func(*http.Request) (int, http.Header, []byte) { return status, nil, body })
+	r := golden.Record(t)
 	c := New(host.Real{}, 10*time.Second, 4)
 	defer c.Close()
 	grace := 2.5
-	orders := &wire.Orders{Token: 7, Session: 1 << 40, Commands: []wire.Command{{Verb: wire.Start, Task: "req-000412/3", Attempt: 2},
-		{Verb: wire.Stop, Task: "req-000412/4", Attempt: 1, GraceS: &grace}, {Verb: wire.Forget, Task: "req-000412/5", Attempt: 9}}}
+	orders := &wire.Orders{Token: 7, Session: 1 << 40, Commands: []wire.Command{
+		{Verb: wire.Start, Task: "req-000412/3", Attempt: 2},
+		{Verb: wire.Stop, Task: "req-000412/4", Attempt: 1, GraceS: &grace},
+		{Verb: wire.Forget, Task: "req-000412/5", Attempt: 9}}}
 	spelled := func(r *wire.Report) string {
 		if r == nil {
 			return "none\n"
@@ -38,9 +39,10 @@
 	for _, a := range []struct {
 		status int
 		body   []byte
-	}{{200, report}, {200, []byte("?")}, {200, nil}, {409, report}, {409, nil}, {400, nil}, {404, nil}, {500, nil}, {503, nil}} {
-		status, body = a.status, a.body
-		r.Note("=== orders, answered with %d and %d bytes", status, len(body))
+	}{{200, report}, {200, []byte("?")}, {200, nil}, {409, report}, {409, nil}, {400, nil}, {404, nil}, {500, nil},
+		{503, nil}} {
+		r.Reply(a.status, nil, a.body)
+		r.Note("=== orders, answered with %d and %d bytes", a.status, len(a.body))
 		fate, got, err := c.Orders(context.Background(), r.Addr, orders)
 		r.Note("fate %d, error %v, report %s", int(fate), err, spelled(got))
 	}
@@ -48,8 +50,8 @@
 		status int
 		body   []byte
 	}{{200, report}, {200, nil}, {404, nil}} {
-		status, body = a.status, a.body
-		r.Note("=== show, answered with %d and %d bytes", status, len(body))
+		r.Reply(a.status, nil, a.body)
+		r.Note("=== show, answered with %d and %d bytes", a.status, len(a.body))
 		got, err := c.Show(context.Background(), r.Addr, 10*time.Second)
 		r.Note("error %v, report %s", err, spelled(got))
 	}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -24,32 +24,38 @@
 	value := LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9, Seq: 1 << 40, Count: 3, Data: "\x01\x02text"}
 	raw, _ := Marshal(&value)
 	return map[string]any{
-		"job-spec": &JobSpec{ID: "req-000412", Class: "train", Team: "vision", Shape: Gang, Priority: High, Tasks: 16, CPUs: 8,
-			GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: set("a"), SameZone: true,
+		"job-spec": &JobSpec{ID: "req-000412", Class: "train", Team: "vision", Shape: Gang, Priority: High,
+			Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"},
+			Zone: set("a"), SameZone: true,
 			Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: set(900.0)},
 		"job-status": &JobStatus{ID: "req-000412", State: JobRunning, Done: 3, Running: 13},
 		"problem":    &Problem{Error: "pieces: out of range"},
-		"report": &Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, Session: 1 << 40, Seq: 300,
+		"report": &Report{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, Session: 1 << 40,
+			Seq:   300,
 			Token: 7, NoticeS: set(30.5), Tasks: []TaskStatus{{Task: "req-000412/3", Attempt: 2, State: TaskExited,
 				Cause: CauseStopped, Saved: true}}},
 		"report-answer": &ReportAnswer{Token: 7, Commands: []Command{command}},
 		"redirect":      &Redirect{Node: "10.0.0.2:80"},
 		"orders":        &Orders{Token: 7, Session: 1 << 40, Commands: []Command{command}},
-		"machine-types": &MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100,
+		"machine-types": &MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256,
+			CacheGB:     100,
 			FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1e-9, BootS: 40, Zones: []string{"a", "b"}}}},
 		"hire":          &Hire{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 50},
 		"machine-names": &MachineNames{Machines: []string{"m-7", "m-8"}},
-		"machine-list": &MachineList{More: true, Machines: []ListedMachine{{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8",
+		"machine-list": &MachineList{More: true, Machines: []ListedMachine{{Name: "m-7", Addr: "10.1.0.7:70",
+			Type: "g8",
 			Zone: "a", Spot: true, State: MachineRunning, AgeS: 7.25}}},
 		"log-value": &value,
 		"item":      &Item{Key: "f/log/1", Value: raw, Version: 12, Lease: 9},
-		"items":     &Items{Items: []Item{{Key: "f/log/1", Value: raw, Version: 12, Lease: 9}}, More: true, Revision: 77},
+		"items": &Items{Items: []Item{{Key: "f/log/1", Value: raw, Version: 12, Lease: 9}}, More: true,
+			Revision: 77},
 		"txn": &Txn{If: []Guard{{Key: "f/lead", Version: 12}}, Then: []Write{{Put: "f/log/2", Value: &value, Lease: 9,
 			Delete: "f/log/1"}}},
 		"txn-answer":   &TxnAnswer{Revision: 77, Failed: []string{"f/lead"}},
 		"lease-ask":    &LeaseAsk{TTLMillis: 2500},
 		"lease-answer": &LeaseAnswer{Lease: 9},
-		"events":       &Events{Revision: 77, Events: []Event{{Put: "f/log/2", Delete: "f/log/1", Value: raw, Version: 13}}},
+		"events": &Events{Revision: 77, Events: []Event{{Put: "f/log/2", Delete: "f/log/1", Value: raw,
+			Version: 13}}},
 	}
 }
 
@@ -57,27 +63,33 @@
 func sparseMessages() map[string]any {
 	raw, _ := Marshal(&LogValue{Version: 1})
 	all := map[string]any{
-		"job-spec-nulls": &JobSpec{ID: "req-1000000", Class: "web", Team: "red", Shape: Service, Priority: Production, Tasks: 1,
+		"job-spec-nulls": &JobSpec{ID: "req-1000000", Class: "web", Team: "red", Shape: Service,
+			Priority: Production, Tasks: 1,
 			Image: "i"},
-		"job-spec-empty":       &JobSpec{ID: "req-000001", Shape: Array, Priority: Low, Types: []string{}, Zone: set("")},
-		"problem-empty":        &Problem{},
-		"report-idle":          &Report{Machine: "m-7", Session: 1, Tasks: []TaskStatus{}},
-		"report-nulls":         &Report{Machine: "m-7", Session: 1},
-		"report-running":       &Report{Machine: "m", Session: 1, Tasks: []TaskStatus{{Task: "req-000412/0", State: TaskRunning}}},
-		"report-answer-empty":  &ReportAnswer{Token: 7, Commands: []Command{}},
-		"report-answer-nulls":  &ReportAnswer{},
-		"report-answer-starts": &ReportAnswer{Commands: []Command{{Verb: Start, Task: "req-000412/0", Attempt: 1}, {Verb: Forget}}},
-		"redirect-nowhere":     &Redirect{},
-		"orders-no-grace":      &Orders{Token: 1, Session: 2, Commands: []Command{{Verb: Stop, GraceS: set(0.0)}}},
-		"machine-types-nulls":  &MachineTypes{Types: []MachineType{{}}},
-		"hire-zeros":           &Hire{},
-		"machine-names-empty":  &MachineNames{Machines: []string{}},
-		"machine-list-booting": &MachineList{Machines: []ListedMachine{{State: MachineBooting}, {State: MachineFailed}}},
-		"log-value-leader":     &LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9},
-		"log-value-term":       &LogValue{Version: 1, Term: 7},
-		"items-empty":          &Items{Items: []Item{}},
-		"items-short":          &Items{Items: []Item{{Key: "f/term", Value: raw, Version: 1}}},
-		"txn-create": &Txn{If: []Guard{{Key: "f/term"}}, Then: []Write{{Put: "f/term", Value: &LogValue{Version: 1, Term: 1}},
+		"job-spec-empty": &JobSpec{ID: "req-000001", Shape: Array, Priority: Low, Types: []string{},
+			Zone: set("")},
+		"problem-empty": &Problem{},
+		"report-idle":   &Report{Machine: "m-7", Session: 1, Tasks: []TaskStatus{}},
+		"report-nulls":  &Report{Machine: "m-7", Session: 1},
+		"report-running": &Report{Machine: "m", Session: 1, Tasks: []TaskStatus{{Task: "req-000412/0",
+			State: TaskRunning}}},
+		"report-answer-empty": &ReportAnswer{Token: 7, Commands: []Command{}},
+		"report-answer-nulls": &ReportAnswer{},
+		"report-answer-starts": &ReportAnswer{Commands: []Command{{Verb: Start, Task: "req-000412/0", Attempt: 1},
+			{Verb: Forget}}},
+		"redirect-nowhere":    &Redirect{},
+		"orders-no-grace":     &Orders{Token: 1, Session: 2, Commands: []Command{{Verb: Stop, GraceS: set(0.0)}}},
+		"machine-types-nulls": &MachineTypes{Types: []MachineType{{}}},
+		"hire-zeros":          &Hire{},
+		"machine-names-empty": &MachineNames{Machines: []string{}},
+		"machine-list-booting": &MachineList{Machines: []ListedMachine{{State: MachineBooting},
+			{State: MachineFailed}}},
+		"log-value-leader": &LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9},
+		"log-value-term":   &LogValue{Version: 1, Term: 7},
+		"items-empty":      &Items{Items: []Item{}},
+		"items-short":      &Items{Items: []Item{{Key: "f/term", Value: raw, Version: 1}}},
+		"txn-create": &Txn{If: []Guard{{Key: "f/term"}}, Then: []Write{{Put: "f/term", Value: &LogValue{Version: 1,
+			Term: 1}},
 			{Delete: "f/old"}}},
 		"txn-nulls":        &Txn{},
 		"txn-answer-taken": &TxnAnswer{Revision: 77, Failed: []string{}},
@@ -108,8 +120,8 @@
 	return Marshal(job)
 }
 
-// TestGoldenMessages: every message is written as in the stored files and read from them; one byte that differs and one
-// tag of another name are found in each. messages.txt spells all of them with their tags.
+// TestGoldenMessages: every message is written as in the stored files and read from them; one byte that
+// differs and one tag of another name are found in each. messages.txt spells all of them with their tags.
 func TestGoldenMessages(t *testing.T) {
 	messages, full := fullMessages(), fullMessages()
 	maps.Copy(messages, sparseMessages())
@@ -207,7 +219,8 @@
 		name string
 		all  []any
 	}{
-		{"paths", []any{PathJobs, PathReady, PathReport, PathOrders, PathShow, PathTypes, PathMachines, PathRelease, PathKeys,
+		{"paths", []any{PathJobs, PathReady, PathReport, PathOrders, PathShow, PathTypes, PathMachines, PathRelease,
+			PathKeys,
 			PathTxn, PathLeases, PathFollow, CancelSuffix, PathOpJobs, WhySuffix, PathOpQueue, PathOpDuties}},
 		{"limits", []any{MaxBody, MaxTasks, MaxHire, MaxRelease, MaxList, maxDepth, uint64(maxJobNumber), MostQueued}},
 		{"content", []any{ContentType, jobIDPrefix, JobID(0), JobID(412), JobID(1_000_000), TaskID(412, 31)}},
@@ -215,7 +228,8 @@
 		{"priorities", []any{Production, High, Normal, Low}},
 		{"job states", []any{JobPending, JobRunning, JobDone, JobCancelled}},
 		{"task states", []any{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}},
-		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseAlone, CauseError, CauseNoRoom, CauseBusy, CauseUnknown}},
+		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseAlone, CauseError, CauseNoRoom, CauseBusy,
+			CauseUnknown}},
 		{"verbs", []any{Start, Stop, Forget}},
 		{"machine states", []any{MachineBooting, MachineRunning, MachineFailed}},
 	} {
