--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -13,6 +13,7 @@
 	"strings"
 	"testing"
 
+	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -64,8 +65,8 @@
 	return decoded
 }
 
-// FlipFinds plants a difference into each byte of the file in turn. rewrite reads the bytes and writes what it read: with
-// the stored bytes it must give the same, and with each planted one an error or something other than the stored bytes.
+// FlipFinds plants a difference into each byte of the file in turn. rewrite reads the bytes and writes what it read:
+// with the stored bytes it must give the same, and with each planted one an error or other than the stored bytes.
 func FlipFinds(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	stored := Read(t, name)
@@ -85,6 +86,27 @@
 	}
 }
 
+// RoundTrip demands of a format that want is written as the stored bytes, that these are read as want, and that one
+// changed byte is found.
+func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
+	t.Helper()
+	Check(t, name, write(want))
+	got, err := read(Read(t, name))
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("%s is read as something else (-want +got):\n%s", name, diff)
+	}
+	FlipFinds(t, name, func(b []byte) ([]byte, error) {
+		got, err := read(b)
+		if err != nil {
+			return nil, err
+		}
+		return write(got), nil
+	})
+}
+
 // TagFinds plants a renamed tag: each key of the msgpack map is given another name in turn, and rewrite, which decodes
 // into the struct and encodes that again, must give an error or other bytes than the stored ones.
 func TagFinds(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,83 @@
+package peer
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"fieldhill/internal/golden"
+)
+
+// frame is one frame in the terms of the package.
+type frame[T any] struct {
+	Kind    byte
+	Number  uint64
+	Message *T
+}
+
+// frames goes through a stream of frames, as the files hold them.
+func frames[T any](t *testing.T, name string, want []frame[T], write func([]byte, *T) []byte,
+	read func([]byte) (*T, error)) {
+	t.Helper()
+	golden.RoundTrip(t, name, want, func(all []frame[T]) (b []byte) {
+		for _, f := range all {
+			b = appendFrame(b, f.Kind, f.Number, write(nil, f.Message))
+		}
+		return b
+	}, func(b []byte) (all []frame[T], err error) {
+		for r := bytes.NewReader(b); r.Len() > 0; {
+			kind, number, payload, err := readFrame(r)
+			if err != nil {
+				return nil, err
+			}
+			m, err := read(payload)
+			if err != nil {
+				return nil, err
+			}
+			all = append(all, frame[T]{kind, number, m})
+		}
+		return all, nil
+	})
+}
+
+// TestGoldenFrames: calls with every operation, and answers, are written and read as they always were.
+func TestGoldenFrames(t *testing.T) {
+	ops := []Op{OpPing, OpSubmit, OpStatus, OpCancel, OpWhy, OpQueue, OpDuty, OpRenewed, OpVouch, OpOffer, OpReport,
+		OpOrders, OpShow}
+	var calls []frame[Call]
+	for i, op := range ops {
+		if int(op) != i+1 {
+			t.Errorf("operation %d has number %d", i+1, op)
+		}
+		call := &Call{Op: op, ID: fmt.Sprint("id-", i), Body: []byte{byte(i)}}
+		calls = append(calls, frame[Call]{kindCall, uint64(i) << 32, call})
+	}
+	calls = append(calls, frame[Call]{kindCall, 1<<64 - 1, &Call{Op: OpPing, Body: []byte{}}},
+		frame[Call]{kindCall, 1, &Call{Op: OpSubmit, ID: "long", Body: []byte(strings.Repeat("body", 75))}})
+	frames(t, "calls.hex", calls, appendCall, readCall)
+
+	var replies []frame[Reply]
+	for i, status := range []int{200, 201, 400, 404, 409, 410, 421, 429, 500, 501, 503, 504} {
+		replies = append(replies, frame[Reply]{kindBack, uint64(i + 1), &Reply{Status: status, Body: []byte{}}})
+	}
+	replies = append(replies, frame[Reply]{kindBack, 13, &Reply{Status: 429, RetryAfter: 7, Body: []byte("seven")}},
+		frame[Reply]{kindBack, 14, &Reply{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))}})
+	frames(t, "replies.hex", replies, appendReply, readReply)
+}
+
+// TestGoldenRefused: a frame of another version, and one over the limit, end the connection.
+func TestGoldenRefused(t *testing.T) {
+	good := golden.Read(t, "replies.hex")
+	if _, _, _, err := readFrame(bytes.NewReader(good)); err != nil {
+		t.Fatal(err)
+	}
+	later, long := bytes.Clone(good), bytes.Clone(good)
+	later[4]++
+	long[0] = 1 // 16 MiB
+	for what, b := range map[string][]byte{"a frame of version 2": later, "a frame of 16 MiB": long} {
+		if _, _, _, err := readFrame(bytes.NewReader(b)); err == nil {
+			t.Errorf("%s is read", what)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rent/golden_test.go
@@ -0,0 +1,62 @@
+package rent
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"fieldhill/internal/codec"
+	"fieldhill/internal/golden"
+	"fieldhill/wire"
+)
+
+// TestGoldenOutcomes: the outcomes between controllers are written and read as they always were, each kind by
+// its number.
+func TestGoldenOutcomes(t *testing.T) {
+	rows := []wire.ListedMachine{
+		{Name: "host-1", Addr: "10.1.0.1:1", Type: "small", Zone: "a", Spot: true, State: wire.MachineRunning, AgeS: 61.5},
+		{Name: "host-2", Zone: "b", State: wire.MachineBooting},
+	}
+	offers := []wire.MachineType{
+		{Name: "small", CPUs: 4, GPUs: 0.5, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 0.25, Price: 0.18, SpotPrice: 0.06,
+			BootS: 25, Zones: []string{"a", "b"}},
+		{Name: "none", Zones: []string{}},
+	}
+	for _, c := range []struct {
+		file   string
+		number byte
+		want   Outcome
+	}{
+		{"hired.hex", 1, Outcome{Kind: Hired, Names: []string{"host-1", "host-2"}, Ago: 1500 * time.Millisecond,
+			Order: Order{Name: "fh-3-1", Type: "small", Zone: "a", Spot: true, Count: 12}}},
+		{"hired-none.hex", 1, Outcome{Kind: Hired, Order: Order{Name: "fh-3-2", Count: 50}, Names: []string{}}},
+		{"returned.hex", 2, Outcome{Kind: Returned, Names: []string{"host-1", "host-300"}}},
+		{"listed.hex", 3, Outcome{Kind: Listed, Rows: rows}},
+		{"listed-none.hex", 3, Outcome{Kind: Listed}},
+		{"types.hex", 4, Outcome{Kind: Types, Offers: offers}},
+		{"away.hex", 5, Outcome{Kind: Away}},
+	} {
+		write := func(o *Outcome) []byte { return o.Append(nil) }
+		golden.RoundTrip(t, c.file, &c.want, write, Read)
+		if b := golden.Read(t, c.file); b[0] != c.number {
+			t.Errorf("%s is of kind %d, not %d", c.file, b[0], c.number)
+		}
+	}
+	for _, number := range []byte{0, 6} {
+		if _, err := Read([]byte{number}); err == nil {
+			t.Errorf("an outcome of kind %d is read", number)
+		}
+	}
+}
+
+// TestGoldenRows: as many rows as an outcome may always carry are read.
+func TestGoldenRows(t *testing.T) {
+	b := codec.Uint([]byte{3}, 300)
+	for i := range 300 {
+		b = codec.Float(append(codec.String(b, fmt.Sprint("host-", i)), 0, 0, 0, 0, 0), 1)
+	}
+	o, err := Read(b)
+	if err != nil || len(o.Rows) != 300 || o.Rows[299].Name != "host-299" {
+		t.Errorf("300 rows are read as %+v, %v", o, err)
+	}
+}
