--- /dev/null
+++ b/internal/oplog/golden_test.go
@@ -0,0 +1,362 @@
+package oplog_test
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/base64"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	gocmp "github.com/google/go-cmp/cmp"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"fieldhill/internal/golden"
+	"fieldhill/internal/lead"
+	"fieldhill/internal/mphttp"
+	"fieldhill/internal/oplog"
+	"fieldhill/internal/standin"
+	"fieldhill/internal/statesvc"
+	"fieldhill/wire"
+)
+
+// reply is what the fake state service answers: a status, if it is not 200, and a body.
+type reply struct {
+	status int
+	body   []byte
+}
+
+// fakeState records the requests, and answers each with the next reply.
+type fakeState struct {
+	t       *testing.T
+	log     bytes.Buffer // the requests
+	replies []reply
+}
+
+func (f *fakeState) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	fmt.Fprintf(&f.log, "%s %s %s\n", r.Method, r.URL.RequestURI(), r.Header.Get("Content-Type"))
+	if len(body) > 0 {
+		var message any
+		if err := msgpack.Unmarshal(body, &message); err != nil {
+			f.t.Error(err)
+		}
+		text, _ := json.Marshal(message)
+		fmt.Fprintf(&f.log, "  %x\n  %s\n", body, text)
+	}
+	if len(f.replies) == 0 {
+		f.t.Errorf("nothing to answer to %s %s", r.Method, r.URL)
+		return
+	}
+	next := f.replies[0]
+	f.replies = f.replies[1:]
+	w.WriteHeader(cmp.Or(next.status, http.StatusOK))
+	_, _ = w.Write(next.body)
+}
+
+// with runs f with a log and a client that talk to the fake.
+func (f *fakeState) with(run func(ctx context.Context, l *oplog.Log, svc *statesvc.Client)) {
+	synctest.Test(f.t, func(t *testing.T) {
+		network := standin.NewNetwork()
+		ln, err := network.Host("state").Listen(stateAt)
+		if err != nil {
+			t.Fatal(err)
+		}
+		server := &http.Server{Handler: f}
+		go func() { _ = server.Serve(ln) }()
+		svc := statesvc.New(network.Host("node"), stateAt, 1000)
+		run(t.Context(), oplog.New(svc, 400, 0, 12, silent), svc)
+		svc.Close()
+		server.Close()
+		time.Sleep(time.Minute)
+	})
+}
+
+func raw(v wire.LogValue) msgpack.RawMessage {
+	b, _ := wire.Marshal(&v)
+	return b
+}
+
+func text(b string) string { return base64.StdEncoding.EncodeToString([]byte(b)) }
+
+// answers are what the state service says, with everything that this service stores in it.
+func answers() map[string]any {
+	leader := raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
+	taken := raw(wire.LogValue{Version: 1, Term: 10, Node: "node-1", Lease: 1 << 41})
+	accept := raw(wire.LogValue{Version: 1, Data: text("accept 300")})
+	batch := func(term uint64, data string) msgpack.RawMessage {
+		return raw(wire.LogValue{Version: 1, Term: term, Data: text(data)})
+	}
+	held := raw(wire.LogValue{Version: 1, Node: "node-2", Lease: 12})
+	stuck := raw(wire.LogValue{Version: 1, Count: 3})
+	part := raw(wire.LogValue{Version: 1, Node: "node-3"})
+	apart := raw(wire.LogValue{Version: 1, Node: "node-3", Seq: 40, Data: text("ids")})
+	return map[string]any{
+		"load-1": &wire.Items{More: true, Revision: 500, Items: []wire.Item{
+			{Key: "f/leader", Version: 499, Lease: 1 << 40, Value: leader},
+			{Key: "f/log/000000000000041", Version: 10, Value: batch(8, "covered")},
+			{Key: "f/log/000000000000042", Version: 11, Value: batch(8, "first")},
+		}},
+		"load-2": &wire.Items{Revision: 501, Items: []wire.Item{
+			{Key: "f/log/000000000000043", Version: 12, Value: batch(9, "second")},
+			{Key: "f/meta", Version: 13, Value: raw(wire.LogValue{Version: 1, Term: 8, Seq: 41, Count: 2})},
+			{Key: "f/snap/000000000000041/0000", Version: 14, Value: batch(8, "snap")},
+			{Key: "f/snap/000000000000041/0001", Version: 15, Value: batch(8, "shot")},
+			{Key: "f/term", Version: 499, Value: raw(wire.LogValue{Version: 1, Term: 9})},
+		}},
+		"since": &wire.Items{Revision: 502, Items: []wire.Item{
+			{Key: "f/log/000000000000043", Version: 12, Value: batch(9, "second")}}},
+		"follow": &wire.Events{Revision: 510, Events: []wire.Event{
+			{Put: "f/log/000000000000044", Version: 503, Value: batch(9, "third")},
+			{Delete: "f/log/000000000000042", Version: 504}, {Put: "f/other", Version: 505, Value: part},
+			{Put: "f/leader", Version: 510, Value: leader}}},
+		"follow-gone": &wire.Events{Revision: 511, Events: []wire.Event{{Delete: "f/leader", Version: 511}}},
+		"meta": &wire.Item{Key: "f/meta", Version: 13, Lease: 1,
+			Value: raw(wire.LogValue{Version: 1, Term: 8, Seq: 3, Count: 2})},
+		"left-log": &wire.Items{Revision: 1, Items: []wire.Item{
+			{Key: "f/log/000000000000002", Version: 2, Value: batch(1, "late")},
+			{Key: "f/log/000000000000004", Value: batch(1, "")}}},
+		"left-snap": &wire.Items{Revision: 1, Items: []wire.Item{
+			{Key: "f/snap/000000000000002/0000", Version: 2, Value: batch(1, "late")},
+			{Key: "f/snap/000000000000003/0000", Version: 3, Value: batch(1, "old")}}},
+		"term":       &wire.Item{Key: "f/term", Version: 499, Value: raw(wire.LogValue{Version: 1, Term: 9})},
+		"leader":     &wire.Item{Key: "f/leader", Version: 600, Lease: 1 << 41, Value: taken},
+		"txn-there":  &wire.TxnAnswer{Failed: []string{"f/log/000000000000044"}, Revision: 601},
+		"left-none":  &wire.Items{Items: []wire.Item{}, Revision: 1},
+		"lease":      &wire.LeaseAnswer{Lease: 1 << 41},
+		"txn":        &wire.TxnAnswer{Revision: 600, Failed: []string{}},
+		"txn-failed": &wire.TxnAnswer{Failed: []string{"f/log/000000000000044", "f/leader"}, Revision: 601},
+		"intake":     &wire.Item{Key: "f/in/000000000000300", Version: 9, Value: accept},
+		"intakes": &wire.Items{Revision: 520, More: true, Items: []wire.Item{
+			{Key: "f/in/000000000000300", Version: 9, Value: accept}}},
+		"intakes-2": &wire.Items{Revision: 521, Items: []wire.Item{
+			{Key: "f/in/999999999999999", Version: 10, Value: raw(wire.LogValue{Version: 1, Data: text("accept last")})}}},
+		"intake-follow": &wire.Events{Revision: 522, Events: []wire.Event{
+			{Put: "f/in/000000000000300", Version: 522, Value: accept}}},
+		"apart": &wire.Items{Revision: 1, Items: []wire.Item{{Key: "f/apart/node-3", Version: 30, Value: apart}}},
+		"duties": &wire.Items{Revision: 530, Items: []wire.Item{
+			{Key: "f/duty/held/rent", Version: 31, Lease: 12, Value: held},
+			{Key: "f/duty/stuck/rent", Version: 32, Value: stuck}, {Key: "f/duty/part/node-3", Version: 33, Value: part}}},
+		"duties-follow": &wire.Events{Revision: 531, Events: []wire.Event{{Delete: "f/duty/held/rent", Version: 531}}},
+	}
+}
+
+func stored(t *testing.T, name string) []byte { return golden.Read(t, "answer-"+name+".hex") }
+
+// use is what the program asks of the state service, the stored answers that it gets, and what it makes of them.
+type use struct {
+	name    string
+	answers string // names of stored answers; STATUS or STATUS:NAME for those that are not 200
+	run     func(ctx context.Context, l *oplog.Log, svc *statesvc.Client) (any, error)
+	want    any
+	fails   error // compared by errors.Is
+}
+
+// carry runs one use against the fake, and gives the requests as text.
+func (u *use) carry(t *testing.T, body func(name string) []byte) (requests string, got any, err error) {
+	t.Helper()
+	f := &fakeState{t: t}
+	for _, a := range strings.Fields(u.answers) {
+		var r reply
+		if n, _ := fmt.Sscanf(a, "%d", &r.status); n == 1 {
+			_, a, _ = strings.Cut(a, ":")
+		}
+		if a != "" {
+			r.body = body(a)
+		}
+		f.replies = append(f.replies, r)
+	}
+	f.with(func(ctx context.Context, l *oplog.Log, svc *statesvc.Client) { got, err = u.run(ctx, l, svc) })
+	if len(f.replies) > 0 {
+		t.Errorf("%s: %d answers were not asked for", u.name, len(f.replies))
+	}
+	return f.log.String(), got, err
+}
+
+var loaded = &oplog.Loaded{SnapSeq: 41, Snapshot: []byte("snapshot"), Revision: 500,
+	Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499},
+	Batches: []oplog.Batch{{Seq: 42, Term: 8, Data: []byte("first")}, {Seq: 43, Term: 9, Data: []byte("second")}}}
+
+func load(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.Load(ctx) }
+
+// uses are all ways in which the program uses the state service.
+func uses() []use {
+	leader := &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499}
+	batch := oplog.Batch{Seq: 44, Term: 9, Data: []byte{0, 1, 0xff, 'x'}}
+	add := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		return nil, l.Append(ctx, leader, batch)
+	}
+	follow := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		return l.Follow(ctx, 500, 5*time.Second)
+	}
+	putIntake := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		return nil, l.PutIntake(ctx, oplog.Intake{Job: 300, Data: []byte("accept 300")})
+	}
+	getIntake := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.GetIntake(ctx, 300) }
+	acquire := func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+		won, err := lead.Acquire(ctx, svc, "node-1", silent)
+		if err != nil {
+			return nil, err
+		}
+		return won.Leader, nil
+	}
+	takePart := func(part bool) func(context.Context, *oplog.Log, *statesvc.Client) (any, error) {
+		return func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			return nil, l.TakePart(ctx, "node-3", part)
+		}
+	}
+	return []use{
+		{"load", "load-1 load-2", load, loaded, nil},
+		{"since", "since", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			return l.Since(ctx, 42)
+		}, []oplog.Batch{{Seq: 43, Term: 9, Data: []byte("second")}}, nil},
+		{"follow", "follow", follow, &oplog.Tail{Revision: 510, LeaderKnown: true,
+			Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 510},
+			Batches: []oplog.Batch{{Seq: 44, Term: 9, Data: []byte("third")}}}, nil},
+		{"follow, leader gone", "follow-gone", follow, &oplog.Tail{Revision: 511, LeaderKnown: true}, nil},
+		{"append", "txn", add, nil, nil},
+		{"append, deposed", "409:txn-failed", add, nil, oplog.ErrDeposed},
+		{"append, there already", "409:txn-there", add, nil, nil},
+		{"compact", "meta txn txn txn left-log left-snap txn",
+			func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+				return nil, l.Compactor(leader.Fence()).Compact(ctx, 5, bytes.Repeat([]byte("snap."), 60))
+			}, nil, nil},
+		{"compact without a snapshot, beside the leader", "404 txn txn left-none left-none txn",
+			func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+				fence := oplog.Fence{Key: oplog.DutyKey("clean"), Version: 31, Term: 31}
+				return nil, l.Compactor(fence).Compact(ctx, 3, []byte("snap"))
+			}, nil, nil},
+		{"put intake", "txn", putIntake, nil, nil},
+		{"put intake, there already", "409:txn-failed", putIntake, nil, nil},
+		{"get intake", "intake", getIntake, &oplog.Intake{Job: 300, Data: []byte("accept 300")}, nil},
+		{"get intake, none", "404", getIntake, (*oplog.Intake)(nil), nil},
+		{"list intake", "intakes intakes-2", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			list, revision, err := l.ListIntake(ctx)
+			return []any{list, revision}, err
+		}, []any{[]oplog.Intake{{Job: 300, Data: []byte("accept 300")},
+			{Job: 999_999_999_999_999, Data: []byte("accept last")}}, uint64(520)}, nil},
+		{"watch intake", "intake-follow", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			revision, some, err := l.WatchIntake(ctx, 520, time.Second)
+			return []any{revision, some}, err
+		}, []any{uint64(522), true}, nil},
+		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			return nil, l.DropIntake(ctx, leader, []uint64{300, 7})
+		}, nil, nil},
+		{"put apart", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			return nil, l.PutApart(ctx, oplog.Apart{Node: "node-3", Seq: 40, Data: []byte("ids")})
+		}, nil, nil},
+		{"apart", "apart", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.Apart(ctx) },
+			[]oplog.Apart{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
+		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+			key := oplog.DutyKey("rent")
+			lease, version, err := lead.Take(ctx, svc, 4*time.Second, key, "node-2", func(lease uint64) *wire.Txn {
+				return oplog.TakeDuty("rent", "node-2", lease)
+			}, silent)
+			return []uint64{lease, version}, err
+		}, []uint64{1 << 41, 600}, nil},
+		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			return nil, l.PutStuck(ctx, "rent", 31, 3)
+		}, nil, nil},
+		{"take part", "txn", takePart(true), nil, nil},
+		{"take no part", "txn", takePart(false), nil, nil},
+		{"duties", "duties", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			list, revision, err := l.Duties(ctx)
+			return []any{list, revision}, err
+		}, []any{[]oplog.DutyNews{{Held: "rent", Node: "node-2", Term: 31, Lease: 12},
+			{Stuck: "rent", Term: 32, Count: 3}, {Part: "node-3", Node: "node-3", Term: 33}}, uint64(530)}, nil},
+		{"follow duties", "duties-follow", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			list, revision, err := l.FollowDuties(ctx, 530, 1500*time.Millisecond)
+			return []any{list, revision}, err
+		}, []any{[]oplog.DutyNews{{Held: "rent", Gone: true, Term: 531}}, uint64(531)}, nil},
+		{"acquire", "term lease txn", acquire, oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
+		{"acquire the first term", "404 lease txn", acquire,
+			oplog.Leader{Node: "node-1", Term: 1, Lease: 1 << 41, Version: 600}, nil},
+		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, lead.ErrTaken},
+		{"acquire, no answer", "term lease 503 leader", acquire,
+			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
+		{"keep", "200 404", func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+			times := 0
+			err := lead.Keep(ctx, svc, &lead.Won{Leader: *leader}, func(time.Time) { times++ })
+			return times, err
+		}, 1, oplog.ErrDeposed},
+	}
+}
+
+// TestGoldenTransactions: every request to the state service is the same as ever, and every stored answer, with
+// all that this service keeps there, is read as what it stands for.
+func TestGoldenTransactions(t *testing.T) {
+	for name, answer := range answers() {
+		b, err := wire.Marshal(answer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, "answer-"+name+".hex", b)
+	}
+	var all strings.Builder
+	for _, u := range uses() {
+		requests, got, err := u.carry(t, func(name string) []byte { return stored(t, name) })
+		if !errors.Is(err, u.fails) {
+			t.Errorf("%s: %v, not %v", u.name, err, u.fails)
+		}
+		if diff := gocmp.Diff(u.want, got); diff != "" {
+			t.Errorf("%s (-want +got):\n%s", u.name, diff)
+		}
+		fmt.Fprintf(&all, "== %s\n%s", u.name, requests)
+	}
+	golden.Check(t, "requests.txt", []byte(all.String()))
+}
+
+// TestGoldenStatus: the statuses on which the program depends.
+func TestGoldenStatus(t *testing.T) {
+	follow := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		return l.Follow(ctx, 1, time.Second)
+	}
+	u := use{name: "too old", answers: "410", run: follow}
+	if _, _, err := u.carry(t, nil); mphttp.Code(err) != http.StatusGone {
+		t.Errorf("a watch of what is gone gives %v", err)
+	}
+}
+
+// TestGoldenFindsDifferences: what is stored is read as something else, or not at all, if a tag is renamed, or if a
+// byte of a value differs, its version among them.
+func TestGoldenFindsDifferences(t *testing.T) {
+	find := func(what string, planted []byte) {
+		t.Helper()
+		f := &fakeState{t: t}
+		for range 5 { // a log with gaps is read again
+			f.replies = append(f.replies, reply{body: planted}, reply{body: stored(t, "load-2")})
+		}
+		f.with(func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) {
+			if got, err := l.Load(ctx); err == nil && gocmp.Equal(loaded, got) {
+				t.Errorf("%s: nothing was found", what)
+			}
+		})
+	}
+	good := stored(t, "load-1")
+	for _, tag := range []string{"items", "truncated", "ledger", "key", "stamp", "value", "v", "t", "n", "l", "d"} {
+		is, _ := msgpack.Marshal(tag)
+		other, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
+		find("tag "+tag, bytes.ReplaceAll(good, is, other))
+	}
+	leader := raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
+	at := bytes.Index(good, leader)
+	for i := range leader {
+		planted := bytes.Clone(good)
+		planted[at+i] ^= 1
+		find(fmt.Sprintf("byte %d of the leader's value", i), planted)
+	}
+	golden.FlipFinds(t, "answer-meta.hex", func(b []byte) ([]byte, error) {
+		var it wire.Item
+		if err := wire.Unmarshal(b, &it); err != nil {
+			return nil, err
+		}
+		return wire.Marshal(&it)
+	})
+}
