--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,13 +1,28 @@
 package controller
 
 import (
+	"bytes"
+	"context"
 	"fmt"
+	"log/slog"
+	"maps"
+	"net/http"
 	"slices"
+	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
+	"fieldhill/internal/codec"
+	"fieldhill/internal/config"
+	"fieldhill/internal/duty"
 	"fieldhill/internal/golden"
 	"fieldhill/internal/model"
+	"fieldhill/internal/operate"
+	"fieldhill/internal/oplog"
+	"fieldhill/internal/peer"
+	"fieldhill/internal/rent"
+	"fieldhill/internal/standin"
 	"fieldhill/internal/worker"
 	"fieldhill/wire"
 )
@@ -15,26 +30,148 @@
 // TestGoldenCleared: the list of cleared machines that a node puts into the state service is written and read as it
 // always was.
 func TestGoldenCleared(t *testing.T) {
-	const seen = 5
-	ids, now := []model.MachineID{1, 127, 128, 300_000}, time.Now()
-	write := func(of map[model.MachineID]bool) []byte {
-		m, c := model.New(params(1)), cleared{}
-		for i, id := range slices.Sorted(maps.Keys(of)) {
-			job := wire.JobSpec{ID: wire.JobID(uint64(i + 1)), Tasks: 1}
-			for _, e := range []*model.Entry{
-				{Kind: model.EntryMachine, Machine: id, Info: &model.MachineInfo{Name: fmt.Sprint("host-", id), Type: "t", Zone: "a"}},
-				model.Accepted(&job, 0),
-				{Kind: model.EntryPlace, Job: model.JobID(i + 1), Attempt: 1, Machine: id},
-				{Kind: model.EntryCancel, Job: model.JobID(i + 1)},
-			} {
-				if err := m.Apply(e, seen, 0); err != nil {
-					t.Fatal(err)
+	now, settings := time.Now(), standin.Params()
+	m, all := model.New(&settings), cleared{}
+	want := map[model.MachineID]bool{1: true, 127: true, 128: true, 300_000: true}
+	for i, id := range slices.Sorted(maps.Keys(want)) {
+		job := model.JobID(i + 1)
+		machine := &model.MachineInfo{Name: fmt.Sprint("host-", id), Type: "small", Zone: "a"}
+		for _, e := range []*model.Entry{
+			{Kind: model.EntryMachine, Machine: id, Info: machine},
+			model.Accepted(&wire.JobSpec{ID: wire.JobID(uint64(job)), Tasks: 1}, 0),
+			{Kind: model.EntryPlace, Job: job, Attempt: 1, Machine: id},
+			{Kind: model.EntryCancel, Job: job},
+		} {
+			if err := m.Apply(e, 1, 0); err != nil {
+				t.Fatal(err)
+			}
+		}
+		all[id] = now
+	}
+	golden.Check(t, "cleared.hex", all.say(m, now, 1000))
+	if got := readCleared(golden.Read(t, "cleared.hex")); !maps.Equal(got, want) {
+		t.Errorf("read as %v", got)
+	}
+	golden.FlipFinds(t, "cleared.hex", func(b []byte) (again []byte, err error) {
+		for _, id := range slices.Sorted(maps.Keys(readCleared(b))) {
+			again = codec.Uint(again, uint64(id))
+		}
+		return again, nil
+	})
+}
+
+// TestGoldenFates: the fates of direct commands go between controllers by number.
+func TestGoldenFates(t *testing.T) {
+	for number, fate := range []worker.Fate{worker.Executed, worker.Refused, worker.Unsent, worker.Unknown} {
+		if int(fate) != number {
+			t.Errorf("fate %d has number %d", number, fate)
+		}
+	}
+}
+
+// calling is a node whose loop takes work, and the calls that the other one, which it takes for the leader, got.
+type calling struct {
+	*Node
+	to    *peer.Link
+	calls chan *peer.Call
+}
+
+// inCall runs f with such a node.
+func inCall(t *testing.T, f func(ctx context.Context, c *calling)) {
+	synctest.Test(t, func(t *testing.T) {
+		network, quiet := standin.NewNetwork(), slog.New(slog.DiscardHandler)
+		set := &config.Settings{Params: standin.Params(), Node: "n0",
+			Members: []config.Member{{Node: "n1", Addr: "10.0.0.2:81"}}}
+		ctx, stop := context.WithCancel(context.Background())
+		c := &calling{Node: New(network.Host("n0"), set, Options{Duties: true}, quiet), calls: make(chan *peer.Call, 100)}
+		c.Node.ctx, c.to = ctx, c.links["n1"]
+		ln, err := network.Host("n1").Listen(set.Members[0].Addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		answer := func(_ context.Context, call *peer.Call) *peer.Reply {
+			if call.Op != peer.OpPing {
+				c.calls <- call
+			}
+			return &peer.Reply{Status: http.StatusOK}
+		}
+		go func() { _ = peer.Serve(ctx, ln, answer, &peer.Traffic{}, quiet) }()
+		go c.to.Run(ctx)
+		go func() {
+			for {
+				select {
+				case work := <-c.work:
+					work()
+				case request := <-c.requests:
+					request.run()
+				case <-ctx.Done():
+					return
 				}
 			}
-			c[id] = now
+		}()
+		time.Sleep(time.Second)
+		c.leader, c.loaded = &oplog.Leader{Node: "n1"}, true
+		c.stands.Store(&standing{leader: "n1"})
+		f(ctx, c)
+		stop()
+		time.Sleep(time.Minute)
+	})
+}
+
+// TestGoldenCalls: each operation is asked of another controller in the same words as ever, and what was always asked
+// is understood: the file has, for each call, its number, ID and body, and the status by which this node, which has no
+// lead, answers it. A body that is cut short is answered as malformed.
+func TestGoldenCalls(t *testing.T) {
+	var all strings.Builder
+	inCall(t, func(ctx context.Context, c *calling) {
+		report := &wire.Report{Machine: "host-1", Addr: "10.1.0.1:9", Session: 1, Seq: 2, Tasks: []wire.TaskStatus{}}
+		hired := &rent.Outcome{Kind: rent.Hired, Order: rent.Order{Name: "fh-3-1", Count: 2}, Names: []string{"host-1"}}
+		for _, ask := range []func(){
+			func() { c.Submit(ctx, mustMarshal(t, spec(7, wire.Array, 1, 1))) },
+			func() { c.Status(ctx, "req-000007") },
+			func() { c.Cancel(ctx, "req-000007") },
+			func() { c.Why(ctx, "req-000007") },
+			func() { c.Queue(ctx, operate.Filter{Team: "red", Class: "web", Reason: "limit", Most: 20}) },
+			func() { c.Queue(ctx, operate.Filter{Most: 1}) },
+			func() { c.tellCloud(ctx, c.duties.keepers[duty.Rent], 300, hired) },
+			func() { c.askRenewed(&role{ctx: ctx}, c.to, 0, 0, "a", 300) },
+			func() { c.ask(func() { c.caught = time.Now(); c.askPast() }) },
+			func() { c.ask(c.tendRelay) },
+			func() { c.relaying.target.Store(c.to); c.relaying.on.Store(true); c.passReport(ctx, report) },
+			func() {
+				_, _, _ = c.sendOrders(ctx, c.to, "10.1.0.1:9", &wire.Orders{Token: 1, Session: 2,
+					Commands: []wire.Command{{Verb: wire.Start, Task: "req-000007.0", Attempt: 1}}})
+			},
+			func() { _, _ = askThrough(ctx, c.to, "10.1.0.1:9") },
+		} {
+			ask()
+			time.Sleep(200 * time.Millisecond)
+			if len(c.calls) == 0 {
+				t.Errorf("nothing was asked after\n%s", all.String())
+				continue
+			}
+			call := <-c.calls
+			for len(c.calls) > 0 {
+				<-c.calls
+			}
+			c.stands.Store(&standing{leader: "n1", leads: call.Op == peer.OpQueue}) // only a leader reads the filter
+			fmt.Fprintf(&all, "%d %q %x -> %d\n", call.Op, call.ID, call.Body, c.answerPeer(ctx, call).Status)
+			switch call.Op {
+			case peer.OpQueue, peer.OpDuty, peer.OpRenewed, peer.OpOffer, peer.OpReport, peer.OpOrders:
+				call.Body = bytes.Clone(call.Body[:len(call.Body)-1])
+				fmt.Fprintf(&all, "  cut short -> %d\n", c.answerPeer(ctx, call).Status)
+			}
+			c.stands.Store(&standing{leader: "n1"})
 		}
-		return c.say(m, now, 1000)
+	})
+	golden.Check(t, "calls.txt", []byte(all.String()))
+}
+
+func mustMarshal(t *testing.T, message any) []byte {
+	t.Helper()
+	b, err := wire.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
 	}
-	_ = ids
-	_ = write
+	return b
 }
