--- a/internal/oplog/golden_test.go
+++ b/internal/oplog/golden_test.go
@@ -347,6 +347,9 @@
 	}
 	leader := raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
 	at := bytes.Index(good, leader)
+	if at < 0 {
+		t.Fatal("the leader's value is not stored as it is written now")
+	}
 	for i := range leader {
 		planted := bytes.Clone(good)
 		planted[at+i] ^= 1
