--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -43,13 +43,18 @@
 			send(api.Later("the log is not read so far", 1))
 			return
 		}
-		var names []string
+		var suspects, others []string
 		for _, mc := range n.m.Order {
-			if mc.Info.Zone == c.ID {
-				names = append(names, mc.Info.Name)
+			switch {
+			case mc.Info.Zone != c.ID:
+			case mc.Suspect:
+				suspects = append(suspects, mc.Info.Name)
+			default:
+				others = append(others, mc.Info.Name)
 			}
 		}
-		send(&peer.Reply{Status: http.StatusOK, Body: n.book.Word(names, n.now()).Append(nil)})
+		word := n.book.Word(suspects, others, n.now(), n.kept(), peer.MostBody)
+		send(&peer.Reply{Status: http.StatusOK, Body: word.Append(nil)})
 	})
 }
 
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"math"
 	"net/http"
 	"time"
 
@@ -47,7 +48,7 @@
 // Queue lists the jobs that wait.
 func (n *Node) Queue(ctx context.Context, f operate.Filter) *peer.Reply {
 	if leads, _ := n.standing(); leads {
-		return n.queueHere(ctx, f)
+		return n.queueHere(ctx, f, math.MaxInt)
 	}
 	body, err := json.Marshal(f)
 	if err != nil {
@@ -79,7 +80,7 @@
 	if err := json.Unmarshal(c.Body, &f); err != nil || f.Most < 1 || f.Most > wire.MostQueued {
 		return operate.Refuse(http.StatusBadRequest, "malformed filter", 0)
 	}
-	return n.queueHere(ctx, f)
+	return n.queueHere(ctx, f, peer.MostBody)
 }
 
 // opInLoop has the loop answer; an answer that it is too busy for is put into the operators' words.
@@ -163,8 +164,8 @@
 	return operate.Encode(http.StatusOK, e)
 }
 
-// queueHere answers as the leader.
-func (n *Node) queueHere(ctx context.Context, f operate.Filter) *peer.Reply {
+// queueHere answers as the leader, in most bytes.
+func (n *Node) queueHere(ctx context.Context, f operate.Filter, most int) *peer.Reply {
 	return n.opInLoop(ctx, func() *peer.Reply {
 		if !n.active() {
 			return opNoLeader
@@ -194,10 +195,23 @@
 		for _, j := range rest {
 			add(0, j)
 		}
-		return operate.Encode(http.StatusOK, q)
+		return fitQueue(q, most)
 	})
 }
 
+// fitQueue encodes a queue in most bytes: the jobs that don't fit are counted, as those beyond the filter's number are.
+func fitQueue(q *wire.Queue, most int) *peer.Reply {
+	for {
+		r := operate.Encode(http.StatusOK, q)
+		if len(r.Body) <= most || len(q.Jobs) == 0 {
+			return r
+		}
+		fits := min(len(q.Jobs)-1, int(float64(len(q.Jobs))*float64(most)/float64(len(r.Body))))
+		q.More += len(q.Jobs) - fits
+		q.Jobs = q.Jobs[:fits]
+	}
+}
+
 // around lists the reasons that lie outside of the rounds: they hold for all jobs alike, or
 // for tasks that have a place.
 func (n *Node) around(j *model.Job) (out []why.Reason) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,6 +15,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -34,6 +35,9 @@
 	// mostAtOnce is about how many bytes one write carries at most, and bufferSize how many one read takes.
 	mostAtOnce = 32 << 10
 	bufferSize = 16 << 10
+	// MostBody is how many bytes the ID and body of a call, or the body of a reply, have at most: the other side ends the
+	// connection over a larger frame, and all calls on it are lost with it. The rest is for the envelope.
+	MostBody = maxPayload - 1<<10
 	// writeGap is between two writes at least, so that on a busy link more frames share one.
 	writeGap = 2 * time.Millisecond
 )
@@ -75,8 +79,11 @@
 // errDown says that the other controller can't be reached now.
 var errDown = errors.New("peer: not connected")
 
+// ErrTooLarge says that a call was not sent since it does not fit into a frame.
+var ErrTooLarge = errors.New("peer: too large for a frame")
+
 // IsDown tells whether a call's error means that the call surely was not sent.
-func IsDown(err error) bool { return errors.Is(err, errDown) }
+func IsDown(err error) bool { return errors.Is(err, errDown) || errors.Is(err, ErrTooLarge) }
 
 func appendCall(b []byte, c *Call) []byte {
 	b = append(b, byte(c.Op))
@@ -205,8 +212,12 @@
 		}
 		go func() {
 			defer func() { <-slots }()
+			reply := h(ctx, call)
+			if len(reply.Body) > MostBody {
+				reply = &Reply{Status: http.StatusInternalServerError}
+			}
 			select {
-			case out <- appendFrame(nil, kindBack, id, appendReply(nil, h(ctx, call))):
+			case out <- appendFrame(nil, kindBack, id, appendReply(nil, reply)):
 			case <-ctx.Done():
 			}
 		}()
@@ -397,9 +408,12 @@
 	}
 }
 
-// Call asks the other controller. errDown means that the call surely was not
-// sent; another error that its fate is unknown.
+// Call asks the other controller. An error for which IsDown holds means that the
+// call surely was not sent; another one that its fate is unknown.
 func (l *Link) Call(ctx context.Context, c *Call) (*Reply, error) {
+	if len(c.ID)+len(c.Body) > MostBody {
+		return nil, ErrTooLarge
+	}
 	ch := make(chan *Reply, 1)
 	l.mu.Lock()
 	if l.out == nil || len(l.pending) >= maxPending {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"log/slog"
 	"net"
 	"net/http"
@@ -76,6 +77,52 @@
 	})
 }
 
+// TestLargeAnswerEndsNothing: an answer or a call that does not fit into a frame fails alone. The other side ended the
+// connection over it, and every call under way was lost.
+func TestLargeAnswerEndsNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		p, l := runLink(ctx)
+		const slow = "slow"
+		go func() {
+			_ = serveConn(ctx, <-p, func(_ context.Context, c *Call) *Reply {
+				switch {
+				case c.ID == slow:
+					time.Sleep(time.Second)
+				case c.Op == OpQueue:
+					return &Reply{Status: http.StatusOK, Body: make([]byte, 100<<10)}
+				}
+				return &Reply{Status: http.StatusOK, Body: c.Body}
+			}, &Traffic{})
+		}()
+		time.Sleep(10 * time.Millisecond)
+		underWay := make(chan error, 1)
+		go func() {
+			_, err := l.Call(ctx, &Call{Op: OpSubmit, ID: slow})
+			underWay <- err
+		}()
+		time.Sleep(10 * time.Millisecond)
+		if a, err := l.Call(ctx, &Call{Op: OpQueue}); err != nil || a.Status != http.StatusInternalServerError {
+			t.Errorf("a large answer: %+v, %v", a, err)
+		}
+		a, err := l.Call(ctx, &Call{Op: OpSubmit, Body: make([]byte, 100<<10)})
+		if !errors.Is(err, ErrTooLarge) || !IsDown(err) {
+			t.Errorf("a large call: %+v, %v", a, err)
+		}
+		if a, err := l.Call(ctx, &Call{Op: OpSubmit, Body: make([]byte, MostBody)}); err != nil || len(a.Body) != MostBody {
+			t.Errorf("what just fits: %v", err)
+		}
+		if err := <-underWay; err != nil {
+			t.Errorf("the call under way: %v", err)
+		}
+		if len(p) > 0 {
+			t.Error("the link connected anew")
+		}
+		stop()
+		time.Sleep(10 * time.Second)
+	})
+}
+
 func FuzzFrames(f *testing.F) {
 	f.Add(appendFrame(nil, kindCall, 3, appendCall(nil, &Call{Op: OpStatus, ID: "req-000001"})))
 	f.Add(appendFrame(nil, kindBack, 3, appendReply(nil, &Reply{Status: 200, Body: []byte{1}})))
--- a/internal/renewal/renewal.go
+++ b/internal/renewal/renewal.go
@@ -8,7 +8,12 @@
 package renewal
 
 import (
+	"cmp"
+	"encoding/binary"
 	"errors"
+	"maps"
+	"math/bits"
+	"slices"
 	"time"
 
 	"fieldhill/internal/codec"
@@ -56,17 +61,85 @@
 	Ages map[string]Time // since it last renewed a machine's lease; missing: not since it began, or longer ago than it keeps
 }
 
-// Word makes what a node says of some machines now.
-func (b *Book) Word(machines []string, now Time) Word {
-	w := Word{Age: now - b.from, Ages: map[string]Time{}}
-	for _, m := range machines {
-		if t, ok := b.at[m]; ok {
-			w.Ages[m] = now - t
+// stated is a machine's place in a word that may be too large.
+type stated struct {
+	machine string
+	age     Time
+	suspect bool
+	renewed bool // by this node, as far as it knows
+}
+
+// Word makes what a node says now of the machines of a zone, in most bytes. Exact ages matter for those that are
+// suspect, so these come first, then those renewed last. Kept is for how long the node keeps what it did.
+func (b *Book) Word(suspects, others []string, now, kept Time, most int) Word {
+	age := now - b.from
+	list := make([]stated, 0, len(suspects)+len(others))
+	for _, m := range suspects {
+		t, renewed := b.at[m]
+		s := stated{machine: m, age: min(age, kept), suspect: true, renewed: renewed}
+		if renewed {
+			s.age = now - t
 		}
+		list = append(list, s)
+	}
+	for _, m := range others {
+		if t, renewed := b.at[m]; renewed {
+			list = append(list, stated{machine: m, age: now - t, renewed: true})
+		}
+	}
+	w := Word{Age: age, Ages: map[string]Time{}}
+	size := 2 * binary.MaxVarintLen64
+	for _, s := range list {
+		if s.renewed {
+			w.Ages[s.machine] = s.age
+			size += s.size()
+		}
+	}
+	if size > most {
+		w.fit(list, most)
 	}
 	return w
 }
 
+// size is how many bytes a machine takes in a word.
+func (s *stated) size() int {
+	return varint(uint64(len(s.machine))) + len(s.machine) + varint(uint64(s.age/time.Millisecond))
+}
+
+// varint is how many bytes a number takes.
+func varint(v uint64) int {
+	const bitsEach = 7
+	return (bits.Len64(v|1) + bitsEach - 1) / bitsEach
+}
+
+// fit fills a word anew with as many machines as go into most bytes. Who reads it takes one that is missing for renewed
+// when the process began, or longer ago, so the word then says that it began when the youngest of those left out was
+// renewed: later than true, never earlier. The suspect ones that this node never renewed are named, so that this does
+// not hold for them.
+func (w *Word) fit(list []stated, most int) {
+	rank := func(s stated) int {
+		switch {
+		case s.suspect && s.renewed:
+			return 0
+		case s.suspect:
+			return 1
+		}
+		return 2
+	}
+	slices.SortFunc(list, func(a, b stated) int {
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.age, b.age), cmp.Compare(a.machine, b.machine))
+	})
+	clear(w.Ages)
+	size := 2 * binary.MaxVarintLen64
+	for _, s := range list {
+		if size += s.size(); size <= most {
+			w.Ages[s.machine] = s.age
+		} else if s.renewed {
+			w.Age = min(w.Age, s.age)
+		}
+	}
+}
+
 // Last tells when a machine's lease was last renewed by the node whose word this is, at the latest, if the word came at a time.
 // Kept is for how long that node keeps what it did.
 func (w Word) Last(machine string, came, kept Time) Time {
@@ -79,11 +152,12 @@
 // ErrWord says that a word is malformed.
 var ErrWord = errors.New("renewal: malformed word")
 
-// Append encodes a word: its age and each machine's, in milliseconds, rounded so that nothing seems longer ago than it is.
+// Append encodes a word: its age and each machine's, in milliseconds, rounded so that nothing seems longer ago than it
+// is, by name, so that a word is always the same bytes.
 func (w Word) Append(b []byte) []byte {
 	b = codec.Uint(codec.Uint(b, uint64(w.Age/time.Millisecond)), uint64(len(w.Ages)))
-	for m, age := range w.Ages {
-		b = codec.Uint(codec.String(b, m), uint64(age/time.Millisecond))
+	for _, m := range slices.Sorted(maps.Keys(w.Ages)) {
+		b = codec.Uint(codec.String(b, m), uint64(w.Ages[m]/time.Millisecond))
 	}
 	return b
 }
--- a/internal/renewal/renewal_test.go
+++ b/internal/renewal/renewal_test.go
@@ -1,6 +1,8 @@
 package renewal
 
 import (
+	"bytes"
+	"fmt"
 	"testing"
 	"time"
 
@@ -39,7 +41,7 @@
 				}
 			}
 			b.Forget(from - kept)
-			w, err := Read(b.Word([]string{"m", "other"}, from).Append(nil))
+			w, err := Read(b.Word([]string{"m"}, []string{"other"}, from, kept, 1<<20).Append(nil))
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -61,6 +63,80 @@
 	}
 }
 
+// TestWordFits: a word of more machines than go into a frame has only so many bytes. Of none does it say that its
+// lease was renewed earlier than the whole word does, and of the suspect ones that fit it says the same.
+func TestWordFits(t *testing.T) {
+	const most, kept, now, names = 79 << 10, 48 * time.Second, time.Hour, 10_000
+	rapid.Check(t, func(rt *rapid.T) {
+		b := NewBook(time.Duration(rapid.IntRange(0, 3600).Draw(rt, "began")) * time.Second)
+		suspectOf := rapid.IntRange(2, 50).Draw(rt, "one in so many is suspect")
+		absentOf := rapid.IntRange(2, 50).Draw(rt, "one in so many was never renewed here")
+		step := time.Duration(rapid.IntRange(1, 97).Draw(rt, "step")) * time.Millisecond
+		oldest := max(step, now-b.from)
+		var all, suspects, others []string
+		for i := range names {
+			name := fmt.Sprintf("host-of-a-zone-%05d", i*7919%names)
+			if all = append(all, name); i%suspectOf == 0 {
+				suspects = append(suspects, name)
+			} else {
+				others = append(others, name)
+			}
+			if i%absentOf != 0 {
+				b.Renewed(name, now-time.Duration(i)*step%oldest)
+			}
+		}
+		whole := b.Word(suspects, others, now, kept, 1<<30)
+		fits := b.Word(suspects, others, now, kept, most)
+		body := fits.Append(nil)
+		if len(body) > most || len(body) < most*9/10 {
+			rt.Fatalf("%d bytes of at most %d", len(body), most)
+		}
+		read, err := Read(body)
+		if err != nil {
+			rt.Fatal(err)
+		}
+		left := 0
+		for _, name := range all {
+			cut, exact := fits.Last(name, now, kept), whole.Last(name, now, kept)
+			if cut < exact {
+				rt.Fatalf("%s was renewed at %v, the word that fits has %v", name, exact, cut)
+			}
+			if d := read.Last(name, now, kept) - cut; d < 0 || d > time.Millisecond {
+				rt.Fatalf("%s is read as %v later", name, d)
+			}
+			if _, listed := fits.Ages[name]; listed && cut != exact {
+				rt.Fatalf("%s is listed with %v instead of %v", name, cut, exact)
+			} else if !listed {
+				left++
+			}
+		}
+		const fitSurely = 3000
+		for _, name := range suspects {
+			if len(suspects) <= fitSurely && fits.Last(name, now, kept) != whole.Last(name, now, kept) {
+				rt.Fatalf("%s is suspect, and not told exactly", name)
+			}
+		}
+		if left == 0 {
+			rt.Fatal("all fit")
+		}
+	})
+}
+
+// TestWordIsTheSame: a word is the same bytes each time.
+func TestWordIsTheSame(t *testing.T) {
+	b := NewBook(0)
+	names := []string{"c", "a", "e", "b", "d"}
+	for i, name := range names {
+		b.Renewed(name, time.Duration(i)*time.Second)
+	}
+	want := []byte("\x88\x27\x05\x01a\xa0\x1f\x01b\xd0\x0f\x01c\x88\x27\x01d\xe8\x07\x01e\xb8\x17")
+	for range 20 {
+		if got := b.Word(nil, names, 5*time.Second, time.Minute, 100).Append(nil); !bytes.Equal(got, want) {
+			t.Fatalf("%q instead of %q", got, want)
+		}
+	}
+}
+
 // TestWordOfOthers: all have to say so, each counts once for a suspicion, and a malformed word is refused.
 func TestWordOfOthers(t *testing.T) {
 	var p Proof
