--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -353,6 +353,7 @@
 	Tombs                             map[string]bool
 	GangWait                          Time // how long a gang's member waits for the others, by the platform
 	tombRing                          []string
+	largest                           int // how many machines there were at once at most, as far as this process knows
 	NextMachine                       MachineID
 	Intents                           []Intent // rentals that may be under way, in the order of the log
 	jobOrder                          uint64
@@ -792,6 +793,7 @@
 	m.Machines[mc.ID] = mc
 	m.ByName[mc.Info.Name] = mc
 	m.Order = append(m.Order, mc)
+	m.largest = max(m.largest, len(m.Order))
 	m.NextMachine = max(m.NextMachine, mc.ID+1)
 }
 
@@ -804,7 +806,10 @@
 	}
 }
 
-const maxTombs = 1024
+// leastTombs is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had are,
+// so that none is forgotten while a list lags though all machines were lost and others were rented. Replicas may differ
+// in how many they keep: no entry is applied otherwise for it.
+const leastTombs = 1024
 
 func (m *Model) removeMachine(id MachineID, now Time) {
 	mc := m.Machines[id]
@@ -831,7 +836,7 @@
 	}
 	m.Tombs[name] = true
 	m.tombRing = append(m.tombRing, name)
-	if len(m.tombRing) > maxTombs {
+	if len(m.tombRing) > max(leastTombs, 2*m.largest) {
 		delete(m.Tombs, m.tombRing[0])
 		m.tombRing = m.tombRing[1:]
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -701,3 +701,57 @@
 		t.Errorf("an answer that lists the run proves %d ends, phase %d", len(v.Entries), run.Phase)
 	}
 }
+
+// TestGoneZoneIsRemembered: as many machines as a fleet ever had may be lost twice over, and none of their names is
+// forgotten, also not by a node that begins from a snapshot: a late report or a lagging list would bring it back.
+func TestGoneZoneIsRemembered(t *testing.T) {
+	for _, fleet := range []int{512, 1024, 4000, 10_000} {
+		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
+			m := New(params())
+			apply := func(e *Entry) {
+				t.Helper()
+				if err := m.Apply(e, 1, 0); err != nil {
+					t.Fatal(err)
+				}
+			}
+			name := func(i int) string { return fmt.Sprintf("host-%06d", i) }
+			rent := func(from, to int) {
+				for i := from; i < to; i++ {
+					apply(&Entry{Kind: EntryMachine, Machine: MachineID(i + 1), Info: info(name(i))})
+				}
+			}
+			remembered := func(when string, from, to int) {
+				t.Helper()
+				for i := from; i < to; i++ {
+					if !m.Tombs[name(i)] {
+						t.Fatalf("%s: machine %d of %d is forgotten", when, i, to)
+					}
+				}
+			}
+			lose := func(from, to int) {
+				for i := from; i < to; i++ {
+					apply(&Entry{Kind: EntryGone, Machine: MachineID(i + 1)})
+				}
+			}
+			rent(0, fleet)
+			lose(0, fleet/2)
+			remembered("half is lost", 0, fleet/2)
+			lose(fleet/2, fleet)
+			remembered("all are lost", 0, fleet)
+			restored := New(params())
+			if err := restored.Restore(m.Snapshot(), 1, 0); err != nil {
+				t.Fatal(err)
+			}
+			m = restored
+			remembered("from a snapshot", 0, fleet)
+			rent(fleet, 2*fleet)
+			lose(fleet, 2*fleet)
+			remembered("all are lost again", 0, 2*fleet)
+			rent(2*fleet, 3*fleet)
+			lose(2*fleet, 3*fleet)
+			if kept := max(leastTombs, 2*fleet); len(m.Tombs) != kept {
+				t.Errorf("%d names are kept, not %d", len(m.Tombs), kept)
+			}
+		})
+	}
+}
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -132,7 +132,9 @@
 		}
 	}
 	m.NextMachine = max(m.NextMachine, next)
-	for range r.Max(uint64(len(b))) {
+	gone := r.Max(uint64(len(b)))
+	m.largest = max(m.largest, (gone+1)/2) // who wrote this knew of as many
+	for range gone {
 		m.bury(r.String())
 	}
 	for _, f := range []Final{FinalDone, FinalCancelled} {
