--- a/internal/oplog/compact_test.go
+++ b/internal/oplog/compact_test.go
@@ -301,3 +301,29 @@
 		}
 	})
 }
+
+// TestAllNodesAreRead: whoever reads which nodes don't reach the leader, or take part in duties, reads all of them,
+// also where they are more than one page: a zone whose node did not count was taken for one that is cut off.
+func TestAllNodesAreRead(t *testing.T) {
+	const nodes = 60 // a page of the stand-in has 50
+	inStore(t, func(s *store) {
+		n := s.open("a")
+		for i := range nodes {
+			name := fmt.Sprintf("n%03d", i)
+			if err := n.PutApart(s.ctx, oplog.Apart{Node: name, Seq: uint64(i)}); err != nil {
+				t.Error(err)
+			}
+			if err := n.TakePart(s.ctx, name, true); err != nil {
+				t.Error(err)
+			}
+		}
+		apart, err := n.Apart(s.ctx)
+		if err != nil || len(apart) != nodes {
+			t.Errorf("%d of %d nodes that don't reach the leader are read: %v", len(apart), nodes, err)
+		}
+		duties, rev, err := n.Duties(s.ctx)
+		if err != nil || len(duties) != nodes || rev == 0 {
+			t.Errorf("%d of %d nodes that take part are read, to %d: %v", len(duties), nodes, rev, err)
+		}
+	})
+}
--- a/internal/oplog/duties.go
+++ b/internal/oplog/duties.go
@@ -56,16 +56,16 @@
 
 // Duties reads all of their keys, and the number of the change up to which that is.
 func (l *Log) Duties(ctx context.Context) (list []DutyNews, rev uint64, err error) {
-	page, err := l.svc.Range(ctx, prefixDuty, "", 1000) // a few for each duty and node
-	if err != nil {
-		return nil, 0, err
-	}
-	for _, it := range page.Items {
+	rev, err = l.all(ctx, prefixDuty, "", func(it *wire.Item) error {
 		if n, ok := dutyNews(it.Key, it.Value, it.Version, false); ok {
 			list = append(list, n)
 		}
+		return nil
+	})
+	if err != nil {
+		return nil, 0, err
 	}
-	return list, page.Revision, nil
+	return list, rev, nil
 }
 
 // FollowDuties waits for changes after one.
--- a/internal/oplog/intake.go
+++ b/internal/oplog/intake.go
@@ -77,31 +77,22 @@
 
 // ListIntake reads all waiting jobs and the revision from which to watch for more.
 func (l *Log) ListIntake(ctx context.Context) (all []Intake, rev uint64, err error) {
-	after := ""
-	for {
-		page, err := l.svc.Range(ctx, prefixIn, after, 1000)
+	rev, err = l.all(ctx, prefixIn, "", func(it *wire.Item) error {
+		job, err := strconv.ParseUint(strings.TrimPrefix(it.Key, prefixIn), 10, 64)
 		if err != nil {
-			return nil, 0, err
-		}
-		if rev == 0 {
-			rev = page.Revision
-		}
-		for _, it := range page.Items {
-			after = it.Key
-			job, err := strconv.ParseUint(strings.TrimPrefix(it.Key, prefixIn), 10, 64)
-			if err != nil {
-				return nil, 0, err
-			}
-			_, data, err := decodeValue(it.Value)
-			if err != nil {
-				return nil, 0, err
-			}
-			all = append(all, Intake{job, data})
+			return err
 		}
-		if !page.More || len(page.Items) == 0 {
-			return all, rev, nil
+		_, data, err := decodeValue(it.Value)
+		if err != nil {
+			return err
 		}
+		all = append(all, Intake{job, data})
+		return nil
+	})
+	if err != nil {
+		return nil, 0, err
 	}
+	return all, rev, nil
 }
 
 // WatchIntake waits until jobs came in after a revision.
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -119,6 +119,32 @@
 // MaxData is how many bytes a batch may hold.
 func (l *Log) MaxData() int { return l.maxData }
 
+// pageKeys is how many keys a read asks for at once. A page may have fewer, by its bytes.
+const pageKeys = 1000
+
+// all reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a watch
+// from there sees whatever changes meanwhile.
+func (l *Log) all(ctx context.Context, prefix, after string, visit func(it *wire.Item) error) (rev uint64, err error) {
+	for {
+		page, err := l.svc.Range(ctx, prefix, after, pageKeys)
+		if err != nil {
+			return 0, err
+		}
+		if rev == 0 {
+			rev = page.Revision
+		}
+		for i := range page.Items {
+			if err := visit(&page.Items[i]); err != nil {
+				return 0, err
+			}
+			after = page.Items[i].Key
+		}
+		if !page.More || len(page.Items) == 0 {
+			return rev, nil
+		}
+	}
+}
+
 func decodeValue(raw msgpack.RawMessage) (*wire.LogValue, []byte, error) {
 	var v wire.LogValue
 	if err := wire.Unmarshal(raw, &v); err != nil {
@@ -155,18 +181,15 @@
 	// The first page holds everything outside log and snapshots, and its
 	// revision is where the watch begins: whatever changes from here on is
 	// seen again by the watch.
-	page, err := l.svc.Range(ctx, prefix, "", 1000)
+	var items []wire.Item
+	rev, err := l.all(ctx, prefix, "", func(it *wire.Item) error {
+		items = append(items, *it)
+		return nil
+	})
 	if err != nil {
 		return nil, err
 	}
-	out.Revision = page.Revision
-	items := page.Items
-	for page.More && len(page.Items) > 0 {
-		if page, err = l.svc.Range(ctx, prefix, page.Items[len(page.Items)-1].Key, 1000); err != nil {
-			return nil, err
-		}
-		items = append(items, page.Items...)
-	}
+	out.Revision = rev
 	byKey := map[string]*wire.Item{}
 	for i := range items {
 		byKey[items[i].Key] = &items[i]
@@ -267,24 +290,15 @@
 // log must be loaded anew.
 func (l *Log) Since(ctx context.Context, seq uint64) ([]Batch, error) {
 	var out []Batch
-	after := keyLog(seq)
-	for {
-		page, err := l.svc.Range(ctx, prefixLog, after, 1000)
-		if err != nil {
-			return nil, err
-		}
-		for _, it := range page.Items {
-			b, err := batchOf(it.Key, it.Value)
-			if err != nil {
-				return nil, err
-			}
-			out = append(out, b)
-			after = it.Key
-		}
-		if !page.More || len(page.Items) == 0 {
-			return out, nil
-		}
+	_, err := l.all(ctx, prefixLog, keyLog(seq), func(it *wire.Item) error {
+		b, err := batchOf(it.Key, it.Value)
+		out = append(out, b)
+		return err
+	})
+	if err != nil {
+		return nil, err
 	}
+	return out, nil
 }
 
 // Append writes a batch and returns when it is committed. It repeats the same
@@ -597,17 +611,17 @@
 
 // Apart lists the nodes that at some time did not reach the leader.
 func (l *Log) Apart(ctx context.Context) ([]Apart, error) {
-	page, err := l.svc.Range(ctx, prefixApt, "", 1000)
-	if err != nil {
-		return nil, err
-	}
 	var out []Apart
-	for _, it := range page.Items {
+	_, err := l.all(ctx, prefixApt, "", func(it *wire.Item) error {
 		v, data, err := decodeValue(it.Value)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		out = append(out, Apart{v.Node, v.Seq, it.Version, data})
+		return nil
+	})
+	if err != nil {
+		return nil, err
 	}
 	return out, nil
 }
