--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -347,23 +347,35 @@
 		}
 		return
 	}
+	parts := []*rent.Outcome{o}
 	if o.Kind == rent.Listed { // only what the leader does not know from the log
 		o.Rows = slices.DeleteFunc(o.Rows, func(l wire.ListedMachine) bool {
 			mc := n.m.ByName[l.Name]
 			return n.m.Tombs[l.Name] || mc != nil && mc.Info.Addr != "" && (l.State != wire.MachineFailed || mc.Releasing)
 		})
-		if len(o.Rows) > rent.MostRows {
-			o.Rows = o.Rows[:rent.MostRows] // the rest with the next list
-		}
+		parts = rent.ListedInParts(o.Rows, mostListed)
 	}
-	body := o.Append(codec.Uint(nil, term))
+	name := k.Name.String()
 	go func() {
-		if r, ok := n.passOn(ctx, &peer.Call{Op: peer.OpDuty, ID: k.Name.String(), Body: body}, time.Second); !ok || r.Status != http.StatusOK {
-			n.log.Debug("the leader was not told what came of a request to the cloud", "kind", o.Kind)
+		ctx, cancel := context.WithTimeout(ctx, tellWithin)
+		defer cancel()
+		for _, part := range parts { // what the leader has no time for is in the next list as well
+			call := &peer.Call{Op: peer.OpDuty, ID: name, Body: part.Append(codec.Uint(nil, term))}
+			if r, ok := n.passOn(ctx, call, time.Second); !ok || r.Status != http.StatusOK {
+				n.log.Debug("the leader was not told what came of a request to the cloud", "kind", part.Kind)
+				return
+			}
 		}
 	}()
 }
 
+// mostListed is how many bytes of rows a part of a list has, with room for what else is in the frame, and tellWithin is
+// how long the leader may take for all that is told at once: then the next list is due.
+const (
+	mostListed = peer.MostBody - 1<<10
+	tellWithin = 3 * time.Second
+)
+
 // heardOfDuty takes in what the holder of a duty says. Only the present one is believed.
 func (n *Node) heardOfDuty(ctx context.Context, c *peer.Call) *peer.Reply {
 	r := &codec.Reader{B: c.Body}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -3,15 +3,20 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net/http"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"fieldhill/internal/codec"
+	"fieldhill/internal/config"
+	"fieldhill/internal/duty"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/renewal"
+	"fieldhill/internal/rent"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -112,3 +117,62 @@
 		}
 	})
 }
+
+// TestWholeListIsTold: who deals with the cloud and does not lead tells the leader of all machines that the log does
+// not know, however many. It told of 300 a list.
+func TestWholeListIsTold(t *testing.T) {
+	const machines = 4000
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		network := standin.NewNetwork()
+		const at = "10.0.0.9:81"
+		ln, err := network.Host("leader").Listen(at)
+		if err != nil {
+			t.Fatal(err)
+		}
+		told, calls := map[string]bool{}, 0
+		handler := func(_ context.Context, c *peer.Call) *peer.Reply {
+			if c.Op != peer.OpDuty {
+				return &peer.Reply{Status: http.StatusOK}
+			}
+			r := codec.Reader{B: c.Body}
+			term := r.Uint()
+			o, err := rent.Read(r.B)
+			if err != nil || term != 7 || o.Kind != rent.Listed {
+				t.Errorf("told %d bytes of term %d: %v", len(c.Body), term, err)
+				return &peer.Reply{Status: http.StatusBadRequest}
+			}
+			calls++
+			for _, row := range o.Rows {
+				told[row.Name] = true
+			}
+			return &peer.Reply{Status: http.StatusOK}
+		}
+		go func() { _ = peer.Serve(ctx, ln, handler, &peer.Traffic{}, slog.New(slog.DiscardHandler)) }()
+		set := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{{Node: "leader", Zone: "b", Addr: at}}}
+		n := New(network.Host("n2"), set, Options{}, slog.New(slog.DiscardHandler))
+		n.stands.Store(&standing{leader: "leader"})
+		go n.links["leader"].Run(ctx)
+		time.Sleep(time.Second)
+		list := make([]wire.ListedMachine, machines)
+		for i := range list {
+			list[i] = wire.ListedMachine{Name: fmt.Sprintf("host-%06d", i), Addr: "10.1.0.1:1", Type: "small", Zone: "a",
+				State: wire.MachineRunning}
+		}
+		n.tellCloud(ctx, &duty.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed, Rows: list})
+		time.Sleep(5 * time.Second)
+		synctest.Wait()
+		if len(told) != machines {
+			t.Errorf("the leader was told of %d of %d machines", len(told), machines)
+		}
+		before := calls
+		n.tellCloud(ctx, &duty.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed})
+		time.Sleep(5 * time.Second)
+		synctest.Wait()
+		if calls != before+1 {
+			t.Errorf("an empty list was told %d times", calls-before)
+		}
+		stop()
+		time.Sleep(time.Minute)
+	})
+}
--- a/internal/rent/rent_test.go
+++ b/internal/rent/rent_test.go
@@ -1,6 +1,8 @@
 package rent
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -37,3 +39,34 @@
 		}
 	}
 }
+
+// TestListInParts: a list of any length is told whole, each part is one that other controllers read, and an empty one
+// is told.
+func TestListInParts(t *testing.T) {
+	const most = 64 << 10
+	for _, c := range []struct{ rows, letters, parts int }{
+		{0, 11, 1}, {1, 11, 1}, {300, 11, 1}, {301, 11, 2}, {4000, 11, 14}, {10_000, 11, 34}, {4000, 1000, 64},
+	} {
+		rows := make([]wire.ListedMachine, c.rows)
+		for i := range rows {
+			rows[i] = wire.ListedMachine{Name: fmt.Sprintf("%0*d", c.letters, i), Type: "small", Zone: "a",
+				State: wire.MachineRunning}
+		}
+		parts := ListedInParts(rows, most)
+		if len(parts) != c.parts {
+			t.Errorf("%d rows: %d parts, not %d", c.rows, len(parts), c.parts)
+		}
+		var all []wire.ListedMachine
+		for _, o := range parts {
+			b := o.Append(nil)
+			got, err := Read(b)
+			if err != nil || len(b) > most+16 {
+				t.Fatalf("%d rows: a part of %d bytes: %v", c.rows, len(b), err)
+			}
+			all = append(all, got.Rows...)
+		}
+		if !slices.Equal(all, rows) {
+			t.Errorf("%d rows came back as %d", c.rows, len(all))
+		}
+	}
+}
--- a/internal/rent/wire.go
+++ b/internal/rent/wire.go
@@ -27,12 +27,7 @@
 	case Listed:
 		b = codec.Uint(b, uint64(len(o.Rows)))
 		for i := range o.Rows {
-			r := &o.Rows[i]
-			for _, s := range []string{r.Name, r.Addr, r.Type, r.Zone, r.State} {
-				b = codec.String(b, s)
-			}
-			b = codec.Bool(b, r.Spot)
-			b = codec.Float(b, r.AgeS)
+			b = appendRow(b, &o.Rows[i])
 		}
 	case Types:
 		b = codec.Uint(b, uint64(len(o.Offers)))
@@ -48,6 +43,29 @@
 	return b
 }
 
+func appendRow(b []byte, r *wire.ListedMachine) []byte {
+	for _, s := range []string{r.Name, r.Addr, r.Type, r.Zone, r.State} {
+		b = codec.String(b, s)
+	}
+	return codec.Float(codec.Bool(b, r.Spot), r.AgeS)
+}
+
+// ListedInParts makes outcomes of a machine list, each of MostRows rows and about so many bytes at most. An empty list
+// is one outcome too: it says that the cloud answers.
+func ListedInParts(rows []wire.ListedMachine, most int) (parts []*Outcome) {
+	from, size := 0, 0
+	var row []byte
+	for i := range rows {
+		row = appendRow(row[:0], &rows[i])
+		if i > from && (i-from == MostRows || size+len(row) > most) {
+			parts = append(parts, &Outcome{Kind: Listed, Rows: rows[from:i]})
+			from, size = i, 0
+		}
+		size += len(row)
+	}
+	return append(parts, &Outcome{Kind: Listed, Rows: rows[from:]})
+}
+
 func appendNames(b []byte, names []string) []byte {
 	b = codec.Uint(b, uint64(len(names)))
 	for _, n := range names {
