--- a/internal/controller/apart.go
+++ b/internal/controller/apart.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/binary"
 	"time"
 
 	"fieldhill/internal/codec"
@@ -34,11 +35,28 @@
 	return b
 }
 
-// readCleared reads such a list; what a malformed one says does not count.
-func readCleared(b []byte) map[model.MachineID]bool {
+// cutNumbers cuts such a list between its numbers into parts of most bytes, one at least.
+func cutNumbers(b []byte, most int) (parts [][]byte) {
+	const goesOn = 0x80 // in each byte of a number but the last
+	for len(b) > most {
+		end := most
+		for b[end-1]&goesOn != 0 {
+			end--
+		}
+		parts, b = append(parts, b[:end]), b[end:]
+	}
+	return append(parts, b)
+}
+
+// readCleared reads such a list, from all parts of a record; what a malformed one says does not count.
+func readCleared(a *oplog.Apart) map[model.MachineID]bool {
 	out := map[model.MachineID]bool{}
-	for r := (&codec.Reader{B: b}); len(r.B) > 0; {
-		out[model.MachineID(r.Uint())] = r.Err == nil
+	for _, part := range append([][]byte{a.Data}, a.More...) {
+		for r := (&codec.Reader{B: part}); len(r.B) > 0; {
+			if id := model.MachineID(r.Uint()); r.Err == nil {
+				out[id] = true
+			}
+		}
 	}
 	return out
 }
@@ -90,14 +108,14 @@
 				old := r.apart[a.Node]
 				switch {
 				case old == nil:
-					r.apart[a.Node] = &apart{version: a.Version, cleared: readCleared(a.Data)}
+					r.apart[a.Node] = &apart{version: a.Version, cleared: readCleared(&a)}
 					// A record seen for the first time may be old: only one that
 					// knows the log to nearly its end counts at once.
 					if a.Seq+apartLag > r.committed {
 						r.apart[a.Node].grew = time.Now()
 					}
 				case old.version != a.Version:
-					old.version, old.grew, old.cleared = a.Version, time.Now(), readCleared(a.Data)
+					old.version, old.grew, old.cleared = a.Version, time.Now(), readCleared(&a)
 				}
 			}
 		})
@@ -118,7 +136,10 @@
 		return
 	}
 	n.apartSaid = now
-	said := oplog.Apart{Node: n.set.Node, Seq: n.applied, Data: n.cleared.say(n.m, now, n.oplog.MaxData())}
+	most := n.oplog.MaxData()
+	room := (most - binary.MaxVarintLen32) * n.oplog.ApartParts() // a part may end a number early
+	parts := cutNumbers(n.cleared.say(n.m, now, room), most)
+	said := oplog.Apart{Node: n.set.Node, Seq: n.applied, Data: parts[0], More: parts[1:]}
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, apartEvery)
 		defer cancel()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -14,10 +14,12 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/duty"
 	"fieldhill/internal/model"
+	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/renewal"
 	"fieldhill/internal/rent"
 	"fieldhill/internal/standin"
+	"fieldhill/internal/statesvc"
 	"fieldhill/wire"
 )
 
@@ -176,3 +178,62 @@
 		time.Sleep(time.Minute)
 	})
 }
+
+// TestClearOfManyMachines: the leader learns of 10,000 machines that they came to a node which does not reach it and
+// held nothing of a cancelled job. It learnt of 1,997 at values of 8 KiB, and returned the others.
+func TestClearOfManyMachines(t *testing.T) {
+	const machines, first = 10_000, 20_000 // numbers of three bytes, as those of a fleet that is some weeks old
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		network := standin.NewNetwork()
+		const at = "state:1"
+		go standin.NewState(1).Serve(ctx, network.Host("state"), at)
+		time.Sleep(time.Second)
+		store := oplog.New(statesvc.New(network.Host("n2"), at, 1000), 20, 8, 12, slog.New(slog.DiscardHandler))
+		leader := config.Member{Node: "leader", Zone: "b", Addr: "leader:1"}
+		set := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{leader}}
+		n := New(network.Host("n2"), set, Options{}, slog.New(slog.DiscardHandler))
+		n.ctx, n.oplog, n.loaded, n.caught, n.leader = ctx, store, true, time.Now(), &oplog.Leader{Node: "leader"}
+		holdCancelled(t, n, first, machines)
+		for _, mc := range n.m.Order {
+			n.cleared[mc.ID] = time.Now()
+		}
+		n.sayApart()
+		time.Sleep(time.Second)
+		list, err := store.Apart(ctx)
+		if err != nil || len(list) != 1 {
+			t.Errorf("%d records: %v", len(list), err)
+		} else {
+			clear := readCleared(&list[0])
+			for _, mc := range n.m.Order {
+				if !clear[mc.ID] {
+					t.Errorf("machine %d is not among the %d that are clear", mc.ID, len(clear))
+					break
+				}
+			}
+		}
+		stop()
+		time.Sleep(time.Minute)
+	})
+}
+
+// holdCancelled enters machines into a node's model, each with a task of a job that is cancelled then.
+func holdCancelled(t *testing.T, n *Node, first, machines int) {
+	t.Helper()
+	apply := func(e *model.Entry) {
+		t.Helper()
+		if err := n.m.Apply(e, 1, n.now()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	small := &wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a"}}
+	apply(&model.Entry{Kind: model.EntryType, Type: small})
+	apply(&model.Entry{Kind: model.EntryAccept, Job: 1, Spec: spec(1, wire.Array, machines, 60)})
+	for i := range machines {
+		id := model.MachineID(first + i)
+		apply(&model.Entry{Kind: model.EntryMachine, Machine: id,
+			Info: &model.MachineInfo{Name: fmt.Sprintf("host-%06d", i), Addr: "10.1.0.1:1", Type: "small", Zone: "a"}})
+		apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: id, Session: 1})
+	}
+	apply(&model.Entry{Kind: model.EntryCancel, Job: 1})
+}
--- a/internal/oplog/compact_test.go
+++ b/internal/oplog/compact_test.go
@@ -11,6 +11,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
+
 	"fieldhill/internal/bubble"
 	"fieldhill/internal/lead"
 	"fieldhill/internal/oplog"
@@ -327,3 +329,42 @@
 		}
 	})
 }
+
+// TestLongApart: what a node says beyond one value comes back whole, and nothing of it counts once the node says less.
+func TestLongApart(t *testing.T) {
+	inStore(t, func(s *store) {
+		n := s.open("a")
+		if n.ApartParts() < 7 {
+			t.Errorf("%d parts", n.ApartParts())
+		}
+		read := func() oplog.Apart {
+			t.Helper()
+			list, err := n.Apart(s.ctx)
+			if err != nil || len(list) != 2 {
+				t.Fatalf("%v, %v", list, err)
+			}
+			return list[1]
+		}
+		part := func(b byte) []byte { return bytes.Repeat([]byte{b}, n.MaxData()) }
+		long := oplog.Apart{Node: "n2", Seq: 7, Data: part(0),
+			More: [][]byte{part(1), part(2), part(3), part(4), part(5), part(6)}}
+		short := oplog.Apart{Node: "n2", Seq: 8, Data: part(9), More: [][]byte{part(8)}}
+		none := oplog.Apart{Node: "n2", Seq: 9, Data: part(1)}
+		if err := n.PutApart(s.ctx, oplog.Apart{Node: "n1", Data: part(9)}); err != nil {
+			t.Error(err)
+		}
+		for _, said := range []oplog.Apart{long, short, none, long} {
+			if err := n.PutApart(s.ctx, said); err != nil {
+				t.Error(err)
+			}
+			got := read()
+			got.Version = 0
+			if d := cmp.Diff(said, got); d != "" {
+				t.Error(d)
+			}
+		}
+		if _, err := n.Load(s.ctx); err != nil {
+			t.Errorf("the log is read with such keys: %v", err)
+		}
+	})
+}
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -47,7 +47,9 @@
 	prefixLog = "f/log/"
 	prefixSnp = "f/snap/"
 	prefixApt = "f/apart/"
-	version   = 1
+	// prefixMore has what does not fit into a node's record under prefixApt: NODE/0001 and on.
+	prefixMore = "f/apartmore/"
+	version    = 1
 )
 
 // ErrDeposed says that another leader was elected, or none is.
@@ -600,29 +602,75 @@
 	Seq     uint64 // how far it had read the log
 	Version uint64 // of the record: it grows with each
 	Data    []byte // what else it says, at most MaxData bytes
+	// More is what it says beyond that, ApartParts-1 parts at most. Each, and Data, is complete in itself: a reader may
+	// find parts that are newer than Data, and an older version reads Data alone.
+	More [][]byte
 }
 
-// PutApart tells the leader that this node does not reach it.
+// mostTxn is less than what the state service takes as one transaction, which is 64 KiB, and valueFrame more than a
+// value takes besides its data.
+const (
+	mostTxn    = 60 << 10
+	valueFrame = 256
+)
+
+// ApartParts is into how many parts of MaxData bytes what a node says may be cut: they are written in one transaction.
+func (l *Log) ApartParts() int {
+	return max(1, min(l.txnOps, mostTxn/(base64.StdEncoding.EncodedLen(l.maxData)+valueFrame)))
+}
+
+func keyMore(node string, part int) string { return fmt.Sprintf("%s%s/%04d", prefixMore, node, part) }
+
+// PutApart tells the leader that this node does not reach it. Further parts of an earlier, longer record stay and count
+// for nothing.
 func (l *Log) PutApart(ctx context.Context, a Apart) error {
-	_, err := l.svc.Txn(ctx, &wire.Txn{Then: []wire.Write{{Put: prefixApt + a.Node, Value: &wire.LogValue{
-		Version: version, Node: a.Node, Seq: a.Seq, Data: base64.StdEncoding.EncodeToString(a.Data)}}}})
+	t := &wire.Txn{Then: []wire.Write{{Put: prefixApt + a.Node, Value: &wire.LogValue{Version: version, Node: a.Node,
+		Seq: a.Seq, Count: len(a.More), Data: base64.StdEncoding.EncodeToString(a.Data)}}}}
+	for i, part := range a.More {
+		t.Then = append(t.Then, wire.Write{Put: keyMore(a.Node, i+1), Value: &wire.LogValue{
+			Version: version, Node: a.Node, Data: base64.StdEncoding.EncodeToString(part)}})
+	}
+	_, err := l.svc.Txn(ctx, t)
+	if mphttp.Code(err) == http.StatusBadRequest && len(a.More) > 0 {
+		a.More = nil // that it is written at all matters more
+		return l.PutApart(ctx, a)
+	}
 	return err
 }
 
 // Apart lists the nodes that at some time did not reach the leader.
 func (l *Log) Apart(ctx context.Context) ([]Apart, error) {
 	var out []Apart
+	long := false
 	_, err := l.all(ctx, prefixApt, "", func(it *wire.Item) error {
 		v, data, err := decodeValue(it.Value)
 		if err != nil {
 			return err
 		}
-		out = append(out, Apart{v.Node, v.Seq, it.Version, data})
+		a := Apart{Node: v.Node, Seq: v.Seq, Version: it.Version, Data: data}
+		if v.Count > 0 && v.Count <= pageKeys {
+			a.More, long = make([][]byte, v.Count), true
+		}
+		out = append(out, a)
 		return nil
 	})
+	if err != nil || !long {
+		return out, err
+	}
+	byKey := map[string][]byte{}
+	_, err = l.all(ctx, prefixMore, "", func(it *wire.Item) error {
+		_, data, err := decodeValue(it.Value)
+		byKey[it.Key] = data
+		return err
+	})
 	if err != nil {
 		return nil, err
 	}
+	for _, a := range out {
+		for i := range a.More {
+			a.More[i] = byKey[keyMore(a.Node, i+1)]
+		}
+	}
 	return out, nil
 }
 
