--- a/internal/controller/housekeeping.go
+++ b/internal/controller/housekeeping.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"maps"
 	"math"
 	"sort"
 	"time"
@@ -30,12 +31,7 @@
 	n.askPast()
 	n.tendDuties()
 	n.tendRelay()
-	if len(n.keepUntil) > 4000 {
-		clear(n.keepUntil)
-	}
-	if len(n.cleared) > 4000 {
-		clear(n.cleared)
-	}
+	n.forgetKept(now)
 	r := n.role
 	if r == nil || !n.active() {
 		return
@@ -53,6 +49,24 @@
 	n.atDesk(now)
 }
 
+// mostKeptUntil is how many names of workers a node keeps beside two for each machine of the log. Reports are not
+// authenticated, so a flood of names that were made up may be behind a larger number.
+const mostKeptUntil = 20_000
+
+// forgetKept drops what no longer counts of workers that came while this node did not lead. What still counts is kept
+// at any size of the fleet: a worker whose entry is lost is kept for some seconds more, again and again, and never sent
+// to look for the leader.
+func (n *Node) forgetKept(now time.Time) {
+	if now.Sub(n.keptSwept) >= forgetEvery {
+		n.keptSwept = now
+		maps.DeleteFunc(n.keepUntil, func(_ string, until time.Time) bool { return now.Sub(until) > keptFor })
+		maps.DeleteFunc(n.cleared, func(_ model.MachineID, at time.Time) bool { return now.Sub(at) >= 2*apartEvery })
+	}
+	if len(n.keepUntil) > mostKeptUntil+2*len(n.m.Order) {
+		clear(n.keepUntil)
+	}
+}
+
 const (
 	lowMany = 400 // low tasks in a round, when this node keeps up
 	lowFew  = 4   // when it does not
--- /dev/null
+++ b/internal/controller/limits_test.go
@@ -0,0 +1,132 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"fieldhill/internal/codec"
+	"fieldhill/internal/config"
+	"fieldhill/internal/model"
+	"fieldhill/internal/standin"
+	"fieldhill/wire"
+)
+
+// These tests hold limits on numbers of things against fleets of more machines than tests of whole deployments have.
+
+// aloneWith runs f with a node of a deployment that has so many sockets; the node is not running.
+func aloneWith(t *testing.T, sockets int, f func(n *Node)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		defer stop()
+		params := standin.Params()
+		params.Limits.MaxSockets = sockets
+		n := New(standin.NewNetwork().Host("n0"), &config.Settings{Node: "n0", Zone: "a", Params: params}, Options{},
+			slog.New(slog.DiscardHandler))
+		n.ctx = ctx
+		f(n)
+	})
+}
+
+// addMachine applies to a node's copy of the log that there is a machine.
+func addMachine(t *testing.T, n *Node, name string) *model.Machine {
+	t.Helper()
+	e := &model.Entry{Kind: model.EntryMachine, Machine: n.m.NextMachine,
+		Info: &model.MachineInfo{Name: name, Addr: name + ":1", Type: "small", Zone: "a"}}
+	if err := n.m.Apply(e, 1, n.now()); err != nil {
+		t.Fatal(err)
+	}
+	return n.m.ByName[name]
+}
+
+// TestKeptWorkersAreRemembered: of any fleet's workers that come to a node which does not reach the leader, each is kept
+// for a while and then sent to look for the leader, and none is forgotten meanwhile; later nothing of them is left.
+func TestKeptWorkersAreRemembered(t *testing.T) {
+	for _, fleet := range []int{400, 4001, 10_000} {
+		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
+			aloneWith(t, 2500, func(n *Node) {
+				sent := func() (sent int) {
+					for i := range fleet {
+						if !n.keeps(fmt.Sprintf("host-%06d", i), false) {
+							sent++
+						}
+					}
+					return sent
+				}
+				for i := range fleet {
+					n.keeps(fmt.Sprintf("host-%06d", i), false)
+				}
+				n.housekeep()
+				time.Sleep(keepFirst + time.Second)
+				n.housekeep()
+				if k := sent(); k != fleet {
+					t.Errorf("%d of %d workers were sent to look for the leader", k, fleet)
+				}
+				time.Sleep(2 * time.Minute)
+				n.housekeep()
+				if k := len(n.keepUntil); k != 0 {
+					t.Errorf("%d names are kept for nothing", k)
+				}
+			})
+		})
+	}
+}
+
+// TestMadeUpNamesAreBounded: names that nobody has ever heard of don't fill the memory.
+func TestMadeUpNamesAreBounded(t *testing.T) {
+	aloneWith(t, 2500, func(n *Node) {
+		for i := range 200_000 {
+			n.keeps(fmt.Sprint("made-up-", i), false)
+			if i%1000 == 0 {
+				n.housekeep()
+			}
+		}
+		if k := len(n.keepUntil); k > mostKeptUntil+1000 {
+			t.Errorf("%d names are kept", k)
+		}
+	})
+}
+
+// TestClearedMachinesAreRemembered: that a machine holds nothing of a cancelled job is known of every machine of a large
+// fleet, for as long as it is told, and is dropped afterwards.
+func TestClearedMachinesAreRemembered(t *testing.T) {
+	for _, fleet := range []int{400, 4001, 10_000} {
+		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
+			aloneWith(t, 2500, func(n *Node) {
+				job := &wire.JobSpec{ID: wire.JobID(1), Class: "c", Team: "guest", Shape: wire.Array, Priority: wire.Low, Tasks: fleet,
+					CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
+				entries := []*model.Entry{model.Accepted(job, 0)}
+				for i := range fleet {
+					mc := addMachine(t, n, fmt.Sprintf("host-%06d", i))
+					entries = append(entries, &model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: mc.ID})
+				}
+				entries = append(entries, &model.Entry{Kind: model.EntryCancel, Job: 1})
+				for _, e := range entries {
+					if err := n.m.Apply(e, 2, n.now()); err != nil {
+						t.Fatal(err)
+					}
+				}
+				for _, mc := range n.m.Order {
+					n.keepAlive(&wire.Report{Machine: mc.Info.Name, Session: 1})
+				}
+				n.housekeep()
+				told := 0
+				for r := (&codec.Reader{B: n.cleared.say(n.m, time.Now(), 1<<20)}); len(r.B) > 0; told++ {
+					r.Uint()
+				}
+				if told != fleet {
+					t.Errorf("%d of %d machines are known to be clear", told, fleet)
+				}
+				time.Sleep(2*apartEvery + forgetEvery)
+				n.housekeep()
+				if k := len(n.cleared); k != 0 {
+					t.Errorf("%d machines are kept for nothing", k)
+				}
+			})
+		})
+	}
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -102,6 +102,7 @@
 	loads     int                  // how often the copy was thrown away
 	book      *renewal.Book        // whose lease this process renewed when; it outlives the lead
 	keepUntil map[string]time.Time // workers that don't reach the leader, and until when they are not sent to it
+	keptSwept time.Time            // when keepUntil and cleared were last swept
 	cleared   cleared              // machines that came here and hold nothing of a cancelled job
 	apartSaid time.Time            // when this node last told the leader that it does not reach it
 	snapEvery int                  // batches between two snapshots
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -261,6 +261,8 @@
 const (
 	keepFirst = 3 * time.Second
 	keepBack  = 20 * time.Second
+	// keptFor is how long after that a worker counts as one that comes back.
+	keptFor = time.Minute
 )
 
 // learnAddr logs where a machine is, for the next leader to ask it.
@@ -293,7 +295,7 @@
 func (n *Node) keeps(machine string, reached bool) bool {
 	now := time.Now()
 	until, known := n.keepUntil[machine]
-	if !known || now.Sub(until) > time.Minute {
+	if !known || now.Sub(until) > keptFor {
 		// It comes for the first time, since the leader did not answer it, and
 		// its lease may be near its end: it is kept before it is sent to look
 		// for the leader again, which takes long when nothing answers.
