--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -11,6 +11,7 @@
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
+	"fieldhill/internal/relay"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -130,3 +131,87 @@
 		})
 	}
 }
+
+// TestDeadZoneHidesNobody: while all machines of a zone are silent for good, and are asked again and again, a machine of
+// another zone that only does not reach the controllers is asked too, and not given up.
+func TestDeadZoneHidesNobody(t *testing.T) {
+	defer func(k int) { probesAtOnce = k }(probesAtOnce)
+	probesAtOnce = 2
+	inWorldOf(t, 91, usualTeams, func(w *standin.World) {
+		w.Cloud.Capacity(20)
+		settle(w, 30)
+		dead, silent := 0, map[string]bool{}
+		for _, wk := range w.Cloud.Up() {
+			switch {
+			case !w.Referee.Holds(wk.Name):
+			case wk.Zone == "b":
+				wk.Hang(90 * time.Second)
+				dead++
+			case len(silent) < 2:
+				wk.Silence(true)
+				silent[wk.Name] = true
+			}
+		}
+		if dead < 10 || len(silent) < 2 {
+			t.Fatalf("%d machines of zone b are dead and %d of zone a are silent: nothing is tested", dead, len(silent))
+		}
+		time.Sleep(20 * time.Second)
+		left := 0
+		for _, wk := range w.Cloud.Up() {
+			if silent[wk.Name] {
+				left++
+				wk.Silence(false)
+			}
+		}
+		if left != 2 {
+			t.Errorf("%d of 2 machines that answer were returned", 2-left)
+		}
+		time.Sleep(90 * time.Second)
+	})
+}
+
+// TestManySuspectsAreAsked: as many suspect machines are asked at once as the sockets allow; what does not answer holds
+// its place for more than a second.
+func TestManySuspectsAreAsked(t *testing.T) {
+	for sockets, most := range map[int]int{800: 32, 3526: 100, 8000: 240} {
+		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
+			aloneWith(t, sockets, func(n *Node) {
+				ctx, stop := context.WithCancel(n.ctx)
+				defer stop()
+				n.role = &role{ctx: ctx, seats: relay.NewTable(1)}
+				asked := 0
+				for i := range 400 {
+					if n.ask1(addMachine(t, n, fmt.Sprint("host-", i)), func() {}) {
+						asked++
+					}
+				}
+				if asked < most {
+					t.Errorf("%d machines are asked at once, at least %d of 400 should be", asked, most)
+				}
+				for range asked {
+					(<-n.work)()
+				}
+			})
+		})
+	}
+}
+
+// TestSocketsAreEnough: all that a node may have open at once, as a leader or as a relay, leaves sockets to the state
+// service, the cloud and the other controllers. With fewer than 1,250 sockets the least numbers of questions may be more
+// than that, as they always could; idle connections to workers close then first.
+func TestSocketsAreEnough(t *testing.T) {
+	const others = 8 + 4 + 4*4 // the state service's, the cloud's, and the other controllers' and operators'
+	for _, sockets := range []int{1250, 1500, 2500, 2680, 3526, 8000} {
+		for zones := 1; zones <= 3; zones++ {
+			aloneWith(t, sockets, func(n *Node) {
+				forWorkers := sockets / 3
+				asks := zones*probesOfZone(sockets, zones) + 2*n.asksMost
+				leads := n.crowd.Most + max(forWorkers, forWorkers/2+asks)
+				relays := n.crowd.Most + max(forWorkers, forWorkers/2+cap(n.relaying.questions))
+				if most := max(leads, relays) + others; most > sockets {
+					t.Errorf("%d zones: %d of %d sockets", zones, most, sockets)
+				}
+			})
+		}
+	}
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -108,6 +108,8 @@
 	snapEvery int                  // batches between two snapshots
 	// spreadOver is with more than how many machines workers are spread over the nodes; tests change it.
 	spreadOver int
+	probesMost int // silent machines of a zone that are asked at once; tests change it
+	asksMost   int // machines that are asked at once because of what they said
 	dirty      bool
 	lastRound  time.Time
 	gap        time.Duration // between rounds that events wake
@@ -168,7 +170,7 @@
 	line          standby.Timeline // of the takeover
 	lineSaid      bool
 	errs          chan error
-	probes        chan struct{}           // room for machines that are being asked
+	probesMost    int                     // silent machines of a zone that are asked at once
 	inVain        map[*model.Machine]bool // asked, without an answer, and not heard of in this term
 	zones         map[int32]*zoneAsked    // what came of asking, by zone
 	strangers     map[string]bool         // machines that nobody knows, and that are being asked
@@ -209,13 +211,14 @@
 		n.links[m.Node].Traffic = &n.traffic
 	}
 	n.stand = newStand(set, n.links, n.now)
-	n.relaying = newRelaying()
-	// Sockets: six parts in ten for who comes, a third for commands to workers, the rest for the
+	n.relaying = newRelaying(p.Limits.MaxSockets)
+	// Sockets: six parts in ten for who comes, a third for commands and questions to workers, the rest for the
 	// state service, the cloud, the other controllers and what is just closing.
 	n.crowd = &api.Crowd{Most: max(32, p.Limits.MaxSockets*6/10)}
 	n.book = renewal.NewBook(n.now())
 	n.gap, n.snapEvery = minGap, snapEvery
 	n.spreadOver = n.crowd.Most * 3 / 4
+	n.probesMost, n.asksMost = probesOfZone(p.Limits.MaxSockets, len(p.Zones)), asksAtOnce(p.Limits.MaxSockets)
 	if opt.Duties {
 		n.duties = newDuties(set.Node)
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -40,15 +40,18 @@
 	target    atomic.Pointer[peer.Link] // to the leader; nil: this node leads, or does not reach one
 	on        atomic.Bool               // the leader wants reports passed on
 	reports   slots                     // reports under way
-	orders    slots                     // direct commands and questions under way
+	orders    slots                     // direct commands under way
+	questions slots                     // questions under way
 	offeredAt time.Time
 	offeredTo *peer.Link
 	// offersNothing is for tests: the node behaves as one of a version without relays.
 	offersNothing bool
 }
 
-func newRelaying() *relaying {
-	return &relaying{reports: make(slots, relayAtOnce), orders: make(slots, relayAtOnce)}
+func newRelaying(sockets int) *relaying {
+	return &relaying{
+		reports: make(slots, relayAtOnce), orders: make(slots, relayAtOnce), questions: make(slots, questionsAtOnce(sockets)),
+	}
 }
 
 // slots bounds what is under way at the same time.
@@ -298,10 +301,10 @@
 
 // passQuestion asks a worker for the leader.
 func (n *Node) passQuestion(ctx context.Context, c *peer.Call) *peer.Reply {
-	if !n.relaying.orders.take() {
+	if !n.relaying.questions.take() {
 		return &peer.Reply{Status: statusBusy}
 	}
-	defer n.relaying.orders.release()
+	defer n.relaying.questions.release()
 	rep, err := n.worker.Show(ctx, c.ID, askFor)
 	if err != nil {
 		return &peer.Reply{Status: http.StatusServiceUnavailable}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -149,7 +149,10 @@
 	defer cancel()
 	r := &role{
 		ld: won.Leader, batches: make(chan oplog.Batch, 1), compact: make(chan snapshot, 1),
-		orders: map[string]rent.Order{}, cancel: cancel, ctx: ctx, touched: map[*model.Machine]bool{}, later: map[*model.Machine]bool{}, cutUntil: map[int32]model.Time{}, apart: map[string]*apart{}, dropping: map[uint64]bool{}, probes: make(chan struct{}, probesAtOnce), inVain: map[*model.Machine]bool{}, zones: map[int32]*zoneAsked{}, strangers: map[string]bool{},
+		orders: map[string]rent.Order{}, cancel: cancel, ctx: ctx, touched: map[*model.Machine]bool{},
+		later: map[*model.Machine]bool{}, cutUntil: map[int32]model.Time{}, apart: map[string]*apart{},
+		dropping: map[uint64]bool{}, probesMost: n.probesMost, inVain: map[*model.Machine]bool{},
+		zones: map[int32]*zoneAsked{}, strangers: map[string]bool{},
 	}
 	if since, vacant := n.stand.since(); vacant {
 		r.line.Mark(standby.Noticed, since)
@@ -313,6 +316,7 @@
 type zoneAsked struct {
 	heard, vain int
 	mute        atomic.Bool // some were asked in vain, and none was heard of
+	probes      slots       // silent machines that are being asked
 }
 
 // muteAfter is after how many machines of a zone that were asked in vain, while none was heard of, the rest of it is not waited for: it is cut off, most
@@ -322,7 +326,7 @@
 func (r *role) asked(zone int32) *zoneAsked {
 	z := r.zones[zone]
 	if z == nil {
-		z = &zoneAsked{}
+		z = &zoneAsked{probes: make(slots, r.probesMost)}
 		r.zones[zone] = z
 	}
 	return z
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -123,7 +123,7 @@
 func (n *Node) meet(r *wire.Report, send func(*peer.Reply)) {
 	ro := n.role
 	later := api.Later("this machine is not known", 1)
-	if len(ro.strangers) >= asksAtOnce || ro.strangers[r.Machine] {
+	if len(ro.strangers) >= n.asksMost || ro.strangers[r.Machine] {
 		send(later)
 		return
 	}
@@ -154,8 +154,6 @@
 const (
 	// ordersWithin is how long a worker has to answer a direct command.
 	ordersWithin = 3 * time.Second
-	// asksAtOnce is how many machines are asked at the same time because of what they said, and as many because nobody knows them.
-	asksAtOnce = 32
 	// askFor is how long such a machine has to answer.
 	askFor = 1200 * time.Millisecond
 	// askEvery is how often one is asked at most, unless somebody waits for the answer.
@@ -165,7 +163,7 @@
 // ask1 asks a machine how it is now; then, if not nil, is called when it has answered or has not. It tells whether it asks.
 func (n *Node) ask1(mc *model.Machine, then func()) bool {
 	r := n.role
-	if mc.Info.Addr == "" || r.asks >= asksAtOnce || then == nil && n.now()-mc.AskedAt < askEvery {
+	if mc.Info.Addr == "" || r.asks >= n.asksMost || then == nil && n.now()-mc.AskedAt < askEvery {
 		return false
 	}
 	r.asks++
@@ -491,8 +489,17 @@
 // is given up.
 func (n *Node) silentAfter() time.Duration { return n.probeAfter() + 3*time.Second }
 
-// probesAtOnce is how many machines are asked at the same time; tests change it.
-var probesAtOnce = 48
+// probesOfZone is how many silent machines of a zone are asked at the same time: a tenth of all sockets for all zones.
+// Each zone has places of its own, so that a zone whose machines don't answer, each of which holds its place for more
+// than a second, keeps no machine of another one from being asked before it is given up.
+func probesOfZone(sockets, zones int) int { return max(48, sockets/(10*max(1, zones))) }
+
+// asksAtOnce is how many machines are asked at the same time because of what they said, and as many because nobody knows
+// them.
+func asksAtOnce(sockets int) int { return max(32, sockets/32) }
+
+// questionsAtOnce is how many machines a relay asks at the same time for the leader.
+func questionsAtOnce(sockets int) int { return max(relayAtOnce, sockets/6) }
 
 // probe asks a silent machine how it is. A worker that lost its node may take
 // long to find the leader; one that is dead or hangs does not answer at all.
@@ -507,11 +514,11 @@
 	q := n.m.Ask(mc)
 	go func() {
 		select {
-		case r.probes <- struct{}{}:
+		case zone.probes <- struct{}{}:
 		case <-r.ctx.Done():
 			return
 		}
-		defer func() { <-r.probes }()
+		defer zone.probes.release()
 		if first && zone.mute.Load() {
 			n.post(func() { mc.Probing = false })
 			return
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -82,6 +82,9 @@
 // relayOver is with more than how many machines nodes that are started now spread workers over the cell; 0: as usual.
 var relayOver = flag.Int("relays", 0, "spread workers over the controllers from so many machines on, in every test")
 
+// probesAtOnce is how many silent machines of a zone nodes that are started now ask at once; 0: as usual.
+var probesAtOnce int
+
 // oneByOne tells whether nodes that are started now hold duties one by one.
 var oneByOne bool
 
@@ -103,6 +106,9 @@
 		if compactEvery > 0 {
 			n.snapEvery = compactEvery
 		}
+		if probesAtOnce > 0 {
+			n.probesMost = probesAtOnce
+		}
 		if *relayOver > 0 {
 			n.spreadOver = *relayOver
 		}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -4,6 +4,9 @@
 import (
 	"context"
 	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"fieldhill/internal/host"
@@ -22,8 +25,45 @@
 // and may be executed later all the same. It keeps up to half of so many connections when they
 // are idle, and sends as many commands at once: when a thousand machines are given work in the
 // same moment, or hundreds do not answer, its sockets must not be all that the process has.
+// Questions beside them make idle connections close where all together were more.
 func New(via host.Net, timeout time.Duration, conns int) *Client {
-	return &Client{http: mphttp.New(via, 1, conns/2, timeout), timeout: timeout, room: make(chan struct{}, max(1, conns/2))}
+	c := &Client{timeout: timeout, room: make(chan struct{}, max(1, conns/2))}
+	c.http = mphttp.New(&counted{Net: via, most: int64(conns), spare: c.Close}, 1, conns/2, timeout)
+	return c
+}
+
+// counted is a network whose connections, and tries to make one, are counted; at each one above the bound spare is called
+// first.
+type counted struct {
+	host.Net
+	most  int64
+	open  atomic.Int64
+	spare func()
+}
+
+// Dial connects to an address.
+func (n *counted) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	if n.open.Add(1) > n.most {
+		n.spare()
+	}
+	c, err := n.Net.Dial(ctx, addr, timeout)
+	if err != nil {
+		n.open.Add(-1)
+		return nil, err
+	}
+	return &countedConn{Conn: c, net: n}, nil
+}
+
+type countedConn struct {
+	net.Conn
+	net  *counted
+	once sync.Once
+}
+
+// Close closes the connection, which counts no more.
+func (c *countedConn) Close() error {
+	c.once.Do(func() { c.net.open.Add(-1) })
+	return c.Conn.Close()
 }
 
 // waitRoom is how long a command waits until there are fewer under way. Then it is left to the
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -3,12 +3,16 @@
 import (
 	"context"
 	"fmt"
+	"net"
+	"net/http"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"fieldhill/internal/bubble"
+	"fieldhill/internal/host"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -52,3 +56,85 @@
 		time.Sleep(time.Minute)
 	})
 }
+
+// sockets is a network that counts its open connections.
+type sockets struct {
+	host.Net
+	open, most atomic.Int64
+}
+
+func (s *sockets) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	c, err := s.Net.Dial(ctx, addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	s.most.Store(max(s.most.Load(), s.open.Add(1)))
+	return &socket{Conn: c, of: s}, nil
+}
+
+type socket struct {
+	net.Conn
+	of   *sockets
+	once sync.Once
+}
+
+func (c *socket) Close() error {
+	c.once.Do(func() { c.of.open.Add(-1) })
+	return c.Conn.Close()
+}
+
+// TestQuestionsTakeIdleConnections: idle connections, commands and questions take no more sockets together than the
+// client was given: where questions come on top of as many commands and idle connections as there may be, idle ones
+// close. Below that bound they are kept.
+func TestQuestionsTakeIdleConnections(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const conns = 40
+		network := standin.NewNetwork()
+		count := &sockets{Net: network.Host("node")}
+		c := New(count, 3*time.Second, conns)
+		listen := func(name string) (net.Listener, string) {
+			ln, err := network.Host(name).Listen(name + ":1")
+			if err != nil {
+				t.Fatal(err)
+			}
+			return ln, name + ":1"
+		}
+		var wg sync.WaitGroup
+		for i := range conns / 2 {
+			ln, addr := listen(fmt.Sprint("well", i))
+			defer ln.Close()
+			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				b, _ := wire.Marshal(&wire.Report{Machine: "m", Session: 1})
+				_, _ = w.Write(b)
+			})}
+			go func() { _ = srv.Serve(ln) }()
+			defer srv.Close()
+			wg.Go(func() {
+				if _, err := c.Show(context.Background(), addr, time.Second); err != nil {
+					t.Error(err)
+				}
+			})
+		}
+		wg.Wait()
+		if k := count.open.Load(); k != conns/2 {
+			t.Errorf("%d connections are kept, not %d", k, conns/2)
+		}
+		for i := range conns / 2 {
+			silent, addr := listen(fmt.Sprint("silent", i)) // it accepts, and never answers
+			defer silent.Close()
+			asked, askedAddr := listen(fmt.Sprint("asked", i))
+			defer asked.Close()
+			wg.Go(func() { _, _, _ = c.Orders(context.Background(), addr, &wire.Orders{Token: 1, Session: 1}) })
+			wg.Go(func() {
+				time.Sleep(time.Second)
+				_, _ = c.Show(context.Background(), askedAddr, time.Second)
+			})
+		}
+		wg.Wait()
+		if k := count.most.Load(); k > conns {
+			t.Errorf("%d connections were open, of %d", k, conns)
+		}
+		c.Close()
+		time.Sleep(time.Minute)
+	})
+}
