--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -215,3 +215,21 @@
 		}
 	}
 }
+
+// TestRelayTakesItsShare: a relay of a third of 4,000 machines, or of 10,000, has room for the reports that come while the
+// leader takes two thirds of a second to answer, and for as many commands.
+func TestRelayTakesItsShare(t *testing.T) {
+	for sockets, most := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
+		aloneWith(t, sockets, func(n *Node) {
+			for what, room := range map[string]slots{"reports": n.relaying.reports, "commands": n.relaying.orders} {
+				taken := 0
+				for room.take() {
+					taken++
+				}
+				if taken < most {
+					t.Errorf("%d sockets: %d %s at once, at least %d should be", sockets, taken, what, most)
+				}
+			}
+		})
+	}
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -211,10 +211,10 @@
 		n.links[m.Node].Traffic = &n.traffic
 	}
 	n.stand = newStand(set, n.links, n.now)
-	n.relaying = newRelaying(p.Limits.MaxSockets)
 	// Sockets: six parts in ten for who comes, a third for commands and questions to workers, the rest for the
 	// state service, the cloud, the other controllers and what is just closing.
 	n.crowd = &api.Crowd{Most: max(32, p.Limits.MaxSockets*6/10)}
+	n.relaying = newRelaying(n.crowd.Most, p.Limits.MaxSockets)
 	n.book = renewal.NewBook(n.now())
 	n.gap, n.snapEvery = minGap, snapEvery
 	n.spreadOver = n.crowd.Most * 3 / 4
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -22,9 +22,8 @@
 	// offerEvery is how often a node offers itself as a relay, and offerFresh how long the leader counts on an offer.
 	offerEvery = time.Second
 	offerFresh = 3 * time.Second
-	// relayAtOnce bounds the reports, and the direct commands, that are under way over one link at the same time; pings
-	// and users' requests use the same link.
-	relayAtOnce = 256
+	// leastRelayed is how many reports, and how many direct commands, a relay of any size may have under way.
+	leastRelayed = 256
 	// relayWithin is how long a relay waits for the leader's answer to a report. The worker gives up after 4 s, and
 	// the relay still has to answer by itself.
 	relayWithin = 2 * time.Second
@@ -35,6 +34,10 @@
 	statusNotLeader = http.StatusGone
 )
 
+// relayAtOnce bounds the reports, and the direct commands, that a relay has under way at the same time: no more than half
+// of the connections that it ends. Pings and users' requests use the same link.
+func relayAtOnce(connections int) int { return max(leastRelayed, connections/2) }
+
 // relaying is this node as a relay. The loop writes it; the goroutines of workers' connections read it.
 type relaying struct {
 	target    atomic.Pointer[peer.Link] // to the leader; nil: this node leads, or does not reach one
@@ -48,9 +51,10 @@
 	offersNothing bool
 }
 
-func newRelaying(sockets int) *relaying {
+func newRelaying(connections, sockets int) *relaying {
+	most := relayAtOnce(connections)
 	return &relaying{
-		reports: make(slots, relayAtOnce), orders: make(slots, relayAtOnce), questions: make(slots, questionsAtOnce(sockets)),
+		reports: make(slots, most), orders: make(slots, most), questions: make(slots, questionsAtOnce(sockets)),
 	}
 }
 
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -499,7 +499,7 @@
 func asksAtOnce(sockets int) int { return max(32, sockets/32) }
 
 // questionsAtOnce is how many machines a relay asks at the same time for the leader.
-func questionsAtOnce(sockets int) int { return max(relayAtOnce, sockets/6) }
+func questionsAtOnce(sockets int) int { return max(leastRelayed, sockets/6) }
 
 // probe asks a silent machine how it is. A worker that lost its node may take
 // long to find the leader; one that is dead or hangs does not answer at all.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,7 +31,10 @@
 	header   = 10
 	// maxPayload fits the largest request of a user with room for its envelope.
 	maxPayload = 80 << 10
-	maxPending = 1024
+	// maxPending is more than the reports that a relay of a third of 10,000 machines has under way.
+	maxPending = 4096
+	// pingRoom is how many pings find room beside that: a link is not to count as down because it is busy.
+	pingRoom = 16
 	// mostAtOnce is about how many bytes one write carries at most, and bufferSize how many one read takes.
 	mostAtOnce = 32 << 10
 	bufferSize = 16 << 10
@@ -185,12 +188,12 @@
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	defer c.Close()
-	out := make(chan []byte, maxPending)
+	out := make(chan []byte, maxPending+pingRoom)
 	go func() {
 		defer cancel()
 		writeAll(ctx, c, out, traffic)
 	}()
-	slots := make(chan struct{}, maxPending)
+	slots, pings := make(chan struct{}, maxPending), make(chan struct{}, pingRoom)
 	r := bufio.NewReaderSize(c, bufferSize)
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(idle))
@@ -205,13 +208,17 @@
 		if err != nil {
 			return err
 		}
+		room := slots
+		if call.Op == OpPing {
+			room = pings
+		}
 		select {
-		case slots <- struct{}{}:
+		case room <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		go func() {
-			defer func() { <-slots }()
+			defer func() { <-room }()
 			reply := h(ctx, call)
 			if len(reply.Body) > MostBody {
 				reply = &Reply{Status: http.StatusInternalServerError}
@@ -330,7 +337,7 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	out := make(chan []byte, maxPending)
+	out := make(chan []byte, maxPending+pingRoom)
 	l.mu.Lock()
 	l.out = out
 	l.mu.Unlock()
@@ -416,7 +423,7 @@
 	}
 	ch := make(chan *Reply, 1)
 	l.mu.Lock()
-	if l.out == nil || len(l.pending) >= maxPending {
+	if l.out == nil || c.Op != OpPing && (len(l.pending) >= maxPending || len(l.out) >= maxPending) {
 		l.mu.Unlock()
 		return nil, errDown
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -7,6 +7,8 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -77,6 +79,61 @@
 	})
 }
 
+// TestPingsBesideAFlood: as many calls as a large fleet's reports are under way at once, and beside them, and beside one
+// more that is refused, pings are answered.
+func TestPingsBesideAFlood(t *testing.T) {
+	const calls = 4096 // a relay of 4,000 machines and more
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		p, l := runLink(ctx)
+		held := make(chan struct{})
+		go func() {
+			_ = serveConn(ctx, <-p, func(ctx context.Context, c *Call) *Reply {
+				if c.Op != OpPing {
+					select {
+					case <-held:
+					case <-ctx.Done():
+					}
+				}
+				return &Reply{Status: http.StatusOK}
+			}, &Traffic{})
+		}()
+		time.Sleep(10 * time.Millisecond)
+		var unsent, answered atomic.Int64
+		var wg sync.WaitGroup
+		for range calls {
+			wg.Go(func() {
+				a, err := l.Call(ctx, &Call{Op: OpReport, ID: "n1", Body: make([]byte, 500)})
+				switch {
+				case IsDown(err):
+					unsent.Add(1)
+				case err == nil && a.Status == http.StatusOK:
+					answered.Add(1)
+				}
+			})
+		}
+		for range 20 {
+			time.Sleep(300 * time.Millisecond)
+			if ago := time.Since(l.Heard()); ago > time.Second {
+				t.Fatalf("nothing is heard for %v beside %d calls", ago, calls)
+			}
+		}
+		if _, err := l.Call(ctx, &Call{Op: OpReport}); !IsDown(err) {
+			t.Errorf("one call more than there may be got %v", err)
+		}
+		if a, err := l.Call(ctx, &Call{Op: OpPing}); err != nil || a.Status != http.StatusOK {
+			t.Errorf("a ping beside them got %+v, %v", a, err)
+		}
+		close(held)
+		wg.Wait()
+		if answered.Load() != calls {
+			t.Errorf("%d of %d calls were answered, %d not sent", answered.Load(), calls, unsent.Load())
+		}
+		stop()
+		time.Sleep(10 * time.Second)
+	})
+}
+
 // TestLargeAnswerEndsNothing: an answer or a call that does not fit into a frame fails alone. The other side ended the
 // connection over it, and every call under way was lost.
 func TestLargeAnswerEndsNothing(t *testing.T) {
