--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -12,6 +12,7 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/relay"
+	"fieldhill/internal/rent"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -233,3 +234,35 @@
 		})
 	}
 }
+
+// TestSlowList: that a silent machine is missing in a list which took long to read counts only if the machine was known
+// for longer than that; in one that was read at once it counts after the usual time.
+func TestSlowList(t *testing.T) {
+	inWorld(t, 92, func(w *standin.World) {
+		settle(w, 3)
+		n := nodeAt(leaderOf())
+		given := func(took time.Duration) (given bool) {
+			n.ask(func() {
+				var rows []wire.ListedMachine
+				young := n.m.Order[len(n.m.Order)-1]
+				for _, mc := range n.m.Order {
+					if mc != young {
+						rows = append(rows, wire.ListedMachine{Name: mc.Info.Name, State: wire.MachineRunning})
+					}
+				}
+				young.KnownSince, young.LastReport = n.now()-25*time.Second, n.now()-6*time.Second
+				n.cloudSaid(n.role, &rent.Outcome{Kind: rent.Listed, Rows: rows, Ago: took})
+				given = young.Releasing
+				young.LastReport = n.now()
+			})
+			return given
+		}
+		if given(30 * time.Second) {
+			t.Error("a machine that is 25 s old was given up since a list lacks it that took 30 s to read")
+		}
+		if !given(time.Second) {
+			t.Error("a silent machine that the cloud does not list was kept: nothing is tested")
+		}
+		time.Sleep(20 * time.Second)
+	})
+}
--- a/internal/rent/rent.go
+++ b/internal/rent/rent.go
@@ -41,7 +41,7 @@
 	Kind   Kind
 	Order  Order
 	Names  []string
-	Ago    time.Duration // Hired: since it was asked
+	Ago    time.Duration // Hired, Listed: since it was first asked; that of a list is for this process only
 	Rows   []wire.ListedMachine
 	Offers []wire.MachineType
 }
@@ -244,6 +244,7 @@
 }
 
 func (d *Desk) list() {
+	asked := time.Now()
 	go func() {
 		rows, err := d.cloud.List(d.ctx)
 		d.post(func() {
@@ -253,7 +254,7 @@
 				d.tell(Outcome{Kind: Away})
 				return
 			}
-			d.tell(Outcome{Kind: Listed, Rows: rows})
+			d.tell(Outcome{Kind: Listed, Rows: rows, Ago: time.Since(asked)})
 		})
 	}()
 }
--- a/internal/rent/rent_test.go
+++ b/internal/rent/rent_test.go
@@ -1,13 +1,19 @@
 package rent
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
+	"net/http"
 	"slices"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 
+	"fieldhill/internal/cloud"
+	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -70,3 +76,36 @@
 		}
 	}
 }
+
+// TestListIsTimed: an outcome tells how long the whole list took to read, page after page.
+func TestListIsTimed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const pages, each = 20, 1500 * time.Millisecond // 10,000 machines
+		network := standin.NewNetwork()
+		ln, err := network.Host("cloud").Listen("cloud:1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		read := 0
+		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			time.Sleep(each)
+			read++
+			b, _ := wire.Marshal(&wire.MachineList{More: read < pages, Machines: []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", read)}}})
+			_, _ = w.Write(b)
+		})}
+		go func() { _ = srv.Serve(ln) }()
+		ctx, stop := context.WithCancel(t.Context())
+		client := cloud.New(network.Host("node"), "cloud:1", 100)
+		told := make(chan Outcome, 1)
+		d := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() }, func(o Outcome) { told <- o },
+			slog.New(slog.DiscardHandler))
+		d.list()
+		if o := <-told; o.Kind != Listed || len(o.Rows) != pages || o.Ago < pages*each {
+			t.Errorf("kind %d, %d rows, read in %v; it took %v and more", o.Kind, len(o.Rows), o.Ago, pages*each)
+		}
+		stop()
+		client.Close()
+		srv.Close()
+		time.Sleep(time.Minute)
+	})
+}
