--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -1,6 +1,8 @@
 package sched
 
 import (
+	"slices"
+
 	"fieldhill/internal/model"
 )
 
@@ -95,34 +97,71 @@
 // mostMoves bounds how many runs a round tries to move off machines that are to go.
 const mostMoves = 32
 
-// evacuate moves replicas off machines that are to go, one of a job at a time
-// and only where there is room for them. A machine whose return is under way is
+// leaver is a run on a machine that is to go, by its place among those of its machine.
+type leaver struct {
+	run *model.Run
+	at  leavingPlace
+}
+
+// leavingPlace is a machine, and a place among those of its runs that are to move.
+type leavingPlace struct {
+	machine model.MachineID
+	run     int
+}
+
+// before tells whether a place comes before another one. Machines are in the order of their numbers.
+func (p leavingPlace) before(o leavingPlace) bool {
+	return p.machine < o.machine || p.machine == o.machine && p.run < o.run
+}
+
+// leavers lists the runs that are to move off machines that are to go. A machine whose return is under way is
 // left alone: the cloud's answer is the end of what it holds.
-func (s *Sched) evacuate(m *model.Model, now model.Time, do Doer) {
-	tries := 0
+func leavers(m *model.Model) (list []leaver) {
 	for _, mc := range m.Order {
 		if !mc.Leaves() || !mc.Reported || mc.Releasing || mc.Suspect {
 			continue
 		}
-		for _, r := range mc.Runs {
-			j := r.Job
-			if j.Kind != model.Service && j.Spec.CheckpointS == 0 || !r.Wanted() || j.Waiting() > 0 || moving(j) {
-				continue // one at a time
-			}
-			if tries++; tries > mostMoves {
-				return
-			}
-			need := Need(j)
-			for i := range s.seats {
-				st := &s.seats[i]
-				if s.suits(m, j, st, need) && s.hasRoom(m, j, st, need) && (st.mc.Zone == mc.Zone || j.ZoneAllows(st.mc.Zone)) {
-					st.claim = st.claim.Plus(need)
-					do.Stop(r, false, "its machine is to go")
-					break
-				}
+		for i, r := range mc.Runs {
+			if r.Job.Kind == model.Service || r.Job.Spec.CheckpointS != 0 {
+				list = append(list, leaver{r, leavingPlace{mc.ID, i}})
 			}
 		}
 	}
+	return list
+}
+
+// evacuate moves replicas off machines that are to go, one of a job at a time and only where there is room for them. Where
+// there are more than a round tries, the next one goes on behind them: those that find no room must not keep the others
+// from theirs.
+func (s *Sched) evacuate(m *model.Model, now model.Time, do Doer) {
+	list := leavers(m)
+	from := max(0, slices.IndexFunc(list, func(l leaver) bool { return !l.at.before(s.evacuateFrom) }))
+	s.evacuateFrom = leavingPlace{}
+	tries := 0
+	for i := range list {
+		l := list[(from+i)%len(list)]
+		if !l.run.Wanted() || l.run.Job.Waiting() > 0 || moving(l.run.Job) {
+			continue // one at a time
+		}
+		if tries++; tries > mostMoves {
+			s.evacuateFrom = l.at
+			return
+		}
+		s.moveAway(m, l.run, do)
+	}
+}
+
+// moveAway has a run end, to go on elsewhere, if there is room for it.
+func (s *Sched) moveAway(m *model.Model, r *model.Run, do Doer) {
+	j, need := r.Job, Need(r.Job)
+	for i := range s.seats {
+		st := &s.seats[i]
+		if s.suits(m, j, st, need) && s.hasRoom(m, j, st, need) && (st.mc.Zone == r.Machine.Zone || j.ZoneAllows(st.mc.Zone)) {
+			st.claim = st.claim.Plus(need)
+			do.Stop(r, false, "its machine is to go")
+			return
+		}
+	}
 }
 
 // moving tells whether a task of a job is being stopped.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -60,6 +60,8 @@
 	moved   model.Time
 	placeAt model.Time // when there last was a place with its image for a replica that moves; 0: never looked
 	kept    map[*model.Machine]keep
+	// evacuateFrom is where the next round begins to move runs off machines that are to go.
+	evacuateFrom leavingPlace
 
 	floor   floor
 	service float64 // the most CPUs that a service task takes
@@ -184,6 +186,7 @@
 func (s *Sched) Dry(m *model.Model) *Sched {
 	d := New(s.P)
 	d.Headroom, d.LowMost, d.moved, d.placeAt = s.Headroom, s.LowMost, s.moved, s.placeAt
+	d.evacuateFrom = s.evacuateFrom
 	d.gpuWork = maps.Clone(s.gpuWork)
 	d.floor = floor{slices.Clone(s.floor.classes), slices.Clone(s.floor.teams)}
 	d.ForServices, d.LowMay = map[*model.Machine]int{}, map[*model.Machine]bool{}
