--- a/internal/controller/housekeeping.go
+++ b/internal/controller/housekeeping.go
@@ -53,9 +53,9 @@
 // authenticated, so a flood of names that were made up may be behind a larger number.
 const mostKeptUntil = 20_000
 
-// forgetKept drops what no longer counts of workers that came while this node did not lead. What still counts is kept
-// at any size of the fleet: a worker whose entry is lost is kept for some seconds more, again and again, and never sent
-// to look for the leader.
+// forgetKept drops what no longer counts of workers that came while this node did not lead. What still counts is
+// kept at any size of the fleet: a worker whose entry is lost is kept for some seconds more, again and again, and
+// never sent to look for the leader.
 func (n *Node) forgetKept(now time.Time) {
 	if now.Sub(n.keptSwept) >= forgetEvery {
 		n.keptSwept = now
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -45,8 +45,9 @@
 	return n.m.ByName[name]
 }
 
-// TestKeptWorkersAreRemembered: of any fleet's workers that come to a node which does not reach the leader, each is kept
-// for a while and then sent to look for the leader, and none is forgotten meanwhile; later nothing of them is left.
+// TestKeptWorkersAreRemembered: of any fleet's workers that come to a node which does not reach the leader, each is
+// kept for a while and then sent to look for the leader, and none is forgotten meanwhile; later nothing of them is
+// left.
 func TestKeptWorkersAreRemembered(t *testing.T) {
 	for _, fleet := range []int{400, 4001, 10_000} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
@@ -93,18 +94,20 @@
 	})
 }
 
-// TestClearedMachinesAreRemembered: that a machine holds nothing of a cancelled job is known of every machine of a large
-// fleet, for as long as it is told, and is dropped afterwards.
+// TestClearedMachinesAreRemembered: that a machine holds nothing of a cancelled job is known of every machine of a
+// large fleet, for as long as it is told, and is dropped afterwards.
 func TestClearedMachinesAreRemembered(t *testing.T) {
 	for _, fleet := range []int{400, 4001, 10_000} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
 			aloneWith(t, 2500, func(n *Node) {
-				job := &wire.JobSpec{ID: wire.JobID(1), Class: "c", Team: "guest", Shape: wire.Array, Priority: wire.Low, Tasks: fleet,
-					CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
+				job := &wire.JobSpec{ID: wire.JobID(1), Class: "c", Team: "guest", Shape: wire.Array,
+					Priority: wire.Low,
+					Tasks:    fleet, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
 				entries := []*model.Entry{model.Accepted(job, 0)}
 				for i := range fleet {
 					mc := addMachine(t, n, fmt.Sprintf("host-%06d", i))
-					entries = append(entries, &model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: mc.ID})
+					entries = append(entries,
+						&model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: mc.ID})
 				}
 				entries = append(entries, &model.Entry{Kind: model.EntryCancel, Job: 1})
 				for _, e := range entries {
@@ -133,8 +136,8 @@
 	}
 }
 
-// TestDeadZoneHidesNobody: while all machines of a zone are silent for good, and are asked again and again, a machine of
-// another zone that only does not reach the controllers is asked too, and not given up.
+// TestDeadZoneHidesNobody: while all machines of a zone are silent for good, and are asked again and again, a machine
+// of another zone that only does not reach the controllers is asked too, and not given up.
 func TestDeadZoneHidesNobody(t *testing.T) {
 	defer func(k int) { probesAtOnce = k }(probesAtOnce)
 	probesAtOnce = 2
@@ -171,8 +174,8 @@
 	})
 }
 
-// TestManySuspectsAreAsked: as many suspect machines are asked at once as the sockets allow; what does not answer holds
-// its place for more than a second.
+// TestManySuspectsAreAsked: as many suspect machines are asked at once as the sockets allow; what does not answer
+// holds its place for more than a second.
 func TestManySuspectsAreAsked(t *testing.T) {
 	for sockets, most := range map[int]int{800: 32, 3526: 100, 8000: 240} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -198,8 +201,8 @@
 }
 
 // TestSocketsAreEnough: all that a node may have open at once, as a leader or as a relay, leaves sockets to the state
-// service, the cloud and the other controllers. With fewer than 1,250 sockets the least numbers of questions may be more
-// than that, as they always could; idle connections to workers close then first.
+// service, the cloud and the other controllers. With fewer than 1,250 sockets the least numbers of questions may be
+// more than that, as they always could; idle connections to workers close then first.
 func TestSocketsAreEnough(t *testing.T) {
 	const others = 8 + 4 + 4*4 // the state service's, the cloud's, and the other controllers' and operators'
 	for _, sockets := range []int{1250, 1500, 2500, 2680, 3526, 8000} {
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestRelayTakesItsShare: a relay of a third of 4,000 machines, or of 10,000, has room for the reports that come while the
-// leader takes two thirds of a second to answer, and for as many commands.
+// TestRelayTakesItsShare: a relay of a third of 4,000 machines, or of 10,000, has room for the reports that come
+// while the leader takes two thirds of a second to answer, and for as many commands.
 func TestRelayTakesItsShare(t *testing.T) {
 	for sockets, most := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
 		aloneWith(t, sockets, func(n *Node) {
@@ -235,8 +238,8 @@
 	}
 }
 
-// TestSlowList: that a silent machine is missing in a list which took long to read counts only if the machine was known
-// for longer than that; in one that was read at once it counts after the usual time.
+// TestSlowList: that a silent machine is missing in a list which took long to read counts only if the machine was
+// known for longer than that; in one that was read at once it counts after the usual time.
 func TestSlowList(t *testing.T) {
 	inWorld(t, 92, func(w *standin.World) {
 		settle(w, 3)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -34,8 +34,8 @@
 	statusNotLeader = http.StatusGone
 )
 
-// relayAtOnce bounds the reports, and the direct commands, that a relay has under way at the same time: no more than half
-// of the connections that it ends. Pings and users' requests use the same link.
+// relayAtOnce bounds the reports, and the direct commands, that a relay has under way at the same time: no more than
+// half of the connections that it ends. Pings and users' requests use the same link.
 func relayAtOnce(connections int) int { return max(leastRelayed, connections/2) }
 
 // relaying is this node as a relay. The loop writes it; the goroutines of workers' connections read it.
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -143,9 +143,10 @@
 
 // unlisted gives up silent machines that the cloud does not list, though they were rented long enough ago: they were
 // taken, or have died. The list lags, one may be older than the one before, and reading it took a while, in which
-// machines came behind what was read; so absence counts only of machines that this leader has known for longer than all
-// that. It is a hint, not evidence: that is the answer to the return. Without it, machines of one zone that are taken
-// together look like a cut, in which they would be left alone, and what must run there waited for a minute and a half.
+// machines came behind what was read; so absence counts only of machines that this leader has known for longer than
+// all that. It is a hint, not evidence: that is the answer to the return. Without it, machines of one zone that are
+// taken together look like a cut, in which they would be left alone, and what must run there waited for a minute and
+// a half.
 func (n *Node) unlisted(rows []wire.ListedMachine, took time.Duration) {
 	if n.spread() {
 		return // whoever deals with the cloud passes on only what the log does not know
@@ -162,8 +163,8 @@
 	}
 }
 
-// listTakes is more than it takes to read the whole list of machines, unless it is seen to take longer: it has a page for
-// each 500 machines, and its requests share the cloud's rate with rentals and returns.
+// listTakes is more than it takes to read the whole list of machines, unless it is seen to take longer: it has a
+// page for each 500 machines, and its requests share the cloud's rate with rentals and returns.
 const listTakes = 10 * time.Second
 
 // learnType logs a type that is new or has changed in more than its price.
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -489,13 +489,13 @@
 // is given up.
 func (n *Node) silentAfter() time.Duration { return n.probeAfter() + 3*time.Second }
 
-// probesOfZone is how many silent machines of a zone are asked at the same time: a tenth of all sockets for all zones.
-// Each zone has places of its own, so that a zone whose machines don't answer, each of which holds its place for more
-// than a second, keeps no machine of another one from being asked before it is given up.
+// probesOfZone is how many silent machines of a zone are asked at the same time: a tenth of all sockets for all
+// zones. Each zone has places of its own, so that a zone whose machines don't answer, each of which holds its place
+// for more than a second, keeps no machine of another one from being asked before it is given up.
 func probesOfZone(sockets, zones int) int { return max(48, sockets/(10*max(1, zones))) }
 
-// asksAtOnce is how many machines are asked at the same time because of what they said, and as many because nobody knows
-// them.
+// asksAtOnce is how many machines are asked at the same time because of what they said, and as many because nobody
+// knows them.
 func asksAtOnce(sockets int) int { return max(32, sockets/32) }
 
 // questionsAtOnce is how many machines a relay asks at the same time for the leader.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestPingsBesideAFlood: as many calls as a large fleet's reports are under way at once, and beside them, and beside one
-// more that is refused, pings are answered.
+// TestPingsBesideAFlood: as many calls as a large fleet's reports are under way at once, and beside them, and beside
+// one more that is refused, pings are answered.
 func TestPingsBesideAFlood(t *testing.T) {
 	const calls = 4096 // a relay of 4,000 machines and more
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/rent/rent_test.go
+++ b/internal/rent/rent_test.go
@@ -90,15 +90,16 @@
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(each)
 			read++
-			b, _ := wire.Marshal(&wire.MachineList{More: read < pages, Machines: []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", read)}}})
+			rows := []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", read)}}
+			b, _ := wire.Marshal(&wire.MachineList{More: read < pages, Machines: rows})
 			_, _ = w.Write(b)
 		})}
 		go func() { _ = srv.Serve(ln) }()
 		ctx, stop := context.WithCancel(t.Context())
 		client := cloud.New(network.Host("node"), "cloud:1", 100)
 		told := make(chan Outcome, 1)
-		d := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() }, func(o Outcome) { told <- o },
-			slog.New(slog.DiscardHandler))
+		d := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() },
+			func(o Outcome) { told <- o }, slog.New(slog.DiscardHandler))
 		d.list()
 		if o := <-told; o.Kind != Listed || len(o.Rows) != pages || o.Ago < pages*each {
 			t.Errorf("kind %d, %d rows, read in %v; it took %v and more", o.Kind, len(o.Rows), o.Ago, pages*each)
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -130,9 +130,9 @@
 	return list
 }
 
-// evacuate moves replicas off machines that are to go, one of a job at a time and only where there is room for them. Where
-// there are more than a round tries, the next one goes on behind them: those that find no room must not keep the others
-// from theirs.
+// evacuate moves replicas off machines that are to go, one of a job at a time and only where there is room for them.
+// Where there are more than a round tries, the next one goes on behind them: those that find no room must not keep
+// the others from theirs.
 func (s *Sched) evacuate(m *model.Model, now model.Time, do Doer) {
 	list := leavers(m)
 	from := max(0, slices.IndexFunc(list, func(l leaver) bool { return !l.at.before(s.evacuateFrom) }))
@@ -156,7 +156,8 @@
 	j, need := r.Job, Need(r.Job)
 	for i := range s.seats {
 		st := &s.seats[i]
-		if s.suits(m, j, st, need) && s.hasRoom(m, j, st, need) && (st.mc.Zone == r.Machine.Zone || j.ZoneAllows(st.mc.Zone)) {
+		zoneMay := st.mc.Zone == r.Machine.Zone || j.ZoneAllows(st.mc.Zone)
+		if s.suits(m, j, st, need) && s.hasRoom(m, j, st, need) && zoneMay {
 			st.claim = st.claim.Plus(need)
 			do.Stop(r, false, "its machine is to go")
 			return
--- a/internal/sched/move_test.go
+++ b/internal/sched/move_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestEvacuationReachesAll: replicas on machines that are to go which find no room keep nobody from theirs, however many
-// they are, each on a machine of its own or all on one.
+// TestEvacuationReachesAll: replicas on machines that are to go which find no room keep nobody from theirs, however
+// many they are, each on a machine of its own or all on one.
 func TestEvacuationReachesAll(t *testing.T) {
 	const stuck, movable = 40, 60
 	for name, machineOf := range map[string]func(i int) int{
@@ -31,7 +31,8 @@
 				w.submit(n, func(s *wire.JobSpec) {
 					s.Shape, s.Priority, s.CPUs, s.Team, s.Spot = wire.Service, wire.Production, cpus, "guest", true
 				})
-				w.apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(n), Attempt: 1, Machine: mc.ID, Session: mc.Session})
+				w.apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(n), Attempt: 1, Machine: mc.ID,
+					Session: mc.Session})
 				mc.Runs[len(mc.Runs)-1].Phase = model.Running
 			}
 			for i := range stuck + movable {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -32,8 +32,8 @@
 	return c
 }
 
-// counted is a network whose connections, and tries to make one, are counted; at each one above the bound spare is called
-// first.
+// counted is a network whose connections, and tries to make one, are counted; at each one above the bound spare is
+// called first.
 type counted struct {
 	host.Net
 	most  int64
