--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -49,11 +49,11 @@
 		all[id] = now
 	}
 	golden.Check(t, "cleared.hex", all.say(m, now, 1000))
-	if got := readCleared(golden.Read(t, "cleared.hex")); !maps.Equal(got, want) {
+	if got := readCleared(&oplog.Apart{Data: golden.Read(t, "cleared.hex")}); !maps.Equal(got, want) {
 		t.Errorf("read as %v", got)
 	}
 	golden.FlipFinds(t, "cleared.hex", func(b []byte) (again []byte, err error) {
-		for _, id := range slices.Sorted(maps.Keys(readCleared(b))) {
+		for _, id := range slices.Sorted(maps.Keys(readCleared(&oplog.Apart{Data: b}))) {
 			again = codec.Uint(again, uint64(id))
 		}
 		return again, nil
