--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -18,7 +18,7 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/controller"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 )
 
 type cli struct {
--- a/cmd/trio/main.go
+++ b/cmd/trio/main.go
@@ -19,7 +19,7 @@
 	"github.com/alecthomas/kong"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/internal/process"
 	"fieldhill/internal/standin"
 )
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"fieldhill/internal/bubble"
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -47,7 +47,7 @@
 		failed := make(chan error, 1000)
 		for i := range workers {
 			go func() {
-				c := mphttp.New(net.Host(fmt.Sprint("w", i)), 1, 1, 2*time.Second)
+				c := msgpackhttp.New(net.Host(fmt.Sprint("w", i)), 1, 1, 2*time.Second)
 				time.Sleep(time.Duration(i) * every / workers)
 				for ctx.Err() == nil {
 					cctx, cancel := context.WithTimeout(ctx, 4*time.Second)
@@ -62,7 +62,7 @@
 		}
 		for i := range 30 {
 			time.Sleep(time.Second)
-			c := mphttp.New(net.Host("balancer"), 1, 1, time.Second) // a connection of its own each time
+			c := msgpackhttp.New(net.Host("balancer"), 1, 1, time.Second) // a connection of its own each time
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := c.Do(cctx, "GET", "node:80", wire.PathReady, nil, nil, 100); err != nil {
 				t.Errorf("health check %d: %v", i, err)
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -13,9 +13,9 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/duty"
 	"fieldhill/internal/lead"
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/rent"
 	"fieldhill/wire"
 )
@@ -231,7 +231,7 @@
 		err := n.state.Renew(n.ctx, lease, 1500*time.Millisecond)
 		n.post(func() {
 			// Also if the hold has ended meanwhile: until it has its answer the keeper asks for nothing else.
-			k.Renewed(sent, err == nil, mphttp.Code(err) == http.StatusNotFound)
+			k.Renewed(sent, err == nil, msgpackhttp.Code(err) == http.StatusNotFound)
 			n.beginOrEnd(k)
 		})
 	}()
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -16,10 +16,10 @@
 	"fieldhill/internal/model"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/renewal"
 	"fieldhill/internal/rent"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/statesvc"
 	"fieldhill/wire"
 )
 
@@ -189,7 +189,7 @@
 		const at = "state:1"
 		go standin.NewState(1).Serve(ctx, network.Host("state"), at)
 		time.Sleep(time.Second)
-		store := oplog.New(statesvc.New(network.Host("n2"), at, 1000), 20, 8, 12, slog.New(slog.DiscardHandler))
+		store := oplog.New(kvstore.New(network.Host("n2"), at, 1000), 20, 8, 12, slog.New(slog.DiscardHandler))
 		leader := config.Member{Node: "leader", Zone: "b", Addr: "leader:1"}
 		set := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{leader}}
 		n := New(network.Host("n2"), set, Options{}, slog.New(slog.DiscardHandler))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -21,9 +21,9 @@
 	"fieldhill/internal/operate"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/rent"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/worker"
 	"fieldhill/wire"
 )
 
@@ -62,7 +62,7 @@
 
 // TestGoldenFates: the fates of direct commands go between controllers by number.
 func TestGoldenFates(t *testing.T) {
-	for number, fate := range []worker.Fate{worker.Executed, worker.Refused, worker.Unsent, worker.Unknown} {
+	for number, fate := range []agent.Fate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(fate) != number {
 			t.Errorf("fate %d has number %d", number, fate)
 		}
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -10,9 +10,9 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/model"
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -192,7 +192,7 @@
 			continue
 		}
 		var all []oplog.Intake
-		if err == nil || mphttp.Code(err) == http.StatusGone {
+		if err == nil || msgpackhttp.Code(err) == http.StatusGone {
 			all, next, err = n.oplog.ListIntake(r.ctx)
 		}
 		if err != nil {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -23,26 +23,26 @@
 
 	"fieldhill/internal/admission"
 	"fieldhill/internal/api"
-	"fieldhill/internal/cloud"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/duty"
 	"fieldhill/internal/fleet"
-	"fieldhill/internal/host"
 	"fieldhill/internal/model"
 	"fieldhill/internal/operate"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/agent"
+	"fieldhill/internal/platform/cloud"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/renewal"
 	"fieldhill/internal/rent"
 	"fieldhill/internal/sched"
 	"fieldhill/internal/standby"
-	"fieldhill/internal/statesvc"
 	"fieldhill/internal/stats"
 	"fieldhill/internal/vouch"
 	"fieldhill/internal/why"
-	"fieldhill/internal/worker"
 )
 
 // Options are the operator's own settings.
@@ -66,10 +66,10 @@
 	opt     Options
 	log     *slog.Logger
 	start   time.Time
-	state   *statesvc.Client
+	state   *kvstore.Client
 	oplog   *oplog.Log
 	cloud   *cloud.Client
-	worker  *worker.Client
+	worker  *agent.Client
 	links   map[string]*peer.Link
 	stand   *stand
 	traffic peer.Traffic
@@ -198,9 +198,9 @@
 	members := float64(len(set.Members) + 1)
 	n := &Node{
 		via: via, set: set, opt: opt, log: logger, start: time.Now(),
-		state:  statesvc.New(via, set.Endpoints.State, max(4, p.State.RPS/members*0.95)),
+		state:  kvstore.New(via, set.Endpoints.State, max(4, p.State.RPS/members*0.95)),
 		cloud:  cloud.New(via, set.Endpoints.Cloud, p.Cloud.RPS*0.8),
-		worker: worker.New(via, ordersWithin, max(32, p.Limits.MaxSockets/3)),
+		worker: agent.New(via, ordersWithin, max(32, p.Limits.MaxSockets/3)),
 		stats:  stats.New(api.Kinds...),
 		links:  map[string]*peer.Link{}, work: make(chan func(), 512), requests: make(chan request, requestsAtOnce), ended: make(chan struct{}), keepUntil: map[string]time.Time{},
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/relay"
-	"fieldhill/internal/worker"
 	"fieldhill/wire"
 )
 
@@ -227,7 +227,7 @@
 
 // sendOrders sends a direct command, through the relay by which the machine reports, if there is one. A command whose
 // relay is lost meanwhile may be executed at any later time, as one that a network holds.
-func (n *Node) sendOrders(ctx context.Context, via *peer.Link, addr string, o *wire.Orders) (worker.Fate, *wire.Report, error) {
+func (n *Node) sendOrders(ctx context.Context, via *peer.Link, addr string, o *wire.Orders) (agent.Fate, *wire.Report, error) {
 	if via == nil {
 		return n.worker.Orders(ctx, addr, o)
 	}
@@ -236,17 +236,17 @@
 	a, err := via.Call(ctx, &peer.Call{Op: peer.OpOrders, ID: addr, Body: relay.AppendOrders(nil, o)})
 	switch {
 	case peer.IsDown(err):
-		return worker.Unsent, nil, err
+		return agent.Unsent, nil, err
 	case err != nil:
-		return worker.Unknown, nil, err
+		return agent.Unknown, nil, err
 	case a.Status != http.StatusOK:
-		return worker.Unsent, nil, errNotSent
+		return agent.Unsent, nil, errNotSent
 	}
 	out, err := relay.ReadOutcome(a.Body)
-	if err != nil || out.Fate > uint8(worker.Unknown) {
-		return worker.Unknown, nil, relay.ErrMalformed
+	if err != nil || out.Fate > uint8(agent.Unknown) {
+		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return worker.Fate(out.Fate), out.Report, nil
+	return agent.Fate(out.Fate), out.Report, nil
 }
 
 // relayFor is the link to the relay by which a machine reports; nil: it is commanded from here.
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/worker"
 	"fieldhill/wire"
 )
 
@@ -192,9 +192,9 @@
 			}
 			switch c.ID {
 			case "executed":
-				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(worker.Executed), Report: &wire.Report{Machine: "m"}}.Append(nil)}
+				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Executed), Report: &wire.Report{Machine: "m"}}.Append(nil)}
 			case "unanswered":
-				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(worker.Unknown)}.Append(nil)}
+				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Unknown)}.Append(nil)}
 			case "busy":
 				return &peer.Reply{Status: statusBusy}
 			case "malformed":
@@ -208,17 +208,17 @@
 		go func() { _ = peer.Serve(ctx, ln, handler, &peer.Traffic{}, slog.New(slog.DiscardHandler)) }()
 		link := peer.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", slog.New(slog.DiscardHandler))
 		n := &Node{}
-		fate := func(id string) worker.Fate {
+		fate := func(id string) agent.Fate {
 			f, _, _ := n.sendOrders(ctx, link, id, &wire.Orders{})
 			return f
 		}
-		if f := fate("executed"); f != worker.Unsent {
+		if f := fate("executed"); f != agent.Unsent {
 			t.Errorf("without a connection: %d", f)
 		}
 		go link.Run(ctx)
 		time.Sleep(time.Second)
-		for id, want := range map[string]worker.Fate{"executed": worker.Executed, "unanswered": worker.Unknown, "busy": worker.Unsent,
-			"malformed": worker.Unknown, "older": worker.Unsent, "hangs": worker.Unknown} {
+		for id, want := range map[string]agent.Fate{"executed": agent.Executed, "unanswered": agent.Unknown, "busy": agent.Unsent,
+			"malformed": agent.Unknown, "older": agent.Unsent, "hangs": agent.Unknown} {
 			if f := fate(id); f != want {
 				t.Errorf("%s: %d, want %d", id, f, want)
 			}
@@ -228,7 +228,7 @@
 			ln.Close()
 			network.Host("relay").End()
 		}()
-		if f := fate("lost"); f != worker.Unknown {
+		if f := fate("lost"); f != agent.Unknown {
 			t.Errorf("with the connection lost: %d", f)
 		}
 		close(hang)
--- a/internal/controller/stand_test.go
+++ b/internal/controller/stand_test.go
@@ -7,9 +7,9 @@
 
 	"fieldhill/internal/lead"
 	"fieldhill/internal/oplog"
+	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/standby"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/statesvc"
 	"fieldhill/wire"
 )
 
@@ -132,7 +132,7 @@
 		var old oplog.Leader
 		n := nodeAt(i)
 		n.ask(func() { old = n.role.ld })
-		svc := statesvc.New(w.Net.Host("late"), n.set.Endpoints.State, 100)
+		svc := kvstore.New(w.Net.Host("late"), n.set.Endpoints.State, 100)
 		defer svc.Close()
 		w.Kill(i)
 		for k := range 2 {
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,10 +11,10 @@
 	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/staleness"
 	"fieldhill/internal/standby"
-	"fieldhill/internal/worker"
 	"fieldhill/wire"
 )
 
@@ -381,7 +381,7 @@
 				return
 			}
 			switch fate {
-			case worker.Unknown:
+			case agent.Unknown:
 				n.log.Debug("command without an answer", "machine", mc.Info.Name, "err", err)
 				n.m.Lost(mc, cmds, token)
 				n.ask1(mc, func() {
@@ -392,12 +392,12 @@
 						n.sayDeaf(mc)
 					}
 				})
-			case worker.Unsent:
+			case agent.Unsent:
 				n.m.Answered(mc, cmds, token, false)
 				mc.NoDirect = true
-			case worker.Refused:
+			case agent.Refused:
 				n.m.Answered(mc, cmds, token, false)
-			case worker.Executed:
+			case agent.Executed:
 				r.line.Mark(standby.Executed, n.now())
 				n.m.Answered(mc, cmds, token, true)
 			}
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -20,11 +20,11 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/host"
 	"fieldhill/internal/model"
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/standin"
 	"fieldhill/internal/stats"
 	"fieldhill/wire"
@@ -1108,14 +1108,14 @@
 			defer cancel()
 			return s, c.Do(ctx, "POST", at, path, in, &s, wire.MaxBody)
 		}
-		if _, err := do(wire.PathJobs, spec(1, wire.Array, 1, 500)); mphttp.Code(err) != 503 {
+		if _, err := do(wire.PathJobs, spec(1, wire.Array, 1, 500)); msgpackhttp.Code(err) != 503 {
 			t.Errorf("before any controller is ready: %v", err)
 		}
 		time.Sleep(6 * time.Second)
 		w.Crash((leaderOf() + 1) % 3)
 		time.Sleep(3 * time.Second)
 		for n := 1; n <= 6; n++ {
-			if _, err := do(wire.PathJobs, spec(n, wire.Array, 1, 500)); mphttp.Code(err) != 201 {
+			if _, err := do(wire.PathJobs, spec(n, wire.Array, 1, 500)); msgpackhttp.Code(err) != 201 {
 				t.Errorf("job %d: %v", n, err)
 			}
 		}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -13,9 +13,9 @@
 	"log/slog"
 	"time"
 
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/oplog"
-	"fieldhill/internal/statesvc"
+	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // Acquire tries to become the leader, once.
-func Acquire(ctx context.Context, svc *statesvc.Client, node string, logger *slog.Logger) (*Won, error) {
+func Acquire(ctx context.Context, svc *kvstore.Client, node string, logger *slog.Logger) (*Won, error) {
 	var term, termVer uint64
 	it, err := svc.Get(ctx, oplog.KeyTerm)
 	switch {
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 		term, termVer = v.Term, it.Version
-	case mphttp.Code(err) != 404:
+	case msgpackhttp.Code(err) != 404:
 		return nil, err
 	}
 	term++
@@ -72,7 +72,7 @@
 // Take tries once to make a key that hangs on a lease of its own: the leader's, or that of a duty. txn gives the
 // transaction that makes it, whose value names the node and the lease. It returns the key's version. The lease may be
 // trusted for its time from before the call.
-func Take(ctx context.Context, svc *statesvc.Client, ttl time.Duration, key, node string, txn func(lease uint64) *wire.Txn, logger *slog.Logger) (lease, version uint64, err error) {
+func Take(ctx context.Context, svc *kvstore.Client, ttl time.Duration, key, node string, txn func(lease uint64) *wire.Txn, logger *slog.Logger) (lease, version uint64, err error) {
 	if lease, err = svc.Grant(ctx, ttl); err != nil {
 		return 0, 0, err
 	}
@@ -80,7 +80,7 @@
 	if err == nil {
 		return lease, ans.Revision, nil
 	}
-	if code := mphttp.Code(err); code == 409 || code == 400 || code == 429 {
+	if code := msgpackhttp.Code(err); code == 409 || code == 400 || code == 429 {
 		_ = svc.Revoke(ctx, lease) // a courtesy: it ends by itself anyway
 		return 0, 0, ErrTaken
 	}
@@ -101,7 +101,7 @@
 
 // Keep renews the lease until the context ends or the lease is over, calling
 // renewed with the time until which the lead may be trusted.
-func Keep(ctx context.Context, svc *statesvc.Client, won *Won, renewed func(until time.Time)) error {
+func Keep(ctx context.Context, svc *kvstore.Client, won *Won, renewed func(until time.Time)) error {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -112,7 +112,7 @@
 		}
 		sent := time.Now()
 		err := svc.Renew(ctx, won.Lease, 1500*time.Millisecond)
-		switch code := mphttp.Code(err); {
+		switch code := msgpackhttp.Code(err); {
 		case err == nil:
 			renewed(sent.Add(Trust))
 		case code == 404:
--- a/internal/oplog/compact_test.go
+++ b/internal/oplog/compact_test.go
@@ -16,8 +16,8 @@
 	"fieldhill/internal/bubble"
 	"fieldhill/internal/lead"
 	"fieldhill/internal/oplog"
+	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/statesvc"
 )
 
 func TestMain(m *testing.M) { bubble.Main(m) }
@@ -33,7 +33,7 @@
 
 type node struct {
 	*oplog.Log
-	svc *statesvc.Client
+	svc *kvstore.Client
 	won *lead.Won
 }
 
@@ -55,7 +55,7 @@
 
 // open makes a node that has read the log as it is now.
 func (s *store) open(name string) *node {
-	n := &node{svc: statesvc.New(s.net.Host(name), stateAt, 1000)}
+	n := &node{svc: kvstore.New(s.net.Host(name), stateAt, 1000)}
 	n.Log = oplog.New(n.svc, 400, 8, 12, silent)
 	if _, err := n.Load(s.ctx); err != nil {
 		s.t.Errorf("%s reads the log: %v", name, err)
@@ -89,7 +89,7 @@
 // whole demands that a node which starts now finds everything that was appended.
 func (s *store) whole(when string) (snapSeq uint64) {
 	s.t.Helper()
-	n := oplog.New(statesvc.New(s.net.Host("new"), stateAt, 1000), 400, 8, 12, silent)
+	n := oplog.New(kvstore.New(s.net.Host("new"), stateAt, 1000), 400, 8, 12, silent)
 	got, err := n.Load(s.ctx)
 	if err != nil {
 		s.t.Fatalf("%s: %v", when, err)
--- a/internal/oplog/golden_test.go
+++ b/internal/oplog/golden_test.go
@@ -20,10 +20,10 @@
 
 	"fieldhill/internal/golden"
 	"fieldhill/internal/lead"
-	"fieldhill/internal/mphttp"
 	"fieldhill/internal/oplog"
+	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/standin"
-	"fieldhill/internal/statesvc"
 	"fieldhill/wire"
 )
 
@@ -62,7 +62,7 @@
 }
 
 // with runs f with a log and a client that talk to the fake.
-func (f *fakeState) with(run func(ctx context.Context, l *oplog.Log, svc *statesvc.Client)) {
+func (f *fakeState) with(run func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
 	synctest.Test(f.t, func(t *testing.T) {
 		network := standin.NewNetwork()
 		ln, err := network.Host("state").Listen(stateAt)
@@ -71,7 +71,7 @@
 		}
 		server := &http.Server{Handler: f}
 		go func() { _ = server.Serve(ln) }()
-		svc := statesvc.New(network.Host("node"), stateAt, 1000)
+		svc := kvstore.New(network.Host("node"), stateAt, 1000)
 		run(t.Context(), oplog.New(svc, 400, 0, 12, silent), svc)
 		svc.Close()
 		server.Close()
@@ -154,7 +154,7 @@
 type use struct {
 	name    string
 	answers string // names of stored answers; STATUS or STATUS:NAME for those that are not 200
-	run     func(ctx context.Context, l *oplog.Log, svc *statesvc.Client) (any, error)
+	run     func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) (any, error)
 	want    any
 	fails   error // compared by errors.Is
 }
@@ -173,7 +173,7 @@
 		}
 		f.replies = append(f.replies, r)
 	}
-	f.with(func(ctx context.Context, l *oplog.Log, svc *statesvc.Client) { got, err = u.run(ctx, l, svc) })
+	f.with(func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) { got, err = u.run(ctx, l, svc) })
 	if len(f.replies) > 0 {
 		t.Errorf("%s: %d answers were not asked for", u.name, len(f.replies))
 	}
@@ -184,37 +184,37 @@
 	Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499},
 	Batches: []oplog.Batch{{Seq: 42, Term: 8, Data: []byte("first")}, {Seq: 43, Term: 9, Data: []byte("second")}}}
 
-func load(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.Load(ctx) }
+func load(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.Load(ctx) }
 
 // uses are all ways in which the program uses the state service.
 func uses() []use {
 	leader := &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499}
 	batch := oplog.Batch{Seq: 44, Term: 9, Data: []byte{0, 1, 0xff, 'x'}}
-	add := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+	add := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return nil, l.Append(ctx, leader, batch)
 	}
-	follow := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 500, 5*time.Second)
 	}
-	putIntake := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+	putIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return nil, l.PutIntake(ctx, oplog.Intake{Job: 300, Data: []byte("accept 300")})
 	}
-	getIntake := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.GetIntake(ctx, 300) }
-	acquire := func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+	getIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.GetIntake(ctx, 300) }
+	acquire := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 		won, err := lead.Acquire(ctx, svc, "node-1", silent)
 		if err != nil {
 			return nil, err
 		}
 		return won.Leader, nil
 	}
-	takePart := func(part bool) func(context.Context, *oplog.Log, *statesvc.Client) (any, error) {
-		return func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+	takePart := func(part bool) func(context.Context, *oplog.Log, *kvstore.Client) (any, error) {
+		return func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.TakePart(ctx, "node-3", part)
 		}
 	}
 	return []use{
 		{"load", "load-1 load-2", load, loaded, nil},
-		{"since", "since", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"since", "since", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return l.Since(ctx, 42)
 		}, []oplog.Batch{{Seq: 43, Term: 9, Data: []byte("second")}}, nil},
 		{"follow", "follow", follow, &oplog.Tail{Revision: 510, LeaderKnown: true,
@@ -225,11 +225,11 @@
 		{"append, deposed", "409:txn-failed", add, nil, oplog.ErrDeposed},
 		{"append, there already", "409:txn-there", add, nil, nil},
 		{"compact", "meta txn txn txn left-log left-snap txn",
-			func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 				return nil, l.Compactor(leader.Fence()).Compact(ctx, 5, bytes.Repeat([]byte("snap."), 60))
 			}, nil, nil},
 		{"compact without a snapshot, beside the leader", "404 txn txn left-none left-none txn",
-			func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 				fence := oplog.Fence{Key: oplog.DutyKey("clean"), Version: 31, Term: 31}
 				return nil, l.Compactor(fence).Compact(ctx, 3, []byte("snap"))
 			}, nil, nil},
@@ -237,41 +237,41 @@
 		{"put intake, there already", "409:txn-failed", putIntake, nil, nil},
 		{"get intake", "intake", getIntake, &oplog.Intake{Job: 300, Data: []byte("accept 300")}, nil},
 		{"get intake, none", "404", getIntake, (*oplog.Intake)(nil), nil},
-		{"list intake", "intakes intakes-2", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"list intake", "intakes intakes-2", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			list, revision, err := l.ListIntake(ctx)
 			return []any{list, revision}, err
 		}, []any{[]oplog.Intake{{Job: 300, Data: []byte("accept 300")},
 			{Job: 999_999_999_999_999, Data: []byte("accept last")}}, uint64(520)}, nil},
-		{"watch intake", "intake-follow", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"watch intake", "intake-follow", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			revision, some, err := l.WatchIntake(ctx, 520, time.Second)
 			return []any{revision, some}, err
 		}, []any{uint64(522), true}, nil},
-		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.DropIntake(ctx, leader, []uint64{300, 7})
 		}, nil, nil},
-		{"put apart", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"put apart", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutApart(ctx, oplog.Apart{Node: "node-3", Seq: 40, Data: []byte("ids")})
 		}, nil, nil},
-		{"apart", "apart", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) { return l.Apart(ctx) },
+		{"apart", "apart", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.Apart(ctx) },
 			[]oplog.Apart{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
-		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 			key := oplog.DutyKey("rent")
 			lease, version, err := lead.Take(ctx, svc, 4*time.Second, key, "node-2", func(lease uint64) *wire.Txn {
 				return oplog.TakeDuty("rent", "node-2", lease)
 			}, silent)
 			return []uint64{lease, version}, err
 		}, []uint64{1 << 41, 600}, nil},
-		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutStuck(ctx, "rent", 31, 3)
 		}, nil, nil},
 		{"take part", "txn", takePart(true), nil, nil},
 		{"take no part", "txn", takePart(false), nil, nil},
-		{"duties", "duties", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"duties", "duties", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			list, revision, err := l.Duties(ctx)
 			return []any{list, revision}, err
 		}, []any{[]oplog.DutyNews{{Held: "rent", Node: "node-2", Term: 31, Lease: 12},
 			{Stuck: "rent", Term: 32, Count: 3}, {Part: "node-3", Node: "node-3", Term: 33}}, uint64(530)}, nil},
-		{"follow duties", "duties-follow", func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+		{"follow duties", "duties-follow", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			list, revision, err := l.FollowDuties(ctx, 530, 1500*time.Millisecond)
 			return []any{list, revision}, err
 		}, []any{[]oplog.DutyNews{{Held: "rent", Gone: true, Term: 531}}, uint64(531)}, nil},
@@ -281,7 +281,7 @@
 		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, lead.ErrTaken},
 		{"acquire, no answer", "term lease 503 leader", acquire,
 			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
-		{"keep", "200 404", func(ctx context.Context, _ *oplog.Log, svc *statesvc.Client) (any, error) {
+		{"keep", "200 404", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 			times := 0
 			err := lead.Keep(ctx, svc, &lead.Won{Leader: *leader}, func(time.Time) { times++ })
 			return times, err
@@ -315,11 +315,11 @@
 
 // TestGoldenStatus: the statuses on which the program depends.
 func TestGoldenStatus(t *testing.T) {
-	follow := func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) (any, error) {
+	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 1, time.Second)
 	}
 	u := use{name: "too old", answers: "410", run: follow}
-	if _, _, err := u.carry(t, nil); mphttp.Code(err) != http.StatusGone {
+	if _, _, err := u.carry(t, nil); msgpackhttp.Code(err) != http.StatusGone {
 		t.Errorf("a watch of what is gone gives %v", err)
 	}
 }
@@ -333,7 +333,7 @@
 		for range 5 { // a log with gaps is read again
 			f.replies = append(f.replies, reply{body: planted}, reply{body: stored(t, "load-2")})
 		}
-		f.with(func(ctx context.Context, l *oplog.Log, _ *statesvc.Client) {
+		f.with(func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) {
 			if got, err := l.Load(ctx); err == nil && gocmp.Equal(loaded, got) {
 				t.Errorf("%s: nothing was found", what)
 			}
--- a/internal/oplog/intake.go
+++ b/internal/oplog/intake.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -42,7 +42,7 @@
 		Then: []wire.Write{{Put: key, Value: &wire.LogValue{
 			Version: version, Data: base64.StdEncoding.EncodeToString(in.Data)}}},
 	})
-	if mphttp.Code(err) == 409 {
+	if msgpackhttp.Code(err) == 409 {
 		return nil // it is there already
 	}
 	return err
@@ -62,7 +62,7 @@
 // GetIntake reads a job's key; nil if there is none.
 func (l *Log) GetIntake(ctx context.Context, job uint64) (*Intake, error) {
 	it, err := l.svc.Get(ctx, keyIn(job))
-	if mphttp.Code(err) == 404 {
+	if msgpackhttp.Code(err) == 404 {
 		return nil, nil
 	}
 	if err != nil {
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -33,8 +33,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/mphttp"
-	"fieldhill/internal/statesvc"
+	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -87,7 +87,7 @@
 
 // Log reads and writes the log.
 type Log struct {
-	svc     *statesvc.Client
+	svc     *kvstore.Client
 	writes  *rate.Limiter
 	maxData int
 	txnOps  int
@@ -96,7 +96,7 @@
 }
 
 // New makes a log on the state service; writeRPS and valueKB are its limits.
-func New(svc *statesvc.Client, writeRPS, valueKB float64, txnOps int, logger *slog.Logger) *Log {
+func New(svc *kvstore.Client, writeRPS, valueKB float64, txnOps int, logger *slog.Logger) *Log {
 	return &Log{
 		svc: svc, writes: limiter(writeRPS * Usual), logger: logger,
 		maxData: max(256, (int(valueKB*1024)-200)/4*3), txnOps: txnOps,
@@ -327,12 +327,12 @@
 			return err
 		}
 		err := l.send(ctx, t)
-		switch code := mphttp.Code(err); {
+		switch code := msgpackhttp.Code(err); {
 		case err == nil:
 			return nil
 		case code == 409:
 			var a wire.TxnAnswer
-			var se *mphttp.StatusError
+			var se *msgpackhttp.StatusError
 			errors.As(err, &se)
 			if err := wire.Unmarshal(se.Body, &a); err != nil || len(a.Failed) == 0 {
 				// It can't be told which condition failed: ask again.
@@ -382,7 +382,7 @@
 	for under := 1; ; {
 		select {
 		case err := <-got:
-			if code := mphttp.Code(err); err == nil || code == 409 || code == 400 || under == 1 {
+			if code := msgpackhttp.Code(err); err == nil || code == 409 || code == 400 || under == 1 {
 				return err
 			}
 			under--
@@ -429,7 +429,7 @@
 func (l *Log) meta(ctx context.Context) (v *wire.LogValue, ver uint64, err error) {
 	it, err := l.svc.Get(ctx, keyMeta)
 	switch {
-	case mphttp.Code(err) == http.StatusNotFound:
+	case msgpackhttp.Code(err) == http.StatusNotFound:
 		return &wire.LogValue{}, 0, nil
 	case err != nil:
 		return nil, 0, err
@@ -631,7 +631,7 @@
 			Version: version, Node: a.Node, Data: base64.StdEncoding.EncodeToString(part)}})
 	}
 	_, err := l.svc.Txn(ctx, t)
-	if mphttp.Code(err) == http.StatusBadRequest && len(a.More) > 0 {
+	if msgpackhttp.Code(err) == http.StatusBadRequest && len(a.More) > 0 {
 		a.More = nil // that it is written at all matters more
 		return l.PutApart(ctx, a)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"fieldhill/internal/codec"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 )
 
 const (
--- a/internal/worker/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -1,4 +1,4 @@
-package worker
+package agent
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/wire"
 )
 
--- a/internal/worker/worker.go
+++ b/internal/platform/agent/worker.go
@@ -1,5 +1,5 @@
 // Package worker is the client of the workers' own interface.
-package worker
+package agent
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"time"
 
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
 // Client gives workers direct commands.
 type Client struct {
-	http    *mphttp.Client
+	http    *msgpackhttp.Client
 	timeout time.Duration
 	room    chan struct{} // for commands under way
 }
@@ -28,7 +28,7 @@
 // Questions beside them make idle connections close where all together were more.
 func New(via host.Net, timeout time.Duration, conns int) *Client {
 	c := &Client{timeout: timeout, room: make(chan struct{}, max(1, conns/2))}
-	c.http = mphttp.New(&counted{Net: via, most: int64(conns), spare: c.Close}, 1, conns/2, timeout)
+	c.http = msgpackhttp.New(&counted{Net: via, most: int64(conns), spare: c.Close}, 1, conns/2, timeout)
 	return c
 }
 
@@ -113,7 +113,7 @@
 	if err == nil {
 		return Executed, &r, nil
 	}
-	var se *mphttp.StatusError
+	var se *msgpackhttp.StatusError
 	switch {
 	case errors.As(err, &se) && se.Code == 409:
 		if wire.Unmarshal(se.Body, &r) != nil {
@@ -122,7 +122,7 @@
 		return Refused, &r, nil
 	case errors.As(err, &se) && se.Code == 400:
 		return Refused, nil, err
-	case mphttp.Unsent(err):
+	case msgpackhttp.Unsent(err):
 		return Unsent, nil, err
 	}
 	return Unknown, nil, err
--- a/internal/worker/worker_test.go
+++ b/internal/platform/agent/worker_test.go
@@ -1,4 +1,4 @@
-package worker
+package agent
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"fieldhill/internal/bubble"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
--- a/internal/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -9,21 +9,21 @@
 
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
 // Client talks to the cloud.
 type Client struct {
-	http   *mphttp.Client
+	http   *msgpackhttp.Client
 	addr   string
 	budget *rate.Limiter
 }
 
 // New makes a client that sends at most rps requests a second.
 func New(via host.Net, addr string, rps float64) *Client {
-	return &Client{http: mphttp.New(via, 4, 4, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps)))}
+	return &Client{http: msgpackhttp.New(via, 4, 4, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps)))}
 }
 
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
--- a/internal/cloud/golden_test.go
+++ b/internal/platform/cloud/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -56,7 +56,7 @@
 			r.Note("=== %s, answered with %d", call.name, status)
 			got, err := call.do()
 			body, _ := wire.Marshal(got)
-			r.Note("error %v, code %d, read %s", err, mphttp.Code(err), golden.Body(body))
+			r.Note("error %v, code %d, read %s", err, msgpackhttp.Code(err), golden.Body(body))
 		}
 	}
 	golden.Check(t, "requests.txt", r.Text())
--- a/internal/statesvc/statesvc.go
+++ b/internal/platform/kvstore/statesvc.go
@@ -1,6 +1,6 @@
 // Package statesvc is the client of the state service, with a budget that keeps
 // this node's share of its request rate.
-package statesvc
+package kvstore
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -21,7 +21,7 @@
 
 // Client talks to the state service.
 type Client struct {
-	http   *mphttp.Client
+	http   *msgpackhttp.Client
 	addr   string
 	budget *rate.Limiter
 	users  *rate.Limiter
@@ -36,7 +36,7 @@
 // New makes a client that sends at most rps requests a second. Renewals of a
 // lease are not held back by the budget.
 func New(via host.Net, addr string, rps float64) *Client {
-	return &Client{http: mphttp.New(via, 8, 8, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
+	return &Client{http: msgpackhttp.New(via, 8, 8, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
 		users: rate.NewLimiter(rate.Limit(rps/2), max(1, int(rps/4))), slots: make(chan struct{}, atOnce)}
 }
 
@@ -98,7 +98,7 @@
 	}
 	sent := time.Now()
 	err := c.urgent(ctx, "POST", wire.PathTxn, t, &a, 2*time.Second)
-	if err == nil || mphttp.Code(err) == http.StatusConflict {
+	if err == nil || msgpackhttp.Code(err) == http.StatusConflict {
 		was := c.writes.Load()
 		c.writes.Store(was + (int64(time.Since(sent))-was)*3/10)
 	}
--- a/internal/mphttp/mphttp.go
+++ b/internal/platform/msgpackhttp/mphttp.go
@@ -1,6 +1,6 @@
 // Package mphttp is the client side of the platform's HTTP with MessagePack
 // bodies, shared by the clients of the state service, the cloud and the workers.
-package mphttp
+package msgpackhttp
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/wire"
 )
 
--- a/internal/rent/rent.go
+++ b/internal/rent/rent.go
@@ -12,8 +12,8 @@
 	"net/http"
 	"time"
 
-	"fieldhill/internal/cloud"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/cloud"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -148,7 +148,7 @@
 				names, err = d.cloud.Hire(d.ctx, req)
 				return err
 			})
-			code := mphttp.Code(err)
+			code := msgpackhttp.Code(err)
 			if d.ctx.Err() != nil {
 				return
 			}
@@ -182,7 +182,7 @@
 
 func noCapacity(err error) bool {
 	var p wire.Problem
-	se, ok := err.(*mphttp.StatusError)
+	se, ok := err.(*msgpackhttp.StatusError)
 	return ok && wire.Unmarshal(se.Body, &p) == nil && p.Error == "no capacity"
 }
 
--- a/internal/rent/rent_test.go
+++ b/internal/rent/rent_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"fieldhill/internal/cloud"
+	"fieldhill/internal/platform/cloud"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/internal/standin"
 )
 
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/internal/process"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 )
 
 // Network connects hosts in memory.
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -16,7 +16,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/host"
+	"fieldhill/internal/platform/host"
 	"fieldhill/wire"
 )
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -412,7 +412,7 @@
 
 // reports is the worker's loop of reports.
 func (w *Worker) reports(ctx context.Context, h host.Net) {
-	c := mphttp.New(h, 1, 4, 2*time.Second)
+	c := msgpackhttp.New(h, 1, 4, 2*time.Second)
 	defer c.Close()
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -456,7 +456,7 @@
 			w.mu.Unlock()
 			continue
 		}
-		switch code := mphttp.Code(err); {
+		switch code := msgpackhttp.Code(err); {
 		case err == nil:
 			if rep.Session == w.session && a.Token >= w.token && !w.lost {
 				w.token = a.Token
@@ -483,7 +483,7 @@
 
 func redirect(err error) string {
 	var r wire.Redirect
-	if se, ok := err.(*mphttp.StatusError); ok {
+	if se, ok := err.(*msgpackhttp.StatusError); ok {
 		_ = wire.Unmarshal(se.Body, &r)
 	}
 	return r.Node
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/host"
-	"fieldhill/internal/mphttp"
+	"fieldhill/internal/platform/host"
+	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/wire"
 )
 
@@ -263,7 +263,7 @@
 
 // SendCopy sends a report as the network might that kept a copy of it.
 func (w *World) SendCopy(to string, rep *wire.Report) {
-	c := mphttp.New(w.via("copies"), 1, 1, time.Second)
+	c := msgpackhttp.New(w.via("copies"), 1, 1, time.Second)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(w.ctx, 4*time.Second)
 	defer cancel()
@@ -853,6 +853,6 @@
 }
 
 // Client is for tests that talk to a stand-in themselves.
-func (w *World) Client(name string) *mphttp.Client {
-	return mphttp.New(w.via(name), 1, 4, time.Second)
+func (w *World) Client(name string) *msgpackhttp.Client {
+	return msgpackhttp.New(w.via(name), 1, 4, time.Second)
 }
