--- a/internal/controller/apart.go
+++ b/internal/controller/apart.go
@@ -7,7 +7,7 @@
 
 	"fieldhill/internal/codec"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
+	"fieldhill/internal/replication/oplog"
 )
 
 // This file is what a node that reads the log but does not reach the leader tells it, by way of the state service, and what the leader makes of that.
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -11,12 +11,12 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/duty"
-	"fieldhill/internal/lead"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/rent"
+	"fieldhill/internal/replication/election"
+	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/replication/singleton"
 	"fieldhill/wire"
 )
 
@@ -26,10 +26,10 @@
 
 // duties are this node's parts in them; the loop owns them.
 type duties struct {
-	keepers [duty.Names]*duty.Keeper
+	keepers [singleton.Names]*singleton.Keeper
 	heard   bool            // the keys were read
 	parts   map[string]bool // nodes that take part
-	held    [duty.Names]held
+	held    [singleton.Names]held
 	desk    *rent.Desk
 	cleaner *cleaner
 	shared  bool // the write rate is shared with who cleans up
@@ -63,7 +63,7 @@
 func newDuties(node string) *duties {
 	d := &duties{parts: map[string]bool{}}
 	for i := range d.keepers {
-		d.keepers[i] = duty.New(duty.Name(i), node, duty.Usual(duty.Name(i)))
+		d.keepers[i] = singleton.New(singleton.Name(i), node, singleton.Usual(singleton.Name(i)))
 	}
 	return d
 }
@@ -125,7 +125,7 @@
 		clear(d.parts)
 		for _, k := range d.keepers {
 			if !slices.ContainsFunc(list, func(c oplog.DutyNews) bool { return c.Held == k.Name.String() }) {
-				k.Seen(duty.Holder{Term: rev}, now)
+				k.Seen(singleton.Holder{Term: rev}, now)
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 					// An earlier process of this node held it; that is dead, so its lease may end now.
 					go func() { _ = n.state.Revoke(n.ctx, c.Lease) }()
 				}
-				k.Seen(duty.Holder{Node: c.Node, Term: c.Term}, now)
+				k.Seen(singleton.Holder{Node: c.Node, Term: c.Term}, now)
 			case c.Stuck:
 				k.SeenStuck(c.Count)
 			}
@@ -150,8 +150,8 @@
 }
 
 // dutyView is what this node knows of the others.
-func (n *Node) dutyView() *duty.View {
-	v := &duty.View{Ready: n.spread(), Live: []string{n.set.Node}}
+func (n *Node) dutyView() *singleton.View {
+	v := &singleton.View{Ready: n.spread(), Live: []string{n.set.Node}}
 	for _, l := range n.links {
 		if time.Since(l.Heard()) < linkFresh {
 			v.Live = append(v.Live, l.Node)
@@ -182,20 +182,20 @@
 	}
 	for _, k := range d.keepers {
 		switch now := n.now(); k.Tick(now, v) {
-		case duty.Take:
+		case singleton.Take:
 			n.takeDuty(k)
-		case duty.Renew:
+		case singleton.Renew:
 			n.renewDuty(k)
-		case duty.Leave:
+		case singleton.Leave:
 			n.leaveDuty(k)
 		}
 		n.beginOrEnd(k)
 	}
 	now := n.now()
-	if k := d.keepers[duty.Rent]; k.Trusted(now) && d.desk != nil && (n.loaded || n.role != nil) {
+	if k := d.keepers[singleton.Rent]; k.Trusted(now) && d.desk != nil && (n.loaded || n.role != nil) {
 		d.desk.Turn(time.Now(), n.wanted())
 	}
-	if k := d.keepers[duty.Clean]; k.Trusted(now) && d.cleaner != nil {
+	if k := d.keepers[singleton.Clean]; k.Trusted(now) && d.cleaner != nil {
 		n.clean(k, d.cleaner)
 	}
 	if time.Since(d.said) > 20*time.Second {
@@ -208,15 +208,15 @@
 	}
 }
 
-func (n *Node) takeDuty(k *duty.Keeper) {
+func (n *Node) takeDuty(k *singleton.Keeper) {
 	go func() {
 		sent := n.now()
-		lease, term, err := lead.Take(n.ctx, n.state, k.Rules.TTL, oplog.DutyKey(k.Name.String()), n.set.Node, func(lease uint64) *wire.Txn {
+		lease, term, err := election.Take(n.ctx, n.state, k.Rules.TTL, oplog.DutyKey(k.Name.String()), n.set.Node, func(lease uint64) *wire.Txn {
 			return oplog.TakeDuty(k.Name.String(), n.set.Node, lease)
 		}, n.log)
 		n.post(func() {
 			k.Took(sent, n.now(), lease, term)
-			if err != nil && !errors.Is(err, lead.ErrTaken) {
+			if err != nil && !errors.Is(err, election.ErrTaken) {
 				n.log.Debug("duty not taken", "duty", k.Name.String(), "err", err)
 			}
 			n.beginOrEnd(k)
@@ -224,7 +224,7 @@
 	}()
 }
 
-func (n *Node) renewDuty(k *duty.Keeper) {
+func (n *Node) renewDuty(k *singleton.Keeper) {
 	lease := k.Lease()
 	go func() {
 		sent := n.now()
@@ -239,7 +239,7 @@
 
 // leaveDuty gives a duty up: what is under way is ended first, then the row of those that got nowhere is written, if this is
 // one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays the next holder.
-func (n *Node) leaveDuty(k *duty.Keeper) {
+func (n *Node) leaveDuty(k *singleton.Keeper) {
 	n.log.Info("giving up a duty", "duty", k.Name.String(), "term", k.Term(), "why", k.Why())
 	lease, term, name, stuck, nowhere := k.Lease(), k.Term(), k.Name.String(), k.Stuck(), k.Nowhere()
 	k.Left()
@@ -268,7 +268,7 @@
 }
 
 // beginOrEnd has the work of a duty follow the hold of it.
-func (n *Node) beginOrEnd(k *duty.Keeper) {
+func (n *Node) beginOrEnd(k *singleton.Keeper) {
 	h := &n.duties.held[k.Name]
 	h.until.Store(int64(k.Until()))
 	if h.term == k.Term() {
@@ -280,9 +280,9 @@
 		n.log.Info("duty ended", "duty", k.Name.String(), "term", h.term, "why", k.Why())
 	}
 	switch k.Name {
-	case duty.Rent:
+	case singleton.Rent:
 		n.duties.desk = nil
-	case duty.Clean:
+	case singleton.Clean:
 		n.duties.cleaner = nil
 	}
 	if h.term = k.Term(); h.term == 0 {
@@ -292,14 +292,14 @@
 	ctx, cancel := context.WithCancel(n.ctx)
 	h.cancel = cancel
 	switch k.Name {
-	case duty.Rent:
+	case singleton.Rent:
 		term := h.term
 		n.duties.desk = n.newDesk(ctx, func() bool { return int64(n.now()) < h.until.Load() }, func(o rent.Outcome) {
 			if k.Term() == term {
 				n.tellCloud(ctx, k, term, &o)
 			}
 		})
-	case duty.Clean:
+	case singleton.Clean:
 		n.duties.cleaner = n.newCleaner(ctx, k, h.term)
 	}
 }
@@ -325,7 +325,7 @@
 }
 
 // got notes that a duty got on, and writes so where those before it did not.
-func (n *Node) got(k *duty.Keeper) {
+func (n *Node) got(k *singleton.Keeper) {
 	if term := k.Term(); k.Got(n.now()) {
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, 3*time.Second)
@@ -337,7 +337,7 @@
 
 // tellCloud tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for as long as the
 // log shows it as open.
-func (n *Node) tellCloud(ctx context.Context, k *duty.Keeper, term uint64, o *rent.Outcome) {
+func (n *Node) tellCloud(ctx context.Context, k *singleton.Keeper, term uint64, o *rent.Outcome) {
 	if o.Kind != rent.Away {
 		n.got(k)
 	}
@@ -384,7 +384,7 @@
 		return api.Refuse(http.StatusBadRequest, "malformed")
 	}
 	o, err := rent.Read(r.B)
-	if err != nil || c.ID != duty.Rent.String() {
+	if err != nil || c.ID != singleton.Rent.String() {
 		return api.Refuse(http.StatusBadRequest, "malformed")
 	}
 	return n.inLoop(ctx, func(send func(*peer.Reply)) {
@@ -393,7 +393,7 @@
 			send(api.Refuse(http.StatusNotImplemented, "duties are not held one by one here"))
 		case !n.active():
 			send(api.Later("no leader here", 1))
-		case !n.duties.keepers[duty.Rent].Current(term):
+		case !n.duties.keepers[singleton.Rent].Current(term):
 			send(api.Refuse(http.StatusConflict, "another holds the duty"))
 		default:
 			n.cloudSaid(n.role, o)
@@ -403,7 +403,7 @@
 }
 
 // newCleaner begins to clean up under a term.
-func (n *Node) newCleaner(ctx context.Context, k *duty.Keeper, term uint64) *cleaner {
+func (n *Node) newCleaner(ctx context.Context, k *singleton.Keeper, term uint64) *cleaner {
 	c := &cleaner{ctx: ctx, busy: true}
 	c.c = n.oplog.Beside(n.set.Params.State.WriteRPS, cleanShare, n.log).Compactor(oplog.Fence{Key: oplog.DutyKey(k.Name.String()), Version: term, Term: cleanTerm + term})
 	c.c.Moved = func() {
@@ -426,7 +426,7 @@
 }
 
 // clean compacts the log once enough of it has come, at a moment at which the model is what the log has.
-func (n *Node) clean(k *duty.Keeper, c *cleaner) {
+func (n *Node) clean(k *singleton.Keeper, c *cleaner) {
 	switch r := n.role; {
 	case c.busy:
 		return
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/duty"
+	"fieldhill/internal/replication/singleton"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -18,7 +18,7 @@
 }
 
 // holderOf finds the node that holds a duty, or -1.
-func holderOf(name duty.Name) int {
+func holderOf(name singleton.Name) int {
 	for i := range 3 {
 		holds := false
 		if n := nodeAt(i); n != nil && n.duties != nil {
@@ -50,7 +50,7 @@
 func TestDutiesElsewhere(t *testing.T) {
 	inSpread(t, 41, func(w *standin.World) {
 		time.Sleep(45 * time.Second) // the leader has had the time to give away what it took first
-		leader, holder := leaderOf(), holderOf(duty.Rent)
+		leader, holder := leaderOf(), holderOf(singleton.Rent)
 		if leader < 0 || holder < 0 || leader == holder {
 			t.Fatalf("%d leads, %d deals with the cloud", leader, holder)
 		}
@@ -66,7 +66,7 @@
 		if took := time.Since(began); took > 10*time.Second {
 			t.Errorf("nothing was rented for %v after the holder stood still", took)
 		}
-		if h := holderOf(duty.Rent); h == holder || h < 0 {
+		if h := holderOf(singleton.Rent); h == holder || h < 0 {
 			t.Errorf("%d deals with the cloud", h)
 		}
 		waitFor(t, w, "req-000003", wire.JobRunning, 30*time.Second)
@@ -78,7 +78,7 @@
 			if _, err := askOp(w, i, wire.PathOpDuties, &d); err != nil || !d.Spread || len(d.Duties) != 2 || len(d.Rentals) != 0 {
 				t.Fatalf("%d tells %+v, %v", i, d, err)
 			}
-			if at := holderOf(duty.Rent); at >= 0 && d.Duties[0].Holder != standin.NodeName(at) {
+			if at := holderOf(singleton.Rent); at >= 0 && d.Duties[0].Holder != standin.NodeName(at) {
 				t.Errorf("%d takes %s for who deals with the cloud, it is %d", i, d.Duties[0].Holder, at)
 			}
 		}
@@ -90,10 +90,10 @@
 func TestHolderWithoutCloud(t *testing.T) {
 	inSpread(t, 42, func(w *standin.World) {
 		time.Sleep(45 * time.Second)
-		holder := holderOf(duty.Rent)
+		holder := holderOf(singleton.Rent)
 		w.CutCloud(holder, true)
-		time.Sleep(duty.Usual(duty.Rent).Patience + 8*time.Second)
-		next := holderOf(duty.Rent)
+		time.Sleep(singleton.Usual(singleton.Rent).Patience + 8*time.Second)
+		next := holderOf(singleton.Rent)
 		if next == holder || next < 0 {
 			t.Fatalf("%d deals with the cloud, which it does not reach", next)
 		}
@@ -105,7 +105,7 @@
 		moves, last, end := 0, next, time.Now().Add(5*time.Minute)
 		for time.Now().Before(end) {
 			time.Sleep(time.Second)
-			if h := holderOf(duty.Rent); h >= 0 && h != last {
+			if h := holderOf(singleton.Rent); h >= 0 && h != last {
 				moves, last = moves+1, h
 			}
 		}
@@ -159,7 +159,7 @@
 		oneByOne = false
 		w.Start(2)
 		time.Sleep(5 * time.Second)
-		for _, name := range []duty.Name{duty.Rent, duty.Clean} {
+		for _, name := range []singleton.Name{singleton.Rent, singleton.Clean} {
 			if h := holderOf(name); h >= 0 {
 				t.Errorf("%d holds %v beside a node that takes no part", h, name)
 			}
@@ -171,7 +171,7 @@
 		oneByOne = true
 		w.Start(2)
 		time.Sleep(10 * time.Second)
-		if holderOf(duty.Rent) < 0 {
+		if holderOf(singleton.Rent) < 0 {
 			t.Error("nobody deals with the cloud, though all nodes take part")
 		}
 		w.Submit(web(2, 16, "large"))
@@ -193,7 +193,7 @@
 				time.Sleep(45*time.Second + time.Duration(seed)*130*time.Millisecond)
 				holder := leaderOf()
 				if spread {
-					holder = holderOf(duty.Rent)
+					holder = holderOf(singleton.Rent)
 				}
 				freeze(w, holder, 40*time.Second)
 				began, rented := time.Now(), w.Cloud.Rented()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -8,14 +8,14 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
-	"fieldhill/internal/standby"
+	"fieldhill/internal/replication/candidacy"
 )
 
 // stand feeds what decides whether this node stands for election. It is asked by the links' goroutines and by
 // the storage, and must answer pings also while the loop is late, so it has a lock of its own.
 type stand struct {
 	mu    sync.Mutex
-	watch *standby.Watch
+	watch *candidacy.Watch
 	index map[string]int // of the other nodes
 	life  uint64         // tells this process from earlier ones of its node
 	node  string
@@ -24,14 +24,14 @@
 }
 
 func newStand(set *config.Settings, links map[string]*peer.Link, now func() model.Time) *stand {
-	s := &stand{watch: standby.New(standby.Usual, len(set.Members), now()), index: map[string]int{}, life: rand.Uint64(), node: set.Node, now: now}
+	s := &stand{watch: candidacy.New(candidacy.Usual, len(set.Members), now()), index: map[string]int{}, life: rand.Uint64(), node: set.Node, now: now}
 	for i, m := range set.Members {
 		s.index[m.Node] = i
 		l := links[m.Node]
-		l.Ask = func() []byte { return standby.AppendAsk(nil, s.node, s.life) }
+		l.Ask = func() []byte { return candidacy.AppendAsk(nil, s.node, s.life) }
 		l.Hears = func(said []byte) {
 			// An older node says nothing, which counts as not warm: then this process stands beside it, as all did before.
-			word, _ := standby.ReadWord(said)
+			word, _ := candidacy.ReadWord(said)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.watch.Heard(i, word, s.now())
@@ -47,7 +47,7 @@
 
 // answer is what a ping of another node is told; nil if it is of an older version.
 func (s *stand) answer(ask []byte) []byte {
-	node, life, err := standby.ReadAsk(ask)
+	node, life, err := candidacy.ReadAsk(ask)
 	i, known := s.index[node]
 	if err != nil || !known {
 		return nil
@@ -56,7 +56,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	met := s.watch.Met(i, life, now)
-	return standby.Word{Warm: s.warm.Load() && !s.watch.Fresh(now), Met: met}.Append(nil)
+	return candidacy.Word{Warm: s.warm.Load() && !s.watch.Fresh(now), Met: met}.Append(nil)
 }
 
 // may tells whether this node may stand for election, and if not, when to ask again.
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -12,13 +12,13 @@
 
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/duty"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/renewal"
 	"fieldhill/internal/rent"
+	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/replication/singleton"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -161,14 +161,14 @@
 			list[i] = wire.ListedMachine{Name: fmt.Sprintf("host-%06d", i), Addr: "10.1.0.1:1", Type: "small", Zone: "a",
 				State: wire.MachineRunning}
 		}
-		n.tellCloud(ctx, &duty.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed, Rows: list})
+		n.tellCloud(ctx, &singleton.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed, Rows: list})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if len(told) != machines {
 			t.Errorf("the leader was told of %d of %d machines", len(told), machines)
 		}
 		before := calls
-		n.tellCloud(ctx, &duty.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed})
+		n.tellCloud(ctx, &singleton.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if calls != before+1 {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -15,14 +15,14 @@
 
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/duty"
 	"fieldhill/internal/golden"
 	"fieldhill/internal/model"
 	"fieldhill/internal/operate"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/rent"
+	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/replication/singleton"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -133,7 +133,7 @@
 			func() { c.Why(ctx, "req-000007") },
 			func() { c.Queue(ctx, operate.Filter{Team: "red", Class: "web", Reason: "limit", Most: 20}) },
 			func() { c.Queue(ctx, operate.Filter{Most: 1}) },
-			func() { c.tellCloud(ctx, c.duties.keepers[duty.Rent], 300, hired) },
+			func() { c.tellCloud(ctx, c.duties.keepers[singleton.Rent], 300, hired) },
 			func() { c.askRenewed(&role{ctx: ctx}, c.to, 0, 0, "a", 300) },
 			func() { c.ask(func() { c.caught = time.Now(); c.askPast() }) },
 			func() { c.ask(c.tendRelay) },
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -10,9 +10,9 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/wire"
 )
 
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -8,7 +8,7 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
-	"fieldhill/internal/vouch"
+	"fieldhill/internal/replication/commitfence"
 	"fieldhill/wire"
 )
 
@@ -113,7 +113,7 @@
 			if err != nil || a.Status != http.StatusOK {
 				return // one of an older version, or one that is busy: the old bound stands
 			}
-			w, err := vouch.Read(a.Body)
+			w, err := commitfence.Read(a.Body)
 			if err != nil {
 				n.log.Warn("another node's word on what it saw is malformed", "node", l.Node, "err", err)
 				return
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -25,11 +25,9 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/duty"
 	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
 	"fieldhill/internal/operate"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/platform/cloud"
@@ -38,10 +36,12 @@
 	"fieldhill/internal/relay"
 	"fieldhill/internal/renewal"
 	"fieldhill/internal/rent"
+	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/replication/commitfence"
+	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/replication/singleton"
 	"fieldhill/internal/sched"
-	"fieldhill/internal/standby"
 	"fieldhill/internal/stats"
-	"fieldhill/internal/vouch"
 	"fieldhill/internal/why"
 )
 
@@ -96,7 +96,7 @@
 	leader    *oplog.Leader
 	caught    time.Time            // the replica was complete then
 	inTouch   time.Time            // the state service answered a watch, or the load, then
-	past      vouch.Past           // what this process has ever seen of the log
+	past      commitfence.Past     // what this process has ever seen of the log
 	vouched   time.Time            // the other controllers showed that nothing this node lacks was confirmed by then
 	asksPast  time.Time            // when they were last asked
 	loads     int                  // how often the copy was thrown away
@@ -165,9 +165,9 @@
 	dropping      map[uint64]bool // jobs of the intake that the log has, whose records are being deleted
 	drops         []uint64        // those of them that may go now
 	dropBusy      bool
-	lookAgain     bool             // at the intake, after that
-	leaving       bool             // the lead is being handed over
-	line          standby.Timeline // of the takeover
+	lookAgain     bool               // at the intake, after that
+	leaving       bool               // the lead is being handed over
+	line          candidacy.Timeline // of the takeover
 	lineSaid      bool
 	errs          chan error
 	probesMost    int                     // silent machines of a zone that are asked at once
@@ -331,7 +331,7 @@
 		v.Seats = n.role.seats.Counts()[relay.Leader]
 	}
 	if d := n.duties; d != nil {
-		v.Rents, v.Cleans = d.keepers[duty.Rent].Trusted(n.now()), d.keepers[duty.Clean].Trusted(n.now())
+		v.Rents, v.Cleans = d.keepers[singleton.Rent].Trusted(n.now()), d.keepers[singleton.Clean].Trusted(n.now())
 	}
 	v.WorstClass, v.WorstTeam = 1, 1
 	if n.role != nil {
--- a/internal/controller/stand_test.go
+++ b/internal/controller/stand_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/lead"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/platform/kvstore"
-	"fieldhill/internal/standby"
+	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/replication/election"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -141,7 +141,7 @@
 		if err := svc.Revoke(w.Context(), old.Lease); err != nil {
 			t.Fatal(err)
 		}
-		won, err := lead.Acquire(w.Context(), svc, standin.NodeName((i+1)%3), slog.New(slog.DiscardHandler))
+		won, err := election.Acquire(w.Context(), svc, standin.NodeName((i+1)%3), slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -231,19 +231,19 @@
 			t.Errorf("a service ran %v after the lead", d)
 		}
 		time.Sleep(3 * time.Second)
-		var line standby.Timeline
+		var line candidacy.Timeline
 		n := nodeAt(k)
 		n.ask(func() { line = n.role.line })
 		last := time.Duration(-1)
-		for p := range standby.Heard {
+		for p := range candidacy.Heard {
 			after, came := line.After(p)
 			if !came || after < last {
 				t.Errorf("%s: %v, %v; the part before it came after %v", p, came, after, last)
 			}
 			last = after
 		}
-		leads, _ := line.After(standby.Leads)
-		heard, came := line.After(standby.Heard)
+		leads, _ := line.After(candidacy.Leads)
+		heard, came := line.After(candidacy.Heard)
 		if !came || leads > 500*time.Millisecond || heard-leads < time.Second {
 			t.Errorf("it led after %v, and had heard of all after %v (%v)", leads, heard, came)
 		}
@@ -277,8 +277,8 @@
 		time.Sleep(4 * time.Second)
 		n := nodeAt(k)
 		n.ask(func() {
-			leads, _ := n.role.line.After(standby.Leads)
-			if heard, came := n.role.line.After(standby.Heard); !came || heard-leads > 2*time.Second {
+			leads, _ := n.role.line.After(candidacy.Leads)
+			if heard, came := n.role.line.After(candidacy.Heard); !came || heard-leads > 2*time.Second {
 				t.Errorf("it had heard of all that can be heard of %v after it led (%v)", heard-leads, came)
 			}
 		})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,8 +8,8 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/wire"
 )
 
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -8,13 +8,13 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/fleet"
-	"fieldhill/internal/lead"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/rent"
+	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/replication/election"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/sched"
-	"fieldhill/internal/standby"
 )
 
 // This file is the takeover: how a node follows the log, stands for election, and what it does from its election to the
@@ -48,7 +48,7 @@
 				hold = again // a warm one may take the lead; if none does, this one has to
 			}
 			if may && time.Now().After(abstain) {
-				won, err := lead.Acquire(ctx, n.state, n.set.Node, n.log)
+				won, err := election.Acquire(ctx, n.state, n.set.Node, n.log)
 				if err == nil {
 					err := n.serveTerm(ctx, won)
 					if err != nil && ctx.Err() == nil {
@@ -60,7 +60,7 @@
 					}
 					break // read everything anew
 				}
-				if !errors.Is(err, lead.ErrTaken) {
+				if !errors.Is(err, election.ErrTaken) {
 					pause(ctx, 200*time.Millisecond)
 				}
 			}
@@ -144,7 +144,7 @@
 }
 
 // serveTerm leads until the lead is lost.
-func (n *Node) serveTerm(ctx context.Context, won *lead.Won) error {
+func (n *Node) serveTerm(ctx context.Context, won *election.Won) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := &role{
@@ -155,21 +155,21 @@
 		zones: map[int32]*zoneAsked{}, strangers: map[string]bool{},
 	}
 	if since, vacant := n.stand.since(); vacant {
-		r.line.Mark(standby.Noticed, since)
+		r.line.Mark(candidacy.Noticed, since)
 	}
-	r.line.Mark(standby.Elected, n.now())
+	r.line.Mark(candidacy.Elected, n.now())
 	n.trustUntil(r, won.Until)
 	errs := make(chan error, 4)
 	r.errs = errs
 	go func() {
-		errs <- lead.Keep(ctx, n.state, won, func(until time.Time) {
+		errs <- election.Keep(ctx, n.state, won, func(until time.Time) {
 			n.post(func() {
 				if r.leaving {
 					return
 				}
 				n.trustUntil(r, until)
 				if n.role == r {
-					n.caught = until.Add(-lead.Trust)
+					n.caught = until.Add(-election.Trust)
 				}
 			})
 		})
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	r.line.Mark(standby.LogRead, n.now())
+	r.line.Mark(candidacy.LogRead, n.now())
 	// Before anything is answered the leader knows every job that was accepted
 	// without one.
 	if err := insist(ctx, errs, func() (err error) { in, rev, err = n.oplog.ListIntake(ctx); return err }); err != nil {
@@ -275,7 +275,7 @@
 	})
 	// Machines that worked for the last leader report within this time.
 	r.placeFrom = time.Now().Add(config.Seconds(n.set.Params.Workers.ReportS * 1.25))
-	r.line.Mark(standby.Leads, n.now())
+	r.line.Mark(candidacy.Leads, n.now())
 	n.dirty = true
 	r.heard, r.lowMost = n.now(), lowMany
 	cell := len(n.set.Members) + 1
@@ -362,7 +362,7 @@
 	}
 	r.lineSaid = true
 	args := []any{"term", r.ld.Term}
-	for p := range standby.Parts {
+	for p := range candidacy.Parts {
 		if after, came := r.line.After(p); came {
 			args = append(args, p.String(), after)
 			n.stats.Takeover(p, after.Seconds())
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -13,8 +13,8 @@
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/relay"
+	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/staleness"
-	"fieldhill/internal/standby"
 	"fieldhill/wire"
 )
 
@@ -367,7 +367,7 @@
 	token, q := n.m.Token(mc), n.m.Ask(mc)
 	n.m.Sent(mc, cmds, token)
 	mc.Sending = true
-	r.line.Mark(standby.Sent, n.now())
+	r.line.Mark(candidacy.Sent, n.now())
 	o := &wire.Orders{Token: token, Session: mc.Session, Commands: cmds}
 	addr, via := mc.Info.Addr, n.relayFor(mc)
 	go func() {
@@ -398,7 +398,7 @@
 			case agent.Refused:
 				n.m.Answered(mc, cmds, token, false)
 			case agent.Executed:
-				r.line.Mark(standby.Executed, n.now())
+				r.line.Mark(candidacy.Executed, n.now())
 				n.m.Answered(mc, cmds, token, true)
 			}
 			if rep != nil && rep.Machine == mc.Info.Name {
@@ -425,7 +425,7 @@
 func (n *Node) Place(j *model.Job, task int32, attempt uint32, mc *model.Machine, score float64) {
 	n.log.Debug("placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", mc.Info.Name, "image", mc.Has(j.Image), "score", score)
 	n.stats.Placed.Inc()
-	n.role.line.Mark(standby.Placed, n.now())
+	n.role.line.Mark(candidacy.Placed, n.now())
 	n.propose(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: mc.ID, Session: mc.Session})
 	n.touch(mc)
 }
@@ -467,7 +467,7 @@
 	// placed, and nothing is stopped: what is decided knows a part of the fleet only.
 	n.sched.Early = n.lastRound.Before(r.placeFrom) && !n.allReported()
 	if !n.sched.Early {
-		r.line.Mark(standby.Heard, n.now())
+		r.line.Mark(candidacy.Heard, n.now())
 	}
 	n.sched.LowMost = r.lowMost
 	n.sched.Round(n.m, n.now(), tick, n)
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -21,10 +21,10 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/host"
 	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/standin"
 	"fieldhill/internal/stats"
 	"fieldhill/wire"
--- a/internal/standby/golden_test.go
+++ b/internal/replication/candidacy/golden_test.go
@@ -1,4 +1,4 @@
-package standby
+package candidacy
 
 import (
 	"testing"
--- a/internal/standby/standby.go
+++ b/internal/replication/candidacy/standby.go
@@ -5,7 +5,7 @@
 // and would be the first to take it again: cold, while others run on that follow the log. So a fresh process
 // stands back while a warm one is there, for longer each time that it has ended lately. No rule depends on it: who leads
 // is decided by the key in the state service alone, and whoever stands back too long stands after all.
-package standby
+package candidacy
 
 import (
 	"errors"
--- a/internal/standby/takeover.go
+++ b/internal/replication/candidacy/takeover.go
@@ -1,4 +1,4 @@
-package standby
+package candidacy
 
 // Part is a step on the way from the end of one leader to a next one that has the whole fleet in hand. They come in
 // this order, but for the last one, which may come before others.
--- a/internal/vouch/vouch.go
+++ b/internal/replication/commitfence/vouch.go
@@ -15,7 +15,7 @@
 // told are ages and log numbers, not times of day; an answer that is late makes a process look younger than it is, never older.
 //
 // An answer speaks for the whole of the past of its process, so a copy that is thrown away and read anew takes nothing from it: Past only grows.
-package vouch
+package commitfence
 
 import (
 	"errors"
--- a/internal/vouch/vouch_test.go
+++ b/internal/replication/commitfence/vouch_test.go
@@ -1,4 +1,4 @@
-package vouch
+package commitfence
 
 import (
 	"testing"
--- a/internal/lead/lead.go
+++ b/internal/replication/election/lead.go
@@ -5,7 +5,7 @@
 // renewal reached the service, which is not before the renewal was sent; so a
 // leader may trust its own steady clock until that long after sending, less the
 // drift of two clocks, and needs nobody's word.
-package lead
+package election
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"log/slog"
 	"time"
 
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/wire"
 )
 
--- a/internal/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -14,9 +14,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"fieldhill/internal/bubble"
-	"fieldhill/internal/lead"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/replication/election"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/standin"
 )
 
@@ -34,7 +34,7 @@
 type node struct {
 	*oplog.Log
 	svc *kvstore.Client
-	won *lead.Won
+	won *election.Won
 }
 
 const stateAt = "state:1"
@@ -65,7 +65,7 @@
 
 func (s *store) elect(n *node, name string) {
 	var err error
-	if n.won, err = lead.Acquire(s.ctx, n.svc, name, silent); err != nil {
+	if n.won, err = election.Acquire(s.ctx, n.svc, name, silent); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -273,7 +273,7 @@
 	inStore(t, func(s *store) {
 		n := s.open("n0")
 		s.elect(n, "n0")
-		go func() { _ = lead.Keep(s.ctx, n.svc, n.won, func(time.Time) {}) }()
+		go func() { _ = election.Keep(s.ctx, n.svc, n.won, func(time.Time) {}) }()
 		s.svc.LoseAnswers(0.3)
 		const batches = 60
 		began := time.Now()
--- a/internal/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -19,10 +19,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/lead"
-	"fieldhill/internal/oplog"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/internal/replication/election"
+	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -201,7 +201,7 @@
 	}
 	getIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.GetIntake(ctx, 300) }
 	acquire := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-		won, err := lead.Acquire(ctx, svc, "node-1", silent)
+		won, err := election.Acquire(ctx, svc, "node-1", silent)
 		if err != nil {
 			return nil, err
 		}
@@ -256,7 +256,7 @@
 			[]oplog.Apart{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
 		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 			key := oplog.DutyKey("rent")
-			lease, version, err := lead.Take(ctx, svc, 4*time.Second, key, "node-2", func(lease uint64) *wire.Txn {
+			lease, version, err := election.Take(ctx, svc, 4*time.Second, key, "node-2", func(lease uint64) *wire.Txn {
 				return oplog.TakeDuty("rent", "node-2", lease)
 			}, silent)
 			return []uint64{lease, version}, err
@@ -278,12 +278,12 @@
 		{"acquire", "term lease txn", acquire, oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
 		{"acquire the first term", "404 lease txn", acquire,
 			oplog.Leader{Node: "node-1", Term: 1, Lease: 1 << 41, Version: 600}, nil},
-		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, lead.ErrTaken},
+		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, election.ErrTaken},
 		{"acquire, no answer", "term lease 503 leader", acquire,
 			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
 		{"keep", "200 404", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 			times := 0
-			err := lead.Keep(ctx, svc, &lead.Won{Leader: *leader}, func(time.Time) { times++ })
+			err := election.Keep(ctx, svc, &election.Won{Leader: *leader}, func(time.Time) { times++ })
 			return times, err
 		}, 1, oplog.ErrDeposed},
 	}
--- a/internal/duty/check_test.go
+++ b/internal/replication/singleton/check_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"encoding/binary"
--- a/internal/duty/duty.go
+++ b/internal/replication/singleton/duty.go
@@ -10,7 +10,7 @@
 // A holder renews only while the duty progresses. Past its patience it lets go and stands back for a growing
 // while, so that a node that reaches the other side better takes it. How many holders in a row got nowhere
 // stands in a key beside it (Stuck): when all did, the other side is away for everybody, and patience grows.
-package duty
+package singleton
 
 import (
 	"cmp"
--- a/internal/stats/golden_test.go
+++ b/internal/stats/golden_test.go
@@ -9,7 +9,7 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/golden"
-	"fieldhill/internal/standby"
+	"fieldhill/internal/replication/candidacy"
 )
 
 // TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of
@@ -29,7 +29,7 @@
 	s.LogBytes.Set(111)
 	s.Round.Update(0.0625)
 	s.Write.Update(0.03125)
-	for p := range standby.Parts {
+	for p := range candidacy.Parts {
 		s.Takeover(p, 0.25*float64(p+1))
 	}
 	for i, kind := range api.Kinds {
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -11,7 +11,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"fieldhill/internal/standby"
+	"fieldhill/internal/replication/candidacy"
 )
 
 // Path is where the page is.
@@ -38,7 +38,7 @@
 	// service takes for a batch of the log.
 	Round, Write *metrics.PrometheusHistogram
 
-	takeover [standby.Parts]*metrics.PrometheusHistogram
+	takeover [candidacy.Parts]*metrics.PrometheusHistogram
 }
 
 // request is what is counted of one kind of request.
@@ -85,7 +85,7 @@
 		Round:       set.NewPrometheusHistogramExt("fieldhill_round_seconds", bounds),
 		Write:       set.NewPrometheusHistogramExt("fieldhill_log_write_seconds", bounds),
 	}
-	for p := range standby.Parts {
+	for p := range candidacy.Parts {
 		s.takeover[p] = set.NewPrometheusHistogramExt(`fieldhill_takeover_seconds{part="`+p.String()+`"}`, bounds)
 	}
 	for _, k := range kinds {
@@ -133,7 +133,7 @@
 }
 
 // Takeover counts how long after it was noticed that there is no leader a part of the takeover by this node came.
-func (s *Stats) Takeover(p standby.Part, seconds float64) { s.takeover[p].Update(seconds) }
+func (s *Stats) Takeover(p candidacy.Part, seconds float64) { s.takeover[p].Update(seconds) }
 
 // Answered counts the answer to a request of a kind that New was told of.
 func (s *Stats) Answered(kind string, status int, took time.Duration) {
