--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -13,10 +13,10 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/msgpackhttp"
-	"fieldhill/internal/rent"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/wire"
 )
 
@@ -30,7 +30,7 @@
 	heard   bool            // the keys were read
 	parts   map[string]bool // nodes that take part
 	held    [singleton.Names]held
-	desk    *rent.Desk
+	desk    *provisioner.Desk
 	cleaner *cleaner
 	shared  bool // the write rate is shared with who cleans up
 	said    time.Time
@@ -294,7 +294,7 @@
 	switch k.Name {
 	case singleton.Rent:
 		term := h.term
-		n.duties.desk = n.newDesk(ctx, func() bool { return int64(n.now()) < h.until.Load() }, func(o rent.Outcome) {
+		n.duties.desk = n.newDesk(ctx, func() bool { return int64(n.now()) < h.until.Load() }, func(o provisioner.Outcome) {
 			if k.Term() == term {
 				n.tellCloud(ctx, k, term, &o)
 			}
@@ -305,15 +305,15 @@
 }
 
 // wanted is what the log says is to be done at the cloud, as far as this node has it for sure.
-func (n *Node) wanted() rent.Want {
+func (n *Node) wanted() provisioner.Want {
 	surely := n.applied
 	if n.role != nil {
 		surely = n.role.committed
 	}
-	w := rent.Want{NoTypes: !n.m.TypesKnown()}
+	w := provisioner.Want{NoTypes: !n.m.TypesKnown()}
 	for _, i := range n.m.Intents {
 		if i.Seq <= surely {
-			w.Hires = append(w.Hires, rent.Order{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count})
+			w.Hires = append(w.Hires, provisioner.Order{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count})
 		}
 	}
 	for _, mc := range n.m.Order {
@@ -337,8 +337,8 @@
 
 // tellCloud tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for as long as the
 // log shows it as open.
-func (n *Node) tellCloud(ctx context.Context, k *singleton.Keeper, term uint64, o *rent.Outcome) {
-	if o.Kind != rent.Away {
+func (n *Node) tellCloud(ctx context.Context, k *singleton.Keeper, term uint64, o *provisioner.Outcome) {
+	if o.Kind != provisioner.Away {
 		n.got(k)
 	}
 	if n.role != nil {
@@ -347,13 +347,13 @@
 		}
 		return
 	}
-	parts := []*rent.Outcome{o}
-	if o.Kind == rent.Listed { // only what the leader does not know from the log
+	parts := []*provisioner.Outcome{o}
+	if o.Kind == provisioner.Listed { // only what the leader does not know from the log
 		o.Rows = slices.DeleteFunc(o.Rows, func(l wire.ListedMachine) bool {
 			mc := n.m.ByName[l.Name]
 			return n.m.Tombs[l.Name] || mc != nil && mc.Info.Addr != "" && (l.State != wire.MachineFailed || mc.Releasing)
 		})
-		parts = rent.ListedInParts(o.Rows, mostListed)
+		parts = provisioner.ListedInParts(o.Rows, mostListed)
 	}
 	name := k.Name.String()
 	go func() {
@@ -383,7 +383,7 @@
 	if r.Err != nil {
 		return api.Refuse(http.StatusBadRequest, "malformed")
 	}
-	o, err := rent.Read(r.B)
+	o, err := provisioner.Read(r.B)
 	if err != nil || c.ID != singleton.Rent.String() {
 		return api.Refuse(http.StatusBadRequest, "malformed")
 	}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -16,9 +16,9 @@
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/renewal"
-	"fieldhill/internal/rent"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -139,8 +139,8 @@
 			}
 			r := codec.Reader{B: c.Body}
 			term := r.Uint()
-			o, err := rent.Read(r.B)
-			if err != nil || term != 7 || o.Kind != rent.Listed {
+			o, err := provisioner.Read(r.B)
+			if err != nil || term != 7 || o.Kind != provisioner.Listed {
 				t.Errorf("told %d bytes of term %d: %v", len(c.Body), term, err)
 				return &peer.Reply{Status: http.StatusBadRequest}
 			}
@@ -161,14 +161,14 @@
 			list[i] = wire.ListedMachine{Name: fmt.Sprintf("host-%06d", i), Addr: "10.1.0.1:1", Type: "small", Zone: "a",
 				State: wire.MachineRunning}
 		}
-		n.tellCloud(ctx, &singleton.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed, Rows: list})
+		n.tellCloud(ctx, &singleton.Keeper{}, 7, &provisioner.Outcome{Kind: provisioner.Listed, Rows: list})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if len(told) != machines {
 			t.Errorf("the leader was told of %d of %d machines", len(told), machines)
 		}
 		before := calls
-		n.tellCloud(ctx, &singleton.Keeper{}, 7, &rent.Outcome{Kind: rent.Listed})
+		n.tellCloud(ctx, &singleton.Keeper{}, 7, &provisioner.Outcome{Kind: provisioner.Listed})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if calls != before+1 {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,9 +20,9 @@
 	"fieldhill/internal/operate"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
-	"fieldhill/internal/rent"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -125,7 +125,7 @@
 	var all strings.Builder
 	inCall(t, func(ctx context.Context, c *calling) {
 		report := &wire.Report{Machine: "host-1", Addr: "10.1.0.1:9", Session: 1, Seq: 2, Tasks: []wire.TaskStatus{}}
-		hired := &rent.Outcome{Kind: rent.Hired, Order: rent.Order{Name: "fh-3-1", Count: 2}, Names: []string{"host-1"}}
+		hired := &provisioner.Outcome{Kind: provisioner.Hired, Order: provisioner.Order{Name: "fh-3-1", Count: 2}, Names: []string{"host-1"}}
 		for _, ask := range []func(){
 			func() { c.Submit(ctx, mustMarshal(t, spec(7, wire.Array, 1, 1))) },
 			func() { c.Status(ctx, "req-000007") },
--- a/internal/controller/housekeeping.go
+++ b/internal/controller/housekeeping.go
@@ -8,8 +8,8 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/sched"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
+	"fieldhill/internal/scheduling/scheduler"
 )
 
 // This file is what the leader judges and does regularly.
@@ -178,7 +178,7 @@
 
 // sayWaiting logs how many tasks wait, by class and by reason, and which jobs do for long.
 func (n *Node) sayWaiting(r *role) {
-	classes, reasons, said := map[string]int{}, map[string]int{}, map[model.JobID]why.Code{}
+	classes, reasons, said := map[string]int{}, map[string]int{}, map[model.JobID]pending.Code{}
 	var long []*model.Job
 	for _, j := range n.m.JobsInOrder() {
 		k := j.Waiting()
@@ -313,7 +313,7 @@
 	}
 	n.judgeSelf(r, up, mute)
 	n.askRenewals(r)
-	ask, free := false, map[int32]*sched.Room{}
+	ask, free := false, map[int32]*scheduler.Room{}
 	look := time.Since(r.lastLate) > lateEvery
 	if look {
 		r.lastLate = time.Now()
@@ -447,7 +447,7 @@
 // zone were returned, half of them for low work that then waited elsewhere, a third of the fleet had to boot anew. What a cancelled job has there its worker ends in time by itself, unless it hangs: such a machine is returned before the time is over, also if its zone
 // is only parted from this node, unless the controller there has just heard that nothing of the kind is left. While the cloud is down nothing is proven, and
 // nothing is marked either: the end of the cut may come first.
-func (n *Node) toReturnOfCut(r *role, mc *model.Machine, quiet bool, free map[int32]*sched.Room) bool {
+func (n *Node) toReturnOfCut(r *role, mc *model.Machine, quiet bool, free map[int32]*scheduler.Room) bool {
 	if len(mc.Runs) == 0 || r.cloudDown {
 		return false
 	}
@@ -463,14 +463,14 @@
 }
 
 // wantedElsewhere tells whether what is on a machine is to go on in another zone now. free is what was found to be free outside of each zone, and is not given to others yet.
-func (n *Node) wantedElsewhere(mc *model.Machine, free map[int32]*sched.Room) bool {
-	urgent, low := sched.Movable(mc)
+func (n *Node) wantedElsewhere(mc *model.Machine, free map[int32]*scheduler.Room) bool {
+	urgent, low := scheduler.Movable(mc)
 	if urgent || low.CPUs == 0 && low.GPUs == 0 {
 		return urgent
 	}
 	f := free[mc.Zone]
 	if f == nil {
-		room := sched.Outside(n.m, mc.Zone)
+		room := scheduler.Outside(n.m, mc.Zone)
 		room.CPUs -= n.sched.Headroom // that is not for low work
 		f = &room
 		free[mc.Zone] = f
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -51,7 +51,7 @@
 		case err != nil:
 			return noLeader
 		case in != nil: // accepted, as it was sent then
-			return pending(http.StatusOK, num)
+			return pendingResponse(http.StatusOK, num)
 		}
 	}
 	if reply.Status != http.StatusCreated {
@@ -63,7 +63,7 @@
 		return noLeader
 	}
 	n.log.Debug("job taken without the leader", "job", spec.ID)
-	return pending(http.StatusCreated, num)
+	return pendingResponse(http.StatusCreated, num)
 }
 
 // mayIntake bounds the jobs taken without the leader. Each costs two changes of the state
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -12,7 +12,7 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/relay"
-	"fieldhill/internal/rent"
+	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
@@ -254,7 +254,7 @@
 					}
 				}
 				young.KnownSince, young.LastReport = n.now()-25*time.Second, n.now()-6*time.Second
-				n.cloudSaid(n.role, &rent.Outcome{Kind: rent.Listed, Rows: rows, Ago: took})
+				n.cloudSaid(n.role, &provisioner.Outcome{Kind: provisioner.Listed, Rows: rows, Ago: took})
 				given = young.Releasing
 				young.LastReport = n.now()
 			})
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -21,11 +21,9 @@
 
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/admission"
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
 	"fieldhill/internal/operate"
 	"fieldhill/internal/peer"
@@ -35,14 +33,16 @@
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/renewal"
-	"fieldhill/internal/rent"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/replication/commitfence"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
-	"fieldhill/internal/sched"
+	"fieldhill/internal/scheduling/admission"
+	"fieldhill/internal/scheduling/autoscaler"
+	"fieldhill/internal/scheduling/pending"
+	"fieldhill/internal/scheduling/provisioner"
+	"fieldhill/internal/scheduling/scheduler"
 	"fieldhill/internal/stats"
-	"fieldhill/internal/why"
 )
 
 // Options are the operator's own settings.
@@ -90,8 +90,8 @@
 	gate      admission.Gate // for new jobs
 	loaded    bool
 	applied   uint64 // last batch applied (follower) or committed (leader)
-	sched     *sched.Sched
-	fleet     *fleet.Fleet
+	sched     *scheduler.Sched
+	fleet     *autoscaler.Fleet
 	role      *role // nil: follower
 	leader    *oplog.Leader
 	caught    time.Time            // the replica was complete then
@@ -144,20 +144,20 @@
 	sinceSnap     int
 	compact       chan snapshot
 	hires         int
-	orders        map[string]rent.Order // rentals that are asked for, by name
-	desk          *rent.Desk
+	orders        map[string]provisioner.Order // rentals that are asked for, by name
+	desk          *provisioner.Desk
 	cancel        context.CancelFunc
 	ctx           context.Context
 	lastFleet     time.Time
 	lastSummary   time.Time
 	lastLate      time.Time
-	said          map[model.JobID]why.Code // why jobs wait, as logged
-	cloudDown     bool                     // it did not list the machines when last asked
-	touched       map[*model.Machine]bool  // have something to be told
-	later         map[*model.Machine]bool  // will have, once the log has it
-	cutUntil      map[int32]model.Time     // zones that are cut off, or were until recently
-	apart         map[string]*apart        // what was seen of nodes that this one does not reach
-	asking        bool                     // which nodes are apart
+	said          map[model.JobID]pending.Code // why jobs wait, as logged
+	cloudDown     bool                         // it did not list the machines when last asked
+	touched       map[*model.Machine]bool      // have something to be told
+	later         map[*model.Machine]bool      // will have, once the log has it
+	cutUntil      map[int32]model.Time         // zones that are cut off, or were until recently
+	apart         map[string]*apart            // what was seen of nodes that this one does not reach
+	asking        bool                         // which nodes are apart
 	lastAsked     time.Time
 	askedRenewals time.Time       // when the others were last asked whose lease they renewed
 	heard         model.Time      // when any machine was last heard of
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
-	"fieldhill/internal/rent"
+	"fieldhill/internal/scheduling/autoscaler"
+	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/wire"
 )
 
@@ -17,9 +17,9 @@
 // what it takes from the outcomes.
 
 // newDesk makes a desk that works until a context ends, while it is trusted.
-func (n *Node) newDesk(ctx context.Context, trusted func() bool, tell func(rent.Outcome)) *rent.Desk {
+func (n *Node) newDesk(ctx context.Context, trusted func() bool, tell func(provisioner.Outcome)) *provisioner.Desk {
 	rps := n.set.Params.Cloud.RPS
-	return rent.New(ctx, n.cloud, max(2, int(rps)), max(2*time.Second, config.Seconds(8/rps)), trusted, n.post, tell, n.log)
+	return provisioner.New(ctx, n.cloud, max(2, int(rps)), max(2*time.Second, config.Seconds(8/rps)), trusted, n.post, tell, n.log)
 }
 
 // atDesk has the leader's own desk do what is wanted. Where the duty is held by itself, that is only what was begun before.
@@ -30,7 +30,7 @@
 		if len(r.orders) == 0 {
 			return
 		}
-		w = rent.Want{}
+		w = provisioner.Want{}
 	}
 	for _, o := range r.orders {
 		w.Hires = append(w.Hires, o)
@@ -39,25 +39,25 @@
 }
 
 // rentals counts what is asked for and not answered, by offer.
-func (n *Node) rentals() map[fleet.Offer]int {
-	sum := map[fleet.Offer]int{}
+func (n *Node) rentals() map[autoscaler.Offer]int {
+	sum := map[autoscaler.Offer]int{}
 	for _, o := range n.role.orders {
 		sum[n.offerOf(&o)] += o.Count
 	}
 	for _, i := range n.m.Intents {
-		sum[n.offerOf(&rent.Order{Type: i.Type, Zone: i.Zone, Spot: i.Spot})] += i.Count
+		sum[n.offerOf(&provisioner.Order{Type: i.Type, Zone: i.Zone, Spot: i.Spot})] += i.Count
 	}
 	return sum
 }
 
-func (n *Node) offerOf(o *rent.Order) fleet.Offer {
-	return fleet.Offer{Type: n.m.TypeNames.ID(o.Type), Zone: n.m.Zones.ID(o.Zone), Spot: o.Spot}
+func (n *Node) offerOf(o *provisioner.Order) autoscaler.Offer {
+	return autoscaler.Offer{Type: n.m.TypeNames.ID(o.Type), Zone: n.m.Zones.ID(o.Zone), Spot: o.Spot}
 }
 
 // hire asks for machines.
-func (n *Node) hire(r *role, h fleet.Hire) {
+func (n *Node) hire(r *role, h autoscaler.Hire) {
 	r.hires++
-	o := rent.Order{Name: fleet.Name(r.ld.Term, r.hires), Type: n.m.TypeNames.Name(h.Type), Zone: n.m.Zones.Name(h.Zone), Spot: h.Spot, Count: min(h.Count, wire.MaxHire)}
+	o := provisioner.Order{Name: autoscaler.Name(r.ld.Term, r.hires), Type: n.m.TypeNames.Name(h.Type), Zone: n.m.Zones.Name(h.Zone), Spot: h.Spot, Count: min(h.Count, wire.MaxHire)}
 	n.log.Info("renting", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", o.Count, "request", o.Name, "why", h.Why)
 	if !n.spread() {
 		r.orders[o.Name] = o
@@ -68,15 +68,15 @@
 }
 
 // cloudSaid takes in what came of a request to the cloud.
-func (n *Node) cloudSaid(r *role, o *rent.Outcome) {
+func (n *Node) cloudSaid(r *role, o *provisioner.Outcome) {
 	switch o.Kind {
-	case rent.Hired:
+	case provisioner.Hired:
 		n.hired(r, o)
-	case rent.Returned:
-		again := map[fleet.Offer]int{}
+	case provisioner.Returned:
+		again := map[autoscaler.Offer]int{}
 		for _, name := range o.Names {
 			if mc := n.m.ByName[name]; mc != nil && mc.Releasing {
-				offer := fleet.Offer{Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
+				offer := autoscaler.Offer{Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
 				n.fleet.Has(offer)
 				if mc.Suspect {
 					again[offer]++
@@ -86,32 +86,32 @@
 			}
 		}
 		n.rentAgain(r, again)
-	case rent.Listed:
+	case provisioner.Listed:
 		r.cloudDown = false
 		for i := range o.Rows {
 			n.listed(&o.Rows[i])
 		}
 		n.unlisted(o.Rows, o.Ago)
-	case rent.Types:
+	case provisioner.Types:
 		for i := range o.Offers {
 			n.learnType(&o.Offers[i])
 		}
-	case rent.Away:
+	case provisioner.Away:
 		r.cloudDown = true
 	}
 }
 
 // rentAgain rents machines in place of those that were returned in a cut zone, where the plan rents nothing: so they are up, or nearly, when the cut ends. Until then they count
 // for nothing. Without it a zone that came back stood empty while its machines booted, and for as long as the cloud was down.
-func (n *Node) rentAgain(r *role, offers map[fleet.Offer]int) {
+func (n *Node) rentAgain(r *role, offers map[autoscaler.Offer]int) {
 	for o, k := range offers {
 		for ; k > 0; k -= wire.MaxHire {
-			n.hire(r, fleet.Hire{Offer: o, Count: min(k, wire.MaxHire), Why: "for the end of the cut"})
+			n.hire(r, autoscaler.Hire{Offer: o, Count: min(k, wire.MaxHire), Why: "for the end of the cut"})
 		}
 	}
 }
 
-func (n *Node) hired(r *role, out *rent.Outcome) {
+func (n *Node) hired(r *role, out *provisioner.Outcome) {
 	o := &out.Order
 	_, asked := r.orders[o.Name]
 	intent := slices.ContainsFunc(n.m.Intents, func(i model.Intent) bool { return i.Name == o.Name })
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -161,7 +161,7 @@
 			return
 		}
 		if in != nil {
-			send(pending(http.StatusOK, uint64(id)))
+			send(pendingResponse(http.StatusOK, uint64(id)))
 			return
 		}
 		send(api.Refuse(http.StatusNotFound, "no such job"))
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -83,8 +83,8 @@
 // soon is how long the leader has at least for a submission before there is another way.
 const soon = 60 * time.Millisecond
 
-// pending is the answer for a job that was accepted and of which nothing else is known.
-func pending(code int, num uint64) *peer.Reply {
+// pendingResponse is the answer for a job that was accepted and of which nothing else is known.
+func pendingResponse(code int, num uint64) *peer.Reply {
 	return api.Encode(code, &wire.JobStatus{ID: wire.JobID(num), State: wire.JobPending})
 }
 
@@ -146,7 +146,7 @@
 			send(a)
 		}
 	}
-	accepted := pending(http.StatusCreated, uint64(id))
+	accepted := pendingResponse(http.StatusCreated, uint64(id))
 	n.whenCommitted(seq, func(ok bool) {
 		if !ok {
 			tell(noLeader)
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
 	"fieldhill/internal/relay"
-	"fieldhill/internal/rent"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
-	"fieldhill/internal/sched"
+	"fieldhill/internal/scheduling/autoscaler"
+	"fieldhill/internal/scheduling/provisioner"
+	"fieldhill/internal/scheduling/scheduler"
 )
 
 // This file is the takeover: how a node follows the log, stands for election, and what it does from its election to the
@@ -149,7 +149,7 @@
 	defer cancel()
 	r := &role{
 		ld: won.Leader, batches: make(chan oplog.Batch, 1), compact: make(chan snapshot, 1),
-		orders: map[string]rent.Order{}, cancel: cancel, ctx: ctx, touched: map[*model.Machine]bool{},
+		orders: map[string]provisioner.Order{}, cancel: cancel, ctx: ctx, touched: map[*model.Machine]bool{},
 		later: map[*model.Machine]bool{}, cutUntil: map[int32]model.Time{}, apart: map[string]*apart{},
 		dropping: map[uint64]bool{}, probesMost: n.probesMost, inVain: map[*model.Machine]bool{},
 		zones: map[int32]*zoneAsked{}, strangers: map[string]bool{},
@@ -266,9 +266,9 @@
 	r.committed = n.applied
 	r.sinceSnap = 0
 	n.m.BeginTerm(r.ld.Term<<termBits, n.now())
-	n.sched = sched.New(sched.Params{Beta: n.opt.Beta, Threshold: n.opt.Threshold, WaitRounds: n.opt.WaitRounds, Objectives: n.set.Params.Objectives})
-	n.fleet = fleet.New(n.set.Params.Objectives)
-	r.desk = n.newDesk(r.ctx, func() bool { return n.now() < model.Time(r.trust.Load()) }, func(o rent.Outcome) {
+	n.sched = scheduler.New(scheduler.Params{Beta: n.opt.Beta, Threshold: n.opt.Threshold, WaitRounds: n.opt.WaitRounds, Objectives: n.set.Params.Objectives})
+	n.fleet = autoscaler.New(n.set.Params.Objectives)
+	r.desk = n.newDesk(r.ctx, func() bool { return n.now() < model.Time(r.trust.Load()) }, func(o provisioner.Outcome) {
 		if n.role == r {
 			n.cloudSaid(r, &o)
 		}
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -7,11 +7,11 @@
 	"net/http"
 	"time"
 
-	"fieldhill/internal/explain"
 	"fieldhill/internal/model"
 	"fieldhill/internal/operate"
 	"fieldhill/internal/peer"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/explanation"
+	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
 )
 
@@ -99,12 +99,12 @@
 	case !n.loaded || j == nil && n.m.Finals[id] == 0:
 		return opNoLeader // others may know it
 	case j == nil:
-		return n.opTold(id, &explain.Account{}, nil)
+		return n.opTold(id, &explanation.Account{}, nil)
 	}
-	return n.opTold(id, &explain.Account{Waiting: j.Waiting()}, []why.Reason{{Code: why.NoLeader}})
+	return n.opTold(id, &explanation.Account{Waiting: j.Waiting()}, []pending.Reason{{Code: pending.NoLeader}})
 }
 
-func (n *Node) opTold(id model.JobID, a *explain.Account, around []why.Reason) *peer.Reply {
+func (n *Node) opTold(id model.JobID, a *explanation.Account, around []pending.Reason) *peer.Reply {
 	e := n.header(id)
 	tell(e, n.m.Jobs[id], a, around)
 	return operate.Encode(http.StatusOK, e)
@@ -137,8 +137,8 @@
 		return opTooSoon
 	}
 	n.explained = n.now()
-	var sc explain.Scene
-	var around []why.Reason
+	var sc explanation.Scene
+	var around []pending.Reason
 	var e *wire.Explanation
 	r := n.opInLoop(ctx, func() *peer.Reply {
 		j := n.m.Jobs[id]
@@ -150,17 +150,17 @@
 		case j != nil && j.AcceptSeq > n.role.committed, n.m.FinalAt(id) > n.role.committed:
 			return operate.Refuse(http.StatusServiceUnavailable, "the log does not have it yet", 1)
 		case j == nil:
-			return n.opTold(id, &explain.Account{}, nil)
+			return n.opTold(id, &explanation.Account{}, nil)
 		}
 		e, around = n.header(id), n.around(j)
 		m := n.m.Clone()
-		sc = explain.Scene{Model: m, Sched: n.sched.Dry(m), Now: n.now()}
+		sc = explanation.Scene{Model: m, Sched: n.sched.Dry(m), Now: n.now()}
 		return nil
 	})
 	if r != nil {
 		return r
 	}
-	tell(e, sc.Model.Jobs[id], explain.Explain(sc, id, explainRounds), around)
+	tell(e, sc.Model.Jobs[id], explanation.Explain(sc, id, explainRounds), around)
 	return operate.Encode(http.StatusOK, e)
 }
 
@@ -214,34 +214,34 @@
 
 // around lists the reasons that lie outside of the rounds: they hold for all jobs alike, or
 // for tasks that have a place.
-func (n *Node) around(j *model.Job) (out []why.Reason) {
+func (n *Node) around(j *model.Job) (out []pending.Reason) {
 	r := n.role
 	if !n.active() {
-		out = append(out, why.Reason{Code: why.NoLeader})
+		out = append(out, pending.Reason{Code: pending.NoLeader})
 	}
 	if now := time.Now(); now.Before(r.placeFrom) && !n.allReported() {
-		out = append(out, why.Reason{Code: why.Listening, In: r.placeFrom.Sub(now)})
+		out = append(out, pending.Reason{Code: pending.Listening, In: r.placeFrom.Sub(now)})
 	}
 	if r.stalled() {
-		out = append(out, why.Reason{Code: why.StateAway})
+		out = append(out, pending.Reason{Code: pending.StateAway})
 	}
 	if r.cloudDown && j.Waiting() > 0 {
-		out = append(out, why.Reason{Code: why.CloudAway})
+		out = append(out, pending.Reason{Code: pending.CloudAway})
 	} else if offers, in := n.fleet.RefusedTo(n.m, j, n.now()); offers > 0 && j.Waiting() > 0 {
-		out = append(out, why.Reason{Code: why.Refused, N: offers, In: in})
+		out = append(out, pending.Reason{Code: pending.Refused, N: offers, In: in})
 	}
-	var fetching, gathering why.Reason
+	var fetching, gathering pending.Reason
 	for i := range j.Tasks {
 		run := j.Tasks[i].Run
 		switch {
 		case run == nil:
 		case run.Phase == model.Fetching:
-			fetching.Code, fetching.N, fetching.Who = why.Fetching, fetching.N+1, run.Machine.Info.Name
+			fetching.Code, fetching.N, fetching.Who = pending.Fetching, fetching.N+1, run.Machine.Info.Name
 		case run.Phase == model.Gathering:
-			gathering.Code, gathering.N, gathering.Who = why.Gathering, gathering.N+1, run.Machine.Info.Name
+			gathering.Code, gathering.N, gathering.Who = pending.Gathering, gathering.N+1, run.Machine.Info.Name
 		}
 	}
-	for _, r := range []why.Reason{fetching, gathering} {
+	for _, r := range []pending.Reason{fetching, gathering} {
 		if r.Is() {
 			out = append(out, r)
 		}
@@ -250,19 +250,19 @@
 }
 
 // tell puts an account into the words of the interface. The job is nil if it is over.
-func tell(e *wire.Explanation, j *model.Job, a *explain.Account, around []why.Reason) {
+func tell(e *wire.Explanation, j *model.Job, a *explanation.Account, around []pending.Reason) {
 	e.Waiting, e.Places, e.Stops, e.Complete, e.Partial = a.Waiting, a.Now.Placed, a.Now.Room, a.Complete, a.Cut
 	if j != nil {
 		e.Starting = j.Live - j.Running
 	}
-	put := func(r why.Reason, f explain.Finding) {
+	put := func(r pending.Reason, f explanation.Finding) {
 		e.Reasons = append(e.Reasons, wire.Reason{Code: r.Code.String(), Text: r.String(), Binds: f.Binds, Gains: f.Outcome.Placed, Stops: f.Outcome.Room,
 			ForS: r.In.Seconds(), Number: r.N, First: r.Who, Of: r.Of, Need: r.Need, Used: r.Used, Limit: r.Limit})
 	}
 	for _, r := range around {
 		// While no round is run nothing else matters.
-		none := r.Code == why.NoLeader || r.Code == why.Listening || r.Code == why.StateAway
-		put(r, explain.Finding{Binds: none && a.Waiting > 0})
+		none := r.Code == pending.NoLeader || r.Code == pending.Listening || r.Code == pending.StateAway
+		put(r, explanation.Finding{Binds: none && a.Waiting > 0})
 	}
 	for _, f := range a.Findings {
 		put(f.Reason, f)
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -8,12 +8,12 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/config"
-	"fieldhill/internal/fleet"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/relay"
 	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/scheduling/autoscaler"
 	"fieldhill/internal/staleness"
 	"fieldhill/wire"
 )
@@ -216,7 +216,7 @@
 	n.role.note(n.role.asked(mc.Zone), true)
 	n.learnAddr(mc, r.Addr)
 	if first && mc.RentedAt != 0 {
-		n.fleet.CameUp(mc.Type, mc.Zone, fleet.BootRatio(n.m, mc, n.now()))
+		n.fleet.CameUp(mc.Type, mc.Zone, autoscaler.BootRatio(n.m, mc, n.now()))
 	}
 	switch {
 	case v.Freshness == staleness.Restarted:
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -24,8 +24,8 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/intern"
 	"fieldhill/internal/renewal"
+	"fieldhill/internal/scheduling/pending"
 	"fieldhill/internal/staleness"
-	"fieldhill/internal/why"
 	"fieldhill/wire"
 )
 
@@ -128,8 +128,8 @@
 	begun         bool // a task of it was placed
 
 	// What the leader keeps for scheduling.
-	Waited     int        // rounds spent waiting for a busy machine with the image
-	Why        why.Reason // what was in the way of its next task when last looked at
+	Waited     int            // rounds spent waiting for a busy machine with the image
+	Why        pending.Reason // what was in the way of its next task when last looked at
 	past       [pastReasons]Past
 	NotBefore  Time
 	LocalSince Time // when room was last begun to be made where its image is; 0: never
--- a/internal/model/past.go
+++ b/internal/model/past.go
@@ -1,10 +1,10 @@
 package model
 
-import "fieldhill/internal/why"
+import "fieldhill/internal/scheduling/pending"
 
 // Past is a reason that held from some time on, until the next one did.
 type Past struct {
-	Code why.Code
+	Code pending.Code
 	From Time
 }
 
--- a/internal/model/past_test.go
+++ b/internal/model/past_test.go
@@ -5,25 +5,25 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 )
 
 // TestPastReasons: a job keeps its last reasons with the times at which they began, the present
 // one first; while a reason stays, with other figures, nothing is noted, and noting takes no memory.
 func TestPastReasons(t *testing.T) {
 	j := &Job{}
-	for i, c := range []why.Code{why.None, why.Full, why.Full, why.Team, why.Full, why.None} {
-		j.Why = why.Reason{Code: c, N: i}
+	for i, c := range []pending.Code{pending.None, pending.Full, pending.Full, pending.Team, pending.Full, pending.None} {
+		j.Why = pending.Reason{Code: c, N: i}
 		j.NoteWhy(Time(i+1) * 1e9)
 	}
-	want := []Past{{why.None, 6e9}, {why.Full, 5e9}, {why.Team, 4e9}, {why.Full, 2e9}}
+	want := []Past{{pending.None, 6e9}, {pending.Full, 5e9}, {pending.Team, 4e9}, {pending.Full, 2e9}}
 	if d := cmp.Diff(want, j.Past()); d != "" {
 		t.Error(d)
 	}
 	at := Time(10e9)
 	if n := testing.AllocsPerRun(100, func() {
 		at++
-		j.Why.Code = why.Team + why.Code(at%2) // it changes every time
+		j.Why.Code = pending.Team + pending.Code(at%2) // it changes every time
 		j.NoteWhy(at)
 	}); n != 0 {
 		t.Errorf("%g allocations for a change of reason", n)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -13,7 +13,7 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/peer"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
 )
 
@@ -95,7 +95,7 @@
 			f.Class = v[0]
 		case "reason":
 			if f.Reason = v[0]; f.Reason != "" {
-				if _, ok := why.Find(f.Reason); !ok {
+				if _, ok := pending.Find(f.Reason); !ok {
 					return f, fmt.Errorf("reason: %q is no code of docs/WHY.md", v[0])
 				}
 			}
--- a/internal/fleet/boots.go
+++ b/internal/scheduling/autoscaler/boots.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"slices"
--- a/internal/fleet/fleet.go
+++ b/internal/scheduling/autoscaler/fleet.go
@@ -7,7 +7,7 @@
 // machines, the cheapest per task first. Services that must start sooner than a
 // machine boots get headroom for the arrivals of that time, and gangs that can't
 // wait for a boot find machines kept for the usual number of them.
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/sched"
+	"fieldhill/internal/scheduling/scheduler"
 )
 
 // Offer is something that can be rented.
@@ -60,7 +60,7 @@
 // class is what was learnt of a class of jobs.
 type class struct {
 	kind    model.Kind
-	need    sched.Room
+	need    scheduler.Room
 	tasks   float64 // tasks of a job, averaged
 	busy    float64 // seconds that a task keeps its place, averaged
 	types   []int32
@@ -78,7 +78,7 @@
 	Pending    map[Offer]int // asked for, without an answer yet
 	refused    map[Offer]refusal
 	classes    map[int32]*class
-	gpuWork    sched.GPUWork // the last need seen of each class
+	gpuWork    scheduler.GPUWork // the last need seen of each class
 	seen       map[model.JobID]bool
 	vacating   *model.Machine
 	over       []over
@@ -93,7 +93,7 @@
 
 // New makes a fleet.
 func New(obj []config.Objective) *Fleet {
-	return &Fleet{Objectives: obj, refused: map[Offer]refusal{}, classes: map[int32]*class{}, gpuWork: sched.GPUWork{}, apart: map[int32]bool{}, counts: map[Offer]int{}, boots: map[place]boots{}, late: map[place]int{}, seen: map[model.JobID]bool{}}
+	return &Fleet{Objectives: obj, refused: map[Offer]refusal{}, classes: map[int32]*class{}, gpuWork: scheduler.GPUWork{}, apart: map[int32]bool{}, counts: map[Offer]int{}, boots: map[place]boots{}, late: map[place]int{}, seen: map[model.JobID]bool{}}
 }
 
 // Refused notes that the cloud had nothing of an offer; it is asked again after
@@ -110,7 +110,7 @@
 func (f *Fleet) RefusedTo(m *model.Model, j *model.Job, now model.Time) (n int, in model.Time) {
 	for o, r := range f.refused {
 		t := &m.Types[o.Type]
-		if r.until <= now || !j.Allowed(o.Type, o.Zone, o.Spot) || !sched.Whole(t).Holds(sched.Need(j)) {
+		if r.until <= now || !j.Allowed(o.Type, o.Zone, o.Spot) || !scheduler.Whole(t).Holds(scheduler.Need(j)) {
 			continue
 		}
 		if n++; n == 1 || r.until-now < in {
@@ -208,7 +208,7 @@
 		c = &class{tasks: float64(len(j.Tasks)), busy: m.Takes(j)}
 		f.classes[j.Class] = c
 	}
-	c.kind, c.need, c.types, c.zone, c.spot = j.Kind, sched.Need(j), j.Types, j.Zone, j.Spec.Spot
+	c.kind, c.need, c.types, c.zone, c.spot = j.Kind, scheduler.Need(j), j.Types, j.Zone, j.Spec.Spot
 	c.spread = j.Spec.Spread
 	if delete(f.gpuWork, j.Class); c.need.GPUs > 0 {
 		f.gpuWork[j.Class] = c.need
@@ -233,8 +233,8 @@
 type slot struct {
 	mc    *model.Machine
 	offer Offer
-	free  sched.Room
-	total sched.Room
+	free  scheduler.Room
+	total scheduler.Room
 	used  bool
 	wish  bool
 	why   string // of a wish
@@ -242,7 +242,7 @@
 }
 
 type item struct {
-	need    sched.Room
+	need    scheduler.Room
 	types   []int32
 	zone    int32
 	spot    bool
@@ -302,7 +302,7 @@
 // Plan looks at demand and machines.
 func (f *Fleet) Plan(m *model.Model, now model.Time) Plan {
 	jobs := m.JobsInOrder()
-	sched.Guarantees(m, jobs, now, f.Objectives)
+	scheduler.Guarantees(m, jobs, now, f.Objectives)
 	f.learn(m, jobs, now)
 	f.over = f.over[:0]
 	clear(f.apart)
@@ -343,7 +343,7 @@
 		for _, r := range s.mc.Runs {
 			gang = gang || r.Job.Spec.GPUs > 0
 		}
-		p.LowMay[s.mc] = !f.gpuWork.Fits(s.total) || kept[s] && (!gang || sched.Firm(s.mc).CPUs > 0)
+		p.LowMay[s.mc] = !f.gpuWork.Fits(s.total) || kept[s] && (!gang || scheduler.Firm(s.mc).CPUs > 0)
 		for _, w := range worth {
 			p.LowMay[s.mc] = p.LowMay[s.mc] || w(s.offer)
 		}
@@ -393,14 +393,14 @@
 		if !mc.Reported && f.apart[mc.Zone] {
 			continue // it boots for the end of the cut
 		}
-		total := sched.Total(m, mc)
+		total := scheduler.Total(m, mc)
 		s := &slot{mc: mc, offer: Offer{mc.Type, mc.Zone, mc.Spot}, total: total, free: total, slow: mc.ServicesOnly(now)}
 		for _, r := range mc.Runs {
 			// Low work gives way, so its room is not lost to what is more
 			// urgent; it is packed again behind it.
 			if !yields(r.Job) {
 				s.used = true
-				s.free = s.free.Minus(sched.Need(r.Job))
+				s.free = s.free.Minus(scheduler.Need(r.Job))
 			}
 		}
 		out = append(out, s)
@@ -410,7 +410,7 @@
 			continue
 		}
 		t := &m.Types[o.Type]
-		total := sched.Whole(t)
+		total := scheduler.Whole(t)
 		for range n {
 			out = append(out, &slot{offer: o, total: total, free: total})
 		}
@@ -430,14 +430,14 @@
 	// What is on suspect machines will want room elsewhere when their leases have
 	// run out; machines for it can boot meanwhile. And low work could give way.
 	lapsing := map[*model.Job]int{}
-	yielding := make([]sched.Room, len(m.Teams))
+	yielding := make([]scheduler.Room, len(m.Teams))
 	for _, mc := range m.Order {
 		for _, r := range mc.Runs {
 			if mc.Suspect && r.Job.Kind != model.Array && !r.Job.Cancelled {
 				lapsing[r.Job]++
 			}
 			if t := r.Job.Team; t != nil && yields(r.Job) {
-				yielding[t.Index] = yielding[t.Index].Plus(sched.Need(r.Job))
+				yielding[t.Index] = yielding[t.Index].Plus(scheduler.Need(r.Job))
 			}
 		}
 	}
@@ -447,7 +447,7 @@
 			continue // what fails everywhere is worth no machine
 		}
 		n = min(n, teamRoom(j, yielding)+lapsing[j])
-		it := item{need: sched.Need(j), types: j.Types, zone: j.Zone, spot: j.Spec.Spot, count: n, service: j.Kind == model.Service, rank: j.Priority, why: "for " + j.Spec.ID}
+		it := item{need: scheduler.Need(j), types: j.Types, zone: j.Zone, spot: j.Spec.Spot, count: n, service: j.Kind == model.Service, rank: j.Priority, why: "for " + j.Spec.ID}
 		it.spread(j)
 		if j.Kind != model.Array {
 			urgent = append(urgent, it)
@@ -526,7 +526,7 @@
 	for i := range m.Types {
 		t := &m.Types[i]
 		it := item{types: c.types, zone: -1}
-		if !t.Known || !sched.Whole(t).Holds(c.need) || !it.allows(Offer{Type: int32(i)}) {
+		if !t.Known || !scheduler.Whole(t).Holds(c.need) || !it.allows(Offer{Type: int32(i)}) {
 			continue
 		}
 		for _, z := range t.ZoneIDs {
@@ -545,9 +545,9 @@
 // teamRoom is how many more tasks of a job its team's limit allows. Low work of the
 // team is not in the way of what is more urgent: it is stopped once there are
 // machines, so they must be rented although the limit is full of it.
-func teamRoom(j *model.Job, yielding []sched.Room) int {
+func teamRoom(j *model.Job, yielding []scheduler.Room) int {
 	t, n := j.Team, math.Inf(1)
-	var low sched.Room
+	var low scheduler.Room
 	if j.Priority > model.Low {
 		low = yielding[t.Index]
 	}
@@ -639,7 +639,7 @@
 			return
 		}
 		t := &m.Types[o.Type]
-		total := sched.Whole(t)
+		total := scheduler.Whole(t)
 		s := &slot{offer: o, total: total, free: total, used: true, wish: true, why: it.why}
 		for left > 0 && s.free.Holds(it.need) && it.allows(o) {
 			it.put(s)
@@ -673,7 +673,7 @@
 		leaves := s.free
 		for _, r := range s.mc.Runs {
 			if r.Job.Spec.GPUs > 0 && r.Job.Kind == model.Gang && r.Job.Priority < f.over[0].it.rank {
-				leaves = leaves.Plus(sched.Need(r.Job))
+				leaves = leaves.Plus(scheduler.Need(r.Job))
 			}
 		}
 		if leaves == s.free {
@@ -715,11 +715,11 @@
 func (f *Fleet) fullest(slots []*slot, each func(*slot)) {
 	var some []*slot
 	for _, s := range slots {
-		if s.mc != nil && s.mc != f.vacating && s.total.GPUs > 0 && sched.Firm(s.mc).CPUs > 0 {
+		if s.mc != nil && s.mc != f.vacating && s.total.GPUs > 0 && scheduler.Firm(s.mc).CPUs > 0 {
 			some = append(some, s)
 		}
 	}
-	sort.SliceStable(some, func(i, k int) bool { return sched.Firm(some[i].mc).CPUs > sched.Firm(some[k].mc).CPUs })
+	sort.SliceStable(some, func(i, k int) bool { return scheduler.Firm(some[i].mc).CPUs > scheduler.Firm(some[k].mc).CPUs })
 	for _, s := range some {
 		each(s)
 	}
@@ -734,11 +734,11 @@
 		if s.mc == nil || !s.mc.Reported || s.total.GPUs == 0 || !f.gpuWork.Fits(s.total) || forServices[s.mc] > 0 {
 			continue
 		}
-		firm := sched.Firm(s.mc)
+		firm := scheduler.Firm(s.mc)
 		if firm.CPUs == 0 || s.total.Minus(firm).Minus(s.free).CPUs > 1e-6 { // a gang is there, or comes
 			continue
 		}
-		if v == nil || firm.CPUs < sched.Firm(v.mc).CPUs {
+		if v == nil || firm.CPUs < scheduler.Firm(v.mc).CPUs {
 			v = s
 		}
 	}
@@ -746,7 +746,7 @@
 		return nil
 	}
 	extra := map[*model.Machine]int{}
-	taken := map[*slot]sched.Room{}
+	taken := map[*slot]scheduler.Room{}
 	for _, r := range v.mc.Runs {
 		j := r.Job
 		if j.Kind != model.Service {
@@ -755,7 +755,7 @@
 		if !r.Wanted() {
 			continue
 		}
-		need := sched.Need(j)
+		need := scheduler.Need(j)
 		fits := func(s *slot) bool {
 			return s != v && s.mc != nil && s.mc.Usable() && j.Allowed(s.mc.Type, s.mc.Zone, s.mc.Spot) &&
 				(s.mc.Zone == v.mc.Zone || j.ZoneAllows(s.mc.Zone)) && s.free.Minus(taken[s]).Holds(need)
@@ -788,7 +788,7 @@
 // spoiled tells whether services took a machine with GPUs already, so that the
 // largest work that uses GPUs does not fit beside them.
 func (f *Fleet) spoiled(s *slot) bool {
-	return s.mc != nil && f.gpuWork.Spoiled(s.total, sched.Firm(s.mc))
+	return s.mc != nil && f.gpuWork.Spoiled(s.total, scheduler.Firm(s.mc))
 }
 
 func wishes(slots []*slot) int {
@@ -806,7 +806,7 @@
 func (f *Fleet) price(m *model.Model, it *item, o Offer, left int) (float64, bool) {
 	t := &m.Types[o.Type]
 	fit := 0
-	for r := sched.Whole(t); fit < left && r.Holds(it.need); fit++ {
+	for r := scheduler.Whole(t); fit < left && r.Holds(it.need); fit++ {
 		r = r.Minus(it.need)
 	}
 	if !t.Known || fit == 0 || !it.allows(o) {
--- a/internal/explain/bench_test.go
+++ b/internal/scheduling/explanation/bench_test.go
@@ -1,4 +1,4 @@
-package explain
+package explanation
 
 import (
 	"testing"
--- a/internal/explain/explain.go
+++ b/internal/scheduling/explanation/explain.go
@@ -3,14 +3,14 @@
 // alone changes what the next round does for the job, and a set of reasons is complete if
 // lifting all of them starts it. Both are found by the real scheduler, in rounds on copies of the model
 // that nobody else sees. It is pure.
-package explain
+package explanation
 
 import (
 	"strings"
 
 	"fieldhill/internal/model"
-	"fieldhill/internal/sched"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
+	"fieldhill/internal/scheduling/scheduler"
 )
 
 // Outcome is what a round does for a job.
@@ -27,34 +27,34 @@
 
 // Finding is a reason that holds.
 type Finding struct {
-	why.Reason
+	pending.Reason
 	Binds   bool    // lifting it alone changes what the next round does
 	Outcome Outcome // with it lifted
 }
 
 // Account is what there is to say of a job.
 type Account struct {
-	Waiting  int           // tasks that want a place
-	Now      Outcome       // of the next round, as things are
-	Findings []Finding     // in the order in which a task meets them
-	Together [][2]why.Code // pairs of which neither helps alone
-	All      Outcome       // with every reason lifted
-	Complete bool          // lifting all of them starts every waiting task
-	Cut      bool          // not all pairs were tried
+	Waiting  int               // tasks that want a place
+	Now      Outcome           // of the next round, as things are
+	Findings []Finding         // in the order in which a task meets them
+	Together [][2]pending.Code // pairs of which neither helps alone
+	All      Outcome           // with every reason lifted
+	Complete bool              // lifting all of them starts every waiting task
+	Cut      bool              // not all pairs were tried
 }
 
 // Scene is what a job is explained in: a copy of the model (model.Model.Clone), and the leader's
 // scheduler for that copy (sched.Sched.Dry). Nobody else uses either meanwhile.
 type Scene struct {
 	Model *model.Model
-	Sched *sched.Sched
+	Sched *scheduler.Sched
 	Now   model.Time
 }
 
 // trial is a round to be played.
 type trial struct {
 	m   *model.Model
-	s   *sched.Sched
+	s   *scheduler.Sched
 	j   *model.Job
 	now model.Time
 }
@@ -84,7 +84,7 @@
 	patient := sc.play(id, noWait)
 	for i := range a.Findings {
 		f := &a.Findings[i]
-		if f.Code == why.Image {
+		if f.Code == pending.Image {
 			f.Outcome = patient
 			f.Binds = f.Outcome.better(a.Now)
 			continue
@@ -104,7 +104,7 @@
 				return a
 			}
 			if sc.play(id, held[i], held[k], noWait).better(patient) {
-				a.Together = append(a.Together, [2]why.Code{held[i].code, held[k].code})
+				a.Together = append(a.Together, [2]pending.Code{held[i].code, held[k].code})
 			}
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/scheduling/explanation/explain_test.go
@@ -1,4 +1,4 @@
-package explain
+package explanation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/sched"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
+	"fieldhill/internal/scheduling/scheduler"
 	"fieldhill/wire"
 )
 
@@ -20,12 +20,12 @@
 type world struct {
 	t   testing.TB
 	m   *model.Model
-	s   *sched.Sched
+	s   *scheduler.Sched
 	seq uint64
 }
 
 func newWorld(t testing.TB) *world {
-	w := &world{t: t, s: sched.New(sched.Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})}
+	w := &world{t: t, s: scheduler.New(scheduler.Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})}
 	w.m = model.New(&config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUsMax: 100}, {Name: "blue", CPUs: 50}}})
 	for _, ty := range []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64}, {Name: "tiny", CPUs: 1, MemoryGB: 2}} {
 		ty.CacheGB, ty.FetchGBPerS, ty.Zones = 20, 1, []string{"a", "b"}
@@ -85,81 +85,81 @@
 // TestEachCause builds every cause that keeps a job from its place, one at a time: it is found,
 // it binds, and lifting all that holds starts the job.
 func TestEachCause(t *testing.T) {
-	cases := map[why.Code]func(w *world) *model.Job{
-		why.Paused: func(w *world) *model.Job {
+	cases := map[pending.Code]func(w *world) *model.Job{
+		pending.Paused: func(w *world) *model.Job {
 			w.machine("small", "a")
 			j := w.job(1, nil)
 			j.NotBefore, j.Errors = now+5e9, 2
 			return j
 		},
-		why.Faulty: func(w *world) *model.Job {
+		pending.Faulty: func(w *world) *model.Job {
 			w.machine("small", "a")
 			j := w.job(1, func(s *wire.JobSpec) { s.Tasks = 2 })
 			w.place(j, 0, w.machine("small", "a"))
 			j.Faulty = true
 			return j
 		},
-		why.Failed: func(w *world) *model.Job {
+		pending.Failed: func(w *world) *model.Job {
 			mc, j := w.machine("small", "a"), w.job(1, nil)
 			j.FailedOn = map[model.MachineID]model.Time{mc.ID: now}
 			return j
 		},
-		why.Ending: func(w *world) *model.Job {
+		pending.Ending: func(w *world) *model.Job {
 			j := w.job(1, func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.Gang, 2 })
 			w.place(j, 0, w.machine("small", "a"))
 			w.machine("small", "a")
 			return j
 		},
-		why.Queue: func(w *world) *model.Job {
+		pending.Queue: func(w *world) *model.Job {
 			w.machine("small", "a")
 			w.job(2, func(s *wire.JobSpec) { s.Priority = wire.High })
 			return w.job(1, nil)
 		},
-		why.Paced: func(w *world) *model.Job {
+		pending.Paced: func(w *world) *model.Job {
 			w.s.LowMost = 1
 			w.machine("small", "a")
 			return w.job(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.Priority = 3, 1, wire.Low })
 		},
-		why.Team: func(w *world) *model.Job {
+		pending.Team: func(w *world) *model.Job {
 			w.machine("small", "a")
 			w.m.Teams[0].CPUsMax = 3
 			return w.job(1, nil)
 		},
-		why.Small: func(w *world) *model.Job {
+		pending.Small: func(w *world) *model.Job {
 			w.machine("tiny", "a")
 			return w.job(1, func(s *wire.JobSpec) { s.Types = []string{"tiny"} })
 		},
-		why.Booting:    func(w *world) *model.Job { w.machine("small", "a").Reported = false; return w.job(1, nil) },
-		why.Returning:  func(w *world) *model.Job { w.machine("small", "a").Releasing = true; return w.job(1, nil) },
-		why.Suspect:    func(w *world) *model.Job { w.machine("small", "a").Suspect = true; return w.job(1, nil) },
-		why.Distrusted: func(w *world) *model.Job { w.machine("small", "a").DoubtSince = 1; return w.job(1, nil) },
-		why.Draining:   func(w *world) *model.Job { w.machine("small", "a").Draining = true; return w.job(1, nil) },
-		why.Slow:       func(w *world) *model.Job { w.machine("small", "a").SlowUntil = now + 1; return w.job(1, nil) },
-		why.Spread: func(w *world) *model.Job {
+		pending.Booting:    func(w *world) *model.Job { w.machine("small", "a").Reported = false; return w.job(1, nil) },
+		pending.Returning:  func(w *world) *model.Job { w.machine("small", "a").Releasing = true; return w.job(1, nil) },
+		pending.Suspect:    func(w *world) *model.Job { w.machine("small", "a").Suspect = true; return w.job(1, nil) },
+		pending.Distrusted: func(w *world) *model.Job { w.machine("small", "a").DoubtSince = 1; return w.job(1, nil) },
+		pending.Draining:   func(w *world) *model.Job { w.machine("small", "a").Draining = true; return w.job(1, nil) },
+		pending.Slow:       func(w *world) *model.Job { w.machine("small", "a").SlowUntil = now + 1; return w.job(1, nil) },
+		pending.Spread: func(w *world) *model.Job {
 			j := w.job(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.Spread = 2, 2, true })
 			w.place(j, 0, w.machine("small", "a"))
 			return j
 		},
-		why.SameZone: func(w *world) *model.Job {
+		pending.SameZone: func(w *world) *model.Job {
 			w.machine("small", "a")
 			w.machine("small", "b")
 			return w.job(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.SameZone = wire.Gang, 2, true })
 		},
-		why.Headroom: func(w *world) *model.Job {
+		pending.Headroom: func(w *world) *model.Job {
 			w.machine("small", "a")
 			w.s.Headroom = 2
 			return w.job(1, nil)
 		},
-		why.Dear: func(w *world) *model.Job {
+		pending.Dear: func(w *world) *model.Job {
 			w.machine("large", "a")
 			return w.job(1, func(s *wire.JobSpec) { s.Types, s.Priority = nil, wire.Low })
 		},
-		why.ForGPUs: func(w *world) *model.Job {
+		pending.ForGPUs: func(w *world) *model.Job {
 			w.machine("large", "a")
 			w.place(w.job(2, func(s *wire.JobSpec) { s.Types, s.GPUs, s.Shape = []string{"large"}, 1, wire.Gang }), 0, w.machine("large", "b"))
 			return w.job(1, func(s *wire.JobSpec) { s.Types, s.Shape, s.CPUs = nil, wire.Service, 6 })
 		},
-		why.Image: func(w *world) *model.Job {
+		pending.Image: func(w *world) *model.Job {
 			busy := w.machine("small", "a")
 			w.place(w.job(2, func(s *wire.JobSpec) { s.CPUs = 3 }), 0, busy)
 			busy.Runs[0].Phase = model.Running
@@ -167,7 +167,7 @@
 			w.machine("small", "b")
 			return w.job(1, nil)
 		},
-		why.Full: func(w *world) *model.Job { w.fill(w.machine("small", "a")); return w.job(1, nil) },
+		pending.Full: func(w *world) *model.Job { w.fill(w.machine("small", "a")); return w.job(1, nil) },
 	}
 	for _, l := range lifts {
 		if cases[l.code] == nil {
@@ -223,7 +223,7 @@
 			t.Errorf("%s is said to bind alone", f.Code)
 		}
 	}
-	want := [2]why.Code{why.Team, why.Draining}
+	want := [2]pending.Code{pending.Team, pending.Draining}
 	some := false
 	for _, p := range a.Together {
 		some = some || p == want
@@ -241,7 +241,7 @@
 	if a := w.explain(j); a.Waiting != 0 || len(a.Findings) != 0 {
 		t.Errorf("of a job that runs: %+v", a)
 	}
-	if a := Explain(Scene{w.m.Clone(), sched.New(w.s.P), now}, 77, 10); a != nil {
+	if a := Explain(Scene{w.m.Clone(), scheduler.New(w.s.P), now}, 77, 10); a != nil {
 		t.Errorf("of an unknown job: %+v", a)
 	}
 }
--- a/internal/explain/lifts.go
+++ b/internal/scheduling/explanation/lifts.go
@@ -1,32 +1,32 @@
-package explain
+package explanation
 
 import (
 	"fmt"
 
 	"fieldhill/internal/model"
-	"fieldhill/internal/sched"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
+	"fieldhill/internal/scheduling/scheduler"
 	"fieldhill/wire"
 )
 
 // lift is a reason that can be taken away: whether it holds, with its figures, and what the
 // world is without it.
 type lift struct {
-	code  why.Code
-	holds func(t *trial) (why.Reason, bool)
+	code  pending.Code
+	holds func(t *trial) (pending.Reason, bool)
 	lift  func(t *trial)
 }
 
 // lifts are all of them, in the order in which a waiting task meets them.
 var lifts = []lift{
-	{why.Paused, func(t *trial) (why.Reason, bool) {
-		return why.Reason{N: t.j.Errors, In: t.j.NotBefore - t.now}, t.now < t.j.NotBefore
+	{pending.Paused, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{N: t.j.Errors, In: t.j.NotBefore - t.now}, t.now < t.j.NotBefore
 	}, func(t *trial) { t.j.NotBefore = 0 }},
-	{why.Faulty, func(t *trial) (why.Reason, bool) {
-		return why.Reason{N: t.j.Errors}, t.j.Faulty
+	{pending.Faulty, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{N: t.j.Errors}, t.j.Faulty
 	}, func(t *trial) { t.j.Faulty = false }},
-	{why.Ending, func(t *trial) (why.Reason, bool) {
-		return why.Reason{N: t.j.Live}, t.j.Kind == model.Gang && t.j.Live > 0
+	{pending.Ending, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{N: t.j.Live}, t.j.Kind == model.Gang && t.j.Live > 0
 	}, func(t *trial) {
 		for i := range t.j.Tasks {
 			if r := t.j.Tasks[i].Run; r != nil {
@@ -35,7 +35,7 @@
 			}
 		}
 	}},
-	{why.Queue, func(t *trial) (r why.Reason, ok bool) {
+	{pending.Queue, func(t *trial) (r pending.Reason, ok bool) {
 		for _, o := range t.s.Ahead(t.m, t.j, t.now) {
 			if r.N++; r.N == 1 {
 				r.Who = o.Spec.ID
@@ -43,10 +43,10 @@
 		}
 		return r, r.N > 0
 	}, func(t *trial) { t.s.Only = t.j }},
-	{why.Paced, func(t *trial) (why.Reason, bool) {
-		return why.Reason{N: t.s.LowMost}, t.s.LowMost > 0 && t.j.Priority == model.Low && t.j.Waiting() > t.s.LowMost
+	{pending.Paced, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{N: t.s.LowMost}, t.s.LowMost > 0 && t.j.Priority == model.Low && t.j.Waiting() > t.s.LowMost
 	}, func(t *trial) { t.s.LowMost = 0 }},
-	{why.Team, func(t *trial) (why.Reason, bool) {
+	{pending.Team, func(t *trial) (pending.Reason, bool) {
 		n := members(t.j)
 		r, most := t.s.TeamReason(t.j, n), 0.0
 		for _, o := range t.m.JobsInOrder() { // who uses it, and the first of them who uses most
@@ -70,9 +70,9 @@
 		team.CPUsMax, team.GPUsMax = 0, 0
 		t.j.Team = &team
 	}},
-	{why.Small, func(t *trial) (r why.Reason, ok bool) {
+	{pending.Small, func(t *trial) (r pending.Reason, ok bool) {
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool {
-			return t.allowed(mc) && !sched.Total(t.m, mc).Holds(sched.Need(t.j))
+			return t.allowed(mc) && !scheduler.Total(t.m, mc).Holds(scheduler.Need(t.j))
 		})
 		r.Of, r.Need = "CPUs", t.j.Spec.CPUs
 		return r, r.N > 0
@@ -84,34 +84,34 @@
 			}
 		}
 	}},
-	ofMachines(why.Booting, func(t *trial, mc *model.Machine) bool { return !mc.Reported && !mc.Releasing && !mc.Suspect },
+	ofMachines(pending.Booting, func(t *trial, mc *model.Machine) bool { return !mc.Reported && !mc.Releasing && !mc.Suspect },
 		func(t *trial, mc *model.Machine) { mc.Reported = true }),
-	ofMachines(why.Returning, func(t *trial, mc *model.Machine) bool { return mc.Releasing },
+	ofMachines(pending.Returning, func(t *trial, mc *model.Machine) bool { return mc.Releasing },
 		func(t *trial, mc *model.Machine) { mc.Releasing, mc.Reported = false, true }),
-	ofMachines(why.Suspect, func(t *trial, mc *model.Machine) bool { return mc.Suspect },
+	ofMachines(pending.Suspect, func(t *trial, mc *model.Machine) bool { return mc.Suspect },
 		func(t *trial, mc *model.Machine) { mc.Suspect, mc.Reported = false, true }),
-	ofMachines(why.Distrusted, func(t *trial, mc *model.Machine) bool { return mc.Bad || mc.DoubtSince != 0 },
+	ofMachines(pending.Distrusted, func(t *trial, mc *model.Machine) bool { return mc.Bad || mc.DoubtSince != 0 },
 		func(t *trial, mc *model.Machine) { mc.Bad, mc.DoubtSince = false, 0 }),
-	ofMachines(why.Draining, func(t *trial, mc *model.Machine) bool { return mc.Draining || mc.Notice != 0 },
+	ofMachines(pending.Draining, func(t *trial, mc *model.Machine) bool { return mc.Draining || mc.Notice != 0 },
 		func(t *trial, mc *model.Machine) { mc.Draining, mc.Notice = false, 0 }),
-	ofMachines(why.Slow, func(t *trial, mc *model.Machine) bool { return mc.ServicesOnly(t.now) && t.j.Kind != model.Service },
+	ofMachines(pending.Slow, func(t *trial, mc *model.Machine) bool { return mc.ServicesOnly(t.now) && t.j.Kind != model.Service },
 		func(t *trial, mc *model.Machine) { mc.SlowUntil, mc.MuteSince = 0, 0 }),
-	{why.Failed, func(t *trial) (r why.Reason, ok bool) {
+	{pending.Failed, func(t *trial) (r pending.Reason, ok bool) {
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool { return t.j.FailedOn != nil && t.j.Avoids(mc, t.now) })
 		return r, r.N > 0
 	}, func(t *trial) { t.j.FailedOn = nil }},
-	{why.Spread, func(t *trial) (why.Reason, bool) {
-		return why.Reason{N: (len(t.j.Tasks) + 1) / 2}, t.j.Spec.Spread && t.zoneClosed()
+	{pending.Spread, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{N: (len(t.j.Tasks) + 1) / 2}, t.j.Spec.Spread && t.zoneClosed()
 	}, func(t *trial) { t.respec().Spread = false }},
-	{why.SameZone, func(t *trial) (why.Reason, bool) {
-		return why.Reason{}, t.j.Spec.SameZone && (t.zoneClosed() || members(t.j) > 1)
+	{pending.SameZone, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{}, t.j.Spec.SameZone && (t.zoneClosed() || members(t.j) > 1)
 	}, func(t *trial) { t.respec().SameZone = false }},
-	{why.Headroom, func(t *trial) (why.Reason, bool) {
-		return why.Reason{Of: "CPUs", Need: t.s.Headroom}, t.s.Headroom > 0 && t.j.Priority < model.Production
+	{pending.Headroom, func(t *trial) (pending.Reason, bool) {
+		return pending.Reason{Of: "CPUs", Need: t.s.Headroom}, t.s.Headroom > 0 && t.j.Priority < model.Production
 	}, func(t *trial) { t.s.Headroom = 0 }},
-	{why.Dear, func(t *trial) (r why.Reason, ok bool) {
+	{pending.Dear, func(t *trial) (r pending.Reason, ok bool) {
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool {
-			return t.fits(mc) && sched.Total(t.m, mc).GPUs > 0 && !t.s.LowMay[mc]
+			return t.fits(mc) && scheduler.Total(t.m, mc).GPUs > 0 && !t.s.LowMay[mc]
 		})
 		return r, r.N > 0 && t.j.Spec.GPUs == 0 && t.j.Priority == model.Low
 	}, func(t *trial) {
@@ -119,7 +119,7 @@
 			t.s.LowMay[mc] = true
 		}
 	}},
-	{why.ForGPUs, func(t *trial) (r why.Reason, ok bool) {
+	{pending.ForGPUs, func(t *trial) (r pending.Reason, ok bool) {
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool { return t.fits(mc) && !t.s.ServiceMayUse(t.m, t.j, mc) })
 		return r, r.N > 0
 	}, func(t *trial) {
@@ -128,13 +128,13 @@
 		}
 	}},
 	noWait,
-	{why.Full, func(t *trial) (r why.Reason, ok bool) {
-		need, room := sched.Need(t.j), 0
+	{pending.Full, func(t *trial) (r pending.Reason, ok bool) {
+		need, room := scheduler.Need(t.j), 0
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool {
 			if !t.fits(mc) || !mc.Usable() {
 				return false
 			}
-			free := sched.Total(t.m, mc).Minus(sched.Room{CPUs: mc.CPUs, GPUs: mc.GPUs, Mem: mc.Mem})
+			free := scheduler.Total(t.m, mc).Minus(scheduler.Room{CPUs: mc.CPUs, GPUs: mc.GPUs, Mem: mc.Mem})
 			for ; free.Holds(need) && room < t.j.Waiting(); room++ {
 				free = free.Minus(need)
 			}
@@ -146,13 +146,13 @@
 }
 
 // noWait is DAD's wait for a busy machine with the image.
-var noWait = lift{why.Image, func(t *trial) (why.Reason, bool) {
-	return why.Reason{N: t.s.P.WaitRounds - t.j.Waited}, t.j.Why.Code == why.Image
+var noWait = lift{pending.Image, func(t *trial) (pending.Reason, bool) {
+	return pending.Reason{N: t.s.P.WaitRounds - t.j.Waited}, t.j.Why.Code == pending.Image
 }, func(t *trial) { t.j.Waited = t.s.P.WaitRounds }}
 
 // ofMachines is a reason that keeps some machines from being used.
-func ofMachines(code why.Code, kept func(t *trial, mc *model.Machine) bool, free func(t *trial, mc *model.Machine)) lift {
-	return lift{code, func(t *trial) (r why.Reason, ok bool) {
+func ofMachines(code pending.Code, kept func(t *trial, mc *model.Machine) bool, free func(t *trial, mc *model.Machine)) lift {
+	return lift{code, func(t *trial) (r pending.Reason, ok bool) {
 		r.N, r.Who = t.machines(func(mc *model.Machine) bool { return t.fits(mc) && kept(t, mc) })
 		return r, r.N > 0
 	}, func(t *trial) {
@@ -190,7 +190,7 @@
 
 // fits tells whether a task would fit a machine if that were empty.
 func (t *trial) fits(mc *model.Machine) bool {
-	return t.allowed(mc) && sched.Total(t.m, mc).Holds(sched.Need(t.j))
+	return t.allowed(mc) && scheduler.Total(t.m, mc).Holds(scheduler.Need(t.j))
 }
 
 // zoneClosed tells whether a zone with machines that suit the job takes no more of its tasks.
@@ -212,10 +212,10 @@
 // addMachines adds an empty machine that suits the job for each of its waiting tasks, of each
 // kind that it allows.
 func addMachines(t *trial) {
-	need, added := sched.Need(t.j), 0
+	need, added := scheduler.Need(t.j), 0
 	for typ := range t.m.Types {
 		ty := &t.m.Types[typ]
-		if !ty.Known || !sched.Whole(ty).Holds(need) {
+		if !ty.Known || !scheduler.Whole(ty).Holds(need) {
 			continue
 		}
 		for _, zone := range ty.ZoneIDs {
--- a/internal/why/why.go
+++ b/internal/scheduling/pending/why.go
@@ -1,7 +1,7 @@
 // Package why names the reasons for which a job waits, with their figures: stable codes for
 // programs, sentences for people. The scheduler reports them while it decides; package explain
 // finds all that hold at an instant, and which of them bind. It is pure and knows no model.
-package why
+package pending
 
 import (
 	"fmt"
--- a/internal/why/why_test.go
+++ b/internal/scheduling/pending/why_test.go
@@ -1,4 +1,4 @@
-package why
+package pending
 
 import (
 	"testing"
--- a/internal/rent/rent.go
+++ b/internal/scheduling/provisioner/rent.go
@@ -3,7 +3,7 @@
 //
 // A rental is repeated under its name until its fate is known, by whoever has the duty then: a name that was
 // answered rents nothing twice. A return is repeated until the cloud has answered.
-package rent
+package provisioner
 
 import (
 	"context"
--- a/internal/rent/wire.go
+++ b/internal/scheduling/provisioner/wire.go
@@ -1,4 +1,4 @@
-package rent
+package provisioner
 
 import (
 	"time"
--- a/internal/sched/early_test.go
+++ b/internal/scheduling/scheduler/early_test.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"testing"
 
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
 )
 
@@ -48,7 +48,7 @@
 		t.Errorf("early: %d with its image there, %d without, %d low, %v stopped (%d low tasks ran)", more.Live, other.Live, late.Live, w.stopped, filled)
 	}
 	for _, j := range []*model.Job{other, late} {
-		if j.Why.Code != why.Listening {
+		if j.Why.Code != pending.Listening {
 			t.Errorf("job %d waits for %v", j.ID, j.Why)
 		}
 	}
--- a/internal/sched/floor_test.go
+++ b/internal/scheduling/scheduler/floor_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
--- a/internal/sched/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 )
 
 // This file places gangs, all members or none.
@@ -17,7 +17,7 @@
 func (s *Sched) gang(m *model.Model, t *turn, now model.Time, do Doer) {
 	j := t.j
 	if j.Live > 0 {
-		j.Why = why.Reason{Code: why.Ending, N: j.Live}
+		j.Why = pending.Reason{Code: pending.Ending, N: j.Live}
 		for i := range j.Tasks {
 			if r := j.Tasks[i].Run; r != nil && !r.Stop {
 				if r.Phase == model.Fetching && m.LongFetch(j, r.Machine) {
@@ -38,7 +38,7 @@
 			return
 		}
 	} else {
-		j.Why = why.Reason{Code: why.Gang, N: n}
+		j.Why = pending.Reason{Code: pending.Gang, N: n}
 	}
 	attempt := uint32(0)
 	for i := range j.Tasks {
@@ -48,7 +48,7 @@
 	if j.FailedOn != nil || !covered(s.full, k, t.need) { // else not even one member finds room
 		plan := s.planGang(m, t, n)
 		if s.Early && slices.ContainsFunc(plan, func(st *seat) bool { return locality(m, j, st.mc)*s.P.Beta >= s.P.Threshold }) {
-			j.Why = why.Reason{Code: why.Listening}
+			j.Why = pending.Reason{Code: pending.Listening}
 			return
 		}
 		if plan != nil {
@@ -60,7 +60,7 @@
 				return
 			}
 			if s.roomAtHolders(m, t, n, plan, now, do) {
-				j.Why = why.Reason{Code: why.Making}
+				j.Why = pending.Reason{Code: pending.Making}
 				return
 			}
 			for _, st := range plan {
--- a/internal/sched/move.go
+++ b/internal/scheduling/scheduler/move.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
--- a/internal/sched/placing.go
+++ b/internal/scheduling/scheduler/placing.go
@@ -1,11 +1,11 @@
-package sched
+package scheduler
 
 import (
 	"container/heap"
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 )
 
 // This file places the tasks of arrays and services, by turns.
@@ -127,7 +127,7 @@
 	}
 	if s.LowMost > 0 && j.Priority == model.Low {
 		if s.low >= s.LowMost {
-			s.LowLeft, j.Why = true, why.Reason{Code: why.Paced, N: s.LowMost}
+			s.LowLeft, j.Why = true, pending.Reason{Code: pending.Paced, N: s.LowMost}
 			return false
 		}
 		s.low++
@@ -140,7 +140,7 @@
 		return false
 	}
 	k := kindOf(j)
-	j.Why = why.Reason{Code: why.Full, Of: "CPUs", Need: t.need.CPUs}
+	j.Why = pending.Reason{Code: pending.Full, Of: "CPUs", Need: t.need.CPUs}
 	if j.FailedOn == nil && !t.built && covered(s.full, k, t.need) {
 		s.makeRoom(m, t, now, do)
 		return false
@@ -154,18 +154,18 @@
 		return false
 	}
 	if s.Early && best.loc*s.P.Beta >= s.P.Threshold {
-		j.Why = why.Reason{Code: why.Listening}
+		j.Why = pending.Reason{Code: pending.Listening}
 		return false
 	}
 	if best.score >= s.P.Threshold && t.wait && s.mayWait(j) {
 		if tick {
 			j.Waited++
 		}
-		j.Why = why.Reason{Code: why.Image, N: s.P.WaitRounds - j.Waited}
+		j.Why = pending.Reason{Code: pending.Image, N: s.P.WaitRounds - j.Waited}
 		return false
 	}
 	if best.loc*s.P.Beta >= s.P.Threshold && s.localRoom(m, t, best, now, do) {
-		j.Why = why.Reason{Code: why.Making}
+		j.Why = pending.Reason{Code: pending.Making}
 		return false
 	}
 	begins := overdue(j, now)
@@ -225,7 +225,7 @@
 }
 
 func (s *Sched) put(m *model.Model, j *model.Job, st *seat, task int32, attempt uint32, score float64, do Doer) {
-	j.Why = why.Reason{}
+	j.Why = pending.Reason{}
 	do.Place(j, task, attempt, st.mc, score)
 	if st.total.GPUs > 0 && j.Kind == model.Service && s.ForServices[st.mc] > 0 {
 		s.ForServices[st.mc]--
--- a/internal/sched/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 )
 
 // This file is the order in which jobs are served.
@@ -117,13 +117,13 @@
 		case j.Waiting() == 0, s.Only != nil && j != s.Only:
 			continue
 		case s.Early && (j.Priority < model.High || j.Kind == model.Gang && j.Live > 0):
-			j.Why = why.Reason{Code: why.Listening}
+			j.Why = pending.Reason{Code: pending.Listening}
 			continue
 		case now < j.NotBefore:
-			j.Why = why.Reason{Code: why.Paused, N: j.Errors, In: j.NotBefore - now}
+			j.Why = pending.Reason{Code: pending.Paused, N: j.Errors, In: j.NotBefore - now}
 			continue
 		case j.Faulty && j.Kind != model.Gang && j.Live > 0:
-			j.Why = why.Reason{Code: why.Faulty, N: j.Errors}
+			j.Why = pending.Reason{Code: pending.Faulty, N: j.Errors}
 			continue
 		}
 		e := queued{j: j, rank: j.Rank, short: notByTurns(j)}
--- a/internal/sched/room.go
+++ b/internal/scheduling/scheduler/room.go
@@ -1,8 +1,8 @@
-package sched
+package scheduler
 
 import (
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 )
 
 // This file is what fits where: rooms, limits, and what is left to others.
@@ -183,15 +183,15 @@
 }
 
 // TeamReason tells how n more tasks of a job stand against their team's limit.
-func (s *Sched) TeamReason(j *model.Job, n int) why.Reason {
+func (s *Sched) TeamReason(j *model.Job, n int) pending.Reason {
 	t, o := j.Team, Room{}
 	if t == nil {
-		return why.Reason{Code: why.Team}
+		return pending.Reason{Code: pending.Team}
 	}
 	if t.Index < len(s.owed) {
 		o = s.owed[t.Index]
 	}
-	r := why.Reason{Code: why.Team, Of: "CPUs", Need: j.Spec.CPUs * float64(n), Used: t.UsedCPUs + o.CPUs, Limit: t.CPUsMax}
+	r := pending.Reason{Code: pending.Team, Of: "CPUs", Need: j.Spec.CPUs * float64(n), Used: t.UsedCPUs + o.CPUs, Limit: t.CPUsMax}
 	if g := j.Spec.GPUs * float64(n); t.GPUsMax > 0 && t.UsedGPUs+o.GPUs+g > t.GPUsMax+1e-6 {
 		r.Of, r.Need, r.Used, r.Limit = "GPUs", g, t.UsedGPUs+o.GPUs, t.GPUsMax
 	}
--- a/internal/sched/sched.go
+++ b/internal/scheduling/scheduler/sched.go
@@ -6,7 +6,7 @@
 //
 // The package is pure: it reads the model and calls a Doer for each decision;
 // the Doer applies a placement to the model before it returns.
-package sched
+package scheduler
 
 import (
 	"maps"
--- a/internal/sched/sched_test.go
+++ b/internal/scheduling/scheduler/sched_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/why"
+	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
 )
 
@@ -190,7 +190,7 @@
 				t.Fatal("a round that an event woke counted as waiting")
 			}
 		}
-		if s.Round(w.m, 0, true, w); second.Live != 0 || second.Why.Code != why.Image {
+		if s.Round(w.m, 0, true, w); second.Live != 0 || second.Why.Code != pending.Image {
 			t.Fatalf("round %d: %d tasks were placed, it waits for %q", round, second.Live, second.Why)
 		}
 	}
@@ -205,7 +205,7 @@
 	w := newWorld(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	g := w.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
-	if s.Round(w.m, 0, true, w); g.Live != 0 || g.Why.Code != why.Gang {
+	if s.Round(w.m, 0, true, w); g.Live != 0 || g.Why.Code != pending.Gang {
 		t.Fatalf("half a gang was placed: %v, or it waits for %q", w.placed, g.Why)
 	}
 	free := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
@@ -233,7 +233,7 @@
 			s.Round(w.m, 102e9, false, w)
 		}
 	}
-	if web.Live != 1 || low.Live != 2 || low.Why.Code != why.Full {
+	if web.Live != 1 || low.Live != 2 || low.Why.Code != pending.Full {
 		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, low.Why)
 	}
 }
@@ -582,7 +582,7 @@
 			w.m.Teams[0].CPUs = 60
 		}
 		s.Round(w.m, 0, true, w) // the team is at its limit of 12
-		if w.m.Teams[0].UsedCPUs != 12 || low.Live != 8 || low.Why.Code != why.Team {
+		if w.m.Teams[0].UsedCPUs != 12 || low.Live != 8 || low.Why.Code != pending.Team {
 			t.Fatalf("the team uses %g CPUs, the rest waits for %q", w.m.Teams[0].UsedCPUs, low.Why)
 		}
 		gang := w.submit(3, func(s *wire.JobSpec) {
