--- a/internal/renewal/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -1,4 +1,4 @@
-package renewal
+package lease
 
 import (
 	"testing"
--- a/internal/renewal/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -5,7 +5,7 @@
 // machine suspect by an entry asks the others: who has applied the entry renews that machine's lease no more, and tells
 // when it last did. Once all have said so, the lease ends no later than its length after the last of these times. Where
 // one of them can't be asked, only the bound that holds for any node does: what it keeps without the log, and a lease.
-package renewal
+package lease
 
 import (
 	"cmp"
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
+	"fieldhill/internal/agents/lease"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/kvstore"
-	"fieldhill/internal/renewal"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
 	"fieldhill/internal/scheduling/provisioner"
@@ -69,7 +69,7 @@
 			t.Errorf("the question about a large zone: %+v, %v", a, err)
 			return
 		}
-		word, err := renewal.Read(a.Body)
+		word, err := lease.Read(a.Body)
 		if err != nil {
 			t.Error(err)
 			return
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
+	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/relay"
 	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -21,6 +21,8 @@
 
 	"golang.org/x/time/rate"
 
+	"fieldhill/internal/agents/lease"
+	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
@@ -31,8 +33,6 @@
 	"fieldhill/internal/platform/cloud"
 	"fieldhill/internal/platform/host"
 	"fieldhill/internal/platform/kvstore"
-	"fieldhill/internal/relay"
-	"fieldhill/internal/renewal"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/replication/commitfence"
 	"fieldhill/internal/replication/oplog"
@@ -100,7 +100,7 @@
 	vouched   time.Time            // the other controllers showed that nothing this node lacks was confirmed by then
 	asksPast  time.Time            // when they were last asked
 	loads     int                  // how often the copy was thrown away
-	book      *renewal.Book        // whose lease this process renewed when; it outlives the lead
+	book      *lease.Book          // whose lease this process renewed when; it outlives the lead
 	keepUntil map[string]time.Time // workers that don't reach the leader, and until when they are not sent to it
 	keptSwept time.Time            // when keepUntil and cleared were last swept
 	cleared   cleared              // machines that came here and hold nothing of a cancelled job
@@ -215,7 +215,7 @@
 	// state service, the cloud, the other controllers and what is just closing.
 	n.crowd = &api.Crowd{Most: max(32, p.Limits.MaxSockets*6/10)}
 	n.relaying = newRelaying(n.crowd.Most, p.Limits.MaxSockets)
-	n.book = renewal.NewBook(n.now())
+	n.book = lease.NewBook(n.now())
 	n.gap, n.snapEvery = minGap, snapEvery
 	n.spreadOver = n.crowd.Most * 3 / 4
 	n.probesMost, n.asksMost = probesOfZone(p.Limits.MaxSockets, len(p.Zones)), asksAtOnce(p.Limits.MaxSockets)
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 	"time"
 
+	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
-	"fieldhill/internal/relay"
 	"fieldhill/wire"
 )
 
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
-	"fieldhill/internal/relay"
 	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -5,12 +5,12 @@
 	"net/http"
 	"time"
 
+	"fieldhill/internal/agents/lease"
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
-	"fieldhill/internal/renewal"
 )
 
 // This file is whose lease was renewed when: what a node keeps of it, tells the leader, and what the leader asks.
@@ -98,7 +98,7 @@
 	if err != nil || a.Status != http.StatusOK {
 		return
 	}
-	w, err := renewal.Read(a.Body)
+	w, err := lease.Read(a.Body)
 	if err != nil {
 		n.log.Warn("another node's word on renewals is malformed", "node", l.Node, "err", err)
 		return
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
+	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/relay"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -6,15 +6,15 @@
 	"net/http"
 	"time"
 
+	"fieldhill/internal/agents/relay"
+	"fieldhill/internal/agents/staleness"
 	"fieldhill/internal/api"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
-	"fieldhill/internal/relay"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/scheduling/autoscaler"
-	"fieldhill/internal/staleness"
 	"fieldhill/wire"
 )
 
--- a/internal/model/check_test.go
+++ b/internal/model/check_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
+	"fieldhill/internal/agents/staleness"
 	"fieldhill/internal/check"
-	"fieldhill/internal/staleness"
 	"fieldhill/wire"
 )
 
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -21,11 +21,11 @@
 	"strings"
 	"time"
 
+	"fieldhill/internal/agents/lease"
+	"fieldhill/internal/agents/staleness"
 	"fieldhill/internal/config"
 	"fieldhill/internal/intern"
-	"fieldhill/internal/renewal"
 	"fieldhill/internal/scheduling/pending"
-	"fieldhill/internal/staleness"
 	"fieldhill/wire"
 )
 
@@ -304,9 +304,9 @@
 	// SuspectFrom is since when every node that may renew the lease of a suspect
 	// machine either knows of that or has a copy of the log older than this.
 	SuspectFrom Time
-	suspectSeq  uint64        // the log's number of the entry that made it suspect
-	Renewals    renewal.Proof // what the other nodes said of its lease since
-	Failures    int           // errors since the last completion
+	suspectSeq  uint64      // the log's number of the entry that made it suspect
+	Renewals    lease.Proof // what the other nodes said of its lease since
+	Failures    int         // errors since the last completion
 	FailedJobs  map[JobID]*Job
 	DoubtSince  Time // since when it gets nothing new, because jobs failed on it; 0: it does
 	Sending     bool // a direct command is under way
@@ -577,7 +577,7 @@
 		if mc == nil {
 			return nil
 		}
-		mc.Suspect, mc.SuspectFrom, mc.suspectSeq, mc.Renewals = e.Kind != EntryTrust, 0, seq, renewal.Proof{}
+		mc.Suspect, mc.SuspectFrom, mc.suspectSeq, mc.Renewals = e.Kind != EntryTrust, 0, seq, lease.Proof{}
 		if e.Kind == EntryLapsed {
 			m.dropRuns(mc, now)
 		}
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"fieldhill/internal/renewal"
-	"fieldhill/internal/staleness"
+	"fieldhill/internal/agents/lease"
+	"fieldhill/internal/agents/staleness"
 	"fieldhill/wire"
 )
 
@@ -44,7 +44,7 @@
 		if mc.SuspectFrom = 0; mc.Suspect {
 			mc.SuspectFrom = now
 		}
-		mc.unsure, mc.dead, mc.Renewals = nil, nil, renewal.Proof{}
+		mc.unsure, mc.dead, mc.Renewals = nil, nil, lease.Proof{}
 		for _, r := range mc.Runs {
 			r.setPhase(Unseen)
 			r.Inherited, r.answerSeq, r.Stop, r.goneFrom = true, 0, false, 0
@@ -54,14 +54,14 @@
 
 // Lapsed tells whether the lease of a suspect machine has surely run out: since all that may have renewed it told when they last did (own is when
 // this node did; others is how many there are besides it), or, where not all did, by the bound for which any node may go on with an old copy of the log.
-func (mc *Machine) Lapsed(bound, lease, own, now Time, others int) bool {
+func (mc *Machine) Lapsed(bound, duration, own, now Time, others int) bool {
 	if !mc.Suspect || mc.SuspectFrom == 0 {
 		return false
 	}
-	if from, all := mc.Renewals.From(others, own); all && renewal.Over(from, lease, now) {
+	if from, all := mc.Renewals.From(others, own); all && lease.Over(from, duration, now) {
 		return true
 	}
-	return renewal.Over(mc.SuspectFrom, bound+lease, now)
+	return lease.Over(mc.SuspectFrom, bound+duration, now)
 }
 
 // HoldsCancelled tells whether a machine has a task of a job that is cancelled.
