--- a/cmd/trio/main.go
+++ b/cmd/devcluster/main.go
@@ -19,9 +19,9 @@
 	"github.com/alecthomas/kong"
 
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/host"
-	"fieldhill/internal/process"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/supervisor"
 )
 
 const (
@@ -64,7 +64,7 @@
 		c.Dir = dir
 	}
 	at := func(k int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(c.Port+k)) }
-	places := standin.Places{
+	places := emulator.Places{
 		State: at(10), Cloud: at(11),
 		Users:  func(i int) string { return at(1 + i) },
 		Peers:  func(i int) string { return at(21 + i) },
@@ -72,11 +72,11 @@
 	}
 	metrics, operate := map[string]string{}, map[string]string{}
 	for i := range nodes {
-		metrics[standin.NodeName(i)], operate[standin.NodeName(i)] = at(31+i), at(41+i)
+		metrics[emulator.NodeName(i)], operate[emulator.NodeName(i)] = at(31+i), at(41+i)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	keeper := &process.Keeper{Program: c.Program, Dir: c.Dir, StartAgain: startAgain, Say: func(s string) { fmt.Println(s) }}
+	keeper := &supervisor.Keeper{Program: c.Program, Dir: c.Dir, StartAgain: startAgain, Say: func(s string) { fmt.Println(s) }}
 	start := func(ctx context.Context, _ host.Net, s *config.Settings) error {
 		fmt.Printf("counters of %s: http://%s/metrics; its operators: %s\n", s.Node, metrics[s.Node], operate[s.Node])
 		if err := keeper.Keep(ctx, s, "--metrics", metrics[s.Node], "--operate", operate[s.Node]); err != nil {
@@ -84,7 +84,7 @@
 		}
 		return nil
 	}
-	w, err := standin.NewOn(ctx, func(string) host.Net { return host.Real{} }, places, nodes, c.Seed, start)
+	w, err := emulator.NewOn(ctx, func(string) host.Net { return host.Real{} }, places, nodes, c.Seed, start)
 	if err != nil {
 		return err
 	}
--- a/internal/operate/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -1,4 +1,4 @@
-package operate
+package adminapi
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -71,21 +71,21 @@
 
 // scripted gives one answer to everything, and notes what it was asked.
 type scripted struct {
-	answer *peer.Reply
+	answer *rpc.Reply
 	asked  string
 }
 
-func (s *scripted) Why(_ context.Context, id string) *peer.Reply {
+func (s *scripted) Why(_ context.Context, id string) *rpc.Reply {
 	s.asked = "why " + id
 	return s.answer
 }
 
-func (s *scripted) Queue(_ context.Context, f Filter) *peer.Reply {
+func (s *scripted) Queue(_ context.Context, f Filter) *rpc.Reply {
 	s.asked = "queue " + string(Encode(http.StatusOK, f).Body)
 	return s.answer
 }
 
-func (s *scripted) Duties(context.Context) *peer.Reply {
+func (s *scripted) Duties(context.Context) *rpc.Reply {
 	s.asked = "duties"
 	return s.answer
 }
@@ -97,7 +97,7 @@
 	var b strings.Builder
 	for _, c := range []struct {
 		method, path string
-		answer       *peer.Reply
+		answer       *rpc.Reply
 	}{
 		{"GET", why, ok},
 		{"GET", why, Refuse(http.StatusNotFound, "unknown", 0)},
--- a/internal/operate/operate.go
+++ b/internal/adminapi/operate.go
@@ -1,6 +1,6 @@
 // Package operate is the operators' face of a controller: read-only questions about jobs, in
 // JSON, on an address of its own. It bounds and routes; a Service answers.
-package operate
+package adminapi
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"fieldhill/internal/api"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
 )
@@ -27,9 +27,9 @@
 
 // Service answers. Bodies of replies are JSON.
 type Service interface {
-	Why(ctx context.Context, id string) *peer.Reply
-	Queue(ctx context.Context, f Filter) *peer.Reply
-	Duties(ctx context.Context) *peer.Reply
+	Why(ctx context.Context, id string) *rpc.Reply
+	Queue(ctx context.Context, f Filter) *rpc.Reply
+	Duties(ctx context.Context) *rpc.Reply
 }
 
 // Conns bounds the connections to the operators' address, and with them the questions at once.
@@ -41,16 +41,16 @@
 }
 
 // Encode makes a reply with a message.
-func Encode(status int, v any) *peer.Reply {
+func Encode(status int, v any) *rpc.Reply {
 	b, err := json.Marshal(v)
 	if err != nil { // only a number that is none can't be written
-		return &peer.Reply{Status: http.StatusInternalServerError}
+		return &rpc.Reply{Status: http.StatusInternalServerError}
 	}
-	return &peer.Reply{Status: status, Body: b}
+	return &rpc.Reply{Status: status, Body: b}
 }
 
 // Refuse makes a reply with a reason, and with when to come back if that is not 0.
-func Refuse(status int, reason string, retryAfter int) *peer.Reply {
+func Refuse(status int, reason string, retryAfter int) *rpc.Reply {
 	r := Encode(status, &wire.OpProblem{Error: reason})
 	r.RetryAfter = retryAfter
 	return r
@@ -110,7 +110,7 @@
 	return f, nil
 }
 
-func write(w http.ResponseWriter, a *peer.Reply) {
+func write(w http.ResponseWriter, a *rpc.Reply) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if a.RetryAfter > 0 {
--- a/internal/operate/operate_test.go
+++ b/internal/adminapi/operate_test.go
@@ -1,4 +1,4 @@
-package operate
+package adminapi
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	validate "github.com/santhosh-tekuri/jsonschema/v6"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -26,16 +26,16 @@
 	asked []any
 }
 
-func (s *said) Duties(context.Context) *peer.Reply {
+func (s *said) Duties(context.Context) *rpc.Reply {
 	return Encode(http.StatusOK, &wire.Duties{Node: "n", Leader: "m", Spread: true, Duties: []wire.Duty{{Duty: "rent", Holder: "n", Term: 7, ForS: 3}}, Rentals: []string{"fh-1-2"}})
 }
 
-func (s *said) Why(_ context.Context, id string) *peer.Reply {
+func (s *said) Why(_ context.Context, id string) *rpc.Reply {
 	s.asked = append(s.asked, id)
 	return Encode(http.StatusOK, s.why)
 }
 
-func (s *said) Queue(_ context.Context, f Filter) *peer.Reply {
+func (s *said) Queue(_ context.Context, f Filter) *rpc.Reply {
 	s.asked = append(s.asked, f)
 	return Encode(http.StatusOK, s.queue)
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -16,35 +16,35 @@
 
 	"golang.org/x/net/netutil"
 
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // Service decides the answers.
 type Service interface {
-	Submit(ctx context.Context, body []byte) *peer.Reply
-	Status(ctx context.Context, id string) *peer.Reply
-	Cancel(ctx context.Context, id string) *peer.Reply
-	Report(ctx context.Context, r *wire.Report) *peer.Reply
+	Submit(ctx context.Context, body []byte) *rpc.Reply
+	Status(ctx context.Context, id string) *rpc.Reply
+	Cancel(ctx context.Context, id string) *rpc.Reply
+	Report(ctx context.Context, r *wire.Report) *rpc.Reply
 	Ready() bool
 }
 
 // Encode makes a reply with a message.
-func Encode(status int, v any) *peer.Reply {
+func Encode(status int, v any) *rpc.Reply {
 	b, err := wire.Marshal(v)
 	if err != nil {
-		return &peer.Reply{Status: http.StatusInternalServerError}
+		return &rpc.Reply{Status: http.StatusInternalServerError}
 	}
-	return &peer.Reply{Status: status, Body: b}
+	return &rpc.Reply{Status: status, Body: b}
 }
 
 // Refuse makes a reply with a reason.
-func Refuse(status int, reason string) *peer.Reply {
+func Refuse(status int, reason string) *rpc.Reply {
 	return Encode(status, &wire.Problem{Error: reason})
 }
 
 // Later makes a reply that tells when to come back.
-func Later(reason string, seconds int) *peer.Reply {
+func Later(reason string, seconds int) *rpc.Reply {
 	r := Refuse(http.StatusServiceUnavailable, reason)
 	r.RetryAfter = seconds
 	return r
@@ -78,7 +78,7 @@
 // crowd is that of the server that it will serve.
 func Handler(s Service, logger *slog.Logger, crowd *Crowd, answered func(kind string, status int, took time.Duration)) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(kind, pattern string, f func(w http.ResponseWriter, r *http.Request) *peer.Reply) {
+	handle := func(kind, pattern string, f func(w http.ResponseWriter, r *http.Request) *rpc.Reply) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			began := time.Now()
 			a := f(w, r)
@@ -86,17 +86,17 @@
 			write(w, a)
 		})
 	}
-	handle("submit", "POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) *peer.Reply {
+	handle("submit", "POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) *rpc.Reply {
 		body, err := readBody(w, r)
 		if err != nil {
 			return Refuse(http.StatusBadRequest, err.Error())
 		}
 		return s.Submit(r.Context(), body)
 	})
-	handle("status", "GET "+wire.PathJobs+"/{id}", func(w http.ResponseWriter, r *http.Request) *peer.Reply {
+	handle("status", "GET "+wire.PathJobs+"/{id}", func(w http.ResponseWriter, r *http.Request) *rpc.Reply {
 		return s.Status(r.Context(), r.PathValue("id"))
 	})
-	handle("cancel", "POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix, func(w http.ResponseWriter, r *http.Request) *peer.Reply {
+	handle("cancel", "POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix, func(w http.ResponseWriter, r *http.Request) *rpc.Reply {
 		return s.Cancel(r.Context(), r.PathValue("id"))
 	})
 	mux.HandleFunc("GET "+wire.PathReady, func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +106,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	handle("report", "POST "+wire.PathReport, func(w http.ResponseWriter, r *http.Request) *peer.Reply {
+	handle("report", "POST "+wire.PathReport, func(w http.ResponseWriter, r *http.Request) *rpc.Reply {
 		if crowd.Dense() {
 			w.Header().Set("Connection", "close")
 		}
@@ -139,7 +139,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 }
 
-func write(w http.ResponseWriter, a *peer.Reply) {
+func write(w http.ResponseWriter, a *rpc.Reply) {
 	h := w.Header()
 	h["Content-Type"] = contentType
 	h["Content-Length"] = []string{strconv.Itoa(len(a.Body))}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -10,22 +10,22 @@
 	"testing/synctest"
 	"time"
 
-	"fieldhill/internal/bubble"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/msgpackhttp"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/rpc"
+	"fieldhill/internal/testing/virtualtime"
 	"fieldhill/wire"
 )
 
-func TestMain(m *testing.M) { bubble.Main(m) }
+func TestMain(m *testing.M) { virtualtime.Main(m) }
 
 // calm answers everything at once.
 type calm struct{}
 
-func (calm) Submit(context.Context, []byte) *peer.Reply { return &peer.Reply{Status: 201} }
-func (calm) Status(context.Context, string) *peer.Reply { return &peer.Reply{Status: 200} }
-func (calm) Cancel(context.Context, string) *peer.Reply { return &peer.Reply{Status: 200} }
-func (calm) Report(context.Context, *wire.Report) *peer.Reply {
+func (calm) Submit(context.Context, []byte) *rpc.Reply { return &rpc.Reply{Status: 201} }
+func (calm) Status(context.Context, string) *rpc.Reply { return &rpc.Reply{Status: 200} }
+func (calm) Cancel(context.Context, string) *rpc.Reply { return &rpc.Reply{Status: 200} }
+func (calm) Report(context.Context, *wire.Report) *rpc.Reply {
 	return Encode(200, &wire.ReportAnswer{})
 }
 func (calm) Ready() bool { return true }
@@ -37,7 +37,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const most, workers, every = 20, 60, 5 * time.Second
 		ctx, stop := context.WithCancel(t.Context())
-		net, log := standin.NewNetwork(), slog.New(slog.DiscardHandler)
+		net, log := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
 		ln, err := net.Host("node").Listen("node:80")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -13,33 +13,33 @@
 	"time"
 
 	"fieldhill/internal/golden"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // scripted gives one answer to everything, and notes what it was asked.
 type scripted struct {
-	answer *peer.Reply
+	answer *rpc.Reply
 	ready  bool
 	asked  string
 }
 
-func (s *scripted) Submit(_ context.Context, body []byte) *peer.Reply {
+func (s *scripted) Submit(_ context.Context, body []byte) *rpc.Reply {
 	s.asked = fmt.Sprintf("submit, %d bytes %.16x", len(body), body)
 	return s.answer
 }
 
-func (s *scripted) Status(_ context.Context, id string) *peer.Reply {
+func (s *scripted) Status(_ context.Context, id string) *rpc.Reply {
 	s.asked = "status of " + id
 	return s.answer
 }
 
-func (s *scripted) Cancel(_ context.Context, id string) *peer.Reply {
+func (s *scripted) Cancel(_ context.Context, id string) *rpc.Reply {
 	s.asked = "cancel " + id
 	return s.answer
 }
 
-func (s *scripted) Report(_ context.Context, r *wire.Report) *peer.Reply {
+func (s *scripted) Report(_ context.Context, r *wire.Report) *rpc.Reply {
 	body, _ := wire.Marshal(r)
 	s.asked = "report\n" + golden.Body(body)
 	return s.answer
@@ -69,7 +69,7 @@
 	for _, c := range []struct {
 		method, path string
 		body         io.Reader
-		answer       *peer.Reply
+		answer       *rpc.Reply
 		open         int
 	}{
 		{"POST", wire.PathJobs, strings.NewReader("body"), Encode(http.StatusCreated, status), 0},
@@ -84,7 +84,7 @@
 		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(long[1:])), ok, 0}, // of unknown length
 		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(long)), ok, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), Encode(http.StatusOK, func() {}), 0}, // can't be written
-		{"POST", wire.PathJobs, strings.NewReader("body"), &peer.Reply{Status: http.StatusNotImplemented}, 0},
+		{"POST", wire.PathJobs, strings.NewReader("body"), &rpc.Reply{Status: http.StatusNotImplemented}, 0},
 		{"GET", wire.PathJobs, nil, ok, 0},
 		{"GET", job, nil, ok, 0},
 		{"GET", job, nil, Refuse(http.StatusNotFound, "unknown"), 0},
@@ -102,7 +102,7 @@
 		{"POST", wire.PathReport, bytes.NewReader(report), Encode(http.StatusMisdirectedRequest,
 			&wire.Redirect{Node: "n2"}), 0},
 		{"POST", wire.PathReport, bytes.NewReader(report), Encode(http.StatusMisdirectedRequest, &wire.Redirect{}), 0},
-		{"POST", wire.PathReport, bytes.NewReader(report), &peer.Reply{Status: http.StatusGone}, 0},
+		{"POST", wire.PathReport, bytes.NewReader(report), &rpc.Reply{Status: http.StatusGone}, 0},
 		{"POST", wire.PathReport, bytes.NewReader(report[:20]), taken, 0},
 		{"POST", wire.PathReport, bytes.NewReader(nobody), taken, 0},
 		{"POST", wire.PathReport, strings.NewReader("?"), taken, 0},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/testing/virtualtime"
 )
 
-func TestMain(m *testing.M) { bubble.Drawn(m, 400) }
+func TestMain(m *testing.M) { virtualtime.Drawn(m, 400) }
 
 const good = `
 node = "n0"
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -6,18 +6,18 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // This file cancels jobs, which only the leader does.
 
 // Cancel cancels a job.
-func (n *Node) Cancel(ctx context.Context, id string) *peer.Reply {
+func (n *Node) Cancel(ctx context.Context, id string) *rpc.Reply {
 	if _, ok := wire.JobNumber(id); !ok {
 		return api.Refuse(http.StatusNotFound, "no such job")
 	}
-	call := &peer.Call{Op: peer.OpCancel, ID: id}
+	call := &rpc.Call{Op: rpc.OpCancel, ID: id}
 	leads, inTouch := n.standing()
 	if leads && inTouch {
 		return n.cancelHere(ctx, id)
@@ -36,7 +36,7 @@
 	return noLeader
 }
 
-func (n *Node) cancelHere(ctx context.Context, id string) *peer.Reply {
+func (n *Node) cancelHere(ctx context.Context, id string) *rpc.Reply {
 	num, ok := wire.JobNumber(id)
 	if !ok {
 		return api.Refuse(http.StatusNotFound, "no such job")
@@ -44,10 +44,10 @@
 	if !n.lookIn(ctx, num) {
 		return noLeader
 	}
-	return n.inLoop(ctx, func(send func(*peer.Reply)) { n.cancel(model.JobID(num), send) })
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) { n.cancel(model.JobID(num), send) })
 }
 
-func (n *Node) cancel(id model.JobID, send func(*peer.Reply)) {
+func (n *Node) cancel(id model.JobID, send func(*rpc.Reply)) {
 	if !n.active() {
 		send(noLeader)
 		return
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -11,11 +11,11 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/wire"
 )
@@ -360,7 +360,7 @@
 		ctx, cancel := context.WithTimeout(ctx, tellWithin)
 		defer cancel()
 		for _, part := range parts { // what the leader has no time for is in the next list as well
-			call := &peer.Call{Op: peer.OpDuty, ID: name, Body: part.Append(codec.Uint(nil, term))}
+			call := &rpc.Call{Op: rpc.OpDuty, ID: name, Body: part.Append(codec.Uint(nil, term))}
 			if r, ok := n.passOn(ctx, call, time.Second); !ok || r.Status != http.StatusOK {
 				n.log.Debug("the leader was not told what came of a request to the cloud", "kind", part.Kind)
 				return
@@ -372,12 +372,12 @@
 // mostListed is how many bytes of rows a part of a list has, with room for what else is in the frame, and tellWithin is
 // how long the leader may take for all that is told at once: then the next list is due.
 const (
-	mostListed = peer.MostBody - 1<<10
+	mostListed = rpc.MostBody - 1<<10
 	tellWithin = 3 * time.Second
 )
 
 // heardOfDuty takes in what the holder of a duty says. Only the present one is believed.
-func (n *Node) heardOfDuty(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) heardOfDuty(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	r := &codec.Reader{B: c.Body}
 	term := r.Uint()
 	if r.Err != nil {
@@ -387,7 +387,7 @@
 	if err != nil || c.ID != singleton.Rent.String() {
 		return api.Refuse(http.StatusBadRequest, "malformed")
 	}
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		switch {
 		case n.duties == nil:
 			send(api.Refuse(http.StatusNotImplemented, "duties are not held one by one here"))
@@ -397,7 +397,7 @@
 			send(api.Refuse(http.StatusConflict, "another holds the duty"))
 		default:
 			n.cloudSaid(n.role, o)
-			send(&peer.Reply{Status: http.StatusOK})
+			send(&rpc.Reply{Status: http.StatusOK})
 		}
 	})
 }
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/replication/singleton"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
 // inSpread runs f in a world whose nodes hold duties one by one.
-func inSpread(t *testing.T, seed uint64, f func(w *standin.World)) {
+func inSpread(t *testing.T, seed uint64, f func(w *emulator.World)) {
 	oneByOne = true
 	defer func() { oneByOne = false }()
 	inWorld(t, seed, f)
@@ -32,7 +32,7 @@
 }
 
 // known compares the machines that the cloud has with those that the leader knows, and demands that no rental is open.
-func known(t *testing.T, w *standin.World) {
+func known(t *testing.T, w *emulator.World) {
 	t.Helper()
 	n := nodeAt(leaderOf())
 	n.ask(func() {
@@ -48,7 +48,7 @@
 // TestDutiesElsewhere: who deals with the cloud need not lead, and when it stands still another goes on within the
 // time of its lease; what it does when it wakes changes nothing.
 func TestDutiesElsewhere(t *testing.T) {
-	inSpread(t, 41, func(w *standin.World) {
+	inSpread(t, 41, func(w *emulator.World) {
 		time.Sleep(45 * time.Second) // the leader has had the time to give away what it took first
 		leader, holder := leaderOf(), holderOf(singleton.Rent)
 		if leader < 0 || holder < 0 || leader == holder {
@@ -78,7 +78,7 @@
 			if _, err := askOp(w, i, wire.PathOpDuties, &d); err != nil || !d.Spread || len(d.Duties) != 2 || len(d.Rentals) != 0 {
 				t.Fatalf("%d tells %+v, %v", i, d, err)
 			}
-			if at := holderOf(singleton.Rent); at >= 0 && d.Duties[0].Holder != standin.NodeName(at) {
+			if at := holderOf(singleton.Rent); at >= 0 && d.Duties[0].Holder != emulator.NodeName(at) {
 				t.Errorf("%d takes %s for who deals with the cloud, it is %d", i, d.Duties[0].Holder, at)
 			}
 		}
@@ -88,7 +88,7 @@
 // TestHolderWithoutCloud: a holder that alone does not reach the cloud gives the duty up, though it is well otherwise,
 // and stands back; another one takes it. When none of them reaches it they have longer patience, and go on trying.
 func TestHolderWithoutCloud(t *testing.T) {
-	inSpread(t, 42, func(w *standin.World) {
+	inSpread(t, 42, func(w *emulator.World) {
 		time.Sleep(45 * time.Second)
 		holder := holderOf(singleton.Rent)
 		w.CutCloud(holder, true)
@@ -125,7 +125,7 @@
 // TestRentalAnswerLost: the answer to a rental is lost, and all controllers end. The log has what was asked for, and the next
 // holder asks again under that name: nothing is rented twice.
 func TestRentalAnswerLost(t *testing.T) {
-	inSpread(t, 43, func(w *standin.World) {
+	inSpread(t, 43, func(w *emulator.World) {
 		time.Sleep(10 * time.Second)
 		w.Cloud.LoseAnswers(1)
 		w.Submit(web(1, 4, "small"))
@@ -153,7 +153,7 @@
 // TestOlderNodeBeside: while one node knows nothing of duties, or was started without, the leader does it all, and logs
 // nothing that such a node can't read.
 func TestOlderNodeBeside(t *testing.T) {
-	inSpread(t, 44, func(w *standin.World) {
+	inSpread(t, 44, func(w *emulator.World) {
 		time.Sleep(10 * time.Second)
 		w.Crash(2)
 		oneByOne = false
@@ -189,7 +189,7 @@
 		var took []time.Duration
 		for seed := uint64(1); seed <= 20; seed++ {
 			oneByOne = spread
-			inWorld(t, seed, func(w *standin.World) {
+			inWorld(t, seed, func(w *emulator.World) {
 				time.Sleep(45*time.Second + time.Duration(seed)*130*time.Millisecond)
 				holder := leaderOf()
 				if spread {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -7,8 +7,8 @@
 
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/rpc"
 )
 
 // stand feeds what decides whether this node stands for election. It is asked by the links' goroutines and by
@@ -23,7 +23,7 @@
 	now   func() model.Time
 }
 
-func newStand(set *config.Settings, links map[string]*peer.Link, now func() model.Time) *stand {
+func newStand(set *config.Settings, links map[string]*rpc.Link, now func() model.Time) *stand {
 	s := &stand{watch: candidacy.New(candidacy.Usual, len(set.Members), now()), index: map[string]int{}, life: rand.Uint64(), node: set.Node, now: now}
 	for i, m := range set.Members {
 		s.index[m.Node] = i
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -13,13 +13,13 @@
 	"fieldhill/internal/agents/lease"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/provisioner"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -42,7 +42,7 @@
 // renewed last, and the link to the node that it asks stays.
 func TestRenewalsOfALargeZone(t *testing.T) {
 	const machines = 4000
-	inWorld(t, 61, func(w *standin.World) {
+	inWorld(t, 61, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		leads, other := waitForLeader(t)
 		leader, asked := nodeAt(leads), nodeAt(other)
@@ -60,10 +60,10 @@
 			}
 			_ = asked.m.Apply(&model.Entry{Kind: model.EntrySuspect, Machine: 100_000 + machines - 1}, asked.applied, asked.now())
 		})
-		link := leader.links[standin.NodeName(other)]
+		link := leader.links[emulator.NodeName(other)]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		call := &peer.Call{Op: peer.OpRenewed, ID: "a", Body: codec.Uint(nil, suspicion)}
+		call := &rpc.Call{Op: rpc.OpRenewed, ID: "a", Body: codec.Uint(nil, suspicion)}
 		a, err := link.Call(ctx, call)
 		if err != nil || a.Status != http.StatusOK {
 			t.Errorf("the question about a large zone: %+v, %v", a, err)
@@ -87,7 +87,7 @@
 // and how many more there are, and the follower keeps its leader.
 func TestQueueThroughAFollower(t *testing.T) {
 	const jobs, run = 500, 6 // the team's limit has room for so many more
-	inWorld(t, 62, func(w *standin.World) {
+	inWorld(t, 62, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		leads, other := waitForLeader(t)
 		for i := range jobs + run {
@@ -99,7 +99,7 @@
 			}
 		}
 		time.Sleep(20 * time.Second)
-		link := nodeAt(other).links[standin.NodeName(leads)]
+		link := nodeAt(other).links[emulator.NodeName(leads)]
 		for _, node := range []int{leads, other} {
 			var q wire.Queue
 			code, err := askOp(w, node, wire.PathOpQueue+fmt.Sprintf("?most=%d", wire.MostQueued), &q)
@@ -126,31 +126,31 @@
 	const machines = 4000
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		const at = "10.0.0.9:81"
 		ln, err := network.Host("leader").Listen(at)
 		if err != nil {
 			t.Fatal(err)
 		}
 		told, calls := map[string]bool{}, 0
-		handler := func(_ context.Context, c *peer.Call) *peer.Reply {
-			if c.Op != peer.OpDuty {
-				return &peer.Reply{Status: http.StatusOK}
+		handler := func(_ context.Context, c *rpc.Call) *rpc.Reply {
+			if c.Op != rpc.OpDuty {
+				return &rpc.Reply{Status: http.StatusOK}
 			}
 			r := codec.Reader{B: c.Body}
 			term := r.Uint()
 			o, err := provisioner.Read(r.B)
 			if err != nil || term != 7 || o.Kind != provisioner.Listed {
 				t.Errorf("told %d bytes of term %d: %v", len(c.Body), term, err)
-				return &peer.Reply{Status: http.StatusBadRequest}
+				return &rpc.Reply{Status: http.StatusBadRequest}
 			}
 			calls++
 			for _, row := range o.Rows {
 				told[row.Name] = true
 			}
-			return &peer.Reply{Status: http.StatusOK}
+			return &rpc.Reply{Status: http.StatusOK}
 		}
-		go func() { _ = peer.Serve(ctx, ln, handler, &peer.Traffic{}, slog.New(slog.DiscardHandler)) }()
+		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, slog.New(slog.DiscardHandler)) }()
 		set := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{{Node: "leader", Zone: "b", Addr: at}}}
 		n := New(network.Host("n2"), set, Options{}, slog.New(slog.DiscardHandler))
 		n.stands.Store(&standing{leader: "leader"})
@@ -185,9 +185,9 @@
 	const machines, first = 10_000, 20_000 // numbers of three bytes, as those of a fleet that is some weeks old
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		const at = "state:1"
-		go standin.NewState(1).Serve(ctx, network.Host("state"), at)
+		go emulator.NewState(1).Serve(ctx, network.Host("state"), at)
 		time.Sleep(time.Second)
 		store := oplog.New(kvstore.New(network.Host("n2"), at, 1000), 20, 8, 12, slog.New(slog.DiscardHandler))
 		leader := config.Member{Node: "leader", Zone: "b", Addr: "leader:1"}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -13,24 +13,24 @@
 	"testing/synctest"
 	"time"
 
+	"fieldhill/internal/adminapi"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/golden"
 	"fieldhill/internal/model"
-	"fieldhill/internal/operate"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/provisioner"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
 // TestGoldenCleared: the list of cleared machines that a node puts into the state service is written and read as it
 // always was.
 func TestGoldenCleared(t *testing.T) {
-	now, settings := time.Now(), standin.Params()
+	now, settings := time.Now(), emulator.Params()
 	m, all := model.New(&settings), cleared{}
 	want := map[model.MachineID]bool{1: true, 127: true, 128: true, 300_000: true}
 	for i, id := range slices.Sorted(maps.Keys(want)) {
@@ -72,30 +72,30 @@
 // calling is a node whose loop takes work, and the calls that the other one, which it takes for the leader, got.
 type calling struct {
 	*Node
-	to    *peer.Link
-	calls chan *peer.Call
+	to    *rpc.Link
+	calls chan *rpc.Call
 }
 
 // inCall runs f with such a node.
 func inCall(t *testing.T, f func(ctx context.Context, c *calling)) {
 	synctest.Test(t, func(t *testing.T) {
-		network, quiet := standin.NewNetwork(), slog.New(slog.DiscardHandler)
-		set := &config.Settings{Params: standin.Params(), Node: "n0",
+		network, quiet := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
+		set := &config.Settings{Params: emulator.Params(), Node: "n0",
 			Members: []config.Member{{Node: "n1", Addr: "10.0.0.2:81"}}}
 		ctx, stop := context.WithCancel(context.Background())
-		c := &calling{Node: New(network.Host("n0"), set, Options{Duties: true}, quiet), calls: make(chan *peer.Call, 100)}
+		c := &calling{Node: New(network.Host("n0"), set, Options{Duties: true}, quiet), calls: make(chan *rpc.Call, 100)}
 		c.Node.ctx, c.to = ctx, c.links["n1"]
 		ln, err := network.Host("n1").Listen(set.Members[0].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer := func(_ context.Context, call *peer.Call) *peer.Reply {
-			if call.Op != peer.OpPing {
+		answer := func(_ context.Context, call *rpc.Call) *rpc.Reply {
+			if call.Op != rpc.OpPing {
 				c.calls <- call
 			}
-			return &peer.Reply{Status: http.StatusOK}
+			return &rpc.Reply{Status: http.StatusOK}
 		}
-		go func() { _ = peer.Serve(ctx, ln, answer, &peer.Traffic{}, quiet) }()
+		go func() { _ = rpc.Serve(ctx, ln, answer, &rpc.Traffic{}, quiet) }()
 		go c.to.Run(ctx)
 		go func() {
 			for {
@@ -131,8 +131,8 @@
 			func() { c.Status(ctx, "req-000007") },
 			func() { c.Cancel(ctx, "req-000007") },
 			func() { c.Why(ctx, "req-000007") },
-			func() { c.Queue(ctx, operate.Filter{Team: "red", Class: "web", Reason: "limit", Most: 20}) },
-			func() { c.Queue(ctx, operate.Filter{Most: 1}) },
+			func() { c.Queue(ctx, adminapi.Filter{Team: "red", Class: "web", Reason: "limit", Most: 20}) },
+			func() { c.Queue(ctx, adminapi.Filter{Most: 1}) },
 			func() { c.tellCloud(ctx, c.duties.keepers[singleton.Rent], 300, hired) },
 			func() { c.askRenewed(&role{ctx: ctx}, c.to, 0, 0, "a", 300) },
 			func() { c.ask(func() { c.caught = time.Now(); c.askPast() }) },
@@ -154,10 +154,10 @@
 			for len(c.calls) > 0 {
 				<-c.calls
 			}
-			c.stands.Store(&standing{leader: "n1", leads: call.Op == peer.OpQueue}) // only a leader reads the filter
+			c.stands.Store(&standing{leader: "n1", leads: call.Op == rpc.OpQueue}) // only a leader reads the filter
 			fmt.Fprintf(&all, "%d %q %x -> %d\n", call.Op, call.ID, call.Body, c.answerPeer(ctx, call).Status)
 			switch call.Op {
-			case peer.OpQueue, peer.OpDuty, peer.OpRenewed, peer.OpOffer, peer.OpReport, peer.OpOrders:
+			case rpc.OpQueue, rpc.OpDuty, rpc.OpRenewed, rpc.OpOffer, rpc.OpReport, rpc.OpOrders:
 				call.Body = bytes.Clone(call.Body[:len(call.Body)-1])
 				fmt.Fprintf(&all, "  cut short -> %d\n", c.answerPeer(ctx, call).Status)
 			}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -16,7 +16,7 @@
 
 // handOver has the lead change hands in a drawn way: the leader ends, is refused by the state service, or stands still; now and then in an outage for all. It
 // returns what ends it.
-func handOver(w *standin.World, rng *rand.Rand) (end func()) {
+func handOver(w *emulator.World, rng *rand.Rand) (end func()) {
 	i := max(0, leaderOf())
 	if rng.IntN(3) == 0 {
 		w.State.SetOutage(true)
@@ -45,7 +45,7 @@
 
 func cancelledAtHandOver(t *testing.T) {
 	cancelled, late := atomic.Int64{}, 0
-	meet(t, 1, 70, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 1, 70, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 3)
 		terms := map[uint64]bool{}
 		n := 100
@@ -99,7 +99,7 @@
 // cancellation has. Whoever was told so finds the tasks gone in time.
 func TestCancelledAtTheRefusal(t *testing.T) {
 	var told atomic.Int64
-	meet(t, 2, 72, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 72, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 4)
 		var ids []string
 		for n := 100; n < 124; n++ {
@@ -142,7 +142,7 @@
 // TestOldReportsForTheNextLeader: copies of reports are kept, of machines that were returned, that began anew, whose sessions went on, that hang and that are suspect, and reach every
 // controller just as a new leader begins, and a moment before and after. They prove nothing: nothing starts twice, and nothing anew that ran.
 func TestOldReportsForTheNextLeader(t *testing.T) {
-	meet(t, 2, 74, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 74, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 5)
 		w.KeepCopies(0.5)
 		sent, n := 0, 100
@@ -210,7 +210,7 @@
 func TestAtTheLimit(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 5
-	meet(t, 2, 76, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 76, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 1)
 		teams := []string{"red", "blue"}
 		n := 100
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -10,9 +10,9 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -20,7 +20,7 @@
 
 // submitToIntake takes a job without the leader, if this node is sure that the
 // log does not know it and the state service takes its record.
-func (n *Node) submitToIntake(ctx context.Context, body []byte) *peer.Reply {
+func (n *Node) submitToIntake(ctx context.Context, body []byte) *rpc.Reply {
 	num, err := wire.PeekJobID(body)
 	if err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
@@ -30,7 +30,7 @@
 	}
 	spec, specErr := wire.ParseJob(body)
 	var entry *model.Entry
-	reply := n.inTurn(ctx, func(send func(*peer.Reply)) {
+	reply := n.inTurn(ctx, func(send func(*rpc.Reply)) {
 		if n.role != nil || !n.loaded {
 			send(noLeader)
 			return
@@ -44,7 +44,7 @@
 			return
 		}
 		entry = model.Accepted(spec, time.Now().UnixMilli())
-		send(&peer.Reply{Status: http.StatusCreated})
+		send(&rpc.Reply{Status: http.StatusCreated})
 	})
 	if isRefusal(reply) {
 		switch in, err := n.getIntake(ctx, num); {
--- a/internal/controller/known_test.go
+++ b/internal/controller/known_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/model"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -29,7 +29,7 @@
 		most time.Duration
 	}{{"as usual", 3 * time.Millisecond, 8 * time.Second}, {"thirty times slower", 90 * time.Millisecond, 15 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorldOf(t, 51, []config.Team{{Name: "red", CPUs: 16}, {Name: "blue"}}, func(w *standin.World) {
+			inWorldOf(t, 51, []config.Team{{Name: "red", CPUs: 16}, {Name: "blue"}}, func(w *emulator.World) {
 				w.State.Limit(w.Params.State.RPS, w.Params.State.WriteRPS)
 				w.Cloud.Capacity(max(4, *machines))
 				settle(w, 5)
@@ -108,7 +108,7 @@
 // TestPollsBesideAFlood: no question about a job waits behind submissions. While the leader is not reached and hundreds of users submit at once, far more than the
 // intake may take, what others ask about their jobs is answered; a question held to the limit of submissions is refused with them.
 func TestPollsBesideAFlood(t *testing.T) {
-	inWorld(t, 60, func(w *standin.World) {
+	inWorld(t, 60, func(w *emulator.World) {
 		w.State.Limit(w.Params.State.RPS, w.Params.State.WriteRPS)
 		time.Sleep(6 * time.Second)
 		for n := 1; n <= 10; n++ {
--- a/internal/controller/late_test.go
+++ b/internal/controller/late_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 )
 
 // TestLateLeaderGivesNobodyUp: a leader whose loop is late again and again, though never for a second, hears of a part of the fleet only. What
@@ -12,7 +12,7 @@
 // three times as long. Four hundred machines that were well were once returned as silent within three seconds.
 func TestLateLeaderGivesNobodyUp(t *testing.T) {
 	gaveUp := func(late time.Duration) (took time.Duration) {
-		inWorld(t, 60, func(w *standin.World) {
+		inWorld(t, 60, func(w *emulator.World) {
 			settle(w, 3)
 			hung := hangOne(w, 55*time.Second)
 			n, began := nodeAt(leaderOf()), time.Now()
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -7,8 +7,8 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/replication/commitfence"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -28,7 +28,7 @@
 func (n *Node) mayRenew() bool { return n.active() || time.Since(n.sure()) <= n.set.KeepBound() }
 
 // renew is the answer that renews a worker's lease, or a refusal.
-func (n *Node) renew(machine string, token uint64, cmds []wire.Command) *peer.Reply {
+func (n *Node) renew(machine string, token uint64, cmds []wire.Command) *rpc.Reply {
 	if !n.mayRenew() {
 		return api.Later("no leader at the moment", 1)
 	}
@@ -67,9 +67,9 @@
 const vouchEvery = 2 * time.Second
 
 // tellPast answers a controller that is out of touch.
-func (n *Node) tellPast(ctx context.Context) *peer.Reply {
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
-		send(&peer.Reply{Status: http.StatusOK, Body: n.past.Word(n.now()).Append(nil)})
+func (n *Node) tellPast(ctx context.Context) *rpc.Reply {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
+		send(&rpc.Reply{Status: http.StatusOK, Body: n.past.Word(n.now()).Append(nil)})
 	})
 }
 
@@ -109,7 +109,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, vouchEvery)
 			defer cancel()
-			a, err := l.Call(ctx, &peer.Call{Op: peer.OpVouch})
+			a, err := l.Call(ctx, &rpc.Call{Op: rpc.OpVouch})
 			if err != nil || a.Status != http.StatusOK {
 				return // one of an older version, or one that is busy: the old bound stands
 			}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -11,9 +11,9 @@
 	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/model"
 	"fieldhill/internal/scheduling/provisioner"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -25,9 +25,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		params := standin.Params()
+		params := emulator.Params()
 		params.Limits.MaxSockets = sockets
-		n := New(standin.NewNetwork().Host("n0"), &config.Settings{Node: "n0", Zone: "a", Params: params}, Options{},
+		n := New(emulator.NewNetwork().Host("n0"), &config.Settings{Node: "n0", Zone: "a", Params: params}, Options{},
 			slog.New(slog.DiscardHandler))
 		n.ctx = ctx
 		f(n)
@@ -141,7 +141,7 @@
 func TestDeadZoneHidesNobody(t *testing.T) {
 	defer func(k int) { probesAtOnce = k }(probesAtOnce)
 	probesAtOnce = 2
-	inWorldOf(t, 91, usualTeams, func(w *standin.World) {
+	inWorldOf(t, 91, usualTeams, func(w *emulator.World) {
 		w.Cloud.Capacity(20)
 		settle(w, 30)
 		dead, silent := 0, map[string]bool{}
@@ -241,7 +241,7 @@
 // TestSlowList: that a silent machine is missing in a list which took long to read counts only if the machine was
 // known for longer than that; in one that was read at once it counts after the usual time.
 func TestSlowList(t *testing.T) {
-	inWorld(t, 92, func(w *standin.World) {
+	inWorld(t, 92, func(w *emulator.World) {
 		settle(w, 3)
 		n := nodeAt(leaderOf())
 		given := func(took time.Duration) (given bool) {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -21,7 +21,7 @@
 // tasks before anybody but their leader knows them, whose rental has no answer yet: they are used or returned, and nothing starts twice.
 func TestUpAtOnce(t *testing.T) {
 	var young atomic.Int64
-	meet(t, 2, 80, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 80, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		time.Sleep(6 * time.Second)
 		w.Cloud.Boots(0.001+0.2*rng.Float64(), 0)
 		w.Cloud.LoseAnswers(0.4)
@@ -71,14 +71,14 @@
 func TestMute(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		mute func(wk *standin.Worker, k int) bool
+		mute func(wk *emulator.Worker, k int) bool
 	}{
-		{"one", func(_ *standin.Worker, k int) bool { return k == 0 }},
-		{"a zone", func(wk *standin.Worker, _ int) bool { return wk.Zone == "b" }},
-		{"all", func(*standin.Worker, int) bool { return true }},
+		{"one", func(_ *emulator.Worker, k int) bool { return k == 0 }},
+		{"a zone", func(wk *emulator.Worker, _ int) bool { return wk.Zone == "b" }},
+		{"all", func(*emulator.Worker, int) bool { return true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			meet(t, 1, 82, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+			meet(t, 1, 82, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 				settle(w, 4)
 				for n := 100; n < 108; n++ {
 					j := spec(n, wire.Array, 2, 1000)
@@ -125,7 +125,7 @@
 // TestBoundToAZone: arrays, gangs and services that must be in one zone lose its machines, taken, hanging and begun anew, with a change of leader; there is more work than
 // room, and images come over slow links. All of it is done, there.
 func TestBoundToAZone(t *testing.T) {
-	meet(t, 1, 84, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 1, 84, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		w.Cloud.Capacity(2)
 		w.Fetch(8 * time.Second)
 		time.Sleep(6 * time.Second)
@@ -149,7 +149,7 @@
 		lost := 0
 		for range 6 {
 			time.Sleep(time.Duration(4000+rng.IntN(9000)) * time.Millisecond)
-			up := slices.DeleteFunc(w.Cloud.Up(), func(wk *standin.Worker) bool { return wk.Zone != b || !w.Referee.Holds(wk.Name) })
+			up := slices.DeleteFunc(w.Cloud.Up(), func(wk *emulator.Worker) bool { return wk.Zone != b || !w.Referee.Holds(wk.Name) })
 			for _, wk := range up {
 				switch lost++; rng.IntN(4) {
 				case 0:
@@ -179,7 +179,7 @@
 // TestFlood: one-task jobs come four a second for minutes, a quarter cancelled, some at the moment of their end; with the state service's limits. Each is taken within a second, no poll is starved, all
 // come to their end, and the log does not fall behind.
 func TestFlood(t *testing.T) {
-	meet(t, 1, 86, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 1, 86, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		w.State.Limit(w.Params.State.RPS, w.Params.State.WriteRPS)
 		settle(w, 3)
 		w.CancelAtEnd(0.08)
--- a/internal/controller/main_test.go
+++ b/internal/controller/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/testing/virtualtime"
 )
 
-func TestMain(m *testing.M) { bubble.MainApart(m) }
+func TestMain(m *testing.M) { virtualtime.MainApart(m) }
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -16,7 +16,7 @@
 // TestHeldStartOfCancelled: a start is held up on its way to a machine that can't reach the leader any more, but another controller, which keeps
 // its lease; its job is cancelled, and the start arrives when longer has passed than a cancellation has. The session must be over by then.
 func TestHeldStartOfCancelled(t *testing.T) {
-	inWorld(t, 40, func(w *standin.World) {
+	inWorld(t, 40, func(w *emulator.World) {
 		settle(w, 6)
 		if l := leaderOf(); l == 1 {
 			w.Restart(1, 100*time.Millisecond)
@@ -81,10 +81,10 @@
 }
 
 // meet plays a meeting in a world of its own for each seed, with what the test draws; at sets the test's draws apart from those of others.
-func meet(t *testing.T, usual, at uint64, f func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand)) {
+func meet(t *testing.T, usual, at uint64, f func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand)) {
 	for seed := range seeds(usual) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, at+seed, func(w *standin.World) { f(t, w, seed, rand.New(rand.NewPCG(seed, at))) })
+			inWorld(t, at+seed, func(w *emulator.World) { f(t, w, seed, rand.New(rand.NewPCG(seed, at))) })
 		})
 	}
 }
@@ -103,7 +103,7 @@
 // cancellations, and then the state service is down for all for longer than a cancellation has, while workers reach the old leader only.
 // Twice in a row. The referee demands that the tasks are gone in time.
 func TestCancelledElsewhere(t *testing.T) {
-	meet(t, 2, 41, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 41, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 6)
 		next := 100
 		for range 2 {
@@ -176,15 +176,15 @@
 func TestLongOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		meets func(w *standin.World, i int)
+		meets func(w *emulator.World, i int)
 		goes  bool
 	}{
-		{"all there", func(*standin.World, int) {}, true},
-		{"one began anew", func(w *standin.World, i int) { w.Restart((i+1)%3, 100*time.Millisecond) }, false},
-		{"one is parted", func(w *standin.World, i int) { w.CutNode((i+1)%3, (i+2)%3, true); w.CutNode((i+1)%3, i, true) }, false},
+		{"all there", func(*emulator.World, int) {}, true},
+		{"one began anew", func(w *emulator.World, i int) { w.Restart((i+1)%3, 100*time.Millisecond) }, false},
+		{"one is parted", func(w *emulator.World, i int) { w.CutNode((i+1)%3, (i+2)%3, true); w.CutNode((i+1)%3, i, true) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 47, func(w *standin.World) {
+			inWorld(t, 47, func(w *emulator.World) {
 				settle(w, 6)
 				starts := w.Referee.Starts()
 				w.State.SetOutage(true)
@@ -213,7 +213,7 @@
 	for _, soon := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(soon), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(uint64(soon), 44))
-			inWorld(t, 44, func(w *standin.World) {
+			inWorld(t, 44, func(w *emulator.World) {
 				settle(w, 5)
 				starts, terms := w.Referee.Starts(), uint64(0)
 				termOf := func() (term uint64) {
@@ -268,7 +268,7 @@
 // TestHeldCommands: direct commands (starts, stops and reaps) and their answers are held up for seconds, and the machines then go on; in a term, and
 // over a change of term.
 func TestHeldCommands(t *testing.T) {
-	meet(t, 2, 45, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 45, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 3)
 		held, n := 0, 100
 		var ids []string
@@ -322,7 +322,7 @@
 		same bool // what ran then goes on
 	}{{"hang", false, 4 * time.Second, true}, {"hear nothing", true, 5 * time.Second, true}, {"hear nothing for long", true, 50 * time.Second, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 46, func(w *standin.World) {
+			inWorld(t, 46, func(w *emulator.World) {
 				time.Sleep(6 * time.Second)
 				j := spec(1, wire.Array, 6, 400)
 				j.Priority = wire.High
@@ -368,7 +368,7 @@
 			rng := rand.New(rand.NewPCG(seed, 47))
 			defer func() { compactEvery = 0 }()
 			compactEvery = int(seed%2) * 5 // ends are in the log or in its snapshot
-			inWorld(t, 48+seed, func(w *standin.World) {
+			inWorld(t, 48+seed, func(w *emulator.World) {
 				settle(w, 2)
 				type job struct {
 					id    string
@@ -411,7 +411,7 @@
 // TestSlowThenRefused: the state service answers slowly, or refuses the leader alone and then everybody, while users cancel and ask at every
 // controller; no state that was told goes back, which the referee sees.
 func TestSlowThenRefused(t *testing.T) {
-	meet(t, 1, 49, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 1, 49, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 3)
 		over := make(chan struct{})
 		var ids []string
@@ -477,7 +477,7 @@
 // TestIslandAndCancelled: a leader loses the state service and the other controllers, not its workers and users; jobs are cancelled through the next
 // leader, whom the machines do not reach for a while. Their tasks end in time, and the island tells nobody otherwise.
 func TestIslandAndCancelled(t *testing.T) {
-	meet(t, 2, 51, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 51, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 6)
 		old := leaderOf()
 		onlyReach(w, old, true)
@@ -524,7 +524,7 @@
 	compactEvery = 4
 	late := map[string]int{}
 	for seed := range seeds(4) {
-		inWorld(t, 52+seed, func(w *standin.World) {
+		inWorld(t, 52+seed, func(w *emulator.World) {
 			rng := rand.New(rand.NewPCG(seed, 52))
 			settle(w, 2)
 			w.State.Late(0.25, 10*time.Second)
@@ -577,19 +577,19 @@
 func TestHangOverTheEndOfALease(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		begin func(w *standin.World)
-		then  func(w *standin.World)
+		begin func(w *emulator.World)
+		then  func(w *emulator.World)
 		waits bool
 	}{
-		{"cloud there", func(*standin.World) {}, func(*standin.World) {}, false},
-		{"cloud away", func(w *standin.World) { w.Cloud.SetOutage(true) }, func(*standin.World) {}, true},
-		{"leader ends", func(w *standin.World) { w.Cloud.Delay(20 * time.Second) }, func(w *standin.World) {
+		{"cloud there", func(*emulator.World) {}, func(*emulator.World) {}, false},
+		{"cloud away", func(w *emulator.World) { w.Cloud.SetOutage(true) }, func(*emulator.World) {}, true},
+		{"leader ends", func(w *emulator.World) { w.Cloud.Delay(20 * time.Second) }, func(w *emulator.World) {
 			w.Restart(max(0, leaderOf()), 200*time.Millisecond)
 			w.Cloud.Delay(0)
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 37, func(w *standin.World) {
+			inWorld(t, 37, func(w *emulator.World) {
 				held := zoneWithoutController(w)
 				if len(held) < 3 {
 					t.Fatalf("%d machines hang: the meeting did not take place", len(held))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -21,14 +21,14 @@
 
 	"golang.org/x/time/rate"
 
+	"fieldhill/internal/adminapi"
 	"fieldhill/internal/agents/lease"
 	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
+	"fieldhill/internal/metrics"
 	"fieldhill/internal/model"
-	"fieldhill/internal/operate"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/platform/cloud"
 	"fieldhill/internal/platform/host"
@@ -37,12 +37,12 @@
 	"fieldhill/internal/replication/commitfence"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/admission"
 	"fieldhill/internal/scheduling/autoscaler"
 	"fieldhill/internal/scheduling/pending"
 	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/internal/scheduling/scheduler"
-	"fieldhill/internal/stats"
 )
 
 // Options are the operator's own settings.
@@ -70,14 +70,14 @@
 	oplog   *oplog.Log
 	cloud   *cloud.Client
 	worker  *agent.Client
-	links   map[string]*peer.Link
+	links   map[string]*rpc.Link
 	stand   *stand
-	traffic peer.Traffic
+	traffic rpc.Traffic
 	crowd   *api.Crowd
 	// relaying is this node's part in ending workers' connections for the leader.
 	relaying *relaying
 	intake   *rate.Limiter // of jobs taken without the leader
-	stats    *stats.Stats
+	stats    *metrics.Stats
 	work     chan func()
 	// requests is what users want of the loop; it waits for all that is in work.
 	requests chan request
@@ -201,13 +201,13 @@
 		state:  kvstore.New(via, set.Endpoints.State, max(4, p.State.RPS/members*0.95)),
 		cloud:  cloud.New(via, set.Endpoints.Cloud, p.Cloud.RPS*0.8),
 		worker: agent.New(via, ordersWithin, max(32, p.Limits.MaxSockets/3)),
-		stats:  stats.New(api.Kinds...),
-		links:  map[string]*peer.Link{}, work: make(chan func(), 512), requests: make(chan request, requestsAtOnce), ended: make(chan struct{}), keepUntil: map[string]time.Time{},
+		stats:  metrics.New(api.Kinds...),
+		links:  map[string]*rpc.Link{}, work: make(chan func(), 512), requests: make(chan request, requestsAtOnce), ended: make(chan struct{}), keepUntil: map[string]time.Time{},
 	}
 	n.intake = rate.NewLimiter(rate.Limit(p.State.WriteRPS*0.2/members), max(1, int(p.State.WriteRPS*0.4/members)))
 	n.oplog = oplog.New(n.state, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps, logger)
 	for _, m := range set.Members {
-		n.links[m.Node] = peer.NewLink(via, m.Node, m.Addr, logger)
+		n.links[m.Node] = rpc.NewLink(via, m.Node, m.Addr, logger)
 		n.links[m.Node].Traffic = &n.traffic
 	}
 	n.stand = newStand(set, n.links, n.now)
@@ -272,7 +272,7 @@
 	}
 	run("loop", func() error { defer close(n.ended); n.loop(ctx); return nil })
 	run("storage", func() error { n.storage(ctx); return nil })
-	run("peers", func() error { return peer.Serve(ctx, pln, n.answerPeer, &n.traffic, n.log) })
+	run("peers", func() error { return rpc.Serve(ctx, pln, n.answerPeer, &n.traffic, n.log) })
 	if n.duties != nil {
 		run("duties", func() error { n.watchDuties(ctx); return nil })
 	} else {
@@ -288,7 +288,7 @@
 		run("metrics", func() error { return api.Serve(ctx, mln, &api.Crowd{Most: metricsConns}, n.stats.Page(n.look), n.log) })
 	}
 	if oln != nil {
-		run("operate", func() error { return operate.Serve(ctx, oln, n, n.log) })
+		run("operate", func() error { return adminapi.Serve(ctx, oln, n, n.log) })
 	}
 	n.log.Info("started", "node", n.set.Node, "zone", n.set.Zone, "bind", n.set.Bind, "pid", os.Getpid())
 	<-ctx.Done()
@@ -306,8 +306,8 @@
 const metricsConns = 4
 
 // look tells how this node stands, for the operators' page, unless it is too busy.
-func (n *Node) look() (v stats.View, ok bool) {
-	ch := make(chan stats.View, 1)
+func (n *Node) look() (v metrics.View, ok bool) {
+	ch := make(chan metrics.View, 1)
 	if n.offer(func() { ch <- n.viewed() }) != nil {
 		return v, false
 	}
@@ -320,8 +320,8 @@
 	return v, false
 }
 
-func (n *Node) viewed() stats.View {
-	v := stats.View{Leads: n.active(), Applied: n.applied, Jobs: len(n.m.Jobs)}
+func (n *Node) viewed() metrics.View {
+	v := metrics.View{Leads: n.active(), Applied: n.applied, Jobs: len(n.m.Jobs)}
 	if n.leader != nil {
 		v.Term = n.leader.Term
 	}
--- a/internal/controller/pairs_test.go
+++ b/internal/controller/pairs_test.go
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
 // A trouble begins when it is called, and what it returns ends it.
 type trouble struct {
 	name  string
-	begin func(w *standin.World, rng *rand.Rand) (end func())
+	begin func(w *emulator.World, rng *rand.Rand) (end func())
 }
 
 // some begins a trouble of those machines that are picked, and returns what ends it.
-func some(w *standin.World, pick func(*standin.Worker) bool, set func(wk *standin.Worker, on bool)) (end func()) {
-	var with []*standin.Worker
+func some(w *emulator.World, pick func(*emulator.Worker) bool, set func(wk *emulator.Worker, on bool)) (end func()) {
+	var with []*emulator.Worker
 	for _, wk := range w.Cloud.Up() {
 		if pick(wk) {
 			set(wk, true)
@@ -34,59 +34,59 @@
 
 // troubles are all that pairs are drawn from.
 var troubles = []trouble{
-	{"state down", func(w *standin.World, _ *rand.Rand) func() {
+	{"state down", func(w *emulator.World, _ *rand.Rand) func() {
 		w.State.SetOutage(true)
 		return func() { w.State.SetOutage(false) }
 	}},
-	{"leader refused", func(w *standin.World, _ *rand.Rand) func() {
+	{"leader refused", func(w *emulator.World, _ *rand.Rand) func() {
 		i := max(0, leaderOf())
 		w.RefuseState(i, true)
 		return func() { w.RefuseState(i, false) }
 	}},
-	{"follower refused", func(w *standin.World, _ *rand.Rand) func() {
+	{"follower refused", func(w *emulator.World, _ *rand.Rand) func() {
 		i := (max(0, leaderOf()) + 1) % 3
 		w.RefuseState(i, true)
 		return func() { w.RefuseState(i, false) }
 	}},
-	{"state slow", func(w *standin.World, rng *rand.Rand) func() {
+	{"state slow", func(w *emulator.World, rng *rand.Rand) func() {
 		w.State.SetSlow(time.Duration(50+rng.IntN(600)) * time.Millisecond)
 		return func() { w.State.SetSlow(3 * time.Millisecond) }
 	}},
-	{"late transactions, commands and answers", func(w *standin.World, _ *rand.Rand) func() {
+	{"late transactions, commands and answers", func(w *emulator.World, _ *rand.Rand) func() {
 		w.Trouble(0.3, 20*time.Second)
 		return func() { w.Trouble(0, 0) }
 	}},
-	{"leader an island", func(w *standin.World, _ *rand.Rand) func() {
+	{"leader an island", func(w *emulator.World, _ *rand.Rand) func() {
 		i := max(0, leaderOf())
 		w.Island(i, true)
 		return func() { w.Island(i, false) }
 	}},
-	{"zone cut", func(w *standin.World, _ *rand.Rand) func() {
+	{"zone cut", func(w *emulator.World, _ *rand.Rand) func() {
 		cutZone(w, true)
 		return func() { cutZone(w, false) }
 	}},
-	{"leader without workers", func(w *standin.World, _ *rand.Rand) func() {
+	{"leader without workers", func(w *emulator.World, _ *rand.Rand) func() {
 		i := max(0, leaderOf())
 		cutWorkers(w, i, true)
 		return func() { cutWorkers(w, i, false) }
 	}},
-	{"workers reach the leader only", func(w *standin.World, _ *rand.Rand) func() {
+	{"workers reach the leader only", func(w *emulator.World, _ *rand.Rand) func() {
 		i := max(0, leaderOf())
 		onlyReach(w, i, true)
 		return func() { onlyReach(w, i, false) }
 	}},
-	{"links refused", func(w *standin.World, _ *rand.Rand) func() {
+	{"links refused", func(w *emulator.World, _ *rand.Rand) func() {
 		partLinks(w, true)
 		return func() { partLinks(w, false) }
 	}},
-	{"leader stands still", func(w *standin.World, rng *rand.Rand) func() {
+	{"leader stands still", func(w *emulator.World, rng *rand.Rand) func() {
 		freeze(w, max(0, leaderOf()), time.Duration(rng.IntN(20000))*time.Millisecond)
 		return func() {}
 	}},
-	{"machines hear nothing", func(w *standin.World, rng *rand.Rand) func() {
-		return some(w, func(*standin.Worker) bool { return rng.IntN(2) == 0 }, (*standin.Worker).Deafen)
+	{"machines hear nothing", func(w *emulator.World, rng *rand.Rand) func() {
+		return some(w, func(*emulator.Worker) bool { return rng.IntN(2) == 0 }, (*emulator.Worker).Deafen)
 	}},
-	{"commands held up", func(w *standin.World, rng *rand.Rand) func() {
+	{"commands held up", func(w *emulator.World, rng *rand.Rand) func() {
 		d := time.Duration(2+rng.IntN(70)) * time.Second
 		all := w.Cloud.Up()
 		for _, wk := range all {
@@ -98,11 +98,11 @@
 			}
 		}
 	}},
-	{"copies of reports", func(w *standin.World, rng *rand.Rand) func() {
+	{"copies of reports", func(w *emulator.World, rng *rand.Rand) func() {
 		w.Copies(0.3, time.Duration(2+rng.IntN(50))*time.Second)
 		return func() { w.Copies(0, 0) }
 	}},
-	{"machines hang", func(w *standin.World, rng *rand.Rand) func() {
+	{"machines hang", func(w *emulator.World, rng *rand.Rand) func() {
 		for _, wk := range w.Cloud.Up() {
 			if rng.IntN(4) == 0 {
 				wk.Hang(time.Duration(rng.IntN(30)) * time.Second)
@@ -110,7 +110,7 @@
 		}
 		return func() {}
 	}},
-	{"machines back at once", func(w *standin.World, rng *rand.Rand) func() {
+	{"machines back at once", func(w *emulator.World, rng *rand.Rand) func() {
 		for _, wk := range w.Cloud.Up() {
 			if rng.IntN(4) == 0 {
 				wk.Reboot(rng.IntN(2) == 0)
@@ -118,15 +118,15 @@
 		}
 		return func() {}
 	}},
-	{"cloud down", func(w *standin.World, _ *rand.Rand) func() {
+	{"cloud down", func(w *emulator.World, _ *rand.Rand) func() {
 		w.Cloud.SetOutage(true)
 		return func() { w.Cloud.SetOutage(false) }
 	}},
-	{"answers of transactions lost", func(w *standin.World, rng *rand.Rand) func() {
+	{"answers of transactions lost", func(w *emulator.World, rng *rand.Rand) func() {
 		w.State.LoseAnswers(0.1 + 0.4*rng.Float64())
 		return func() { w.State.LoseAnswers(0) }
 	}},
-	{"copies for the next leader", func(w *standin.World, _ *rand.Rand) func() {
+	{"copies for the next leader", func(w *emulator.World, _ *rand.Rand) func() {
 		w.KeepCopies(0.5)
 		time.Sleep(4 * time.Second)
 		old := max(0, leaderOf())
@@ -140,11 +140,11 @@
 		w.Start(old)
 		return func() { w.SendKept(); w.KeepCopies(0) }
 	}},
-	{"machines reach nobody", func(w *standin.World, rng *rand.Rand) func() {
+	{"machines reach nobody", func(w *emulator.World, rng *rand.Rand) func() {
 		zone := rng.IntN(2) == 0
-		return some(w, func(wk *standin.Worker) bool { return zone && wk.Zone == "b" || !zone && rng.IntN(3) == 0 }, (*standin.Worker).Silence)
+		return some(w, func(wk *emulator.Worker) bool { return zone && wk.Zone == "b" || !zone && rng.IntN(3) == 0 }, (*emulator.Worker).Silence)
 	}},
-	{"many cancelled at once, and machines hang", func(w *standin.World, rng *rand.Rand) func() {
+	{"many cancelled at once, and machines hang", func(w *emulator.World, rng *rand.Rand) func() {
 		lasts := time.Duration(rng.IntN(60)) * time.Second
 		for _, id := range w.Referee.Open(6) {
 			go w.Cancel(id)
@@ -158,11 +158,11 @@
 		}
 		return func() {}
 	}},
-	{"cancelled at the end", func(w *standin.World, _ *rand.Rand) func() {
+	{"cancelled at the end", func(w *emulator.World, _ *rand.Rand) func() {
 		w.CancelAtEnd(0.5)
 		return func() { w.CancelAtEnd(0) }
 	}},
-	{"odd requests and close looks", func(w *standin.World, rng *rand.Rand) func() {
+	{"odd requests and close looks", func(w *emulator.World, rng *rand.Rand) func() {
 		for k, id := range w.Referee.Open(4) {
 			n, _ := wire.JobNumber(id)
 			go w.Look(w.Referee.Spec(n), 10, 30*time.Millisecond)
@@ -180,12 +180,12 @@
 		}
 		return func() {}
 	}},
-	{"machines up at once", func(w *standin.World, _ *rand.Rand) func() {
+	{"machines up at once", func(w *emulator.World, _ *rand.Rand) func() {
 		w.Cloud.Boots(0.001, 0)
 		w.Cloud.LoseAnswers(0.3)
 		return func() { w.Cloud.Boots(1, 0); w.Cloud.LoseAnswers(0) }
 	}},
-	{"machines taken", func(w *standin.World, rng *rand.Rand) func() {
+	{"machines taken", func(w *emulator.World, rng *rand.Rand) func() {
 		for _, wk := range w.Cloud.Up() {
 			if rng.IntN(3) == 0 {
 				w.Cloud.Take(wk.Name)
@@ -193,11 +193,11 @@
 		}
 		return func() {}
 	}},
-	{"leader ends", func(w *standin.World, rng *rand.Rand) func() {
+	{"leader ends", func(w *emulator.World, rng *rand.Rand) func() {
 		w.Restart(max(0, leaderOf()), time.Duration(20+rng.IntN(1000))*time.Millisecond)
 		return func() {}
 	}},
-	{"all end", func(w *standin.World, rng *rand.Rand) func() {
+	{"all end", func(w *emulator.World, rng *rand.Rand) func() {
 		for k := range 3 {
 			w.Kill(k)
 		}
@@ -217,7 +217,7 @@
 	for seed := range seeds(1) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			compactEvery = int(seed%2) * 10
-			inWorld(t, seed, func(w *standin.World) {
+			inWorld(t, seed, func(w *emulator.World) {
 				for _, pair := range playPairs(t, w, rand.New(rand.NewPCG(seed, 42))) {
 					met[pair] = true
 				}
@@ -230,7 +230,7 @@
 	}
 }
 
-func playPairs(t *testing.T, w *standin.World, rng *rand.Rand) (met []string) {
+func playPairs(t *testing.T, w *emulator.World, rng *rand.Rand) (met []string) {
 	w.State.Limit(w.Params.State.RPS, w.Params.State.WriteRPS)
 	crowded := rng.IntN(3) == 0 // teams are at their limits
 	settle(w, 3)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -7,14 +7,14 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // This file is what controllers ask each other for.
 
 // passOn sends a request to the leader. ok is false if the leader can't be asked.
-func (n *Node) passOn(ctx context.Context, c *peer.Call, within time.Duration) (reply *peer.Reply, ok bool) {
+func (n *Node) passOn(ctx context.Context, c *rpc.Call, within time.Duration) (reply *rpc.Reply, ok bool) {
 	to := n.stands.Load().leader
 	l := n.links[to]
 	if l == nil || time.Since(l.Heard()) > linkFresh {
@@ -33,7 +33,7 @@
 // elsewhere asks the other controllers, one after the other, for what this node
 // can't answer: it leads no more, as far as it can tell, or reads the log no more,
 // while others may do both.
-func (n *Node) elsewhere(ctx context.Context, c *peer.Call) (*peer.Reply, bool) {
+func (n *Node) elsewhere(ctx context.Context, c *rpc.Call) (*rpc.Reply, bool) {
 	for _, m := range n.set.Members {
 		l := n.links[m.Node]
 		if time.Since(l.Heard()) > linkFresh {
@@ -51,7 +51,7 @@
 
 // byOthers asks the leader, if that is another node, and the rest if this one is out
 // of touch with the state service.
-func (n *Node) byOthers(ctx context.Context, c *peer.Call, leads, inTouch bool) (*peer.Reply, bool) {
+func (n *Node) byOthers(ctx context.Context, c *rpc.Call, leads, inTouch bool) (*rpc.Reply, bool) {
 	if !leads {
 		if r, ok := n.passOn(ctx, c, quickly); ok && r.Status != http.StatusServiceUnavailable {
 			return r, true
@@ -64,11 +64,11 @@
 }
 
 // answerPeer answers another controller.
-func (n *Node) answerPeer(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) answerPeer(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	switch c.Op {
-	case peer.OpPing:
-		return &peer.Reply{Status: http.StatusOK, Body: n.stand.answer(c.Body)}
-	case peer.OpSubmit:
+	case rpc.OpPing:
+		return &rpc.Reply{Status: http.StatusOK, Body: n.stand.answer(c.Body)}
+	case rpc.OpSubmit:
 		switch leads, inTouch := n.standing(); {
 		case leads:
 			return n.submitHere(ctx, c.Body)
@@ -76,7 +76,7 @@
 			return n.submitToIntake(ctx, c.Body)
 		}
 		return noLeader
-	case peer.OpStatus:
+	case rpc.OpStatus:
 		num, ok := wire.JobNumber(c.ID)
 		if leads, inTouch := n.standing(); ok && !leads {
 			if !inTouch {
@@ -85,23 +85,23 @@
 			return n.statusFromLog(ctx, model.JobID(num))
 		}
 		return n.statusHere(ctx, c.ID)
-	case peer.OpWhy, peer.OpQueue:
+	case rpc.OpWhy, rpc.OpQueue:
 		return n.answerOperator(ctx, c)
-	case peer.OpCancel:
+	case rpc.OpCancel:
 		return n.cancelHere(ctx, c.ID)
-	case peer.OpDuty:
+	case rpc.OpDuty:
 		return n.heardOfDuty(ctx, c)
-	case peer.OpRenewed:
+	case rpc.OpRenewed:
 		return n.tellRenewals(ctx, c)
-	case peer.OpVouch:
+	case rpc.OpVouch:
 		return n.tellPast(ctx)
-	case peer.OpOffer:
+	case rpc.OpOffer:
 		return n.takeOffer(ctx, c)
-	case peer.OpReport:
+	case rpc.OpReport:
 		return n.takeRelayed(ctx, c)
-	case peer.OpOrders:
+	case rpc.OpOrders:
 		return n.passOrders(ctx, c)
-	case peer.OpShow:
+	case rpc.OpShow:
 		return n.passQuestion(ctx, c)
 	}
 	return api.Refuse(http.StatusNotImplemented, "unknown operation")
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/agents/relay"
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -40,13 +40,13 @@
 
 // relaying is this node as a relay. The loop writes it; the goroutines of workers' connections read it.
 type relaying struct {
-	target    atomic.Pointer[peer.Link] // to the leader; nil: this node leads, or does not reach one
-	on        atomic.Bool               // the leader wants reports passed on
-	reports   slots                     // reports under way
-	orders    slots                     // direct commands under way
-	questions slots                     // questions under way
+	target    atomic.Pointer[rpc.Link] // to the leader; nil: this node leads, or does not reach one
+	on        atomic.Bool              // the leader wants reports passed on
+	reports   slots                    // reports under way
+	orders    slots                    // direct commands under way
+	questions slots                    // questions under way
 	offeredAt time.Time
-	offeredTo *peer.Link
+	offeredTo *rpc.Link
 	// offersNothing is for tests: the node behaves as one of a version without relays.
 	offersNothing bool
 }
@@ -76,7 +76,7 @@
 // tendRelay keeps the way to the leader up to date and offers this node as a relay.
 func (n *Node) tendRelay() {
 	rl := n.relaying
-	var target *peer.Link
+	var target *rpc.Link
 	if n.role == nil && n.loaded && n.leader != nil {
 		if l := n.links[n.leader.Node]; l != nil && time.Since(l.Heard()) < linkFresh {
 			target = l
@@ -94,7 +94,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ctx, offerEvery)
 		defer cancel()
-		a, err := target.Call(ctx, &peer.Call{Op: peer.OpOffer, Body: offer.Append(nil)})
+		a, err := target.Call(ctx, &rpc.Call{Op: rpc.OpOffer, Body: offer.Append(nil)})
 		if err != nil {
 			return // what was agreed stands until the leader can be asked
 		}
@@ -104,20 +104,20 @@
 }
 
 // takeOffer answers a node that offers itself as a relay.
-func (n *Node) takeOffer(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) takeOffer(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	offer, err := relay.ReadOffer(c.Body)
 	if err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
 	}
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		i := n.memberIndex(offer.Node)
 		if n.role == nil || i == relay.Leader {
-			send(&peer.Reply{Status: statusNotLeader})
+			send(&rpc.Reply{Status: statusNotLeader})
 			return
 		}
 		r := n.role
 		r.open[i], r.offered[i] = offer.Open, n.now()
-		send(&peer.Reply{Status: http.StatusOK, Body: relay.AppendTerms(nil, r.seats.On())})
+		send(&rpc.Reply{Status: http.StatusOK, Body: relay.AppendTerms(nil, r.seats.On())})
 	})
 }
 
@@ -132,7 +132,7 @@
 }
 
 // passReport passes a worker's report on to the leader. It returns nil where this node is no relay.
-func (n *Node) passReport(ctx context.Context, r *wire.Report) *peer.Reply {
+func (n *Node) passReport(ctx context.Context, r *wire.Report) *rpc.Reply {
 	rl := n.relaying
 	target := rl.target.Load()
 	if target == nil || !rl.on.Load() {
@@ -144,7 +144,7 @@
 	defer rl.reports.release()
 	ctx, cancel := context.WithTimeout(ctx, relayWithin)
 	defer cancel()
-	a, err := target.Call(ctx, &peer.Call{Op: peer.OpReport, ID: n.set.Node, Body: relay.AppendReport(nil, r)})
+	a, err := target.Call(ctx, &rpc.Call{Op: rpc.OpReport, ID: n.set.Node, Body: relay.AppendReport(nil, r)})
 	switch {
 	case err != nil || a.Status == statusBusy:
 		return n.keepRelayed(n.ctx, r)
@@ -157,9 +157,9 @@
 
 // keepRelayed renews the lease of a worker whose report the leader did not take in time, as any node does that does not
 // reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
-func (n *Node) keepRelayed(ctx context.Context, r *wire.Report) *peer.Reply {
+func (n *Node) keepRelayed(ctx context.Context, r *wire.Report) *rpc.Reply {
 	n.stats.Kept.Inc()
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		switch {
 		case n.role != nil:
 			n.reportToLeader(r, relay.Leader, send)
@@ -172,21 +172,21 @@
 }
 
 // takeRelayed takes a report that a relay passes on.
-func (n *Node) takeRelayed(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) takeRelayed(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	r, err := relay.ReadReport(c.Body)
 	if err != nil || r.Machine == "" || r.Session == 0 {
 		return api.Refuse(http.StatusBadRequest, "malformed report")
 	}
-	a := n.inLoop(ctx, func(send func(*peer.Reply)) {
+	a := n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		if node := n.memberIndex(c.ID); n.role != nil && node != relay.Leader {
 			n.reportToLeader(r, node, send)
 			return
 		}
-		send(&peer.Reply{Status: statusNotLeader})
+		send(&rpc.Reply{Status: statusNotLeader})
 	})
 	switch a {
 	case loopBusy, loopSlow, givenUp, stopping:
-		return &peer.Reply{Status: statusBusy}
+		return &rpc.Reply{Status: statusBusy}
 	}
 	return a
 }
@@ -227,15 +227,15 @@
 
 // sendOrders sends a direct command, through the relay by which the machine reports, if there is one. A command whose
 // relay is lost meanwhile may be executed at any later time, as one that a network holds.
-func (n *Node) sendOrders(ctx context.Context, via *peer.Link, addr string, o *wire.Orders) (agent.Fate, *wire.Report, error) {
+func (n *Node) sendOrders(ctx context.Context, via *rpc.Link, addr string, o *wire.Orders) (agent.Fate, *wire.Report, error) {
 	if via == nil {
 		return n.worker.Orders(ctx, addr, o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, ordersWithin+time.Second)
 	defer cancel()
-	a, err := via.Call(ctx, &peer.Call{Op: peer.OpOrders, ID: addr, Body: relay.AppendOrders(nil, o)})
+	a, err := via.Call(ctx, &rpc.Call{Op: rpc.OpOrders, ID: addr, Body: relay.AppendOrders(nil, o)})
 	switch {
-	case peer.IsDown(err):
+	case rpc.IsDown(err):
 		return agent.Unsent, nil, err
 	case err != nil:
 		return agent.Unknown, nil, err
@@ -250,7 +250,7 @@
 }
 
 // relayFor is the link to the relay by which a machine reports; nil: it is commanded from here.
-func (n *Node) relayFor(mc *model.Machine) *peer.Link {
+func (n *Node) relayFor(mc *model.Machine) *rpc.Link {
 	i := n.role.seats.Node(mc.Info.Name)
 	if i == relay.Leader || !n.relays(i) {
 		return nil
@@ -260,23 +260,23 @@
 
 // waysTo is how a machine may be asked: by the node through which it reports and, if that fails, by one other way; nil
 // stands for from here. A leader that is cut off from workers whose relays are not must not take them for silent.
-func (n *Node) waysTo(mc *model.Machine) []*peer.Link {
+func (n *Node) waysTo(mc *model.Machine) []*rpc.Link {
 	if !n.role.seats.On() {
-		return []*peer.Link{nil}
+		return []*rpc.Link{nil}
 	}
 	if via := n.relayFor(mc); via != nil {
-		return []*peer.Link{via, nil}
+		return []*rpc.Link{via, nil}
 	}
 	for i, m := range n.set.Members {
 		if n.relays(i + 1) {
-			return []*peer.Link{nil, n.links[m.Node]}
+			return []*rpc.Link{nil, n.links[m.Node]}
 		}
 	}
-	return []*peer.Link{nil}
+	return []*rpc.Link{nil}
 }
 
 // show asks a worker how it is, by one way after the other until it answers.
-func (n *Node) show(ctx context.Context, ways []*peer.Link, addr string) (rep *wire.Report, err error) {
+func (n *Node) show(ctx context.Context, ways []*rpc.Link, addr string) (rep *wire.Report, err error) {
 	for _, via := range ways {
 		if via == nil {
 			rep, err = n.worker.Show(ctx, addr, askFor)
@@ -290,10 +290,10 @@
 	return nil, err
 }
 
-func askThrough(ctx context.Context, via *peer.Link, addr string) (*wire.Report, error) {
+func askThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, askFor+askFor/4)
 	defer cancel()
-	a, err := via.Call(ctx, &peer.Call{Op: peer.OpShow, ID: addr})
+	a, err := via.Call(ctx, &rpc.Call{Op: rpc.OpShow, ID: addr})
 	if err != nil {
 		return nil, err
 	}
@@ -304,28 +304,28 @@
 }
 
 // passQuestion asks a worker for the leader.
-func (n *Node) passQuestion(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) passQuestion(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	if !n.relaying.questions.take() {
-		return &peer.Reply{Status: statusBusy}
+		return &rpc.Reply{Status: statusBusy}
 	}
 	defer n.relaying.questions.release()
 	rep, err := n.worker.Show(ctx, c.ID, askFor)
 	if err != nil {
-		return &peer.Reply{Status: http.StatusServiceUnavailable}
+		return &rpc.Reply{Status: http.StatusServiceUnavailable}
 	}
-	return &peer.Reply{Status: http.StatusOK, Body: relay.AppendReport(nil, rep)}
+	return &rpc.Reply{Status: http.StatusOK, Body: relay.AppendReport(nil, rep)}
 }
 
 // passOrders sends a direct command for the leader.
-func (n *Node) passOrders(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) passOrders(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	o, err := relay.ReadOrders(c.Body)
 	if err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
 	}
 	if !n.relaying.orders.take() {
-		return &peer.Reply{Status: statusBusy}
+		return &rpc.Reply{Status: statusBusy}
 	}
 	defer n.relaying.orders.release()
 	fate, rep, _ := n.worker.Orders(ctx, c.ID, o)
-	return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(fate), Report: rep}.Append(nil)}
+	return &rpc.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(fate), Report: rep}.Append(nil)}
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -11,18 +11,18 @@
 	"time"
 
 	"fieldhill/internal/agents/relay"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/agent"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // withRelays runs f in a world whose workers are spread over three controllers, with a service on each of twelve machines.
-func withRelays(t *testing.T, seed uint64, f func(w *standin.World)) {
+func withRelays(t *testing.T, seed uint64, f func(w *emulator.World)) {
 	usual := *relayOver
 	defer func() { *relayOver = usual }()
 	*relayOver = 2
-	inWorld(t, seed, func(w *standin.World) {
+	inWorld(t, seed, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		onePerMachine(w)
 		time.Sleep(40 * time.Second)
@@ -31,7 +31,7 @@
 }
 
 // onePerMachine submits twelve services of a replica that has a machine for itself.
-func onePerMachine(w *standin.World) {
+func onePerMachine(w *emulator.World) {
 	for n := 1; n <= 12; n++ {
 		s := web(n, 3, "small")
 		if n > 8 {
@@ -48,7 +48,7 @@
 }
 
 // sameSessions demands that no worker's lease ran out and no task was started anew meanwhile.
-func sameSessions(t *testing.T, w *standin.World, starts int, what string) {
+func sameSessions(t *testing.T, w *emulator.World, starts int, what string) {
 	t.Helper()
 	if k := w.Referee.Starts() - starts; k != 0 {
 		t.Errorf("%s: %d tasks were started anew", what, k)
@@ -64,29 +64,29 @@
 // loses the workers, a relay loses the leader or all of the others, or the leader stands still; and work goes on to be started.
 func TestRelays(t *testing.T) {
 	n := 100
-	for name, trouble := range map[string]func(w *standin.World, lead int) (end func()){
-		"leader ends": func(w *standin.World, lead int) func() { w.Restart(lead, 300*time.Millisecond); return func() {} },
-		"relay ends":  func(w *standin.World, lead int) func() { w.Restart((lead+1)%3, 2*time.Second); return func() {} },
-		"leader loses workers": func(w *standin.World, lead int) func() {
+	for name, trouble := range map[string]func(w *emulator.World, lead int) (end func()){
+		"leader ends": func(w *emulator.World, lead int) func() { w.Restart(lead, 300*time.Millisecond); return func() {} },
+		"relay ends":  func(w *emulator.World, lead int) func() { w.Restart((lead+1)%3, 2*time.Second); return func() {} },
+		"leader loses workers": func(w *emulator.World, lead int) func() {
 			cutWorkers(w, lead, true)
 			return func() { cutWorkers(w, lead, false) }
 		},
-		"relay loses workers": func(w *standin.World, lead int) func() {
+		"relay loses workers": func(w *emulator.World, lead int) func() {
 			cutWorkers(w, (lead+1)%3, true)
 			return func() { cutWorkers(w, (lead+1)%3, false) }
 		},
-		"relay loses the leader": func(w *standin.World, lead int) func() {
+		"relay loses the leader": func(w *emulator.World, lead int) func() {
 			w.CutNode(lead, (lead+1)%3, true)
 			return func() { w.CutNode(lead, (lead+1)%3, false) }
 		},
-		"relay loses state and peers": func(w *standin.World, lead int) func() {
+		"relay loses state and peers": func(w *emulator.World, lead int) func() {
 			w.Island((lead+1)%3, true)
 			return func() { w.Island((lead+1)%3, false) }
 		},
-		"leader stands still": func(w *standin.World, lead int) func() { freeze(w, lead, 10*time.Second); return func() {} },
+		"leader stands still": func(w *emulator.World, lead int) func() { freeze(w, lead, 10*time.Second); return func() {} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			withRelays(t, 61, func(w *standin.World) {
+			withRelays(t, 61, func(w *emulator.World) {
 				lead := leaderOf()
 				if c := counts(nodeAt(lead)); slices.Min(c) < 3 || slices.Max(c) > 10 {
 					t.Errorf("workers by node: %v", c)
@@ -112,7 +112,7 @@
 // TestRelayKeepsLeases: a leader that is too late to answer reports, for several leases, costs no worker its lease, because relays
 // answer by themselves; before the bound for what they can't know of, and stops of cancelled jobs included.
 func TestRelayKeepsLeases(t *testing.T) {
-	withRelays(t, 62, func(w *standin.World) {
+	withRelays(t, 62, func(w *emulator.World) {
 		lead := leaderOf()
 		leader := nodeAt(lead)
 		starts := w.Referee.Starts()
@@ -138,11 +138,11 @@
 // TestRelayDecidesNothing: a relay that can't reach the log renews no longer than any node may, and what asks a node that does not
 // lead to take a report is told so.
 func TestRelayDecidesNothing(t *testing.T) {
-	withRelays(t, 63, func(w *standin.World) {
+	withRelays(t, 63, func(w *emulator.World) {
 		lead := leaderOf()
 		other := nodeAt((lead + 1) % 3)
 		rep := w.Cloud.Up()[0].Sent()
-		call := &peer.Call{Op: peer.OpReport, ID: standin.NodeName((lead + 2) % 3), Body: relay.AppendReport(nil, rep)}
+		call := &rpc.Call{Op: rpc.OpReport, ID: emulator.NodeName((lead + 2) % 3), Body: relay.AppendReport(nil, rep)}
 		if a := other.answerPeer(context.Background(), call); a.Status != statusNotLeader {
 			t.Errorf("a node that does not lead answers a relayed report with %d", a.Status)
 		}
@@ -162,7 +162,7 @@
 
 // TestMixedCell: a node of an older version, which knows no relays, is sent no workers and gets the leader's as before.
 func TestMixedCell(t *testing.T) {
-	withRelays(t, 64, func(w *standin.World) {
+	withRelays(t, 64, func(w *emulator.World) {
 		lead := leaderOf()
 		old := nodeAt((lead + 1) % 3)
 		old.ask(func() { old.relaying.offersNothing = true })
@@ -180,33 +180,33 @@
 func TestFateThroughRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		ln, err := network.Host("relay").Listen("10.0.0.9:81")
 		if err != nil {
 			t.Fatal(err)
 		}
 		hang := make(chan struct{})
-		handler := func(ctx context.Context, c *peer.Call) *peer.Reply {
-			if c.Op == peer.OpPing {
-				return &peer.Reply{Status: http.StatusOK}
+		handler := func(ctx context.Context, c *rpc.Call) *rpc.Reply {
+			if c.Op == rpc.OpPing {
+				return &rpc.Reply{Status: http.StatusOK}
 			}
 			switch c.ID {
 			case "executed":
-				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Executed), Report: &wire.Report{Machine: "m"}}.Append(nil)}
+				return &rpc.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Executed), Report: &wire.Report{Machine: "m"}}.Append(nil)}
 			case "unanswered":
-				return &peer.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Unknown)}.Append(nil)}
+				return &rpc.Reply{Status: http.StatusOK, Body: relay.Outcome{Fate: uint8(agent.Unknown)}.Append(nil)}
 			case "busy":
-				return &peer.Reply{Status: statusBusy}
+				return &rpc.Reply{Status: statusBusy}
 			case "malformed":
-				return &peer.Reply{Status: http.StatusOK, Body: []byte{9}}
+				return &rpc.Reply{Status: http.StatusOK, Body: []byte{9}}
 			case "older":
-				return &peer.Reply{Status: http.StatusNotImplemented}
+				return &rpc.Reply{Status: http.StatusNotImplemented}
 			}
 			<-hang
-			return &peer.Reply{Status: http.StatusOK}
+			return &rpc.Reply{Status: http.StatusOK}
 		}
-		go func() { _ = peer.Serve(ctx, ln, handler, &peer.Traffic{}, slog.New(slog.DiscardHandler)) }()
-		link := peer.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", slog.New(slog.DiscardHandler))
+		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, slog.New(slog.DiscardHandler)) }()
+		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", slog.New(slog.DiscardHandler))
 		n := &Node{}
 		fate := func(id string) agent.Fate {
 			f, _, _ := n.sendOrders(ctx, link, id, &wire.Orders{})
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -10,7 +10,7 @@
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 )
 
 // This file is whose lease was renewed when: what a node keeps of it, tells the leader, and what the leader asks.
@@ -32,13 +32,13 @@
 
 // tellRenewals answers the leader that asks when the leases of a zone's machines were last renewed here. Only a node that has applied the
 // batch that made them suspect may say so: from then on it renews none of them.
-func (n *Node) tellRenewals(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) tellRenewals(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	r := codec.Reader{B: c.Body}
 	seq := r.Uint()
 	if !r.Done() {
 		return api.Refuse(http.StatusBadRequest, "malformed question about renewals")
 	}
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		if n.role != nil || !n.loaded || n.applied < seq {
 			send(api.Later("the log is not read so far", 1))
 			return
@@ -53,8 +53,8 @@
 				others = append(others, mc.Info.Name)
 			}
 		}
-		word := n.book.Word(suspects, others, n.now(), n.kept(), peer.MostBody)
-		send(&peer.Reply{Status: http.StatusOK, Body: word.Append(nil)})
+		word := n.book.Word(suspects, others, n.now(), n.kept(), rpc.MostBody)
+		send(&rpc.Reply{Status: http.StatusOK, Body: word.Append(nil)})
 	})
 }
 
@@ -91,10 +91,10 @@
 	}
 }
 
-func (n *Node) askRenewed(r *role, l *peer.Link, node int, zone int32, name string, seq uint64) {
+func (n *Node) askRenewed(r *role, l *rpc.Link, node int, zone int32, name string, seq uint64) {
 	ctx, cancel := context.WithTimeout(r.ctx, renewedEvery)
 	defer cancel()
-	a, err := l.Call(ctx, &peer.Call{Op: peer.OpRenewed, ID: name, Body: codec.Uint(nil, seq)})
+	a, err := l.Call(ctx, &rpc.Call{Op: rpc.OpRenewed, ID: name, Body: codec.Uint(nil, seq)})
 	if err != nil || a.Status != http.StatusOK {
 		return
 	}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fieldhill/internal/api"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 )
 
 // This file is the order in which the loop does its work. What keeps leases, ends and cancellations comes by n.work, what
@@ -36,7 +36,7 @@
 const quickly = 350 * time.Millisecond
 
 // inLoop runs f in the loop; f must send exactly one reply, at once or later.
-func (n *Node) inLoop(ctx context.Context, f func(send func(*peer.Reply))) *peer.Reply {
+func (n *Node) inLoop(ctx context.Context, f func(send func(*rpc.Reply))) *rpc.Reply {
 	return n.replied(ctx, n.offer, f)
 }
 
@@ -64,14 +64,14 @@
 }
 
 // inTurn runs f in the loop, after what is more urgent; f must send exactly one reply, at once or later.
-func (n *Node) inTurn(ctx context.Context, f func(send func(*peer.Reply))) *peer.Reply {
+func (n *Node) inTurn(ctx context.Context, f func(send func(*rpc.Reply))) *rpc.Reply {
 	return n.replied(ctx, n.offerRequest, f)
 }
 
 // replied has the loop run f and waits for its reply.
-func (n *Node) replied(ctx context.Context, offer func(func()) error, f func(send func(*peer.Reply))) *peer.Reply {
-	ch := make(chan *peer.Reply, 1)
-	if offer(func() { f(func(r *peer.Reply) { ch <- r }) }) != nil {
+func (n *Node) replied(ctx context.Context, offer func(func()) error, f func(send func(*rpc.Reply))) *rpc.Reply {
+	ch := make(chan *rpc.Reply, 1)
+	if offer(func() { f(func(r *rpc.Reply) { ch <- r }) }) != nil {
 		return loopBusy
 	}
 	t := time.NewTimer(answerWithin)
--- a/internal/controller/served_test.go
+++ b/internal/controller/served_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"fieldhill/internal/config"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -34,7 +34,7 @@
 	teams  []config.Team
 	loads  []load
 	wrong  float64 // tasks run so many times as long as their owners say; 0: 1
-	each   func(w *standin.World, second int)
+	each   func(w *emulator.World, second int)
 }
 
 const (
@@ -58,7 +58,7 @@
 }
 
 var hardDays = []hardDay{
-	{"four times a class while half of the machines are gone", true, usualTeams, []load{webs, batch, guest, gangs.times(1.5, 0, 240), batch.times(3, 100, 200)}, 0, func(w *standin.World, s int) {
+	{"four times a class while half of the machines are gone", true, usualTeams, []load{webs, batch, guest, gangs.times(1.5, 0, 240), batch.times(3, 100, 200)}, 0, func(w *emulator.World, s int) {
 		if s == 100 {
 			w.Cloud.Capacity(2)
 			for i, wk := range w.Cloud.Up() {
@@ -68,7 +68,7 @@
 			}
 		}
 	}},
-	{"the cloud is down after a zone died", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *standin.World, s int) {
+	{"the cloud is down after a zone died", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *emulator.World, s int) {
 		switch s {
 		case 100:
 			w.Cloud.SetOutage(true)
@@ -85,7 +85,7 @@
 	{"few huge arrays beside many", true, usualTeams, []load{webs, batch.times(2, 0, 260), {"huge", "red", wire.Array, wire.Low, 0.05, 0, 150, []int{200}, 1, 10}}, 0, nil},
 	{"thousands of one task", false, usualTeams, []load{webs, batch, {"dust", "guest", wire.Array, wire.Low, 8, 0, 260, []int{1}, 1, 6}}, 0, nil},
 	{"estimates wrong by three times", false, usualTeams, []load{webs, batch, guest, gangs.times(1.5, 0, 200)}, 3, nil},
-	{"the leader is late for a minute", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *standin.World, s int) {
+	{"the leader is late for a minute", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *emulator.World, s int) {
 		if s < 100 || s >= 160 {
 			return
 		}
@@ -96,7 +96,7 @@
 		}
 	}},
 	{"gangs of four among fragments", false, usualTeams, []load{webs.times(0.5, 0, 200), batch.times(2, 0, 260), {"sim", "red", wire.Gang, wire.High, 0.03, 20, 240, []int{4}, 9, 25}}, 0, nil},
-	{"all controllers end every minute", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *standin.World, s int) {
+	{"all controllers end every minute", false, usualTeams, []load{webs, batch, guest, gangs}, 0, func(w *emulator.World, s int) {
 		if s == 0 || s%60 != 0 {
 			return
 		}
@@ -121,7 +121,7 @@
 			continue
 		}
 		t.Run(d.name, func(t *testing.T) {
-			inWorldOf(t, uint64(i+1), d.teams, func(w *standin.World) { playHard(t, w, d, rand.New(rand.NewPCG(uint64(i), 5))) })
+			inWorldOf(t, uint64(i+1), d.teams, func(w *emulator.World) { playHard(t, w, d, rand.New(rand.NewPCG(uint64(i), 5))) })
 		})
 	}
 }
@@ -130,7 +130,7 @@
 // machines boot, fetch images and have edges.
 const possible = 0.7
 
-func playHard(t *testing.T, w *standin.World, d hardDay, rng *rand.Rand) {
+func playHard(t *testing.T, w *emulator.World, d hardDay, rng *rand.Rand) {
 	time.Sleep(hardFrom * time.Second)
 	n := 0
 	p := could{times: max(1, d.wrong)}
@@ -172,7 +172,7 @@
 	classes, teams := w.Referee.Served()
 	for _, of := range []struct {
 		what   string
-		counts map[string]*standin.Count
+		counts map[string]*emulator.Count
 		name   func(j asked) string
 	}{{"class", classes, func(j asked) string { return j.spec.Class }}, {"team", teams, func(j asked) string { return j.spec.Team }}} {
 		needJobs, needTasks := p.needs(of.name, true), p.needs(of.name, false)
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
 // These tests are of what a worker's word proves, and of machines that are heard and do not hear.
 
 // running counts the replicas of services 1 to n that are up.
-func upOf(w *standin.World, n int) (up int) {
+func upOf(w *emulator.World, n int) (up int) {
 	for k := 1; k <= n; k++ {
 		up += w.Referee.Running(wire.JobID(uint64(k)))
 	}
@@ -20,7 +20,7 @@
 }
 
 // wholeAgain waits until so many services of one replica run, and tells how long that took, at most a given time.
-func wholeAgain(w *standin.World, services int, most time.Duration) time.Duration {
+func wholeAgain(w *emulator.World, services int, most time.Duration) time.Duration {
 	began := time.Now()
 	for upOf(w, services) < services && time.Since(began) < most {
 		time.Sleep(100 * time.Millisecond)
@@ -36,7 +36,7 @@
 		for _, times := range []int{1, 3} {
 			for _, takeover := range []time.Duration{-1, 3300 * time.Millisecond} {
 				t.Run(fmt.Sprint(afresh, times, takeover), func(t *testing.T) {
-					inWorld(t, 31, func(w *standin.World) {
+					inWorld(t, 31, func(w *emulator.World) {
 						settle(w, 5)
 						if takeover >= 0 {
 							w.Restart(leaderOf(), 200*time.Millisecond)
@@ -67,7 +67,7 @@
 // TestCopyIsNoSign: copies of what machines said before they were gone, or cut off, prove nothing about now: neither for the leader that
 // heard the first of them, nor for the next one, to whom all numbers are new.
 func TestCopyIsNoSign(t *testing.T) {
-	flood := func(w *standin.World, reps []*wire.Report, until func() bool) {
+	flood := func(w *emulator.World, reps []*wire.Report, until func() bool) {
 		for !until() {
 			for _, r := range reps {
 				for i := range 3 {
@@ -79,7 +79,7 @@
 	}
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("gone, takeover ", takeover), func(t *testing.T) {
-			inWorld(t, 32, func(w *standin.World) {
+			inWorld(t, 32, func(w *emulator.World) {
 				settle(w, 5)
 				var reps []*wire.Report
 				for _, wk := range w.Cloud.Up() {
@@ -110,7 +110,7 @@
 		})
 	}
 	t.Run("cut off", func(t *testing.T) {
-		inWorld(t, 33, func(w *standin.World) {
+		inWorld(t, 33, func(w *emulator.World) {
 			settle(w, 6)
 			var reps []*wire.Report
 			for _, wk := range w.Cloud.Up() {
@@ -135,7 +135,7 @@
 		})
 	})
 	t.Run("never there", func(t *testing.T) {
-		inWorld(t, 34, func(w *standin.World) {
+		inWorld(t, 34, func(w *emulator.World) {
 			settle(w, 2)
 			rep := *w.Cloud.Up()[0].Sent()
 			rep.Machine, rep.Addr, rep.Tasks = "host-900000", "10.9.0.1:90", nil
@@ -167,9 +167,9 @@
 		{"a zone and a takeover", true, true, 45 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 35, func(w *standin.World) {
+			inWorld(t, 35, func(w *emulator.World) {
 				settle(w, 5) // the other zone has four such machines
-				var deaf []*standin.Worker
+				var deaf []*emulator.Worker
 				for _, wk := range w.Cloud.Up() {
 					if c.zone && wk.Zone == "b" || !c.zone && len(deaf) == 0 && w.Referee.Holds(wk.Name) {
 						wk.Deafen(true)
@@ -219,7 +219,7 @@
 func TestIsland(t *testing.T) {
 	for _, d := range []time.Duration{5 * time.Second, 70 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
-			inWorld(t, 36, func(w *standin.World) {
+			inWorld(t, 36, func(w *emulator.World) {
 				settle(w, 5)
 				first := leaderOf() // while there are idle machines
 				for k := range 3 {
@@ -277,7 +277,7 @@
 
 // zoneWithoutController has all controllers stand in zone a. Two services may run anywhere, three must in zone b, and arrays that may go anywhere fill the
 // rest of their machines, so that each machine of the zone holds something that may. It tells what holds work there.
-func zoneWithoutController(w *standin.World) (held []*standin.Worker) {
+func zoneWithoutController(w *emulator.World) (held []*emulator.Worker) {
 	for i := range 3 {
 		w.Crash(i)
 		w.House(i, "a")
@@ -307,7 +307,7 @@
 }
 
 // cutZoneB parts the workers of zone b from all nodes.
-func cutZoneB(w *standin.World, apart bool) {
+func cutZoneB(w *emulator.World, apart bool) {
 	for i := range 3 {
 		w.CutWorkers("b", i, apart)
 	}
@@ -324,7 +324,7 @@
 		to   time.Duration
 	}{{"all asked", false, 24 * time.Second, 34 * time.Second}, {"one away", true, 48 * time.Second, 62 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 37, func(w *standin.World) {
+			inWorld(t, 37, func(w *emulator.World) {
 				held := zoneWithoutController(w)
 				if len(held) < 3 {
 					t.Fatalf("%d machines of the zone hold work", len(held))
--- a/internal/controller/stand_test.go
+++ b/internal/controller/stand_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/replication/candidacy"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -32,7 +32,7 @@
 // lead through all later ends. Work goes on: nothing is started anew.
 func TestCrashLoop(t *testing.T) {
 	for k, back := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
-		inWorld(t, uint64(40+k), func(w *standin.World) {
+		inWorld(t, uint64(40+k), func(w *emulator.World) {
 			time.Sleep(6 * time.Second)
 			for n := 1; n <= 4; n++ {
 				w.Submit(web(n, 1, "small"))
@@ -64,10 +64,10 @@
 // TestAllFresh: where all processes are equally cold, or the others are gone or can't be heard of, a fresh one leads all the same.
 func TestAllFresh(t *testing.T) {
 	for name, c := range map[string]struct {
-		end    func(w *standin.World)
+		end    func(w *emulator.World)
 		within time.Duration
 	}{
-		"all end at once and are back one after the other": {func(w *standin.World) {
+		"all end at once and are back one after the other": {func(w *emulator.World) {
 			for i := range 3 {
 				w.Kill(i)
 			}
@@ -76,7 +76,7 @@
 				w.Start(i)
 			}
 		}, 600 * time.Millisecond},
-		"all end and one comes back": {func(w *standin.World) {
+		"all end and one comes back": {func(w *emulator.World) {
 			i := leaderOf()
 			for k := range 3 {
 				w.Kill(k)
@@ -84,7 +84,7 @@
 			time.Sleep(200 * time.Millisecond)
 			w.Start(i)
 		}, 1300 * time.Millisecond},
-		"the others are parted from it": {func(w *standin.World) {
+		"the others are parted from it": {func(w *emulator.World) {
 			i := leaderOf()
 			w.CutNode(i, (i+1)%3, true)
 			w.CutNode(i, (i+2)%3, true)
@@ -94,7 +94,7 @@
 		}, 1300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 50, func(w *standin.World) {
+			inWorld(t, 50, func(w *emulator.World) {
 				time.Sleep(6 * time.Second)
 				w.Submit(web(1, 1, "small"))
 				time.Sleep(20 * time.Second)
@@ -112,7 +112,7 @@
 // TestPartedFreshStandsBack: a fresh process that hears of nobody, since links are refused, leaves the lead to a warm one
 // that sees the same key go.
 func TestPartedFreshStandsBack(t *testing.T) {
-	inWorld(t, 51, func(w *standin.World) {
+	inWorld(t, 51, func(w *emulator.World) {
 		time.Sleep(10 * time.Second)
 		i := leaderOf()
 		w.CutNode(i, (i+1)%3, true)
@@ -126,7 +126,7 @@
 // TestGhostLead: a transaction that takes the lead for a process that has ended is carried out after the next one has read the log.
 // The key names a node that runs and does not lead; it ends that lease instead of everybody waiting for its end.
 func TestGhostLead(t *testing.T) {
-	inWorld(t, 54, func(w *standin.World) {
+	inWorld(t, 54, func(w *emulator.World) {
 		time.Sleep(10 * time.Second)
 		i := leaderOf()
 		var old oplog.Leader
@@ -141,7 +141,7 @@
 		if err := svc.Revoke(w.Context(), old.Lease); err != nil {
 			t.Fatal(err)
 		}
-		won, err := election.Acquire(w.Context(), svc, standin.NodeName((i+1)%3), slog.New(slog.DiscardHandler))
+		won, err := election.Acquire(w.Context(), svc, emulator.NodeName((i+1)%3), slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 // TestAskedBeforeItKnows: a process that has just begun, of which nobody noticed that the one before it ended, is asked at once.
 // It calls no job unknown, ends no worker's lease, and says when to come back.
 func TestAskedBeforeItKnows(t *testing.T) {
-	inWorld(t, 52, func(w *standin.World) {
+	inWorld(t, 52, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(web(1, 1, "small"))
 		time.Sleep(20 * time.Second)
@@ -196,7 +196,7 @@
 // TestInTouchWhenIdle: where nothing happens a follower is in touch with the state service all the same. By the age of
 // its replica it was not for a third of the time, and passed users on to others.
 func TestInTouchWhenIdle(t *testing.T) {
-	inWorld(t, 53, func(w *standin.World) {
+	inWorld(t, 53, func(w *emulator.World) {
 		time.Sleep(30 * time.Second)
 		n := nodeAt((leaderOf() + 1) % 3)
 		for range 100 {
@@ -217,7 +217,7 @@
 // TestTakeoverInParts: one silent machine with work does not keep what is urgent from its place: it is placed while the machine is
 // still asked, which takes more than a second. Every part of the takeover is known, in its order.
 func TestTakeoverInParts(t *testing.T) {
-	inWorld(t, 55, func(w *standin.World) {
+	inWorld(t, 55, func(w *emulator.World) {
 		settle(w, 5)
 		hangOne(w, 40*time.Second)
 		i := leaderOf()
@@ -255,7 +255,7 @@
 func TestTakeoverWithZoneCut(t *testing.T) {
 	defer func(n int) { probesAtOnce = n }(probesAtOnce)
 	probesAtOnce = 6
-	inWorldOf(t, 56, usualTeams, func(w *standin.World) {
+	inWorldOf(t, 56, usualTeams, func(w *emulator.World) {
 		w.Cloud.Capacity(20)
 		settle(w, 20)
 		first := leaderOf()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,8 +8,8 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -30,7 +30,7 @@
 }
 
 // tellKnown answers for a job that is known, once what is told is committed. What comes to pass while that is waited for is waited for too.
-func (n *Node) tellKnown(id model.JobID, send func(*peer.Reply)) bool {
+func (n *Node) tellKnown(id model.JobID, send func(*rpc.Reply)) bool {
 	seq, known := n.tellFrom(id)
 	if !known {
 		return false
@@ -83,7 +83,7 @@
 }
 
 // Status tells how a job is.
-func (n *Node) Status(ctx context.Context, id string) *peer.Reply {
+func (n *Node) Status(ctx context.Context, id string) *rpc.Reply {
 	num, ok := wire.JobNumber(id)
 	if !ok {
 		return api.Refuse(http.StatusNotFound, "no such job")
@@ -102,7 +102,7 @@
 	if final != nil {
 		return api.Encode(http.StatusOK, final)
 	}
-	if r, ok := n.byOthers(ctx, &peer.Call{Op: peer.OpStatus, ID: id}, leads, inTouch); ok {
+	if r, ok := n.byOthers(ctx, &rpc.Call{Op: rpc.OpStatus, ID: id}, leads, inTouch); ok {
 		return r
 	}
 	if leads {
@@ -111,7 +111,7 @@
 	return n.statusFromLog(ctx, model.JobID(num))
 }
 
-func (n *Node) statusHere(ctx context.Context, id string) *peer.Reply {
+func (n *Node) statusHere(ctx context.Context, id string) *rpc.Reply {
 	num, ok := wire.JobNumber(id)
 	if !ok {
 		return api.Refuse(http.StatusNotFound, "no such job")
@@ -119,7 +119,7 @@
 	if !n.lookIn(ctx, num) {
 		return noLeader
 	}
-	return n.inTurn(ctx, func(send func(*peer.Reply)) {
+	return n.inTurn(ctx, func(send func(*rpc.Reply)) {
 		id := model.JobID(num)
 		if n.role != nil && n.m.Finals[id] != 0 && n.m.FinalAt(id) <= n.role.committed {
 			send(api.Encode(http.StatusOK, n.status(id)))
@@ -137,7 +137,7 @@
 // statusFromLog answers from the replica. Whatever any node told a user was in
 // the log before; so a replica that has read the log after the request came
 // can't give an older answer.
-func (n *Node) statusFromLog(ctx context.Context, id model.JobID) *peer.Reply {
+func (n *Node) statusFromLog(ctx context.Context, id model.JobID) *rpc.Reply {
 	known := false
 	n.ask(func() { known = n.m.Jobs[id] != nil })
 	var in *oplog.Intake
@@ -151,7 +151,7 @@
 		n.log.Debug("can't catch up", "err", err)
 		return noLeader
 	}
-	return n.inTurn(ctx, func(send func(*peer.Reply)) {
+	return n.inTurn(ctx, func(send func(*rpc.Reply)) {
 		if n.role != nil || !n.loaded {
 			send(noLeader)
 			return
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -7,15 +7,15 @@
 
 	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/replication/oplog"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
 // This file takes jobs: as the leader into the log, and otherwise by passing them to the leader or by the intake.
 
 // Submit takes a job.
-func (n *Node) Submit(ctx context.Context, body []byte) *peer.Reply {
+func (n *Node) Submit(ctx context.Context, body []byte) *rpc.Reply {
 	if _, err := wire.PeekJobID(body); err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
 	}
@@ -23,7 +23,7 @@
 	if !leads && inTouch {
 		return n.submitBothWays(ctx, body)
 	}
-	if r, ok := n.byOthers(ctx, &peer.Call{Op: peer.OpSubmit, Body: body}, leads, inTouch); ok {
+	if r, ok := n.byOthers(ctx, &rpc.Call{Op: rpc.OpSubmit, Body: body}, leads, inTouch); ok {
 		return r
 	}
 	if leads {
@@ -37,12 +37,12 @@
 // off, which is not known for some seconds. A job that comes both ways is taken once,
 // since a record in the intake of a job that the log knows is dropped. The first final
 // answer counts.
-func (n *Node) submitBothWays(ctx context.Context, body []byte) *peer.Reply {
+func (n *Node) submitBothWays(ctx context.Context, body []byte) *rpc.Reply {
 	began := time.Now()
 	usual := time.Duration(n.usual.Load())
-	passed := make(chan *peer.Reply, 1)
+	passed := make(chan *rpc.Reply, 1)
 	go func() {
-		r, ok := n.passOn(ctx, &peer.Call{Op: peer.OpSubmit, Body: body}, quickly)
+		r, ok := n.passOn(ctx, &rpc.Call{Op: rpc.OpSubmit, Body: body}, quickly)
 		if took := time.Since(began); ok {
 			n.usual.Store(int64(usual + (took-usual)/4))
 		}
@@ -61,7 +61,7 @@
 		return n.submitToIntake(ctx, body)
 	case <-wait.C:
 	}
-	taken := make(chan *peer.Reply, 1)
+	taken := make(chan *rpc.Reply, 1)
 	go func() { taken <- n.submitToIntake(ctx, body) }()
 	select {
 	case r := <-passed:
@@ -84,17 +84,17 @@
 const soon = 60 * time.Millisecond
 
 // pendingResponse is the answer for a job that was accepted and of which nothing else is known.
-func pendingResponse(code int, num uint64) *peer.Reply {
+func pendingResponse(code int, num uint64) *rpc.Reply {
 	return api.Encode(code, &wire.JobStatus{ID: wire.JobID(num), State: wire.JobPending})
 }
 
-func (n *Node) submitHere(ctx context.Context, body []byte) *peer.Reply {
+func (n *Node) submitHere(ctx context.Context, body []byte) *rpc.Reply {
 	num, err := wire.PeekJobID(body)
 	if err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
 	}
 	spec, specErr := wire.ParseJob(body)
-	submit := func(send func(*peer.Reply)) { n.submit(model.JobID(num), spec, specErr, send) }
+	submit := func(send func(*rpc.Reply)) { n.submit(model.JobID(num), spec, specErr, send) }
 	r := n.inTurn(ctx, submit)
 	if isRefusal(r) {
 		// Another node may have taken it, as it was sent then, and this one not know yet.
@@ -107,11 +107,11 @@
 }
 
 // isRefusal tells whether an answer is final for a job that is not known: it is never given to one that was accepted.
-func isRefusal(r *peer.Reply) bool {
+func isRefusal(r *rpc.Reply) bool {
 	return r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity
 }
 
-func (n *Node) submit(id model.JobID, spec *wire.JobSpec, specErr error, send func(*peer.Reply)) {
+func (n *Node) submit(id model.JobID, spec *wire.JobSpec, specErr error, send func(*rpc.Reply)) {
 	if !n.active() {
 		send(noLeader)
 		return
@@ -132,7 +132,7 @@
 	}
 	if wait, ok := n.gate.Admit(n.now()); !ok {
 		n.stats.NotAdmitted.Inc()
-		send(&peer.Reply{Status: http.StatusTooManyRequests, RetryAfter: int(wait / time.Second), Body: overloaded.Body})
+		send(&rpc.Reply{Status: http.StatusTooManyRequests, RetryAfter: int(wait / time.Second), Body: overloaded.Body})
 		return
 	}
 	e := model.Accepted(spec, time.Now().UnixMilli())
@@ -140,7 +140,7 @@
 	n.dirty = true
 	n.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
 	told := false
-	tell := func(a *peer.Reply) {
+	tell := func(a *rpc.Reply) {
 		if !told {
 			told = true
 			send(a)
@@ -173,7 +173,7 @@
 const slowLog = 60 * time.Millisecond
 
 // refuse says why a job that is not known can't be taken, or nil.
-func (n *Node) refuse(spec *wire.JobSpec, specErr error) *peer.Reply {
+func (n *Node) refuse(spec *wire.JobSpec, specErr error) *rpc.Reply {
 	switch {
 	case specErr != nil:
 		return api.Refuse(http.StatusBadRequest, specErr.Error())
--- a/internal/controller/told_test.go
+++ b/internal/controller/told_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -18,7 +18,7 @@
 const closely = 3 * time.Millisecond
 
 // looking submits jobs, and looks at each closely right after it was accepted, after it was confirmed as cancelled, which some are at once, and after it ended.
-func looking(w *standin.World, rng *rand.Rand, first, jobs int, pause time.Duration) {
+func looking(w *emulator.World, rng *rand.Rand, first, jobs int, pause time.Duration) {
 	for n := first; n < first+jobs; n++ {
 		j := spec(n, wire.Array, 1, 1+4*rng.Float64())
 		j.CPUs, j.Priority = 0.25, wire.High
@@ -51,7 +51,7 @@
 }
 
 // partLinks has the controllers not reach each other, or ends that: each answers by the state service alone.
-func partLinks(w *standin.World, apart bool) {
+func partLinks(w *emulator.World, apart bool) {
 	for k := range 3 {
 		w.CutNode(k, (k+1)%3, apart)
 	}
@@ -65,18 +65,18 @@
 	for _, c := range []struct {
 		name  string
 		least int // close looks
-		begin func(w *standin.World, rng *rand.Rand) (end func())
+		begin func(w *emulator.World, rng *rand.Rand) (end func())
 	}{
-		{"no trouble", 200, func(*standin.World, *rand.Rand) func() { return func() {} }},
-		{"slow", 150, func(w *standin.World, _ *rand.Rand) func() {
+		{"no trouble", 200, func(*emulator.World, *rand.Rand) func() { return func() {} }},
+		{"slow", 150, func(w *emulator.World, _ *rand.Rand) func() {
 			w.State.SetSlow(250 * time.Millisecond)
 			return func() { w.State.SetSlow(3 * time.Millisecond) }
 		}},
-		{"by the log", 150, func(w *standin.World, _ *rand.Rand) func() {
+		{"by the log", 150, func(w *emulator.World, _ *rand.Rand) func() {
 			partLinks(w, true)
 			return func() { partLinks(w, false) }
 		}},
-		{"leaders refused and ended", 100, func(w *standin.World, rng *rand.Rand) func() {
+		{"leaders refused and ended", 100, func(w *emulator.World, rng *rand.Rand) func() {
 			for range 2 {
 				i := max(0, leaderOf())
 				w.RefuseState(i, true)
@@ -88,11 +88,11 @@
 			}
 			return func() {}
 		}},
-		{"answers lost", 100, func(w *standin.World, _ *rand.Rand) func() {
+		{"answers lost", 100, func(w *emulator.World, _ *rand.Rand) func() {
 			w.State.LoseAnswers(0.5)
 			return func() { w.State.LoseAnswers(0) }
 		}},
-		{"answers lost, by the log", 100, func(w *standin.World, _ *rand.Rand) func() {
+		{"answers lost, by the log", 100, func(w *emulator.World, _ *rand.Rand) func() {
 			w.State.LoseAnswers(0.4)
 			partLinks(w, true)
 			all := w.Cloud.Up()
@@ -110,7 +110,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			lost := map[string]int{}
-			meet(t, 1, 60, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+			meet(t, 1, 60, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 				settle(w, 2)
 				go looking(w, rand.New(rand.NewPCG(seed, 61)), 100, 30, 600*time.Millisecond)
 				end := c.begin(w, rng)
@@ -139,7 +139,7 @@
 // TestWrittenAndNotAnswered: the leader's write is carried out at once and only its answer is lost, while the other nodes read what it wrote. What they tell
 // of a job's acceptance, cancellation and end the leader does not contradict while it does not know. It called a job running that they called cancelled.
 func TestWrittenAndNotAnswered(t *testing.T) {
-	meet(t, 2, 66, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 2, 66, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 2)
 		lead := max(0, leaderOf())
 		running, ends := spec(100, wire.Array, 1, 500), spec(101, wire.Array, 1, 6)
@@ -207,7 +207,7 @@
 // TestCancelledAtTheEnd: users call off jobs at the moment of the end of their last task, with no other trouble; all ask and repeat the submission then. A job is
 // told to be done or cancelled, never both.
 func TestCancelledAtTheEnd(t *testing.T) {
-	meet(t, 1, 62, func(t *testing.T, w *standin.World, seed uint64, rng *rand.Rand) {
+	meet(t, 1, 62, func(t *testing.T, w *emulator.World, seed uint64, rng *rand.Rand) {
 		settle(w, 2)
 		w.CancelAtEnd(0.7)
 		var ids []string
@@ -247,7 +247,7 @@
 // TestOddRequests: what can't run, lacks a field or has a wrong one is refused for good, with one error that names the field, alike by the leader, by a follower that passes it
 // on, and by the intake; a job that was accepted is never told so, whatever is sent under its id, also while only the intake has it; a cancellation of one that is done says done.
 func TestOddRequests(t *testing.T) {
-	inWorld(t, 64, func(w *standin.World) {
+	inWorld(t, 64, func(w *emulator.World) {
 		settle(w, 1)
 		good := spec(10, wire.Array, 1, 2)
 		w.Submit(good)
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
+	"fieldhill/internal/adminapi"
 	"fieldhill/internal/model"
-	"fieldhill/internal/operate"
-	"fieldhill/internal/peer"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/explanation"
 	"fieldhill/internal/scheduling/pending"
 	"fieldhill/wire"
@@ -25,13 +25,13 @@
 )
 
 var (
-	opNoLeader = operate.Refuse(http.StatusServiceUnavailable, "no leader at the moment", 1)
-	opUnknown  = operate.Refuse(http.StatusNotFound, "no such job", 0)
-	opTooSoon  = operate.Refuse(http.StatusTooManyRequests, "another question is being answered", 1)
+	opNoLeader = adminapi.Refuse(http.StatusServiceUnavailable, "no leader at the moment", 1)
+	opUnknown  = adminapi.Refuse(http.StatusNotFound, "no such job", 0)
+	opTooSoon  = adminapi.Refuse(http.StatusTooManyRequests, "another question is being answered", 1)
 )
 
 // Why tells why a job waits.
-func (n *Node) Why(ctx context.Context, id string) *peer.Reply {
+func (n *Node) Why(ctx context.Context, id string) *rpc.Reply {
 	num, ok := wire.JobNumber(id)
 	if !ok {
 		return opUnknown
@@ -39,14 +39,14 @@
 	if leads, _ := n.standing(); leads {
 		return n.whyHere(ctx, model.JobID(num))
 	}
-	if r, ok := n.passOn(ctx, &peer.Call{Op: peer.OpWhy, ID: id}, answerWithin); ok && r.Status != http.StatusNotImplemented {
+	if r, ok := n.passOn(ctx, &rpc.Call{Op: rpc.OpWhy, ID: id}, answerWithin); ok && r.Status != http.StatusNotImplemented {
 		return r
 	}
-	return n.opInLoop(ctx, func() *peer.Reply { return n.whyWithoutLeader(model.JobID(num)) })
+	return n.opInLoop(ctx, func() *rpc.Reply { return n.whyWithoutLeader(model.JobID(num)) })
 }
 
 // Queue lists the jobs that wait.
-func (n *Node) Queue(ctx context.Context, f operate.Filter) *peer.Reply {
+func (n *Node) Queue(ctx context.Context, f adminapi.Filter) *rpc.Reply {
 	if leads, _ := n.standing(); leads {
 		return n.queueHere(ctx, f, math.MaxInt)
 	}
@@ -54,46 +54,46 @@
 	if err != nil {
 		return opNoLeader
 	}
-	if r, ok := n.passOn(ctx, &peer.Call{Op: peer.OpQueue, Body: body}, answerWithin); ok && r.Status != http.StatusNotImplemented {
+	if r, ok := n.passOn(ctx, &rpc.Call{Op: rpc.OpQueue, Body: body}, answerWithin); ok && r.Status != http.StatusNotImplemented {
 		return r
 	}
 	return opNoLeader
 }
 
 // Duties tells who holds which duty, as this node knows it.
-func (n *Node) Duties(ctx context.Context) *peer.Reply {
-	return n.opInLoop(ctx, func() *peer.Reply { return operate.Encode(http.StatusOK, n.tellDuties()) })
+func (n *Node) Duties(ctx context.Context) *rpc.Reply {
+	return n.opInLoop(ctx, func() *rpc.Reply { return adminapi.Encode(http.StatusOK, n.tellDuties()) })
 }
 
 // answerOperator answers another controller that was asked by an operator.
-func (n *Node) answerOperator(ctx context.Context, c *peer.Call) *peer.Reply {
+func (n *Node) answerOperator(ctx context.Context, c *rpc.Call) *rpc.Reply {
 	if leads, _ := n.standing(); !leads {
 		return opNoLeader
 	}
-	if c.Op == peer.OpWhy {
+	if c.Op == rpc.OpWhy {
 		if num, ok := wire.JobNumber(c.ID); ok {
 			return n.whyHere(ctx, model.JobID(num))
 		}
 		return opUnknown
 	}
-	var f operate.Filter
+	var f adminapi.Filter
 	if err := json.Unmarshal(c.Body, &f); err != nil || f.Most < 1 || f.Most > wire.MostQueued {
-		return operate.Refuse(http.StatusBadRequest, "malformed filter", 0)
+		return adminapi.Refuse(http.StatusBadRequest, "malformed filter", 0)
 	}
-	return n.queueHere(ctx, f, peer.MostBody)
+	return n.queueHere(ctx, f, rpc.MostBody)
 }
 
 // opInLoop has the loop answer; an answer that it is too busy for is put into the operators' words.
-func (n *Node) opInLoop(ctx context.Context, f func() *peer.Reply) *peer.Reply {
-	r := n.inLoop(ctx, func(send func(*peer.Reply)) { send(f()) })
+func (n *Node) opInLoop(ctx context.Context, f func() *rpc.Reply) *rpc.Reply {
+	r := n.inLoop(ctx, func(send func(*rpc.Reply)) { send(f()) })
 	if r != nil && r.Status == http.StatusServiceUnavailable {
-		return operate.Refuse(http.StatusServiceUnavailable, "this controller is busy, or has no leader", 1)
+		return adminapi.Refuse(http.StatusServiceUnavailable, "this controller is busy, or has no leader", 1)
 	}
 	return r
 }
 
 // whyWithoutLeader answers from the replica, and says how old that is.
-func (n *Node) whyWithoutLeader(id model.JobID) *peer.Reply {
+func (n *Node) whyWithoutLeader(id model.JobID) *rpc.Reply {
 	j := n.m.Jobs[id]
 	switch {
 	case !n.loaded || j == nil && n.m.Finals[id] == 0:
@@ -104,10 +104,10 @@
 	return n.opTold(id, &explanation.Account{Waiting: j.Waiting()}, []pending.Reason{{Code: pending.NoLeader}})
 }
 
-func (n *Node) opTold(id model.JobID, a *explanation.Account, around []pending.Reason) *peer.Reply {
+func (n *Node) opTold(id model.JobID, a *explanation.Account, around []pending.Reason) *rpc.Reply {
 	e := n.header(id)
 	tell(e, n.m.Jobs[id], a, around)
-	return operate.Encode(http.StatusOK, e)
+	return adminapi.Encode(http.StatusOK, e)
 }
 
 // header begins an explanation; it is for the loop.
@@ -128,7 +128,7 @@
 }
 
 // whyHere answers as the leader.
-func (n *Node) whyHere(ctx context.Context, id model.JobID) *peer.Reply {
+func (n *Node) whyHere(ctx context.Context, id model.JobID) *rpc.Reply {
 	if !n.explaining.CompareAndSwap(false, true) {
 		return opTooSoon
 	}
@@ -140,7 +140,7 @@
 	var sc explanation.Scene
 	var around []pending.Reason
 	var e *wire.Explanation
-	r := n.opInLoop(ctx, func() *peer.Reply {
+	r := n.opInLoop(ctx, func() *rpc.Reply {
 		j := n.m.Jobs[id]
 		switch {
 		case n.role == nil:
@@ -148,7 +148,7 @@
 		case j == nil && n.m.Finals[id] == 0:
 			return opUnknown
 		case j != nil && j.AcceptSeq > n.role.committed, n.m.FinalAt(id) > n.role.committed:
-			return operate.Refuse(http.StatusServiceUnavailable, "the log does not have it yet", 1)
+			return adminapi.Refuse(http.StatusServiceUnavailable, "the log does not have it yet", 1)
 		case j == nil:
 			return n.opTold(id, &explanation.Account{}, nil)
 		}
@@ -161,12 +161,12 @@
 		return r
 	}
 	tell(e, sc.Model.Jobs[id], explanation.Explain(sc, id, explainRounds), around)
-	return operate.Encode(http.StatusOK, e)
+	return adminapi.Encode(http.StatusOK, e)
 }
 
 // queueHere answers as the leader, in most bytes.
-func (n *Node) queueHere(ctx context.Context, f operate.Filter, most int) *peer.Reply {
-	return n.opInLoop(ctx, func() *peer.Reply {
+func (n *Node) queueHere(ctx context.Context, f adminapi.Filter, most int) *rpc.Reply {
+	return n.opInLoop(ctx, func() *rpc.Reply {
 		if !n.active() {
 			return opNoLeader
 		}
@@ -200,9 +200,9 @@
 }
 
 // fitQueue encodes a queue in most bytes: the jobs that don't fit are counted, as those beyond the filter's number are.
-func fitQueue(q *wire.Queue, most int) *peer.Reply {
+func fitQueue(q *wire.Queue, most int) *rpc.Reply {
 	for {
-		r := operate.Encode(http.StatusOK, q)
+		r := adminapi.Encode(http.StatusOK, q)
 		if len(r.Body) <= most || len(q.Jobs) == 0 {
 			return r
 		}
--- a/internal/controller/why_test.go
+++ b/internal/controller/why_test.go
@@ -9,17 +9,17 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
 // askOp asks a node on its operators' address.
-func askOp(w *standin.World, i int, path string, out any) (status int, err error) {
+func askOp(w *emulator.World, i int, path string, out any) (status int, err error) {
 	h := w.Net.Host("operator")
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
 		return h.Dial(ctx, a, time.Second)
 	}}}
-	resp, err := c.Get("http://" + operateOf(standin.NodeName(i)) + path)
+	resp, err := c.Get("http://" + operateOf(emulator.NodeName(i)) + path)
 	if err != nil {
 		return 0, err
 	}
@@ -30,7 +30,7 @@
 	return resp.StatusCode, json.NewDecoder(resp.Body).Decode(out)
 }
 
-func askWhy(w *standin.World, i int, id string) (*wire.Explanation, int) {
+func askWhy(w *emulator.World, i int, id string) (*wire.Explanation, int) {
 	var e wire.Explanation
 	code, err := askOp(w, i, wire.PathOpJobs+"/"+id+wire.WhySuffix, &e)
 	if err != nil {
@@ -51,7 +51,7 @@
 // TestWhyAJobWaits: the leader and the others say why, the same; a reason that changes is told
 // anew; nothing that is asked starts or stops anything; and without a leader that is the reason.
 func TestWhyAJobWaits(t *testing.T) {
-	inWorld(t, 31, func(w *standin.World) {
+	inWorld(t, 31, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		big := web(1, 4)
 		big.Tasks = 5 // 20 of the team's 24 CPUs
@@ -78,7 +78,7 @@
 			if e.Waiting != 1 || limit == nil || limit.Used != 24 || limit.Limit != 24 || limit.Need != 4 || limit.Of != "CPUs" || limit.Number != 2 || limit.First != big.ID {
 				t.Errorf("node %d: %+v", (leader+k)%3, e)
 			}
-			if len(e.Past) == 0 || e.Past[0].Code != "team-limit" || e.Past[0].SinceS < 8 || e.Past[0].SinceS > 20 || e.AgeS != 0 || e.Node != standin.NodeName(leader) {
+			if len(e.Past) == 0 || e.Past[0].Code != "team-limit" || e.Past[0].SinceS < 8 || e.Past[0].SinceS > 20 || e.AgeS != 0 || e.Node != emulator.NodeName(leader) {
 				t.Errorf("node %d tells of the past: %+v", (leader+k)%3, e)
 			}
 			if _, code := askWhy(w, leader, more.ID); code != 429 {
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,19 +11,19 @@
 	"fieldhill/internal/api"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/replication/candidacy"
+	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/autoscaler"
 	"fieldhill/wire"
 )
 
 // Report takes a worker's report.
-func (n *Node) Report(ctx context.Context, r *wire.Report) *peer.Reply {
+func (n *Node) Report(ctx context.Context, r *wire.Report) *rpc.Reply {
 	if a := n.passReport(ctx, r); a != nil {
 		return a
 	}
-	return n.inLoop(ctx, func(send func(*peer.Reply)) {
+	return n.inLoop(ctx, func(send func(*rpc.Reply)) {
 		if n.role != nil {
 			n.reportToLeader(r, relay.Leader, send)
 			return
@@ -33,7 +33,7 @@
 }
 
 // reportToLeader takes a report that came to this node, or through another one, by its index in the table of seats.
-func (n *Node) reportToLeader(r *wire.Report, node int, send func(*peer.Reply)) {
+func (n *Node) reportToLeader(r *wire.Report, node int, send func(*rpc.Reply)) {
 	mc := n.m.ByName[r.Machine]
 	switch {
 	case r.Token >= n.m.TermBase+1<<termBits:
@@ -91,7 +91,7 @@
 }
 
 // tellMachine is the answer to the report of a machine that was taken in.
-func (n *Node) tellMachine(mc *model.Machine) *peer.Reply {
+func (n *Node) tellMachine(mc *model.Machine) *rpc.Reply {
 	if !n.mayRenew() {
 		return api.Later("no leader at the moment", 1)
 	}
@@ -102,7 +102,7 @@
 // heardOfSuspect takes the report of a machine whose lease is to run out. Before it is answered, which renews the lease, the
 // suspicion is taken back by an entry; and that is done only if the machine answers now: a copy of a report from before the cut, or
 // the word of one that hears nothing, would begin the count anew, again and again.
-func (n *Node) heardOfSuspect(mc *model.Machine, r *wire.Report, send func(*peer.Reply)) {
+func (n *Node) heardOfSuspect(mc *model.Machine, r *wire.Report, send func(*rpc.Reply)) {
 	if mc.Reported {
 		n.observe(mc, r, nil) // what it proves by its numbers, it proves all the same
 	}
@@ -120,7 +120,7 @@
 
 // meet takes the report of a machine that nobody knows: a rental whose answer was lost, or a copy from one that is long gone. It
 // counts as a machine once it answers, or the cloud lists it.
-func (n *Node) meet(r *wire.Report, send func(*peer.Reply)) {
+func (n *Node) meet(r *wire.Report, send func(*rpc.Reply)) {
 	ro := n.role
 	later := api.Later("this machine is not known", 1)
 	if len(ro.strangers) >= n.asksMost || ro.strangers[r.Machine] {
@@ -274,7 +274,7 @@
 }
 
 // reportToOther answers a worker when another node leads, or none.
-func (n *Node) reportToOther(r *wire.Report) *peer.Reply {
+func (n *Node) reportToOther(r *wire.Report) *rpc.Reply {
 	now := time.Now()
 	if !n.loaded {
 		return api.Encode(http.StatusMisdirectedRequest, &wire.Redirect{})
@@ -313,7 +313,7 @@
 // stopped, and what this node can't know of any more is why it ends after a
 // bound: a job cancelled after the log was last read here still loses its tasks
 // in time when the leases then run out.
-func (n *Node) keepAlive(r *wire.Report) *peer.Reply {
+func (n *Node) keepAlive(r *wire.Report) *rpc.Reply {
 	if mc := n.m.ByName[r.Machine]; mc != nil && (mc.Suspect || n.startMayCome(mc, r)) {
 		return api.Later("its lease is to run out", 1)
 	}
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -20,13 +20,13 @@
 	"time"
 
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
+	"fieldhill/internal/metrics"
 	"fieldhill/internal/model"
-	"fieldhill/internal/peer"
 	"fieldhill/internal/platform/host"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/replication/oplog"
-	"fieldhill/internal/standin"
-	"fieldhill/internal/stats"
+	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
@@ -48,14 +48,14 @@
 	synctest.Wait()
 	running.mu.Lock()
 	defer running.mu.Unlock()
-	if n := running.all[standin.NodeName(i)]; n != nil && n.ctx.Err() == nil {
+	if n := running.all[emulator.NodeName(i)]; n != nil && n.ctx.Err() == nil {
 		return n
 	}
 	return nil
 }
 
 // freeze has a node stand still for a while: its network and its loop.
-func freeze(w *standin.World, i int, d time.Duration) {
+func freeze(w *emulator.World, i int, d time.Duration) {
 	w.Freeze(i, d)
 	if n := nodeAt(i); n != nil {
 		go n.post(func() { time.Sleep(d) })
@@ -92,7 +92,7 @@
 
 func operateOf(node string) string { return "10.5.0." + node[1:] + ":80" }
 
-func controller(t *testing.T) standin.Controller {
+func controller(t *testing.T) emulator.Controller {
 	var out io.Writer = io.Discard
 	level := slog.LevelInfo
 	if os.Getenv("LOG_LEVEL") != "" {
@@ -120,13 +120,13 @@
 }
 
 // inWorld runs f in a world with started nodes and then demands that no rule was broken.
-func inWorld(t *testing.T, seed uint64, f func(w *standin.World)) { inWorldOf(t, seed, nil, f) }
+func inWorld(t *testing.T, seed uint64, f func(w *emulator.World)) { inWorldOf(t, seed, nil, f) }
 
 // inWorldOf does so with other teams than usual.
-func inWorldOf(t *testing.T, seed uint64, teams []config.Team, f func(w *standin.World)) {
+func inWorldOf(t *testing.T, seed uint64, teams []config.Team, f func(w *emulator.World)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		w := standin.New(ctx, 3, seed, controller(t))
+		w := emulator.New(ctx, 3, seed, controller(t))
 		if teams != nil {
 			w.SetTeams(teams)
 		}
@@ -159,7 +159,7 @@
 }
 
 // settle waits until a node leads, submits services of three CPUs, and waits until they run.
-func settle(w *standin.World, services int) {
+func settle(w *emulator.World, services int) {
 	time.Sleep(6 * time.Second)
 	for n := 1; n <= services; n++ {
 		w.Submit(web(n, 3, "small"))
@@ -168,7 +168,7 @@
 }
 
 // hangOne has a machine with work hang for a while, and returns it.
-func hangOne(w *standin.World, d time.Duration) *standin.Worker {
+func hangOne(w *emulator.World, d time.Duration) *emulator.Worker {
 	for _, wk := range w.Cloud.Up() {
 		if w.Referee.Holds(wk.Name) {
 			wk.Hang(d)
@@ -179,14 +179,14 @@
 }
 
 // waitToRun waits until a task of a job runs, or a minute has passed since it began.
-func waitToRun(w *standin.World, id string, began time.Time) {
+func waitToRun(w *emulator.World, id string, began time.Time) {
 	for w.Referee.Running(id) == 0 && time.Since(began) < time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 // waitFor polls a job until it is in a state.
-func waitFor(t *testing.T, w *standin.World, id, state string, within time.Duration) {
+func waitFor(t *testing.T, w *emulator.World, id, state string, within time.Duration) {
 	t.Helper()
 	end := time.Now().Add(within)
 	for {
@@ -202,7 +202,7 @@
 }
 
 func TestQuietDay(t *testing.T) {
-	inWorld(t, 1, func(w *standin.World) {
+	inWorld(t, 1, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		if c := w.Submit(spec(1, wire.Array, 12, 5)); c != 201 {
 			t.Errorf("submission got %d", c)
@@ -251,7 +251,7 @@
 // TestAllControllersLost: a job that was accepted runs although every process
 // that knew of it is gone, and a final state is kept.
 func TestAllControllersLost(t *testing.T) {
-	inWorld(t, 2, func(w *standin.World) {
+	inWorld(t, 2, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(1, wire.Array, 6, 4))
 		waitFor(t, w, "req-000001", wire.JobDone, time.Minute)
@@ -272,7 +272,7 @@
 // TestStateOutage: running work stays alive while the state service is down for
 // most of a worker's lease, and no submission is held back meanwhile.
 func TestStateOutage(t *testing.T) {
-	inWorld(t, 3, func(w *standin.World) {
+	inWorld(t, 3, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		s := spec(1, wire.Service, 4, 0)
 		s.Priority, s.Class = wire.Production, "web"
@@ -304,7 +304,7 @@
 // TestHungMachine: tasks of a machine that says nothing run elsewhere once it is
 // evidently gone, and a machine that returns does not run them twice.
 func TestHungMachine(t *testing.T) {
-	inWorld(t, 4, func(w *standin.World) {
+	inWorld(t, 4, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(1, wire.Array, 16, 25))
 		waitFor(t, w, "req-000001", wire.JobRunning, time.Minute)
@@ -322,14 +322,14 @@
 // soon as under one leader, since the new one asks it. It used to be left six seconds
 // more, in which its replicas were down.
 func TestHungMachineAtTakeover(t *testing.T) {
-	inWorld(t, 25, func(w *standin.World) {
+	inWorld(t, 25, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		for n := 1; n <= 6; n++ {
 			s := web(n, 2, "small")
 			w.Submit(s)
 		}
 		time.Sleep(40 * time.Second)
-		var hung *standin.Worker
+		var hung *emulator.Worker
 		for _, wk := range w.Cloud.Up() {
 			if w.Referee.Holds(wk.Name) {
 				hung = wk
@@ -351,7 +351,7 @@
 // TestFaultyMachine: a machine that fails whatever it starts gets no more work
 // and is returned; a job that fails everywhere harms nobody.
 func TestFaultyMachine(t *testing.T) {
-	inWorld(t, 5, func(w *standin.World) {
+	inWorld(t, 5, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(1, wire.Array, 4, 3))
 		waitFor(t, w, "req-000001", wire.JobDone, time.Minute)
@@ -378,15 +378,15 @@
 // themselves: only the machine that really is faulty is returned, other work goes on,
 // and they are tried seldom. Two such jobs used to cost every machine that they met.
 func TestFaultyJobs(t *testing.T) {
-	inWorld(t, 19, func(w *standin.World) {
+	inWorld(t, 19, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		web := spec(1, wire.Service, 3, 0)
 		web.Priority, web.Class = wire.Production, "web"
 		w.Submit(web)
 		w.Submit(spec(2, wire.Array, 12, 3))
 		waitFor(t, w, "req-000002", wire.JobDone, time.Minute)
-		var serving []*standin.Worker // they stay, unless they are distrusted
-		var sick *standin.Worker
+		var serving []*emulator.Worker // they stay, unless they are distrusted
+		var sick *emulator.Worker
 		for _, wk := range w.Cloud.Up() {
 			if w.Referee.Holds(wk.Name) {
 				serving = append(serving, wk)
@@ -439,7 +439,7 @@
 // when it goes on it does nothing as a leader: no machine is given up for the silence
 // that it slept through, and no replica is lost.
 func TestFrozenLeader(t *testing.T) {
-	inWorld(t, 20, func(w *standin.World) {
+	inWorld(t, 20, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		for n := 1; n <= 6; n++ {
 			s := web(n, 3, "small")
@@ -447,7 +447,7 @@
 		}
 		time.Sleep(40 * time.Second)
 		starts := w.Referee.Starts()
-		var busy []*standin.Worker
+		var busy []*emulator.Worker
 		for _, wk := range w.Cloud.Up() {
 			if w.Referee.Holds(wk.Name) {
 				busy = append(busy, wk)
@@ -490,7 +490,7 @@
 // others' submissions and services don't suffer, its work gets on, and it alone can't
 // fill the room for unfinished tasks.
 func TestGuests(t *testing.T) {
-	inWorld(t, 24, func(w *standin.World) {
+	inWorld(t, 24, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		huge := spec(1, wire.Array, 60_000, 20)
 		huge.Team, huge.CPUs, huge.MemoryGB, huge.Spot = "guest", 0.5, 0.5, true
@@ -549,7 +549,7 @@
 // TestBootTrouble: machines that are up before the cloud has answered are adopted once;
 // those that never come up are replaced and returned, and work goes on.
 func TestBootTrouble(t *testing.T) {
-	inWorld(t, 22, func(w *standin.World) {
+	inWorld(t, 22, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Cloud.Boots(0.001, 0)
 		for n := 1; n <= 4; n++ {
@@ -583,7 +583,7 @@
 // TestLateDeletion: a deletion that one leader decided, and that is carried out under
 // the next, ends no work: the log has it, and the machine is given none.
 func TestLateDeletion(t *testing.T) {
-	inWorld(t, 21, func(w *standin.World) {
+	inWorld(t, 21, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(1, wire.Array, 40, 4))
 		waitFor(t, w, "req-000001", wire.JobDone, 2*time.Minute)
@@ -607,7 +607,7 @@
 }
 
 // onlyReach has the workers reach one node only, or ends that.
-func onlyReach(w *standin.World, node int, apart bool) {
+func onlyReach(w *emulator.World, node int, apart bool) {
 	for k := range 3 {
 		if k != node {
 			cutWorkers(w, k, apart)
@@ -616,14 +616,14 @@
 }
 
 // cutWorkers parts the workers of both zones from a node.
-func cutWorkers(w *standin.World, node int, apart bool) {
+func cutWorkers(w *emulator.World, node int, apart bool) {
 	w.CutWorkers("a", node, apart)
 	w.CutWorkers("b", node, apart)
 }
 
 // cutZone parts zone b from nodes 0 and 2, which are in zone a: node 1, which it holds,
 // and its workers.
-func cutZone(w *standin.World, apart bool) {
+func cutZone(w *emulator.World, apart bool) {
 	w.CutNode(0, 1, apart)
 	w.CutNode(1, 2, apart)
 	w.CutWorkers("b", 0, apart)
@@ -633,7 +633,7 @@
 // TestCutZone: workers that can't reach the leader, but another node, keep
 // running; a job cancelled meanwhile loses its tasks there in time.
 func TestCutZone(t *testing.T) {
-	inWorld(t, 6, func(w *standin.World) {
+	inWorld(t, 6, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		for n := 1; n <= 4; n++ {
 			s := spec(n, wire.Service, 2, 0)
@@ -687,12 +687,12 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			*relayOver = max(usual, int(seed%3)*2) // two days of three with relays
 			compactEvery, oneByOne = int(seed%2)*10, seed%4 >= 2 || *each
-			inWorld(t, seed, func(w *standin.World) { randomDay(t, w, rand.New(rand.NewPCG(seed, 9))) })
+			inWorld(t, seed, func(w *emulator.World) { randomDay(t, w, rand.New(rand.NewPCG(seed, 9))) })
 		})
 	}
 }
 
-func randomDay(t *testing.T, w *standin.World, rng *rand.Rand) {
+func randomDay(t *testing.T, w *emulator.World, rng *rand.Rand) {
 	calm := moreTrouble(w, rand.New(rand.NewPCG(rng.Uint64(), 10)))
 	w.Trouble(0.1, 20*time.Second)
 	w.State.Limit(w.Params.State.RPS, w.Params.State.WriteRPS) // what a process used up is missing to the next one
@@ -820,7 +820,7 @@
 }
 
 // endWell demands that all ends well once all troubles are over: nobody is forgotten, and once all jobs are cancelled nothing is left behind.
-func endWell(t *testing.T, w *standin.World, open []string) {
+func endWell(t *testing.T, w *emulator.World, open []string) {
 	w.Referee.Calm()
 	for range 20 { // nobody is forgotten, and none waits for long: each job is asked about, as users do
 		for _, id := range open {
@@ -864,7 +864,7 @@
 // moreTrouble begins what goes on beside a random day: machines whose reports arrive while nothing reaches them, one or a zone; copies
 // of reports, from seconds to twice a lease late; a controller that loses the state service and the others but not its workers; and
 // machines that are back under their names within a moment. It returns what ends all of it.
-func moreTrouble(w *standin.World, rng *rand.Rand) (calm func()) {
+func moreTrouble(w *emulator.World, rng *rand.Rand) (calm func()) {
 	var over atomic.Bool
 	if rng.IntN(2) == 0 {
 		w.Copies(0.05+0.3*rng.Float64(), time.Duration(2+rng.IntN(2*int(w.Params.Workers.LeaseS)))*time.Second)
@@ -916,7 +916,7 @@
 // takes what is left over, so that a submission finds the log free. The log used
 // to be written as often as the state service allows, at any load.
 func TestLogLeavesRoom(t *testing.T) {
-	inWorld(t, 11, func(w *standin.World) {
+	inWorld(t, 11, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		for i := range 6 {
 			w.Submit(spec(100+i, wire.Array, 60, 3))
@@ -945,7 +945,7 @@
 // election of the next one. Each used to read the log's end for itself, and the
 // election waited behind them in this node's share of the state service's rate.
 func TestElectionUnderPolls(t *testing.T) {
-	inWorld(t, 12, func(w *standin.World) {
+	inWorld(t, 12, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		for i := range 40 {
 			s := web(300+i, 0.1)
@@ -986,7 +986,7 @@
 // TestSlowStateService: with a slow state service a submission does not wait for
 // the batch under way and then for its own, and no job is lost or taken twice.
 func TestSlowStateService(t *testing.T) {
-	inWorld(t, 13, func(w *standin.World) {
+	inWorld(t, 13, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(400, wire.Array, 40, 2)) // keeps the log busy
 		time.Sleep(20 * time.Second)
@@ -1029,7 +1029,7 @@
 // deleted again; in a flood of tiny jobs that came by the intake, these deletions took
 // the log's share of the state service for a minute and longer.
 func TestIntakeIsEmptiedOnce(t *testing.T) {
-	inWorld(t, 23, func(w *standin.World) {
+	inWorld(t, 23, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		n := nodeAt(leaderOf())
 		var all []oplog.Intake
@@ -1065,12 +1065,12 @@
 // TestEndNotToldEarly: a job that is cancelled while its acceptance is being written is not
 // called cancelled to one who asked before, until the log has that too.
 func TestEndNotToldEarly(t *testing.T) {
-	inWorld(t, 25, func(w *standin.World) {
+	inWorld(t, 25, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.State.SetSlow(200 * time.Millisecond)
 		n, s := nodeAt(leaderOf()), spec(1, wire.Array, 1, 500)
 		var told []uint64 // of the cancellation: what the log had then
-		tell := func(r *peer.Reply) {
+		tell := func(r *rpc.Reply) {
 			if bytes.Contains(r.Body, []byte(wire.JobCancelled)) {
 				told = append(told, n.role.committed)
 			}
@@ -1096,7 +1096,7 @@
 // TestBalancer: what stands between users and controllers where the service is tried out
 // passes over a controller that has ended, and lets the referee see the answers.
 func TestBalancer(t *testing.T) {
-	inWorld(t, 26, func(w *standin.World) {
+	inWorld(t, 26, func(w *emulator.World) {
 		const at = "10.3.0.1:80"
 		if err := w.Balance(w.Context(), at); err != nil {
 			t.Fatal(err)
@@ -1131,7 +1131,7 @@
 // TestCountersPage: the operators' page of a leader tells who leads, what it has and how
 // many requests it answered, and a follower's agrees on the jobs.
 func TestCountersPage(t *testing.T) {
-	inWorld(t, 27, func(w *standin.World) {
+	inWorld(t, 27, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		w.Submit(spec(1, wire.Array, 3, 500))
 		w.Submit(spec(2, wire.Array, 2, 500))
@@ -1146,7 +1146,7 @@
 			c := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
 				return h.Dial(ctx, a, time.Second)
 			}}}
-			resp, err := c.Get("http://" + metricsOf(standin.NodeName(i)) + stats.Path)
+			resp, err := c.Get("http://" + metricsOf(emulator.NodeName(i)) + metrics.Path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -1177,7 +1177,7 @@
 // TestStopsWhileAsked: who has asked the loop for something reads it only when the loop has
 // written it, or never will, also when the node stops meanwhile.
 func TestStopsWhileAsked(t *testing.T) {
-	inWorld(t, 24, func(w *standin.World) {
+	inWorld(t, 24, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		n, got := nodeAt(0), 0
 		go func() {
@@ -1202,7 +1202,7 @@
 // goes on for the bound and ends with its workers' leases; then, and not before, it
 // starts elsewhere, and the machines are of use again after the cut.
 func TestZoneCutFromEverything(t *testing.T) {
-	inWorld(t, 14, func(w *standin.World) {
+	inWorld(t, 14, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		zone := "b"
 		for n := 1; n <= 7; n++ { // a machine each; three must stay in zone b
@@ -1249,7 +1249,7 @@
 // TestCutZoneIsKept: a leader that is elected during the cut does not return the
 // machines of the zone, which are empty by the log and have not reported to it.
 func TestCutZoneIsKept(t *testing.T) {
-	inWorld(t, 15, func(w *standin.World) {
+	inWorld(t, 15, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		zone := "b"
 		for n := 1; n <= 4; n++ {
@@ -1293,7 +1293,7 @@
 // what users ask to the one that leads now. It used to refuse everything until it
 // read the log again, while the balancer went on sending users to it.
 func TestLeaderCutFromState(t *testing.T) {
-	inWorld(t, 16, func(w *standin.World) {
+	inWorld(t, 16, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		s := spec(1, wire.Service, 2, 0)
 		s.Priority, s.Class = wire.Production, "web"
@@ -1336,7 +1336,7 @@
 	usual := *relayOver
 	defer func() { *relayOver = usual }()
 	*relayOver = 0 // with relays it need not hand over: TestRelays
-	inWorld(t, 17, func(w *standin.World) {
+	inWorld(t, 17, func(w *emulator.World) {
 		time.Sleep(6 * time.Second)
 		onePerMachine(w)
 		time.Sleep(40 * time.Second)
@@ -1373,7 +1373,7 @@
 // TestNewLeaderAsks: a new leader hears of the machines with work by asking them, and
 // so places new work long before all their workers have found it.
 func TestNewLeaderAsks(t *testing.T) {
-	inWorld(t, 18, func(w *standin.World) {
+	inWorld(t, 18, func(w *emulator.World) {
 		settle(w, 5)
 		for i := range 3 { // one of them leads
 			w.Crash(i)
@@ -1394,7 +1394,7 @@
 // TestNewLeaderAsksInVain: one machine with work that says nothing does not keep a new leader from
 // placing new work for a whole report period (8.0 s after the crash).
 func TestNewLeaderAsksInVain(t *testing.T) {
-	inWorld(t, 18, func(w *standin.World) {
+	inWorld(t, 18, func(w *emulator.World) {
 		settle(w, 5)
 		hangOne(w, time.Hour)
 		i := leaderOf()
--- a/internal/standin/net.go
+++ b/internal/emulator/net.go
@@ -3,7 +3,7 @@
 // virtual time; it delays, loses, reorders and refuses as the protocol allows. A referee watches
 // every task and keeps a list of broken rules; it is a slow, plain reading of
 // the protocol and shares no logic with the service.
-package standin
+package emulator
 
 import (
 	"bytes"
--- a/internal/stats/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"fmt"
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,7 +1,7 @@
 // Package stats owns a node's counters and latency histograms, and the page on which an
 // operator reads them. Counting takes no lock that a reader of the page holds for long,
 // and nothing is named after jobs, classes or machines, so that the page stays small.
-package stats
+package metrics
 
 import (
 	"net/http"
--- a/internal/model/check_test.go
+++ b/internal/model/check_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"fieldhill/internal/agents/staleness"
-	"fieldhill/internal/check"
+	"fieldhill/internal/testing/modelcheck"
 	"fieldhill/wire"
 )
 
@@ -172,11 +172,11 @@
 	return cmds
 }
 
-func (w sight) Steps() (list []check.Step) {
+func (w sight) Steps() (list []modelcheck.Step) {
 	step := func(name string, f func(w *sight)) {
 		n := w.clone()
 		f(&n)
-		list = append(list, check.Step{Name: name, To: n})
+		list = append(list, modelcheck.Step{Name: name, To: n})
 	}
 	mc, j := w.m.Order[0], w.m.Jobs[7]
 	if w.waits == 0 && len(w.reports) < 3 {
@@ -396,7 +396,7 @@
 	} {
 		w := walk(t, sightOf(t, c.slip), c.from...)
 		w.relay = c.relay
-		r := check.Explore(w, c.depth, c.most)
+		r := modelcheck.Explore(w, c.depth, c.most)
 		if found := r.Broken != ""; found != (c.slip != right) {
 			t.Errorf("slip %d: %s", c.slip, r)
 		} else {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -8,13 +8,13 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"fieldhill/internal/bubble"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
+	"fieldhill/internal/testing/virtualtime"
 	"fieldhill/wire"
 )
 
-func TestMain(m *testing.M) { bubble.Drawn(m, 300) }
+func TestMain(m *testing.M) { virtualtime.Drawn(m, 300) }
 
 func params() *config.Params {
 	return &config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUsMax: 6}, {Name: "blue"}}}
--- a/internal/peer/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package peer
-
-import (
-	"testing"
-
-	"fieldhill/internal/bubble"
-)
-
-func TestMain(m *testing.M) { bubble.Main(m) }
--- a/internal/platform/agent/worker_test.go
+++ b/internal/platform/agent/worker_test.go
@@ -11,13 +11,13 @@
 	"testing/synctest"
 	"time"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/host"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/testing/virtualtime"
 	"fieldhill/wire"
 )
 
-func TestMain(m *testing.M) { bubble.Main(m) }
+func TestMain(m *testing.M) { virtualtime.Main(m) }
 
 // TestCommandsUnderWayAreBounded: when hundreds of machines that say nothing are to be told
 // something at once, commands beyond the bound are known not to have been sent, within half a
@@ -25,7 +25,7 @@
 func TestCommandsUnderWayAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns, machines = 20, 200
-		net := standin.NewNetwork()
+		net := emulator.NewNetwork()
 		c := New(net.Host("node"), 3*time.Second, conns)
 		var mu sync.Mutex
 		fates := map[Fate]int{}
@@ -89,7 +89,7 @@
 func TestQuestionsTakeIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns = 40
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		count := &sockets{Net: network.Host("node")}
 		c := New(count, 3*time.Second, conns)
 		listen := func(name string) (net.Listener, string) {
--- a/internal/replication/candidacy/standby_test.go
+++ b/internal/replication/candidacy/standby_test.go
@@ -6,11 +6,11 @@
 
 	"pgregory.net/rapid"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/testing/virtualtime"
 )
 
 // TestMain draws the same cases every time.
-func TestMain(m *testing.M) { bubble.Drawn(m, 200) }
+func TestMain(m *testing.M) { virtualtime.Drawn(m, 200) }
 
 const ms = time.Millisecond
 
--- a/internal/replication/commitfence/vouch_test.go
+++ b/internal/replication/commitfence/vouch_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/testing/virtualtime"
 )
 
-func TestMain(m *testing.M) { bubble.Drawn(m, 3000) }
+func TestMain(m *testing.M) { virtualtime.Drawn(m, 3000) }
 
 // process is a plain account of one process of a controller, in true time: when it lived, how fast its clock is, and when it learnt of each batch.
 type process struct {
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -13,21 +13,21 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"fieldhill/internal/bubble"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/testing/virtualtime"
 )
 
-func TestMain(m *testing.M) { bubble.Main(m) }
+func TestMain(m *testing.M) { virtualtime.Main(m) }
 
 // store is a state service with logs that use it, each as a node of its own.
 type store struct {
 	t    *testing.T
 	ctx  context.Context
-	net  *standin.Network
-	svc  *standin.State
+	net  *emulator.Network
+	svc  *emulator.State
 	last uint64 // batch appended
 }
 
@@ -44,7 +44,7 @@
 func inStore(t *testing.T, f func(s *store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		s := &store{t: t, ctx: ctx, net: standin.NewNetwork(), svc: standin.NewState(1)}
+		s := &store{t: t, ctx: ctx, net: emulator.NewNetwork(), svc: emulator.NewState(1)}
 		go s.svc.Serve(ctx, s.net.Host("state"), stateAt)
 		synctest.Wait()
 		f(s)
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -18,12 +18,12 @@
 	gocmp "github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/golden"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -64,7 +64,7 @@
 // with runs f with a log and a client that talk to the fake.
 func (f *fakeState) with(run func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
 	synctest.Test(f.t, func(t *testing.T) {
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		ln, err := network.Host("state").Listen(stateAt)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/replication/singleton/check_test.go
+++ b/internal/replication/singleton/check_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"fieldhill/internal/check"
+	"fieldhill/internal/testing/modelcheck"
 )
 
 // This is a model of two nodes, the state service, the cloud and the log around the real keepers. Time is in whole
@@ -220,11 +220,11 @@
 	}
 }
 
-func (w world) Steps() (list []check.Step) {
+func (w world) Steps() (list []modelcheck.Step) {
 	step := func(name string, f func(w *world)) {
 		c := w.clone()
 		f(&c)
-		list = append(list, check.Step{Name: fmt.Sprintf("at %d: %s", w.now, name), To: c})
+		list = append(list, modelcheck.Step{Name: fmt.Sprintf("at %d: %s", w.now, name), To: c})
 	}
 	if w.now < 16 {
 		step("time goes by", func(w *world) {
@@ -385,7 +385,7 @@
 			if c.finds != "" {
 				most = 200_000
 			}
-			r := check.Explore(w, c.depth, most)
+			r := modelcheck.Explore(w, c.depth, most)
 			t.Log(r)
 			if (r.Broken == "") != (c.finds == "") || !strings.Contains(r.Broken, c.finds) {
 				t.Errorf("found %q", r.Broken)
--- a/internal/peer/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -1,4 +1,4 @@
-package peer
+package rpc
 
 import (
 	"bytes"
--- a/internal/peer/peer.go
+++ b/internal/rpc/peer.go
@@ -4,7 +4,7 @@
 // A frame is: length (4 bytes, big endian, of what follows), version (1),
 // kind (1), request number (8, big endian), payload. Frames of another version
 // or over the size limit end the connection.
-package peer
+package rpc
 
 import (
 	"bufio"
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
@@ -115,7 +115,7 @@
 		}},
 		{f.Racks, func() { r.take(r.someWorkers(f.RackSize, r.someZone())) }},
 		{f.Zones, func() { r.take(r.someWorkers(r.p.Workers, r.someZone())) }},
-		{f.Controllers, func() { r.keeper.Kill(standin.NodeName(int(r.draw() * float64(r.p.ControllersIn)))) }},
+		{f.Controllers, func() { r.keeper.Kill(emulator.NodeName(int(r.draw() * float64(r.p.ControllersIn)))) }},
 	} {
 		if kind.perMinute <= 0 {
 			continue
@@ -137,7 +137,7 @@
 }
 
 // someWorkers draws up to so many machines that are up, of one zone unless it is "".
-func (r *region) someWorkers(n int, zone string) (some []*standin.Worker) {
+func (r *region) someWorkers(n int, zone string) (some []*emulator.Worker) {
 	up := r.world.Cloud.Up()
 	at := int(r.draw() * float64(len(up)))
 	for i := range up {
@@ -150,7 +150,7 @@
 }
 
 // take ends machines without notice.
-func (r *region) take(workers []*standin.Worker) {
+func (r *region) take(workers []*emulator.Worker) {
 	for _, w := range workers {
 		r.world.Cloud.Take(w.Name)
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fieldhill/internal/standin"
+	"fieldhill/internal/emulator"
 )
 
 // counters are a controller's, by their names on the operators' page.
@@ -50,7 +50,7 @@
 type snapshot struct {
 	at      time.Time
 	nodes   []counters
-	state   standin.StateTraffic
+	state   emulator.StateTraffic
 	starts  int
 	workers [2]int64 // bytes in and out on the workers' side
 }
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/host"
-	"fieldhill/internal/standin"
 )
 
 const (
@@ -27,8 +27,8 @@
 )
 
 // places are the addresses of a region, all in 127.net.0.0/16.
-func places(netByte int) standin.Places {
-	return standin.Places{
+func places(netByte int) emulator.Places {
+	return emulator.Places{
 		State: fmt.Sprintf("127.%d.255.1:%d", netByte, statePort),
 		Cloud: fmt.Sprintf("127.%d.255.1:%d", netByte, cloudPort),
 		Users: func(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", netByte, i+1, usersPort) },
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -13,9 +13,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fieldhill/internal/config"
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/host"
-	"fieldhill/internal/process"
-	"fieldhill/internal/standin"
+	"fieldhill/internal/supervisor"
 	"fieldhill/wire"
 )
 
@@ -61,8 +61,8 @@
 	index             int
 	netByte           int
 	net               *network
-	world             *standin.World
-	keeper            *process.Keeper
+	world             *emulator.World
+	keeper            *supervisor.Keeper
 	rng               *rand.Rand
 	rngMu             sync.Mutex
 	next              atomic.Int64 // job numbers
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	r := &region{p: p, index: index, netByte: netByte, net: nw, rng: rand.New(rand.NewPCG(p.Seed, uint64(index))),
-		keeper: &process.Keeper{Program: program, Dir: dir, StartAgain: startAgain},
+		keeper: &supervisor.Keeper{Program: program, Dir: dir, StartAgain: startAgain},
 		starts: map[string]*latency{}, submits: newLatency()}
 	for _, class := range []string{baseClass, gangClass, churnClass, urgentClass, shortClass} {
 		r.starts[class] = newLatency()
@@ -96,7 +96,7 @@
 		}
 		return nil
 	}
-	r.world, err = standin.NewSite(ctx, nw.via, places(netByte), p.ControllersIn, p.Seed+uint64(index), start, r.site())
+	r.world, err = emulator.NewSite(ctx, nw.via, places(netByte), p.ControllersIn, p.Seed+uint64(index), start, r.site())
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 
 func (r *region) nodeIndex(name string) int {
 	for i := range r.p.ControllersIn {
-		if standin.NodeName(i) == name {
+		if emulator.NodeName(i) == name {
 			return i
 		}
 	}
@@ -121,9 +121,9 @@
 func (r *region) gpuMachines() int { return r.p.share(r.p.gpuMachines(), r.index) }
 
 // site is the deployment: as many machines of each type as the profile has, spread over the zones, and teams of equal shares.
-func (r *region) site() standin.Site {
+func (r *region) site() emulator.Site {
 	p := r.p
-	params := standin.Params()
+	params := emulator.Params()
 	params.Zones = nil
 	for z := range p.ZonesEach {
 		params.Zones = append(params.Zones, fmt.Sprintf("zone-%d-%d", r.index, z))
@@ -144,7 +144,7 @@
 	}
 	perZone := func(n int) int { return (n + p.ZonesEach - 1) / p.ZonesEach }
 	most := map[string]int{cpuType: perZone(r.cpuMachines()), gpuType: perZone(r.gpuMachines())}
-	return standin.Site{Params: params, Types: []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpuEach)}, Page: 500,
+	return emulator.Site{Params: params, Types: []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpuEach)}, Page: 500,
 		Most: func(typ string, spot bool) int {
 			if spot {
 				return 0
--- a/internal/scheduling/provisioner/rent_test.go
+++ b/internal/scheduling/provisioner/rent_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/cloud"
-	"fieldhill/internal/standin"
 	"fieldhill/wire"
 )
 
@@ -81,7 +81,7 @@
 func TestListIsTimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pages, each = 20, 1500 * time.Millisecond // 10,000 machines
-		network := standin.NewNetwork()
+		network := emulator.NewNetwork()
 		ln, err := network.Host("cloud").Listen("cloud:1")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -5,12 +5,12 @@
 
 	"pgregory.net/rapid"
 
-	"fieldhill/internal/bubble"
 	"fieldhill/internal/model"
+	"fieldhill/internal/testing/virtualtime"
 	"fieldhill/wire"
 )
 
-func TestMain(m *testing.M) { bubble.Drawn(m, 500) }
+func TestMain(m *testing.M) { virtualtime.Drawn(m, 500) }
 
 // TestGuaranteeIsAnAmount: a team that wants more than its guarantee spends it on its urgent work
 // and then on its arrays that need least. Its oldest used to have all of it: on a day with work for
--- a/internal/process/process.go
+++ b/internal/supervisor/process.go
@@ -1,6 +1,6 @@
 // Package process keeps controllers running as processes of their own, as the platform would, for programs that play a
 // deployment on one machine.
-package process
+package supervisor
 
 import (
 	"context"
--- a/internal/check/check.go
+++ b/internal/testing/modelcheck/check.go
@@ -1,7 +1,7 @@
 // Package check explores all that can happen in a small system: every order of its steps, to a depth, breadth
 // first, so that the first bad end it finds is among the shortest. A system is a model of the world around code
 // that is real: the pure parts of the service are driven by it as the service drives them.
-package check
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/bubble/bubble.go
+++ b/internal/testing/virtualtime/bubble.go
@@ -9,7 +9,7 @@
 // check, or a data race that is none. The root runs timers on its system stack, where
 // nothing preempts it, so one processor rules this out. What the detector knows of a race
 // is the order of synchronisation, not the time, so it finds what it found before.
-package bubble
+package virtualtime
 
 import (
 	"runtime"
--- a/internal/bubble/bubble_test.go
+++ b/internal/testing/virtualtime/bubble_test.go
@@ -1,4 +1,4 @@
-package bubble
+package virtualtime
 
 import (
 	"sync/atomic"
