--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -12,49 +12,49 @@
 // These tests are of what a worker's word proves, and of machines that are heard and do not hear.
 
 // running counts the replicas of services 1 to n that are up.
-func upOf(w *emulator.World, n int) (up int) {
-	for k := 1; k <= n; k++ {
-		up += w.Referee.Running(wire.JobID(uint64(k)))
+func servicesUp(w *emulator.Environment, services int) (up int) {
+	for k := 1; k <= services; k++ {
+		up += w.Checker.Running(wire.JobID(uint64(k)))
 	}
 	return up
 }
 
-// wholeAgain waits until so many services of one replica run, and tells how long that took, at most a given time.
-func wholeAgain(w *emulator.World, services int, most time.Duration) time.Duration {
+// waitServicesUp waits until so many services of one replica run, and tells how long that took, at most a given time.
+func waitServicesUp(w *emulator.Environment, services int, limit time.Duration) time.Duration {
 	began := time.Now()
-	for upOf(w, services) < services && time.Since(began) < most {
+	for servicesUp(w, services) < services && time.Since(began) < limit {
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// TestReborn: a machine whose worker is back within a moment under the same name holds nothing any more, whether its numbers go on
+// TestAgentRestart: a machine whose worker is back within a moment under the same name holds nothing any more, whether its numbers go on
 // or begin at 1, also beside a takeover and when it is back again and again. One whose numbers began at 1 used to be taken for a late
 // copy of its own past: it was answered and given nothing, and its replicas stayed down for good.
-func TestReborn(t *testing.T) {
-	for _, afresh := range []bool{false, true} {
+func TestAgentRestart(t *testing.T) {
+	for _, resetNumbers := range []bool{false, true} {
 		for _, times := range []int{1, 3} {
 			for _, takeover := range []time.Duration{-1, 3300 * time.Millisecond} {
-				t.Run(fmt.Sprint(afresh, times, takeover), func(t *testing.T) {
-					inWorld(t, 31, func(w *emulator.World) {
-						settle(w, 5)
+				t.Run(fmt.Sprint(resetNumbers, times, takeover), func(t *testing.T) {
+					runCluster(t, 31, func(w *emulator.Environment) {
+						startServices(w, 5)
 						if takeover >= 0 {
-							w.Restart(leaderOf(), 200*time.Millisecond)
+							w.Restart(findLeader(), 200*time.Millisecond)
 							time.Sleep(takeover)
 						}
-						for _, wk := range w.Cloud.Up() {
-							if w.Referee.Holds(wk.Name) {
+						for _, worker := range w.Cloud.Workers() {
+							if w.Checker.HasTasks(worker.Name) {
 								for range times {
-									wk.Reboot(afresh)
+									worker.Reboot(resetNumbers)
 									time.Sleep(300 * time.Millisecond)
 								}
 							}
 						}
-						if d := wholeAgain(w, 5, time.Minute); d > 12*time.Second {
-							t.Errorf("%d of 5 services run %v after the machines were back", upOf(w, 5), d)
+						if d := waitServicesUp(w, 5, time.Minute); d > 12*time.Second {
+							t.Errorf("%d of 5 services run %v after the machines were back", servicesUp(w, 5), d)
 						}
 						time.Sleep(30 * time.Second)
-						if k := upOf(w, 5); k != 5 {
+						if k := servicesUp(w, 5); k != 5 {
 							t.Errorf("%d of 5 services run half a minute later", k)
 						}
 					})
@@ -64,14 +64,14 @@
 	}
 }
 
-// TestCopyIsNoSign: copies of what machines said before they were gone, or cut off, prove nothing about now: neither for the leader that
+// TestStaleReportCopies: copies of what machines said before they were gone, or cut off, prove nothing about now: neither for the leader that
 // heard the first of them, nor for the next one, to whom all numbers are new.
-func TestCopyIsNoSign(t *testing.T) {
-	flood := func(w *emulator.World, reps []*wire.Report, until func() bool) {
+func TestStaleReportCopies(t *testing.T) {
+	flood := func(w *emulator.Environment, reports []*wire.Heartbeat, until func() bool) {
 		for !until() {
-			for _, r := range reps {
+			for _, r := range reports {
 				for i := range 3 {
-					go w.SendCopy(w.Users(i), r)
+					go w.SendDuplicate(w.UserAddr(i), r)
 				}
 			}
 			time.Sleep(2 * time.Second)
@@ -79,28 +79,28 @@
 	}
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("gone, takeover ", takeover), func(t *testing.T) {
-			inWorld(t, 32, func(w *emulator.World) {
-				settle(w, 5)
-				var reps []*wire.Report
-				for _, wk := range w.Cloud.Up() {
-					if w.Referee.Holds(wk.Name) && len(reps) < 2 {
-						reps = append(reps, wk.Sent())
-						w.Cloud.Take(wk.Name)
+			runCluster(t, 32, func(w *emulator.Environment) {
+				startServices(w, 5)
+				var reports []*wire.Heartbeat
+				for _, worker := range w.Cloud.Workers() {
+					if w.Checker.HasTasks(worker.Name) && len(reports) < 2 {
+						reports = append(reports, worker.LastHeartbeat())
+						w.Cloud.Reclaim(worker.Name)
 					}
 				}
 				if takeover {
-					w.Restart(leaderOf(), 200*time.Millisecond)
+					w.Restart(findLeader(), 200*time.Millisecond)
 				}
 				began := time.Now()
-				go flood(w, reps, func() bool { return time.Since(began) > 2*time.Minute })
-				if d := wholeAgain(w, 5, time.Minute); d > 25*time.Second {
-					t.Errorf("%d of 5 services run %v after two machines were lost", upOf(w, 5), d)
+				go flood(w, reports, func() bool { return time.Since(began) > 2*time.Minute })
+				if d := waitServicesUp(w, 5, time.Minute); d > 25*time.Second {
+					t.Errorf("%d of 5 services run %v after two machines were lost", servicesUp(w, 5), d)
 				}
 				time.Sleep(time.Until(began.Add(100 * time.Second)))
-				n := nodeAt(leaderOf())
-				n.ask(func() {
-					for _, r := range reps {
-						if n.m.ByName[r.Machine] != nil {
+				leader := nodeAt(findLeader())
+				leader.postAndWait(func() {
+					for _, r := range reports {
+						if leader.model.ByName[r.Machine] != nil {
 							t.Errorf("%s, which is gone, counts as a machine", r.Machine)
 						}
 					}
@@ -110,42 +110,42 @@
 		})
 	}
 	t.Run("cut off", func(t *testing.T) {
-		inWorld(t, 33, func(w *emulator.World) {
-			settle(w, 6)
-			var reps []*wire.Report
-			for _, wk := range w.Cloud.Up() {
-				if wk.Zone == "b" {
-					reps = append(reps, wk.Sent())
+		runCluster(t, 33, func(w *emulator.Environment) {
+			startServices(w, 6)
+			var reports []*wire.Heartbeat
+			for _, worker := range w.Cloud.Workers() {
+				if worker.Zone == "b" {
+					reports = append(reports, worker.LastHeartbeat())
 				}
 			}
-			cutZone(w, true)
-			w.CutWorkers("b", 1, true)
-			w.CutState(1, true)
+			partitionZone(w, true)
+			w.PartitionWorkers("b", 1, true)
+			w.PartitionStore(1, true)
 			began := time.Now()
-			go flood(w, reps, func() bool { return time.Since(began) > 2*time.Minute })
+			go flood(w, reports, func() bool { return time.Since(began) > 2*time.Minute })
 			time.Sleep(20 * time.Second)
 			// Silence, the bound of 25 s less its margin, a lease of 24 s and a start: as without copies.
-			if d := wholeAgain(w, 6, 2*time.Minute); d > 50*time.Second {
-				t.Errorf("%d of 6 services run %v after the zone was cut off", upOf(w, 6), d+20*time.Second)
+			if d := waitServicesUp(w, 6, 2*time.Minute); d > 50*time.Second {
+				t.Errorf("%d of 6 services run %v after the zone was cut off", servicesUp(w, 6), d+20*time.Second)
 			}
-			cutZone(w, false)
-			w.CutWorkers("b", 1, false)
-			w.CutState(1, false)
+			partitionZone(w, false)
+			w.PartitionWorkers("b", 1, false)
+			w.PartitionStore(1, false)
 			time.Sleep(time.Until(began.Add(3 * time.Minute)))
 		})
 	})
 	t.Run("never there", func(t *testing.T) {
-		inWorld(t, 34, func(w *emulator.World) {
-			settle(w, 2)
-			rep := *w.Cloud.Up()[0].Sent()
-			rep.Machine, rep.Addr, rep.Tasks = "host-900000", "10.9.0.1:90", nil
+		runCluster(t, 34, func(w *emulator.Environment) {
+			startServices(w, 2)
+			report := *w.Cloud.Workers()[0].LastHeartbeat()
+			report.Machine, report.Addr, report.Tasks = "host-900000", "10.9.0.1:90", nil
 			for i := range 3 {
-				w.SendCopy(w.Users(i), &rep)
+				w.SendDuplicate(w.UserAddr(i), &report)
 			}
 			time.Sleep(time.Second)
-			n := nodeAt(leaderOf())
-			n.ask(func() {
-				if n.m.ByName[rep.Machine] != nil {
+			leader := nodeAt(findLeader())
+			leader.postAndWait(func() {
+				if leader.model.ByName[report.Machine] != nil {
 					t.Error("a machine that nobody can ask counts as one")
 				}
 			})
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestDeaf: a machine whose reports arrive while nothing reaches it gets no work, and what it held runs elsewhere when its own
+// TestInboundPartition: a machine whose reports arrive while nothing reaches it gets no work, and what it held runs elsewhere when its own
 // lease has run out, or it was returned; one machine, a zone, and beside a takeover. Jobs cancelled meanwhile end in time, which the referee sees.
-func TestDeaf(t *testing.T) {
+func TestInboundPartition(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		zone, takeover bool
@@ -167,46 +167,46 @@
 		{"a zone and a takeover", true, true, 45 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 35, func(w *emulator.World) {
-				settle(w, 5) // the other zone has four such machines
-				var deaf []*emulator.Worker
-				for _, wk := range w.Cloud.Up() {
-					if c.zone && wk.Zone == "b" || !c.zone && len(deaf) == 0 && w.Referee.Holds(wk.Name) {
-						wk.Deafen(true)
-						deaf = append(deaf, wk)
+			runCluster(t, 35, func(w *emulator.Environment) {
+				startServices(w, 5) // the other zone has four such machines
+				var partitioned []*emulator.Worker
+				for _, worker := range w.Cloud.Workers() {
+					if c.zone && worker.Zone == "b" || !c.zone && len(partitioned) == 0 && w.Checker.HasTasks(worker.Name) {
+						worker.SetInboundPartition(true)
+						partitioned = append(partitioned, worker)
 					}
 				}
 				w.Cancel(wire.JobID(5))
 				if c.takeover {
-					w.Restart(leaderOf(), 200*time.Millisecond)
+					w.Restart(findLeader(), 200*time.Millisecond)
 				}
 				time.Sleep(c.within)
-				served := func() (n int) {
+				servicesRunning := func() (n int) {
 					for k := 1; k <= 4; k++ {
-						if w.Referee.Running(wire.JobID(uint64(k))) == 1 {
+						if w.Checker.Running(wire.JobID(uint64(k))) == 1 {
 							n++
 						}
 					}
 					return n
 				}
-				if k := served(); k != 4 {
-					t.Errorf("%d of 4 services run %v after %d machines ceased to hear", k, c.within, len(deaf))
+				if k := servicesRunning(); k != 4 {
+					t.Errorf("%d of 4 services run %v after %d machines ceased to hear", k, c.within, len(partitioned))
 				}
 				// New work finds a machine that hears.
 				for n := 10; n < 14; n++ {
 					began := time.Now()
-					j := web(n, 0.5, "small")
+					j := newWebService(n, 0.5, "small")
 					w.Submit(j)
-					waitToRun(w, j.ID, began)
+					waitRunning(w, j.ID, began)
 					if d := time.Since(began); d > 15*time.Second {
 						t.Errorf("a new service ran after %v", d)
 					}
 				}
-				for _, wk := range deaf {
-					wk.Deafen(false)
+				for _, worker := range partitioned {
+					worker.SetInboundPartition(false)
 				}
 				time.Sleep(40 * time.Second)
-				if k := served(); k != 4 {
+				if k := servicesRunning(); k != 4 {
 					t.Errorf("%d of 4 services run at the end", k)
 				}
 			})
@@ -214,36 +214,36 @@
 	}
 }
 
-// TestIsland: a controller that has lost the state service and the other controllers, but not its workers, is not offered to users,
+// TestPartitionedController: a controller that has lost the state service and the other controllers, but not its workers, is not offered to users,
 // and does not keep from the next leader the machines whose workers it still hears.
-func TestIsland(t *testing.T) {
+func TestPartitionedController(t *testing.T) {
 	for _, d := range []time.Duration{5 * time.Second, 70 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
-			inWorld(t, 36, func(w *emulator.World) {
-				settle(w, 5)
-				first := leaderOf() // while there are idle machines
+			runCluster(t, 36, func(w *emulator.Environment) {
+				startServices(w, 5)
+				first := findLeader() // while there are idle machines
 				for k := range 3 {
 					i := (first + k) % 3
-					starts := w.Referee.Starts()
-					w.Island(i, true)
+					starts := w.Checker.Starts()
+					w.PartitionFromStoreAndPeers(i, true)
 					began := time.Now()
 					time.Sleep(4 * time.Second)
-					j := web(10+i, 0.5, "small")
-					w.Referee.Know(j)
+					j := newWebService(10+i, 0.5, "small")
+					w.Checker.RegisterJob(j)
 					b, _ := wire.Marshal(j)
 					for k := 1; ; k++ {
-						if code, _ := w.CallAt((i+k)%3, "submit", j.ID, b); code == 201 || code == 200 || time.Since(began) > 30*time.Second {
+						if code, _ := w.RequestAt((i+k)%3, "submit", j.ID, b); code == 201 || code == 200 || time.Since(began) > 30*time.Second {
 							break
 						}
 						time.Sleep(300 * time.Millisecond)
 					}
-					waitToRun(w, j.ID, began)
+					waitRunning(w, j.ID, began)
 					if k := time.Since(began); k > 4*time.Second+4*time.Second {
 						t.Errorf("node %d: a new service ran %v after the cut", i, k)
 					}
 					if d > 10*time.Second {
 						time.Sleep(time.Until(began.Add(10 * time.Second)))
-						if n := nodeAt(i); n.Ready() {
+						if node := nodeAt(i); node.Ready() {
 							t.Errorf("node %d is offered to users", i)
 						}
 					}
@@ -251,23 +251,23 @@
 					if d > 20*time.Second {
 						// Idle machines, which the next leader does not ask, have found it: each worker was kept for 3 s and sent away.
 						time.Sleep(time.Until(began.Add(16 * time.Second)))
-						n := nodeAt(leaderOf())
-						n.ask(func() {
-							for _, mc := range n.m.Order {
-								if !mc.Reported {
-									t.Errorf("node %d: %s has not found the next leader after 16 s", i, mc.Info.Name)
+						node := nodeAt(findLeader())
+						node.postAndWait(func() {
+							for _, machine := range node.model.Order {
+								if !machine.Reported {
+									t.Errorf("node %d: %s has not found the next leader after 16 s", i, machine.Info.Name)
 								}
 							}
 						})
 					}
 					time.Sleep(time.Until(began.Add(d)))
-					w.Island(i, false)
+					w.PartitionFromStoreAndPeers(i, false)
 					time.Sleep(20 * time.Second)
-					if k := w.Referee.Starts() - starts - 1; k != 0 {
+					if k := w.Checker.Starts() - starts - 1; k != 0 {
 						t.Errorf("node %d: %d tasks were started anew", i, k)
 					}
 				}
-				if k := upOf(w, 5); k != 5 {
+				if k := servicesUp(w, 5); k != 5 {
 					t.Errorf("%d of 5 services run", k)
 				}
 			})
@@ -277,39 +277,39 @@
 
 // zoneWithoutController has all controllers stand in zone a. Two services may run anywhere, three must in zone b, and arrays that may go anywhere fill the
 // rest of their machines, so that each machine of the zone holds something that may. It tells what holds work there.
-func zoneWithoutController(w *emulator.World) (held []*emulator.Worker) {
+func zoneWithoutController(w *emulator.Environment) (held []*emulator.Worker) {
 	for i := range 3 {
 		w.Crash(i)
-		w.House(i, "a")
+		w.SetZone(i, "a")
 	}
 	for i := range 3 {
 		w.Start(i)
 	}
-	settle(w, 2)
+	startServices(w, 2)
 	zone := "b"
 	for n := 3; n <= 5; n++ {
-		s := web(n, 3, "small")
+		s := newWebService(n, 3, "small")
 		s.Zone = &zone
 		w.Submit(s)
 	}
 	for n := 6; n <= 12; n++ {
-		j := spec(n, wire.Array, 2, 500)
+		j := newJobSpec(n, wire.Array, 2, 500)
 		j.CPUs, j.Priority = 0.5, wire.High
 		w.Submit(j)
 	}
 	time.Sleep(40 * time.Second)
-	for _, wk := range w.Cloud.Up() {
-		if wk.Zone == zone && w.Referee.Holds(wk.Name) {
-			held = append(held, wk)
+	for _, worker := range w.Cloud.Workers() {
+		if worker.Zone == zone && w.Checker.HasTasks(worker.Name) {
+			held = append(held, worker)
 		}
 	}
 	return held
 }
 
-// cutZoneB parts the workers of zone b from all nodes.
-func cutZoneB(w *emulator.World, apart bool) {
+// partitionZoneWorkers parts the workers of zone b from all nodes.
+func partitionZoneWorkers(w *emulator.Environment, cut bool) {
 	for i := range 3 {
-		w.CutWorkers("b", i, apart)
+		w.PartitionWorkers("b", i, cut)
 	}
 }
 
@@ -324,27 +324,27 @@
 		to   time.Duration
 	}{{"all asked", false, 24 * time.Second, 34 * time.Second}, {"one away", true, 48 * time.Second, 62 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, 37, func(w *emulator.World) {
+			runCluster(t, 37, func(w *emulator.Environment) {
 				held := zoneWithoutController(w)
 				if len(held) < 3 {
 					t.Fatalf("%d machines of the zone hold work", len(held))
 				}
 				if c.part {
-					w.Crash((leaderOf() + 1) % 3)
+					w.Crash((findLeader() + 1) % 3)
 				}
-				cutZoneB(w, true)
+				partitionZoneWorkers(w, true)
 				began := time.Now()
 				cut := map[string]bool{}
-				for _, wk := range w.Cloud.Up() {
-					cut[wk.Name] = wk.Zone == "b"
+				for _, worker := range w.Cloud.Workers() {
+					cut[worker.Name] = worker.Zone == "b"
 				}
 				gone := func() bool { // for the leader
 					k := 0
-					n := nodeAt(leaderOf())
-					n.ask(func() {
-						for _, mc := range n.m.Order {
-							if cut[mc.Info.Name] {
-								k += len(mc.Runs)
+					leader := nodeAt(findLeader())
+					leader.postAndWait(func() {
+						for _, machine := range leader.model.Order {
+							if cut[machine.Info.Name] {
+								k += len(machine.Runs)
 							}
 						}
 					})
@@ -356,9 +356,9 @@
 				if d := time.Since(began); d < c.from || d > c.to {
 					t.Errorf("the zone's work was known to be gone after %v", d)
 				}
-				cutZoneB(w, false)
+				partitionZoneWorkers(w, false)
 				time.Sleep(30 * time.Second)
-				if k := upOf(w, 5); k != 5 {
+				if k := servicesUp(w, 5); k != 5 {
 					t.Errorf("%d of 5 services run at the end", k)
 				}
 			})
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -10,40 +10,40 @@
 	"fieldhill/wire"
 )
 
-// Balance plays the load balancer of a deployment that people try out: users send their
+// ServeBalancer plays the load balancer of a deployment that people try out: users send their
 // requests to an address, and the referee hears of every job and answer. It passes over
 // nodes that are not ready, and tries three at most.
-func (w *World) Balance(ctx context.Context, addr string) error {
-	ln, err := w.via("balancer").Listen(addr)
+func (w *Environment) ServeBalancer(ctx context.Context, addr string) error {
+	ln, err := w.networkOf("balancer").Listen(addr)
 	if err != nil {
 		return err
 	}
-	b := &balancer{world: w, ready: make([]bool, len(w.nodes))}
-	for i := range w.nodes {
+	b := &balancer{environment: w, ready: make([]bool, len(w.controllers))}
+	for i := range w.controllers {
 		go b.probe(ctx, i)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathJobs, func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, wire.MaxBody))
 		if err != nil {
-			answer(rw, http.StatusBadRequest, m{"error": err.Error()})
+			respond(rw, http.StatusBadRequest, payload{"error": err.Error()})
 			return
 		}
 		id := ""
 		if s, err := wire.ParseJob(body); err == nil {
 			id = s.ID
-			w.Referee.Know(s)
+			w.Checker.RegisterJob(s)
 		}
-		b.pass(rw, r, "submit", id, body)
+		b.forward(rw, r, "submit", id, body)
 	})
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		b.pass(rw, r, "poll", r.PathValue("id"), nil)
+		b.forward(rw, r, "poll", r.PathValue("id"), nil)
 	})
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix, func(rw http.ResponseWriter, r *http.Request) {
-		b.pass(rw, r, "cancel", r.PathValue("id"), nil)
+		b.forward(rw, r, "cancel", r.PathValue("id"), nil)
 	})
 	mux.HandleFunc("GET "+wire.PathReady, func(rw http.ResponseWriter, r *http.Request) {
-		if len(b.choose()) == 0 {
+		if len(b.readyControllers()) == 0 {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -52,17 +52,17 @@
 }
 
 type balancer struct {
-	world *World
-	mu    sync.Mutex
-	ready []bool
-	turn  int
+	environment *Environment
+	mu          sync.Mutex
+	ready       []bool
+	nextTurn    int
 }
 
 // probe asks a node about once a second whether it is ready.
 func (b *balancer) probe(ctx context.Context, i int) {
-	c := http.Client{Transport: &http.Transport{DialContext: dialer(b.world.via("balancer"))}, Timeout: time.Second}
+	c := http.Client{Transport: &http.Transport{DialContext: dialFunc(b.environment.networkOf("balancer"))}, Timeout: time.Second}
 	for ctx.Err() == nil {
-		resp, err := c.Get("http://" + b.world.nodes[i].bind + wire.PathReady)
+		resp, err := c.Get("http://" + b.environment.controllers[i].userAddr + wire.PathReady)
 		ok := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
 			resp.Body.Close()
@@ -77,25 +77,25 @@
 	}
 }
 
-// choose names the nodes that are ready, each time beginning with the next one.
-func (b *balancer) choose() (at []int) {
+// readyControllers names the nodes that are ready, each time beginning with the next one.
+func (b *balancer) readyControllers() (ready []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.nextTurn++
 	for k := range b.ready {
-		if i := (b.turn + k) % len(b.ready); b.ready[i] {
-			at = append(at, i)
+		if i := (b.nextTurn + k) % len(b.ready); b.ready[i] {
+			ready = append(ready, i)
 		}
 	}
-	return at
+	return ready
 }
 
-func (b *balancer) pass(rw http.ResponseWriter, r *http.Request, what, id string, body []byte) {
-	for k, i := range b.choose() {
+func (b *balancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
+	for k, i := range b.readyControllers() {
 		if k == 3 {
 			break
 		}
-		code, header, got, _ := b.world.askAt(r.Context(), i, what, id, body)
+		code, header, responseBody, _ := b.environment.sendRequest(r.Context(), i, operation, id, body)
 		if code == 0 {
 			continue
 		}
@@ -105,9 +105,9 @@
 			}
 		}
 		rw.WriteHeader(code)
-		_, _ = rw.Write(got)
+		_, _ = rw.Write(responseBody)
 		return
 	}
 	rw.Header().Set("Retry-After", "1")
-	answer(rw, http.StatusServiceUnavailable, m{"error": "no controller answers"})
+	respond(rw, http.StatusServiceUnavailable, payload{"error": "no controller answers"})
 }
--- /dev/null
+++ b/internal/emulator/invariants_test.go
@@ -0,0 +1,39 @@
+package emulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"fieldhill/wire"
+)
+
+// TestInvariantCheckerFindsPlantedViolations: a task that starts on two machines, and a team that uses more than its limit, also after
+// many tasks came and went.
+func TestInvariantCheckerFindsPlantedViolations(t *testing.T) {
+	f := NewInvariantChecker(map[string][2]float64{"red": {10, 0}}, time.Minute)
+	f.RegisterJob(&wire.JobSpec{ID: wire.JobID(1), Team: "red", Shape: wire.Array, Tasks: 200, CPUs: 0.1})
+	f.RegisterJob(&wire.JobSpec{ID: wire.JobID(2), Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 0.2})
+	a, b := &Worker{Name: "a"}, &Worker{Name: "b"}
+	for i := range 200 {
+		f.RecordStart(wire.TaskID(1, i), a)
+		if i >= 99 {
+			f.RecordExit(wire.TaskID(1, i-99), a, true)
+		}
+	}
+	f.Check()
+	if violations := f.Violations(); len(violations) != 0 {
+		t.Fatal(violations)
+	}
+	f.RecordStart(wire.TaskID(2, 0), a) // 9.9 + 0.2
+	f.RecordStart(wire.TaskID(1, 199), b)
+	violations := strings.Join(f.Violations(), "\n")
+	if !strings.Contains(violations, "quota") || !strings.Contains(violations, "ran_twice") {
+		t.Errorf("found: %s", violations)
+	}
+	f.usage["red"] = [2]float64{}
+	f.Check()
+	if violations := strings.Join(f.Violations(), "\n"); !strings.Contains(violations, "miscounted") {
+		t.Error("a wrong sum is not found")
+	}
+}
--- a/internal/emulator/served.go
+++ b/internal/emulator/served.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	checkEvery  = 500 * time.Millisecond
-	replicaFrom = 15 * time.Second // from a submission on until then no replica need be up
+	checkInterval       = 500 * time.Millisecond
+	replicaStartupGrace = 15 * time.Second // from a submission on until then no replica need be up
 )
 
-// Count is what became of the jobs of a class or a team, of those that could end: accepted or not, but for those
+// ServedCount is what became of the jobs of a class or a team, of those that could end: accepted or not, but for those
 // whose users cancelled them. Services don't end; what counts is the time that their replicas were up.
-type Count struct {
-	Jobs, Begun, Done int
-	Tasks, TasksDone  int
-	Wanted, Up        float64 // replicas' seconds
+type ServedCount struct {
+	Jobs, Started, Done                    int
+	Tasks, TasksDone                       int
+	ReplicaWantedSeconds, ReplicaUpSeconds float64 // replicas' seconds
 }
 
 // Shares are what was served, in each reading: of jobs done, of tasks done, and of replicas' time; 1 where there
 // are none.
-func (c *Count) Shares() (jobs, tasks, up float64) {
+func (c *ServedCount) Shares() (jobs, tasks, up float64) {
 	jobs, tasks, up = 1, 1, 1
 	if c.Jobs > 0 {
 		jobs, tasks = float64(c.Done)/float64(c.Jobs), float64(c.TasksDone)/float64(c.Tasks)
 	}
-	if c.Wanted > 0 {
-		up = c.Up / c.Wanted
+	if c.ReplicaWantedSeconds > 0 {
+		up = c.ReplicaUpSeconds / c.ReplicaWantedSeconds
 	}
 	return jobs, tasks, up
 }
 
-func (c *Count) String() string {
+func (c *ServedCount) String() string {
 	s := ""
 	if c.Jobs > 0 {
-		s = fmt.Sprintf("begun %d, done %d of %d jobs; %d of %d tasks", c.Begun, c.Done, c.Jobs, c.TasksDone, c.Tasks)
+		s = fmt.Sprintf("begun %d, done %d of %d jobs; %d of %d tasks", c.Started, c.Done, c.Jobs, c.TasksDone, c.Tasks)
 	}
-	if c.Wanted > 0 {
-		s += fmt.Sprintf(" replicas up %.3f", c.Up/c.Wanted)
+	if c.ReplicaWantedSeconds > 0 {
+		s += fmt.Sprintf(" replicas up %.3f", c.ReplicaUpSeconds/c.ReplicaWantedSeconds)
 	}
 	return s
 }
 
-// Served counts by class and by team.
-func (f *Referee) Served() (classes, teams map[string]*Count) {
+// ServedCounts counts by class and by team.
+func (f *InvariantChecker) ServedCounts() (classes, teams map[string]*ServedCount) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	classes, teams = map[string]*Count{}, map[string]*Count{}
-	at := func(m map[string]*Count, name string) *Count {
+	classes, teams = map[string]*ServedCount{}, map[string]*ServedCount{}
+	at := func(m map[string]*ServedCount, name string) *ServedCount {
 		if m[name] == nil {
-			m[name] = &Count{}
+			m[name] = &ServedCount{}
 		}
 		return m[name]
 	}
 	for _, t := range f.jobs {
-		for _, c := range []*Count{at(classes, t.spec.Class), at(teams, t.spec.Team)} {
+		for _, c := range []*ServedCount{at(classes, t.spec.Class), at(teams, t.spec.Team)} {
 			if t.spec.Shape == wire.Service {
-				c.Wanted, c.Up = c.Wanted+t.wantedS, c.Up+t.upS
+				c.ReplicaWantedSeconds, c.ReplicaUpSeconds = c.ReplicaWantedSeconds+t.replicaWantedSeconds, c.ReplicaUpSeconds+t.replicaUpSeconds
 				continue
 			}
-			if t.asked {
+			if t.cancelRequested {
 				continue
 			}
 			c.Jobs, c.Tasks, c.TasksDone = c.Jobs+1, c.Tasks+t.spec.Tasks, c.TasksDone+len(t.done)
 			if t.starts > 0 {
-				c.Begun++
+				c.Started++
 			}
 			if len(t.done) == t.spec.Tasks {
 				c.Done++
@@ -78,43 +78,43 @@
 	return classes, teams
 }
 
-// beginsBy is how soon also the largest jobs are to begin.
-const beginsBy = 4 * time.Minute
+// largestStartBound is how soon also the largest jobs are to begin.
+const largestStartBound = 4 * time.Minute
 
-// Largest is how the largest jobs of a class were served: those of the most tasks, and the tenth that takes most.
-type Largest struct {
-	Jobs, Begun int
-	Late        int           // begun after more than four minutes, or waiting for longer
-	Worst       time.Duration // wait for the beginning, so far
+// LargestJobs is how the largest jobs of a class were served: those of the most tasks, and the tenth that takes most.
+type LargestJobs struct {
+	Jobs, Started int
+	Late          int           // begun after more than four minutes, or waiting for longer
+	WorstWait     time.Duration // wait for the beginning, so far
 }
 
-// Largest counts them by class, of jobs that were not cancelled and came at least a while ago.
-func (f *Referee) Largest(since time.Duration) map[string]*Largest {
+// LargestByClass counts them by class, of jobs that were not cancelled and came at least a while ago.
+func (f *InvariantChecker) LargestByClass(since time.Duration) map[string]*LargestJobs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by := map[string][]*truth{}
+	byClass := map[string][]*jobRecord{}
 	for _, t := range f.jobs {
-		if t.accepted && !t.asked && time.Since(t.known) >= since {
-			by[t.spec.Class] = append(by[t.spec.Class], t)
+		if t.accepted && !t.cancelRequested && time.Since(t.submittedAt) >= since {
+			byClass[t.spec.Class] = append(byClass[t.spec.Class], t)
 		}
 	}
-	takes := func(t *truth) float64 { return float64(t.spec.Tasks) * (t.spec.CPUs + 8*t.spec.GPUs) }
-	out := map[string]*Largest{}
-	for class, list := range by {
-		slices.SortFunc(list, func(a, b *truth) int { return cmp.Compare(takes(b), takes(a)) })
-		most := slices.MaxFunc(list, func(a, b *truth) int { return cmp.Compare(a.spec.Tasks, b.spec.Tasks) }).spec.Tasks
-		l := &Largest{}
+	resourceDemand := func(t *jobRecord) float64 { return float64(t.spec.Tasks) * (t.spec.CPUs + 8*t.spec.GPUs) }
+	out := map[string]*LargestJobs{}
+	for class, list := range byClass {
+		slices.SortFunc(list, func(a, b *jobRecord) int { return cmp.Compare(resourceDemand(b), resourceDemand(a)) })
+		maxTasks := slices.MaxFunc(list, func(a, b *jobRecord) int { return cmp.Compare(a.spec.Tasks, b.spec.Tasks) }).spec.Tasks
+		l := &LargestJobs{}
 		for i, t := range list {
-			if i >= (len(list)+9)/10 && t.spec.Tasks < most {
+			if i >= (len(list)+9)/10 && t.spec.Tasks < maxTasks {
 				continue
 			}
-			wait := time.Since(t.known)
+			wait := time.Since(t.submittedAt)
 			l.Jobs++
-			if !t.begun.IsZero() {
-				l.Begun++
-				wait = t.begun.Sub(t.known)
+			if !t.startedAt.IsZero() {
+				l.Started++
+				wait = t.startedAt.Sub(t.submittedAt)
 			}
-			if l.Worst = max(l.Worst, wait); wait > beginsBy {
+			if l.WorstWait = max(l.WorstWait, wait); wait > largestStartBound {
 				l.Late++
 			}
 		}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -18,67 +18,67 @@
 type Worker struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
-	world                  *World
+	environment            *Environment
 	rng                    *rand.Rand
 
-	mu       sync.Mutex
-	session  uint64
-	seq      uint64
-	token    uint64
-	tasks    []*running
-	leaseEnd time.Time // lease_s after the sending of the last answered report
-	changed  bool
-	hangs    time.Time // executes nothing until then
-	sick     bool
-	lost     bool          // the machine is gone
-	deaf     bool          // its reports arrive, answers and commands don't reach it
-	mute     bool          // it reaches no controller, direct commands and questions reach it
-	held     time.Duration // direct commands are held up by so much, their senders get no answer
-	holding  int           // how many were
-	life     int           // how often it was started again
-	sent     *wire.Report  // the last one
-	stop     context.CancelFunc
-	images   map[string]bool
-	target   int
+	mu                  sync.Mutex
+	epoch               uint64
+	sequence            uint64
+	fencingToken        uint64
+	tasks               []*runningTask
+	leaseExpiry         time.Time // lease_s after the sending of the last answered report
+	changed             bool
+	hungUntil           time.Time // executes nothing until then
+	failsTasks          bool
+	terminated          bool            // the machine is gone
+	inboundPartitioned  bool            // its reports arrive, answers and commands don't reach it
+	outboundPartitioned bool            // it reaches no controller, direct commands and questions reach it
+	commandDelay        time.Duration   // direct commands are held up by so much, their senders get no answer
+	delayedCommands     int             // how many were
+	incarnation         int             // how often it was started again
+	lastHeartbeat       *wire.Heartbeat // the last one
+	stop                context.CancelFunc
+	cachedImages        map[string]bool
+	controllerIndex     int
 }
 
-type running struct {
-	id      string
-	attempt uint64
-	spec    *wire.JobSpec
-	state   string
-	cause   string
-	saved   bool
-	since   time.Time // of the state
-	left    time.Duration
-	on      bool // counts as being on the machine
+type runningTask struct {
+	id           string
+	attempt      uint64
+	spec         *wire.JobSpec
+	state        string
+	cause        string
+	checkpointed bool
+	stateSince   time.Time // of the state
+	remaining    time.Duration
+	onMachine    bool // counts as being on the machine
 }
 
-const step = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
 func (w *Worker) run(ctx context.Context) {
-	h := w.world.via(w.Name)
+	h := w.environment.networkOf(w.Name)
 	ln, err := h.Listen(w.Addr)
 	if err != nil {
 		panic(err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathOrders, w.orders)
+	mux.HandleFunc("POST "+wire.PathOrders, w.handleCommands)
 	mux.HandleFunc("GET "+wire.PathShow, func(rw http.ResponseWriter, r *http.Request) {
-		for w.hung() {
-			time.Sleep(step)
+		for w.isHung() {
+			time.Sleep(tickInterval)
 		}
-		w.unreached()
+		w.dropIfInboundPartitioned()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		answer(rw, 200, w.report())
+		respond(rw, 200, w.buildHeartbeat())
 	})
 	serve(ctx, ln, mux)
 	w.mu.Lock()
-	w.session, w.leaseEnd = 1, time.Now().Add(w.world.lease)
+	w.epoch, w.leaseExpiry = 1, time.Now().Add(w.environment.leaseDuration)
 	w.mu.Unlock()
-	go w.reports(ctx, h)
-	t := time.NewTicker(step)
+	go w.heartbeatLoop(ctx, h)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -86,7 +86,7 @@
 			return
 		case <-t.C:
 			w.mu.Lock()
-			if time.Now().After(w.hangs) {
+			if time.Now().After(w.hungUntil) {
 				w.advance()
 			}
 			w.mu.Unlock()
@@ -100,202 +100,202 @@
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Now().Before(w.hangs) {
+	if time.Now().Before(w.hungUntil) {
 		return
 	}
 	w.advance()
-	w.hangs = time.Now().Add(d)
+	w.hungUntil = time.Now().Add(d)
 }
 
-func (w *Worker) hung() bool {
+func (w *Worker) isHung() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.lost && time.Now().Before(w.hangs)
+	return !w.terminated && time.Now().Before(w.hungUntil)
 }
 
-// Deafen has the machine's reports arrive while answers and commands don't reach it, or ends that.
-func (w *Worker) Deafen(on bool) {
+// SetInboundPartition has the machine's reports arrive while answers and commands don't reach it, or ends that.
+func (w *Worker) SetInboundPartition(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = on
+	w.inboundPartitioned = on
 }
 
-// Silence has the machine reach no controller, while direct commands and questions reach it, or ends that.
-func (w *Worker) Silence(on bool) {
+// SetOutboundPartition has the machine reach no controller, while direct commands and questions reach it, or ends that.
+func (w *Worker) SetOutboundPartition(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute = on
+	w.outboundPartitioned = on
 }
 
-// Hold has direct commands to the machine held up from now on: their senders get no answer, and they are carried out so much
+// DelayCommands has direct commands to the machine held up from now on: their senders get no answer, and they are carried out so much
 // later if token and session still match. 0 ends that for those that come from then on.
-func (w *Worker) Hold(d time.Duration) {
+func (w *Worker) DelayCommands(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.held = d
+	w.commandDelay = d
 }
 
-// Holding counts the direct commands that were held up.
-func (w *Worker) Holding() int {
+// DelayedCommands counts the direct commands that were held up.
+func (w *Worker) DelayedCommands() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.holding
+	return w.delayedCommands
 }
 
-// unreached loses what was sent to a machine that can't be reached: its sender gets no answer while it waits for one.
-func (w *Worker) unreached() {
+// dropIfInboundPartitioned loses what was sent to a machine that can't be reached: its sender gets no answer while it waits for one.
+func (w *Worker) dropIfInboundPartitioned() {
 	for range 50 {
 		w.mu.Lock()
-		deaf := w.deaf
+		partitioned := w.inboundPartitioned
 		w.mu.Unlock()
-		if !deaf {
+		if !partitioned {
 			return
 		}
-		time.Sleep(step)
+		time.Sleep(tickInterval)
 	}
 	panic(http.ErrAbortHandler)
 }
 
 // Reboot ends the machine's worker with everything on it, and starts it again under the same name. The protocol does not say
 // what its numbers begin with: they go on in a new session, or, if afresh, begin at 1 as those of a new machine do.
-func (w *Worker) Reboot(afresh bool) {
+func (w *Worker) Reboot(resetCounters bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lost {
+	if w.terminated {
 		return
 	}
 	for _, t := range w.tasks {
-		w.off(t, false)
+		w.removeTask(t, false)
 	}
-	w.tasks, w.changed, w.images = nil, true, map[string]bool{}
-	w.leaseEnd = time.Now().Add(w.world.lease)
-	w.life++
-	if w.session++; afresh {
-		w.session, w.seq, w.token = 1, 0, 0
+	w.tasks, w.changed, w.cachedImages = nil, true, map[string]bool{}
+	w.leaseExpiry = time.Now().Add(w.environment.leaseDuration)
+	w.incarnation++
+	if w.epoch++; resetCounters {
+		w.epoch, w.sequence, w.fencingToken = 1, 0, 0
 	}
 }
 
-// Sent is the last report that the machine sent.
-func (w *Worker) Sent() *wire.Report {
+// LastHeartbeat is the last report that the machine sent.
+func (w *Worker) LastHeartbeat() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.sent
+	return w.lastHeartbeat
 }
 
-// Sicken makes every task that runs on the machine fail.
-func (w *Worker) Sicken() {
+// FailAllTasks makes every task that runs on the machine fail.
+func (w *Worker) FailAllTasks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sick = true
+	w.failsTasks = true
 }
 
 // advance moves tasks on by a step and ends the session when the lease is over.
 func (w *Worker) advance() {
-	if w.lost {
+	if w.terminated {
 		return
 	}
 	now := time.Now()
-	if now.After(w.leaseEnd) {
+	if now.After(w.leaseExpiry) {
 		for _, t := range w.tasks {
-			w.off(t, false)
+			w.removeTask(t, false)
 		}
 		w.tasks, w.changed = nil, true
-		w.session++
-		w.leaseEnd = now.Add(w.world.lease)
+		w.epoch++
+		w.leaseExpiry = now.Add(w.environment.leaseDuration)
 	}
 	for _, t := range w.tasks {
 		switch t.state {
 		case wire.TaskFetching:
-			if w.images[t.spec.Image] || now.Sub(t.since) > w.world.fetches() {
-				w.images[t.spec.Image] = true
-				t.on = true
-				w.world.Referee.Start(t.id, w)
-				if w.world.Referee.isDone(t.id) || t.spec.Shape == wire.Gang && w.world.finished(t.id) {
-					w.exit(t, wire.CauseDone, false)
+			if w.cachedImages[t.spec.Image] || now.Sub(t.stateSince) > w.environment.imageFetchDuration() {
+				w.cachedImages[t.spec.Image] = true
+				t.onMachine = true
+				w.environment.Checker.RecordStart(t.id, w)
+				if w.environment.Checker.isDone(t.id) || t.spec.Shape == wire.Gang && w.environment.isGangFinished(t.id) {
+					w.exitTask(t, wire.CauseDone, false)
 				} else if t.spec.Shape == wire.Gang {
-					w.world.gather(t.id, t.attempt, w.Name)
-					w.set(t, wire.TaskWaiting)
+					w.environment.joinGang(t.id, t.attempt, w.Name)
+					w.setTaskState(t, wire.TaskWaiting)
 				} else {
-					w.set(t, wire.TaskRunning)
+					w.setTaskState(t, wire.TaskRunning)
 				}
 			}
 		case wire.TaskWaiting:
-			if w.world.complete(t.id, t.attempt, t.spec.Tasks) {
-				w.set(t, wire.TaskRunning)
-			} else if now.Sub(t.since) > w.world.gangWait {
-				w.exit(t, wire.CauseAlone, false)
+			if w.environment.isGangComplete(t.id, t.attempt, t.spec.Tasks) {
+				w.setTaskState(t, wire.TaskRunning)
+			} else if now.Sub(t.stateSince) > w.environment.gangTimeout {
+				w.exitTask(t, wire.CauseGangIncomplete, false)
 			}
 		case wire.TaskRunning:
-			if w.sick || w.world.broken(t.spec.ID) {
-				w.exit(t, wire.CauseError, false)
+			if w.failsTasks || w.environment.isFailing(t.spec.ID) {
+				w.exitTask(t, wire.CauseError, false)
 				continue
 			}
-			if t.spec.Shape == wire.Gang && w.world.finished(t.id) {
-				w.exit(t, wire.CauseDone, false)
+			if t.spec.Shape == wire.Gang && w.environment.isGangFinished(t.id) {
+				w.exitTask(t, wire.CauseDone, false)
 				continue
 			}
-			if t.spec.Shape == wire.Gang && !w.world.complete(t.id, t.attempt, t.spec.Tasks) {
-				w.exit(t, wire.CausePeers, false)
+			if t.spec.Shape == wire.Gang && !w.environment.isGangComplete(t.id, t.attempt, t.spec.Tasks) {
+				w.exitTask(t, wire.CausePeers, false)
 				continue
 			}
 			if t.spec.Shape != wire.Service {
-				if t.left -= step; t.left <= 0 {
-					w.world.ending(t.id)
-					w.exit(t, wire.CauseDone, false)
+				if t.remaining -= tickInterval; t.remaining <= 0 {
+					w.environment.onTaskEnding(t.id)
+					w.exitTask(t, wire.CauseDone, false)
 				}
 			}
-		case wire.TaskSaving:
-			if now.Sub(t.since).Seconds() > t.spec.SaveS {
-				w.exit(t, wire.CauseStopped, true)
+		case wire.TaskCheckpointing:
+			if now.Sub(t.stateSince).Seconds() > t.spec.CheckpointWriteS {
+				w.exitTask(t, wire.CauseStopped, true)
 			}
 		}
 	}
 }
 
-func (w *Worker) set(t *running, state string) {
-	t.state, t.since, w.changed = state, time.Now(), true
+func (w *Worker) setTaskState(t *runningTask, state string) {
+	t.state, t.stateSince, w.changed = state, time.Now(), true
 }
 
-func (w *Worker) exit(t *running, cause string, saved bool) {
-	w.set(t, wire.TaskExited)
-	t.cause, t.saved = cause, saved
-	w.off(t, cause == wire.CauseDone)
+func (w *Worker) exitTask(t *runningTask, cause string, saved bool) {
+	w.setTaskState(t, wire.TaskExited)
+	t.cause, t.checkpointed = cause, saved
+	w.removeTask(t, cause == wire.CauseDone)
 }
 
-func (w *Worker) off(t *running, done bool) {
-	if t.on {
-		t.on = false
-		w.world.Referee.Gone(t.id, w, done)
+func (w *Worker) removeTask(t *runningTask, done bool) {
+	if t.onMachine {
+		t.onMachine = false
+		w.environment.Checker.RecordExit(t.id, w, done)
 	}
 	if t.spec != nil && t.spec.Shape == wire.Gang {
-		w.world.leave(t.id, t.attempt, w.Name, done)
+		w.environment.leaveGang(t.id, t.attempt, w.Name, done)
 	}
 }
 
-// die takes the machine away with everything on it.
-func (w *Worker) die() {
+// terminate takes the machine away with everything on it.
+func (w *Worker) terminate() {
 	w.mu.Lock()
-	w.lost = true
+	w.terminated = true
 	for _, t := range w.tasks {
-		w.off(t, false)
+		w.removeTask(t, false)
 	}
 	w.tasks = nil
 	w.mu.Unlock()
 	w.stop()
 }
 
-func (w *Worker) report() *wire.Report {
-	w.seq++
-	r := &wire.Report{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.session, Seq: w.seq, Token: w.token}
+func (w *Worker) buildHeartbeat() *wire.Heartbeat {
+	w.sequence++
+	heartbeat := &wire.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, AgentEpoch: w.epoch, Seq: w.sequence, FencingToken: w.fencingToken}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
 	}
-	return r
+	return heartbeat
 }
 
 func (w *Worker) execute(cmds []wire.Command) {
 	for _, c := range cmds {
-		var found *running
+		var found *runningTask
 		for _, t := range w.tasks {
 			if t.id == c.Task && t.attempt == c.Attempt {
 				found = t
@@ -303,18 +303,18 @@
 		}
 		switch {
 		case c.Verb == wire.Start && found == nil:
-			w.begin(c)
+			w.startTask(c)
 		case c.Verb == wire.Stop && found != nil && found.state != wire.TaskExited:
 			grace := 0.0
 			if c.GraceS != nil {
 				grace = *c.GraceS
 			}
 			switch {
-			case found.state == wire.TaskSaving && grace > 0:
-			case found.state == wire.TaskRunning && found.spec.CheckpointS > 0 && grace >= found.spec.SaveS:
-				w.set(found, wire.TaskSaving)
+			case found.state == wire.TaskCheckpointing && grace > 0:
+			case found.state == wire.TaskRunning && found.spec.CheckpointIntervalS > 0 && grace >= found.spec.CheckpointWriteS:
+				w.setTaskState(found, wire.TaskCheckpointing)
 			default:
-				w.exit(found, wire.CauseStopped, false)
+				w.exitTask(found, wire.CauseStopped, false)
 			}
 		case c.Verb == wire.Forget && found != nil && found.state == wire.TaskExited:
 			for i, t := range w.tasks {
@@ -328,146 +328,146 @@
 	}
 }
 
-func (w *Worker) begin(c wire.Command) {
+func (w *Worker) startTask(c wire.Command) {
 	w.changed = true
-	t := &running{id: c.Task, attempt: c.Attempt, since: time.Now(), state: wire.TaskFetching}
+	t := &runningTask{id: c.Task, attempt: c.Attempt, stateSince: time.Now(), state: wire.TaskFetching}
 	w.tasks = append(w.tasks, t)
 	n, _, _ := wire.ParseTaskID(c.Task)
-	t.spec = w.world.Referee.Spec(n)
+	t.spec = w.environment.Checker.Spec(n)
 	if t.spec == nil {
-		w.exit(t, wire.CauseUnknown, false)
+		w.exitTask(t, wire.CauseUnknown, false)
 		return
 	}
-	if w.world.onBegin != nil {
-		w.world.onBegin(t.spec)
+	if w.environment.onTaskStart != nil {
+		w.environment.onTaskStart(t.spec)
 	}
-	t.left = time.Duration(float64(w.world.runs(t.spec.EstimateS)) * (0.7 + w.rng.Float64()))
-	typ := w.world.Cloud.typ(w.Type)
-	cpus, gpus, mem := 0.0, 0.0, 0.0
-	for _, o := range w.tasks {
-		if o.state != wire.TaskExited {
-			cpus, gpus, mem = cpus+o.spec.CPUs, gpus+o.spec.GPUs, mem+o.spec.MemoryGB
-			if o != t && o.id == t.id {
-				w.exit(t, wire.CauseBusy, false)
+	t.remaining = time.Duration(float64(w.environment.taskDuration(t.spec.EstimateS)) * (0.7 + w.rng.Float64()))
+	machineType := w.environment.Cloud.machineType(w.Type)
+	cpus, gpus, memory := 0.0, 0.0, 0.0
+	for _, other := range w.tasks {
+		if other.state != wire.TaskExited {
+			cpus, gpus, memory = cpus+other.spec.CPUs, gpus+other.spec.GPUs, memory+other.spec.MemoryGB
+			if other != t && other.id == t.id {
+				w.exitTask(t, wire.CauseBusy, false)
 				return
 			}
 		}
 	}
-	if cpus > typ.CPUs+1e-9 || gpus > typ.GPUs+1e-9 || mem > typ.MemoryGB+1e-9 {
-		w.exit(t, wire.CauseNoRoom, false)
+	if cpus > machineType.CPUs+1e-9 || gpus > machineType.GPUs+1e-9 || memory > machineType.MemoryGB+1e-9 {
+		w.exitTask(t, wire.CauseNoCapacity, false)
 	}
 }
 
-// orders executes direct commands, sometimes late: the sender has given up by then.
-func (w *Worker) orders(rw http.ResponseWriter, r *http.Request) {
+// handleCommands executes direct commands, sometimes late: the sender has given up by then.
+func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	time.Sleep(time.Millisecond)
 	body, _ := io.ReadAll(r.Body)
-	var o wire.Orders
-	if err := wire.Unmarshal(body, &o); err != nil {
-		answer(rw, 400, m{})
+	var orders wire.Orders
+	if err := wire.Unmarshal(body, &orders); err != nil {
+		respond(rw, 400, payload{})
 		return
 	}
-	late, wait := w.world.lateness()
+	late, delay := w.environment.drawCommandDelay()
 	w.mu.Lock()
-	if w.held > 0 {
-		late, wait = true, w.held
-		w.holding++
+	if w.commandDelay > 0 {
+		late, delay = true, w.commandDelay
+		w.delayedCommands++
 	}
 	w.mu.Unlock()
 	if late {
 		w.mu.Lock()
-		life := w.life // what is on its way to an earlier one ends with its connections
+		incarnation := w.incarnation // what is on its way to an earlier one ends with its connections
 		w.mu.Unlock()
 		go func() {
-			time.Sleep(wait)
+			time.Sleep(delay)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if !w.lost && !w.deaf && w.life == life && o.Token >= w.token && o.Session == w.session {
-				w.token = o.Token
-				w.execute(o.Commands)
+			if !w.terminated && !w.inboundPartitioned && w.incarnation == incarnation && orders.FencingToken >= w.fencingToken && orders.AgentEpoch == w.epoch {
+				w.fencingToken = orders.FencingToken
+				w.execute(orders.Commands)
 			}
 		}()
 		panic(http.ErrAbortHandler)
 	}
-	w.unreached()
+	w.dropIfInboundPartitioned()
 	for {
 		w.mu.Lock()
-		if w.lost || time.Now().After(w.hangs) {
+		if w.terminated || time.Now().After(w.hungUntil) {
 			break
 		}
 		w.mu.Unlock()
-		time.Sleep(step)
+		time.Sleep(tickInterval)
 	}
 	defer w.mu.Unlock()
 	code := 200
 	w.advance()
-	if o.Token < w.token || o.Session != w.session {
+	if orders.FencingToken < w.fencingToken || orders.AgentEpoch != w.epoch {
 		code = 409
 	} else {
-		w.token = o.Token
-		w.execute(o.Commands)
+		w.fencingToken = orders.FencingToken
+		w.execute(orders.Commands)
 	}
-	answer(rw, code, w.report())
+	respond(rw, code, w.buildHeartbeat())
 }
 
-// reports is the worker's loop of reports.
-func (w *Worker) reports(ctx context.Context, h host.Net) {
-	c := msgpackhttp.New(h, 1, 4, 2*time.Second)
-	defer c.Close()
+// heartbeatLoop is the worker's loop of reports.
+func (w *Worker) heartbeatLoop(ctx context.Context, h host.Net) {
+	client := msgpackhttp.New(h, 1, 4, 2*time.Second)
+	defer client.Close()
 	next := time.Now()
 	for ctx.Err() == nil {
-		time.Sleep(step / 2)
+		time.Sleep(tickInterval / 2)
 		w.mu.Lock()
 		now := time.Now()
-		if now.Before(w.hangs) || now.Before(next) && !w.changed {
+		if now.Before(w.hungUntil) || now.Before(next) && !w.changed {
 			w.mu.Unlock()
 			continue
 		}
 		w.advance()
 		w.changed = false
-		rep := w.report()
-		node := w.world.nodes[w.target%len(w.world.nodes)]
-		next = now.Add(time.Duration((0.75 + 0.5*w.rng.Float64()) * float64(w.world.report)))
-		life, mute := w.life, w.mute
-		if !mute {
-			w.sent = rep
+		heartbeat := w.buildHeartbeat()
+		controller := w.environment.controllers[w.controllerIndex%len(w.environment.controllers)]
+		next = now.Add(time.Duration((0.75 + 0.5*w.rng.Float64()) * float64(w.environment.heartbeatInterval)))
+		incarnation, partitioned := w.incarnation, w.outboundPartitioned
+		if !partitioned {
+			w.lastHeartbeat = heartbeat
 		}
 		w.mu.Unlock()
-		if mute {
+		if partitioned {
 			time.Sleep(500 * time.Millisecond) // no connection is made
 			w.mu.Lock()
-			w.target++
+			w.controllerIndex++
 			w.mu.Unlock()
 			continue
 		}
-		w.world.copyLater(node.bind, rep)
-		rctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		var a wire.ReportAnswer
-		err := c.Do(rctx, "POST", node.bind, wire.PathReport, rep, &a, wire.MaxBody)
+		w.environment.maybeDuplicate(controller.userAddr, heartbeat)
+		requestCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+		var response wire.HeartbeatResponse
+		err := client.Do(requestCtx, "POST", controller.userAddr, wire.PathHeartbeat, heartbeat, &response, wire.MaxBody)
 		cancel()
 		w.mu.Lock()
-		if w.deaf {
+		if w.inboundPartitioned {
 			w.mu.Unlock()
 			time.Sleep(4*time.Second - time.Since(now))
 			w.mu.Lock()
 			err = errNoAnswer
 		}
-		if w.life != life { // that was an earlier one's
+		if w.incarnation != incarnation { // that was an earlier one's
 			w.mu.Unlock()
 			continue
 		}
-		switch code := msgpackhttp.Code(err); {
+		switch code := msgpackhttp.StatusCode(err); {
 		case err == nil:
-			if rep.Session == w.session && a.Token >= w.token && !w.lost {
-				w.token = a.Token
-				w.leaseEnd = now.Add(w.world.lease)
-				w.execute(a.Commands)
+			if heartbeat.AgentEpoch == w.epoch && response.FencingToken >= w.fencingToken && !w.terminated {
+				w.fencingToken = response.FencingToken
+				w.leaseExpiry = now.Add(w.environment.leaseDuration)
+				w.execute(response.Commands)
 			}
 		case code == 421:
-			w.target = w.world.indexOf(redirect(err), w.target)
+			w.controllerIndex = w.environment.indexOf(redirectTarget(err), w.controllerIndex)
 			next = now.Add(300 * time.Millisecond)
 		default:
-			w.target++
+			w.controllerIndex++
 			next = now.Add(time.Second)
 		}
 		w.mu.Unlock()
@@ -481,7 +481,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func redirect(err error) string {
+func redirectTarget(err error) string {
 	var r wire.Redirect
 	if se, ok := err.(*msgpackhttp.StatusError); ok {
 		_ = wire.Unmarshal(se.Body, &r)
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -15,36 +15,36 @@
 // TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of
 // the view has a value of its own, so that names that changed places are found too.
 func TestGoldenPage(t *testing.T) {
-	s := New(api.Kinds...)
+	s := New(api.RequestKinds...)
 	s.Placed.Set(101)
 	s.Stopped.Set(102)
-	s.Rented.Set(103)
-	s.NotRented.Set(104)
-	s.Returned.Set(105)
+	s.Provisioned.Set(103)
+	s.ProvisionRefused.Set(104)
+	s.ScaledIn.Set(105)
 	s.Terms.Set(106)
 	s.Relayed.Set(107)
-	s.Kept.Set(108)
-	s.Moved.Set(109)
+	s.AnsweredLocally.Set(108)
+	s.Reassigned.Set(109)
 	s.NotAdmitted.Set(110)
 	s.LogBytes.Set(111)
-	s.Round.Update(0.0625)
-	s.Write.Update(0.03125)
-	for p := range candidacy.Parts {
-		s.Takeover(p, 0.25*float64(p+1))
+	s.SchedulingRound.Update(0.0625)
+	s.LogWrite.Update(0.03125)
+	for p := range candidacy.PhaseCount {
+		s.ObserveFailover(p, 0.25*float64(p+1))
 	}
-	for i, kind := range api.Kinds {
+	for i, kind := range api.RequestKinds {
 		for status, times := range map[int]int{200: 1, 201: 1, 400: 2, 404: 1, 429: 2, 503: 2} {
 			for range times + i {
-				s.Answered(kind, status, time.Duration(i+1)*time.Second/8)
+				s.ObserveRequest(kind, status, time.Duration(i+1)*time.Second/8)
 			}
 		}
 	}
 	ok := false
-	page := s.Page(func() (View, bool) {
-		return View{Leads: true, Term: 1, Applied: 2, Jobs: 3, Waiting: 4, Running: 5, Up: 6, Booting: 7, Idle: 8,
-			Suspect: 9, Returning: 10, WorstClass: 0.25, WorstTeam: 0.5, OwedClasses: 11, OwedTeams: 12,
-			Rents: ok, Cleans: !ok, Rentals: 13,
-			PeerFrames: 14, PeerBytes: 15, PeerWrites: 16, Seats: 17}, ok
+	page := s.Handler(func() (Snapshot, bool) {
+		return Snapshot{IsLeader: true, Term: 1, Applied: 2, Jobs: 3, Waiting: 4, Running: 5, Up: 6, Booting: 7, Idle: 8,
+			Suspect: 9, Releasing: 10, WorstClass: 0.25, WorstTeam: 0.5, UnderServedClasses: 11, UnderServedTeams: 12,
+			HoldsProvisioning: ok, HoldsCompaction: !ok, OpenProvisioning: 13,
+			PeerFrames: 14, PeerBytes: 15, PeerWrites: 16, AssignedAgents: 17}, ok
 	})
 	var b strings.Builder
 	for _, path := range []string{Path, Path, "/"} {
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -14,9 +14,9 @@
 	c := &Model{
 		Images: m.Images.Clone(), Classes: m.Classes.Clone(), Zones: m.Zones.Clone(), TypeNames: m.TypeNames.Clone(),
 		Jobs: make(map[JobID]*Job, len(m.Jobs)), Finals: map[JobID]Final{}, Machines: make(map[MachineID]*Machine, len(m.Machines)),
-		ByName: map[string]*Machine{}, teamByName: map[string]*Team{}, Types: slices.Clone(m.Types), Tombs: map[string]bool{},
-		NextMachine: m.NextMachine, jobOrder: m.jobOrder, LiveTasks: m.LiveTasks, finalSeq: map[JobID]uint64{},
-		bias: slices.Clone(m.bias), ByClass: slices.Clone(m.ByClass), ByTeam: slices.Clone(m.ByTeam), TermBase: m.TermBase, GangWait: m.GangWait,
+		ByName: map[string]*Machine{}, teamByName: map[string]*Team{}, Types: slices.Clone(m.Types), Tombstones: map[string]bool{},
+		NextMachine: m.NextMachine, jobOrder: m.jobOrder, LiveTasks: m.LiveTasks, finalSeqs: map[JobID]uint64{},
+		classBias: slices.Clone(m.classBias), ByClass: slices.Clone(m.ByClass), ByTeam: slices.Clone(m.ByTeam), TermBase: m.TermBase, GangWait: m.GangWait,
 	}
 	for i := range c.Types {
 		c.Types[i].ZoneIDs = slices.Clone(c.Types[i].ZoneIDs)
@@ -27,42 +27,42 @@
 		c.teamByName[t.Name] = &t
 	}
 	// One piece of memory for each kind: thousands of small ones take ten times as long.
-	machines, images, pulls, runs := make([]Machine, len(m.Order)), 0, 0, 0
-	for _, mc := range m.Order {
-		images, pulls, runs = images+len(mc.cache), pulls+len(mc.pulls), runs+len(mc.Runs)
+	machines, imageCount, fetchCount, runCount := make([]Machine, len(m.Order)), 0, 0, 0
+	for _, machine := range m.Order {
+		imageCount, fetchCount, runCount = imageCount+len(machine.cache), fetchCount+len(machine.fetches), runCount+len(machine.Runs)
 	}
 	c.Order = make([]*Machine, len(m.Order))
-	caches, pulled, runSlab, runPtrs := make([]cached, 0, images), make([]pull, 0, pulls), make([]Run, runs), make([]*Run, runs)
-	for i, mc := range m.Order {
+	cacheSlab, fetchSlab, runSlab, runPtrs := make([]cachedImage, 0, imageCount), make([]pendingFetch, 0, fetchCount), make([]Run, runCount), make([]*Run, runCount)
+	for i, machine := range m.Order {
 		o := &machines[i]
-		*o = *mc
-		o.cache, caches = piece(caches, mc.cache)
-		o.pulls, pulled = piece(pulled, mc.pulls)
-		o.FailedJobs, o.unsure, o.dead = nil, nil, nil
+		*o = *machine
+		o.cache, cacheSlab = appendPiece(cacheSlab, machine.cache)
+		o.fetches, fetchSlab = appendPiece(fetchSlab, machine.fetches)
+		o.FailedJobs, o.unresolvedStarts, o.reapable = nil, nil, nil
 		c.Order[i] = o
 		c.Machines[o.ID] = o
 	}
-	live, tasks := m.JobsInOrder(), 0
+	live, taskCount := m.JobsInOrder(), 0
 	for _, j := range live {
-		tasks += len(j.Tasks)
+		taskCount += len(j.Tasks)
 	}
-	jobs, taskSlab := make([]Job, len(live)), make([]Task, 0, tasks)
-	c.inOrder = make([]*Job, len(live))
+	jobs, taskSlab := make([]Job, len(live)), make([]Task, 0, taskCount)
+	c.jobsInOrder = make([]*Job, len(live))
 	for i, j := range live {
 		o := &jobs[i]
 		*o = *j
-		o.Tasks, taskSlab = piece(taskSlab, j.Tasks)
-		o.retry, o.FailedOn = slices.Clone(j.retry), maps.Clone(j.FailedOn)
+		o.Tasks, taskSlab = appendPiece(taskSlab, j.Tasks)
+		o.retryTasks, o.FailedOn = slices.Clone(j.retryTasks), maps.Clone(j.FailedOn)
 		if j.Team != nil {
 			o.Team = c.Teams[j.Team.Index]
 		}
-		c.Jobs[o.ID], c.inOrder[i] = o, o
+		c.Jobs[o.ID], c.jobsInOrder[i] = o, o
 	}
 	k := 0
-	for i, mc := range m.Order { // runs keep their order on a machine: decisions may follow it
+	for i, machine := range m.Order { // runs keep their order on a machine: decisions may follow it
 		o := c.Order[i]
 		from := k
-		for _, r := range mc.Runs {
+		for _, r := range machine.Runs {
 			n := &runSlab[k]
 			*n = *r
 			n.Job, n.Machine = c.Jobs[r.Job.ID], o
@@ -75,8 +75,8 @@
 	return c
 }
 
-// piece copies a list to the end of a slab, and gives the copy, which can't grow into what follows.
-func piece[T any](slab, list []T) (copied, rest []T) {
+// appendPiece copies a list to the end of a slab, and gives the copy, which can't grow into what follows.
+func appendPiece[T any](slab, list []T) (copied, rest []T) {
 	from := len(slab)
 	slab = append(slab, list...)
 	return slab[from:len(slab):len(slab)], slab
--- /dev/null
+++ b/internal/model/delivery_order_test.go
@@ -0,0 +1,406 @@
+package model
+
+import (
+	"encoding/binary"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"fieldhill/internal/agents/staleness"
+	"fieldhill/internal/testing/modelcheck"
+	"fieldhill/wire"
+)
+
+// This explores what one machine and its leaders can say to each other, in every order: reports, copies of them at any later time,
+// questions, commands (starts, stops and reaps) that are late or lost, a task that ends by itself, a worker that begins anew under its name, with numbers that go on or begin at 1, a lease that
+// runs out, and a new leader while the old one's commands are still under way. The model and its judgement of reports are the real ones.
+//
+// A command that was on its way to an earlier life ends with its connection: the new life does not know it.
+
+// mutation is what is done wrongly on purpose.
+type mutation int
+
+const (
+	noMutation          mutation = iota
+	copyPassesForAnswer          // a copy of a report passes for the answer to a question, and the token in it is not looked at
+	answerNotAwaited             // a start under way in the answer to a report is not waited for
+	lostStartIgnored             // a direct start without an answer is taken for one that never left
+	anySessionProves             // the session of any report ends the runs of lower ones
+	relayForwardsLate            // a relay that has answered a report itself gives the worker the leader's answer when that comes, whatever the worker has said since
+	reapsEarly                   // the end of an attempt is logged, and it is reaped, though a start of it may be under way; nothing fences that
+)
+
+type inFlightMessage struct {
+	incarnation, token, session uint64
+	commands                    []wire.Command
+	answer                      bool // to the report in flight
+	awaited                     bool // its sender still waits for what comes of it
+	question                    *staleness.Question
+	term                        uint64
+}
+
+type exploredState struct {
+	mutation      mutation
+	model         *Model
+	incarnation   uint64
+	session       uint64
+	seq           uint64
+	token         uint64
+	heldAttempt   uint64 // the attempt that is on the machine, or was and is not reaped; 0: none
+	exited        bool   // it ended
+	earlyReaped   uint64 // the attempt that is reaped as soon as it is seen to have ended
+	elsewhere     bool   // the task runs on another machine
+	reports       []wire.Heartbeat
+	awaitedReport int // the report that waits for its answer, 1 is the first; 0: none
+	inFlight      []inFlightMessage
+	question      *staleness.Question
+	terms         int
+	lapses        int
+	broken        string
+	relay         bool // a relay may answer reports by itself; the leader then gets them late
+	relayedReport int  // the report that a relay has answered and the leader has not had yet, 1 is the first; 0: none
+}
+
+const testTaskID = "req-000007/0"
+
+func (w exploredState) clone() exploredState {
+	m := w.model.Clone()
+	for i, machine := range w.model.Order {
+		m.Order[i].unresolvedStarts, m.Order[i].reapable = maps.Clone(machine.unresolvedStarts), slices.Clone(machine.reapable)
+		m.ByName[machine.Info.Name] = m.Order[i]
+	}
+	w.model, w.reports, w.inFlight = m, slices.Clone(w.reports), slices.Clone(w.inFlight)
+	return w
+}
+
+func (w exploredState) Key() string {
+	machine := w.model.Order[0]
+	b := fmt.Appendf(nil, "%+v %v %v %v %v", machine.Reports, machine.Session, machine.TokenBump, machine.unresolvedStarts, machine.reapable)
+	for _, r := range machine.Runs {
+		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v", r.Attempt, r.Session, r.Phase, r.Inherited, r.answeredReportSeq, r.Stop, r.goneFromToken)
+	}
+	for _, x := range []uint64{w.incarnation, w.session, w.seq, w.token, w.heldAttempt, w.earlyReaped, uint64(w.awaitedReport), uint64(w.terms), uint64(w.lapses), w.model.TermBase} {
+		b = binary.AppendUvarint(b, x)
+	}
+	b = fmt.Appendf(b, "%v %v %v %v %+v", w.elsewhere, w.exited, w.broken, w.relayedReport, w.reports)
+	for _, u := range w.inFlight {
+		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v", u.incarnation, u.token, u.session, u.answer, u.awaited, u.term, u.question)
+		for _, c := range u.commands {
+			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
+		}
+	}
+	return string(fmt.Appendf(b, "%+v", w.question))
+}
+
+func (w exploredState) Violation() string { return w.broken }
+
+// report is what the worker says now.
+func (w *exploredState) report() *wire.Heartbeat {
+	w.seq++
+	r := testReport(w.session, w.seq, w.token)
+	if w.heldAttempt != 0 {
+		s := wire.TaskStatus{Task: testTaskID, Attempt: w.heldAttempt, State: wire.TaskRunning}
+		if w.exited {
+			s.State, s.Cause = wire.TaskExited, wire.CauseError
+		}
+		r.Tasks = append(r.Tasks, s)
+	}
+	return r
+}
+
+// observe gives the leader a message and has it apply what that proves.
+func (w *exploredState) observe(r *wire.Heartbeat, q *staleness.Question) ReportVerdict {
+	machine := w.model.Order[0]
+	bump := machine.TokenBump
+	v := w.model.Observe(machine, r, q, 1)
+	if w.mutation == reapsEarly {
+		machine.TokenBump = bump
+	}
+	if w.mutation == anySessionProves && v.Freshness == staleness.Unproven {
+		for _, run := range machine.Runs {
+			if run.Session < r.AgentEpoch {
+				v.Entries = append(v.Entries, &Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: run.Attempt})
+			}
+		}
+	}
+	for _, e := range v.Entries {
+		_ = w.model.Apply(e, 1, 1)
+	}
+	for _, s := range r.Tasks {
+		if w.mutation == reapsEarly && s.State == wire.TaskExited {
+			w.earlyReaped = s.Attempt
+			_ = w.model.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: uint32(s.Attempt)}, 1, 1)
+		}
+	}
+	return v
+}
+
+// execute has the worker carry out commands.
+func (w *exploredState) execute(commands []wire.Command) {
+	for _, c := range commands {
+		switch c.Verb {
+		case wire.Start:
+			switch {
+			case w.heldAttempt == c.Attempt, w.heldAttempt != 0 && !w.exited: // known, or busy
+			case w.heldAttempt != 0: // one attempt is enough to list here; the other is refused
+			case w.elsewhere:
+				w.broken = fmt.Sprintf("attempt %d starts while the task runs elsewhere", c.Attempt)
+			case w.model.findRun(7, 0, uint32(c.Attempt)) == nil:
+				w.broken = fmt.Sprintf("attempt %d starts, whose end is in the log", c.Attempt)
+			default:
+				w.heldAttempt = c.Attempt
+			}
+		case wire.Stop:
+			w.exited = w.exited || w.heldAttempt == c.Attempt
+		case wire.Forget:
+			if w.heldAttempt == c.Attempt && w.exited {
+				w.heldAttempt, w.exited = 0, false
+			}
+		}
+	}
+}
+
+// commands is what the leader says now. What observe applied counts as committed.
+func (w *exploredState) commands(answer bool) []wire.Command {
+	machine := w.model.Order[0]
+	w.model.SealReapable(machine, 1)
+	commands := w.model.Commands(machine, 9, answer)
+	if w.earlyReaped != 0 {
+		commands = append(commands, wire.Command{Verb: wire.Forget, Task: testTaskID, Attempt: w.earlyReaped})
+	}
+	return commands
+}
+
+func (w exploredState) NextSteps() (list []modelcheck.Step) {
+	step := func(name string, f func(w *exploredState)) {
+		n := w.clone()
+		f(&n)
+		list = append(list, modelcheck.Step{Name: name, To: n})
+	}
+	machine, job := w.model.Order[0], w.model.Jobs[7]
+	if w.awaitedReport == 0 && len(w.reports) < 3 {
+		step("the worker reports", func(w *exploredState) {
+			w.reports = append(w.reports, *w.report())
+			w.awaitedReport = len(w.reports)
+		})
+	}
+	for i := range w.reports {
+		r := w.reports[i]
+		if w.awaitedReport == i+1 {
+			step(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) {
+				machine := w.model.Order[0]
+				v := w.observe(&r, nil)
+				u := inFlightMessage{incarnation: w.incarnation, session: r.AgentEpoch, answer: true, token: w.model.Token(machine), term: w.model.TermBase}
+				if !v.IsStale() {
+					machine.Reports.RecordAnswer(w.model.Token(machine))
+					u.commands = w.commands(true)
+					for _, run := range machine.Runs {
+						if w.mutation == answerNotAwaited && run.answeredReportSeq != 0 {
+							run.answeredReportSeq = 0
+							run.setPhase(Fetching)
+						}
+					}
+				}
+				w.inFlight = append(w.inFlight, u)
+				w.awaitedReport = -1 // answered, and the answer is under way
+			})
+			step("the worker gives its report up", func(w *exploredState) { w.awaitedReport = 0 })
+			if w.relay && w.relayedReport == 0 {
+				step(fmt.Sprint("a relay answers report ", i, " by itself"), func(w *exploredState) { w.awaitedReport, w.relayedReport = 0, i+1 })
+			}
+		} else {
+			step(fmt.Sprint("a copy of report ", i, " comes"), func(w *exploredState) {
+				var q *staleness.Question
+				if w.mutation == copyPassesForAnswer {
+					q = w.model.BeginProbe(w.model.Order[0])
+					r.FencingToken = w.model.TermBase + 1<<20
+				}
+				w.observe(&r, q)
+			})
+		}
+	}
+	if w.relayedReport != 0 {
+		step(fmt.Sprint("report ", w.relayedReport-1, " comes from the relay"), func(w *exploredState) {
+			r := w.reports[w.relayedReport-1]
+			w.relayedReport = 0
+			if v := w.observe(&r, nil); v.IsStale() {
+				return
+			}
+			machine := w.model.Order[0]
+			machine.Reports.RecordAnswer(w.model.Token(machine))
+			u := inFlightMessage{incarnation: w.incarnation, session: r.AgentEpoch, answer: true, token: w.model.Token(machine), term: w.model.TermBase, commands: w.commands(true)}
+			if w.mutation == relayForwardsLate {
+				w.inFlight = append(w.inFlight, u)
+			} // else the relay has no connection any more on which the worker waits for it
+		})
+	}
+	if w.awaitedReport == -1 {
+		step("the answer is lost", func(w *exploredState) {
+			w.inFlight = slices.DeleteFunc(w.inFlight, func(u inFlightMessage) bool { return u.answer })
+			w.awaitedReport = 0
+		})
+	}
+	if w.question == nil {
+		step("the leader asks", func(w *exploredState) { w.question = w.model.BeginProbe(w.model.Order[0]) })
+	} else {
+		step("the worker answers the question", func(w *exploredState) {
+			q := w.question
+			w.question = nil
+			w.observe(w.report(), q)
+		})
+	}
+	for i, u := range w.inFlight {
+		what := "the command"
+		if u.answer {
+			what = "the answer"
+		}
+		step(fmt.Sprintf("%s of term %d arrives", what, u.term>>24), func(w *exploredState) {
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
+			if u.answer {
+				w.awaitedReport = 0
+			}
+			if u.incarnation != w.incarnation {
+				return
+			}
+			taken := u.session == w.session && u.token >= w.token
+			if taken {
+				w.token = u.token
+				w.execute(u.commands)
+			}
+			if machine := w.model.Order[0]; u.awaited && u.term == w.model.TermBase {
+				w.model.StartsAnswered(machine, u.commands, u.token, taken)
+				w.observe(w.report(), u.question)
+			}
+		})
+		if u.awaited {
+			step("the leader gives a command up", func(w *exploredState) {
+				w.inFlight[i].awaited = false
+				if u.term != w.model.TermBase {
+					return
+				}
+				if machine := w.model.Order[0]; w.mutation == lostStartIgnored {
+					w.model.StartsAnswered(machine, u.commands, u.token, false)
+				} else {
+					w.model.StartsLost(machine, u.commands, u.token)
+				}
+			})
+		}
+	}
+	// There is one command to a machine at a time.
+	if machine.Reported && len(w.inFlight) < 2 && !slices.ContainsFunc(w.inFlight, func(u inFlightMessage) bool { return u.awaited && u.term == w.model.TermBase }) {
+		step("the leader sends a command", func(w *exploredState) {
+			machine := w.model.Order[0]
+			commands := w.commands(false)
+			u := inFlightMessage{incarnation: w.incarnation, session: machine.Session, token: w.model.Token(machine), commands: commands, awaited: true, question: w.model.BeginProbe(machine), term: w.model.TermBase}
+			w.model.StartsSent(machine, commands, u.token)
+			w.inFlight = append(w.inFlight, u)
+		})
+	}
+	if machine.Reported && job.Tasks[0].State == Waiting && job.Tasks[0].Attempt < 2 && !w.elsewhere {
+		step("the task is placed here", func(w *exploredState) {
+			machine := w.model.Order[0]
+			_ = w.model.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: w.model.Jobs[7].Tasks[0].Attempt + 1, Machine: machine.ID, Session: machine.Session}, 1, 1)
+		})
+	}
+	if job.Tasks[0].State == Waiting && job.Tasks[0].Attempt > 0 && !w.elsewhere {
+		step("the task is placed elsewhere", func(w *exploredState) {
+			if w.elsewhere = true; w.heldAttempt != 0 && !w.exited {
+				w.broken = fmt.Sprintf("the task is started elsewhere while attempt %d is here", w.heldAttempt)
+			}
+		})
+	}
+	for _, run := range machine.Runs {
+		if !run.Stop {
+			step("the run is no longer wanted", func(w *exploredState) { w.model.Order[0].Runs[0].Stop = true })
+		}
+	}
+	if w.heldAttempt != 0 && !w.exited {
+		step("the task ends by itself", func(w *exploredState) { w.exited = true })
+	}
+	if w.incarnation < 2 {
+		for _, afresh := range []bool{false, true} {
+			step(fmt.Sprint("the worker begins anew, afresh ", afresh), func(w *exploredState) {
+				w.incarnation, w.heldAttempt, w.exited, w.awaitedReport = w.incarnation+1, 0, false, 0
+				if w.session++; afresh {
+					w.session, w.seq, w.token = 1, 0, 0
+				}
+			})
+		}
+	}
+	if w.lapses == 0 {
+		step("the worker's lease runs out", func(w *exploredState) {
+			w.lapses, w.session, w.heldAttempt, w.exited = 1, w.session+1, 0, false
+		})
+	}
+	if w.terms == 0 {
+		step("another node leads", func(w *exploredState) {
+			w.terms++
+			w.question = nil
+			w.model.BeginTerm(w.model.TermBase+1<<24, 1)
+		})
+	}
+	return list
+}
+
+func newExploredState(t *testing.T, injected mutation) exploredState {
+	t.Helper()
+	m := New(params())
+	for i, e := range []*Entry{
+		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}},
+		{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")},
+		{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 1)},
+	} {
+		if err := m.Apply(e, uint64(i+1), 0); err != nil {
+			t.Fatal(err)
+		}
+	}
+	m.BeginTerm(3<<24, 0)
+	w := exploredState{mutation: injected, model: m, session: 1, incarnation: 1, token: 3 << 24}
+	w.observe(w.report(), m.BeginProbe(m.Order[0]))
+	if err := m.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, 4, 0); err != nil {
+		t.Fatal(err)
+	}
+	return w
+}
+
+// followSteps takes steps by their names.
+func followSteps(t *testing.T, w exploredState, names ...string) exploredState {
+	t.Helper()
+next:
+	for _, name := range names {
+		for _, s := range w.NextSteps() {
+			if s.Name == name {
+				w = s.To.(exploredState)
+				continue next
+			}
+		}
+		t.Fatalf("there is no step %q", name)
+	}
+	return w
+}
+
+// TestNoOrderStartsTwice explores the orders of all this, and finds what is done wrongly on purpose: from a task that was just placed, and from one that
+// runs while another copy of its start is held up.
+func TestNoOrderStartsTwice(t *testing.T) {
+	held := []string{"the leader sends a command", "the leader gives a command up", "the worker reports", "report 0 arrives", "the answer of term 3 arrives", "the worker reports"}
+	for _, c := range []struct {
+		slip        mutation
+		from        []string
+		depth, most int
+		relay       bool
+	}{
+		{noMutation, nil, 20, 20_000, false}, {noMutation, held, 20, 20_000, false}, {copyPassesForAnswer, nil, 12, 60_000, false}, {answerNotAwaited, nil, 12, 60_000, false}, {lostStartIgnored, nil, 12, 60_000, false},
+		{anySessionProves, nil, 14, 150_000, false}, {reapsEarly, held, 14, 60_000, false},
+		{noMutation, nil, 20, 30_000, true}, {noMutation, held, 20, 30_000, true}, {relayForwardsLate, nil, 16, 60_000, true},
+	} {
+		w := followSteps(t, newExploredState(t, c.slip), c.from...)
+		w.relay = c.relay
+		r := modelcheck.Explore(w, c.depth, c.most)
+		if found := r.Violation != ""; found != (c.slip != noMutation) {
+			t.Errorf("slip %d: %s", c.slip, r)
+		} else {
+			t.Logf("slip %d: %s", c.slip, r)
+		}
+	}
+}
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -12,20 +12,20 @@
 
 // The kinds of entries. Their numbers are part of the log's format.
 const (
-	EntryAccept     EntryKind = iota + 1 // a job was accepted
-	EntryCancel                          // a job was cancelled
-	EntryPlace                           // a task may from now on be started on a machine
-	EntryEnded                           // an attempt is evidently gone, its task waits again
-	EntryDone                            // a task completed
-	EntryMachine                         // a machine is known
-	EntryGone                            // a machine is evidently gone
-	EntryType                            // a machine type, as the cloud describes it
-	EntrySuspect                         // from now on only the leader may renew a machine's lease
-	EntryTrust                           // a suspect machine has reported to the leader
-	EntryLapsed                          // a suspect machine's lease has surely run out, and its tasks are gone
-	EntryRelease                         // a machine may from now on be returned at any moment
-	EntryIntent                          // machines may from now on be rented under a name
-	EntryIntentDone                      // what became of that is known
+	EntryAccept       EntryKind = iota + 1 // a job was accepted
+	EntryCancel                            // a job was cancelled
+	EntryPlace                             // a task may from now on be started on a machine
+	EntryEnded                             // an attempt is evidently gone, its task waits again
+	EntryDone                              // a task completed
+	EntryMachine                           // a machine is known
+	EntryGone                              // a machine is evidently gone
+	EntryType                              // a machine type, as the cloud describes it
+	EntrySuspect                           // from now on only the leader may renew a machine's lease
+	EntryTrust                             // a suspect machine has reported to the leader
+	EntryLeaseExpired                      // a suspect machine's lease has surely run out, and its tasks are gone
+	EntryRelease                           // a machine may from now on be returned at any moment
+	EntryIntent                            // machines may from now on be rented under a name
+	EntryIntentDone                        // what became of that is known
 )
 
 // Entry is one record of the log.
@@ -72,7 +72,7 @@
 		b = codec.Uint(b, uint64(e.Machine))
 		b = codec.Uint(b, uint64(e.At))
 		b = appendInfo(b, e.Info)
-	case EntryGone, EntrySuspect, EntryTrust, EntryLapsed, EntryRelease:
+	case EntryGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		b = codec.Uint(b, uint64(e.Machine))
 	case EntryIntent:
 		b = appendInfo(b, e.Info)
@@ -87,11 +87,11 @@
 
 // ReadEntry decodes one entry.
 func ReadEntry(r *codec.Reader) (*Entry, error) {
-	if r.Err != nil || len(r.B) == 0 {
+	if r.Err != nil || len(r.Data) == 0 {
 		return nil, codec.ErrShort
 	}
-	e := &Entry{Kind: EntryKind(r.B[0])}
-	r.B = r.B[1:]
+	e := &Entry{Kind: EntryKind(r.Data[0])}
+	r.Data = r.Data[1:]
 	switch e.Kind {
 	case EntryAccept:
 		e.At = int64(r.Uint())
@@ -119,11 +119,11 @@
 		e.Machine = MachineID(r.Max(1 << 31))
 		e.At = int64(r.Uint())
 		e.Info = readInfo(r)
-	case EntryGone, EntrySuspect, EntryTrust, EntryLapsed, EntryRelease:
+	case EntryGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		e.Machine = MachineID(r.Max(1 << 31))
 	case EntryIntent:
 		e.Info = readInfo(r)
-		e.Count = r.Max(wire.MaxHire)
+		e.Count = r.Max(wire.MaxScaleOut)
 	case EntryIntentDone:
 		e.Info = &MachineInfo{Name: r.String()}
 	case EntryType:
@@ -178,7 +178,7 @@
 }
 
 func readStrings(r *codec.Reader) []string {
-	n := r.Max(uint64(len(r.B)))
+	n := r.Max(uint64(len(r.Data)))
 	s := make([]string, 0, n)
 	for range n {
 		s = append(s, r.String())
@@ -191,7 +191,7 @@
 		b = codec.String(b, v)
 	}
 	b = codec.Uint(b, uint64(s.Tasks))
-	for _, f := range []float64{s.CPUs, s.GPUs, s.MemoryGB, s.ImageGB, s.EstimateS, s.CheckpointS, s.SaveS} {
+	for _, f := range []float64{s.CPUs, s.GPUs, s.MemoryGB, s.ImageGB, s.EstimateS, s.CheckpointIntervalS, s.CheckpointWriteS} {
 		b = codec.Float(b, f)
 	}
 	b = codec.Bool(b, s.SameZone)
@@ -218,7 +218,7 @@
 		*v = r.String()
 	}
 	s.Tasks = r.Max(wire.MaxTasks)
-	for _, f := range []*float64{&s.CPUs, &s.GPUs, &s.MemoryGB, &s.ImageGB, &s.EstimateS, &s.CheckpointS, &s.SaveS} {
+	for _, f := range []*float64{&s.CPUs, &s.GPUs, &s.MemoryGB, &s.ImageGB, &s.EstimateS, &s.CheckpointIntervalS, &s.CheckpointWriteS} {
 		*f = r.Float()
 	}
 	s.SameZone = r.Bool()
--- a/internal/model/meet.go
+++ b/internal/model/gang_start.go
@@ -6,39 +6,39 @@
 // through five attempts, 35 s each. So a member that is there at once is told to start when those that fetch for long are there; and a gang
 // that failed to meet is not stopped before its fetches have ended.
 
-// LongFetch tells whether a machine takes so long to fetch a job's image that members of a gang who fetch it, and who don't, may not meet: as
+// IsLongFetch tells whether a machine takes so long to fetch a job's image that members of a gang who fetch it, and who don't, may not meet: as
 // rates differ by a third, from half of the wait on.
-func (m *Model) LongFetch(j *Job, mc *Machine) bool {
-	if m.GangWait <= 0 || mc.Has(j.Image) {
+func (m *Model) IsLongFetch(j *Job, machine *Machine) bool {
+	if m.GangWait <= 0 || machine.HasImage(j.Image) {
 		return false
 	}
-	rate := m.TypeOf(mc).FetchGBPerS
+	rate := m.TypeOf(machine).FetchGBPerS
 	return rate > 0 && j.Spec.ImageGB/rate > m.GangWait.Seconds()/2
 }
 
-// holds tells whether the start of a gang's member waits for others, whose fetch takes long.
-func (m *Model) holds(r *Run) bool {
+// mustHoldStart tells whether the start of a gang's member waits for others, whose fetch takes long.
+func (m *Model) mustHoldStart(r *Run) bool {
 	j := r.Job
-	if j.Kind != Gang || len(j.Tasks) < 2 || r.Inherited || !r.Machine.Has(j.Image) {
+	if j.Kind != Gang || len(j.Tasks) < 2 || r.Inherited || !r.Machine.HasImage(j.Image) {
 		return false
 	}
 	for i := range j.Tasks {
-		if o := j.Tasks[i].Run; o != nil && o != r && o.Attempt == r.Attempt && o.Wanted() && o.Phase <= Fetching && m.LongFetch(j, o.Machine) {
+		if o := j.Tasks[i].Run; o != nil && o != r && o.Attempt == r.Attempt && o.IsWanted() && o.Phase <= Fetching && m.IsLongFetch(j, o.Machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// meet lists the machines of a gang's members whose start may have waited for one that has its image now.
-func (j *Job) meet() (list []*Machine) {
+// machinesAwaitingMember lists the machines of a gang's members whose start may have waited for one that has its image now.
+func (j *Job) machinesAwaitingMember() (machines []*Machine) {
 	if j.Kind != Gang {
 		return nil
 	}
 	for i := range j.Tasks {
-		if o := j.Tasks[i].Run; o != nil && o.Phase == Unseen && o.Wanted() {
-			list = append(list, o.Machine)
+		if o := j.Tasks[i].Run; o != nil && o.Phase == Unseen && o.IsWanted() {
+			machines = append(machines, o.Machine)
 		}
 	}
-	return list
+	return machines
 }
--- a/internal/model/meet_test.go
+++ b/internal/model/gang_start_test.go
@@ -7,9 +7,9 @@
 	"fieldhill/wire"
 )
 
-// TestGangMeets: of a gang whose image takes longer to fetch than its members wait for each other, the member that has it is told to start
+// TestGangStartWaitsForLongFetch: of a gang whose image takes longer to fetch than its members wait for each other, the member that has it is told to start
 // once the one that fetches has it too. Where the fetch is short nothing waits.
-func TestGangMeets(t *testing.T) {
+func TestGangStartWaitsForLongFetch(t *testing.T) {
 	for _, c := range []struct {
 		gb    float64
 		waits bool
@@ -17,11 +17,11 @@
 		p := params()
 		p.Workers = config.Workers{GangWaitS: 35}
 		m := New(p)
-		s := spec(7, 2)
+		s := testSpec(7, 2)
 		s.Shape, s.ImageGB, s.Team = wire.Gang, c.gb, "blue"
 		for i, e := range []*Entry{
 			{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 50, FetchGBPerS: 1, Zones: []string{"a"}}},
-			{Kind: EntryMachine, Machine: 1, Info: info("host-1")}, {Kind: EntryMachine, Machine: 2, Info: info("host-2")},
+			{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, {Kind: EntryMachine, Machine: 2, Info: testInfo("host-2")},
 			{Kind: EntryAccept, Job: 7, Spec: s},
 			{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, {Kind: EntryPlace, Job: 7, Task: 1, Attempt: 1, Machine: 2, Session: 1},
 		} {
@@ -31,22 +31,22 @@
 		}
 		j, has, fetches := m.Jobs[7], m.Machines[1], m.Machines[2]
 		m.TermBase = 3 << 24
-		m.Observe(has, report(1, 1, 3<<24), nil, 0)
-		m.Observe(fetches, report(1, 1, 3<<24), nil, 0)
-		has.Touch(m, j, 0)
-		if got := len(m.Commands(has, 9, false)) == 0; got != c.waits {
-			t.Errorf("%g GB: the member that has the image waits %v", c.gb, got)
+		m.Observe(has, testReport(1, 1, 3<<24), nil, 0)
+		m.Observe(fetches, testReport(1, 1, 3<<24), nil, 0)
+		has.TouchImage(m, j, 0)
+		if actual := len(m.Commands(has, 9, false)) == 0; actual != c.waits {
+			t.Errorf("%g GB: the member that has the image waits %v", c.gb, actual)
 		}
 		if k := len(m.Commands(fetches, 9, false)); k != 1 {
 			t.Errorf("%g GB: the member that fetches got %d commands", c.gb, k)
 		}
-		state := func(seq uint64, state string) Verdict {
-			return m.Observe(fetches, report(1, seq, 3<<24, wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}), nil, 1)
+		state := func(seq uint64, state string) ReportVerdict {
+			return m.Observe(fetches, testReport(1, seq, 3<<24, wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}), nil, 1)
 		}
-		if v := state(2, wire.TaskFetching); len(v.Meet) != 0 {
+		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
 			t.Errorf("%g GB: told to meet while it fetches", c.gb)
 		}
-		if v := state(3, wire.TaskWaiting); len(v.Meet) != 1 || v.Meet[0] != has {
+		if v := state(3, wire.TaskWaiting); len(v.GangReady) != 1 || v.GangReady[0] != has {
 			t.Errorf("%g GB: nobody is told that the member is there", c.gb)
 		}
 		if k := len(m.Commands(has, 9, false)); k != 1 {
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -20,7 +20,7 @@
 func everyEntry() []*Entry {
 	full := &wire.JobSpec{ID: wire.JobID(300), Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.Production,
 		Tasks: wire.MaxTasks, CPUs: 0.5, GPUs: 1, MemoryGB: 1e-9, Image: "img", ImageGB: 2.5, Types: []string{"t", "u"},
-		Zone: ptr("b"), SameZone: true, Spread: true, Spot: true, EstimateS: 60, CheckpointS: 0.1, SaveS: 7,
+		Zone: ptr("b"), SameZone: true, Spread: true, Spot: true, EstimateS: 60, CheckpointIntervalS: 0.1, CheckpointWriteS: 7,
 		DeadlineS: ptr(0.0)}
 	bare := &wire.JobSpec{ID: wire.JobID(7), Shape: wire.Service, Priority: wire.Low, Tasks: 1, Types: []string{}}
 	machine := &MachineInfo{Name: "host-1", Addr: "10.1.0.1:1", Type: "t", Zone: "a", Spot: true}
@@ -39,7 +39,7 @@
 			FetchGBPerS: 1e-9, Price: 0.18, SpotPrice: 0.06, BootS: 25, Zones: []string{"a", "b"}}},
 		{Kind: EntrySuspect, Machine: 3},
 		{Kind: EntryTrust, Machine: 4},
-		{Kind: EntryLapsed, Machine: 5},
+		{Kind: EntryLeaseExpired, Machine: 5},
 		{Kind: EntryRelease, Machine: 6},
 		{Kind: EntryIntent, Info: &MachineInfo{Name: "fh-3-1", Type: "t", Zone: "a", Spot: true}, Count: 50},
 		{Kind: EntryIntentDone, Info: &MachineInfo{Name: "fh-3-1"}},
@@ -55,7 +55,7 @@
 		}
 		return b
 	}, func(b []byte) (all []*Entry, err error) {
-		for r := (&codec.Reader{B: b}); len(r.B) > 0; {
+		for r := (&codec.Reader{Data: b}); len(r.Data) > 0; {
 			e, err := ReadEntry(r)
 			if err != nil {
 				return nil, err
@@ -72,7 +72,7 @@
 		t.Errorf("the kinds have numbers %v", kinds)
 	}
 	for _, kind := range []byte{0, 15} {
-		if _, err := ReadEntry(&codec.Reader{B: []byte{kind, 1, 1, 1}}); err == nil {
+		if _, err := ReadEntry(&codec.Reader{Data: []byte{kind, 1, 1, 1}}); err == nil {
 			t.Errorf("an entry of kind %d is read", kind)
 		}
 	}
@@ -90,7 +90,7 @@
 // eventful is a model that has some of everything that a snapshot holds, but rentals under way.
 func eventful(t *testing.T) *Model {
 	t.Helper()
-	other, full := spec(20, 3), *everyEntry()[0].Spec
+	other, full := testSpec(20, 3), *everyEntry()[0].Spec
 	other.Image, other.ImageGB, full.Tasks = "j", 2.5, 1000
 	place := func(job JobID, task int32, attempt uint32, machine MachineID) *Entry {
 		return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, Session: 1 << 40}
@@ -103,21 +103,21 @@
 	applyAll(t, m,
 		&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 8, CacheGB: 10, Zones: []string{"a"}}},
 		&Entry{Kind: EntryType, Type: u},
-		&Entry{Kind: EntryMachine, Machine: 1, At: 1_700_000_000_123, Info: info("host-1")},
+		&Entry{Kind: EntryMachine, Machine: 1, At: 1_700_000_000_123, Info: testInfo("host-1")},
 		&Entry{Kind: EntryMachine, Machine: 2, Info: &MachineInfo{Name: "host-2", Type: "u", Zone: "b", Spot: true}},
-		&Entry{Kind: EntryMachine, Machine: 3, Info: info("host-3")},
-		&Entry{Kind: EntryMachine, Machine: 4, Info: info("host-4")},
-		&Entry{Kind: EntryMachine, Machine: 5, Info: info("host-5")},
+		&Entry{Kind: EntryMachine, Machine: 3, Info: testInfo("host-3")},
+		&Entry{Kind: EntryMachine, Machine: 4, Info: testInfo("host-4")},
+		&Entry{Kind: EntryMachine, Machine: 5, Info: testInfo("host-5")},
 		&Entry{Kind: EntryGone, Machine: 5}, &Entry{Kind: EntryGone, Machine: 4},
 		&Entry{Kind: EntrySuspect, Machine: 2}, &Entry{Kind: EntryRelease, Machine: 3},
-		Accepted(spec(1, 1), 5), Accepted(spec(300, 1), 6), Accepted(spec(301, 2), 7), Accepted(spec(2, 1), 8),
+		Accepted(testSpec(1, 1), 5), Accepted(testSpec(300, 1), 6), Accepted(testSpec(301, 2), 7), Accepted(testSpec(2, 1), 8),
 		place(1, 0, 1, 1), entry(EntryDone, 1, 0, 1), entry(EntryDone, 300, 0, 1),
 		entry(EntryCancel, 2, 0, 0), entry(EntryCancel, 301, 0, 0),
-		Accepted(spec(21, 5), 9), // part done, with attempts, part placed, part waiting
+		Accepted(testSpec(21, 5), 9), // part done, with attempts, part placed, part waiting
 		entry(EntryDone, 21, 0, 0), place(21, 1, 1, 1), entry(EntryEnded, 21, 1, 1), place(21, 1, 2, 1),
 		entry(EntryDone, 21, 1, 2), place(21, 2, 300, 1), place(21, 3, 1, 2), entry(EntryEnded, 21, 3, 1),
 		Accepted(other, 10), place(20, 0, 1, 1), entry(EntryDone, 20, 0, 1), // a second image in the cache
-		Accepted(spec(22, 2), 11), place(22, 1, 1, 2), entry(EntryCancel, 22, 0, 0), // over, but for its run
+		Accepted(testSpec(22, 2), 11), place(22, 1, 1, 2), entry(EntryCancel, 22, 0, 0), // over, but for its run
 		&Entry{Kind: EntryAccept, Job: 400, Spec: &full, At: 12},
 	)
 	return m
@@ -127,8 +127,8 @@
 func older(m *Model, b []byte, version byte) []byte {
 	b = bytes.Clone(b)
 	b[0] = version
-	for _, mc := range m.Order {
-		identity := appendInfo(nil, &mc.Info)
+	for _, machine := range m.Order {
+		identity := appendInfo(nil, &machine.Info)
 		flags := bytes.Index(b, identity) + len(identity)
 		b = slices.Delete(b, flags+int(version)-1, flags+2)
 	}
@@ -143,7 +143,7 @@
 	golden.Check(t, "snapshot-v2.hex", older(m, m.Snapshot(), 2))
 	for _, name := range []string{"x", "y"} {
 		i := &MachineInfo{Name: name, Type: "t", Zone: "a", Spot: name == "y"}
-		applyAll(t, m, &Entry{Kind: EntryIntent, Info: i, Count: wire.MaxHire})
+		applyAll(t, m, &Entry{Kind: EntryIntent, Info: i, Count: wire.MaxScaleOut})
 	}
 	golden.Check(t, "snapshot-v4.hex", m.Snapshot())
 	for version := byte(1); version <= 4; version++ {
@@ -182,15 +182,15 @@
 		if err := m.Restore(golden.Read(t, fmt.Sprintf("snapshot-v%d.hex", version)), 50, 0); err != nil {
 			t.Fatal(err)
 		}
-		var got []string
-		for _, mc := range m.Order {
-			flags := map[bool]string{true: " suspect"}[mc.Suspect] + map[bool]string{true: " releasing"}[mc.Releasing]
-			got = append(got, mc.Info.Name+flags)
+		var actual []string
+		for _, machine := range m.Order {
+			flags := map[bool]string{true: " suspect"}[machine.Suspect] + map[bool]string{true: " releasing"}[machine.Releasing]
+			actual = append(actual, machine.Info.Name+flags)
 		}
 		for _, i := range m.Intents {
-			got = append(got, i.Name)
+			actual = append(actual, i.Name)
 		}
-		if diff := cmp.Diff(want, got); diff != "" {
+		if diff := cmp.Diff(want, actual); diff != "" {
 			t.Errorf("version %d: %s", version, diff)
 		}
 		finals := map[JobID]Final{1: FinalDone, 300: FinalDone, 2: FinalCancelled, 301: FinalCancelled}
@@ -203,8 +203,8 @@
 		if j := m.Jobs[22]; !j.Cancelled || j.Live != 1 || j.Tasks[1].Run.Machine.Info.Name != "host-2" {
 			t.Errorf("version %d: job 22 is %+v", version, j)
 		}
-		if mc := m.Machines[1]; !m.Tombs["host-4"] || !m.Tombs["host-5"] || m.NextMachine != 6 || len(mc.cache) != 2 {
-			t.Errorf("version %d: gone %v, next %d, cache %v", version, m.Tombs, m.NextMachine, mc.cache)
+		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 || len(machine.cache) != 2 {
+			t.Errorf("version %d: gone %v, next %d, cache %v", version, m.Tombstones, m.NextMachine, machine.cache)
 		}
 	}
 }
@@ -213,13 +213,13 @@
 func TestGoldenTombs(t *testing.T) {
 	m := New(params())
 	for id := MachineID(1); id <= 1000; id++ {
-		applyAll(t, m, &Entry{Kind: EntryMachine, Machine: id, Info: info(fmt.Sprint("host-", id))},
+		applyAll(t, m, &Entry{Kind: EntryMachine, Machine: id, Info: testInfo(fmt.Sprint("host-", id))},
 			&Entry{Kind: EntryGone, Machine: id})
 	}
 	b := m.Snapshot()
 	golden.Check(t, "tombs.sha256.txt", fmt.Appendf(nil, "%x\n", sha256.Sum256(b)))
 	again := New(params())
-	if err := again.Restore(b, 1, 0); err != nil || !bytes.Equal(b, again.Snapshot()) || len(again.Tombs) != 1000 {
-		t.Errorf("%d names of 1000 are read, %v", len(again.Tombs), err)
+	if err := again.Restore(b, 1, 0); err != nil || !bytes.Equal(b, again.Snapshot()) || len(again.Tombstones) != 1000 {
+		t.Errorf("%d names of 1000 are read, %v", len(again.Tombstones), err)
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -76,7 +76,7 @@
 const (
 	Unseen Phase = iota // placed; its machine has not spoken of it yet
 	Fetching
-	Gathering
+	AwaitingGang
 	Running
 	Saving
 )
@@ -90,7 +90,7 @@
 	FinalCancelled
 )
 
-const eps = 1e-6
+const epsilon = 1e-6
 
 // Task is one task of a job.
 type Task struct {
@@ -122,28 +122,28 @@
 	FinalSeq  uint64
 	// CancelledFrom is from when its cancellation counts at the earliest; 0: for longer than this replica has followed.
 	CancelledFrom Time
-	retry         []int32
-	next          int32
-	over          bool // it is settled
-	begun         bool // a task of it was placed
+	retryTasks    []int32
+	nextTask      int32
+	settled       bool // it is settled
+	started       bool // a task of it was placed
 
 	// What the leader keeps for scheduling.
-	Waited     int            // rounds spent waiting for a busy machine with the image
-	Why        pending.Reason // what was in the way of its next task when last looked at
-	past       [pastReasons]Past
-	NotBefore  Time
-	LocalSince Time // when room was last begun to be made where its image is; 0: never
-	Errors     int
-	FailedOn   map[MachineID]Time // machines where a task of it failed, and when last
-	Faulty     bool               // it fails on every machine, as far as was seen
-	pauses     int                // how often it was paused for that
-	times      average            // of its completed tasks' times, in logarithms
-	Within     bool               // it fits into its team's guarantee together with the team's earlier unfinished jobs
-	Guaranteed bool               // it is served as within the guarantee
-	Spared     bool               // its part of the guarantee may wait for what is owed
-	Owed       bool               // its class or team is served for too little of its work (the floor)
-	Rank       int                // who has a higher one is served before it
-	Began      Time               // when this node learnt of it
+	WaitedRounds    int            // rounds spent waiting for a busy machine with the image
+	PendingReason   pending.Reason // what was in the way of its next task when last looked at
+	reasonHistory   [maxReasonHistory]ReasonSince
+	NotBefore       Time
+	LocalRoomSince  Time // when room was last begun to be made where its image is; 0: never
+	Errors          int
+	FailedOn        map[MachineID]Time // machines where a task of it failed, and when last
+	Faulty          bool               // it fails on every machine, as far as was seen
+	pauses          int                // how often it was paused for that
+	taskTimes       average            // of its completed tasks' times, in logarithms
+	WithinGuarantee bool               // it fits into its team's guarantee together with the team's earlier unfinished jobs
+	Guaranteed      bool               // it is served as within the guarantee
+	Deferrable      bool               // its part of the guarantee may wait for what is owed
+	UnderServed     bool               // its class or team is served for too little of its work (the floor)
+	Rank            int                // who has a higher one is served before it
+	KnownSince      Time               // when this node learnt of it
 }
 
 // Waiting counts the tasks that want a place.
@@ -159,65 +159,65 @@
 	if j.Waiting() == 0 {
 		return -1
 	}
-	for n := len(j.retry); n > 0; n-- {
-		t := j.retry[n-1]
+	for n := len(j.retryTasks); n > 0; n-- {
+		t := j.retryTasks[n-1]
 		if j.Tasks[t].State == Waiting {
 			return t
 		}
-		j.retry = j.retry[:n-1]
+		j.retryTasks = j.retryTasks[:n-1]
 	}
-	for ; int(j.next) < len(j.Tasks); j.next++ {
-		if j.Tasks[j.next].State == Waiting {
-			return j.next
+	for ; int(j.nextTask) < len(j.Tasks); j.nextTask++ {
+		if j.Tasks[j.nextTask].State == Waiting {
+			return j.nextTask
 		}
 	}
 	return -1
 }
 
 // ZoneCount counts the tasks that are placed in a zone, and in any other.
-func (j *Job) ZoneCount(zone int32) (in, out int) {
+func (j *Job) ZoneCount(zone int32) (inZone, elsewhere int) {
 	if j.Live == 0 {
 		return 0, 0
 	}
 	for i := range j.Tasks {
 		if r := j.Tasks[i].Run; r != nil {
 			if r.Machine.Zone == zone {
-				in++
+				inZone++
 			} else {
-				out++
+				elsewhere++
 			}
 		}
 	}
-	return in, out
+	return inZone, elsewhere
 }
 
 // Run is an attempt of a task that is placed and not evidently gone.
 type Run struct {
-	Job       *Job
-	Task      int32
-	Attempt   uint32
-	Machine   *Machine
-	Session   uint64
-	Seq       uint64 // the log's sequence number of its placement
-	Phase     Phase
-	PlacedAt  Time
-	StartedAt Time   // when it was first seen running
-	Stop      bool   // it is to be stopped
-	Hard      bool   // without saving
-	Inherited bool   // placed by an earlier leader, whose commands may be under way
-	answerSeq uint64 // the report whose answer carried its start; 0: none under way
-	goneFrom  uint64 // a report that it is gone counts from this token on; 0: none said so
-	seen      uint64
-}
-
-// Unsent tells whether no start of the run can have been sent by anybody: starts
+	Job               *Job
+	Task              int32
+	Attempt           uint32
+	Machine           *Machine
+	Session           uint64
+	PlacedSeq         uint64 // the log's sequence number of its placement
+	Phase             Phase
+	PlacedAt          Time
+	StartedAt         Time   // when it was first seen running
+	Stop              bool   // it is to be stopped
+	Hard              bool   // without saving
+	Inherited         bool   // placed by an earlier leader, whose commands may be under way
+	answeredReportSeq uint64 // the report whose answer carried its start; 0: none under way
+	goneFromToken     uint64 // a report that it is gone counts from this token on; 0: none said so
+	seenObservation   uint64
+}
+
+// IsUnsent tells whether no start of the run can have been sent by anybody: starts
 // go out once the placement is committed.
-func (r *Run) Unsent(committed uint64) bool {
-	return r.Phase == Unseen && !r.Inherited && r.Seq > committed
+func (r *Run) IsUnsent(committed uint64) bool {
+	return r.Phase == Unseen && !r.Inherited && r.PlacedSeq > committed
 }
 
-// Wanted tells whether the run should go on.
-func (r *Run) Wanted() bool { return !r.Stop && !r.Job.Cancelled }
+// IsWanted tells whether the run should go on.
+func (r *Run) IsWanted() bool { return !r.Stop && !r.Job.Cancelled }
 
 type runKey struct {
 	job     JobID
@@ -242,38 +242,38 @@
 	Known   bool
 }
 
-type cached struct {
-	image int32
-	gb    float64
-	used  Time
+type cachedImage struct {
+	image    int32
+	sizeGB   float64
+	lastUsed Time
 }
 
-// pull is an image that runs wait for: how many, and how large it is.
-type pull struct {
-	image int32
-	runs  int32
-	gb    float64
+// pendingFetch is an image that runs wait for: how many, and how large it is.
+type pendingFetch struct {
+	image       int32
+	waitingRuns int32
+	sizeGB      float64
 }
 
-// Firm is the room that services without GPUs have taken of a machine: it does
+// ReservedResources is the room that services without GPUs have taken of a machine: it does
 // not give way.
-type Firm struct{ CPUs, GPUs, Mem float64 }
+type ReservedResources struct{ CPUs, GPUs, Mem float64 }
 
 // Machine is a rented machine that is not evidently gone.
 type Machine struct {
-	ID    MachineID
-	Info  MachineInfo
-	Type  int32
-	Zone  int32
-	Spot  bool
-	At    int64 // time of day when the log first named it, ms
-	Runs  []*Run
-	CPUs  float64 // in use
-	GPUs  float64
-	Mem   float64
-	Firm  Firm // of that, what services without GPUs hold
-	cache []cached
-	pulls []pull
+	ID       MachineID
+	Info     MachineInfo
+	Type     int32
+	Zone     int32
+	Spot     bool
+	At       int64 // time of day when the log first named it, ms
+	Runs     []*Run
+	CPUs     float64 // in use
+	GPUs     float64
+	Mem      float64
+	Reserved ReservedResources // of that, what services without GPUs hold
+	cache    []cachedImage
+	fetches  []pendingFetch
 
 	// Suspect tells that the log forbids all nodes but the leader to renew its
 	// lease: it has long said nothing.
@@ -286,51 +286,51 @@
 	ReleaseSeq uint64 // the log's number of that
 
 	// What the leader observes.
-	Session    uint64
-	Reports    staleness.Tracker // what was heard of its worker
-	DeafSince  Time              // since when answers are known not to arrive; 0: they do
-	Bump       uint64
-	Reported   bool // it has reported to this leader
-	LastReport Time
-	KnownSince Time
-	RentedAt   Time // when this leader rented it; 0: another did
-	Overdue    bool // it should have come up by now
-	Notice     Time // when the cloud takes it; 0: no notice
-	Draining   bool // gets no new work and is returned when empty
-	Bad        bool // distrusted
-	MuteSince  Time // since when its reports reach no controller, though it answers: its lease ran out; 0: they do
-	SlowUntil  Time // it was found to be slow, and gets only services until then
-	IdleSince  Time
+	Session                uint64
+	Reports                staleness.Tracker // what was heard of its worker
+	InboundPartitionSince  Time              // since when answers are known not to arrive; 0: they do
+	TokenBump              uint64
+	Reported               bool // it has reported to this leader
+	LastReport             Time
+	KnownSince             Time
+	ProvisionedAt          Time // when this leader rented it; 0: another did
+	BootOverdue            bool // it should have come up by now
+	PreemptionAt           Time // when the cloud takes it; 0: no notice
+	Draining               bool // gets no new work and is returned when empty
+	Quarantined            bool // distrusted
+	OutboundPartitionSince Time // since when its reports reach no controller, though it answers: its lease ran out; 0: they do
+	SlowUntil              Time // it was found to be slow, and gets only services until then
+	IdleSince              Time
 	// SuspectFrom is since when every node that may renew the lease of a suspect
 	// machine either knows of that or has a copy of the log older than this.
-	SuspectFrom Time
-	suspectSeq  uint64      // the log's number of the entry that made it suspect
-	Renewals    lease.Proof // what the other nodes said of its lease since
-	Failures    int         // errors since the last completion
-	FailedJobs  map[JobID]*Job
-	DoubtSince  Time // since when it gets nothing new, because jobs failed on it; 0: it does
-	Sending     bool // a direct command is under way
-	Probing     bool // it is being asked how it is
-	AskedAt     Time // when it was last asked because of what it said
-	NoDirect    bool // the last direct command got no answer
-	unsure      map[runKey]underway
-	dead        []deadTask
-	obs         uint64
-	pace        average // of its tasks' times against those of their peers
-	pacers      int     // by how many jobs, as far as they took turns
-	pacedBy     JobID
-	goodFrom    Time // when the last one began that completed in time
-	foundAt     Time // when it was last found to be slow
-	found       int  // how often
-	listened    Time // when it was last observed
-	gapAt       Time // when it was last heard of again after a silence
-}
-
-// underway holds the tokens of direct starts: of the one that waits for its
+	SuspectFrom      Time
+	suspectSeq       uint64            // the log's number of the entry that made it suspect
+	Renewals         lease.ExpiryProof // what the other nodes said of its lease since
+	Failures         int               // errors since the last completion
+	FailedJobs       map[JobID]*Job
+	DoubtSince       Time // since when it gets nothing new, because jobs failed on it; 0: it does
+	DirectInFlight   bool // a direct command is under way
+	Probing          bool // it is being asked how it is
+	ProbedAt         Time // when it was last asked because of what it said
+	DirectFailed     bool // the last direct command got no answer
+	unresolvedStarts map[runKey]startTokens
+	reapable         []reapableTask
+	observation      uint64
+	pace             average // of its tasks' times against those of their peers
+	paceJobs         int     // by how many jobs, as far as they took turns
+	lastPaceJob      JobID
+	lastOnTimeStart  Time // when the last one began that completed in time
+	slowFoundAt      Time // when it was last found to be slow
+	slowCount        int  // how often
+	lastObservedAt   Time // when it was last observed
+	silenceEndedAt   Time // when it was last heard of again after a silence
+}
+
+// startTokens holds the tokens of direct starts: of the one that waits for its
 // answer, and of the last one that got none. 0: none.
-type underway struct{ open, lost uint64 }
+type startTokens struct{ awaiting, lost uint64 }
 
-type deadTask struct {
+type reapableTask struct {
 	key    runKey
 	exited bool
 	seq    uint64
@@ -345,21 +345,21 @@
 	Order                             []*Machine // by id
 	ByName                            map[string]*Machine
 	Teams                             []*Team
-	ByClass, ByTeam                   []Served // by class and by team index; the former may be shorter than Classes
+	ByClass, ByTeam                   []CompletionStats // by class and by team index; the former may be shorter than Classes
 	teamByName                        map[string]*Team
-	inOrder                           []*Job // live jobs in the order of acceptance, and settled ones until the next look
-	settled                           int    // how many of inOrder are settled
+	jobsInOrder                       []*Job // live jobs in the order of acceptance, and settled ones until the next look
+	settledCount                      int    // how many of jobsInOrder are settled
 	Types                             []Type // by type index
-	Tombs                             map[string]bool
+	Tombstones                        map[string]bool
 	GangWait                          Time // how long a gang's member waits for the others, by the platform
-	tombRing                          []string
-	largest                           int // how many machines there were at once at most, as far as this process knows
+	tombstoneRing                     []string
+	maxFleetSize                      int // how many machines there were at once at most, as far as this process knows
 	NextMachine                       MachineID
 	Intents                           []Intent // rentals that may be under way, in the order of the log
 	jobOrder                          uint64
 	LiveTasks                         int
-	finalSeq                          map[JobID]uint64 // log number of recent final states
-	bias                              []average        // by class: by how much its owners' estimates were wrong, in logarithms
+	finalSeqs                         map[JobID]uint64 // log number of recent final states
+	classBias                         []average        // by class: by how much its owners' estimates were wrong, in logarithms
 
 	// TermBase is the lowest token of the present term.
 	TermBase uint64
@@ -369,15 +369,15 @@
 func New(p *config.Params) *Model {
 	m := &Model{
 		Jobs: map[JobID]*Job{}, Finals: map[JobID]Final{}, Machines: map[MachineID]*Machine{},
-		ByName: map[string]*Machine{}, teamByName: map[string]*Team{}, Tombs: map[string]bool{},
-		finalSeq: map[JobID]uint64{}, NextMachine: 1, GangWait: config.Seconds(p.Workers.GangWaitS),
+		ByName: map[string]*Machine{}, teamByName: map[string]*Team{}, Tombstones: map[string]bool{},
+		finalSeqs: map[JobID]uint64{}, NextMachine: 1, GangWait: config.Seconds(p.Workers.GangWaitS),
 	}
 	for _, t := range p.Teams {
 		team := &Team{Team: t, Index: len(m.Teams)}
 		m.Teams = append(m.Teams, team)
 		m.teamByName[t.Name] = team
 	}
-	m.ByTeam = make([]Served, len(m.Teams))
+	m.ByTeam = make([]CompletionStats, len(m.Teams))
 	for _, z := range p.Zones {
 		m.Zones.ID(z)
 	}
@@ -419,8 +419,8 @@
 	return false
 }
 
-// typeAt returns the slot of a type.
-func (m *Model) typeAt(name string) int32 {
+// typeIndex returns the slot of a type.
+func (m *Model) typeIndex(name string) int32 {
 	id := m.TypeNames.ID(name)
 	for int(id) >= len(m.Types) {
 		m.Types = append(m.Types, Type{})
@@ -429,7 +429,7 @@
 }
 
 // TypeOf returns a machine's type.
-func (m *Model) TypeOf(mc *Machine) *Type { return &m.Types[mc.Type] }
+func (m *Model) TypeOf(machine *Machine) *Type { return &m.Types[machine.Type] }
 
 // CanEverRun says why a job can never run, or "".
 func (m *Model) CanEverRun(s *wire.JobSpec) string {
@@ -441,13 +441,13 @@
 	if kindOf(s.Shape) != Array {
 		n = float64(s.Tasks)
 	}
-	if (team.CPUsMax > 0 && s.CPUs*n > team.CPUsMax+eps) || (team.GPUsMax > 0 && s.GPUs*n > team.GPUsMax+eps) {
+	if (team.CPUsMax > 0 && s.CPUs*n > team.CPUsMax+epsilon) || (team.GPUsMax > 0 && s.GPUs*n > team.GPUsMax+epsilon) {
 		return "over the team's limit"
 	}
 	zones := map[int32]bool{}
 	for i := range m.Types {
 		t := &m.Types[i]
-		if !t.Known || s.CPUs > t.CPUs+eps || s.GPUs > t.GPUs+eps || s.MemoryGB > t.MemoryGB+eps || !allowsType(s, t.Name) {
+		if !t.Known || s.CPUs > t.CPUs+epsilon || s.GPUs > t.GPUs+epsilon || s.MemoryGB > t.MemoryGB+epsilon || !allowsType(s, t.Name) {
 			continue
 		}
 		for _, z := range t.ZoneIDs {
@@ -477,8 +477,8 @@
 	return false
 }
 
-// Allowed tells whether a job may use a machine's type, zone and kind at all.
-func (j *Job) Allowed(typ, zone int32, spot bool) bool {
+// AllowsMachine tells whether a job may use a machine's type, zone and kind at all.
+func (j *Job) AllowsMachine(typ, zone int32, spot bool) bool {
 	if spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != zone {
 		return false
 	}
@@ -499,40 +499,40 @@
 	if !j.Spec.SameZone && !j.Spec.Spread {
 		return true
 	}
-	in, out := j.ZoneCount(zone)
-	if j.Spec.SameZone && out > 0 {
+	inZone, elsewhere := j.ZoneCount(zone)
+	if j.Spec.SameZone && elsewhere > 0 {
 		return false
 	}
-	return !j.Spec.Spread || in+1 <= (len(j.Tasks)+1)/2
+	return !j.Spec.Spread || inZone+1 <= (len(j.Tasks)+1)/2
 }
 
 // Fits tells whether a task of the job has room on a machine.
-func (m *Model) Fits(j *Job, mc *Machine) bool {
-	t := &m.Types[mc.Type]
-	return t.Known && mc.CPUs+j.Spec.CPUs <= t.CPUs+eps && mc.GPUs+j.Spec.GPUs <= t.GPUs+eps &&
-		mc.Mem+j.Spec.MemoryGB <= t.MemoryGB+eps
+func (m *Model) Fits(j *Job, machine *Machine) bool {
+	t := &m.Types[machine.Type]
+	return t.Known && machine.CPUs+j.Spec.CPUs <= t.CPUs+epsilon && machine.GPUs+j.Spec.GPUs <= t.GPUs+epsilon &&
+		machine.Mem+j.Spec.MemoryGB <= t.MemoryGB+epsilon
 }
 
-// TeamAllows tells whether n more tasks keep the team's limit.
-func (j *Job) TeamAllows(n int) bool {
+// TeamLimitAllows tells whether n more tasks keep the team's limit.
+func (j *Job) TeamLimitAllows(n int) bool {
 	t := j.Team
 	if t == nil {
 		return false
 	}
-	return (t.CPUsMax == 0 || t.UsedCPUs+j.Spec.CPUs*float64(n) <= t.CPUsMax+eps) &&
-		(t.GPUsMax == 0 || t.UsedGPUs+j.Spec.GPUs*float64(n) <= t.GPUsMax+eps)
+	return (t.CPUsMax == 0 || t.UsedCPUs+j.Spec.CPUs*float64(n) <= t.CPUsMax+epsilon) &&
+		(t.GPUsMax == 0 || t.UsedGPUs+j.Spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
 }
 
-// Usable tells whether a machine may be given work.
-func (mc *Machine) Usable() bool {
-	return mc.Reported && !mc.Leaves() && !mc.Releasing && !mc.Suspect && mc.DoubtSince == 0 && mc.DeafSince == 0
+// IsUsable tells whether a machine may be given work.
+func (machine *Machine) IsUsable() bool {
+	return machine.Reported && !machine.IsLeaving() && !machine.Releasing && !machine.Suspect && machine.DoubtSince == 0 && machine.InboundPartitionSince == 0
 }
 
 // Apply carries out one entry of the log.
 func (m *Model) Apply(e *Entry, seq uint64, now Time) error {
 	switch e.Kind {
 	case EntryAccept:
-		return m.accept(e, seq, now)
+		return m.acceptJob(e, seq, now)
 	case EntryCancel:
 		if j := m.Jobs[e.Job]; j != nil && !j.Cancelled {
 			j.Cancelled = true
@@ -540,9 +540,9 @@
 			m.settle(j, now)
 		}
 	case EntryPlace:
-		return m.place(e, seq, now)
+		return m.placeTask(e, seq, now)
 	case EntryEnded:
-		if r := m.run(e.Job, e.Task, e.Attempt); r != nil {
+		if r := m.findRun(e.Job, e.Task, e.Attempt); r != nil {
 			m.dropRun(r, now)
 			m.settle(r.Job, now)
 		}
@@ -553,12 +553,12 @@
 		}
 		t := &j.Tasks[e.Task]
 		if r := t.Run; r != nil {
-			r.Machine.Touch(m, j, now)
+			r.Machine.TouchImage(m, j, now)
 			m.dropRun(r, now)
 		}
 		if t.State != Done {
 			t.State = Done
-			m.completed(j)
+			m.taskCompleted(j)
 		}
 		if j.Done == len(j.Tasks) && !j.Cancelled {
 			j.FinalSeq = seq
@@ -569,28 +569,28 @@
 	case EntryGone:
 		m.removeMachine(e.Machine, now)
 	case EntryRelease:
-		if mc := m.Machines[e.Machine]; mc != nil && !mc.Releasing {
-			mc.Releasing, mc.ReleaseSeq = true, seq
+		if machine := m.Machines[e.Machine]; machine != nil && !machine.Releasing {
+			machine.Releasing, machine.ReleaseSeq = true, seq
 		}
-	case EntrySuspect, EntryTrust, EntryLapsed:
-		mc := m.Machines[e.Machine]
-		if mc == nil {
+	case EntrySuspect, EntryTrust, EntryLeaseExpired:
+		machine := m.Machines[e.Machine]
+		if machine == nil {
 			return nil
 		}
-		mc.Suspect, mc.SuspectFrom, mc.suspectSeq, mc.Renewals = e.Kind != EntryTrust, 0, seq, lease.Proof{}
-		if e.Kind == EntryLapsed {
-			m.dropRuns(mc, now)
+		machine.Suspect, machine.SuspectFrom, machine.suspectSeq, machine.Renewals = e.Kind != EntryTrust, 0, seq, lease.ExpiryProof{}
+		if e.Kind == EntryLeaseExpired {
+			m.dropRuns(machine, now)
 		}
 	case EntryIntent:
-		if m.intent(e.Info.Name) < 0 {
+		if m.intentIndex(e.Info.Name) < 0 {
 			m.Intents = append(m.Intents, Intent{Name: e.Info.Name, Type: e.Info.Type, Zone: e.Info.Zone, Spot: e.Info.Spot, Count: e.Count, Seq: seq})
 		}
 	case EntryIntentDone:
-		if i := m.intent(e.Info.Name); i >= 0 {
+		if i := m.intentIndex(e.Info.Name); i >= 0 {
 			m.Intents = slices.Delete(m.Intents, i, i+1)
 		}
 	case EntryType:
-		id := m.typeAt(e.Type.Name)
+		id := m.typeIndex(e.Type.Name)
 		t := &m.Types[id]
 		t.MachineType, t.Known, t.ZoneIDs = *e.Type, true, nil
 		for _, z := range e.Type.Zones {
@@ -611,12 +611,12 @@
 	Seq              uint64 // the log's number of it
 }
 
-// intent finds a rental, -1 if there is none.
-func (m *Model) intent(name string) int {
+// intentIndex finds a rental, -1 if there is none.
+func (m *Model) intentIndex(name string) int {
 	return slices.IndexFunc(m.Intents, func(i Intent) bool { return i.Name == name })
 }
 
-func (m *Model) accept(e *Entry, seq uint64, now Time) error {
+func (m *Model) acceptJob(e *Entry, seq uint64, now Time) error {
 	if m.Jobs[e.Job] != nil || m.Finals[e.Job] != 0 {
 		return fmt.Errorf("model: job %d accepted twice", e.Job)
 	}
@@ -629,7 +629,7 @@
 	j := &Job{
 		ID: id, Spec: s, Kind: kindOf(s.Shape), Priority: priorityOf(s.Priority), Team: m.teamByName[s.Team],
 		Class: m.Classes.ID(s.Class), Image: m.Images.ID(s.Image), Zone: -1, At: at, Order: m.jobOrder,
-		Tasks: make([]Task, s.Tasks), Began: now,
+		Tasks: make([]Task, s.Tasks), KnownSince: now,
 	}
 	m.jobOrder++
 	if s.Zone != nil {
@@ -638,33 +638,33 @@
 	if s.Types != nil {
 		j.Types, j.TypesKey = []int32{}, "="+strings.Join(s.Types, "=")
 		for _, t := range s.Types {
-			j.Types = append(j.Types, m.typeAt(t))
+			j.Types = append(j.Types, m.typeIndex(t))
 		}
 	}
 	m.Jobs[id] = j
-	m.inOrder = append(m.inOrder, j)
-	m.count(j, len(j.Tasks))
-	m.serves(j, func(s *Served) { s.Jobs, s.Tasks = s.Jobs+1, s.Tasks+len(j.Tasks) })
+	m.jobsInOrder = append(m.jobsInOrder, j)
+	m.countTasks(j, len(j.Tasks))
+	m.updateStats(j, func(s *CompletionStats) { s.Jobs, s.Tasks = s.Jobs+1, s.Tasks+len(j.Tasks) })
 	return j
 }
 
-// completed notes that one more task of a job is done.
-func (m *Model) completed(j *Job) {
+// taskCompleted notes that one more task of a job is done.
+func (m *Model) taskCompleted(j *Job) {
 	j.Done++
-	m.count(j, -1)
-	m.begin(j)
-	m.serves(j, func(s *Served) { s.TasksDone++ })
+	m.countTasks(j, -1)
+	m.markStarted(j)
+	m.updateStats(j, func(s *CompletionStats) { s.TasksDone++ })
 }
 
-// count counts a job's tasks that are not completed in or out.
-func (m *Model) count(j *Job, by int) {
-	m.LiveTasks += by
+// countTasks counts a job's tasks that are not completed in or out.
+func (m *Model) countTasks(j *Job, delta int) {
+	m.LiveTasks += delta
 	if j.Team != nil {
-		j.Team.LiveTasks += by
+		j.Team.LiveTasks += delta
 	}
 }
 
-func (m *Model) run(job JobID, task int32, attempt uint32) *Run {
+func (m *Model) findRun(job JobID, task int32, attempt uint32) *Run {
 	j := m.Jobs[job]
 	if j == nil || task < 0 || int(task) >= len(j.Tasks) {
 		return nil
@@ -675,33 +675,33 @@
 	return nil
 }
 
-func (m *Model) place(e *Entry, seq uint64, now Time) error {
-	j, mc := m.Jobs[e.Job], m.Machines[e.Machine]
-	if j == nil || mc == nil || int(e.Task) >= len(j.Tasks) || j.Tasks[e.Task].State != Waiting || j.Cancelled {
+func (m *Model) placeTask(e *Entry, seq uint64, now Time) error {
+	j, machine := m.Jobs[e.Job], m.Machines[e.Machine]
+	if j == nil || machine == nil || int(e.Task) >= len(j.Tasks) || j.Tasks[e.Task].State != Waiting || j.Cancelled {
 		return fmt.Errorf("model: placement of %d/%d on %d does not fit the log", e.Job, e.Task, e.Machine)
 	}
 	t := &j.Tasks[e.Task]
-	r := &Run{Job: j, Task: e.Task, Attempt: e.Attempt, Machine: mc, Session: e.Session, Seq: seq, PlacedAt: now}
+	r := &Run{Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, Session: e.Session, PlacedSeq: seq, PlacedAt: now}
 	t.State, t.Attempt, t.Run = Placed, e.Attempt, r
 	j.Live++
-	m.begin(j)
-	mc.Runs = append(mc.Runs, r)
-	mc.pulling(r, 1)
-	m.charge(r, 1)
+	m.markStarted(j)
+	machine.Runs = append(machine.Runs, r)
+	machine.countFetch(r, 1)
+	m.chargeRun(r, 1)
 	return nil
 }
 
-func (m *Model) charge(r *Run, sign float64) {
-	s, mc := r.Job.Spec, r.Machine
-	mc.CPUs += sign * s.CPUs
-	mc.GPUs += sign * s.GPUs
-	mc.Mem += sign * s.MemoryGB
+func (m *Model) chargeRun(r *Run, sign float64) {
+	s, machine := r.Job.Spec, r.Machine
+	machine.CPUs += sign * s.CPUs
+	machine.GPUs += sign * s.GPUs
+	machine.Mem += sign * s.MemoryGB
 	if r.Job.Kind == Service && s.GPUs == 0 {
-		mc.Firm.CPUs += sign * s.CPUs
-		mc.Firm.Mem += sign * s.MemoryGB
+		machine.Reserved.CPUs += sign * s.CPUs
+		machine.Reserved.Mem += sign * s.MemoryGB
 	}
-	if len(mc.Runs) == 0 {
-		mc.CPUs, mc.GPUs, mc.Mem, mc.Firm = 0, 0, 0, Firm{} // no drift from rounding
+	if len(machine.Runs) == 0 {
+		machine.CPUs, machine.GPUs, machine.Mem, machine.Reserved = 0, 0, 0, ReservedResources{} // no drift from rounding
 	}
 	if t := r.Job.Team; t != nil {
 		t.UsedCPUs += sign * s.CPUs
@@ -711,25 +711,25 @@
 
 func (m *Model) dropRun(r *Run, now Time) {
 	r.setPhase(Unseen)
-	j, mc := r.Job, r.Machine
-	mc.pulling(r, -1)
-	for i, o := range mc.Runs {
+	j, machine := r.Job, r.Machine
+	machine.countFetch(r, -1)
+	for i, o := range machine.Runs {
 		if o == r {
-			mc.Runs[i] = mc.Runs[len(mc.Runs)-1]
-			mc.Runs = mc.Runs[:len(mc.Runs)-1]
+			machine.Runs[i] = machine.Runs[len(machine.Runs)-1]
+			machine.Runs = machine.Runs[:len(machine.Runs)-1]
 			break
 		}
 	}
-	if len(mc.Runs) == 0 {
-		mc.IdleSince = now
+	if len(machine.Runs) == 0 {
+		machine.IdleSince = now
 	}
-	m.charge(r, -1)
+	m.chargeRun(r, -1)
 	j.Live--
 	t := &j.Tasks[r.Task]
 	t.Run = nil
 	if t.State == Placed {
 		t.State = Waiting
-		j.retry = append(j.retry, r.Task)
+		j.retryTasks = append(j.retryTasks, r.Task)
 	}
 }
 
@@ -747,34 +747,34 @@
 	default:
 		return
 	}
-	m.count(j, j.Done-len(j.Tasks))
-	m.finalSeq[j.ID] = j.FinalSeq
-	m.ended(j, now)
+	m.countTasks(j, j.Done-len(j.Tasks))
+	m.finalSeqs[j.ID] = j.FinalSeq
+	m.recordEnd(j, now)
 	delete(m.Jobs, j.ID)
-	j.over = true
-	m.settled++
+	j.settled = true
+	m.settledCount++
 }
 
 // JobsInOrder lists the live jobs in the order of acceptance. The list is the
 // model's own, kept in order as jobs come and go: it may be read until the next
 // call.
 func (m *Model) JobsInOrder() []*Job {
-	if m.settled > 0 {
-		m.inOrder = slices.DeleteFunc(m.inOrder, func(j *Job) bool { return j.over })
-		m.settled = 0
+	if m.settledCount > 0 {
+		m.jobsInOrder = slices.DeleteFunc(m.jobsInOrder, func(j *Job) bool { return j.settled })
+		m.settledCount = 0
 	}
-	return m.inOrder
+	return m.jobsInOrder
 }
 
-// FinalAt tells the log number that made a job final, for answers that must not
+// FinalSeq tells the log number that made a job final, for answers that must not
 // run ahead of the log.
-func (m *Model) FinalAt(id JobID) uint64 { return m.finalSeq[id] }
+func (m *Model) FinalSeq(id JobID) uint64 { return m.finalSeqs[id] }
 
-// Forget drops bookkeeping that only matters until its entry is committed.
-func (m *Model) Forget(committed uint64) {
-	for id, s := range m.finalSeq {
+// ForgetCommitted drops bookkeeping that only matters until its entry is committed.
+func (m *Model) ForgetCommitted(committed uint64) {
+	for id, s := range m.finalSeqs {
 		if s <= committed {
-			delete(m.finalSeq, id)
+			delete(m.finalSeqs, id)
 		}
 	}
 }
@@ -786,66 +786,66 @@
 		}
 		return
 	}
-	mc := &Machine{
-		ID: e.Machine, Info: *e.Info, Type: m.typeAt(e.Info.Type), Zone: m.Zones.ID(e.Info.Zone), Spot: e.Info.Spot,
+	machine := &Machine{
+		ID: e.Machine, Info: *e.Info, Type: m.typeIndex(e.Info.Type), Zone: m.Zones.ID(e.Info.Zone), Spot: e.Info.Spot,
 		At: e.At, KnownSince: now, IdleSince: now,
 	}
-	m.Machines[mc.ID] = mc
-	m.ByName[mc.Info.Name] = mc
-	m.Order = append(m.Order, mc)
-	m.largest = max(m.largest, len(m.Order))
-	m.NextMachine = max(m.NextMachine, mc.ID+1)
+	m.Machines[machine.ID] = machine
+	m.ByName[machine.Info.Name] = machine
+	m.Order = append(m.Order, machine)
+	m.maxFleetSize = max(m.maxFleetSize, len(m.Order))
+	m.NextMachine = max(m.NextMachine, machine.ID+1)
 }
 
 // dropRuns notes that everything on a machine is gone.
-func (m *Model) dropRuns(mc *Machine, now Time) {
-	for len(mc.Runs) > 0 {
-		r := mc.Runs[0]
+func (m *Model) dropRuns(machine *Machine, now Time) {
+	for len(machine.Runs) > 0 {
+		r := machine.Runs[0]
 		m.dropRun(r, now)
 		m.settle(r.Job, now)
 	}
 }
 
-// leastTombs is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had are,
+// minTombstones is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had are,
 // so that none is forgotten while a list lags though all machines were lost and others were rented. Replicas may differ
 // in how many they keep: no entry is applied otherwise for it.
-const leastTombs = 1024
+const minTombstones = 1024
 
 func (m *Model) removeMachine(id MachineID, now Time) {
-	mc := m.Machines[id]
-	if mc == nil {
+	machine := m.Machines[id]
+	if machine == nil {
 		return
 	}
-	m.dropRuns(mc, now)
+	m.dropRuns(machine, now)
 	delete(m.Machines, id)
-	delete(m.ByName, mc.Info.Name)
+	delete(m.ByName, machine.Info.Name)
 	for i, o := range m.Order {
-		if o == mc {
+		if o == machine {
 			m.Order = append(m.Order[:i], m.Order[i+1:]...)
 			break
 		}
 	}
-	m.bury(mc.Info.Name)
+	m.addTombstone(machine.Info.Name)
 }
 
-// bury remembers a gone machine's name, so that a late report or a lagging list
+// addTombstone remembers a gone machine's name, so that a late report or a lagging list
 // does not bring it back.
-func (m *Model) bury(name string) {
-	if m.Tombs[name] {
+func (m *Model) addTombstone(name string) {
+	if m.Tombstones[name] {
 		return
 	}
-	m.Tombs[name] = true
-	m.tombRing = append(m.tombRing, name)
-	if len(m.tombRing) > max(leastTombs, 2*m.largest) {
-		delete(m.Tombs, m.tombRing[0])
-		m.tombRing = m.tombRing[1:]
+	m.Tombstones[name] = true
+	m.tombstoneRing = append(m.tombstoneRing, name)
+	if len(m.tombstoneRing) > max(minTombstones, 2*m.maxFleetSize) {
+		delete(m.Tombstones, m.tombstoneRing[0])
+		m.tombstoneRing = m.tombstoneRing[1:]
 	}
 }
 
 func (r *Run) setPhase(p Phase) {
-	was, is := r.Phase >= Running, p >= Running
-	if was != is {
-		if is {
+	wasRunning, isRunning := r.Phase >= Running, p >= Running
+	if wasRunning != isRunning {
+		if isRunning {
 			r.Job.Running++
 		} else {
 			r.Job.Running--
@@ -853,65 +853,65 @@
 	}
 	if fetched := p > Fetching; fetched != (r.Phase > Fetching) {
 		if fetched {
-			r.Machine.pulling(r, -1)
+			r.Machine.countFetch(r, -1)
 		} else {
-			r.Machine.pulling(r, 1)
+			r.Machine.countFetch(r, 1)
 		}
 	}
 	r.Phase = p
 }
 
-// pulling counts a run in or out of those that wait for their image.
-func (mc *Machine) pulling(r *Run, by int32) {
-	for i := range mc.pulls {
-		if p := &mc.pulls[i]; p.image == r.Job.Image {
-			p.gb = r.Job.Spec.ImageGB
-			if p.runs += by; p.runs <= 0 {
-				mc.pulls[i] = mc.pulls[len(mc.pulls)-1]
-				mc.pulls = mc.pulls[:len(mc.pulls)-1]
+// countFetch counts a run in or out of those that wait for their image.
+func (machine *Machine) countFetch(r *Run, delta int32) {
+	for i := range machine.fetches {
+		if p := &machine.fetches[i]; p.image == r.Job.Image {
+			p.sizeGB = r.Job.Spec.ImageGB
+			if p.waitingRuns += delta; p.waitingRuns <= 0 {
+				machine.fetches[i] = machine.fetches[len(machine.fetches)-1]
+				machine.fetches = machine.fetches[:len(machine.fetches)-1]
 			}
 			return
 		}
 	}
-	if by > 0 {
-		mc.pulls = append(mc.pulls, pull{r.Job.Image, by, r.Job.Spec.ImageGB})
+	if delta > 0 {
+		machine.fetches = append(machine.fetches, pendingFetch{r.Job.Image, delta, r.Job.Spec.ImageGB})
 	}
 }
 
-// Touch notes that a machine has a job's image.
-func (mc *Machine) Touch(m *Model, j *Job, now Time) {
-	for i := range mc.cache {
-		if mc.cache[i].image == j.Image {
-			mc.cache[i].used = now
+// TouchImage notes that a machine has a job's image.
+func (machine *Machine) TouchImage(m *Model, j *Job, now Time) {
+	for i := range machine.cache {
+		if machine.cache[i].image == j.Image {
+			machine.cache[i].lastUsed = now
 			return
 		}
 	}
-	mc.cache = append(mc.cache, cached{j.Image, j.Spec.ImageGB, now})
-	limit := m.Types[mc.Type].CacheGB
-	if !m.Types[mc.Type].Known {
+	machine.cache = append(machine.cache, cachedImage{j.Image, j.Spec.ImageGB, now})
+	limit := m.Types[machine.Type].CacheGB
+	if !m.Types[machine.Type].Known {
 		limit = math.Inf(1)
 	}
-	sum := 0.0
-	for _, c := range mc.cache {
-		sum += c.gb
+	cachedGB := 0.0
+	for _, c := range machine.cache {
+		cachedGB += c.sizeGB
 	}
-	for sum > limit && len(mc.cache) > 1 {
+	for cachedGB > limit && len(machine.cache) > 1 {
 		oldest := -1
-		for i := range mc.cache {
-			if mc.cache[i].image != j.Image && !mc.uses(mc.cache[i].image) && (oldest < 0 || mc.cache[i].used < mc.cache[oldest].used) {
+		for i := range machine.cache {
+			if machine.cache[i].image != j.Image && !machine.usesImage(machine.cache[i].image) && (oldest < 0 || machine.cache[i].lastUsed < machine.cache[oldest].lastUsed) {
 				oldest = i
 			}
 		}
 		if oldest < 0 {
 			break
 		}
-		sum -= mc.cache[oldest].gb
-		mc.cache = append(mc.cache[:oldest], mc.cache[oldest+1:]...)
+		cachedGB -= machine.cache[oldest].sizeGB
+		machine.cache = append(machine.cache[:oldest], machine.cache[oldest+1:]...)
 	}
 }
 
-func (mc *Machine) uses(image int32) bool {
-	for _, r := range mc.Runs {
+func (machine *Machine) usesImage(image int32) bool {
+	for _, r := range machine.Runs {
 		if r.Job.Image == image {
 			return true
 		}
@@ -919,25 +919,25 @@
 	return false
 }
 
-// Has tells whether a machine is thought to have an image. Reports don't list
+// HasImage tells whether a machine is thought to have an image. Reports don't list
 // images, so this is inferred from the tasks that got theirs.
-func (mc *Machine) Has(image int32) bool {
-	for i := range mc.cache {
-		if mc.cache[i].image == image {
+func (machine *Machine) HasImage(image int32) bool {
+	for i := range machine.cache {
+		if machine.cache[i].image == image {
 			return true
 		}
 	}
 	return false
 }
 
-// Fetches tells whether a machine is getting an image, and how many GB it still
+// FetchBacklog tells whether a machine is getting an image, and how many GB it still
 // has to fetch in all.
-func (mc *Machine) Fetches(image int32) (this bool, gb float64) {
-	for i := range mc.pulls {
-		if p := &mc.pulls[i]; !mc.Has(p.image) {
-			this = this || p.image == image
-			gb += p.gb
+func (machine *Machine) FetchBacklog(image int32) (fetchingImage bool, totalGB float64) {
+	for i := range machine.fetches {
+		if p := &machine.fetches[i]; !machine.HasImage(p.image) {
+			fetchingImage = fetchingImage || p.image == image
+			totalGB += p.sizeGB
 		}
 	}
-	return this, gb
+	return fetchingImage, totalGB
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -14,44 +14,44 @@
 	"fieldhill/wire"
 )
 
-func TestMain(m *testing.M) { virtualtime.Drawn(m, 300) }
+func TestMain(m *testing.M) { virtualtime.MainRapid(m, 300) }
 
 func params() *config.Params {
 	return &config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUsMax: 6}, {Name: "blue"}}}
 }
 
-func spec(n uint64, tasks int) *wire.JobSpec {
+func testSpec(n uint64, tasks int) *wire.JobSpec {
 	return &wire.JobSpec{ID: wire.JobID(n), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1}
 }
 
-func info(n string) *MachineInfo { return &MachineInfo{Name: n, Addr: "x:1", Type: "t", Zone: "a"} }
+func testInfo(n string) *MachineInfo { return &MachineInfo{Name: n, Addr: "x:1", Type: "t", Zone: "a"} }
 
-// small makes a model with a job of two tasks, of which the first is placed on a
+// newPlacedModel makes a model with a job of two tasks, of which the first is placed on a
 // machine in session 1, under a leader of term 3.
-func small(t *testing.T) (*Model, *Machine, *Run) {
+func newPlacedModel(t *testing.T) (*Model, *Machine, *Run) {
 	t.Helper()
 	m := New(params())
 	for i, e := range []*Entry{
 		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}},
-		{Kind: EntryMachine, Machine: 1, Info: info("host-1")},
-		{Kind: EntryAccept, Job: 7, Spec: spec(7, 2)},
+		{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")},
+		{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 2)},
 	} {
 		if err := m.Apply(e, uint64(i+1), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	m.BeginTerm(3<<24, 0)
-	mc := m.Machines[1]
-	m.Observe(mc, report(1, 1, 3<<24), nil, 0)
+	machine := m.Machines[1]
+	m.Observe(machine, testReport(1, 1, 3<<24), nil, 0)
 	if err := m.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, 4, 0); err != nil {
 		t.Fatal(err)
 	}
-	return m, mc, m.Jobs[7].Tasks[0].Run
+	return m, machine, m.Jobs[7].Tasks[0].Run
 }
 
-func report(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Report {
-	return &wire.Report{Machine: "host-1", Addr: "x:1", Type: "t", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func testReport(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "host-1", Addr: "x:1", Type: "t", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: token, Tasks: tasks}
 }
 
 func verbs(cmds []wire.Command) (v []string) {
@@ -61,71 +61,71 @@
 	return v
 }
 
-// TestStartsWaitForTheLog: no start goes out before its placement is committed, and
+// TestStartsWaitForCommit: no start goes out before its placement is committed, and
 // until then, but for a new leader, the run can end without the machine's word.
-func TestStartsWaitForTheLog(t *testing.T) {
-	m, mc, run := small(t)
-	if c := m.Commands(mc, 3, true); len(c) != 0 || !run.Unsent(3) {
-		t.Errorf("before its placement is committed: %v, unsent %v", verbs(c), run.Unsent(3))
+func TestStartsWaitForCommit(t *testing.T) {
+	m, machine, run := newPlacedModel(t)
+	if c := m.Commands(machine, 3, true); len(c) != 0 || !run.IsUnsent(3) {
+		t.Errorf("before its placement is committed: %v, unsent %v", verbs(c), run.IsUnsent(3))
 	}
-	if run.Unsent(4) {
+	if run.IsUnsent(4) {
 		t.Error("unsent although its placement is committed")
 	}
-	if run.Inherited = true; run.Unsent(3) {
+	if run.Inherited = true; run.IsUnsent(3) {
 		t.Error("unsent by an earlier leader")
 	}
 	run.Inherited = false
-	if d := cmp.Diff([]string{"run req-000007/0"}, verbs(m.Commands(mc, 4, true))); d != "" {
+	if d := cmp.Diff([]string{"run req-000007/0"}, verbs(m.Commands(machine, 4, true))); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestLateStart: a start whose direct command got no answer may run at any later
+// TestLateStartIsFenced: a start whose direct command got no answer may run at any later
 // time, so its task counts as placed until the worker has seen a higher token.
-func TestLateStart(t *testing.T) {
-	m, mc, run := small(t)
-	cmds := m.Commands(mc, 4, false)
-	m.Sent(mc, cmds, m.Token(mc))
-	m.Lost(mc, cmds, m.Token(mc))
+func TestLateStartIsFenced(t *testing.T) {
+	m, machine, run := newPlacedModel(t)
+	cmds := m.Commands(machine, 4, false)
+	m.StartsSent(machine, cmds, m.Token(machine))
+	m.StartsLost(machine, cmds, m.Token(machine))
 	run.Stop = true
-	if v := m.Observe(mc, report(1, 2, 3<<24), nil, 1); len(v.Entries) != 0 {
+	if v := m.Observe(machine, testReport(1, 2, 3<<24), nil, 1); len(v.Entries) != 0 {
 		t.Fatal("the run was declared gone while its start may still be executed")
 	}
-	if m.Token(mc) != 3<<24+1 {
-		t.Fatalf("the machine's token is %d: the late start is not fenced", m.Token(mc))
+	if m.Token(machine) != 3<<24+1 {
+		t.Fatalf("the machine's token is %d: the late start is not fenced", m.Token(machine))
 	}
-	if v := m.Observe(mc, report(1, 3, 3<<24), nil, 1); len(v.Entries) != 0 {
+	if v := m.Observe(machine, testReport(1, 3, 3<<24), nil, 1); len(v.Entries) != 0 {
 		t.Fatal("gone before the worker has seen the higher token")
 	}
-	v := m.Observe(mc, report(1, 4, 3<<24+1), nil, 1)
+	v := m.Observe(machine, testReport(1, 4, 3<<24+1), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
 		t.Fatalf("not gone although the late start can't be executed any more: %v", v.Entries)
 	}
 }
 
-// TestTwoLostCopies: the answer to the second copy of a start says nothing about
+// TestTwoLostCopiesOfAStart: the answer to the second copy of a start says nothing about
 // the first one, if both carry the same token.
-func TestTwoLostCopies(t *testing.T) {
-	m, mc, run := small(t)
-	cmds := m.Commands(mc, 4, false)
-	tok := m.Token(mc)
-	m.Sent(mc, cmds, tok)
-	m.Lost(mc, cmds, tok)
-	m.Sent(mc, cmds, tok)
-	m.Answered(mc, cmds, tok, true)
-	v := m.Observe(mc, report(1, 2, tok, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), m.Ask(mc), 1)
+func TestTwoLostCopiesOfAStart(t *testing.T) {
+	m, machine, run := newPlacedModel(t)
+	cmds := m.Commands(machine, 4, false)
+	token := m.Token(machine)
+	m.StartsSent(machine, cmds, token)
+	m.StartsLost(machine, cmds, token)
+	m.StartsSent(machine, cmds, token)
+	m.StartsAnswered(machine, cmds, token, true)
+	v := m.Observe(machine, testReport(1, 2, token, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), m.BeginProbe(machine), 1)
 	for _, e := range v.Entries {
 		_ = m.Apply(e, 5, 1)
 	}
-	m.SealDead(mc, 5)
-	for _, c := range m.Commands(mc, 9, true) {
+	m.SealReapable(machine, 5)
+	for _, c := range m.Commands(machine, 9, true) {
 		if c.Verb == wire.Forget {
 			t.Error("the attempt is forgotten while a copy of its start is under way: it would run again")
 		}
 	}
-	m.Observe(mc, report(1, 3, m.Token(mc), wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), nil, 2)
-	m.SealDead(mc, 5)
-	if d := cmp.Diff([]string{"reap req-000007/0"}, verbs(m.Commands(mc, 9, true))); d != "" {
+	m.Observe(machine, testReport(1, 3, m.Token(machine), wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), nil, 2)
+	m.SealReapable(machine, 5)
+	if d := cmp.Diff([]string{"reap req-000007/0"}, verbs(m.Commands(machine, 9, true))); d != "" {
 		t.Error(d)
 	}
 	_ = run
@@ -134,79 +134,79 @@
 // TestInheritedStart: after a change of leaders a start of the old one may be
 // under way until the worker reports a token of the new term.
 func TestInheritedStart(t *testing.T) {
-	m, mc, _ := small(t)
+	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryCancel, Job: 7}, 5, 0)
 	m.BeginTerm(4<<24, 0)
-	if v := m.Observe(mc, report(1, 5, 3<<24), nil, 1); len(v.Entries) != 0 {
+	if v := m.Observe(machine, testReport(1, 5, 3<<24), nil, 1); len(v.Entries) != 0 {
 		t.Fatal("gone under the old token")
 	}
-	if v := m.Observe(mc, report(1, 6, 4<<24), nil, 1); len(v.Entries) != 1 {
+	if v := m.Observe(machine, testReport(1, 6, 4<<24), nil, 1); len(v.Entries) != 1 {
 		t.Fatal("not gone under the new token")
 	}
 }
 
 func TestEvidenceBySession(t *testing.T) {
-	m, mc, run := small(t)
+	m, machine, run := newPlacedModel(t)
 	run.Phase = Running
 	run.Job.Running = 1
-	if v := m.Observe(mc, report(1, 1, 3<<24), nil, 1); !v.Stale() {
+	if v := m.Observe(machine, testReport(1, 1, 3<<24), nil, 1); !v.IsStale() {
 		t.Error("an old report was believed")
 	}
 	// A report may have been sent by an earlier life of the worker, whose sessions had gone further: it has the machine asked, and counts once it shows a token
 	// that was given out since.
-	v := m.Observe(mc, report(2, 1, 3<<24), nil, 1)
-	if len(v.Entries) != 0 || !v.Ask {
-		t.Errorf("a report's newer session ends what ran in the older by itself: %v, asked %v", v.Entries, v.Ask)
+	v := m.Observe(machine, testReport(2, 1, 3<<24), nil, 1)
+	if len(v.Entries) != 0 || !v.NeedsProbe {
+		t.Errorf("a report's newer session ends what ran in the older by itself: %v, asked %v", v.Entries, v.NeedsProbe)
 	}
-	raised := m.Token(mc)
+	raised := m.Token(machine)
 	if raised <= 3<<24 {
 		t.Error("no token was raised that only the present worker can show")
 	}
-	if v := m.Observe(mc, report(2, 2, raised-1), nil, 1); len(v.Entries) != 0 {
+	if v := m.Observe(machine, testReport(2, 2, raised-1), nil, 1); len(v.Entries) != 0 {
 		t.Errorf("the same without the raised token: %v", v.Entries)
 	}
-	v = m.Observe(mc, report(2, 3, raised), nil, 1)
+	v = m.Observe(machine, testReport(2, 3, raised), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
 		t.Errorf("a newer session ends what ran in the older: %v", v.Entries)
 	}
 	// The answer to a question counts at once, for a newer session as for a run that is not there any more.
 	for _, session := range []uint64{1, 2} {
-		m, mc, run := small(t)
+		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
-		if v := m.Observe(mc, report(session, 9, 3<<24), m.Ask(mc), 1); len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
+		if v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1); len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
 			t.Errorf("the answer to a question, session %d: %v", session, v.Entries)
 		}
 	}
 }
 
-// TestKeptResult: a result that is reported after its attempt was given up by an
+// TestLateResultStillCounts: a result that is reported after its attempt was given up by an
 // earlier leader still counts, if the task waits.
-func TestKeptResult(t *testing.T) {
-	m, mc, _ := small(t)
+func TestLateResultStillCounts(t *testing.T) {
+	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
-	v := m.Observe(mc, report(1, 2, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}), nil, 1)
+	v := m.Observe(machine, testReport(1, 2, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryDone {
 		t.Errorf("got %v", v.Entries)
 	}
 }
 
-// plain is the slow, plain model of the replicated state: what each entry means,
+// referenceModel is the slow, plain model of the replicated state: what each entry means,
 // written down with maps and no counters.
-type plain struct {
-	tasks map[JobID][]string // "wait", "done" or the machine
-	over  map[JobID]string
+type referenceModel struct {
+	tasks  map[JobID][]string // "wait", "done" or the machine
+	finals map[JobID]string
 }
 
-func (p *plain) apply(e *Entry) {
+func (p *referenceModel) apply(e *Entry) {
 	switch e.Kind {
 	case EntryAccept:
 		for range e.Spec.Tasks {
 			p.tasks[e.Job] = append(p.tasks[e.Job], "wait")
 		}
 	case EntryCancel:
-		if p.over[e.Job] == "" {
-			p.over[e.Job] = "cancelled"
+		if p.finals[e.Job] == "" {
+			p.finals[e.Job] = "cancelled"
 		}
 	case EntryPlace:
 		p.tasks[e.Job][e.Task] = string(rune('A' + e.Machine))
@@ -218,8 +218,8 @@
 		for _, s := range p.tasks[e.Job] {
 			all = all && s == "done"
 		}
-		if all && p.over[e.Job] == "" {
-			p.over[e.Job] = "done"
+		if all && p.finals[e.Job] == "" {
+			p.finals[e.Job] = "done"
 		}
 	case EntryGone:
 		for _, ts := range p.tasks {
@@ -232,11 +232,11 @@
 	}
 }
 
-// agree compares everything that the rules rest on.
-func agree(t *rapid.T, m *Model, p *plain, machines map[MachineID]bool) {
+// requireAgreement compares everything that the rules rest on.
+func requireAgreement(t *rapid.T, m *Model, p *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range p.tasks {
-		j, over := m.Jobs[id], p.over[id]
+		j, over := m.Jobs[id], p.finals[id]
 		live := 0
 		for i, s := range ts {
 			if s != "wait" && s != "done" {
@@ -279,51 +279,51 @@
 	}
 }
 
-// TestAgainstPlainModel drives random histories through the model and the plain
+// TestAgainstReferenceModel drives random histories through the model and the plain
 // one, by way of the log's encoding, and through snapshots now and then.
-func TestAgainstPlainModel(t *testing.T) {
+func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(params())
-		p := &plain{tasks: map[JobID][]string{}, over: map[JobID]string{}}
+		reference := &referenceModel{tasks: map[JobID][]string{}, finals: map[JobID]string{}}
 		machines := map[MachineID]bool{}
 		_ = m.Apply(&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}}, 1, 0)
 		attempt := uint32(0)
 		for seq := uint64(2); seq < 80; seq++ {
 			var e *Entry
 			id := JobID(rapid.IntRange(1, 5).Draw(t, "job"))
-			mid := MachineID(rapid.IntRange(1, 4).Draw(t, "machine"))
+			machineID := MachineID(rapid.IntRange(1, 4).Draw(t, "machine"))
 			j := m.Jobs[id]
-			var k int32
+			var taskIndex int32
 			if j != nil {
-				k = int32(rapid.IntRange(0, len(j.Tasks)-1).Draw(t, "task"))
+				taskIndex = int32(rapid.IntRange(0, len(j.Tasks)-1).Draw(t, "task"))
 			}
 			switch rapid.IntRange(0, 9).Draw(t, "kind") {
 			case 0, 1:
 				if j == nil && m.Finals[id] == 0 {
-					e = &Entry{Kind: EntryAccept, Job: id, Spec: spec(uint64(id), rapid.IntRange(1, 4).Draw(t, "tasks")), At: 5}
+					e = &Entry{Kind: EntryAccept, Job: id, Spec: testSpec(uint64(id), rapid.IntRange(1, 4).Draw(t, "tasks")), At: 5}
 				}
 			case 2:
-				if !machines[mid] && mid >= m.NextMachine {
-					e = &Entry{Kind: EntryMachine, Machine: mid, Info: info(string(rune('A' + mid)))}
-					machines[mid] = true
+				if !machines[machineID] && machineID >= m.NextMachine {
+					e = &Entry{Kind: EntryMachine, Machine: machineID, Info: testInfo(string(rune('A' + machineID)))}
+					machines[machineID] = true
 				}
 			case 3:
 				if rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
-					e = &Entry{Kind: EntryGone, Machine: mid}
-					delete(machines, mid)
+					e = &Entry{Kind: EntryGone, Machine: machineID}
+					delete(machines, machineID)
 				}
 			case 4:
 				if j != nil && rapid.IntRange(0, 2).Draw(t, "rarely") == 0 {
 					e = &Entry{Kind: EntryCancel, Job: id}
 				}
 			case 5, 6, 7:
-				if j != nil && !j.Cancelled && j.Tasks[k].State == Waiting && machines[mid] {
+				if j != nil && !j.Cancelled && j.Tasks[taskIndex].State == Waiting && machines[machineID] {
 					attempt++
-					e = &Entry{Kind: EntryPlace, Job: id, Task: k, Attempt: attempt, Machine: mid, Session: 1}
+					e = &Entry{Kind: EntryPlace, Job: id, Task: taskIndex, Attempt: attempt, Machine: machineID, Session: 1}
 				}
 			case 8, 9:
-				if j != nil && j.Tasks[k].Run != nil {
-					e = &Entry{Kind: EntryEnded, Job: id, Task: k, Attempt: j.Tasks[k].Attempt}
+				if j != nil && j.Tasks[taskIndex].Run != nil {
+					e = &Entry{Kind: EntryEnded, Job: id, Task: taskIndex, Attempt: j.Tasks[taskIndex].Attempt}
 					if rapid.Bool().Draw(t, "done") {
 						e.Kind = EntryDone
 					}
@@ -332,26 +332,26 @@
 			if e == nil {
 				continue
 			}
-			r := &codec.Reader{B: e.Append(nil)}
-			back, err := ReadEntry(r)
+			r := &codec.Reader{Data: e.Append(nil)}
+			decoded, err := ReadEntry(r)
 			if err != nil || !r.Done() {
 				t.Fatalf("%+v does not survive the log: %v", e, err)
 			}
-			if err := m.Apply(back, seq, Time(seq)); err != nil {
+			if err := m.Apply(decoded, seq, Time(seq)); err != nil {
 				t.Fatal(err)
 			}
-			p.apply(e)
-			agree(t, m, p, machines)
+			reference.apply(e)
+			requireAgreement(t, m, reference, machines)
 			if seq%16 == 0 {
-				snap := m.Snapshot()
+				snapshot := m.Snapshot()
 				m = New(params())
-				if err := m.Restore(snap, seq, 0); err != nil {
+				if err := m.Restore(snapshot, seq, 0); err != nil {
 					t.Fatal(err)
 				}
-				if d := cmp.Diff(snap, m.Snapshot()); d != "" {
+				if d := cmp.Diff(snapshot, m.Snapshot()); d != "" {
 					t.Fatalf("a snapshot does not survive itself: %s", d)
 				}
-				agree(t, m, p, machines)
+				requireAgreement(t, m, reference, machines)
 			}
 		}
 	})
@@ -363,32 +363,32 @@
 	m := New(params())
 	const n = 50_000
 	for i := range uint64(n) {
-		_ = m.Apply(&Entry{Kind: EntryAccept, Job: JobID(i), Spec: spec(i, 1)}, i, 0)
+		_ = m.Apply(&Entry{Kind: EntryAccept, Job: JobID(i), Spec: testSpec(i, 1)}, i, 0)
 		_ = m.Apply(&Entry{Kind: EntryCancel, Job: JobID(i)}, i, 0)
 	}
-	m.Forget(n)
-	snap := m.Snapshot()
-	if len(snap) > 2*n {
-		t.Errorf("the snapshot has %d bytes for %d finished jobs", len(snap), n)
+	m.ForgetCommitted(n)
+	snapshot := m.Snapshot()
+	if len(snapshot) > 2*n {
+		t.Errorf("the snapshot has %d bytes for %d finished jobs", len(snapshot), n)
 	}
 	began := time.Now()
-	b := New(params())
-	if err := b.Restore(snap, 1, 0); err != nil {
+	restored := New(params())
+	if err := restored.Restore(snapshot, 1, 0); err != nil {
 		t.Fatal(err)
 	}
-	if len(b.Finals) != n || len(b.Jobs) != 0 || m.LiveTasks != 0 {
-		t.Errorf("%d final states, %d jobs, %d tasks after %v", len(b.Finals), len(b.Jobs), m.LiveTasks, time.Since(began))
+	if len(restored.Finals) != n || len(restored.Jobs) != 0 || m.LiveTasks != 0 {
+		t.Errorf("%d final states, %d jobs, %d tasks after %v", len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began))
 	}
 }
 
 // FuzzDecode: whatever the log holds, reading it ends in an error, not a panic.
 func FuzzDecode(f *testing.F) {
 	m := New(params())
-	_ = m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: info("host-1")}, 1, 0)
-	_ = m.Apply(&Entry{Kind: EntryAccept, Job: 7, Spec: spec(7, 3)}, 1, 0)
+	_ = m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, 1, 0)
+	_ = m.Apply(&Entry{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 3)}, 1, 0)
 	_ = m.Apply(&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}, 1, 0)
 	f.Add(m.Snapshot())
-	f.Add((&Entry{Kind: EntryAccept, Spec: spec(7, 3)}).Append(nil))
+	f.Add((&Entry{Kind: EntryAccept, Spec: testSpec(7, 3)}).Append(nil))
 	f.Add((&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}).Append(nil))
 	f.Add([]byte{snapshotVersion, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -399,8 +399,8 @@
 				}
 			}
 		}
-		r := &codec.Reader{B: b}
-		for len(r.B) > 0 {
+		r := &codec.Reader{Data: b}
+		for len(r.Data) > 0 {
 			if _, err := ReadEntry(r); err != nil {
 				return
 			}
@@ -408,30 +408,30 @@
 	})
 }
 
-// TestMuteMachine: a machine that answers with a newer session, while no report of it comes, lost its lease though it is reached: it gets services only, until a report comes.
-func TestMuteMachine(t *testing.T) {
-	m, mc, _ := small(t)
-	tok := m.Token(mc)
-	if m.Observe(mc, report(1, 2, tok), m.Ask(mc), 1); mc.ServicesOnly(1) {
+// TestOutboundPartitionedMachine: a machine that answers with a newer session, while no report of it comes, lost its lease though it is reached: it gets services only, until a report comes.
+func TestOutboundPartitionedMachine(t *testing.T) {
+	m, machine, _ := newPlacedModel(t)
+	token := m.Token(machine)
+	if m.Observe(machine, testReport(1, 2, token), m.BeginProbe(machine), 1); machine.ServicesOnly(1) {
 		t.Error("one that answers in its session counts as mute")
 	}
-	if m.Observe(mc, report(2, 5, tok), m.Ask(mc), 2); !mc.ServicesOnly(2) || !mc.Usable() {
+	if m.Observe(machine, testReport(2, 5, token), m.BeginProbe(machine), 2); !machine.ServicesOnly(2) || !machine.IsUsable() {
 		t.Error("its lease ran out under our questions, and it gets all work, or none")
 	}
-	if m.Observe(mc, report(1, 3, tok), nil, 3); !mc.ServicesOnly(3) {
+	if m.Observe(machine, testReport(1, 3, token), nil, 3); !machine.ServicesOnly(3) {
 		t.Error("an old report counts")
 	}
-	if m.Observe(mc, report(2, 6, m.Token(mc)), nil, 4); mc.ServicesOnly(4) {
+	if m.Observe(machine, testReport(2, 6, m.Token(machine)), nil, 4); machine.ServicesOnly(4) {
 		t.Error("its reports come again, and it still gets services only")
 	}
 }
 
-// TestLeaseEnd: the lease of a suspect machine is over once the entry has
+// TestSuspectLeaseExpiry: the lease of a suspect machine is over once the entry has
 // been committed for the bound and a lease, not a moment earlier; a report takes the
 // suspicion back, and a new leader counts anew. The entry by which older versions ended the runs then is still read.
-func TestLeaseEnd(t *testing.T) {
+func TestSuspectLeaseExpiry(t *testing.T) {
 	const bound, lease = 20 * time.Second, 24 * time.Second
-	m, mc, run := small(t)
+	m, machine, run := newPlacedModel(t)
 	seq := uint64(8)
 	apply := func(k EntryKind, now Time) {
 		t.Helper()
@@ -443,12 +443,12 @@
 	apply(EntrySuspect, 5*time.Second)
 	apply(EntryTrust, 6*time.Second)
 	apply(EntrySuspect, 10*time.Second)
-	mc.SuspicionKnown(9, 10*time.Second) // the first one is committed, the second is not
-	if mc.Lapsed(bound, lease, 0, time.Hour, 2) || mc.Usable() {
+	machine.SuspicionCommitted(9, 10*time.Second) // the first one is committed, the second is not
+	if machine.LeaseExpired(bound, lease, 0, time.Hour, 2) || machine.IsUsable() {
 		t.Error("gone before the entry was committed, or still in use")
 	}
-	mc.SuspicionKnown(11, 11*time.Second)
-	if mc.Lapsed(bound, lease, 0, mc.SuspectFrom+bound+lease+Time(0.9e9), 2) || !mc.Lapsed(bound, lease, 0, mc.SuspectFrom+bound+lease+Time(1.2e9), 2) {
+	machine.SuspicionCommitted(11, 11*time.Second)
+	if machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(0.9e9), 2) || !machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(1.2e9), 2) {
 		t.Error("not gone a second after the bound and the lease")
 	}
 	again := New(params())
@@ -456,26 +456,26 @@
 		t.Fatal(err)
 	}
 	again.BeginTerm(4<<24, time.Minute)
-	if o := again.Machines[1]; !o.Suspect || o.Lapsed(bound, lease, 0, time.Minute+bound+lease, 2) || !o.Lapsed(bound, lease, 0, 2*time.Minute, 2) {
+	if o := again.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) || !o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
 		t.Error("a new leader does not count from its own election")
 	}
 	apply(EntryTrust, 12*time.Second)
-	if mc.Lapsed(bound, lease, 0, time.Hour, 2) || !mc.Usable() || len(mc.Runs) != 1 {
+	if machine.LeaseExpired(bound, lease, 0, time.Hour, 2) || !machine.IsUsable() || len(machine.Runs) != 1 {
 		t.Error("the suspicion was not taken back")
 	}
 	apply(EntrySuspect, 13*time.Second)
-	apply(EntryLapsed, time.Minute)
-	if len(mc.Runs) != 0 || m.Jobs[7].Tasks[0].State != Waiting || run.Machine.Usable() {
+	apply(EntryLeaseExpired, time.Minute)
+	if len(machine.Runs) != 0 || m.Jobs[7].Tasks[0].State != Waiting || run.Machine.IsUsable() {
 		t.Error("after the lease its task does not wait again, or the machine is in use")
 	}
 }
 
-// TestAddressOfARentedMachine: what a machine tells of its address is kept for the
+// TestAddressOfProvisionedMachine: what a machine tells of its address is kept for the
 // next leader, in the log and in snapshots.
-func TestAddressOfARentedMachine(t *testing.T) {
+func TestAddressOfProvisionedMachine(t *testing.T) {
 	m := New(params())
 	for _, addr := range []string{"", "x:9", ""} {
-		i := info("host-1")
+		i := testInfo("host-1")
 		i.Addr = addr
 		if err := m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: i}, 1, 0); err != nil {
 			t.Fatal(err)
@@ -492,58 +492,58 @@
 
 // timing plays tasks that take given times, and a worker that reports every 3 s.
 type timing struct {
-	t   *testing.T
-	m   *Model
-	now Time
-	log uint64
-	seq uint64
+	test      *testing.T
+	model     *Model
+	now       Time
+	logSeq    uint64
+	reportSeq uint64
 }
 
 func (x *timing) apply(e *Entry) {
-	x.t.Helper()
-	x.log++
-	if err := x.m.Apply(e, x.log, x.now); err != nil {
-		x.t.Fatal(err)
+	x.test.Helper()
+	x.logSeq++
+	if err := x.model.Apply(e, x.logSeq, x.now); err != nil {
+		x.test.Fatal(err)
 	}
 }
 
 // run has a task run on a machine for so many seconds, in which it says nothing for
 // silent seconds. It tells whether the machine was found to be slow.
-func (x *timing) run(job uint64, task int32, machine MachineID, took, silent float64) (slow bool) {
-	x.t.Helper()
-	mc := x.m.Machines[machine]
-	say := func(state, cause string) {
-		x.seq++
-		r := report(1, x.seq, 3<<24, wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause})
-		v := x.m.Observe(mc, r, nil, x.now)
+func (x *timing) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
+	x.test.Helper()
+	machine := x.model.Machines[machineID]
+	sendReport := func(state, cause string) {
+		x.reportSeq++
+		r := testReport(1, x.reportSeq, 3<<24, wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause})
+		v := x.model.Observe(machine, r, nil, x.now)
 		slow = slow || v.Slow
 		for _, e := range v.Entries {
 			x.apply(e)
 		}
 	}
-	x.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machine, Session: 1})
-	for left := config.Seconds(took); left > 0; {
-		say(wire.TaskRunning, "")
-		step := min(left, config.Seconds(max(3, silent)))
-		x.now, left, silent = x.now+step, left-step, 0
+	x.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, Session: 1})
+	for left := config.Seconds(tookS); left > 0; {
+		sendReport(wire.TaskRunning, "")
+		step := min(left, config.Seconds(max(3, silentS)))
+		x.now, left, silentS = x.now+step, left-step, 0
 	}
-	say(wire.TaskExited, wire.CauseDone)
+	sendReport(wire.TaskExited, wire.CauseDone)
 	return slow
 }
 
 func newTiming(t *testing.T, estimate float64) *timing {
-	x := &timing{t: t, m: New(params()), now: 1}
+	x := &timing{test: t, model: New(params()), now: 1}
 	x.apply(&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}})
 	for n := MachineID(1); n <= 3; n++ {
-		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: info(fmt.Sprintf("host-%d", n))})
+		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
 	}
-	x.m.BeginTerm(3<<24, 0)
+	x.model.BeginTerm(3<<24, 0)
 	for n := MachineID(1); n <= 3; n++ {
-		x.m.Observe(x.m.Machines[n], report(1, 1, 3<<24), nil, x.now)
+		x.model.Observe(x.model.Machines[n], testReport(1, 1, 3<<24), nil, x.now)
 	}
-	x.seq = 1
+	x.reportSeq = 1
 	for n := uint64(1); n <= 30; n++ {
-		s := spec(n, 20)
+		s := testSpec(n, 20)
 		s.EstimateS = estimate
 		x.apply(&Entry{Kind: EntryAccept, Job: JobID(n), Spec: s})
 	}
@@ -554,23 +554,23 @@
 // corrected after some jobs, and one job with many tasks does not count as many.
 func TestEstimatesAreCorrected(t *testing.T) {
 	x := newTiming(t, 20)
-	last := x.m.Jobs[30]
-	if got := x.m.Takes(last); got != 20 {
-		t.Errorf("at first a task is expected to take %g s", got)
+	last := x.model.Jobs[30]
+	if actual := x.model.ExpectedSeconds(last); actual != 20 {
+		t.Errorf("at first a task is expected to take %g s", actual)
 	}
 	for task := range int32(20) {
 		x.run(1, task, 1, 60, 0)
 	}
-	if got := x.m.Takes(last); got > 28 {
-		t.Errorf("after one job a task is expected to take %g s", got)
+	if actual := x.model.ExpectedSeconds(last); actual > 28 {
+		t.Errorf("after one job a task is expected to take %g s", actual)
 	}
 	for n := uint64(2); n <= 28; n++ {
 		for task := range int32(20) {
 			x.run(n, task, 1, 60, 0)
 		}
 	}
-	if got := x.m.Takes(last); got < 45 || got > 60 {
-		t.Errorf("tasks of 20 s take 60 s, %g s are expected", got)
+	if actual := x.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
+		t.Errorf("tasks of 20 s take 60 s, %g s are expected", actual)
 	}
 }
 
@@ -601,11 +601,11 @@
 				slow = x.run(n, task, 3, c.took, c.silent) || slow
 			}
 		}
-		if x.m.FindLate(x.m.Machines[3], x.now) {
+		if x.model.DetectSlow(x.model.Machines[3], x.now) {
 			t.Errorf("%s: nothing runs, and it is late", c.name)
 		}
-		if mc := x.m.Machines[3]; slow != c.want || mc.IsSlow(x.now) != c.want || mc.IsSlow(x.now+2*slowFor) {
-			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, mc.IsSlow(x.now))
+		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want || machine.IsSlow(x.now+2*slowPeriod) {
+			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(x.now))
 		}
 	}
 }
@@ -626,7 +626,7 @@
 				x.run(n, task, 1, 20, 0)
 			}
 		}
-		mc, now := x.m.Machines[3], Time(0)
+		machine, now := x.model.Machines[3], Time(0)
 		var tasks []wire.TaskStatus
 		for k := range uint64(4) {
 			n := 1 + k%c.jobs
@@ -635,13 +635,13 @@
 		}
 		began := x.now
 		for x.now < began+config.Seconds(80) {
-			x.seq++
-			x.m.Observe(mc, report(1, x.seq, 3<<24, tasks...), nil, x.now)
-			if now == 0 && x.m.FindLate(mc, x.now) {
+			x.reportSeq++
+			x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, tasks...), nil, x.now)
+			if now == 0 && x.model.DetectSlow(machine, x.now) {
 				now = x.now - began
 			}
 			if c.good && x.now == began+config.Seconds(3) {
-				x.m.timed(mc, &Run{Job: x.m.Jobs[3], Machine: mc, Attempt: 1, StartedAt: x.now}, x.now+config.Seconds(20))
+				x.model.recordDuration(machine, &Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now}, x.now+config.Seconds(20))
 			}
 			x.now += config.Seconds(3)
 		}
@@ -656,11 +656,11 @@
 func TestIntentsInSnapshots(t *testing.T) {
 	m := New(params())
 	apply := func(seq uint64, e *Entry) {
-		back, err := ReadEntry(&codec.Reader{B: e.Append(nil)})
+		decoded, err := ReadEntry(&codec.Reader{Data: e.Append(nil)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := m.Apply(back, seq, 0); err != nil {
+		if err := m.Apply(decoded, seq, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -687,16 +687,16 @@
 	}
 }
 
-// TestCopyFromEarlierLife: the first report that a new leader gets of a machine may be a copy from an earlier life of its worker, whose sessions
+// TestReportFromEarlierIncarnation: the first report that a new leader gets of a machine may be a copy from an earlier life of its worker, whose sessions
 // had gone further than those of the present one. Its session once passed for a proof that the runs of a lower one are gone, and they
 // were started elsewhere while they ran.
-func TestCopyFromEarlierLife(t *testing.T) {
-	m, mc, run := small(t) // a run in session 1 of the present life
+func TestReportFromEarlierIncarnation(t *testing.T) {
+	m, machine, run := newPlacedModel(t) // a run in session 1 of the present life
 	m.BeginTerm(4<<24, 0)
-	if v := m.Observe(mc, report(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.Stale() {
+	if v := m.Observe(machine, testReport(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.IsStale() {
 		t.Errorf("a copy of session 2 proves %d ends", len(v.Entries))
 	}
-	v := m.Observe(mc, report(1, 7, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskRunning}), m.Ask(mc), 2)
+	v := m.Observe(machine, testReport(1, 7, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskRunning}), m.BeginProbe(machine), 2)
 	if len(v.Entries) != 0 || run.Phase != Running {
 		t.Errorf("an answer that lists the run proves %d ends, phase %d", len(v.Entries), run.Phase)
 	}
@@ -717,13 +717,13 @@
 			name := func(i int) string { return fmt.Sprintf("host-%06d", i) }
 			rent := func(from, to int) {
 				for i := from; i < to; i++ {
-					apply(&Entry{Kind: EntryMachine, Machine: MachineID(i + 1), Info: info(name(i))})
+					apply(&Entry{Kind: EntryMachine, Machine: MachineID(i + 1), Info: testInfo(name(i))})
 				}
 			}
 			remembered := func(when string, from, to int) {
 				t.Helper()
 				for i := from; i < to; i++ {
-					if !m.Tombs[name(i)] {
+					if !m.Tombstones[name(i)] {
 						t.Fatalf("%s: machine %d of %d is forgotten", when, i, to)
 					}
 				}
@@ -749,8 +749,8 @@
 			remembered("all are lost again", 0, 2*fleet)
 			rent(2*fleet, 3*fleet)
 			lose(2*fleet, 3*fleet)
-			if kept := max(leastTombs, 2*fleet); len(m.Tombs) != kept {
-				t.Errorf("%d names are kept, not %d", len(m.Tombs), kept)
+			if kept := max(minTombstones, 2*fleet); len(m.Tombstones) != kept {
+				t.Errorf("%d names are kept, not %d", len(m.Tombstones), kept)
 			}
 		})
 	}
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -18,7 +18,7 @@
 //     token it carried is the highest that the worker has seen, so it is over
 //     once the worker reports a higher one (unsure);
 //   - in the answer to a report: the worker drops it after a while and has one
-//     report in flight, so it is over when the next report arrives (answerSeq);
+//     report in flight, so it is over when the next report arrives (answeredReportSeq);
 //   - in a command of an earlier leader (Inherited): over once the worker
 //     reports a token of this term.
 //
@@ -30,95 +30,95 @@
 // machine, or will as soon as it executes anything; a start that is still under way names a session that is over. That is
 // no evidence: a machine that hangs holds its tasks until it wakes. But nothing is lost any more by returning it, and the cloud's answer to that is
 // evidence. If the leader hears from the worker meanwhile it takes the suspicion back before it answers.
-// A leader counts from its own election if the entry is older. (EntryLapsed, by which older versions had the end of a lease end the runs, is
+// A leader counts from its own election if the entry is older. (EntryLeaseExpired, by which older versions had the end of a lease end the runs, is
 // still read.)
 
 // BeginTerm makes the node that holds the model a leader: nothing observed
 // under earlier terms counts, and their commands may still be under way.
 func (m *Model) BeginTerm(base uint64, now Time) {
 	m.TermBase = base
-	for _, mc := range m.Order {
-		mc.Session, mc.Reports, mc.DeafSince, mc.MuteSince, mc.Bump = 0, staleness.Tracker{}, 0, 0, 0
-		mc.Reported, mc.LastReport, mc.KnownSince, mc.Notice, mc.RentedAt, mc.Overdue = false, now, now, 0, 0, false
-		mc.Sending, mc.NoDirect = false, false
-		if mc.SuspectFrom = 0; mc.Suspect {
-			mc.SuspectFrom = now
-		}
-		mc.unsure, mc.dead, mc.Renewals = nil, nil, lease.Proof{}
-		for _, r := range mc.Runs {
+	for _, machine := range m.Order {
+		machine.Session, machine.Reports, machine.InboundPartitionSince, machine.OutboundPartitionSince, machine.TokenBump = 0, staleness.Tracker{}, 0, 0, 0
+		machine.Reported, machine.LastReport, machine.KnownSince, machine.PreemptionAt, machine.ProvisionedAt, machine.BootOverdue = false, now, now, 0, 0, false
+		machine.DirectInFlight, machine.DirectFailed = false, false
+		if machine.SuspectFrom = 0; machine.Suspect {
+			machine.SuspectFrom = now
+		}
+		machine.unresolvedStarts, machine.reapable, machine.Renewals = nil, nil, lease.ExpiryProof{}
+		for _, r := range machine.Runs {
 			r.setPhase(Unseen)
-			r.Inherited, r.answerSeq, r.Stop, r.goneFrom = true, 0, false, 0
+			r.Inherited, r.answeredReportSeq, r.Stop, r.goneFromToken = true, 0, false, 0
 		}
 	}
 }
 
-// Lapsed tells whether the lease of a suspect machine has surely run out: since all that may have renewed it told when they last did (own is when
+// LeaseExpired tells whether the lease of a suspect machine has surely run out: since all that may have renewed it told when they last did (own is when
 // this node did; others is how many there are besides it), or, where not all did, by the bound for which any node may go on with an old copy of the log.
-func (mc *Machine) Lapsed(bound, duration, own, now Time, others int) bool {
-	if !mc.Suspect || mc.SuspectFrom == 0 {
+func (machine *Machine) LeaseExpired(bound, duration, ownRenewal, now Time, others int) bool {
+	if !machine.Suspect || machine.SuspectFrom == 0 {
 		return false
 	}
-	if from, all := mc.Renewals.From(others, own); all && lease.Over(from, duration, now) {
+	if from, complete := machine.Renewals.CountsFrom(others, ownRenewal); complete && lease.Expired(from, duration, now) {
 		return true
 	}
-	return lease.Over(mc.SuspectFrom, bound+duration, now)
+	return lease.Expired(machine.SuspectFrom, bound+duration, now)
 }
 
-// HoldsCancelled tells whether a machine has a task of a job that is cancelled.
-func (mc *Machine) HoldsCancelled() bool {
-	return slices.ContainsFunc(mc.Runs, func(r *Run) bool { return r.Job.Cancelled })
+// HasCancelledTask tells whether a machine has a task of a job that is cancelled.
+func (machine *Machine) HasCancelledTask() bool {
+	return slices.ContainsFunc(machine.Runs, func(r *Run) bool { return r.Job.Cancelled })
 }
 
-// CancelledSince is for how long a job that has a task on a machine has been cancelled, of several the longest.
-func (m *Model) CancelledSince(mc *Machine, now Time) (since Time) {
-	for _, r := range mc.Runs {
+// CancelledFor is for how long a job that has a task on a machine has been cancelled, of several the longest.
+func (m *Model) CancelledFor(machine *Machine, now Time) (longest Time) {
+	for _, r := range machine.Runs {
 		switch {
 		case !r.Job.Cancelled:
 		case r.Job.CancelledFrom == 0:
 			return math.MaxInt64 // for longer than this replica has followed
 		default:
-			since = max(since, now-r.Job.CancelledFrom)
+			longest = max(longest, now-r.Job.CancelledFrom)
 		}
 	}
-	return since
+	return longest
 }
 
-// SuspectAt is the log's number of the entry that made a machine suspect.
-func (mc *Machine) SuspectAt() uint64 { return mc.suspectSeq }
+// SuspectSeq is the log's number of the entry that made a machine suspect.
+func (machine *Machine) SuspectSeq() uint64 { return machine.suspectSeq }
 
-// SuspicionKnown notes that the entry with a number, which made a machine suspect,
+// SuspicionCommitted notes that the entry with a number, which made a machine suspect,
 // is committed now. An earlier one of several says nothing: between the two the
 // machine was trusted, and a node that read so far may renew its lease.
-func (mc *Machine) SuspicionKnown(seq uint64, now Time) {
-	if mc.Suspect && mc.suspectSeq == seq {
-		mc.SuspectFrom = now
+func (machine *Machine) SuspicionCommitted(seq uint64, now Time) {
+	if machine.Suspect && machine.suspectSeq == seq {
+		machine.SuspectFrom = now
 	}
 }
 
 // Token is the token under which this leader commands a machine.
-func (m *Model) Token(mc *Machine) uint64 { return m.TermBase + mc.Bump }
+func (m *Model) Token(machine *Machine) uint64 { return m.TermBase + machine.TokenBump }
 
-// Verdict is what Observe makes of a report.
-type Verdict struct {
-	Freshness staleness.Freshness // what the report proves; Old and Unproven: nothing of now
-	Entries   []*Entry
-	Faulty    []*Job     // jobs that this report shows to fail everywhere
-	Slow      bool       // the report shows the machine to be slow
-	Meet      []*Machine // whose gangs' members may be told to start now
-	Ask       bool       // the report would end runs that were there, if it is of now: the machine is to be asked
+// ReportVerdict is what Observe makes of a report.
+type ReportVerdict struct {
+	Freshness  staleness.Freshness // what the report proves; Old and Unproven: nothing of now
+	Entries    []*Entry
+	Faulty     []*Job     // jobs that this report shows to fail everywhere
+	Slow       bool       // the report shows the machine to be slow
+	GangReady  []*Machine // whose gangs' members may be told to start now
+	NeedsProbe bool       // the report would end runs that were there, if it is of now: the machine is to be asked
 }
 
-// Stale tells whether the report proves nothing of now: the machine is to be asked.
-func (v *Verdict) Stale() bool {
+// IsStale tells whether the report proves nothing of now: the machine is to be asked.
+func (v *ReportVerdict) IsStale() bool {
 	return v.Freshness == staleness.Stale || v.Freshness == staleness.Unproven
 }
 
-// Ask notes what is known of a machine as a question goes to it, a look or a command.
-func (m *Model) Ask(mc *Machine) *staleness.Question { return mc.Reports.Ask() }
+// BeginProbe notes what is known of a machine as a question goes to it, a look or a command.
+func (m *Model) BeginProbe(machine *Machine) *staleness.Question { return machine.Reports.Ask() }
 
-// reached is a session that a machine's worker is known, by the log, to have reached.
-func (mc *Machine) reached() (session uint64) {
-	for _, r := range mc.Runs {
+// reachedSession is a session that a machine's worker is known, by the log, to have reached.
+func (machine *Machine) reachedSession() (session uint64) {
+	for _, r := range machine.Runs {
 		session = max(session, r.Session)
 	}
 	return session
@@ -126,159 +126,159 @@
 
 // Observe takes a worker's report, or the report that a question was answered with (q: what was known when it was
 // asked), and returns the entries it is evidence for. The caller logs and applies them.
-func (m *Model) Observe(mc *Machine, r *wire.Report, q *staleness.Question, now Time) Verdict {
-	w := staleness.Stamp{Number: staleness.Number{Session: r.Session, Seq: r.Seq}, Token: r.Token}
-	v := Verdict{Freshness: mc.Reports.Judge(w, m.TermBase, mc.reached(), q)}
-	if v.Stale() {
+func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, question *staleness.Question, now Time) ReportVerdict {
+	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
+	verdict := ReportVerdict{Freshness: machine.Reports.Judge(stamp, m.TermBase, machine.reachedSession(), question)}
+	if verdict.IsStale() {
 		// Not even its session proves anything: it may be a copy from an earlier life of the worker, whose sessions had
 		// gone further than those of the present one.
-		return v
-	}
-	answer := q != nil
-	known := mc.Reported
-	if v.Freshness == staleness.Restarted {
-		mc.Bump++ // what was sent to its earlier life has lower tokens
-	}
-	met := mc.Reports.Take(w, v.Freshness, m.Token(mc), !answer)
-	lapsed := !answer && known && r.Session > mc.Session
-	doubt := lapsed || !answer && mc.NoDirect
-	session := mc.Session
-	mc.Session = r.Session
-	mc.Reported, mc.LastReport = true, now
+		return verdict
+	}
+	isProbeAnswer := question != nil
+	knownBefore := machine.Reported
+	if verdict.Freshness == staleness.Restarted {
+		machine.TokenBump++ // what was sent to its earlier life has lower tokens
+	}
+	tokenSeen := machine.Reports.Accept(stamp, verdict.Freshness, m.Token(machine), !isProbeAnswer)
+	leaseExpired := !isProbeAnswer && knownBefore && r.AgentEpoch > machine.Session
+	uncertain := leaseExpired || !isProbeAnswer && machine.DirectFailed
+	session := machine.Session
+	machine.Session = r.AgentEpoch
+	machine.Reported, machine.LastReport = true, now
 	switch {
-	case !answer:
-		mc.NoDirect, mc.MuteSince = false, 0
-	case known && v.Freshness != staleness.Restarted && r.Session > session && mc.MuteSince == 0:
-		mc.MuteSince = max(now, 1) // it is reached, and nobody renewed its lease: what it gets lasts for a lease
+	case !isProbeAnswer:
+		machine.DirectFailed, machine.OutboundPartitionSince = false, 0
+	case knownBefore && verdict.Freshness != staleness.Restarted && r.AgentEpoch > session && machine.OutboundPartitionSince == 0:
+		machine.OutboundPartitionSince = max(now, 1) // it is reached, and nobody renewed its lease: what it gets lasts for a lease
 	}
 	switch {
-	case mc.Reports.OneWay():
-		mc.FoundDeaf(now)
-	case met || answer:
-		mc.DeafSince = 0
-	case lapsed:
-		mc.FoundDeaf(now) // its lease ran out although its reports were answered; the report after the next answer tells
+	case machine.Reports.OneWay():
+		machine.MarkInboundPartition(now)
+	case tokenSeen || isProbeAnswer:
+		machine.InboundPartitionSince = 0
+	case leaseExpired:
+		machine.MarkInboundPartition(now) // its lease ran out although its reports were answered; the report after the next answer tells
 	}
 	if r.NoticeS != nil {
-		if mc.Notice == 0 {
-			mc.Notice = now + Time(*r.NoticeS*1e9)
+		if machine.PreemptionAt == 0 {
+			machine.PreemptionAt = now + Time(*r.NoticeS*1e9)
 		}
 	} else {
-		mc.Notice = 0
+		machine.PreemptionAt = 0
 	}
-	for k, u := range mc.unsure {
-		if r.Token > max(u.open, u.lost) {
-			delete(mc.unsure, k)
+	for k, u := range machine.unresolvedStarts {
+		if r.FencingToken > max(u.awaiting, u.lost) {
+			delete(machine.unresolvedStarts, k)
 		}
 	}
-	if now-mc.listened > longGap {
-		mc.gapAt = now
+	if now-machine.lastObservedAt > longSilence {
+		machine.silenceEndedAt = now
 	}
-	mc.listened = now
-	mc.obs++
-	mc.dead = mc.dead[:0]
+	machine.lastObservedAt = now
+	machine.observation++
+	machine.reapable = machine.reapable[:0]
 	for i := range r.Tasks {
-		m.observeTask(mc, &r.Tasks[i], r, answer, &v, now)
+		m.observeTask(machine, &r.Tasks[i], r, isProbeAnswer, &verdict, now)
 	}
-	for _, run := range mc.Runs {
-		if run.seen == mc.obs {
+	for _, run := range machine.Runs {
+		if run.seenObservation == machine.observation {
 			continue
 		}
-		sent := run.answerSeq
-		if e := m.absent(mc, run, r, answer, &v); e != nil {
-			v.Entries = append(v.Entries, e)
-		} else if sent != 0 && run.answerSeq == 0 {
-			doubt = true // it was told to start it, and has not
+		startAnswerSeq := run.answeredReportSeq
+		if e := m.judgeUnlisted(machine, run, r, isProbeAnswer, &verdict); e != nil {
+			verdict.Entries = append(verdict.Entries, e)
+		} else if startAnswerSeq != 0 && run.answeredReportSeq == 0 {
+			uncertain = true // it was told to start it, and has not
 		}
 	}
-	if doubt {
-		m.Try(mc)
+	if uncertain {
+		m.RaiseToken(machine)
 	}
-	return v
+	return verdict
 }
 
-// Try raises a machine's token, unless the worker is yet to show the last one: whether answers arrive is not known, and the report
+// RaiseToken raises a machine's token, unless the worker is yet to show the last one: whether answers arrive is not known, and the report
 // after the next answer tells.
-func (m *Model) Try(mc *Machine) {
-	if mc.Reports.Token() >= m.Token(mc) {
-		mc.Bump++
+func (m *Model) RaiseToken(machine *Machine) {
+	if machine.Reports.Token() >= m.Token(machine) {
+		machine.TokenBump++
 	}
 }
 
-// FoundDeaf notes that what is said to a machine does not arrive, as far as is known.
-func (mc *Machine) FoundDeaf(now Time) {
-	if mc.DeafSince == 0 {
-		mc.DeafSince = max(now, 1)
+// MarkInboundPartition notes that what is said to a machine does not arrive, as far as is known.
+func (machine *Machine) MarkInboundPartition(now Time) {
+	if machine.InboundPartitionSince == 0 {
+		machine.InboundPartitionSince = max(now, 1)
 	}
 }
 
-// Silence is for how long a machine has not been heard of, or is known not to hear.
-func (mc *Machine) Silence(now Time) Time {
-	if mc.DeafSince != 0 {
-		return max(now-mc.LastReport, now-mc.DeafSince)
+// SilentFor is for how long a machine has not been heard of, or is known not to hear.
+func (machine *Machine) SilentFor(now Time) Time {
+	if machine.InboundPartitionSince != 0 {
+		return max(now-machine.LastReport, now-machine.InboundPartitionSince)
 	}
-	return now - mc.LastReport
+	return now - machine.LastReport
 }
 
-func (m *Model) observeTask(mc *Machine, s *wire.TaskStatus, r *wire.Report, answer bool, v *Verdict, now Time) {
+func (m *Model) observeTask(machine *Machine, s *wire.TaskStatus, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict, now Time) {
 	n, task, ok := wire.ParseTaskID(s.Task)
 	if !ok || s.Attempt >= 1<<31 {
 		return
 	}
 	k := runKey{JobID(n), int32(task), uint32(s.Attempt)}
-	run := m.run(k.job, k.task, k.attempt)
-	if run != nil && run.Machine != mc {
+	run := m.findRun(k.job, k.task, k.attempt)
+	if run != nil && run.Machine != machine {
 		run = nil
 	}
 	exited := s.State == wire.TaskExited
-	if run == nil || run.Session > mc.Session {
-		d := deadTask{key: k, exited: exited}
+	if run == nil || run.Session > machine.Session {
+		reapable := reapableTask{key: k, exited: exited}
 		if j := m.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled && int(task) < len(j.Tasks) &&
 			j.Tasks[task].State == Waiting {
 			// A result that was kept through a change of leaders still counts.
-			v.Entries = append(v.Entries, &Entry{Kind: EntryDone, Job: k.job, Task: k.task, Attempt: k.attempt})
+			verdict.Entries = append(verdict.Entries, &Entry{Kind: EntryDone, Job: k.job, Task: k.task, Attempt: k.attempt})
 		}
-		mc.dead = append(mc.dead, d)
+		machine.reapable = append(machine.reapable, reapable)
 		return
 	}
-	run.seen = mc.obs
-	if !answer {
-		run.answerSeq = 0 // the worker has one report in flight: what answered the one before was taken or dropped
+	run.seenObservation = machine.observation
+	if !isProbeAnswer {
+		run.answeredReportSeq = 0 // the worker has one report in flight: what answered the one before was taken or dropped
 	}
-	if run.Session < mc.Session {
+	if run.Session < machine.Session {
 		// The worker forgot everything between the sessions; a task listed now
 		// under an old attempt can't be, so the listing is not believed.
-		if m.mayStart(mc, run) || !m.shown(mc, run, r, answer, v) {
+		if m.startMayBeInFlight(machine, run) || !m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 			return
 		}
-		v.Entries = append(v.Entries, &Entry{Kind: EntryEnded, Job: k.job, Task: k.task, Attempt: k.attempt})
+		verdict.Entries = append(verdict.Entries, &Entry{Kind: EntryEnded, Job: k.job, Task: k.task, Attempt: k.attempt})
 		return
 	}
-	run.goneFrom = 0
+	run.goneFromToken = 0
 	switch s.State {
 	case wire.TaskFetching:
 		run.setPhase(Fetching)
 	case wire.TaskWaiting:
-		run.setPhase(Gathering)
+		run.setPhase(AwaitingGang)
 	case wire.TaskRunning:
 		run.setPhase(Running)
-	case wire.TaskSaving:
+	case wire.TaskCheckpointing:
 		run.setPhase(Saving)
 	}
 	if !exited {
-		m.mayStart(mc, run) // one whose fate is not known is fenced long before the task ends
-		if run.Phase >= Gathering {
-			if !mc.Has(run.Job.Image) {
-				v.Meet = append(v.Meet, run.Job.meet()...)
+		m.startMayBeInFlight(machine, run) // one whose fate is not known is fenced long before the task ends
+		if run.Phase >= AwaitingGang {
+			if !machine.HasImage(run.Job.Image) {
+				verdict.GangReady = append(verdict.GangReady, run.Job.machinesAwaitingMember()...)
 			}
-			mc.Touch(m, run.Job, now)
+			machine.TouchImage(m, run.Job, now)
 		}
 		if run.Phase >= Running && run.StartedAt == 0 {
 			run.StartedAt = now
 		}
 		return
 	}
-	if s.Cause != wire.CauseDone && (m.mayStart(mc, run) || run.answerSeq != 0) {
+	if s.Cause != wire.CauseDone && (m.startMayBeInFlight(machine, run) || run.answeredReportSeq != 0) {
 		// What it lists is not started again. But if the worker has begun anew since, it may be, by the start that is under way: the end
 		// counts as soon as the worker shows the token that fences that. So it may, once it is reaped, by the same start in an answer to a report
 		// that is held up: what a question or a direct command showed waits for the next report.
@@ -287,110 +287,110 @@
 		}
 		return
 	}
-	mc.dead = append(mc.dead, deadTask{key: k, exited: true})
-	kind := EntryEnded
+	machine.reapable = append(machine.reapable, reapableTask{key: k, exited: true})
+	entryKind := EntryEnded
 	switch s.Cause {
 	case wire.CauseDone:
-		kind = EntryDone
-		mc.absolve(run.Job)
-		if m.timed(mc, run, now) {
-			mc.foundSlow(now)
-			v.Slow = true
+		entryKind = EntryDone
+		machine.clearFailures(run.Job)
+		if m.recordDuration(machine, run, now) {
+			machine.markSlow(now)
+			verdict.Slow = true
 		}
 	case wire.CauseError:
-		if m.blame(mc, run.Job, now) {
-			v.Faulty = append(v.Faulty, run.Job)
+		if m.attributeFailure(machine, run.Job, now) {
+			verdict.Faulty = append(verdict.Faulty, run.Job)
 		}
-	case wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown:
+	case wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown:
 		// What the machine holds is not what is believed of it; a pause keeps
 		// the job from being thrown at it again and again.
 		run.Job.NotBefore = max(run.Job.NotBefore, now+Time(1e9))
 	}
-	v.Entries = append(v.Entries, &Entry{Kind: kind, Job: k.job, Task: k.task, Attempt: k.attempt})
+	verdict.Entries = append(verdict.Entries, &Entry{Kind: entryKind, Job: k.job, Task: k.task, Attempt: k.attempt})
 }
 
-// absent judges a run that a report does not list.
-func (m *Model) absent(mc *Machine, run *Run, r *wire.Report, answer bool, v *Verdict) *Entry {
+// judgeUnlisted judges a run that a report does not list.
+func (m *Model) judgeUnlisted(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) *Entry {
 	gone := &Entry{Kind: EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt}
-	if run.Session < r.Session {
+	if run.Session < r.AgentEpoch {
 		// A newer session: everything of the older one is gone, and commands for it are refused. Unless the worker has begun
 		// anew since it sent this, with numbers that begin at 1: then the older session may be that of its present life, in which
 		// the run may be, or be started by what is on its way.
-		if m.mayStart(mc, run) || !m.shown(mc, run, r, answer, v) {
+		if m.startMayBeInFlight(machine, run) || !m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 			return nil
 		}
 		return gone
 	}
-	if !mc.Reports.Fenced() {
+	if !machine.Reports.Fenced() {
 		return nil // a start that was sent to an earlier life may come to this one
 	}
-	if run.Session > r.Session {
-		if mc.Reports.Incarnations() > 0 {
+	if run.Session > r.AgentEpoch {
+		if machine.Reports.Incarnations() > 0 {
 			return gone // of an earlier life
 		}
 		return nil
 	}
-	if !answer && run.answerSeq != 0 && r.Seq > run.answerSeq {
-		run.answerSeq = 0
+	if !isProbeAnswer && run.answeredReportSeq != 0 && r.Seq > run.answeredReportSeq {
+		run.answeredReportSeq = 0
 	}
-	if run.answerSeq != 0 {
+	if run.answeredReportSeq != 0 {
 		return nil
 	}
-	if _, open := mc.unsure[run.key()]; open {
-		if !run.Wanted() {
-			m.fence(mc, run.key())
+	if _, open := machine.unresolvedStarts[run.key()]; open {
+		if !run.IsWanted() {
+			m.fenceStart(machine, run.key())
 		}
 		return nil
 	}
-	if run.Inherited && r.Token < m.TermBase {
+	if run.Inherited && r.FencingToken < m.TermBase {
 		return nil
 	}
-	if run.Phase == Unseen && !run.Wanted() || run.Phase != Unseen && m.shown(mc, run, r, answer, v) {
+	if run.Phase == Unseen && !run.IsWanted() || run.Phase != Unseen && m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 		return gone
 	}
 	return nil
 }
 
-// shown tells whether a report may end a run that was there by not listing it, or by a newer session. That is so rare that it may take a question: a
+// provesGone tells whether a report may end a run that was there by not listing it, or by a newer session. That is so rare that it may take a question: a
 // report that a worker sent before it began anew, with numbers that begin at 1, may come after newer ones whose numbers are no higher. So the machine is asked, and
 // its answer counts at once; a report counts if it shows a token that was first given out after one like it was heard.
-func (m *Model) shown(mc *Machine, run *Run, r *wire.Report, answer bool, v *Verdict) bool {
-	if answer || run.goneFrom != 0 && r.Token >= run.goneFrom {
+func (m *Model) provesGone(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) bool {
+	if isProbeAnswer || run.goneFromToken != 0 && r.FencingToken >= run.goneFromToken {
 		return true
 	}
-	if run.goneFrom == 0 {
-		if !v.Ask {
-			mc.Bump++
+	if run.goneFromToken == 0 {
+		if !verdict.NeedsProbe {
+			machine.TokenBump++
 		}
-		run.goneFrom, v.Ask = m.Token(mc), true
+		run.goneFromToken, verdict.NeedsProbe = m.Token(machine), true
 	}
 	return false
 }
 
-// mayStart tells whether a start of a run in an earlier session may be under way, and raises the token above it if so: once the worker has
+// startMayBeInFlight tells whether a start of a run in an earlier session may be under way, and raises the token above it if so: once the worker has
 // the new token the start is refused, whatever the worker's session is by then.
-func (m *Model) mayStart(mc *Machine, run *Run) bool {
-	_, open := mc.unsure[run.key()]
+func (m *Model) startMayBeInFlight(machine *Machine, run *Run) bool {
+	_, open := machine.unresolvedStarts[run.key()]
 	if open {
-		m.fence(mc, run.key())
+		m.fenceStart(machine, run.key())
 	}
 	return open
 }
 
-// SealDead notes the log number that carries what the last report proved:
+// SealReapable notes the log number that carries what the last report proved:
 // exited attempts are forgotten by the worker only after it is committed,
 // because their listing is the evidence.
-func (m *Model) SealDead(mc *Machine, seq uint64) {
-	for i := range mc.dead {
-		if mc.dead[i].seq == 0 {
-			mc.dead[i].seq = seq
+func (m *Model) SealReapable(machine *Machine, seq uint64) {
+	for i := range machine.reapable {
+		if machine.reapable[i].seq == 0 {
+			machine.reapable[i].seq = seq
 		}
 	}
 }
 
-// DeadWaits tells whether an exited attempt waits for the log to be forgotten.
-func (m *Model) DeadWaits(mc *Machine, committed uint64) bool {
-	for _, d := range mc.dead {
+// ReapPending tells whether an exited attempt waits for the log to be forgotten.
+func (m *Model) ReapPending(machine *Machine, committed uint64) bool {
+	for _, d := range machine.reapable {
 		if d.seq > committed {
 			return true
 		}
@@ -403,20 +403,20 @@
 // Commands says what to tell a machine now. Starts go out only when their
 // placement is committed. With viaAnswer the commands go with the answer to the
 // report last observed.
-func (m *Model) Commands(mc *Machine, committed uint64, viaAnswer bool) []wire.Command {
-	cmds := []wire.Command{}
-	for _, d := range mc.dead {
-		if len(cmds) >= maxCommands {
-			return cmds
+func (m *Model) Commands(machine *Machine, committed uint64, viaAnswer bool) []wire.Command {
+	commands := []wire.Command{}
+	for _, d := range machine.reapable {
+		if len(commands) >= maxCommands {
+			return commands
 		}
 		c := wire.Command{Task: wire.TaskID(uint64(d.key.job), int(d.key.task)), Attempt: uint64(d.key.attempt)}
 		if d.exited {
-			_, open := mc.unsure[d.key]
+			_, open := machine.unresolvedStarts[d.key]
 			// After it is forgotten a repeated start would run it again, so no
 			// start of it may be under way, from this leader or another.
-			if open || committed < d.seq || mc.Reports.Token() < m.TermBase || !mc.Reports.Fenced() {
+			if open || committed < d.seq || machine.Reports.Token() < m.TermBase || !machine.Reports.Fenced() {
 				if open {
-					m.fence(mc, d.key)
+					m.fenceStart(machine, d.key)
 				}
 				continue
 			}
@@ -424,102 +424,102 @@
 		} else {
 			c.Verb, c.GraceS = wire.Stop, new(float64)
 		}
-		cmds = append(cmds, c)
+		commands = append(commands, c)
 	}
-	for _, r := range mc.Runs {
-		if len(cmds) >= maxCommands {
+	for _, r := range machine.Runs {
+		if len(commands) >= maxCommands {
 			break
 		}
-		if r.Session != mc.Session {
+		if r.Session != machine.Session {
 			continue
 		}
 		c := wire.Command{Task: wire.TaskID(uint64(r.Job.ID), int(r.Task)), Attempt: uint64(r.Attempt)}
 		switch {
-		case r.Wanted() && r.Phase == Unseen && committed >= r.Seq:
-			if m.holds(r) {
+		case r.IsWanted() && r.Phase == Unseen && committed >= r.PlacedSeq:
+			if m.mustHoldStart(r) {
 				continue
 			}
 			c.Verb = wire.Start
 			if viaAnswer {
-				r.answerSeq = mc.Reports.Number().Seq
+				r.answeredReportSeq = machine.Reports.Number().Seq
 			}
-		case r.Stop && !r.Job.Cancelled && committed >= r.Seq:
+		case r.Stop && !r.Job.Cancelled && committed >= r.PlacedSeq:
 			c.Verb, c.GraceS = wire.Stop, new(float64)
-			if !r.Hard && r.Job.Spec.CheckpointS > 0 {
-				*c.GraceS = r.Job.Spec.SaveS + 1
+			if !r.Hard && r.Job.Spec.CheckpointIntervalS > 0 {
+				*c.GraceS = r.Job.Spec.CheckpointWriteS + 1
 			}
-		case r.Job.Cancelled && committed >= r.Seq:
+		case r.Job.Cancelled && committed >= r.PlacedSeq:
 			// The cancellation itself need not be in the log yet: nothing is told by a stop, and one that is sent in vain
 			// ends an attempt, which is reported and followed by another.
 			c.Verb, c.GraceS = wire.Stop, new(float64)
 		default:
 			continue
 		}
-		cmds = append(cmds, c)
+		commands = append(commands, c)
 	}
-	return cmds
+	return commands
 }
 
-// fence raises a machine's token above a start that may still be under way, so
+// fenceStart raises a machine's token above a start that may still be under way, so
 // that it can't be executed once the worker has seen the new one. It needs no
 // write: the low bits of a token belong to the leader.
-func (m *Model) fence(mc *Machine, k runKey) {
-	if u := mc.unsure[k]; u.lost >= m.Token(mc) {
-		mc.Bump++
+func (m *Model) fenceStart(machine *Machine, k runKey) {
+	if u := machine.unresolvedStarts[k]; u.lost >= m.Token(machine) {
+		machine.TokenBump++
 	}
 }
 
-// Sent notes that starts are going out in a direct command.
-func (m *Model) Sent(mc *Machine, cmds []wire.Command, token uint64) {
-	eachStart(cmds, func(k runKey) {
-		if mc.unsure == nil {
-			mc.unsure = map[runKey]underway{}
-		}
-		u := mc.unsure[k]
-		u.open = token
-		mc.unsure[k] = u
+// StartsSent notes that starts are going out in a direct command.
+func (m *Model) StartsSent(machine *Machine, commands []wire.Command, token uint64) {
+	forEachStart(commands, func(k runKey) {
+		if machine.unresolvedStarts == nil {
+			machine.unresolvedStarts = map[runKey]startTokens{}
+		}
+		u := machine.unresolvedStarts[k]
+		u.awaiting = token
+		machine.unresolvedStarts[k] = u
 	})
 }
 
-// Answered notes that a direct command was answered, or surely not sent: this
+// StartsAnswered notes that a direct command was answered, or surely not sent: this
 // copy is not under way. An earlier one without an answer still is, unless its
 // token was lower than the one the worker has now accepted.
-func (m *Model) Answered(mc *Machine, cmds []wire.Command, token uint64, accepted bool) {
-	eachStart(cmds, func(k runKey) {
-		u, ok := mc.unsure[k]
+func (m *Model) StartsAnswered(machine *Machine, commands []wire.Command, token uint64, accepted bool) {
+	forEachStart(commands, func(k runKey) {
+		u, ok := machine.unresolvedStarts[k]
 		if !ok {
 			return
 		}
-		if u.open == token {
-			u.open = 0
+		if u.awaiting == token {
+			u.awaiting = 0
 		}
 		if accepted && u.lost < token {
 			u.lost = 0
 		}
-		if u.open == 0 && u.lost == 0 {
-			delete(mc.unsure, k)
+		if u.awaiting == 0 && u.lost == 0 {
+			delete(machine.unresolvedStarts, k)
 		} else {
-			mc.unsure[k] = u
+			machine.unresolvedStarts[k] = u
 		}
 	})
 }
 
-// Lost notes that a direct command got no answer: it may be executed later.
-func (m *Model) Lost(mc *Machine, cmds []wire.Command, token uint64) {
-	mc.NoDirect = true
-	eachStart(cmds, func(k runKey) {
-		if u, ok := mc.unsure[k]; ok {
+// StartsLost notes that a direct command got no answer: it may be executed later.
+func (m *Model) StartsLost(machine *Machine, commands []wire.Command, token uint64) {
+	machine.DirectFailed = true
+	forEachStart(commands, func(k runKey) {
+		if u, ok := machine.unresolvedStarts[k]; ok {
 			u.lost = max(u.lost, token)
-			if u.open == token {
-				u.open = 0
+			if u.awaiting == token {
+				u.awaiting = 0
 			}
-			mc.unsure[k] = u
+			machine.unresolvedStarts[k] = u
 		}
 	})
 }
 
-func eachStart(cmds []wire.Command, f func(runKey)) {
-	for _, c := range cmds {
+func forEachStart(commands []wire.Command, f func(runKey)) {
+	for _, c := range commands {
 		if c.Verb == wire.Start {
 			n, task, _ := wire.ParseTaskID(c.Task)
 			f(runKey{JobID(n), int32(task), uint32(c.Attempt)})
--- /dev/null
+++ b/internal/model/reason_history.go
@@ -0,0 +1,34 @@
+package model
+
+import "fieldhill/internal/scheduling/pending"
+
+// ReasonSince is a reason that held from some time on, until the next one did.
+type ReasonSince struct {
+	Code  pending.Code
+	Since Time
+}
+
+// maxReasonHistory is how many a job keeps.
+const maxReasonHistory = 8
+
+// RecordReason keeps when the reason for which a job waits began. It is called once a round, when
+// that round's reason is known, and costs nothing while it stays the same.
+func (j *Job) RecordReason(now Time) {
+	if j.reasonHistory[0].Code == j.PendingReason.Code {
+		return
+	}
+	copy(j.reasonHistory[1:], j.reasonHistory[:])
+	j.reasonHistory[0] = ReasonSince{j.PendingReason.Code, now}
+}
+
+// ReasonHistory lists the reasons for which the job has waited, the present one first, as far as it is
+// kept and this leader has seen it. Nothing in the way (why.None) is among them.
+func (j *Job) ReasonHistory() (history []ReasonSince) {
+	for _, p := range j.reasonHistory {
+		if p.Since == 0 {
+			break
+		}
+		history = append(history, p)
+	}
+	return history
+}
--- /dev/null
+++ b/internal/model/reason_history_test.go
@@ -0,0 +1,34 @@
+package model
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"fieldhill/internal/scheduling/pending"
+)
+
+// TestReasonHistory: a job keeps its last reasons with the times at which they began, the present
+// one first; while a reason stays, with other figures, nothing is noted, and noting takes no memory.
+func TestReasonHistory(t *testing.T) {
+	j := &Job{}
+	for i, c := range []pending.Code{pending.None, pending.NoCapacity, pending.NoCapacity, pending.TeamLimit, pending.NoCapacity, pending.None} {
+		j.PendingReason = pending.Reason{Code: c, Count: i}
+		j.RecordReason(Time(i+1) * 1e9)
+	}
+	want := []ReasonSince{{pending.None, 6e9}, {pending.NoCapacity, 5e9}, {pending.TeamLimit, 4e9}, {pending.NoCapacity, 2e9}}
+	if d := cmp.Diff(want, j.ReasonHistory()); d != "" {
+		t.Error(d)
+	}
+	at := Time(10e9)
+	if n := testing.AllocsPerRun(100, func() {
+		at++
+		j.PendingReason.Code = pending.TeamLimit + pending.Code(at%2) // it changes every time
+		j.RecordReason(at)
+	}); n != 0 {
+		t.Errorf("%g allocations for a change of reason", n)
+	}
+	if actual := j.ReasonHistory(); len(actual) != maxReasonHistory || actual[0].Since != at || actual[maxReasonHistory-1].Since != at-maxReasonHistory+1 {
+		t.Errorf("after many changes: %+v at %d", actual, at)
+	}
+}
