--- a/internal/scheduling/scheduler/sched_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -13,9 +13,9 @@
 	"fieldhill/wire"
 )
 
-// TestScoreIsThePapers compares the score with a plain reading of the paper's
+// TestScoreMatchesPaper compares the score with a plain reading of the paper's
 // formulas (1) and (2) for one file.
-func TestScoreIsThePapers(t *testing.T) {
+func TestScoreMatchesPaper(t *testing.T) {
 	s := New(Params{Beta: 0.8})
 	for _, size := range []float64{0, 1, 1e6, 6.2e9} {
 		for _, on := range []bool{true, false} {
@@ -27,40 +27,40 @@
 			paper := locality/(size+1)/2 + 0.5
 			for _, load := range []float64{0, 0.3, 1} {
 				want := paper*0.8 + load*0.2
-				if got := s.score(fileLocality(present, size), load); math.Abs(got-want) > 1e-12 {
-					t.Errorf("size %g, there %v, load %g: %g, the paper says %g", size, on, load, got, want)
+				if actual := s.score(fileLocality(present, size), load); math.Abs(actual-want) > 1e-12 {
+					t.Errorf("size %g, there %v, load %g: %g, the paper says %g", size, on, load, actual, want)
 				}
 			}
 		}
 	}
 }
 
-// world applies decisions to a model, as the controller does, and checks each
+// environment applies decisions to a model, as the controller does, and checks each
 // against a plain reading of the rules.
-type world struct {
-	t       *testing.T
-	m       *model.Model
+type environment struct {
+	test    *testing.T
+	model   *model.Model
 	seq     uint64
 	placed  []string
 	stopped []string
 }
 
-func (w *world) apply(e *model.Entry) {
+func (w *environment) apply(e *model.Entry) {
 	w.seq++
-	if err := w.m.Apply(e, w.seq, model.Time(w.seq)); err != nil {
-		w.t.Fatal(err)
+	if err := w.model.Apply(e, w.seq, model.Time(w.seq)); err != nil {
+		w.test.Fatal(err)
 	}
 }
 
-func (w *world) Place(j *model.Job, task int32, attempt uint32, mc *model.Machine, score float64) {
-	w.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: mc.ID, Session: mc.Session})
-	w.placed = append(w.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, mc.Info.Name))
-	t := w.m.TypeOf(mc)
+func (w *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
+	w.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID, Session: machine.Session})
+	w.placed = append(w.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
+	t := w.model.TypeOf(machine)
 	var cpus, mem, team float64
 	zones := map[string]int{}
-	for _, o := range w.m.Order {
+	for _, o := range w.model.Order {
 		for _, r := range o.Runs {
-			if o == mc {
+			if o == machine {
 				cpus, mem = cpus+r.Job.Spec.CPUs, mem+r.Job.Spec.MemoryGB
 			}
 			if r.Job.Team == j.Team {
@@ -73,56 +73,56 @@
 	}
 	switch {
 	case cpus > t.CPUs || mem > t.MemoryGB:
-		w.t.Fatalf("%s holds %g CPUs and %g GB", mc.Info.Name, cpus, mem)
+		w.test.Fatalf("%s holds %g CPUs and %g GB", machine.Info.Name, cpus, mem)
 	case j.Team.CPUsMax > 0 && team > j.Team.CPUsMax:
-		w.t.Fatalf("team %s uses %g CPUs", j.Team.Name, team)
-	case mc.Spot && !j.Spec.Spot, j.Spec.Zone != nil && *j.Spec.Zone != mc.Info.Zone, j.Spec.SameZone && len(zones) > 1:
-		w.t.Fatalf("job %d does not allow %s", j.ID, mc.Info.Name)
-	case j.Spec.Spread && zones[mc.Info.Zone] > (len(j.Tasks)+1)/2:
-		w.t.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[mc.Info.Zone], len(j.Tasks), mc.Info.Zone)
+		w.test.Fatalf("team %s uses %g CPUs", j.Team.Name, team)
+	case machine.Spot && !j.Spec.Spot, j.Spec.Zone != nil && *j.Spec.Zone != machine.Info.Zone, j.Spec.SameZone && len(zones) > 1:
+		w.test.Fatalf("job %d does not allow %s", j.ID, machine.Info.Name)
+	case j.Spec.Spread && zones[machine.Info.Zone] > (len(j.Tasks)+1)/2:
+		w.test.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[machine.Info.Zone], len(j.Tasks), machine.Info.Zone)
 	}
 }
 
-func (w *world) Stop(r *model.Run, hard bool, why string) {
+func (w *environment) Preempt(r *model.Run, hard bool, reason string) {
 	r.Stop = true
 	w.stopped = append(w.stopped, wire.TaskID(uint64(r.Job.ID), int(r.Task)))
 }
 
-// leave ends what is told to stop on a machine.
-func (w *world) leave(mc *model.Machine) {
-	for _, r := range append([]*model.Run(nil), mc.Runs...) {
+// endStopping ends what is told to stop on a machine.
+func (w *environment) endStopping(machine *model.Machine) {
+	for _, r := range append([]*model.Run(nil), machine.Runs...) {
 		if r.Stop {
 			w.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 		}
 	}
 }
 
-func newWorld(t *testing.T, machines int) *world {
-	w := &world{t: t, m: model.New(&config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}}})}
+func newEnvironment(t *testing.T, machines int) *environment {
+	w := &environment{test: t, model: model.New(&config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}}})}
 	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a", "b"}}})
 	for i := range machines {
 		w.apply(&model.Entry{Kind: model.EntryMachine, Machine: model.MachineID(i + 1),
 			Info: &model.MachineInfo{Name: fmt.Sprint("m", i), Type: "t", Zone: string(rune('a' + i%2)), Spot: i%4 == 3}})
-		mc := w.m.Machines[model.MachineID(i+1)]
-		mc.Reported, mc.Session = true, 1
+		machine := w.model.Machines[model.MachineID(i+1)]
+		machine.Reported, machine.Session = true, 1
 	}
 	return w
 }
 
-func (w *world) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
+func (w *environment) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
 	s := &wire.JobSpec{ID: wire.JobID(n), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
 	if change != nil {
 		change(s)
 	}
 	w.apply(model.Accepted(s, 0))
-	return w.m.Jobs[model.JobID(n)]
+	return w.model.Jobs[model.JobID(n)]
 }
 
-// webSoon wants services of class web to start before web's image can be fetched.
-var webSoon = Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 1, Share: 0.9}}}
+// webStartsSoon wants services of class web to start before web's image can be fetched.
+var webStartsSoon = Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 1, Share: 0.9}}}
 
-// web submits a service whose image takes 3 s to fetch.
-func (w *world) web(n uint64, tasks int) *model.Job {
+// submitWeb submits a service whose image takes 3 s to fetch.
+func (w *environment) submitWeb(n uint64, tasks int) *model.Job {
 	return w.submit(n, func(s *wire.JobSpec) {
 		s.Tasks, s.Class, s.Shape, s.Priority, s.Image, s.ImageGB = tasks, "web", wire.Service, wire.Production, "w", 3
 	})
@@ -133,7 +133,7 @@
 func TestRulesHoldAtRandom(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		w := newWorld(t, 8)
+		w := newEnvironment(t, 8)
 		s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
 		n := uint64(0)
 		for round := range 60 {
@@ -152,9 +152,9 @@
 					}
 				})
 			}
-			s.Round(w.m, model.Time(round)*2e9, true, w)
-			for _, mc := range w.m.Order {
-				for _, r := range append([]*model.Run(nil), mc.Runs...) {
+			s.Round(w.model, model.Time(round)*2e9, true, w)
+			for _, machine := range w.model.Order {
+				for _, r := range append([]*model.Run(nil), machine.Runs...) {
 					if r.Stop || rng.IntN(4) == 0 {
 						kind := model.EntryDone
 						if r.Stop {
@@ -174,67 +174,67 @@
 // TestWaitForABusyHolder: a task waits the given rounds for a busy machine that
 // has its image, and no longer; a job waits once and not for each task.
 func TestWaitForABusyHolder(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
 	first := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 4 })
-	holder := w.m.Machines[1]
-	holder.Touch(w.m, first, 0)
-	s.Round(w.m, 0, true, w)
+	holder := w.model.Machines[1]
+	holder.TouchImage(w.model, first, 0)
+	s.Round(w.model, 0, true, w)
 	if len(holder.Runs) != 4 {
 		t.Fatalf("the holder of the image got %d of 4 tasks: %v", len(holder.Runs), w.placed)
 	}
 	second := w.submit(2, func(s *wire.JobSpec) { s.Tasks = 3 })
 	for round := 1; round <= 2; round++ {
 		for range 3 {
-			if s.Round(w.m, 0, false, w); second.Live != 0 {
+			if s.Round(w.model, 0, false, w); second.Live != 0 {
 				t.Fatal("a round that an event woke counted as waiting")
 			}
 		}
-		if s.Round(w.m, 0, true, w); second.Live != 0 || second.Why.Code != pending.Image {
-			t.Fatalf("round %d: %d tasks were placed, it waits for %q", round, second.Live, second.Why)
+		if s.Round(w.model, 0, true, w); second.Live != 0 || second.PendingReason.Code != pending.ImageBusy {
+			t.Fatalf("round %d: %d tasks were placed, it waits for %q", round, second.Live, second.PendingReason)
 		}
 	}
-	if s.Round(w.m, 0, true, w); second.Live != 3 || second.Why.Is() {
-		t.Errorf("after the wait %d of 3 tasks are placed, it waits for %q", second.Live, second.Why)
+	if s.Round(w.model, 0, true, w); second.Live != 3 || second.PendingReason.IsSet() {
+		t.Errorf("after the wait %d of 3 tasks are placed, it waits for %q", second.Live, second.PendingReason)
 	}
 }
 
 // TestGangAllOrNone: a gang starts when every member finds room in one round, and
 // with one attempt number.
 func TestGangAllOrNone(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	g := w.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
-	if s.Round(w.m, 0, true, w); g.Live != 0 || g.Why.Code != pending.Gang {
-		t.Fatalf("half a gang was placed: %v, or it waits for %q", w.placed, g.Why)
+	if s.Round(w.model, 0, true, w); g.Live != 0 || g.PendingReason.Code != pending.NoGangCapacity {
+		t.Fatalf("half a gang was placed: %v, or it waits for %q", w.placed, g.PendingReason)
 	}
 	free := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
-	if s.Round(w.m, 0, true, w); free.Live != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
+	if s.Round(w.model, 0, true, w); free.Live != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
 		t.Errorf("%d of 2 members are placed: %v", free.Live, w.placed)
 	}
 }
 
-// TestRoomForUrgentWork: low work gives way to a service, as little of it as will
+// TestPreemptionForUrgentWork: low work gives way to a service, as little of it as will
 // do, and what is freed is not given to low work again.
-func TestRoomForUrgentWork(t *testing.T) {
-	w := newWorld(t, 1)
+func TestPreemptionForUrgentWork(t *testing.T) {
+	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 })
-	s.Round(w.m, 0, true, w)
+	s.Round(w.model, 0, true, w)
 	web := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority, s.CPUs = wire.Service, wire.Production, 2 })
-	s.Round(w.m, 100e9, false, w)
-	s.Round(w.m, 101e9, false, w)
+	s.Round(w.model, 100e9, false, w)
+	s.Round(w.model, 101e9, false, w)
 	if len(w.stopped) != 2 {
 		t.Fatalf("stopped %v for a service of 2 CPUs", w.stopped)
 	}
-	for _, r := range append([]*model.Run(nil), w.m.Machines[1].Runs...) {
+	for _, r := range append([]*model.Run(nil), w.model.Machines[1].Runs...) {
 		if r.Stop {
 			w.apply(&model.Entry{Kind: model.EntryEnded, Job: 1, Task: r.Task, Attempt: r.Attempt})
-			s.Round(w.m, 102e9, false, w)
+			s.Round(w.model, 102e9, false, w)
 		}
 	}
-	if web.Live != 1 || low.Live != 2 || low.Why.Code != pending.Full {
-		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, low.Why)
+	if web.Live != 1 || low.Live != 2 || low.PendingReason.Code != pending.NoCapacity {
+		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, low.PendingReason)
 	}
 }
 
@@ -242,18 +242,18 @@
 // and what is late for good comes last, but for one task of it: it begins. Arrays of normal rank are served
 // so as well; by turns all of them were late together.
 func TestShortArraysFirst(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}}})
 	late := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 }) // more than its team is guaranteed
-	late.Began = -200e9
+	late.KnownSince = -200e9
 	long := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
 	short := w.submit(3, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 3, 30 })
-	s.Round(w.m, 0, true, w)
+	s.Round(w.model, 0, true, w)
 	if short.Live != 3 || long.Live != 0 || late.Live != 1 {
 		t.Errorf("placed %d of the short, %d of the long, %d of the late job", short.Live, long.Live, late.Live)
 	}
 	w.apply(&model.Entry{Kind: model.EntryDone, Job: 3, Task: 0, Attempt: 1})
-	s.Round(w.m, 1e9, true, w)
+	s.Round(w.model, 1e9, true, w)
 	if long.Live != 1 || late.Live != 1 {
 		t.Errorf("then placed %d of the long, %d of the late job", long.Live, late.Live)
 	}
@@ -261,15 +261,15 @@
 
 // TestNormalArraysInTime: of arrays of normal rank with deadlines those that can keep theirs go first, the smallest first.
 func TestNormalArraysInTime(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "deadline", Class: "c", Share: 0.9}, {Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9}}})
-	make := func(n uint64, tasks int, due float64) *model.Job {
+	submitArray := func(n uint64, tasks int, due float64) *model.Job {
 		j := w.submit(n, func(s *wire.JobSpec) { s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due })
 		j.Guaranteed = false
 		return j
 	}
-	late, large, small := make(1, 9, 20), make(2, 20, 70), make(3, 3, 70)
-	s.Round(w.m, 5e9, true, w)
+	late, large, small := submitArray(1, 9, 20), submitArray(2, 20, 70), submitArray(3, 3, 70)
+	s.Round(w.model, 5e9, true, w)
 	if small.Live != 3 || large.Live != 1 || late.Live != 0 {
 		t.Errorf("placed %d of the small, %d of the large, %d of the job that is late anyway", small.Live, large.Live, late.Live)
 	}
@@ -279,22 +279,22 @@
 // smallest work first, and none waits past the last objective for it. In the order of arrival
 // each waited for those that were late already, and nearly all were late.
 func TestGangsInTimeFirst(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
 		{Kind: "wait", Class: "g", WithinS: 40}, {Kind: "wait", Class: "g", WithinS: 60}, {Kind: "wait", Class: "g", WithinS: 180}}})
 	gang := func(n uint64, class string, estimate float64, began model.Time) *model.Job {
 		j := w.submit(n, func(s *wire.JobSpec) {
 			s.Shape, s.Priority, s.CPUs, s.Class, s.EstimateS = wire.Gang, wire.High, 4, class, estimate
 		})
-		j.Began = began * 1e9
+		j.KnownSince = began * 1e9
 		return j
 	}
 	late, fresh, small, once := gang(1, "g", 120, 0), gang(2, "g", 100, 80), gang(3, "g", 50, 85), gang(4, "g", 10, 55)
 	other, again := gang(5, "h", 200, 99), gang(6, "g", 300, 0)
 	again.Tasks[0].Attempt = 1
 	order := func(at model.Time) (ids []model.JobID) {
-		for _, q := range s.queue(w.m, w.m.JobsInOrder(), at*1e9) {
-			ids = append(ids, q.j.ID)
+		for _, q := range s.queue(w.model, w.model.JobsInOrder(), at*1e9) {
+			ids = append(ids, q.job.ID)
 		}
 		return ids
 	}
@@ -312,38 +312,38 @@
 		for _, j := range c.want {
 			want = append(want, j.ID)
 		}
-		if got := order(c.at); !slices.Equal(got, want) {
-			t.Errorf("after %d s the queue is %v, not %v", c.at, got, want)
+		if actual := order(c.at); !slices.Equal(actual, want) {
+			t.Errorf("after %d s the queue is %v, not %v", c.at, actual, want)
 		}
 	}
 }
 
-// plainWorld checks each placement against a plain reading of DAD: no machine
+// referenceEnvironment checks each placement against a plain reading of DAD: no machine
 // with room has a lower score.
-type plainWorld struct {
-	*world
-	s *Sched
+type referenceEnvironment struct {
+	*environment
+	scheduler *Scheduler
 }
 
-func (p *plainWorld) Place(j *model.Job, task int32, attempt uint32, mc *model.Machine, said float64) {
-	score := func(o *model.Machine) float64 { return p.s.score(locality(p.m, j, o), load(p.m, o)) }
-	if d := said - score(mc); d > 1e-9 || d < -1e-9 {
-		p.t.Fatalf("job %d is said to go to %s with score %g, not %g", j.ID, mc.Info.Name, said, score(mc))
+func (p *referenceEnvironment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, reportedScore float64) {
+	score := func(o *model.Machine) float64 { return p.scheduler.score(locality(p.model, j, o), load(p.model, o)) }
+	if d := reportedScore - score(machine); d > 1e-9 || d < -1e-9 {
+		p.test.Fatalf("job %d is said to go to %s with score %g, not %g", j.ID, machine.Info.Name, reportedScore, score(machine))
 	}
-	for _, o := range p.m.Order {
-		if o.Usable() && j.Allowed(o.Type, o.Zone, o.Spot) && p.m.Fits(j, o) && j.ZoneAllows(o.Zone) && score(o) < score(mc)-1e-9 {
-			p.t.Fatalf("job %d went to %s with score %g, %s has %g", j.ID, mc.Info.Name, score(mc), o.Info.Name, score(o))
+	for _, o := range p.model.Order {
+		if o.IsUsable() && j.AllowsMachine(o.Type, o.Zone, o.Spot) && p.model.Fits(j, o) && j.ZoneAllows(o.Zone) && score(o) < score(machine)-1e-9 {
+			p.test.Fatalf("job %d went to %s with score %g, %s has %g", j.ID, machine.Info.Name, score(machine), o.Info.Name, score(o))
 		}
 	}
-	p.world.Place(j, task, attempt, mc, said)
+	p.environment.Bind(j, task, attempt, machine, reportedScore)
 }
 
-// TestChoiceIsDADs compares the ordered candidates with a full scan at each
+// TestChoiceMatchesDAD compares the ordered candidates with a full scan at each
 // placement, and what is left waiting with whether anything fits.
-func TestChoiceIsDADs(t *testing.T) {
+func TestChoiceMatchesDAD(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		w := newWorld(t, 12)
+		w := newEnvironment(t, 12)
 		s := New(Params{Beta: 0.8, Threshold: 0.5})
 		n := uint64(0)
 		for round := range 30 {
@@ -357,19 +357,19 @@
 					}
 				})
 			}
-			s.Round(w.m, model.Time(round)*2e9, true, &plainWorld{w, s})
-			for _, j := range w.m.JobsInOrder() {
-				if j.Waiting() == 0 || !j.TeamAllows(1) {
+			s.Round(w.model, model.Time(round)*2e9, true, &referenceEnvironment{w, s})
+			for _, j := range w.model.JobsInOrder() {
+				if j.Waiting() == 0 || !j.TeamLimitAllows(1) {
 					continue
 				}
-				for _, mc := range w.m.Order {
-					if j.Allowed(mc.Type, mc.Zone, mc.Spot) && w.m.Fits(j, mc) && j.ZoneAllows(mc.Zone) {
-						t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, mc.Info.Name)
+				for _, machine := range w.model.Order {
+					if j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) && j.ZoneAllows(machine.Zone) {
+						t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, machine.Info.Name)
 					}
 				}
 			}
-			for _, mc := range w.m.Order {
-				for _, r := range append([]*model.Run(nil), mc.Runs...) {
+			for _, machine := range w.model.Order {
+				for _, r := range append([]*model.Run(nil), machine.Runs...) {
 					if rng.IntN(3) == 0 {
 						w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 					}
@@ -383,10 +383,10 @@
 // few times, not once for every job that waits. Every waiting job used to scan
 // them all, each time anything happened anywhere.
 func TestRoundCostsWhatChanged(t *testing.T) {
-	w := newWorld(t, 400)
+	w := newEnvironment(t, 400)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Spot, s.Priority = 1600, true, wire.Normal })
-	s.Round(w.m, 0, true, w)
+	s.Round(w.model, 0, true, w)
 	if len(w.placed) != 1600 {
 		t.Fatalf("%d tasks fill the machines", len(w.placed))
 	}
@@ -398,25 +398,25 @@
 			}
 		})
 	}
-	s.Round(w.m, 60e9, true, w)
-	s.Round(w.m, 62e9, false, w)
-	if limit := 40 * 400; s.Looked > limit {
-		t.Errorf("a round looked at machines %d times, for 400 machines and 200 waiting jobs", s.Looked)
+	s.Round(w.model, 60e9, true, w)
+	s.Round(w.model, 62e9, false, w)
+	if limit := 40 * 400; s.Examined > limit {
+		t.Errorf("a round looked at machines %d times, for 400 machines and 200 waiting jobs", s.Examined)
 	}
 	placed := len(w.placed)
-	r := w.m.Machines[7].Runs[0]
+	r := w.model.Machines[7].Runs[0]
 	w.apply(&model.Entry{Kind: model.EntryDone, Job: 1, Task: r.Task, Attempt: r.Attempt})
-	if s.Round(w.m, 64e9, false, w); len(w.placed) != placed+1 {
+	if s.Round(w.model, 64e9, false, w); len(w.placed) != placed+1 {
 		t.Errorf("%d tasks were placed in the room that one left", len(w.placed)-placed)
 	}
 }
 
-// TestNoRoomFromWhatGoesFirst: a job of high priority beyond its team's guarantee
+// TestHigherRankedIsNotPreempted: a job of high priority beyond its team's guarantee
 // does not stop low work within one, which is served before it: that was placed
 // again and stopped again many times a second.
-func TestNoRoomFromWhatGoesFirst(t *testing.T) {
-	w := newWorld(t, 1)
-	w.m.Teams[0].CPUs = 3 // red's guarantee is for neither of its gangs
+func TestHigherRankedIsNotPreempted(t *testing.T) {
+	w := newEnvironment(t, 1)
+	w.model.Teams[0].CPUs = 3 // red's guarantee is for neither of its gangs
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 4, 1, 2 }) // blue: 4 of 8 CPUs guaranteed
 	high := w.submit(2, func(s *wire.JobSpec) {
@@ -424,7 +424,7 @@
 	})
 	one := w.submit(3, func(s *wire.JobSpec) { s.Shape, s.Team, s.Priority, s.CPUs = wire.Gang, "red", wire.High, 4 })
 	for i := range 5 {
-		s.Round(w.m, model.Time(100+i)*1e9, true, w)
+		s.Round(w.model, model.Time(100+i)*1e9, true, w)
 	}
 	if low.Live != 4 || len(w.stopped) != 0 || high.Live+one.Live != 0 {
 		t.Errorf("%d low tasks are placed, %v were stopped", low.Live, w.stopped)
@@ -435,7 +435,7 @@
 // machines, and gangs of one machine do not take, one after the other, what the
 // first in the queue has waited for for long.
 func TestGangOfSeveralGetsRoom(t *testing.T) {
-	w := newWorld(t, 4) // a, b, a, b (spot)
+	w := newEnvironment(t, 4) // a, b, a, b (spot)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	gang := func(n uint64, tasks int) *model.Job {
 		return w.submit(n, func(s *wire.JobSpec) {
@@ -450,47 +450,47 @@
 		}
 	}
 	one, other := gang(1, 1), gang(2, 1)
-	s.Round(w.m, 0, true, w)
+	s.Round(w.model, 0, true, w)
 	low := w.submit(3, func(s *wire.JobSpec) { s.Tasks, s.Team = 5, "red" }) // beyond its guarantee
-	s.Round(w.m, 1e9, true, w)
+	s.Round(w.model, 1e9, true, w)
 	pair, late := gang(4, 2), gang(5, 1)
-	s.Round(w.m, 700e9, true, w)
+	s.Round(w.model, 700e9, true, w)
 	if one.Live != 1 || other.Live != 1 || low.Live != 4 || pair.Live != 0 || len(w.stopped) != 0 {
 		t.Fatalf("placed %v, stopped %v for a part of a gang", w.placed, w.stopped)
 	}
 	end(one)
-	s.Round(w.m, 701e9, true, w)
+	s.Round(w.model, 701e9, true, w)
 	if late.Live != 0 || len(w.stopped) != 4 {
 		t.Fatalf("%d members of a later gang are placed, stopped %v", late.Live, w.stopped)
 	}
 	for i := range 4 {
 		w.apply(&model.Entry{Kind: model.EntryEnded, Job: 3, Task: int32(i), Attempt: 1})
 	}
-	if s.Round(w.m, 702e9, true, w); pair.Live != 2 {
+	if s.Round(w.model, 702e9, true, w); pair.Live != 2 {
 		t.Errorf("%d of 2 members are placed: %v", pair.Live, w.placed)
 	}
 }
 
-// TestVacateMakesRoom: replicas leave a machine that is to be returned although low
+// TestDrainMakesRoom: replicas leave a machine that is to be returned although low
 // work fills every other one.
-func TestVacateMakesRoom(t *testing.T) {
-	w := newWorld(t, 2)
+func TestDrainMakesRoom(t *testing.T) {
+	w := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	web := w.submit(1, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
-	s.Round(w.m, 0, true, w)
-	from, to := w.m.Machines[1], w.m.Machines[2]
+	s.Round(w.model, 0, true, w)
+	from, to := w.model.Machines[1], w.model.Machines[2]
 	run := web.Tasks[0].Run
 	run.Phase = model.Running
-	to.Touch(w.m, web, 0)
+	to.TouchImage(w.model, web, 0)
 	from.Draining = true // nothing else goes there
 	w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Image = 9, "red", "j" })
-	s.Round(w.m, 10e9, true, w)
+	s.Round(w.model, 10e9, true, w)
 	if len(to.Runs) != 4 {
 		t.Fatalf("low work does not fill the other machine: %v", w.placed)
 	}
 	from.Draining = false
-	s.Vacate = from
-	s.Round(w.m, 20e9, true, w)
+	s.DrainTarget = from
+	s.Round(w.model, 20e9, true, w)
 	if len(w.stopped) != 1 || run.Stop {
 		t.Fatalf("stopped %v", w.stopped)
 	}
@@ -501,12 +501,12 @@
 		}
 	}
 	from.Draining = true
-	s.Round(w.m, 20.3e9, true, w)
+	s.Round(w.model, 20.3e9, true, w)
 	from.Draining = false
 	if len(to.Runs) != 3 {
 		t.Fatalf("low work took the room again: %v", w.placed)
 	}
-	if s.Round(w.m, 21e9, true, w); !run.Stop {
+	if s.Round(w.model, 21e9, true, w); !run.Stop {
 		t.Error("the replica was not moved to the room made for it")
 	}
 }
@@ -514,19 +514,19 @@
 // TestMovesArePacedByNumber: the more replicas there are, the sooner one of them may move. At one
 // in 0.3 s a fleet of five thousand took four minutes to leave the dear machines that gangs waited for.
 func TestMovesArePacedByNumber(t *testing.T) {
-	w := newWorld(t, 700)
+	w := newEnvironment(t, 700)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	web := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 2000, wire.Service, wire.Production })
-	s.Round(w.m, 0, true, w)
-	for _, mc := range w.m.Order {
-		mc.Touch(w.m, web, 0)
-		for _, r := range mc.Runs {
+	s.Round(w.model, 0, true, w)
+	for _, machine := range w.model.Order {
+		machine.TouchImage(w.model, web, 0)
+		for _, r := range machine.Runs {
 			r.Phase = model.Running
 		}
 	}
-	s.Vacate = w.m.Machines[1]
+	s.DrainTarget = w.model.Machines[1]
 	for at := model.Time(10e9); at < 10.6e9; at += 50e6 {
-		s.Round(w.m, at, false, w)
+		s.Round(w.model, at, false, w)
 	}
 	if web.Live != 2000 || len(w.stopped) != 4 {
 		t.Errorf("of %d replicas, %d were moved in 0.6 s", web.Live, len(w.stopped))
@@ -537,64 +537,64 @@
 // fetched gets the place of a low task on a machine that has it, and if that
 // takes too long any other place.
 func TestLowWorkLeavesWhereTheImageIs(t *testing.T) {
-	w := newWorld(t, 3)
-	s := New(webSoon)
+	w := newEnvironment(t, 3)
+	s := New(webStartsSoon)
 	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image = 4, "j" })
-	s.Round(w.m, 0, true, w)
-	full := w.m.Machines[1]
+	s.Round(w.model, 0, true, w)
+	full := w.model.Machines[1]
 	if len(full.Runs) != 4 {
 		t.Fatalf("placed %v", w.placed)
 	}
-	first := w.web(2, 1)
-	full.Touch(w.m, first, 0)
-	s.Round(w.m, 10e9, false, w)
+	first := w.submitWeb(2, 1)
+	full.TouchImage(w.model, first, 0)
+	s.Round(w.model, 10e9, false, w)
 	if first.Live != 0 || len(w.stopped) != 1 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
-	w.leave(full)
-	if s.Round(w.m, 10.2e9, false, w); first.Live != 1 || first.Tasks[0].Run.Machine != full {
+	w.endStopping(full)
+	if s.Round(w.model, 10.2e9, false, w); first.Live != 1 || first.Tasks[0].Run.Machine != full {
 		t.Fatalf("placed %v", w.placed)
 	}
-	second := w.web(3, 2)
-	s.Round(w.m, 20e9, false, w) // a low task is told to stop and does not answer
-	if s.Round(w.m, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
+	second := w.submitWeb(3, 2)
+	s.Round(w.model, 20e9, false, w) // a low task is told to stop and does not answer
+	if s.Round(w.model, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
-	if s.Round(w.m, 20.7e9, false, w); second.Live != 2 || second.Tasks[0].Run.Machine == full || len(w.stopped) != 3 {
+	if s.Round(w.model, 20.7e9, false, w); second.Live != 2 || second.Tasks[0].Run.Machine == full || len(w.stopped) != 3 {
 		t.Errorf("after waiting in vain: placed %v, stopped %v", w.placed, w.stopped)
 	}
 }
 
-// TestTeamsLimitIsKept: a gang with its team's limit in the way has the team's less
+// TestTeamLimitIsReserved: a gang with its team's limit in the way has the team's less
 // urgent work stopped once, the limit is kept for it, and it starts. Before, others of
 // the team took what was freed within the same round, for as long as there were any; and
 // work that is served before the gang was stopped for it and placed again before it.
-func TestTeamsLimitIsKept(t *testing.T) {
+func TestTeamLimitIsReserved(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
-		w := newWorld(t, 16)
+		w := newEnvironment(t, 16)
 		s := New(Params{Beta: 0.8, Threshold: 0.5})
 		if guaranteed { // what is within it stays new
-			s.P.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 100}}
+			s.Params.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 100}}
 		}
 		w.submit(1, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Priority = "red", 4, wire.High }) // fills the guarantee
 		low := w.submit(2, func(s *wire.JobSpec) { s.Team, s.Tasks = "red", 40 })
 		if guaranteed {
-			w.m.Teams[0].CPUs = 60
+			w.model.Teams[0].CPUs = 60
 		}
-		s.Round(w.m, 0, true, w) // the team is at its limit of 12
-		if w.m.Teams[0].UsedCPUs != 12 || low.Live != 8 || low.Why.Code != pending.Team {
-			t.Fatalf("the team uses %g CPUs, the rest waits for %q", w.m.Teams[0].UsedCPUs, low.Why)
+		s.Round(w.model, 0, true, w) // the team is at its limit of 12
+		if w.model.Teams[0].UsedCPUs != 12 || low.Live != 8 || low.PendingReason.Code != pending.TeamLimit {
+			t.Fatalf("the team uses %g CPUs, the rest waits for %q", w.model.Teams[0].UsedCPUs, low.PendingReason)
 		}
 		gang := w.submit(3, func(s *wire.JobSpec) {
 			s.Team, s.Shape, s.Tasks, s.CPUs, s.Priority = "red", wire.Gang, 1, 4, wire.High
 		})
 		if guaranteed {
-			w.m.Teams[0].CPUs = 44 // the first two are within it, the gang is not
+			w.model.Teams[0].CPUs = 44 // the first two are within it, the gang is not
 		}
 		for round := range 40 {
-			s.Round(w.m, model.Time(20+round)*1e9, true, w)
-			for _, mc := range w.m.Order { // what is told to stop leaves
-				w.leave(mc)
+			s.Round(w.model, model.Time(20+round)*1e9, true, w)
+			for _, machine := range w.model.Order { // what is told to stop leaves
+				w.endStopping(machine)
 			}
 		}
 		if guaranteed {
@@ -613,23 +613,23 @@
 // whose GPUs no work needs, if its image is there. Low work used to be stopped there for
 // it, and then the service went to where it had to fetch.
 func TestServiceTakesSpareGPUs(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newEnvironment(t, 2)
 	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{Name: "g", CPUs: 4, GPUs: 2, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a"}}})
 	w.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}})
-	spare := w.m.Machines[9]
+	spare := w.model.Machines[9]
 	spare.Reported, spare.Session = true, 1
-	s := New(webSoon)
-	s.LowMay = map[*model.Machine]bool{spare: true}
+	s := New(webStartsSoon)
+	s.LowPriorityAllowed = map[*model.Machine]bool{spare: true}
 	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image, s.Types = 4, "j", []string{"g"} })
-	s.Round(w.m, 0, true, w)
-	web := w.web(2, 1)
-	spare.Touch(w.m, web, 0)
-	s.Round(w.m, 10e9, false, w)
+	s.Round(w.model, 0, true, w)
+	web := w.submitWeb(2, 1)
+	spare.TouchImage(w.model, web, 0)
+	s.Round(w.model, 10e9, false, w)
 	if web.Live != 0 || len(w.stopped) != 1 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
-	w.leave(spare)
-	if s.Round(w.m, 10.2e9, false, w); web.Live != 1 || web.Tasks[0].Run.Machine != spare {
+	w.endStopping(spare)
+	if s.Round(w.model, 10.2e9, false, w); web.Live != 1 || web.Tasks[0].Run.Machine != spare {
 		t.Errorf("placed %v, stopped %v", w.placed, w.stopped)
 	}
 }
@@ -637,14 +637,14 @@
 // TestLowWorkIsPaced: a bound on the low tasks of a round leaves the rest for the next one,
 // and holds up nothing else. Starts of tiny tasks used to take a small node's processor.
 func TestLowWorkIsPaced(t *testing.T) {
-	w := newWorld(t, 8)
+	w := newEnvironment(t, 8)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	s.LowMost = 5
+	s.LowPriorityLimit = 5
 	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 20, 0.5, 0.1 })
 	web := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
 	for round := range 4 {
-		if s.Round(w.m, model.Time(round)*1e9, true, w); low.Live != 5*(round+1) || web.Live != 6 || s.LowLeft != (round < 3) {
-			t.Fatalf("round %d: %d low tasks, %d replicas, left %v", round, low.Live, web.Live, s.LowLeft)
+		if s.Round(w.model, model.Time(round)*1e9, true, w); low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
+			t.Fatalf("round %d: %d low tasks, %d replicas, left %v", round, low.Live, web.Live, s.LowPriorityDeferred)
 		}
 	}
 }
@@ -652,44 +652,44 @@
 // TestSlowMachineIsForServices: a machine that was found to be slow gets services, whose
 // work it does not slow down, and nothing else until it is tried again.
 func TestSlowMachineIsForServices(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	w.m.Machines[1].SlowUntil = 60e9
+	w.model.Machines[1].SlowUntil = 60e9
 	array := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 2 })
 	web := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
-	if s.Round(w.m, 1e9, true, w); array.Live != 0 || web.Live != 1 {
+	if s.Round(w.model, 1e9, true, w); array.Live != 0 || web.Live != 1 {
 		t.Errorf("%d tasks of the array and %d replicas are placed", array.Live, web.Live)
 	}
-	if s.Round(w.m, 61e9, true, w); array.Live != 2 {
+	if s.Round(w.model, 61e9, true, w); array.Live != 2 {
 		t.Errorf("later %d tasks of the array are placed", array.Live)
 	}
 }
 
-// TestGangAtHolders: low work makes room for a gang where its image is, if less is undone by that than the gang would lose while free
+// TestGangPreemptsAtImageHolders: low work makes room for a gang where its image is, if less is undone by that than the gang would lose while free
 // machines fetch the image; it does not where the fetch is short.
-func TestGangAtHolders(t *testing.T) {
+func TestGangPreemptsAtImageHolders(t *testing.T) {
 	for _, c := range []struct {
 		gb   float64
 		stop bool
 	}{{40, true}, {2, false}} {
-		w := newWorld(t, 6)
+		w := newEnvironment(t, 6)
 		s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}}})
 		gang := w.submit(9, func(s *wire.JobSpec) {
 			s.Class, s.Shape, s.Priority, s.Tasks, s.CPUs, s.Image, s.ImageGB = "g", wire.Gang, wire.High, 2, 4, "big", c.gb
 		})
 		low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 8 })
 		for i, id := range []model.MachineID{1, 2} { // both have the gang's image, and are full of low work
-			mc := w.m.Machines[id]
-			mc.Touch(w.m, gang, 0)
+			machine := w.model.Machines[id]
+			machine.TouchImage(w.model, gang, 0)
 			for k := range 4 {
 				task := int32(4*i + k)
 				w.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, Session: 1})
 				low.Tasks[task].Run.StartedAt = 1e9
 			}
 		}
-		s.Round(w.m, 3e9, true, w)
+		s.Round(w.model, 3e9, true, w)
 		if stopped := len(w.stopped) > 0; stopped != c.stop || c.stop != (gang.Live == 0) {
-			t.Errorf("image of %g GB: %d stopped, %d members placed, waits for %q", c.gb, len(w.stopped), gang.Live, gang.Why)
+			t.Errorf("image of %g GB: %d stopped, %d members placed, waits for %q", c.gb, len(w.stopped), gang.Live, gang.PendingReason)
 		}
 	}
 }
--- a/internal/scheduling/scheduler/score.go
+++ b/internal/scheduling/scheduler/score.go
@@ -17,44 +17,44 @@
 // mostly there (it stays below the threshold on a loaded machine too), and a missing one is worse the longer its fetch will take with the
 // fetches that share the line. Without it, tasks of a burst that needs one image
 // wait for busy holders and then pile their fetches on the idlest machines.
-func locality(m *model.Model, j *model.Job, mc *model.Machine) float64 {
+func locality(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	size := j.Spec.ImageGB * 1e9
-	if mc.Has(j.Image) {
+	if machine.HasImage(j.Image) {
 		return fileLocality(size, size)
 	}
-	this, queue := mc.Fetches(j.Image)
-	if this {
+	fetching, backlogGB := machine.FetchBacklog(j.Image)
+	if fetching {
 		return fileLocality(0.7*size, size)
 	}
-	loc := fileLocality(0, size)
-	if rate := m.TypeOf(mc).FetchGBPerS; rate > 0 {
-		loc += min(1, (queue+j.Spec.ImageGB)/rate/60)
+	value := fileLocality(0, size)
+	if rate := m.TypeOf(machine).FetchGBPerS; rate > 0 {
+		value += min(1, (backlogGB+j.Spec.ImageGB)/rate/60)
 	}
-	return loc
+	return value
 }
 
 // score is the paper's: locality weighed against load.
-func (s *Sched) score(locality, load float64) float64 {
-	return locality*s.P.Beta + load*(1-s.P.Beta)
+func (s *Scheduler) score(locality, load float64) float64 {
+	return locality*s.Params.Beta + load*(1-s.Params.Beta)
 }
 
-func load(m *model.Model, mc *model.Machine) float64 {
-	t := m.TypeOf(mc)
+func load(m *model.Model, machine *model.Machine) float64 {
+	t := m.TypeOf(machine)
 	if t.CPUs <= 0 {
 		return 1
 	}
-	return min(1, mc.CPUs/t.CPUs)
+	return min(1, machine.CPUs/t.CPUs)
 }
 
-// misfit makes machines with GPUs the last choice for work that uses none.
-func (s *Sched) misfit(m *model.Model, j *model.Job, st *seat) float64 {
-	if j.Spec.GPUs > 0 || st.total.GPUs == 0 {
+// gpuMismatchPenalty makes machines with GPUs the last choice for work that uses none.
+func (s *Scheduler) gpuMismatchPenalty(m *model.Model, j *model.Job, view *machineView) float64 {
+	if j.Spec.GPUs > 0 || view.capacity.GPUs == 0 {
 		return 0
 	}
-	if j.Kind == model.Service && s.spoils(j, st, true) && !s.spoils(j, st, false) {
+	if j.Kind == model.Service && s.blocksGPUWork(j, view, true) && !s.blocksGPUWork(j, view, false) {
 		return 4 // better one that no gang fits any more
 	}
-	if j.Kind == model.Service && st.mc.Has(j.Image) && !s.gpuWork.Fits(st.total) && s.fetchIsLate(m, j, st.mc) {
+	if j.Kind == model.Service && view.machine.HasImage(j.Image) && !s.gpuDemand.FitsAny(view.capacity) && s.fetchTooLate(m, j, view.machine) {
 		// No work needs its GPUs, and elsewhere the service would be late. Low work
 		// used to make room here, for which the service then did not come.
 		return 0.5
@@ -62,10 +62,10 @@
 	return 2
 }
 
-// fetchIsLate tells whether a job's tasks start later than they are to if a machine has
+// fetchTooLate tells whether a job's tasks start later than they are to if a machine has
 // to fetch their image.
-func (s *Sched) fetchIsLate(m *model.Model, j *model.Job, mc *model.Machine) bool {
+func (s *Scheduler) fetchTooLate(m *model.Model, j *model.Job, machine *model.Machine) bool {
 	within, ok := s.startWithin(j)
-	rate := m.TypeOf(mc).FetchGBPerS
+	rate := m.TypeOf(machine).FetchGBPerS
 	return ok && rate > 0 && j.Spec.ImageGB/rate > within
 }
--- a/internal/testing/modelcheck/check.go
+++ b/internal/testing/modelcheck/modelcheck.go
@@ -12,10 +12,10 @@
 type State interface {
 	// Key tells states apart; what it leaves out can't matter for what follows.
 	Key() string
-	// Steps are all that may happen next.
-	Steps() []Step
-	// Broken says what is wrong with the state, "" if nothing is.
-	Broken() string
+	// NextSteps are all that may happen next.
+	NextSteps() []Step
+	// Violation says what is wrong with the state, "" if nothing is.
+	Violation() string
 }
 
 // Step is something that may happen, and the state after it.
@@ -26,39 +26,39 @@
 
 // Result is what an exploration found.
 type Result struct {
-	States int      // different ones that were seen
-	Depth  int      // to which all were
-	Full   bool     // all states were seen, at whatever depth
-	Broken string   // what is wrong in the first bad state
-	Trace  []string // the steps to it
+	States    int      // different ones that were seen
+	Depth     int      // to which all were
+	Exhausted bool     // all states were seen, at whatever depth
+	Violation string   // what is wrong in the first bad state
+	Trace     []string // the steps to it
 }
 
 // String tells it for people.
 func (r *Result) String() string {
-	if r.Broken == "" {
-		return fmt.Sprintf("%d states to depth %d, all of them %v, none is broken", r.States, r.Depth, r.Full)
+	if r.Violation == "" {
+		return fmt.Sprintf("%d states to depth %d, all of them %v, none is broken", r.States, r.Depth, r.Exhausted)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "broken after %d steps (%d states seen): %s\n", len(r.Trace), r.States, r.Broken)
+	fmt.Fprintf(&b, "broken after %d steps (%d states seen): %s\n", len(r.Trace), r.States, r.Violation)
 	for i, s := range r.Trace {
 		fmt.Fprintf(&b, "%3d. %s\n", i+1, s)
 	}
 	return b.String()
 }
 
-type link struct {
-	from int32 // index of the state before
-	step string
+type predecessor struct {
+	parent int32 // index of the state before
+	step   string
 }
 
 // Explore looks at all states that can be reached in so many steps, and at no more than so many.
-func Explore(start State, depth, most int) *Result {
+func Explore(start State, depth, maxStates int) *Result {
 	r := &Result{}
 	seen := map[string]bool{start.Key(): true}
-	links := []link{{from: -1}}
+	predecessors := []predecessor{{parent: -1}}
 	trace := func(i int32) (list []string) {
-		for ; links[i].from >= 0; i = links[i].from {
-			list = append([]string{links[i].step}, list...)
+		for ; predecessors[i].parent >= 0; i = predecessors[i].parent {
+			list = append([]string{predecessors[i].step}, list...)
 		}
 		return list
 	}
@@ -66,35 +66,35 @@
 		s State
 		i int32
 	}
-	now := []open{{start, 0}}
-	if r.Broken = start.Broken(); r.Broken != "" {
+	frontier := []open{{start, 0}}
+	if r.Violation = start.Violation(); r.Violation != "" {
 		r.States = 1
 		return r
 	}
-	for ; r.Depth < depth && len(now) > 0; r.Depth++ {
-		var next []open
-		for _, o := range now {
-			for _, st := range o.s.Steps() {
+	for ; r.Depth < depth && len(frontier) > 0; r.Depth++ {
+		var nextFrontier []open
+		for _, o := range frontier {
+			for _, st := range o.s.NextSteps() {
 				key := st.To.Key()
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
-				i := int32(len(links))
-				links = append(links, link{o.i, st.Name})
-				if r.Broken = st.To.Broken(); r.Broken != "" {
+				i := int32(len(predecessors))
+				predecessors = append(predecessors, predecessor{o.i, st.Name})
+				if r.Violation = st.To.Violation(); r.Violation != "" {
 					r.States, r.Trace = len(seen), trace(i)
 					return r
 				}
-				if len(seen) >= most {
+				if len(seen) >= maxStates {
 					r.States = len(seen)
 					return r
 				}
-				next = append(next, open{st.To, i})
+				nextFrontier = append(nextFrontier, open{st.To, i})
 			}
 		}
-		now = next
+		frontier = nextFrontier
 	}
-	r.States, r.Full = len(seen), len(now) == 0
+	r.States, r.Exhausted = len(seen), len(frontier) == 0
 	return r
 }
--- a/internal/testing/virtualtime/apart.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -12,21 +12,21 @@
 	"testing"
 )
 
-// mine tells a process that it was started to run one test of many.
-const mine = "FIELDHILL_BUBBLE_ONE"
+// singleTestEnv tells a process that it was started to run one test of many.
+const singleTestEnv = "FIELDHILL_BUBBLE_ONE"
 
-// MainApart is Main for a package with many long tests: each top-level test runs in a process of its own, several at a time, each on one processor as Main has it. All
+// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several at a time, each on one processor as Main has it. All
 // tests of such a package used to share one processor of many, and under the race detector that took five minutes. Where a part of the
 // tests is asked for, or their output as they run, it is Main.
-func MainApart(m *testing.M) {
+func MainIsolated(m *testing.M) {
 	flag.Parse()
 	for _, f := range []string{"run", "list", "v", "bench", "fuzz", "cpuprofile", "memprofile", "coverprofile", "trace"} {
-		if l := flag.Lookup("test." + f); l != nil && l.Value.String() != l.DefValue {
+		if testFlag := flag.Lookup("test." + f); testFlag != nil && testFlag.Value.String() != testFlag.DefValue {
 			Main(m)
 			return
 		}
 	}
-	if os.Getenv(mine) != "" {
+	if os.Getenv(singleTestEnv) != "" {
 		Main(m)
 		return
 	}
@@ -46,15 +46,15 @@
 		os.Exit(1)
 	}
 	next := make(chan string)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	failed := false
 	for range max(1, runtime.NumCPU()/2) {
-		all.Go(func() {
+		workers.Go(func() {
 			for name := range next {
-				c := exec.Command(os.Args[0], append(os.Args[1:len(os.Args):len(os.Args)], "-test.run=^"+regexp.QuoteMeta(name)+"$")...)
-				c.Env = append(os.Environ(), mine+"=1")
-				out, err := c.CombinedOutput()
+				cmd := exec.Command(os.Args[0], append(os.Args[1:len(os.Args):len(os.Args)], "-test.run=^"+regexp.QuoteMeta(name)+"$")...)
+				cmd.Env = append(os.Environ(), singleTestEnv+"=1")
+				out, err := cmd.CombinedOutput()
 				mu.Lock()
 				if err != nil {
 					failed = true
@@ -68,7 +68,7 @@
 		next <- name
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 	if failed {
 		fmt.Println("FAIL")
 		os.Exit(1)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -19,26 +19,26 @@
 
 // Paths of the interfaces.
 const (
-	PathJobs     = "/api/jobs"
-	PathReady    = "/ready"
-	PathReport   = "/v1/report"
-	PathOrders   = "/orders"
-	PathShow     = "/show"
-	PathTypes    = "/flavors"
-	PathMachines = "/hosts"
-	PathRelease  = "/hosts/release"
-	PathKeys     = "/keys"
-	PathTxn      = "/multi"
-	PathLeases   = "/grants"
-	PathFollow   = "/follow"
-	CancelSuffix = "/cancel"
+	PathJobs      = "/api/jobs"
+	PathReady     = "/ready"
+	PathHeartbeat = "/v1/report"
+	PathOrders    = "/orders"
+	PathShow      = "/show"
+	PathTypes     = "/flavors"
+	PathMachines  = "/hosts"
+	PathRelease   = "/hosts/release"
+	PathKeys      = "/keys"
+	PathTxn       = "/multi"
+	PathLeases    = "/grants"
+	PathWatch     = "/follow"
+	CancelSuffix  = "/cancel"
 )
 
 // Limits of the protocol.
 const (
 	MaxBody      = 64 << 10
 	MaxTasks     = 100_000
-	MaxHire      = 50
+	MaxScaleOut  = 50
 	MaxRelease   = 100
 	MaxList      = 500
 	maxDepth     = 16
@@ -72,23 +72,23 @@
 
 // States of a task on its machine.
 const (
-	TaskFetching = "pulling"
-	TaskWaiting  = "gathering"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskExited   = "exited"
+	TaskFetching      = "pulling"
+	TaskWaiting       = "gathering"
+	TaskRunning       = "running"
+	TaskCheckpointing = "flushing"
+	TaskExited        = "exited"
 )
 
 // Causes of an exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "halted"
-	CausePeers   = "peers"
-	CauseAlone   = "incomplete"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
+	CauseDone           = "done"
+	CauseStopped        = "halted"
+	CausePeers          = "peers"
+	CauseGangIncomplete = "incomplete"
+	CauseError          = "error"
+	CauseNoCapacity     = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
 )
 
 // Verbs of commands to a worker.
@@ -107,26 +107,26 @@
 
 // JobSpec is a submission.
 type JobSpec struct {
-	ID          string   `msgpack:"name_id"`
-	Class       string   `msgpack:"jobclass"`
-	Team        string   `msgpack:"owner"`
-	Shape       string   `msgpack:"shape"`
-	Priority    string   `msgpack:"rank"`
-	Tasks       int      `msgpack:"pieces"`
-	CPUs        float64  `msgpack:"cores"`
-	GPUs        float64  `msgpack:"gpus"`
-	MemoryGB    float64  `msgpack:"mem_gb"`
-	Image       string   `msgpack:"bundle"`
-	ImageGB     float64  `msgpack:"image_gb"`
-	Types       []string `msgpack:"models"`
-	Zone        *string  `msgpack:"hall"`
-	SameZone    bool     `msgpack:"same_place"`
-	Spread      bool     `msgpack:"spread"`
-	Spot        bool     `msgpack:"loaners"`
-	EstimateS   float64  `msgpack:"runtime_s"`
-	CheckpointS float64  `msgpack:"snapshot_s"`
-	SaveS       float64  `msgpack:"flush_s"`
-	DeadlineS   *float64 `msgpack:"due_s"`
+	ID                  string   `msgpack:"name_id"`
+	Class               string   `msgpack:"jobclass"`
+	Team                string   `msgpack:"owner"`
+	Shape               string   `msgpack:"shape"`
+	Priority            string   `msgpack:"rank"`
+	Tasks               int      `msgpack:"pieces"`
+	CPUs                float64  `msgpack:"cores"`
+	GPUs                float64  `msgpack:"gpus"`
+	MemoryGB            float64  `msgpack:"mem_gb"`
+	Image               string   `msgpack:"bundle"`
+	ImageGB             float64  `msgpack:"image_gb"`
+	Types               []string `msgpack:"models"`
+	Zone                *string  `msgpack:"hall"`
+	SameZone            bool     `msgpack:"same_place"`
+	Spread              bool     `msgpack:"spread"`
+	Spot                bool     `msgpack:"loaners"`
+	EstimateS           float64  `msgpack:"runtime_s"`
+	CheckpointIntervalS float64  `msgpack:"snapshot_s"`
+	CheckpointWriteS    float64  `msgpack:"flush_s"`
+	DeadlineS           *float64 `msgpack:"due_s"`
 }
 
 // JobStatus is what a user hears of a job.
@@ -142,27 +142,27 @@
 	Error string `msgpack:"error"`
 }
 
-// Report is a worker's account of its machine.
-type Report struct {
-	Machine string       `msgpack:"box"`
-	Addr    string       `msgpack:"endpoint"`
-	Type    string       `msgpack:"model"`
-	Zone    string       `msgpack:"hall"`
-	Spot    bool         `msgpack:"loaners"`
-	Session uint64       `msgpack:"shift"`
-	Seq     uint64       `msgpack:"tick"`
-	Token   uint64       `msgpack:"baton"`
-	NoticeS *float64     `msgpack:"recall_s"`
-	Tasks   []TaskStatus `msgpack:"pieces"`
+// Heartbeat is a worker's account of its machine.
+type Heartbeat struct {
+	Machine      string       `msgpack:"box"`
+	Addr         string       `msgpack:"endpoint"`
+	Type         string       `msgpack:"model"`
+	Zone         string       `msgpack:"hall"`
+	Spot         bool         `msgpack:"loaners"`
+	AgentEpoch   uint64       `msgpack:"shift"`
+	Seq          uint64       `msgpack:"tick"`
+	FencingToken uint64       `msgpack:"baton"`
+	NoticeS      *float64     `msgpack:"recall_s"`
+	Tasks        []TaskStatus `msgpack:"pieces"`
 }
 
 // TaskStatus is one task in a report.
 type TaskStatus struct {
-	Task    string `msgpack:"piece"`
-	Attempt uint64 `msgpack:"try"`
-	State   string `msgpack:"status"`
-	Cause   string `msgpack:"cause,omitempty"`
-	Saved   bool   `msgpack:"stored,omitempty"`
+	Task         string `msgpack:"piece"`
+	Attempt      uint64 `msgpack:"try"`
+	State        string `msgpack:"status"`
+	Cause        string `msgpack:"cause,omitempty"`
+	Checkpointed bool   `msgpack:"stored,omitempty"`
 }
 
 // Command is one order to a worker.
@@ -173,10 +173,10 @@
 	GraceS  *float64 `msgpack:"windup_s,omitempty"`
 }
 
-// ReportAnswer is the answer to a report that was taken.
-type ReportAnswer struct {
-	Token    uint64    `msgpack:"baton"`
-	Commands []Command `msgpack:"orders"`
+// HeartbeatResponse is the answer to a report that was taken.
+type HeartbeatResponse struct {
+	FencingToken uint64    `msgpack:"baton"`
+	Commands     []Command `msgpack:"orders"`
 }
 
 // Redirect tells a worker which node to report to.
@@ -186,9 +186,9 @@
 
 // Orders is the body of a direct command.
 type Orders struct {
-	Token    uint64    `msgpack:"baton"`
-	Session  uint64    `msgpack:"shift"`
-	Commands []Command `msgpack:"orders"`
+	FencingToken uint64    `msgpack:"baton"`
+	AgentEpoch   uint64    `msgpack:"shift"`
+	Commands     []Command `msgpack:"orders"`
 }
 
 // MachineType is one type the cloud rents out.
@@ -210,8 +210,8 @@
 	Types []MachineType `msgpack:"models"`
 }
 
-// Hire asks the cloud for machines.
-type Hire struct {
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
 	Request string `msgpack:"hire"`
 	Type    string `msgpack:"model"`
 	Zone    string `msgpack:"hall"`
@@ -268,8 +268,8 @@
 	Revision uint64 `msgpack:"ledger"`
 }
 
-// Guard is a condition of a transaction.
-type Guard struct {
+// Condition is a condition of a transaction.
+type Condition struct {
 	Key     string `msgpack:"key"`
 	Version uint64 `msgpack:"stamp"`
 }
@@ -284,23 +284,23 @@
 
 // Txn is an atomic change.
 type Txn struct {
-	If   []Guard `msgpack:"guards"`
-	Then []Write `msgpack:"writes"`
+	If   []Condition `msgpack:"guards"`
+	Then []Write     `msgpack:"writes"`
 }
 
-// TxnAnswer is its outcome.
-type TxnAnswer struct {
+// TxnResponse is its outcome.
+type TxnResponse struct {
 	Revision uint64   `msgpack:"ledger"`
 	Failed   []string `msgpack:"failed"`
 }
 
-// LeaseAsk asks for a lease, LeaseAnswer names it.
-type LeaseAsk struct {
+// LeaseRequest asks for a lease, LeaseResponse names it.
+type LeaseRequest struct {
 	TTLMillis int64 `msgpack:"ttl_ms"`
 }
 
-// LeaseAnswer names a granted lease.
-type LeaseAnswer struct {
+// LeaseResponse names a granted lease.
+type LeaseResponse struct {
 	Lease uint64 `msgpack:"permit"`
 }
 
@@ -325,13 +325,13 @@
 // than any real message. The depth is checked first, because skipping unknown
 // fields recurses and a hostile body could otherwise grow the stack at will.
 func Unmarshal(b []byte, v any) error {
-	if err := check(b); err != nil {
+	if err := checkNesting(b); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(b, v)
 }
 
-func check(b []byte) error {
+func checkNesting(b []byte) error {
 	r := bytes.NewReader(b)
 	d := msgpack.NewDecoder(r)
 	c, err := d.PeekCode()
@@ -341,7 +341,7 @@
 	if !isMap(c) {
 		return errors.New("not a map")
 	}
-	if err := walk(d, 0); err != nil {
+	if err := checkDepth(d, 0); err != nil {
 		return err
 	}
 	if _, err := d.PeekCode(); err == nil {
@@ -358,7 +358,7 @@
 	return msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32
 }
 
-func walk(d *msgpack.Decoder, depth int) error {
+func checkDepth(d *msgpack.Decoder, depth int) error {
 	if depth > maxDepth {
 		return errors.New("nested too deeply")
 	}
@@ -383,7 +383,7 @@
 			if err := d.Skip(); err != nil {
 				return err
 			}
-			if err := walk(d, depth+1); err != nil {
+			if err := checkDepth(d, depth+1); err != nil {
 				return err
 			}
 		}
@@ -394,7 +394,7 @@
 			return err
 		}
 		for range n {
-			if err := walk(d, depth+1); err != nil {
+			if err := checkDepth(d, depth+1); err != nil {
 				return err
 			}
 		}
@@ -450,7 +450,7 @@
 // ParseJob decodes and checks a submission. Every error means that the body is
 // malformed; whether the job can ever run is another question.
 func ParseJob(b []byte) (*JobSpec, error) {
-	if err := check(b); err != nil {
+	if err := checkNesting(b); err != nil {
 		return nil, err
 	}
 	var s JobSpec
@@ -465,7 +465,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := s.field(d, key); err != nil {
+		if err := s.decodeField(d, key); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 		seen[key] = true
@@ -475,13 +475,13 @@
 			return nil, fmt.Errorf("%s: missing", k)
 		}
 	}
-	return &s, s.valid()
+	return &s, s.validate()
 }
 
 // PeekJobID finds the job id in a submission, well formed otherwise or not, so
 // that a repeat of a known job is recognised before anything else is checked.
 func PeekJobID(b []byte) (uint64, error) {
-	if err := check(b); err != nil {
+	if err := checkNesting(b); err != nil {
 		return 0, err
 	}
 	d := msgpack.NewDecoder(bytes.NewReader(b))
@@ -501,7 +501,7 @@
 			}
 			continue
 		}
-		id, err := text(d)
+		id, err := decodeText(d)
 		if err != nil {
 			return 0, fmt.Errorf("name_id: %w", err)
 		}
@@ -517,57 +517,57 @@
 var requiredFields = []string{"name_id", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "mem_gb",
 	"bundle", "image_gb", "same_place", "spread", "loaners", "runtime_s", "snapshot_s", "flush_s"}
 
-func (s *JobSpec) field(d *msgpack.Decoder, key string) (err error) {
+func (s *JobSpec) decodeField(d *msgpack.Decoder, key string) (err error) {
 	switch key {
 	case "name_id":
-		s.ID, err = text(d)
+		s.ID, err = decodeText(d)
 	case "jobclass":
-		s.Class, err = text(d)
+		s.Class, err = decodeText(d)
 	case "owner":
-		s.Team, err = text(d)
+		s.Team, err = decodeText(d)
 	case "shape":
-		s.Shape, err = text(d)
+		s.Shape, err = decodeText(d)
 	case "rank":
-		s.Priority, err = text(d)
+		s.Priority, err = decodeText(d)
 	case "pieces":
-		s.Tasks, err = count(d)
+		s.Tasks, err = decodeCount(d)
 	case "cores":
-		s.CPUs, err = amount(d)
+		s.CPUs, err = decodeAmount(d)
 	case "gpus":
-		s.GPUs, err = amount(d)
+		s.GPUs, err = decodeAmount(d)
 	case "mem_gb":
-		s.MemoryGB, err = amount(d)
+		s.MemoryGB, err = decodeAmount(d)
 	case "bundle":
-		s.Image, err = text(d)
+		s.Image, err = decodeText(d)
 	case "image_gb":
-		s.ImageGB, err = amount(d)
+		s.ImageGB, err = decodeAmount(d)
 	case "models":
-		s.Types, err = texts(d)
+		s.Types, err = decodeTexts(d)
 	case "hall":
 		if isNil(d) {
 			return d.DecodeNil()
 		}
 		var z string
-		z, err = text(d)
+		z, err = decodeText(d)
 		s.Zone = &z
 	case "same_place":
-		s.SameZone, err = boolean(d)
+		s.SameZone, err = decodeBool(d)
 	case "spread":
-		s.Spread, err = boolean(d)
+		s.Spread, err = decodeBool(d)
 	case "loaners":
-		s.Spot, err = boolean(d)
+		s.Spot, err = decodeBool(d)
 	case "runtime_s":
-		s.EstimateS, err = amount(d)
+		s.EstimateS, err = decodeAmount(d)
 	case "snapshot_s":
-		s.CheckpointS, err = amount(d)
+		s.CheckpointIntervalS, err = decodeAmount(d)
 	case "flush_s":
-		s.SaveS, err = amount(d)
+		s.CheckpointWriteS, err = decodeAmount(d)
 	case "due_s":
 		if isNil(d) {
 			return d.DecodeNil()
 		}
 		var f float64
-		f, err = amount(d)
+		f, err = decodeAmount(d)
 		s.DeadlineS = &f
 	default:
 		err = d.Skip()
@@ -575,7 +575,7 @@
 	return err
 }
 
-func (s *JobSpec) valid() error {
+func (s *JobSpec) validate() error {
 	if _, ok := JobNumber(s.ID); !ok {
 		return errors.New("name_id: not a job id")
 	}
@@ -608,7 +608,7 @@
 	return err == nil && c == msgpcode.Nil
 }
 
-func text(d *msgpack.Decoder) (string, error) {
+func decodeText(d *msgpack.Decoder) (string, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return "", err
@@ -619,7 +619,7 @@
 	return d.DecodeString()
 }
 
-func texts(d *msgpack.Decoder) ([]string, error) {
+func decodeTexts(d *msgpack.Decoder) ([]string, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return nil, err
@@ -636,7 +636,7 @@
 	}
 	out := []string{}
 	for range n {
-		t, err := text(d)
+		t, err := decodeText(d)
 		if err != nil {
 			return nil, err
 		}
@@ -645,7 +645,7 @@
 	return out, nil
 }
 
-func boolean(d *msgpack.Decoder) (bool, error) {
+func decodeBool(d *msgpack.Decoder) (bool, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return false, err
@@ -660,8 +660,8 @@
 	return msgpcode.IsFixedNum(c) || (c >= msgpcode.Uint8 && c <= msgpcode.Int64)
 }
 
-// amount reads a finite number of at least 0.
-func amount(d *msgpack.Decoder) (float64, error) {
+// decodeAmount reads a finite number of at least 0.
+func decodeAmount(d *msgpack.Decoder) (float64, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return 0, err
@@ -679,7 +679,7 @@
 	return f, nil
 }
 
-func count(d *msgpack.Decoder) (int, error) {
+func decodeCount(d *msgpack.Decoder) (int, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return 0, err
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -13,7 +13,7 @@
 		"due_s": 900.0, "unknown": map[string]any{"deep": []any{1, "x", nil}}}
 }
 
-func TestParseJobTakesTheProtocolsExample(t *testing.T) {
+func TestParseJobAcceptsProtocolExample(t *testing.T) {
 	j := goodJob()
 	b, _ := Marshal(j)
 	s, err := ParseJob(b)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestParseJobRefusesWhatIsMalformed(t *testing.T) {
+func TestParseJobRejectsMalformed(t *testing.T) {
 	bad := map[string][]any{
 		"name_id":  {nil, 5, "", "req-", "req-12", "job-000412", "req-0004120", "req-00041x", "req-9999999999999999"},
 		"jobclass": {nil, "", 7},
@@ -70,7 +70,7 @@
 	}
 	b, _ := Marshal(goodJob())
 	for name, body := range map[string][]byte{"empty": nil, "list": {0x90}, "trailing": append(b[:len(b):len(b)], 0xc0),
-		"cut": b[:len(b)-1], "text": []byte("hello"), "deep": append([]byte{0x81, 0xa1, 'x'}, make91(60_000)...)} {
+		"cut": b[:len(b)-1], "text": []byte("hello"), "deep": append([]byte{0x81, 0xa1, 'x'}, nestedLists(60_000)...)} {
 		if _, err := ParseJob(body); err == nil {
 			t.Errorf("%s was taken", name)
 		}
@@ -80,13 +80,13 @@
 	}
 }
 
-// make91 nests lists; a reader that recursed into them would use stack at will.
-func make91(n int) []byte {
+// nestedLists nests lists; a reader that recursed into them would use stack at will.
+func nestedLists(n int) []byte {
 	b := []byte(strings.Repeat("\x91", n))
 	return append(b, 0xc0)
 }
 
-func TestIDsStandForNumbers(t *testing.T) {
+func TestIDRoundTrip(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000412", "req-999999", "req-1000000"} {
 		n, ok := JobNumber(id)
 		if !ok || JobID(n) != id {
@@ -118,7 +118,7 @@
 				t.Errorf("no id in a good job: %v", err)
 			}
 		}
-		var r Report
+		var r Heartbeat
 		_ = Unmarshal(b, &r)
 		var e Events
 		_ = Unmarshal(b, &e)
