--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -119,7 +119,7 @@
 			err = errors.New("no machine or session")
 		}
 		if err != nil {
-			logger.Warn("malformed report", "from", r.RemoteAddr, "err", err)
+			logger.Warn("malformed heartbeat", "remote_addr", r.RemoteAddr, "err", err)
 			return Refuse(http.StatusBadRequest, err.Error())
 		}
 		return s.Heartbeat(r.Context(), &heartbeat)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -292,7 +292,7 @@
 	if adminListener != nil {
 		run("operate", func() error { return adminapi.Serve(ctx, adminListener, n, n.log) })
 	}
-	n.log.Info("started", "node", n.settings.Node, "zone", n.settings.Zone, "bind", n.settings.Bind, "pid", os.Getpid())
+	n.log.Info("controller started", "node", n.settings.Node, "zone", n.settings.Zone, "bind", n.settings.Bind, "pid", os.Getpid())
 	<-ctx.Done()
 	if n.singletons != nil {
 		<-n.loopDone
@@ -487,7 +487,7 @@
 	seq := term.nextSeq() - uint64(len(term.queue)-1-k)
 	term.urgent = term.urgent || n.isUrgent(entry)
 	if err := n.model.Apply(entry, seq, n.now()); err != nil {
-		n.log.Error("entry does not apply", "err", err)
+		n.log.Error("log entry apply failed", "err", err)
 	}
 	return seq
 }
@@ -629,7 +629,7 @@
 			j.CancelledFrom = n.caughtUpAt.Sub(n.startTime) // it was complete then, without this
 		}
 		if err := n.model.Apply(entry, batch.Seq, n.now()); err != nil {
-			n.log.Error("entry does not apply", "batch", batch.Seq, "err", err)
+			n.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
 		}
 	}
 	n.appliedSeq = batch.Seq
@@ -642,7 +642,7 @@
 func (n *Controller) applyUpdate(update *oplog.Update, sentAt time.Time) bool {
 	for _, b := range update.Batches {
 		if err := n.applyBatch(b); err != nil {
-			n.log.Warn("log out of step, reading it anew", "err", err)
+			n.log.Warn("replica out of sync, reloading", "err", err)
 			n.loaded = false
 			return false
 		}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -28,7 +28,7 @@
 		revision, err := n.load(ctx)
 		if err != nil {
 			if !failing { // once for an outage, not for every try
-				n.log.Warn("can't read the log, trying on", "err", err)
+				n.log.Warn("log read failed, retrying", "err", err)
 			}
 			failing = true
 			sleep(ctx, 300*time.Millisecond)
@@ -52,7 +52,7 @@
 				if err == nil {
 					err := n.serveTerm(ctx, won)
 					if err != nil && ctx.Err() == nil {
-						n.log.Info("lead ended", "term", won.Term, "err", err)
+						n.log.Info("leadership ended", "term", won.Term, "err", err)
 					}
 					if errors.Is(err, errHeartbeatsMissing) {
 						abstainUntil = time.Now().Add(abstainDuration)
@@ -67,7 +67,7 @@
 			sentAt := time.Now()
 			update, err := n.oplog.Follow(ctx, revision, followDuration)
 			if err != nil {
-				n.log.Debug("watch failed", "err", err)
+				n.log.Debug("log watch failed", "err", err)
 				sleep(ctx, 250*time.Millisecond)
 				break
 			}
@@ -86,7 +86,7 @@
 
 // errHeartbeatsMissing ends the term of a leader that the machines don't reach, while other
 // controllers do: one of them leads better.
-var errHeartbeatsMissing = errors.New("controller: hardly any machine is heard of")
+var errHeartbeatsMissing = errors.New("controller: heartbeats missing from most machines")
 
 // abstainDuration is how long a node leaves the lead to others after that. If none of
 // them takes it, this one does again.
@@ -100,7 +100,7 @@
 	if leader == nil || leader.Node != n.settings.Node {
 		return false
 	}
-	n.log.Info("ending the lease of this node's earlier process", "term", leader.Term)
+	n.log.Info("revoking stale own lease", "term", leader.Term)
 	n.eligibility.recordLeader()
 	return n.store.Revoke(ctx, leader.Lease) == nil
 }
@@ -138,7 +138,7 @@
 			}
 		}
 		n.leader, n.caughtUpAt, n.lastStoreContact, n.loaded = loaded.Leader, sentAt, time.Now(), true
-		n.log.Info("log read", "batches", len(loaded.Batches), "snapshot", loaded.SnapshotSeq, "jobs", len(n.model.Jobs), "machines", len(n.model.Order))
+		n.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq, "jobs", len(n.model.Jobs), "machines", len(n.model.Order))
 	})
 	return loaded.Revision, err
 }
@@ -234,7 +234,7 @@
 					errs <- err
 					return
 				case err != nil && ctx.Err() == nil:
-					n.log.Warn("log not compacted, the old snapshot stays", "seq", s.seq, "bytes", len(s.data), "err", err)
+					n.log.Warn("log compaction failed, previous snapshot kept", "seq", s.seq, "bytes", len(s.data), "err", err)
 				default:
 					n.log.Debug("log compacted", "seq", s.seq, "bytes", len(s.data), "err", err)
 				}
@@ -283,7 +283,7 @@
 	n.maintainAssignments(term)
 	n.probeAll()
 	n.metrics.Terms.Inc()
-	n.log.Info("leading", "term", term.leader.Term, "seq", n.appliedSeq, "jobs", len(n.model.Jobs), "machines", len(n.model.Order))
+	n.log.Info("leader elected", "term", term.leader.Term, "seq", n.appliedSeq, "jobs", len(n.model.Jobs), "machines", len(n.model.Order))
 }
 
 func (n *Controller) stepDown(term *leaderTerm) {
@@ -368,7 +368,7 @@
 			n.metrics.ObserveFailover(p, after.Seconds())
 		}
 	}
-	n.log.Info("took over", args...)
+	n.log.Info("failover complete", args...)
 }
 
 // failoverLogTimeout is how long after the time for all machines a takeover is told of, though parts of it did not come:
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -137,7 +137,7 @@
 				return
 			}
 			if n.model.ByName[report.Machine] == nil {
-				n.log.Info("machine reports", "machine", report.Machine, "type", answer.Type, "zone", answer.Zone, "spot", answer.Spot)
+				n.log.Info("machine registered", "machine", report.Machine, "type", answer.Type, "zone", answer.Zone, "spot", answer.Spot)
 				n.propose(&model.Entry{Kind: model.EntryMachine, Machine: n.model.NextMachine, At: time.Now().UnixMilli(),
 					Info: &model.MachineInfo{Name: answer.Machine, Addr: answer.Addr, Type: answer.Type, Zone: answer.Zone, Spot: answer.Spot}})
 			}
@@ -191,7 +191,7 @@
 	}
 	if machine.Suspect && n.isActive() {
 		// From here on its lease is renewed again.
-		n.log.Info("suspect machine answers", "machine", machine.Info.Name, "session", report.AgentEpoch)
+		n.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
 		n.propose(&model.Entry{Kind: model.EntryTrust, Machine: machine.ID})
 		n.roundRequested = true
 	}
@@ -220,7 +220,7 @@
 	}
 	switch {
 	case verdict.Freshness == staleness.Restarted:
-		n.log.Info("machine began anew under its name", "machine", machine.Info.Name, "session", report.AgentEpoch, "seq", report.Seq, "tasks", len(machine.Runs))
+		n.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch, "seq", report.Seq, "tasks", len(machine.Runs))
 		n.markForCommands(machine) // a token that its earlier life can't have
 	case verdict.Slow:
 		n.logSlow(machine)
@@ -235,7 +235,7 @@
 	}
 	n.model.SealReapable(machine, n.ownTerm.nextSeq())
 	for _, j := range verdict.Faulty {
-		n.log.Info("job fails on every machine: it is tried again with growing pauses", "job", j.Spec.ID, "class", j.Spec.Class, "failures", j.Errors)
+		n.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class, "failures", j.Errors)
 	}
 	for _, o := range verdict.GangReady {
 		n.markForCommands(o)
@@ -250,7 +250,7 @@
 }
 
 func (n *Controller) logInboundPartition(machine *model.Machine) {
-	n.log.Info("machine that is heard and does not hear", "machine", machine.Info.Name, "zone", machine.Info.Zone, "deaf", machine.InboundPartitionSince != 0, "tasks", len(machine.Runs))
+	n.log.Info("machine inbound partition changed", "machine", machine.Info.Name, "zone", machine.Info.Zone, "inbound_partition", machine.InboundPartitionSince != 0, "tasks", len(machine.Runs))
 }
 
 // firstRetention and repeatRetention are how long a worker that does not reach the leader is
@@ -382,7 +382,7 @@
 			}
 			switch fate {
 			case agent.Unknown:
-				n.log.Debug("command without an answer", "machine", machine.Info.Name, "err", err)
+				n.log.Debug("command outcome unknown", "machine", machine.Info.Name, "err", err)
 				n.model.StartsLost(machine, commands, token)
 				n.probeMachine(machine, func() {
 					// Reports may go on to come from it.
@@ -423,7 +423,7 @@
 
 // Bind logs and applies a placement (sched.Doer).
 func (n *Controller) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
-	n.log.Debug("placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name, "image", machine.HasImage(j.Image), "score", score)
+	n.log.Debug("task placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name, "image_cached", machine.HasImage(j.Image), "score", score)
 	n.metrics.Placed.Inc()
 	n.ownTerm.timeline.Mark(candidacy.FirstPlacement, n.now())
 	n.propose(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID, Session: machine.Session})
@@ -436,7 +436,7 @@
 	if run.Stop {
 		return
 	}
-	n.log.Info("stopping a task", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)), "machine", run.Machine.Info.Name, "why", reason)
+	n.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)), "machine", run.Machine.Info.Name, "reason", reason)
 	run.Stop, run.Hard = true, hard
 	n.metrics.Stopped.Inc()
 	n.stopRun(run)
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -62,7 +62,7 @@
 	if err := n.oplog.PutIntake(ctx, oplog.Intake{Job: jobNumber, Data: entry.Append(nil)}); err != nil {
 		return noLeaderResponse
 	}
-	n.log.Debug("job taken without the leader", "job", spec.ID)
+	n.log.Debug("job accepted into intake", "job", spec.ID)
 	return pendingResponse(http.StatusCreated, jobNumber)
 }
 
@@ -101,7 +101,7 @@
 		}
 		entry, err := model.ReadEntry(&codec.Reader{Data: record.Data})
 		if err != nil || entry.Kind != model.EntryAccept || uint64(entry.Job) != record.Job {
-			n.log.Error("malformed job in the intake", "job", record.Job, "err", err)
+			n.log.Error("malformed intake record", "job", record.Job, "err", err)
 			continue
 		}
 		ingested = append(ingested, record.Job)
@@ -109,7 +109,7 @@
 		if n.model.Jobs[entry.Job] == nil && n.model.Finals[entry.Job] == 0 {
 			n.propose(entry)
 			n.roundRequested = true
-			n.log.Info("job taken up that another node accepted", "job", entry.Spec.ID)
+			n.log.Info("job ingested from intake", "job", entry.Spec.ID)
 		}
 		if j := n.model.Jobs[entry.Job]; j != nil {
 			seq = max(seq, j.AcceptSeq)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -148,7 +148,7 @@
 		}
 	}
 	if err := n.catchUp(ctx); err != nil {
-		n.log.Debug("can't catch up", "err", err)
+		n.log.Debug("replica catch-up failed", "err", err)
 		return noLeaderResponse
 	}
 	return n.respondInTurn(ctx, func(send func(*rpc.Response)) {
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -97,7 +97,7 @@
 		}
 		if t := n.startTime.Add(at); t.After(n.knownCommittedAt()) {
 			if !n.fenceProvenAt.After(n.caughtUpAt) {
-				n.log.Info("out of touch with the state service, and so are all: leases are kept on", "for", time.Since(n.caughtUpAt).Round(time.Second))
+				n.log.Info("key-value store unreachable from all controllers, leases extended", "duration", time.Since(n.caughtUpAt).Round(time.Second))
 			}
 			n.fenceProvenAt = t
 		}
@@ -117,7 +117,7 @@
 			}
 			report, err := commitfence.ReadReport(response.Body)
 			if err != nil {
-				n.log.Warn("another node's word on what it saw is malformed", "node", link.Node, "err", err)
+				n.log.Warn("malformed watermark report", "node", link.Node, "err", err)
 				return
 			}
 			n.post(func() {
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -104,7 +104,7 @@
 	if delay+maintenanceInterval <= stallThreshold {
 		return
 	}
-	n.log.Info("this node stood still", "for", delay+maintenanceInterval)
+	n.log.Info("event loop stalled", "duration", delay+maintenanceInterval)
 	if term := n.ownTerm; term != nil {
 		term.heartbeatsMissingSince, term.lastHeartbeat = time.Time{}, now
 	}
@@ -118,7 +118,7 @@
 	}
 	n.propose(&model.Entry{Kind: model.EntryRelease, Machine: machine.ID})
 	n.metrics.ScaledIn.Inc()
-	n.log.Info("returning a machine", "machine", machine.Info.Name, "type", machine.Info.Type, "zone", machine.Info.Zone, "tasks", len(machine.Runs), "why", reason)
+	n.log.Info("machine released", "machine", machine.Info.Name, "type", machine.Info.Type, "zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
 }
 
 // runAutoscaler rents and returns.
@@ -135,7 +135,7 @@
 	n.scheduler.ServiceHeadroom, n.scheduler.ServiceSlots, n.scheduler.LowPriorityAllowed = plan.Headroom, plan.ForServices, plan.LowPriorityAllowed
 	for _, machine := range n.model.Order {
 		if machine.Draining != plan.Drain[machine] {
-			n.log.Info("machine only for low work that it costs too much for", "machine", machine.Info.Name, "type", machine.Info.Type, "draining", !machine.Draining)
+			n.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type, "draining", !machine.Draining)
 			machine.Draining = !machine.Draining
 			n.roundRequested = true
 		}
@@ -144,7 +144,7 @@
 		if term.cloudUnavailable {
 			break // it could not be returned, and not be used either
 		}
-		n.releaseMachine(machine, "it is idle and nothing needs it")
+		n.releaseMachine(machine, "idle and not needed")
 	}
 	// The cloud's rate is small, so few requests are under way at once and none
 	// twice for the same offer: the answer to the first tells what is left.
@@ -161,11 +161,11 @@
 }
 
 func (n *Controller) logQuarantined(machine *model.Machine) {
-	n.log.Info("machine distrusted: tasks of several jobs failed on it", "machine", machine.Info.Name, "failures", machine.Failures)
+	n.log.Info("machine quarantined", "machine", machine.Info.Name, "failures", machine.Failures)
 }
 
 func (n *Controller) logSlow(machine *model.Machine) {
-	n.log.Info("machine is slow: tasks take much longer on it than their peers elsewhere", "machine", machine.Info.Name, "tasks", len(machine.Runs), "for", machine.SlowUntil-n.now())
+	n.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs), "duration", machine.SlowUntil-n.now())
 }
 
 // slowCheckInterval paces the look for machines that are slow, which reads all runs.
@@ -195,10 +195,10 @@
 	}
 	for _, j := range long {
 		logged[j.ID] = j.PendingReason.Code
-		n.log.Info("job waits", "job", j.Spec.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Waiting(), "why", j.PendingReason.Code, "says", j.PendingReason)
+		n.log.Info("job pending", "job", j.Spec.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Waiting(), "reason", j.PendingReason.Code, "explanation", j.PendingReason)
 	}
 	term.loggedReasons = logged
-	n.log.Info("work", "jobs", len(n.model.Jobs), "waiting", classes, "why", reasons)
+	n.log.Info("workload summary", "jobs", len(n.model.Jobs), "pending_by_class", classes, "pending_by_reason", reasons)
 	n.logServed()
 }
 
@@ -223,8 +223,8 @@
 		lines = append(lines, line{"team", n.model.Teams[i].Name, share, underServed, &n.model.ByTeam[i]})
 	}
 	for _, l := range lines {
-		n.log.Info("served", l.what, l.name, "share", math.Round(l.share*1000)/1000, "owed", l.owed, "jobs", l.s.Jobs, "begun", l.s.Started, "done", l.s.Done,
-			"cancelled", l.s.Cancelled, "tasks", l.s.Tasks, "tasks_done", l.s.TasksDone, "replicas_up", l.s.Availability())
+		n.log.Info("completion summary", l.what, l.name, "share", math.Round(l.share*1000)/1000, "under_served", l.owed, "jobs", l.s.Jobs, "started", l.s.Started, "completed", l.s.Done,
+			"cancelled", l.s.Cancelled, "tasks", l.s.Tasks, "tasks_completed", l.s.TasksDone, "availability", l.s.Availability())
 	}
 }
 
@@ -274,8 +274,8 @@
 	sort.Strings(names)
 	for _, name := range names {
 		s := sums[name]
-		n.log.Info("machines", "type", name, "up", s.up, "booting", s.booting, "idle", s.idle, "cpus", s.total,
-			"services", s.services, "gangs", s.gangs, "arrays", s.arrays)
+		n.log.Info("machine usage", "type", name, "up", s.up, "booting", s.booting, "idle", s.idle, "cpus", s.total,
+			"service_cpus", s.services, "gang_cpus", s.gangs, "array_cpus", s.arrays)
 	}
 	n.logPending(term)
 }
@@ -349,10 +349,10 @@
 		case machine.Releasing:
 		case n.releaseInCutZone(term, machine, wasUp(machine) && isSilent(machine), freeByZone):
 		case machine.Quarantined && len(machine.Runs) == 0:
-			n.releaseMachine(machine, "it is faulty")
+			n.releaseMachine(machine, "quarantined")
 		case wasUp(machine) && isSilent(machine):
 			if !zoneCut || machine.SilentFor(now) >= zoneCutPatience {
-				n.releaseMachine(machine, "it is silent")
+				n.releaseMachine(machine, "heartbeats missing")
 				continue
 			}
 			// Idle ones, too: what was placed on them would wait for the end of the cut.
@@ -368,7 +368,7 @@
 	}
 	for _, machine := range n.autoscaler.CheckBoots(n.model, time.Now().UnixMilli(), now, silentLimit+10*time.Second) {
 		if now >= term.zonePartitionedUntil[machine.Zone] {
-			n.releaseMachine(machine, "it never came up")
+			n.releaseMachine(machine, "boot timed out")
 		}
 	}
 	if checkPartition && !term.partitionQueryInFlight && time.Since(term.lastPartitionQuery) > partitionReportInterval/2 {
@@ -424,7 +424,7 @@
 	if now.Sub(term.heartbeatsMissingSince) < isolationGrace {
 		return
 	}
-	n.log.Info("handing over the lead: hardly any machine is heard of", "machines", total, "silent", silent)
+	n.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
 	term.handingOver = true
 	n.extendTrust(term, time.Time{}) // from here on it decides nothing
 	select {
@@ -453,9 +453,9 @@
 	}
 	switch now := n.now(); {
 	case (silent || machine.Suspect) && n.model.CancelledFor(machine, now) > n.cancelPatience() && !term.isCleared(machine.ID):
-		n.releaseMachine(machine, "it is in a zone that is cut off, and holds what was cancelled long ago")
+		n.releaseMachine(machine, "zone partitioned, cancelled tasks overdue")
 	case machine.Suspect && machine.LeaseExpired(n.settings.StaleRenewalLimit(), n.leaseDuration(), n.latestOwnRenewal(machine), now, len(n.settings.Members)) && n.wantedElsewhere(machine, freeByZone):
-		n.releaseMachine(machine, "it is in a zone that is cut off, its lease is over, and its work is wanted elsewhere")
+		n.releaseMachine(machine, "zone partitioned, lease expired, tasks needed elsewhere")
 	default:
 		return false
 	}
@@ -491,7 +491,7 @@
 // markSuspect makes a machine suspect: its lease runs out. When that is over it is returned if its work may run elsewhere; otherwise
 // it is left where it is, and of use again when the cut is over.
 func (n *Controller) markSuspect(machine *model.Machine) {
-	n.log.Info("machine in a zone that is cut off is suspect", "machine", machine.Info.Name, "zone", machine.Info.Zone, "tasks", len(machine.Runs))
+	n.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone, "tasks", len(machine.Runs))
 	seq := n.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
 	n.whenCommitted(seq, func(ok bool) {
 		if ok {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -144,7 +144,7 @@
 		ctx, cancel := context.WithTimeout(n.ctx, partitionReportInterval)
 		defer cancel()
 		if err := n.oplog.PutPartitionedNode(ctx, record); err != nil {
-			n.log.Debug("can't tell that the leader is not reached", "err", err)
+			n.log.Debug("partition report failed", "err", err)
 		}
 	}()
 }
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	r, err := link.Do(ctx, request)
 	if err != nil {
-		n.log.Debug("leader not reached", "leader", leader, "err", err)
+		n.log.Debug("leader unreachable", "leader", leader, "err", err)
 		return nil, false
 	}
 	return r, true
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -58,7 +58,7 @@
 func (n *Controller) scaleOut(term *leaderTerm, request autoscaler.ScaleOut) {
 	term.scaleOutCount++
 	order := provisioner.ScaleOut{Name: autoscaler.RequestName(term.leader.Term, term.scaleOutCount), Type: n.model.TypeNames.Name(request.Type), Zone: n.model.Zones.Name(request.Zone), Spot: request.Spot, Count: min(request.Count, wire.MaxScaleOut)}
-	n.log.Info("renting", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "count", order.Count, "request", order.Name, "why", request.Purpose)
+	n.log.Info("scale-out requested", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "count", order.Count, "request", order.Name, "reason", request.Purpose)
 	if !n.rolesDistributed() {
 		term.orders[order.Name] = order
 		return
@@ -106,7 +106,7 @@
 func (n *Controller) replaceReleased(term *leaderTerm, offers map[autoscaler.InstanceOffer]int) {
 	for offer, count := range offers {
 		for ; count > 0; count -= wire.MaxScaleOut {
-			n.scaleOut(term, autoscaler.ScaleOut{InstanceOffer: offer, Count: min(count, wire.MaxScaleOut), Purpose: "for the end of the cut"})
+			n.scaleOut(term, autoscaler.ScaleOut{InstanceOffer: offer, Count: min(count, wire.MaxScaleOut), Purpose: "replacement in partitioned zone"})
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	if len(result.Machines) < order.Count {
 		n.metrics.ProvisionRefused.Inc()
 		n.autoscaler.OnRefused(offer, n.now())
-		n.log.Info("not all could be rented", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "wanted", order.Count, "got", len(result.Machines))
+		n.log.Info("scale-out incomplete", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "requested", order.Count, "provisioned", len(result.Machines))
 	} else {
 		n.autoscaler.OnAvailable(offer)
 	}
@@ -158,7 +158,7 @@
 	now, minAge := n.now(), config.Seconds(2*n.settings.Params.Cloud.ListLagS)+max(maxListDuration, took+took/2)
 	for _, machine := range n.model.Order {
 		if !listed[machine.Info.Name] && now-machine.KnownSince > minAge && machine.SilentFor(now) > n.probeAfter() {
-			n.releaseMachine(machine, "the cloud does not list it any more")
+			n.releaseMachine(machine, "not in cloud listing")
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	}
 	machine := n.model.ByName[row.Name]
 	if machine == nil {
-		n.log.Info("machine listed", "machine", row.Name, "type", row.Type, "zone", row.Zone, "state", row.State)
+		n.log.Info("machine discovered", "machine", row.Name, "type", row.Type, "zone", row.Zone, "state", row.State)
 		n.propose(&model.Entry{Kind: model.EntryMachine, Machine: n.model.NextMachine, At: time.Now().UnixMilli() - int64(row.AgeS*1000),
 			Info: &model.MachineInfo{Name: row.Name, Addr: row.Addr, Type: row.Type, Zone: row.Zone, Spot: row.Spot}})
 		machine = n.model.ByName[row.Name]
@@ -201,6 +201,6 @@
 		n.recordAddr(machine, row.Addr)
 	}
 	if row.State == wire.MachineFailed {
-		n.releaseMachine(machine, "the cloud lists it as failed")
+		n.releaseMachine(machine, "failed in cloud listing")
 	}
 }
--- a/internal/controller/renewal_query.go
+++ b/internal/controller/renewal_query.go
@@ -102,7 +102,7 @@
 	}
 	report, err := lease.ReadReport(response.Body)
 	if err != nil {
-		n.log.Warn("another node's word on renewals is malformed", "node", link.Node, "err", err)
+		n.log.Warn("malformed renewal report", "node", link.Node, "err", err)
 		return
 	}
 	n.post(func() {
--- a/internal/controller/singletons.go
+++ b/internal/controller/singletons.go
@@ -94,7 +94,7 @@
 		for ctx.Err() == nil {
 			changes, next, err := n.oplog.FollowRoles(ctx, revision, roleWatchTimeout)
 			if err != nil {
-				n.log.Debug("watch of duties failed", "err", err)
+				n.log.Debug("singleton role watch failed", "err", err)
 				sleep(ctx, 500*time.Millisecond)
 				break
 			}
@@ -111,7 +111,7 @@
 		err = n.oplog.SetParticipation(ctx, n.settings.Node, false)
 	}
 	if err != nil && ctx.Err() == nil {
-		n.log.Debug("can't tell that this node takes no part in duties", "err", err)
+		n.log.Debug("singleton role withdrawal failed", "err", err)
 	}
 }
 
@@ -178,7 +178,7 @@
 			share = logShare // the rest is for who cleans up
 		}
 		n.oplog.SetWriteShare(n.settings.Params.KVStore.WriteRPS, share)
-		n.log.Info("duties are held one by one", "now", view.Ready)
+		n.log.Info("singleton role distribution changed", "distributed", view.Ready)
 	}
 	for _, role := range roles.roles {
 		switch now := n.now(); role.Decide(now, view) {
@@ -202,7 +202,7 @@
 		roles.loggedAt = time.Now()
 		for _, role := range roles.roles {
 			if role.Term() != 0 {
-				n.log.Info("duty", "duty", role.Name.String(), "term", role.Term(), "held_for", now-role.HeldSince(), "got_on", now-role.LastProgress(), "open", len(n.model.Intents))
+				n.log.Info("singleton role held", "role", role.Name.String(), "term", role.Term(), "held_duration", now-role.HeldSince(), "since_progress", now-role.LastProgress(), "open_scale_outs", len(n.model.Intents))
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 		n.post(func() {
 			role.Acquired(sent, n.now(), lease, term)
 			if err != nil && !errors.Is(err, election.ErrTaken) {
-				n.log.Debug("duty not taken", "duty", role.Name.String(), "err", err)
+				n.log.Debug("singleton role acquisition failed", "role", role.Name.String(), "err", err)
 			}
 			n.syncRole(role)
 		})
@@ -240,7 +240,7 @@
 // resignRole gives a duty up: what is under way is ended first, then the row of those that got nowhere is written, if this is
 // one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays the next holder.
 func (n *Controller) resignRole(role *singleton.Role) {
-	n.log.Info("giving up a duty", "duty", role.Name.String(), "term", role.Term(), "why", role.ReleaseReason())
+	n.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(), "reason", role.ReleaseReason())
 	lease, term, name, stuck, noProgress := role.Lease(), role.Term(), role.Name.String(), role.StalledHolders(), role.NoProgress()
 	role.Released()
 	n.syncRole(role)
@@ -249,7 +249,7 @@
 		defer cancel()
 		if noProgress {
 			if err := n.oplog.PutStalledHolders(ctx, name, term, stuck); err != nil {
-				n.log.Debug("can't tell that a duty gets nowhere", "duty", name, "err", err)
+				n.log.Debug("stalled holder record failed", "role", name, "err", err)
 			}
 		}
 		_ = n.store.Revoke(ctx, lease) // it ends by itself otherwise
@@ -277,7 +277,7 @@
 	if current.cancel != nil {
 		current.cancel()
 		current.cancel = nil
-		n.log.Info("duty ended", "duty", role.Name.String(), "term", current.term, "why", role.ReleaseReason())
+		n.log.Info("singleton role ended", "role", role.Name.String(), "term", current.term, "reason", role.ReleaseReason())
 	}
 	switch role.Name {
 	case singleton.Provisioning:
@@ -288,7 +288,7 @@
 	if current.term = role.Term(); current.term == 0 {
 		return
 	}
-	n.log.Info("duty begun", "duty", role.Name.String(), "term", current.term, "node", n.settings.Node)
+	n.log.Info("singleton role acquired", "role", role.Name.String(), "term", current.term, "node", n.settings.Node)
 	ctx, cancel := context.WithCancel(n.ctx)
 	current.cancel = cancel
 	switch role.Name {
@@ -362,7 +362,7 @@
 		for _, part := range parts { // what the leader has no time for is in the next list as well
 			call := &rpc.Request{Op: rpc.OpRoleResult, ID: name, Body: part.Append(codec.Uint(nil, term))}
 			if reply, ok := n.toLeader(ctx, call, time.Second); !ok || reply.Status != http.StatusOK {
-				n.log.Debug("the leader was not told what came of a request to the cloud", "kind", part.Kind)
+				n.log.Debug("provisioner result not delivered", "kind", part.Kind)
 				return
 			}
 		}
@@ -446,7 +446,7 @@
 				compactor.snapshotSeq = seq
 				n.log.Debug("log compacted", "seq", seq, "bytes", len(snap))
 			} else if ctx.Err() == nil {
-				n.log.Warn("log not compacted, the old snapshot stays", "seq", seq, "bytes", len(snap), "err", err)
+				n.log.Warn("log compaction failed, previous snapshot kept", "seq", seq, "bytes", len(snap), "err", err)
 				if errors.Is(err, oplog.ErrDeposed) {
 					compactor.seqKnown = false // the watch tells who holds it now
 				}
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -87,7 +87,7 @@
 	// No answer, or one that says nothing: the transaction may have been
 	// applied, or may be later. The key says so; if it is not there, ending the
 	// lease makes sure that a late copy is refused.
-	logger.Debug("taking a key without a result", "key", key, "err", err)
+	logger.Debug("key acquisition outcome unknown", "key", key, "err", err)
 	item, getErr := store.Get(ctx, key)
 	if getErr == nil {
 		var value wire.LogValue
--- a/internal/replication/oplog/oplog.go
+++ b/internal/replication/oplog/oplog.go
@@ -340,7 +340,7 @@
 			errors.As(err, &statusErr)
 			if err := wire.Unmarshal(statusErr.Body, &answer); err != nil || len(answer.Failed) == 0 {
 				// It can't be told which condition failed: ask again.
-				l.logger.Warn("state service refused a write without saying why", "err", err)
+				l.logger.Warn("write conflict without failed conditions", "err", err)
 				break
 			}
 			return onConflict(answer.Failed)
@@ -350,7 +350,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		l.logger.Debug("write without a result, repeating", "err", err)
+		l.logger.Debug("write outcome unknown, retrying", "err", err)
 		l.lastUnanswered.Store(time.Now().UnixNano())
 		select {
 		case <-ctx.Done():
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -163,7 +163,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			logger.Warn("peer listener", "err", err)
+			logger.Warn("peer accept failed", "err", err)
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -173,7 +173,7 @@
 		}
 		wg.Go(func() {
 			if err := serveConn(ctx, conn, handler, traffic); err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil {
-				logger.Debug("peer connection ended", "from", conn.RemoteAddr(), "err", err)
+				logger.Debug("peer connection ended", "remote_addr", conn.RemoteAddr(), "err", err)
 			}
 		})
 	}
@@ -386,7 +386,7 @@
 		}
 		response, err := readResponse(payload)
 		if err != nil || kind != kindResponse {
-			l.logger.Warn("peer answer malformed", "node", l.Node)
+			l.logger.Warn("malformed peer response", "node", l.Node)
 			return
 		}
 		l.mu.Lock()
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -447,7 +447,7 @@
 			continue // what fails everywhere is worth no machine
 		}
 		n = min(n, teamAllowance(j, preemptible)+expiring[j])
-		it := demand{need: scheduler.TaskDemand(j), types: j.Types, zone: j.Zone, spot: j.Spec.Spot, count: n, service: j.Kind == model.Service, priority: j.Priority, purpose: "for " + j.Spec.ID}
+		it := demand{need: scheduler.TaskDemand(j), types: j.Types, zone: j.Zone, spot: j.Spec.Spot, count: n, service: j.Kind == model.Service, priority: j.Priority, purpose: "demand of job " + j.Spec.ID}
 		it.applySpread(j)
 		if j.Kind != model.Array {
 			urgent = append(urgent, it)
@@ -498,7 +498,7 @@
 			continue
 		}
 		if k := int(math.Ceil(n)); k > 0 {
-			it := demand{need: c.need, types: c.types, zone: c.zone, spot: c.spot && c.kind != model.Service, count: k, service: c.kind == model.Service, standby: true, maxPriceFactor: 6, purpose: "for expected tasks of " + m.Classes.Name(id)}
+			it := demand{need: c.need, types: c.types, zone: c.zone, spot: c.spot && c.kind != model.Service, count: k, service: c.kind == model.Service, standby: true, maxPriceFactor: 6, purpose: "expected demand of class " + m.Classes.Name(id)}
 			if c.spread && k > 1 {
 				it.maxPerZone, it.inZone = k/2+1, map[int32]int{}
 			}
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -161,7 +161,7 @@
 				})
 				return
 			}
-			p.logger.Debug("renting without a result", "request", request.Request, "err", err)
+			p.logger.Debug("scale-out outcome unknown", "request", request.Request, "err", err)
 			if !p.sleep(backoff) {
 				return
 			}
@@ -209,7 +209,7 @@
 	go func() {
 		err := p.ifTrusted(func() error { return p.cloud.Release(p.ctx, names) })
 		if err != nil && p.ctx.Err() == nil {
-			p.logger.Debug("returning without a result", "err", err)
+			p.logger.Debug("machine release outcome unknown", "err", err)
 			p.sleep(500 * time.Millisecond)
 		}
 		p.post(func() {
@@ -235,7 +235,7 @@
 		p.post(func() {
 			p.fetchingTypes = false
 			if err != nil {
-				p.logger.Warn("cloud does not tell its machine types", "err", err)
+				p.logger.Warn("machine type listing failed", "err", err)
 				return
 			}
 			p.onResult(Result{Kind: TypesListed, MachineTypes: types})
@@ -250,7 +250,7 @@
 		p.post(func() {
 			p.listing = false
 			if err != nil {
-				p.logger.Debug("cloud does not list machines", "err", err)
+				p.logger.Debug("machine listing failed", "err", err)
 				p.onResult(Result{Kind: CloudUnavailable})
 				return
 			}
--- a/internal/scheduling/scheduler/drain.go
+++ b/internal/scheduling/scheduler/drain.go
@@ -65,7 +65,7 @@
 				continue
 			}
 			if s.hasResources(m, j, view, need) {
-				binder.Preempt(r, false, "its machine is to be returned")
+				binder.Preempt(r, false, "machine draining for scale-in")
 				return true
 			}
 			if runs, cost, ok := s.victims(j, view, need, model.Normal, now); ok && len(runs) > 0 && (best.view == nil || cost < best.cost) {
@@ -78,7 +78,7 @@
 	}
 	s.reservations[best.view.machine] = reservation{bestNeed, now + reservationTTL}
 	for _, v := range best.runs {
-		binder.Preempt(v, false, "room for a replica whose machine is to be returned")
+		binder.Preempt(v, false, "capacity for replica of draining machine")
 	}
 	return true
 }
@@ -159,7 +159,7 @@
 		zoneMay := view.machine.Zone == r.Machine.Zone || j.ZoneAllows(view.machine.Zone)
 		if s.mayUse(m, j, view, need) && s.hasResources(m, j, view, need) && zoneMay {
 			view.claimed = view.claimed.Plus(need)
-			binder.Preempt(r, false, "its machine is to go")
+			binder.Preempt(r, false, "machine evacuation")
 			return
 		}
 	}
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -23,7 +23,7 @@
 				if r.Phase == model.Fetching && m.IsLongFetch(j, r.Machine) {
 					continue // its fetch would be given up, and begin anew with the next attempt
 				}
-				binder.Preempt(r, false, "the gang lost a member")
+				binder.Preempt(r, false, "gang member lost")
 			}
 		}
 		return
@@ -196,7 +196,7 @@
 		o.view.claimed = o.view.claimed.Plus(t.need)
 		if complete && !patient { // nothing is stopped for a part of a gang
 			for _, r := range o.runs {
-				binder.Preempt(r, false, "room for "+j.Spec.ID)
+				binder.Preempt(r, false, "capacity for job "+j.Spec.ID)
 			}
 			o.view.stoppingKnown = false
 		}
@@ -290,7 +290,7 @@
 	for _, o := range best {
 		o.view.claimed = o.view.claimed.Plus(t.need)
 		for _, r := range o.runs {
-			binder.Preempt(r, false, "room where its image is, for "+j.Spec.ID)
+			binder.Preempt(r, false, "image locality, for job "+j.Spec.ID)
 		}
 		o.view.stoppingKnown = false
 	}
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -289,6 +289,6 @@
 			continue
 		}
 		shortfall.cpus, shortfall.gpus = shortfall.cpus-r.Job.Spec.CPUs, shortfall.gpus-r.Job.Spec.GPUs
-		binder.Preempt(r, false, "its team's limit, for "+j.Spec.ID)
+		binder.Preempt(r, false, "team quota, for job "+j.Spec.ID)
 	}
 }
