--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -16,14 +16,14 @@
 	replica *replica
 	term    *termState
 
-	fenceProvenAt    time.Time // the other controllers showed that nothing this node lacks was confirmed by then
+	provenAt         time.Time // the other controllers showed that nothing this node lacks was confirmed by then
 	lastBarrierRound time.Time // when they were last asked
 }
 
 // knownCommittedAt is when this node last knew of all that had been confirmed: its copy of the log was complete, or the other controllers vouched for it.
 func (cf *commitFence) knownCommittedAt() time.Time {
-	if cf.fenceProvenAt.After(cf.replica.caughtUpAt) {
-		return cf.fenceProvenAt
+	if cf.provenAt.After(cf.replica.caughtUpAt) {
+		return cf.provenAt
 	}
 	return cf.replica.caughtUpAt
 }
@@ -51,18 +51,18 @@
 		}
 	}
 	cf.lastBarrierRound = now
-	generation := cf.replica.replicaGeneration
+	generation := cf.replica.generation
 	round := cf.replica.watermarks.BeginRound(cf.now(), cf.knownCommittedAt().Sub(cf.startTime), cf.replica.appliedSeq, len(cf.settings.Members))
 	advanceFence := func() {
 		at, ok := round.Proven()
-		if !ok || cf.replica.replicaGeneration != generation || !cf.replica.loaded {
+		if !ok || cf.replica.generation != generation || !cf.replica.loaded {
 			return // the copy that the round was about is not there any more
 		}
 		if t := cf.startTime.Add(at); t.After(cf.knownCommittedAt()) {
-			if !cf.fenceProvenAt.After(cf.replica.caughtUpAt) {
+			if !cf.provenAt.After(cf.replica.caughtUpAt) {
 				cf.log.Info("key-value store unreachable from all controllers, leases extended", "duration", time.Since(cf.replica.caughtUpAt).Round(time.Second))
 			}
-			cf.fenceProvenAt = t
+			cf.provenAt = t
 		}
 	}
 	if len(cf.settings.Members) == 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -86,9 +86,9 @@
 	c := newComponents(newEnvironment(network, settings, options, logger))
 	params := &settings.Params
 	sockets := params.Limits.MaxSockets
-	c.intake.intakeLimiter = newIntakeLimiter(params.KVStore.WriteRPS, len(settings.Members)+1)
+	c.intake.limiter = newIntakeLimiter(params.KVStore.WriteRPS, len(settings.Members)+1)
 	c.leadership.eligibility = newEligibility(settings, c.links, c.now)
-	c.relay.relayState = newRelaying(c.connLimiter.MaxConns, sockets)
+	c.relay.state = newRelaying(c.connLimiter.MaxConns, sockets)
 	c.leases.renewals = lease.NewRenewalTable(c.now())
 	c.loop.workQueue = make(chan func(), workQueueSize)
 	c.loop.requestQueue = make(chan queuedRequest, maxQueuedRequests)
@@ -100,7 +100,7 @@
 	c.probes.maxZoneProbes = zoneProbeLimit(sockets, len(params.Zones))
 	c.probes.maxFollowUpProbes = followUpProbeLimit(sockets)
 	if options.SingletonRoles {
-		c.roles.singletons = newRoleState(settings.Node)
+		c.roles.state = newRoleState(settings.Node)
 	}
 	c.replica.reset()
 	c.forward.publish()
@@ -180,7 +180,7 @@
 	run("loop", func() error { defer close(c.loop.loopDone); c.loop.run(ctx); return nil })
 	run("storage", func() error { c.leadership.runReplication(ctx); return nil })
 	run("peers", func() error { return rpc.Serve(ctx, peerListener, c.handlePeerRequest, &c.traffic, c.log) })
-	if c.roles.singletons != nil {
+	if c.roles.state != nil {
 		run("duties", func() error { c.roles.watchRoles(ctx); return nil })
 	} else {
 		run("duties", func() error { c.roles.withdrawFromRoles(ctx); return nil })
@@ -201,7 +201,7 @@
 	}
 	c.log.Info("controller started", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind, "pid", os.Getpid())
 	<-ctx.Done()
-	if c.roles.singletons != nil {
+	if c.roles.state != nil {
 		<-c.loop.loopDone
 		c.roles.revokeRoles()
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -135,13 +135,13 @@
 				c.explanations.Queue(ctx, adminapi.Filter{Team: "red", Class: "web", Reason: "limit", Limit: 20})
 			},
 			func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
-			func() { c.roles.publishResult(ctx, c.roles.singletons.roles[singleton.Provisioning], 300, hired) },
+			func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, hired) },
 			func() { c.leases.queryZoneRenewals(&leaderTerm{ctx: ctx}, c.to, 0, 0, "a", 300) },
 			func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
 			func() { c.loop.postAndWait(c.relay.maintainRelay) },
 			func() {
-				c.relay.relayState.leaderLink.Store(c.to)
-				c.relay.relayState.enabled.Store(true)
+				c.relay.state.leaderLink.Store(c.to)
+				c.relay.state.enabled.Store(true)
 				c.heartbeatRouter.forwardReport(ctx, report)
 			},
 			func() {
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -55,7 +55,7 @@
 
 // forwardReport passes a worker's report on to the leader. It returns nil where this node is no relay.
 func (hr *heartbeatRouter) forwardReport(ctx context.Context, report *wire.Heartbeat) *rpc.Response {
-	state := hr.relay.relayState
+	state := hr.relay.state
 	target := state.leaderLink.Load()
 	if target == nil || !state.enabled.Load() {
 		return nil
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -21,15 +21,15 @@
 	replica *replica
 	term    *termState
 
-	intakeLimiter *rate.Limiter // of jobs taken without the leader
+	limiter *rate.Limiter // of jobs taken without the leader
 }
 
 // intakeTerm is what intake keeps for one term of leadership.
 type intakeTerm struct {
-	dropping           map[uint64]bool // jobs of the intake that the log has, whose records are being deleted
-	droppable          []uint64        // those of them that may go now
-	dropInFlight       bool
-	intakeRescanNeeded bool // at the intake, after that
+	dropping     map[uint64]bool // jobs of the intake that the log has, whose records are being deleted
+	droppable    []uint64        // those of them that may go now
+	dropInFlight bool
+	rescanNeeded bool // at the intake, after that
 }
 
 // allow bounds the jobs taken without the leader. Each costs two changes of the state
@@ -46,10 +46,10 @@
 		}
 	})
 	limit := rate.Limit(in.settings.Params.KVStore.WriteRPS * share / float64(len(in.settings.Members)+1))
-	if in.intakeLimiter.Limit() != limit {
-		in.intakeLimiter.SetLimit(limit)
+	if in.limiter.Limit() != limit {
+		in.limiter.SetLimit(limit)
 	}
-	return in.intakeLimiter.Allow()
+	return in.limiter.Allow()
 }
 
 // ingest enters jobs of the intake into the log, and deletes their keys once the
@@ -62,7 +62,7 @@
 	seq := uint64(0)
 	for _, record := range jobs {
 		if term.intake.dropping[record.Job] {
-			term.intake.intakeRescanNeeded = true // it may have been written again meanwhile
+			term.intake.rescanNeeded = true // it may have been written again meanwhile
 			continue
 		}
 		entry, err := model.ReadEntry(&codec.Reader{Data: record.Data})
@@ -115,8 +115,8 @@
 					delete(term.intake.dropping, j)
 				}
 			}
-			if in.dropCommitted(term); !term.intake.dropInFlight && term.intake.intakeRescanNeeded {
-				term.intake.intakeRescanNeeded = false
+			if in.dropCommitted(term); !term.intake.dropInFlight && term.intake.rescanNeeded {
+				term.intake.rescanNeeded = false
 				go func() {
 					if records, _, err := in.oplog.ListIntake(term.ctx); err == nil {
 						in.loop.post(func() { in.ingest(term, records) })
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -263,7 +263,7 @@
 	ls.loop.roundRequested = true
 	term.heartbeats.lastHeartbeat, term.rounds.lowPriorityLimit = ls.now(), maxLowPerRound
 	nodeCount := len(ls.settings.Members) + 1
-	term.assignments.relayAssignments, term.assignments.acceptingNodes, term.assignments.lastRelayOffers = relay.NewTable(nodeCount), make([]bool, nodeCount), make([]model.Time, nodeCount)
+	term.assignments.table, term.assignments.acceptingNodes, term.assignments.lastRelayOffers = relay.NewTable(nodeCount), make([]bool, nodeCount), make([]model.Time, nodeCount)
 	ls.assignments.maintainAssignments(term)
 	ls.probes.probeAll()
 	ls.metrics.Terms.Inc()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -183,7 +183,7 @@
 				ctx, stop := context.WithCancel(n.ctx)
 				defer stop()
 				n.term.ownTerm = &leaderTerm{
-					ctx: ctx, assignments: relayAssignmentsTerm{relayAssignments: relay.NewTable(1)},
+					ctx: ctx, assignments: relayAssignmentsTerm{table: relay.NewTable(1)},
 				}
 				asked := 0
 				for i := range 400 {
@@ -213,7 +213,7 @@
 				forWorkers := sockets / 3
 				asks := zones*zoneProbeLimit(sockets, zones) + 2*n.probes.maxFollowUpProbes
 				leads := n.connLimiter.MaxConns + max(forWorkers, forWorkers/2+asks)
-				relays := n.connLimiter.MaxConns + max(forWorkers, forWorkers/2+cap(n.relay.relayState.probes))
+				relays := n.connLimiter.MaxConns + max(forWorkers, forWorkers/2+cap(n.relay.state.probes))
 				if most := max(leads, relays) + others; most > sockets {
 					t.Errorf("%d zones: %d of %d sockets", zones, most, sockets)
 				}
@@ -227,7 +227,7 @@
 func TestRelayTakesItsShare(t *testing.T) {
 	for sockets, most := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
 		aloneWith(t, sockets, func(n *Controller) {
-			for what, room := range map[string]slots{"reports": n.relay.relayState.reports, "commands": n.relay.relayState.orders} {
+			for what, room := range map[string]slots{"reports": n.relay.state.reports, "commands": n.relay.state.orders} {
 				taken := 0
 				for room.tryAcquire() {
 					taken++
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -23,7 +23,7 @@
 type probesTerm struct {
 	maxZoneProbes  int                        // silent machines of a zone that are asked at once
 	unresponsive   map[*model.Machine]bool    // asked, without an answer, and not heard of in this term
-	zoneProbes     map[int32]*zoneProbeCounts // what came of asking, by zone
+	zones          map[int32]*zoneProbeCounts // what came of asking, by zone
 	followUpProbes int                        // machines that are being asked because of what they said
 	heartbeatCount int                        // how often any machine was heard of in this term
 }
@@ -53,10 +53,10 @@
 const silentZoneThreshold = 5
 
 func (r *leaderTerm) zoneProbe(zone int32) *zoneProbeCounts {
-	z := r.probes.zoneProbes[zone]
+	z := r.probes.zones[zone]
 	if z == nil {
 		z = &zoneProbeCounts{slots: make(slots, r.probes.maxZoneProbes)}
-		r.probes.zoneProbes[zone] = z
+		r.probes.zones[zone] = z
 	}
 	return z
 }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -17,8 +17,8 @@
 	replica *replica
 	term    *termState
 
-	// relayState is this node's part in ending workers' connections for the leader.
-	relayState *relaying
+	// state is this node's part in ending workers' connections for the leader.
+	state *relaying
 }
 
 // relaying is this node as a relay. The loop writes it; the goroutines of workers' connections read it.
@@ -51,7 +51,7 @@
 
 // maintainRelay keeps the way to the leader up to date and offers this node as a relay.
 func (ry *relayAgent) maintainRelay() {
-	state := ry.relayState
+	state := ry.state
 	var target *rpc.Link
 	if ry.term.ownTerm == nil && ry.replica.loaded && ry.term.leader != nil {
 		if link := ry.links[ry.term.leader.Node]; link != nil && time.Since(link.LastResponse()) < linkFreshness {
@@ -81,10 +81,10 @@
 
 // forwardQuery asks a worker for the leader.
 func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) *rpc.Response {
-	if !ry.relayState.probes.tryAcquire() {
+	if !ry.state.probes.tryAcquire() {
 		return &rpc.Response{Status: statusBusy}
 	}
-	defer ry.relayState.probes.release()
+	defer ry.state.probes.release()
 	report, err := ry.agents.Probe(ctx, request.ID, probeTimeout)
 	if err != nil {
 		return &rpc.Response{Status: http.StatusServiceUnavailable}
@@ -98,10 +98,10 @@
 	if err != nil {
 		return api.Refuse(http.StatusBadRequest, err.Error())
 	}
-	if !ry.relayState.orders.tryAcquire() {
+	if !ry.state.orders.tryAcquire() {
 		return &rpc.Response{Status: statusBusy}
 	}
-	defer ry.relayState.orders.release()
+	defer ry.state.orders.release()
 	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
 	return &rpc.Response{Status: http.StatusOK, Body: relay.CommandResult{Fate: uint8(fate), Report: report}.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -14,7 +14,7 @@
 	"fieldhill/wire"
 )
 
-// relayAssignments is the leader's side of relaying: which relay each agent reports through, and the ways to reach an agent.
+// table is the leader's side of relaying: which relay each agent reports through, and the ways to reach an agent.
 type relayAssignments struct {
 	*environment
 	loop    *eventLoop
@@ -25,9 +25,9 @@
 	spreadThreshold int
 }
 
-// relayAssignmentsTerm is what relayAssignments keeps for one term of leadership.
+// relayAssignmentsTerm is what table keeps for one term of leadership.
 type relayAssignmentsTerm struct {
-	relayAssignments    *relay.Table // through which node each machine reports
+	table               *relay.Table // through which node each machine reports
 	acceptingNodes      []bool       // nodes that take more workers, by their index in the table
 	lastRelayOffers     []model.Time // when they last offered to be relays; 0: never
 	lastAssignmentSweep model.Time   // when the table was last swept
@@ -49,7 +49,7 @@
 		}
 		term := ra.term.ownTerm
 		term.assignments.acceptingNodes[index], term.assignments.lastRelayOffers[index] = offer.HasCapacity, ra.now()
-		send(&rpc.Response{Status: http.StatusOK, Body: relay.AppendOfferAnswer(nil, term.assignments.relayAssignments.Spreading())})
+		send(&rpc.Response{Status: http.StatusOK, Body: relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())})
 	})
 }
 
@@ -67,12 +67,12 @@
 func (ra *relayAssignments) redirectTarget(machine *model.Machine, node int) (to string, move bool) {
 	term := ra.term.ownTerm
 	now := ra.now()
-	term.assignments.relayAssignments.RecordReport(machine.Info.Name, node, now)
+	term.assignments.table.RecordReport(machine.Info.Name, node, now)
 	if !machine.Reported || now-machine.LastReport > ra.leaseDuration()/4 {
 		return "", false // its lease is renewed first: to look for another node takes time
 	}
 	open := func(index int) bool { return term.assignments.acceptingNodes[index] && ra.isRelay(index) }
-	index, move := term.assignments.relayAssignments.Redirect(machine.Info.Name, node, open, now)
+	index, move := term.assignments.table.Redirect(machine.Info.Name, node, open, now)
 	switch {
 	case !move:
 		return "", false
@@ -90,10 +90,10 @@
 
 // maintainAssignments is the leader's part of the housekeeping.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
-	term.assignments.relayAssignments.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
+	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
 		term.assignments.lastAssignmentSweep = now
-		term.assignments.relayAssignments.Forget(now - ra.silentAfter())
+		term.assignments.table.Forget(now - ra.silentAfter())
 	}
 }
 
@@ -123,7 +123,7 @@
 
 // relayFor is the link to the relay by which a machine reports; nil: it is commanded from here.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
-	i := ra.term.ownTerm.assignments.relayAssignments.NodeOf(machine.Info.Name)
+	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
 		return nil
 	}
@@ -133,7 +133,7 @@
 // routesTo is how a machine may be asked: by the node through which it reports and, if that fails, by one other way; nil
 // stands for from here. A leader that is cut off from workers whose relays are not must not take them for silent.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
-	if !ra.term.ownTerm.assignments.relayAssignments.Spreading() {
+	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
 	}
 	if via := ra.relayFor(machine); via != nil {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -43,7 +43,7 @@
 
 // workersPerNode is how many workers report through each node, the leader first, as the leader sees it.
 func workersPerNode(leader *Controller) (perNode []int) {
-	leader.loop.postAndWait(func() { perNode = append(perNode, leader.term.ownTerm.assignments.relayAssignments.Counts()...) })
+	leader.loop.postAndWait(func() { perNode = append(perNode, leader.term.ownTerm.assignments.table.Counts()...) })
 	return perNode
 }
 
@@ -174,7 +174,7 @@
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
 		old := nodeAt((leaderIndex + 1) % 3)
-		old.loop.postAndWait(func() { old.relay.relayState.neverOffers = true })
+		old.loop.postAndWait(func() { old.relay.state.neverOffers = true })
 		time.Sleep(40 * time.Second)
 		perNode := workersPerNode(nodeAt(leaderIndex))
 		if i := nodeAt(leaderIndex).assignments.memberIndex(old.settings.Node); perNode[i] != 0 {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -22,22 +22,22 @@
 	term       *termState
 
 	// Owned by the loop.
-	model             *model.Model
-	loaded            bool
-	appliedSeq        uint64                 // last batch applied (follower) or committed (leader)
-	caughtUpAt        time.Time              // the replica was complete then
-	lastStoreContact  time.Time              // the state service answered a watch, or the load, then
-	watermarks        commitfence.Watermarks // what this process has ever seen of the log
-	replicaGeneration int                    // how often the copy was thrown away
-	catchUpMu         sync.Mutex
-	catchUpRead       *catchUpRead
+	model            *model.Model
+	loaded           bool
+	appliedSeq       uint64                 // last batch applied (follower) or committed (leader)
+	caughtUpAt       time.Time              // the replica was complete then
+	lastStoreContact time.Time              // the state service answered a watch, or the load, then
+	watermarks       commitfence.Watermarks // what this process has ever seen of the log
+	generation       int                    // how often the copy was thrown away
+	catchUpMu        sync.Mutex
+	catchUpRead      *catchUpRead
 }
 
 func (rp *replica) reset() {
 	rp.model = model.New(&rp.settings.Params)
 	rp.appliedSeq, rp.loaded, rp.term.ownTerm = 0, false, nil
 	rp.keepalives.clearedMachines = clearedMachines{} // machines' numbers are the log's, but those that are gone need not be kept
-	rp.replicaGeneration++
+	rp.generation++
 }
 
 // isStoreReachable tells whether a follower is in touch with the state service. What its replica is surely complete up to is no
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -30,7 +30,7 @@
 	replica      *replica
 	term         *termState
 
-	singletons *roleState // nil: the leader does all of it
+	state *roleState // nil: the leader does all of it
 }
 
 // roleState are this node's parts in them; the loop owns them.
@@ -71,10 +71,10 @@
 
 // rolesDistributed tells whether duties are held one by one. Where a node does not take part the leader does all of it.
 func (rs *singletonRoles) rolesDistributed() bool {
-	if rs.singletons == nil || !rs.singletons.loaded || !rs.singletons.participants[rs.settings.Node] {
+	if rs.state == nil || !rs.state.loaded || !rs.state.participants[rs.settings.Node] {
 		return false
 	}
-	return !slices.ContainsFunc(rs.settings.Members, func(m config.Member) bool { return !rs.singletons.participants[m.Node] })
+	return !slices.ContainsFunc(rs.settings.Members, func(m config.Member) bool { return !rs.state.participants[m.Node] })
 }
 
 // watchRoles reads the keys of duties and follows them, until the context ends.
@@ -121,7 +121,7 @@
 
 // onRoleChanges takes in what the keys say; all: these are all there are.
 func (rs *singletonRoles) onRoleChanges(changes []oplog.RoleUpdate, revision uint64, complete bool) {
-	roles, now := rs.singletons, rs.now()
+	roles, now := rs.state, rs.now()
 	if complete {
 		clear(roles.participants)
 		for _, role := range roles.roles {
@@ -167,7 +167,7 @@
 
 // maintainRoles has the keepers look at the time, and the duties that are held done.
 func (rs *singletonRoles) maintainRoles() {
-	roles := rs.singletons
+	roles := rs.state
 	if roles == nil || !roles.loaded {
 		return
 	}
@@ -261,7 +261,7 @@
 func (rs *singletonRoles) revokeRoles() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(rs.ctx), time.Second)
 	defer cancel()
-	for _, role := range rs.singletons.roles {
+	for _, role := range rs.state.roles {
 		if role.Term() != 0 {
 			_ = rs.store.Revoke(ctx, role.Lease())
 		}
@@ -270,7 +270,7 @@
 
 // syncRole has the work of a duty follow the hold of it.
 func (rs *singletonRoles) syncRole(role *singleton.Role) {
-	current := &rs.singletons.holdings[role.Name]
+	current := &rs.state.holdings[role.Name]
 	current.trustedUntil.Store(int64(role.TrustedUntil()))
 	if current.term == role.Term() {
 		return
@@ -282,9 +282,9 @@
 	}
 	switch role.Name {
 	case singleton.Provisioning:
-		rs.singletons.provisioner = nil
+		rs.state.provisioner = nil
 	case singleton.Compaction:
-		rs.singletons.compactor = nil
+		rs.state.compactor = nil
 	}
 	if current.term = role.Term(); current.term == 0 {
 		return
@@ -295,13 +295,13 @@
 	switch role.Name {
 	case singleton.Provisioning:
 		term := current.term
-		rs.singletons.provisioner = rs.provisioning.newProvisioner(ctx, func() bool { return int64(rs.now()) < current.trustedUntil.Load() }, func(o provisioner.Result) {
+		rs.state.provisioner = rs.provisioning.newProvisioner(ctx, func() bool { return int64(rs.now()) < current.trustedUntil.Load() }, func(o provisioner.Result) {
 			if role.Term() == term {
 				rs.publishResult(ctx, role, term, &o)
 			}
 		})
 	case singleton.Compaction:
-		rs.singletons.compactor = rs.newCompactor(ctx, role, current.term)
+		rs.state.compactor = rs.newCompactor(ctx, role, current.term)
 	}
 }
 
@@ -370,11 +370,11 @@
 	}
 	return rs.loop.respond(ctx, func(send func(*rpc.Response)) {
 		switch {
-		case rs.singletons == nil:
+		case rs.state == nil:
 			send(api.Refuse(http.StatusNotImplemented, "duties are not held one by one here"))
 		case !rs.term.isActive():
 			send(api.RetryLater("no leader here", 1))
-		case !rs.singletons.roles[singleton.Provisioning].IsCurrent(term):
+		case !rs.state.roles[singleton.Provisioning].IsCurrent(term):
 			send(api.Refuse(http.StatusConflict, "another holds the duty"))
 		default:
 			rs.provisioning.onProvisionerResult(rs.term.ownTerm, result)
@@ -445,11 +445,11 @@
 	for _, i := range rs.replica.model.Intents {
 		status.UncertainProvisioning = append(status.UncertainProvisioning, i.Name)
 	}
-	if rs.singletons == nil {
+	if rs.state == nil {
 		return status
 	}
 	now := rs.now()
-	for _, role := range rs.singletons.roles {
+	for _, role := range rs.state.roles {
 		holder := role.Holder()
 		d := wire.RoleStatus{Role: role.Name.String(), Holder: holder.Node, Term: holder.Term, ObservedS: (now - holder.Since).Seconds(), NoProgressHolders: role.StalledHolders(), ReleaseReason: role.ReleaseReason()}
 		if role.Term() != 0 {
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -21,8 +21,8 @@
 func findRoleHolder(name singleton.Name) int {
 	for i := range 3 {
 		holds := false
-		if node := nodeAt(i); node != nil && node.roles.singletons != nil {
-			node.loop.postAndWait(func() { holds = node.roles.singletons.roles[name].Trusted(node.now()) })
+		if node := nodeAt(i); node != nil && node.roles.state != nil {
+			node.loop.postAndWait(func() { holds = node.roles.state.roles[name].Trusted(node.now()) })
 		}
 		if holds {
 			return i
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -51,9 +51,9 @@
 	view.OpenProvisioning = len(tm.replica.model.Intents)
 	view.PeerFrames, view.PeerBytes, view.PeerWrites = tm.traffic.Frames.Load(), tm.traffic.Bytes.Load(), tm.traffic.Writes.Load()
 	if tm.term.ownTerm != nil {
-		view.AssignedAgents = tm.term.ownTerm.assignments.relayAssignments.Counts()[relay.Leader]
+		view.AssignedAgents = tm.term.ownTerm.assignments.table.Counts()[relay.Leader]
 	}
-	if singletons := tm.roles.singletons; singletons != nil {
+	if singletons := tm.roles.state; singletons != nil {
 		view.HoldsProvisioning, view.HoldsCompaction = singletons.roles[singleton.Provisioning].Trusted(tm.now()), singletons.roles[singleton.Compaction].Trusted(tm.now())
 	}
 	view.WorstClass, view.WorstTeam = 1, 1
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -54,12 +54,12 @@
 			dirtyAfterCommit: map[*model.Machine]bool{},
 		},
 		health: machineHealthTerm{zonePartitionedUntil: map[int32]model.Time{}},
-		zones:  zoneLivenessTerm{partitionedNodes: map[string]*partitionedNode{}},
+		zones:  zoneLivenessTerm{nodes: map[string]*partitionedNode{}},
 		intake: intakeTerm{dropping: map[uint64]bool{}},
 		probes: probesTerm{
 			maxZoneProbes: maxZoneProbes,
 			unresponsive:  map[*model.Machine]bool{},
-			zoneProbes:    map[int32]*zoneProbeCounts{},
+			zones:         map[int32]*zoneProbeCounts{},
 		},
 		heartbeats: heartbeatsTerm{unknownMachines: map[string]bool{}},
 	}
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -23,7 +23,7 @@
 
 // zoneLivenessTerm is what zoneLiveness keeps for one term of leadership.
 type zoneLivenessTerm struct {
-	partitionedNodes       map[string]*partitionedNode // what was seen of nodes that this one does not reach
+	nodes                  map[string]*partitionedNode // what was seen of nodes that this one does not reach
 	partitionQueryInFlight bool                        // which nodes are apart
 	lastPartitionQuery     time.Time
 }
@@ -66,7 +66,7 @@
 
 // isCleared tells whether a node that does not reach this one has just heard from a machine, and nothing of a cancelled job was left there.
 func (r *leaderTerm) isCleared(id model.MachineID) bool {
-	for _, a := range r.zones.partitionedNodes {
+	for _, a := range r.zones.nodes {
 		if a.clearedMachines[id] && time.Since(a.updatedAt) < 2*partitionReportInterval {
 			return true
 		}
@@ -89,7 +89,7 @@
 		if time.Since(zl.links[m.Node].LastResponse()) < 2*linkFreshness {
 			return true
 		}
-		if a := term.zones.partitionedNodes[m.Node]; a != nil && time.Since(a.updatedAt) < 2*partitionReportInterval {
+		if a := term.zones.nodes[m.Node]; a != nil && time.Since(a.updatedAt) < 2*partitionReportInterval {
 			return true
 		}
 	}
@@ -108,14 +108,14 @@
 			}
 			term.zones.lastPartitionQuery = time.Now()
 			for _, a := range list {
-				old := term.zones.partitionedNodes[a.Node]
+				old := term.zones.nodes[a.Node]
 				switch {
 				case old == nil:
-					term.zones.partitionedNodes[a.Node] = &partitionedNode{version: a.Version, clearedMachines: decodeCleared(&a)}
+					term.zones.nodes[a.Node] = &partitionedNode{version: a.Version, clearedMachines: decodeCleared(&a)}
 					// A record seen for the first time may be old: only one that
 					// knows the log to nearly its end counts at once.
 					if a.Seq+maxPartitionReportLag > term.commits.committedSeq {
-						term.zones.partitionedNodes[a.Node].updatedAt = time.Now()
+						term.zones.nodes[a.Node].updatedAt = time.Now()
 					}
 				case old.version != a.Version:
 					old.version, old.updatedAt, old.clearedMachines = a.Version, time.Now(), decodeCleared(&a)
