--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale runs real controllers among thousands of hollow workers on loopback and measures what each role costs. It is
-// no deployment: its machines run nothing.
+// Command scale runs real controllers among thousands of hollow workers on loopback and measures what each role
+// costs. It is no deployment: its machines run nothing.
 package main
 
 import (
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -45,7 +45,8 @@
 	r.renewedAt[machine] = now
 }
 
-// LastRenewal tells when a machine's lease was last renewed by this node, at the latest; kept is since when nothing was dropped.
+// LastRenewal tells when a machine's lease was last renewed by this node, at the latest; kept is since when nothing
+// was dropped.
 func (r *RenewalTable) LastRenewal(machine string, retainedSince Time) Time {
 	return max(r.knownSince, r.renewedAt[machine], retainedSince)
 }
@@ -61,8 +62,9 @@
 
 // RenewalReport is what a node says of a zone's machines.
 type RenewalReport struct {
-	Age         Time            // since it began; what was before it does not know
-	RenewalAges map[string]Time // since it last renewed a machine's lease; missing: not since it began, or longer ago than it keeps
+	Age Time // since it began; what was before it does not know
+	// since it last renewed a machine's lease; missing: not since it began, or longer ago than it keeps
+	RenewalAges map[string]Time
 }
 
 // reportEntry is a machine's place in a word that may be too large.
@@ -116,10 +118,10 @@
 	return (bits.Len64(v|1) + bitsEach - 1) / bitsEach
 }
 
-// truncate fills a word anew with as many machines as go into most bytes. Who reads it takes one that is missing for renewed
-// when the process began, or longer ago, so the word then says that it began when the youngest of those left out was
-// renewed: later than true, never earlier. The suspect ones that this node never renewed are named, so that this does
-// not hold for them.
+// truncate fills a word anew with as many machines as go into most bytes. Who reads it takes one that is missing for
+// renewed when the process began, or longer ago, so the word then says that it began when the youngest of those left
+// out was renewed: later than true, never earlier. The suspect ones that this node never renewed are named, so that
+// this does not hold for them.
 func (w *RenewalReport) truncate(list []reportEntry, maxBytes int) {
 	rank := func(s reportEntry) int {
 		switch {
@@ -144,8 +146,8 @@
 	}
 }
 
-// LastRenewal tells when a machine's lease was last renewed by the node whose word this is, at the latest, if the word came at a time.
-// Kept is for how long that node keeps what it did.
+// LastRenewal tells when a machine's lease was last renewed by the node whose word this is, at the latest, if the
+// word came at a time. Kept is for how long that node keeps what it did.
 func (r RenewalReport) LastRenewal(machine string, receivedAt, retention Time) Time {
 	if age, ok := r.RenewalAges[machine]; ok {
 		return receivedAt - age
@@ -202,7 +204,8 @@
 	}
 }
 
-// CountsFrom tells from when the lease counts at the latest, given when this node renewed it last, if all others have said when they did.
+// CountsFrom tells from when the lease counts at the latest, given when this node renewed it last, if all others have
+// said when they did.
 func (p *ExpiryProof) CountsFrom(others int, own Time) (from Time, complete bool) {
 	if len(p.lastRenewals) != others {
 		return 0, others == 0
@@ -222,8 +225,8 @@
 	return len(p.lastRenewals) != others || p.lastRenewals[node] < 0
 }
 
-// Expired tells whether a lease that counts from a time has surely run out: clocks differ by up to a twentieth of a per cent, and
-// four times that is allowed for.
+// Expired tells whether a lease that counts from a time has surely run out: clocks differ by up to a twentieth of a
+// per cent, and four times that is allowed for.
 func Expired(from, lease, now Time) bool {
 	const drift = 500
 	return now-from > lease+lease/drift+time.Second
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLeaseNeverExpiresEarly holds the proof against a plain world: controllers that renew a lease at drawn times, end and begin anew, and are asked at
-// drawn times, whose word is under way for a while. Never is the lease taken for over before it is.
+// TestLeaseNeverExpiresEarly holds the proof against a plain world: controllers that renew a lease at drawn times,
+// end and begin anew, and are asked at drawn times, whose word is under way for a while. Never is the lease taken for
+// over before it is.
 func TestLeaseNeverExpiresEarly(t *testing.T) {
 	const lease, retention = 24 * time.Second, 48 * time.Second
 	proven := 0
@@ -21,7 +22,8 @@
 		}
 		last := time.Duration(0) // when the lease was last renewed by anybody
 		var proof ExpiryProof
-		from := at("asked", 60*time.Second, 100*time.Second) // the suspicion is known to all by then, and nobody renews any more
+		// the suspicion is known to all by then, and nobody renews any more
+		from := at("asked", 60*time.Second, 100*time.Second)
 		for i := range others {
 			began := at("began", 0, 60*time.Second)
 			processStarts := []time.Duration{0, began} // an earlier process, and this one
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -12,8 +12,8 @@
 // ErrMalformed says that a message of another controller can't be read.
 var ErrMalformed = errors.New("relay: malformed message")
 
-// knownTexts are the texts of reports and orders that have a number of their own. Their order is part of the format: new
-// ones go to the end. Number 0 says that the text itself follows.
+// knownTexts are the texts of reports and orders that have a number of their own. Their order is part of the format:
+// new ones go to the end. Number 0 says that the text itself follows.
 var knownTexts = []string{
 	wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited,
 	wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
@@ -141,8 +141,8 @@
 	return orders, nil
 }
 
-// CommandResult is what became of a direct command that another controller sent: its fate, as the client of the workers'
-// interface numbers it, and the worker's report if it answered with one.
+// CommandResult is what became of a direct command that another controller sent: its fate, as the client of the
+// workers' interface numbers it, and the worker's report if it answered with one.
 type CommandResult struct {
 	Fate   uint8
 	Report *wire.Heartbeat
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -11,9 +11,9 @@
 	"fieldhill/wire"
 )
 
-// TestTableMatchesModel compares the table with a plain list of who reports where, over drawn reports, machines that fall silent and
-// nodes that close: the counts are right, nobody is sent to a node that is closed or already has its share, and once
-// workers follow, no open node has more than its share and the slack.
+// TestTableMatchesModel compares the table with a plain list of who reports where, over drawn reports, machines that
+// fall silent and nodes that close: the counts are right, nobody is sent to a node that is closed or already has its
+// share, and once workers follow, no open node has more than its share and the slack.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 5).Draw(t, "nodes")
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestTableBalances: all workers come to the leader at once, and are spread within a few of their reports; a node that is
-// back gets its share again.
+// TestTableBalances: all workers come to the leader at once, and are spread within a few of their reports; a node
+// that is back gets its share again.
 func TestTableBalances(t *testing.T) {
 	table, open := NewTable(3), func(int) bool { return true }
 	table.UpdateSpreading(3000, 2000)
@@ -109,7 +109,8 @@
 	return report
 }
 
-// TestMessagesRoundTrip: what is encoded is decoded the same, and what is cut short or has something behind it is refused.
+// TestMessagesRoundTrip: what is encoded is decoded the same, and what is cut short or has something behind it is
+// refused.
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := drawReport(t)
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -1,5 +1,5 @@
-// Package relay is the pure part of spreading workers' connections over the controllers of a cell: which controller ends
-// which worker's connection (Table), and the binary form in which reports and orders travel between controllers.
+// Package relay is the pure part of spreading workers' connections over the controllers of a cell: which controller
+// ends which worker's connection (Table), and the binary form in which reports and orders travel between controllers.
 //
 // A controller that does not lead may end workers' connections and pass each report on to the leader, and the leader's
 // answer back. Such a relay decides nothing: to the leader it is a part of the network, which may delay, lose or repeat
@@ -47,7 +47,8 @@
 	return &Table{assignments: map[string]assignment{}, counts: make([]int, nodes), nextPause: make([]Time, nodes), closedUntil: make([]Time, nodes)}
 }
 
-// UpdateSpreading decides whether workers are spread: when the cell has more machines than the leader takes connections.
+// UpdateSpreading decides whether workers are spread: when the cell has more machines than the leader takes
+// connections.
 func (t *Table) UpdateSpreading(machines, maxConns int) {
 	if t.spreading {
 		t.spreading = machines*offShareDenominator >= maxConns*offShareNumerator
@@ -82,8 +83,9 @@
 // Counts is how many machines report through each node.
 func (t *Table) Counts() []int { return t.counts }
 
-// Redirect decides whether a machine that reports through a node is sent to another one. Open tells which nodes take more
-// workers now, and is asked only where workers are spread; the leader always does. The machine counts as moved at once, so that no more are sent than needed.
+// Redirect decides whether a machine that reports through a node is sent to another one. Open tells which nodes take
+// more workers now, and is asked only where workers are spread; the leader always does. The machine counts as moved
+// at once, so that no more are sent than needed.
 func (t *Table) Redirect(machine string, node int, open func(node int) bool, now Time) (to int, redirect bool) {
 	if !t.spreading {
 		return Leader, node != Leader
--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -1,10 +1,11 @@
 // Package staleness judges what a worker's word proves about now, and whether what is said to the worker arrives. It is
 // pure: numbers and tokens go in, a judgement comes out. Everything that follows from a report asks here first.
 //
-// A worker's messages carry two numbers that only grow, its session and its sequence, and the highest token that it has
-// seen, which only grows as well. Copies of reports come late, from seconds to well over a lease; machines are back under
-// the same name within a fraction of a second, and whether their numbers go on then or begin at 1 the protocol does not
-// say; and a leader that was just elected knows no numbers at all. So a report alone may be of any time in the past:
+// A worker's messages carry two numbers that only grow, its session and its sequence, and the highest token that it
+// has seen, which only grows as well. Copies of reports come late, from seconds to well over a lease; machines are
+// back under the same name within a fraction of a second, and whether their numbers go on then or begin at 1 the
+// protocol does not say; and a leader that was just elected knows no numbers at all. So a report alone may be of any
+// time in the past:
 //
 //   - a report with a number or a token that goes back is a copy, was overtaken, or comes from a worker that began anew.
 //     It proves nothing, and the machine is asked;
@@ -63,8 +64,9 @@
 // Ask tells what is known as a question goes out.
 func (t *Tracker) Ask() *Question { return &Question{t.newest, t.known, t.incarnations} }
 
-// Judge tells what a message proves; term is the lowest token of the leader's term, least a session that the worker is known, by
-// the log, to have reached, and q what was known when the message was asked for, nil for a report, for which nobody asked.
+// Judge tells what a message proves; term is the lowest token of the leader's term, least a session that the worker
+// is known, by the log, to have reached, and q what was known when the message was asked for, nil for a report, for
+// which nobody asked.
 func (t *Tracker) Judge(stamp Stamp, term, minSession uint64, question *Question) Freshness {
 	switch {
 	case !t.known && question == nil && stamp.Token < term:
@@ -81,8 +83,8 @@
 	return Fresh
 }
 
-// Accept takes in a message that is Fresh or Restarted. Fence is the lowest token that nobody was given yet, for a worker that began
-// anew. It tells whether the message shows that an answer arrived.
+// Accept takes in a message that is Fresh or Restarted. Fence is the lowest token that nobody was given yet, for a
+// worker that began anew. It tells whether the message shows that an answer arrived.
 func (t *Tracker) Accept(stamp Stamp, freshness Freshness, fence uint64, report bool) (acknowledged bool) {
 	if freshness == Restarted {
 		t.incarnations++
@@ -110,7 +112,8 @@
 // Token is the highest token that the worker was heard to have.
 func (t *Tracker) Token() uint64 { return t.newest.Token }
 
-// Fenced tells whether nothing that was sent to an earlier incarnation can be taken any more: the worker has a token that is higher.
+// Fenced tells whether nothing that was sent to an earlier incarnation can be taken any more: the worker has a token
+// that is higher.
 func (t *Tracker) Fenced() bool { return t.newest.Token >= t.fence }
 
 // OneWay tells whether answers do not arrive.
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRestartedIncarnation: after a worker began anew, copies from its earlier life have the higher numbers, and don't count; reports do once
-// they show a token that was given out since.
+// TestRestartedIncarnation: after a worker began anew, copies from its earlier life have the higher numbers, and
+// don't count; reports do once they show a token that was given out since.
 func TestRestartedIncarnation(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 50, 100), Fresh, 0, true)
@@ -81,7 +81,8 @@
 	}
 }
 
-// TestInboundPartition: a worker that does not show the token it was told, though it sent its next report, did not get the answer.
+// TestInboundPartition: a worker that does not show the token it was told, though it sent its next report, did not
+// get the answer.
 func TestInboundPartition(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 1, 100), Fresh, 0, true)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -94,9 +94,10 @@
 	}
 }
 
-// TestLeasesEndInTime adds up, for settings drawn at random, the longest that a task of a job can live that was cancelled just after a node last
-// knew of all that was confirmed: the node looks at its bound by its own clock when it reads a report, which was sent before; the worker
-// counts the lease by its own from the sending. Both clocks are as slow as the platform allows. The sum is in docs/DESIGN.md.
+// TestLeasesEndInTime adds up, for settings drawn at random, the longest that a task of a job can live that was
+// cancelled just after a node last knew of all that was confirmed: the node looks at its bound by its own clock when
+// it reads a report, which was sent before; the worker counts the lease by its own from the sending. Both clocks are
+// as slow as the platform allows. The sum is in docs/DESIGN.md.
 func TestLeasesEndInTime(t *testing.T) {
 	refused, narrow := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -89,8 +89,9 @@
 	})
 }
 
-// stopJobRuns stops what a cancelled job has on machines, before the log has the cancellation: a stop that is sent in vain is decided again or made good
-// by another start, and its user has no use for the job. So next to nothing of it starts after the user is told, which is when the log has it.
+// stopJobRuns stops what a cancelled job has on machines, before the log has the cancellation: a stop that is sent in
+// vain is decided again or made good by another start, and its user has no use for the job. So next to nothing of it
+// starts after the user is told, which is when the log has it.
 func (cn *cancellations) stopJobRuns(job *model.Job) {
 	for i := range job.Tasks {
 		if r := job.Tasks[i].Run; r != nil {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -79,7 +79,8 @@
 // compactEvery is after how many batches nodes that are started now compact the log; 0: as usual.
 var compactEvery int
 
-// relayThreshold is with more than how many machines nodes that are started now spread workers over the cell; 0: as usual.
+// relayThreshold is with more than how many machines nodes that are started now spread workers over the cell; 0: as
+// usual.
 var relayThreshold = flag.Int("relays", 0, "spread workers over the controllers from so many machines on, in every test")
 
 // maxSilentProbes is how many silent machines of a zone nodes that are started now ask at once; 0: as usual.
@@ -697,7 +698,8 @@
 func runRandomFaults(t *testing.T, w *emulator.Environment, rng *rand.Rand) {
 	endFaults := backgroundFaults(w, rand.New(rand.NewPCG(rng.Uint64(), 10)))
 	w.SetFaults(0.1, 20*time.Second)
-	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS) // what a process used up is missing to the next one
+	// what a process used up is missing to the next one
+	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
 	time.Sleep(6 * time.Second)
 	n, up := 0, []bool{true, true, true}
 	var open []string
@@ -821,7 +823,8 @@
 	checkConvergence(t, w, open)
 }
 
-// checkConvergence demands that all ends well once all troubles are over: nobody is forgotten, and once all jobs are cancelled nothing is left behind.
+// checkConvergence demands that all ends well once all troubles are over: nobody is forgotten, and once all jobs are
+// cancelled nothing is left behind.
 func checkConvergence(t *testing.T, w *emulator.Environment, open []string) {
 	w.Checker.MarkFaultsOver()
 	for range 20 { // nobody is forgotten, and none waits for long: each job is asked about, as users do
@@ -863,9 +866,10 @@
 	}
 }
 
-// backgroundFaults begins what goes on beside a random day: machines whose reports arrive while nothing reaches them, one or a zone; copies
-// of reports, from seconds to twice a lease late; a controller that loses the state service and the others but not its workers; and
-// machines that are back under their names within a moment. It returns what ends all of it.
+// backgroundFaults begins what goes on beside a random day: machines whose reports arrive while nothing reaches them,
+// one or a zone; copies of reports, from seconds to twice a lease late; a controller that loses the state service and
+// the others but not its workers; and machines that are back under their names within a moment. It returns what ends
+// all of it.
 func backgroundFaults(w *emulator.Environment, rng *rand.Rand) (endFaults func()) {
 	var ended atomic.Bool
 	if rng.IntN(2) == 0 {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -7,7 +7,8 @@
 	"fieldhill/wire"
 )
 
-// commandDispatcher gives machines their commands at once, as soon as the log permits, instead of with the next heartbeat.
+// commandDispatcher gives machines their commands at once, as soon as the log permits, instead of with the next
+// heartbeat.
 type commandDispatcher struct {
 	*environment
 	commits     *commitPipeline
@@ -109,7 +110,8 @@
 	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
-// stopRun has a run end that is to be stopped, or whose job is cancelled: at once if nothing of it has left this node, or else by telling its machine.
+// stopRun has a run end that is to be stopped, or whose job is cancelled: at once if nothing of it has left this
+// node, or else by telling its machine.
 func (cd *commandDispatcher) stopRun(run *model.Run) {
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
 		// Its placement is on the way into the log and nothing else happened: the
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -9,7 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// commitFence proves, out of touch with the key-value store, until when nothing was committed that this controller lacks.
+// commitFence proves, out of touch with the key-value store, until when nothing was committed that this controller
+// lacks.
 type commitFence struct {
 	*environment
 	loop    *eventLoop
@@ -20,7 +21,8 @@
 	lastBarrierRound time.Time // when they were last asked
 }
 
-// knownCommittedAt is when this node last knew of all that had been confirmed: its copy of the log was complete, or the other controllers vouched for it.
+// knownCommittedAt is when this node last knew of all that had been confirmed: its copy of the log was complete, or
+// the other controllers vouched for it.
 func (cf *commitFence) knownCommittedAt() time.Time {
 	if cf.provenAt.After(cf.replica.caughtUpAt) {
 		return cf.provenAt
@@ -38,8 +40,9 @@
 	})
 }
 
-// runBarrierRound asks all other controllers whether anything may have been confirmed that this node does not know of, while it can't read
-// the log. If all can be asked and none has, workers' leases are kept for longer: a long outage used to end all work when the bound was over.
+// runBarrierRound asks all other controllers whether anything may have been confirmed that this node does not know
+// of, while it can't read the log. If all can be asked and none has, workers' leases are kept for longer: a long
+// outage used to end all work when the bound was over.
 func (cf *commitFence) runBarrierRound() {
 	now := time.Now()
 	if cf.term.isActive() || !cf.replica.loaded || cf.term.ownTerm == nil && cf.replica.isStoreReachable() || now.Sub(cf.knownCommittedAt()) > cf.settings.StaleRenewalLimit() || now.Sub(cf.lastBarrierRound) < barrierInterval {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -231,7 +231,8 @@
 		link := links[m.Node]
 		link.PingBody = func() []byte { return candidacy.AppendQuery(nil, s.node, s.incarnation) }
 		link.OnPong = func(payload []byte) {
-			// An older node says nothing, which counts as not warm: then this process stands beside it, as all did before.
+			// An older node says nothing, which counts as not warm: then this process stands beside it, as all did
+			// before.
 			status, _ := candidacy.ReadStatus(payload)
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -251,8 +252,8 @@
 // for more than a second, keeps no machine of another one from being asked before it is given up.
 func zoneProbeLimit(sockets, zones int) int { return max(48, sockets/(10*max(1, zones))) }
 
-// followUpProbeLimit is how many machines are asked at the same time because of what they said, and as many because nobody
-// knows them.
+// followUpProbeLimit is how many machines are asked at the same time because of what they said, and as many because
+// nobody knows them.
 func followUpProbeLimit(sockets int) int { return max(32, sockets/32) }
 
 // relayedProbeLimit is how many machines a relay asks at the same time for the leader.
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -27,9 +27,9 @@
 	return -1, 0
 }
 
-// TestLeaderCrashLoop: a leader that ends again and again, each time back within a fraction of a second, used to take the lead again
-// itself, cold, while the others ran on. Now another leads as soon as its new process has ended the old lease, and keeps the
-// lead through all later ends. Work goes on: nothing is started anew.
+// TestLeaderCrashLoop: a leader that ends again and again, each time back within a fraction of a second, used to take
+// the lead again itself, cold, while the others ran on. Now another leads as soon as its new process has ended the
+// old lease, and keeps the lead through all later ends. Work goes on: nothing is started anew.
 func TestLeaderCrashLoop(t *testing.T) {
 	for k, back := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		runCluster(t, uint64(40+k), func(w *emulator.Environment) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestElectionWithoutWarmCandidate: where all processes are equally cold, or the others are gone or can't be heard of, a fresh one leads all the same.
+// TestElectionWithoutWarmCandidate: where all processes are equally cold, or the others are gone or can't be heard
+// of, a fresh one leads all the same.
 func TestElectionWithoutWarmCandidate(t *testing.T) {
 	for name, c := range map[string]struct {
 		end    func(w *emulator.Environment)
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestColdPartitionedNodeYields: a fresh process that hears of nobody, since links are refused, leaves the lead to a warm one
-// that sees the same key go.
+// TestColdPartitionedNodeYields: a fresh process that hears of nobody, since links are refused, leaves the lead to a
+// warm one that sees the same key go.
 func TestColdPartitionedNodeYields(t *testing.T) {
 	runCluster(t, 51, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -123,8 +124,9 @@
 	})
 }
 
-// TestDelayedElectionTransaction: a transaction that takes the lead for a process that has ended is carried out after the next one has read the log.
-// The key names a node that runs and does not lead; it ends that lease instead of everybody waiting for its end.
+// TestDelayedElectionTransaction: a transaction that takes the lead for a process that has ended is carried out after
+// the next one has read the log. The key names a node that runs and does not lead; it ends that lease instead of
+// everybody waiting for its end.
 func TestDelayedElectionTransaction(t *testing.T) {
 	runCluster(t, 54, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -159,8 +161,8 @@
 	})
 }
 
-// TestRequestsBeforeLogLoaded: a process that has just begun, of which nobody noticed that the one before it ended, is asked at once.
-// It calls no job unknown, ends no worker's lease, and says when to come back.
+// TestRequestsBeforeLogLoaded: a process that has just begun, of which nobody noticed that the one before it ended,
+// is asked at once. It calls no job unknown, ends no worker's lease, and says when to come back.
 func TestRequestsBeforeLogLoaded(t *testing.T) {
 	runCluster(t, 52, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -193,8 +195,8 @@
 	})
 }
 
-// TestIdleFollowerConnected: where nothing happens a follower is in touch with the state service all the same. By the age of
-// its replica it was not for a third of the time, and passed users on to others.
+// TestIdleFollowerConnected: where nothing happens a follower is in touch with the state service all the same. By the
+// age of its replica it was not for a third of the time, and passed users on to others.
 func TestIdleFollowerConnected(t *testing.T) {
 	runCluster(t, 53, func(w *emulator.Environment) {
 		time.Sleep(30 * time.Second)
@@ -214,8 +216,8 @@
 	})
 }
 
-// TestFailoverTimeline: one silent machine with work does not keep what is urgent from its place: it is placed while the machine is
-// still asked, which takes more than a second. Every part of the takeover is known, in its order.
+// TestFailoverTimeline: one silent machine with work does not keep what is urgent from its place: it is placed while
+// the machine is still asked, which takes more than a second. Every part of the takeover is known, in its order.
 func TestFailoverTimeline(t *testing.T) {
 	runCluster(t, 55, func(w *emulator.Environment) {
 		startServices(w, 5)
@@ -250,8 +252,9 @@
 	})
 }
 
-// TestFailoverDuringZonePartition: a new leader does not wait for each machine of a zone that is cut off: once some were asked in vain, and none of
-// it was heard of while others were, the rest is not waited for, and not asked before them. They count as placed where they are.
+// TestFailoverDuringZonePartition: a new leader does not wait for each machine of a zone that is cut off: once some
+// were asked in vain, and none of it was heard of while others were, the rest is not waited for, and not asked before
+// them. They count as placed where they are.
 func TestFailoverDuringZonePartition(t *testing.T) {
 	defer func(n int) { maxSilentProbes = n }(maxSilentProbes)
 	maxSilentProbes = 6
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -10,7 +10,8 @@
 	"fieldhill/internal/scheduling/admission"
 )
 
-// eventLoop runs all work on the controller's state one piece at a time, users' requests behind everything else, and refuses when it is behind.
+// eventLoop runs all work on the controller's state one piece at a time, users' requests behind everything else, and
+// refuses when it is behind.
 type eventLoop struct {
 	*environment
 	commits    *commitPipeline
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -213,7 +213,8 @@
 	})
 }
 
-// encodeQueueWithin encodes a queue in most bytes: the jobs that don't fit are counted, as those beyond the filter's number are.
+// encodeQueueWithin encodes a queue in most bytes: the jobs that don't fit are counted, as those beyond the filter's
+// number are.
 func encodeQueueWithin(q *wire.Queue, maxBytes int) *rpc.Response {
 	for {
 		r := adminapi.Encode(http.StatusOK, q)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -14,8 +14,8 @@
 
 // These tests bring about meetings with a change of leader.
 
-// changeLeader has the lead change hands in a drawn way: the leader ends, is refused by the state service, or stands still; now and then in an outage for all. It
-// returns what ends it.
+// changeLeader has the lead change hands in a drawn way: the leader ends, is refused by the state service, or stands
+// still; now and then in an outage for all. It returns what ends it.
 func changeLeader(w *emulator.Environment, rng *rand.Rand) (end func()) {
 	i := max(0, findLeader())
 	if rng.IntN(3) == 0 {
@@ -34,8 +34,9 @@
 	return func() {}
 }
 
-// TestCancelDuringFailover: leaders change ten times in two minutes, also inside an outage, and jobs are cancelled in the seconds around each change, while their tasks fetch and
-// run; with duties held one by one too. They are gone in time; what starts after the confirmation is counted.
+// TestCancelDuringFailover: leaders change ten times in two minutes, also inside an outage, and jobs are cancelled in
+// the seconds around each change, while their tasks fetch and run; with duties held one by one too. They are gone in
+// time; what starts after the confirmation is counted.
 func TestCancelDuringFailover(t *testing.T) {
 	defer func() { distributedRoles = false }()
 	for _, distributedRoles = range []bool{false, true} {
@@ -95,8 +96,9 @@
 	}
 }
 
-// TestCancelAsStoreRefusesLeader: jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it is out for all for longer than a
-// cancellation has. Whoever was told so finds the tasks gone in time.
+// TestCancelAsStoreRefusesLeader: jobs are cancelled at the very moment at which the state service refuses the leader
+// alone, and a second later it is out for all for longer than a cancellation has. Whoever was told so finds the tasks
+// gone in time.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
 	var confirmed atomic.Int64
 	runFaultCombination(t, 2, 72, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
@@ -139,8 +141,9 @@
 	}
 }
 
-// TestStaleReportsAfterFailover: copies of reports are kept, of machines that were returned, that began anew, whose sessions went on, that hang and that are suspect, and reach every
-// controller just as a new leader begins, and a moment before and after. They prove nothing: nothing starts twice, and nothing anew that ran.
+// TestStaleReportsAfterFailover: copies of reports are kept, of machines that were returned, that began anew, whose
+// sessions went on, that hang and that are suspect, and reach every controller just as a new leader begins, and a
+// moment before and after. They prove nothing: nothing starts twice, and nothing anew that ran.
 func TestStaleReportsAfterFailover(t *testing.T) {
 	runFaultCombination(t, 2, 74, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 5)
@@ -205,8 +208,10 @@
 	})
 }
 
-// TestTeamsAtQuota: every team is at its limit, with more waiting, while jobs are cancelled whose machines are cut off or hang, and the leader changes. What a cancelled job still has
-// counts until it is evidently gone, through the log and its snapshot (a compaction every few batches): no team goes over its limit. Afterwards each has all of it again.
+// TestTeamsAtQuota: every team is at its limit, with more waiting, while jobs are cancelled whose machines are cut
+// off or hang, and the leader changes. What a cancelled job still has counts until it is evidently gone, through the
+// log and its snapshot (a compaction every few batches): no team goes over its limit. Afterwards each has all of it
+// again.
 func TestTeamsAtQuota(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 5
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -206,9 +206,9 @@
 	p.jobs = append(p.jobs, demand{s, j, float64(j.Tasks) * j.CPUs * (j.EstimateS*p.runtimeFactor*1.2 + 1.5)})
 }
 
-// requiredShare tells how much of the machines' time half of the jobs of each class (or team) take, the smallest ones, or
-// half of all its tasks, beside all services: the largest part of what is left of any moment of the day, of what
-// comes from then on.
+// requiredShare tells how much of the machines' time half of the jobs of each class (or team) take, the smallest
+// ones, or half of all its tasks, beside all services: the largest part of what is left of any moment of the day, of
+// what comes from then on.
 func (p *capacityModel) requiredShare(name func(demand) string, jobs bool) float64 {
 	byName := map[string][]demand{}
 	left, wanted := slices.Clone(p.available), make([]float64, len(p.available))
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -13,8 +13,9 @@
 
 // These tests bring about meetings of two troubles. Each of them also shows that its meeting took place.
 
-// TestDelayedStartOfCancelledJob: a start is held up on its way to a machine that can't reach the leader any more, but another controller, which keeps
-// its lease; its job is cancelled, and the start arrives when longer has passed than a cancellation has. The session must be over by then.
+// TestDelayedStartOfCancelledJob: a start is held up on its way to a machine that can't reach the leader any more,
+// but another controller, which keeps its lease; its job is cancelled, and the start arrives when longer has passed
+// than a cancellation has. The session must be over by then.
 func TestDelayedStartOfCancelledJob(t *testing.T) {
 	runCluster(t, 40, func(w *emulator.Environment) {
 		startServices(w, 6)
@@ -80,7 +81,8 @@
 	}
 }
 
-// runFaultCombination plays a meeting in a world of its own for each seed, with what the test draws; at sets the test's draws apart from those of others.
+// runFaultCombination plays a meeting in a world of its own for each seed, with what the test draws; at sets the
+// test's draws apart from those of others.
 func runFaultCombination(t *testing.T, count, seedOffset uint64, f func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand)) {
 	for seed := range seeds(count) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -99,9 +101,10 @@
 	return last
 }
 
-// TestCancelledByNewLeaderDuringOutage is the first meeting: the state service refuses the leader alone, another controller leads and confirms
-// cancellations, and then the state service is down for all for longer than a cancellation has, while workers reach the old leader only.
-// Twice in a row. The referee demands that the tasks are gone in time.
+// TestCancelledByNewLeaderDuringOutage is the first meeting: the state service refuses the leader alone, another
+// controller leads and confirms cancellations, and then the state service is down for all for longer than a
+// cancellation has, while workers reach the old leader only. Twice in a row. The referee demands that the tasks are
+// gone in time.
 func TestCancelledByNewLeaderDuringOutage(t *testing.T) {
 	runFaultCombination(t, 2, 41, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -170,9 +173,9 @@
 	})
 }
 
-// TestLongOutage: while the state service is down for all, for longer than a cancellation has, controllers that reach each other show each
-// other that nothing was confirmed that they don't know of, and work goes on. Where one of them began anew meanwhile, or can't be
-// asked, nobody can know that, and the bound stands.
+// TestLongOutage: while the state service is down for all, for longer than a cancellation has, controllers that reach
+// each other show each other that nothing was confirmed that they don't know of, and work goes on. Where one of them
+// began anew meanwhile, or can't be asked, nobody can know that, and the bound stands.
 func TestLongOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -211,7 +214,8 @@
 	}
 }
 
-// TestRepeatedFailovers: controllers hand over and back, all end, and one returns, also within a second and in the middle of an election.
+// TestRepeatedFailovers: controllers hand over and back, all end, and one returns, also within a second and in the
+// middle of an election.
 func TestRepeatedFailovers(t *testing.T) {
 	for _, maxPause := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(maxPause), func(t *testing.T) {
@@ -268,8 +272,8 @@
 	}
 }
 
-// TestDelayedCommands: direct commands (starts, stops and reaps) and their answers are held up for seconds, and the machines then go on; in a term, and
-// over a change of term.
+// TestDelayedCommands: direct commands (starts, stops and reaps) and their answers are held up for seconds, and the
+// machines then go on; in a term, and over a change of term.
 func TestDelayedCommands(t *testing.T) {
 	runFaultCombination(t, 2, 45, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -315,8 +319,9 @@
 	})
 }
 
-// TestFailoverWithUnreachableMachines: the leader ends while machines with long tasks can't be reached, or don't hear the next leader's answers. What ran
-// goes on if that ends before such a machine is given up, and nothing is on two machines.
+// TestFailoverWithUnreachableMachines: the leader ends while machines with long tasks can't be reached, or don't hear
+// the next leader's answers. What ran goes on if that ends before such a machine is given up, and nothing is on two
+// machines.
 func TestFailoverWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -363,8 +368,9 @@
 	}
 }
 
-// TestStaggeredTaskEndsAcrossFailover: jobs of two or three tasks whose ends lie far apart, with a change of leader, or two, between them. None is called done early, none
-// of their tasks runs again once it is done, and none is forgotten.
+// TestStaggeredTaskEndsAcrossFailover: jobs of two or three tasks whose ends lie far apart, with a change of leader,
+// or two, between them. None is called done early, none of their tasks runs again once it is done, and none is
+// forgotten.
 func TestStaggeredTaskEndsAcrossFailover(t *testing.T) {
 	for seed := range seeds(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -411,8 +417,8 @@
 	}
 }
 
-// TestSlowThenRefusingStore: the state service answers slowly, or refuses the leader alone and then everybody, while users cancel and ask at every
-// controller; no state that was told goes back, which the referee sees.
+// TestSlowThenRefusingStore: the state service answers slowly, or refuses the leader alone and then everybody, while
+// users cancel and ask at every controller; no state that was told goes back, which the referee sees.
 func TestSlowThenRefusingStore(t *testing.T) {
 	runFaultCombination(t, 1, 49, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -477,8 +483,9 @@
 	})
 }
 
-// TestCancelDuringLeaderPartition: a leader loses the state service and the other controllers, not its workers and users; jobs are cancelled through the next
-// leader, whom the machines do not reach for a while. Their tasks end in time, and the island tells nobody otherwise.
+// TestCancelDuringLeaderPartition: a leader loses the state service and the other controllers, not its workers and
+// users; jobs are cancelled through the next leader, whom the machines do not reach for a while. Their tasks end in
+// time, and the island tells nobody otherwise.
 func TestCancelDuringLeaderPartition(t *testing.T) {
 	runFaultCombination(t, 2, 51, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -519,9 +526,10 @@
 	})
 }
 
-// TestDelayedTransactions: transactions get no answer and are carried out two to twelve seconds later, after newer ones of the same controller; while leaders
-// change, the log is compacted again and again, jobs come by the intake, and users cancel. Late copies of each kind of write come, and a controller
-// that reads everything anew knows what was told.
+// TestDelayedTransactions: transactions get no answer and are carried out two to twelve seconds later, after newer
+// ones of the same controller; while leaders change, the log is compacted again and again, jobs come by the intake,
+// and users cancel. Late copies of each kind of write come, and a controller that reads everything anew knows what
+// was told.
 func TestDelayedTransactions(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 4
@@ -575,8 +583,10 @@
 	t.Log(late)
 }
 
-// TestHangAcrossLeaseExpiry: machines of a zone that is cut off hang while their leases run out, and do not come to end their tasks, which count until they
-// wake. They start elsewhere once the cloud has returned the machines; while the cloud is down, not at all; and if the leader ends while they are being returned, by the word that the next one gets.
+// TestHangAcrossLeaseExpiry: machines of a zone that is cut off hang while their leases run out, and do not come to
+// end their tasks, which count until they wake. They start elsewhere once the cloud has returned the machines; while
+// the cloud is down, not at all; and if the leader ends while they are being returned, by the word that the next one
+// gets.
 func TestHangAcrossLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -209,8 +209,9 @@
 	}},
 }
 
-// TestFaultPairs draws pairs of troubles, so that one begins within the first or the last second of the other, with controllers ending in
-// between, while users submit, ask and cancel. The rules hold, nobody is forgotten, and all ends well.
+// TestFaultPairs draws pairs of troubles, so that one begins within the first or the last second of the other, with
+// controllers ending in between, while users submit, ask and cancel. The rules hold, nobody is forgotten, and all
+// ends well.
 func TestFaultPairs(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	seenPairs := map[string]bool{}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -38,8 +38,8 @@
 	return 0, 1
 }
 
-// TestRenewalsOfALargeZone: the leader learns when the leases of a zone of 4,000 machines with names of twenty letters were
-// renewed last, and the link to the node that it asks stays.
+// TestRenewalsOfALargeZone: the leader learns when the leases of a zone of 4,000 machines with names of twenty
+// letters were renewed last, and the link to the node that it asks stays.
 func TestRenewalsOfALargeZone(t *testing.T) {
 	const machines = 4000
 	runCluster(t, 61, func(w *emulator.Environment) {
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestQueueThroughAFollower: an operator who asks a follower for as many jobs as may be asked for is told of those that fit,
-// and how many more there are, and the follower keeps its leader.
+// TestQueueThroughAFollower: an operator who asks a follower for as many jobs as may be asked for is told of those
+// that fit, and how many more there are, and the follower keeps its leader.
 func TestQueueThroughAFollower(t *testing.T) {
 	const jobs, run = 500, 6 // the team's limit has room for so many more
 	runCluster(t, 62, func(w *emulator.Environment) {
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,7 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder tells request goroutines whether this controller leads, and asks the leader or another controller on their behalf.
+// forwarder tells request goroutines whether this controller leads, and asks the leader or another controller on
+// their behalf.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -18,8 +19,8 @@
 	routing atomic.Pointer[routingView]
 }
 
-// routingView is how a node stands, for goroutines that choose the way of a request by it. The loop publishes it; whatever
-// follows from it is looked at again in the loop.
+// routingView is how a node stands, for goroutines that choose the way of a request by it. The loop publishes it;
+// whatever follows from it is looked at again in the loop.
 type routingView struct {
 	leads             bool
 	leader            string
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -160,7 +160,8 @@
 			for len(c.calls) > 0 {
 				<-c.calls
 			}
-			c.forward.routing.Store(&routingView{leader: "n1", leads: call.Op == rpc.OpQueue}) // only a leader reads the filter
+			// only a leader reads the filter
+			c.forward.routing.Store(&routingView{leader: "n1", leads: call.Op == rpc.OpQueue})
 			fmt.Fprintf(&all, "%d %q %x -> %d\n", call.Op, call.ID, call.Body, c.handlePeerRequest(ctx, call).Status)
 			switch call.Op {
 			case rpc.OpQueue, rpc.OpRoleResult, rpc.OpRenewals, rpc.OpRelayOffer, rpc.OpRelayReport, rpc.OpRelayOrders:
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -77,8 +77,8 @@
 	return nil // it leads no more, or is of an older version
 }
 
-// renewRelayed renews the lease of a worker whose report the leader did not take in time, as any node does that does not
-// reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
+// renewRelayed renews the lease of a worker whose report the leader did not take in time, as any node does that does
+// not reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
 func (hr *heartbeatRouter) renewRelayed(ctx context.Context, report *wire.Heartbeat) *rpc.Response {
 	hr.metrics.AnsweredLocally.Inc()
 	return hr.loop.respond(ctx, func(send func(*rpc.Response)) {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -75,9 +75,9 @@
 	firstReport := !machine.Reported
 	verdict := hb.observe(machine, report, nil)
 	if verdict.IsStale() {
-		// It may be a copy from the past, or the word of a worker that began anew. It is answered, which is nothing to
-		// whoever is not there, and asked. It is told nothing that it has to stop, though, so one whose answers to questions do not
-		// arrive is not kept for longer than by a node that knows nothing of cancellations.
+		// It may be a copy from the past, or the word of a worker that began anew. It is answered, which is nothing
+		// to whoever is not there, and asked. It is told nothing that it has to stop, though, so one whose answers to
+		// questions do not arrive is not kept for longer than by a node that knows nothing of cancellations.
 		hb.probes.probeMachine(machine, nil)
 		if hb.now()-machine.LastReport > hb.settings.StaleRenewalLimit() {
 			send(api.RetryLater("this machine does not answer", 1))
@@ -101,9 +101,9 @@
 	return hb.leases.renew(machine.Info.Name, hb.replica.model.Token(machine), hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true))
 }
 
-// onSuspectReport takes the report of a machine whose lease is to run out. Before it is answered, which renews the lease, the
-// suspicion is taken back by an entry; and that is done only if the machine answers now: a copy of a report from before the cut, or
-// the word of one that hears nothing, would begin the count anew, again and again.
+// onSuspectReport takes the report of a machine whose lease is to run out. Before it is answered, which renews the
+// lease, the suspicion is taken back by an entry; and that is done only if the machine answers now: a copy of a
+// report from before the cut, or the word of one that hears nothing, would begin the count anew, again and again.
 func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(*rpc.Response)) {
 	if machine.Reported {
 		hb.observe(machine, report, nil) // what it proves by its numbers, it proves all the same
@@ -120,8 +120,8 @@
 	}
 }
 
-// onUnknownMachine takes the report of a machine that nobody knows: a rental whose answer was lost, or a copy from one that is long gone. It
-// counts as a machine once it answers, or the cloud lists it.
+// onUnknownMachine takes the report of a machine that nobody knows: a rental whose answer was lost, or a copy from
+// one that is long gone. It counts as a machine once it answers, or the cloud lists it.
 func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(*rpc.Response)) {
 	term := hb.term.ownTerm
 	refusal := api.RetryLater("this machine is not known", 1)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -22,9 +22,10 @@
 	term    *termState
 }
 
-// visibleSeq is the number of the batch that must be in the log before anything is told of a job: that of its end, or of its cancellation, if there is one.
-// Until then it can't be told without either: a batch is read by the others as soon as it is carried out, and its writer may
-// wait for the answer for seconds, so another node may have told of it already.
+// visibleSeq is the number of the batch that must be in the log before anything is told of a job: that of its end, or
+// of its cancellation, if there is one. Until then it can't be told without either: a batch is read by the others as
+// soon as it is carried out, and its writer may wait for the answer for seconds, so another node may have told of it
+// already.
 func (js *jobStatus) visibleSeq(id model.JobID) (seq uint64, known bool) {
 	j := js.replica.model.Jobs[id]
 	switch {
@@ -36,7 +37,8 @@
 	return js.replica.model.FinalSeq(id), js.replica.model.Finals[id] != 0
 }
 
-// respondIfKnown answers for a job that is known, once what is told is committed. What comes to pass while that is waited for is waited for too.
+// respondIfKnown answers for a job that is known, once what is told is committed. What comes to pass while that is
+// waited for is waited for too.
 func (js *jobStatus) respondIfKnown(id model.JobID, send func(*rpc.Response)) bool {
 	seq, known := js.visibleSeq(id)
 	if !known {
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -52,8 +52,8 @@
 	return fk.renewAsFollower(report)
 }
 
-// retainsWorker tells whether a worker is kept by this node, which can't serve it, or sent to look for the leader; reached tells whether this
-// node reaches the leader.
+// retainsWorker tells whether a worker is kept by this node, which can't serve it, or sent to look for the leader;
+// reached tells whether this node reaches the leader.
 func (fk *followerKeepalives) retainsWorker(machine string, reached bool) bool {
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
@@ -101,8 +101,8 @@
 	return fk.leases.renew(report.Machine, report.FencingToken, commands)
 }
 
-// maxNoRedirectEntries is how many names of workers a node keeps beside two for each machine of the log. Reports are not
-// authenticated, so a flood of names that were made up may be behind a larger number.
+// maxNoRedirectEntries is how many names of workers a node keeps beside two for each machine of the log. Reports are
+// not authenticated, so a flood of names that were made up may be behind a larger number.
 const maxNoRedirectEntries = 20_000
 
 // sweep drops what no longer counts of workers that came while this node did not lead. What still counts is
@@ -119,7 +119,8 @@
 	}
 }
 
-// encode lists the machines that came lately, of those that by the log hold something of a cancelled job, in so many bytes: the others are of no interest.
+// encode lists the machines that came lately, of those that by the log hold something of a cancelled job, in so many
+// bytes: the others are of no interest.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
 	for _, machine := range m.Order {
 		if at, ok := c[machine.ID]; ok && now.Sub(at) < 2*partitionReportInterval && machine.HasCancelledTask() && len(b)+5 <= maxBytes {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -120,10 +120,10 @@
 // them takes it, this one does again.
 const abstainDuration = 10 * time.Second
 
-// revokeOwnStaleLease ends the lease of a lead that names this node while this process does not lead, and tells whether it did: an
-// earlier process led and is dead, or the transaction by which it, or this one, asked for the lead was carried out after
-// nobody waited for it any more. The others would wait for three seconds. Only the storage's goroutine calls it, in whose
-// hands a lead of this process is from its election to its end.
+// revokeOwnStaleLease ends the lease of a lead that names this node while this process does not lead, and tells
+// whether it did: an earlier process led and is dead, or the transaction by which it, or this one, asked for the lead
+// was carried out after nobody waited for it any more. The others would wait for three seconds. Only the storage's
+// goroutine calls it, in whose hands a lead of this process is from its election to its end.
 func (ls *leadership) revokeOwnStaleLease(ctx context.Context, leader *oplog.Leader) bool {
 	if leader == nil || leader.Node != ls.settings.Node {
 		return false
@@ -299,12 +299,13 @@
 	ls.log.Info("failover complete", args...)
 }
 
-// failoverLogTimeout is how long after the time for all machines a takeover is told of, though parts of it did not come:
-// nothing waited for a place.
+// failoverLogTimeout is how long after the time for all machines a takeover is told of, though parts of it did not
+// come: nothing waited for a place.
 const failoverLogTimeout = 5 * time.Second
 
-// hasPossibleSuccessor tells, at a leader whose lead can't be renewed, whether another node may lead in its place: none is heard of, which they may be
-// well all the same, or one says that it reads the log. Where it is the state service that is down, all say that they don't.
+// hasPossibleSuccessor tells, at a leader whose lead can't be renewed, whether another node may lead in its place:
+// none is heard of, which they may be well all the same, or one says that it reads the log. Where it is the state
+// service that is down, all say that they don't.
 func (ls *leadership) hasPossibleSuccessor() bool {
 	return ls.forward.isIsolated() || ls.eligibility.hasWarmPeer()
 }
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -29,9 +29,9 @@
 	lastRenewalQuery time.Time // when the others were last asked whose lease they renewed
 }
 
-// mayRenew tells whether this node may renew leases now. A leader may while its lead is trusted. Nobody else may for longer than a cancellation
-// leaves that this node can't know of. It is asked when the report is read, which was sent before: whatever happens between this look and the
-// answer, the lease counts from the report.
+// mayRenew tells whether this node may renew leases now. A leader may while its lead is trusted. Nobody else may for
+// longer than a cancellation leaves that this node can't know of. It is asked when the report is read, which was sent
+// before: whatever happens between this look and the answer, the lease counts from the report.
 func (lr *leaseRenewal) mayRenew() bool {
 	return lr.term.isActive() || time.Since(lr.fence.knownCommittedAt()) <= lr.settings.StaleRenewalLimit()
 }
@@ -45,10 +45,12 @@
 	return api.Encode(http.StatusOK, &wire.HeartbeatResponse{FencingToken: token, Commands: commands})
 }
 
-// delayedStartPossible tells whether a machine may yet be told, by a command that is held up on its way, to start a task whose job was cancelled too long
-// ago. Only the leader can fence such a start, and the machine's worker does not reach it. What the worker lists, in whatever state, is not started
-// again, and is stopped by renewAsFollower; what it does not list may be. So the session to which the start was sent must end in time: its lease is renewed no
-// longer than by a node that does not know of the cancellation. Starts held for seventy seconds in a cut zone were once carried out at its end.
+// delayedStartPossible tells whether a machine may yet be told, by a command that is held up on its way, to start a
+// task whose job was cancelled too long ago. Only the leader can fence such a start, and the machine's worker does
+// not reach it. What the worker lists, in whatever state, is not started again, and is stopped by renewAsFollower;
+// what it does not list may be. So the session to which the start was sent must end in time: its lease is renewed no
+// longer than by a node that does not know of the cancellation. Starts held for seventy seconds in a cut zone were
+// once carried out at its end.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
@@ -78,14 +80,15 @@
 // retention is for how long a node keeps whose lease it renewed: what is longer ago proves nothing more.
 func (lr *leaseRenewal) retention() model.Time { return 2 * lr.leaseDuration() }
 
-// latestOwnRenewal is from when a machine's lease counts at the latest, as far as this node goes: when it last renewed it (an earlier process of it may
-// have until this one began), or last heard of the session that holds what is placed there, which has a lease from its own beginning.
+// latestOwnRenewal is from when a machine's lease counts at the latest, as far as this node goes: when it last
+// renewed it (an earlier process of it may have until this one began), or last heard of the session that holds what
+// is placed there, which has a lease from its own beginning.
 func (lr *leaseRenewal) latestOwnRenewal(machine *model.Machine) model.Time {
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.LastReport)
 }
 
-// replyRenewals answers the leader that asks when the leases of a zone's machines were last renewed here. Only a node that has applied the
-// batch that made them suspect may say so: from then on it renews none of them.
+// replyRenewals answers the leader that asks when the leases of a zone's machines were last renewed here. Only a node
+// that has applied the batch that made them suspect may say so: from then on it renews none of them.
 func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) *rpc.Response {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
@@ -119,7 +122,8 @@
 		return
 	}
 	others := len(lr.settings.Members)
-	newestSuspicions := make([]map[int32]uint64, others) // by node: zones, and the newest suspicion there that it has not answered for
+	// by node: zones, and the newest suspicion there that it has not answered for
+	newestSuspicions := make([]map[int32]uint64, others)
 	for _, machine := range lr.replica.model.Order {
 		if !machine.Suspect || machine.Releasing || machine.SuspectFrom == 0 || len(machine.Runs) == 0 {
 			continue
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -17,8 +17,9 @@
 
 type teamConfig = config.Team
 
-// TestImmediateBoot: machines are up within two seconds, or before the cloud has answered, and get work at once, while transactions are carried out late and the leader ends. Machines that run
-// tasks before anybody but their leader knows them, whose rental has no answer yet: they are used or returned, and nothing starts twice.
+// TestImmediateBoot: machines are up within two seconds, or before the cloud has answered, and get work at once,
+// while transactions are carried out late and the leader ends. Machines that run tasks before anybody but their
+// leader knows them, whose rental has no answer yet: they are used or returned, and nothing starts twice.
 func TestImmediateBoot(t *testing.T) {
 	var justBooted atomic.Int64
 	runFaultCombination(t, 2, 80, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
@@ -66,8 +67,9 @@
 	}
 }
 
-// TestOutboundPartition: workers can't open connections to any controller, while questions and direct commands reach them, for longer than a lease: one machine, a zone, or all of them; jobs are
-// cancelled meanwhile, and the leader changes. Afterwards all run.
+// TestOutboundPartition: workers can't open connections to any controller, while questions and direct commands reach
+// them, for longer than a lease: one machine, a zone, or all of them; jobs are cancelled meanwhile, and the leader
+// changes. Afterwards all run.
 func TestOutboundPartition(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -122,8 +124,9 @@
 	}
 }
 
-// TestZoneConstrainedJobs: arrays, gangs and services that must be in one zone lose its machines, taken, hanging and begun anew, with a change of leader; there is more work than
-// room, and images come over slow links. All of it is done, there.
+// TestZoneConstrainedJobs: arrays, gangs and services that must be in one zone lose its machines, taken, hanging and
+// begun anew, with a change of leader; there is more work than room, and images come over slow links. All of it is
+// done, there.
 func TestZoneConstrainedJobs(t *testing.T) {
 	runFaultCombination(t, 1, 84, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		w.Cloud.SetCapacity(2)
@@ -176,8 +179,9 @@
 	})
 }
 
-// TestSubmissionFlood: one-task jobs come four a second for minutes, a quarter cancelled, some at the moment of their end; with the state service's limits. Each is taken within a second, no poll is starved, all
-// come to their end, and the log does not fall behind.
+// TestSubmissionFlood: one-task jobs come four a second for minutes, a quarter cancelled, some at the moment of their
+// end; with the state service's limits. Each is taken within a second, no poll is starved, all come to their end, and
+// the log does not fall behind.
 func TestSubmissionFlood(t *testing.T) {
 	runFaultCombination(t, 1, 86, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -212,13 +212,16 @@
 // looks cut off.
 const zoneCutPatience = 100 * time.Second
 
-// releaseInCutZone returns a machine of a cut zone if that is due, and tells whether it did. That its lease is over does not prove its tasks gone: one that
-// hangs ends them only when it wakes, and they count until then (ran_twice, and ran_cancelled). The cloud's answer proves it, hung or
-// not, and the cloud belongs to no zone. Before the lease is over the machine is left alone, since work in a cut zone goes on; afterwards it is returned if it holds
-// urgent work that may run elsewhere, or low work that finds free room there. Of the other machines nothing would be gained, and they are there when the cut ends: when all of a
-// zone were returned, half of them for low work that then waited elsewhere, a third of the fleet had to boot anew. What a cancelled job has there its worker ends in time by itself, unless it hangs: such a machine is returned before the time is over, also if its zone
-// is only parted from this node, unless the controller there has just heard that nothing of the kind is left. While the cloud is down nothing is proven, and
-// nothing is marked either: the end of the cut may come first.
+// releaseInCutZone returns a machine of a cut zone if that is due, and tells whether it did. That its lease is over
+// does not prove its tasks gone: one that hangs ends them only when it wakes, and they count until then (ran_twice,
+// and ran_cancelled). The cloud's answer proves it, hung or not, and the cloud belongs to no zone. Before the lease
+// is over the machine is left alone, since work in a cut zone goes on; afterwards it is returned if it holds urgent
+// work that may run elsewhere, or low work that finds free room there. Of the other machines nothing would be gained,
+// and they are there when the cut ends: when all of a zone were returned, half of them for low work that then waited
+// elsewhere, a third of the fleet had to boot anew. What a cancelled job has there its worker ends in time by itself,
+// unless it hangs: such a machine is returned before the time is over, also if its zone is only parted from this
+// node, unless the controller there has just heard that nothing of the kind is left. While the cloud is down nothing
+// is proven, and nothing is marked either: the end of the cut may come first.
 func (mh *machineHealth) releaseInCutZone(term *leaderTerm, machine *model.Machine, silent bool, freeByZone map[int32]*scheduler.Resources) bool {
 	if len(machine.Runs) == 0 || term.provisioning.cloudUnavailable {
 		return false
@@ -234,7 +237,8 @@
 	return true
 }
 
-// wantedElsewhere tells whether what is on a machine is to go on in another zone now. free is what was found to be free outside of each zone, and is not given to others yet.
+// wantedElsewhere tells whether what is on a machine is to go on in another zone now. free is what was found to be
+// free outside of each zone, and is not given to others yet.
 func (mh *machineHealth) wantedElsewhere(machine *model.Machine, freeByZone map[int32]*scheduler.Resources) bool {
 	urgent, low := scheduler.MovableWork(machine)
 	if urgent || low.CPUs == 0 && low.GPUs == 0 {
@@ -254,14 +258,15 @@
 	return true
 }
 
-// cancelPatience is for how long a cancelled job may keep tasks on a machine of a cut zone before the machine is returned: its worker ends them
-// in time by itself, unless it hangs, and the rest of the time that a cancellation has is for the cloud.
+// cancelPatience is for how long a cancelled job may keep tasks on a machine of a cut zone before the machine is
+// returned: its worker ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has
+// is for the cloud.
 func (mh *machineHealth) cancelPatience() model.Time {
 	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
 }
 
-// markSuspect makes a machine suspect: its lease runs out. When that is over it is returned if its work may run elsewhere; otherwise
-// it is left where it is, and of use again when the cut is over.
+// markSuspect makes a machine suspect: its lease runs out. When that is over it is returned if its work may run
+// elsewhere; otherwise it is left where it is, and of use again when the cut is over.
 func (mh *machineHealth) markSuspect(machine *model.Machine) {
 	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone, "tasks", len(machine.Runs))
 	seq := mh.commits.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -48,8 +48,9 @@
 	slots                slots       // silent machines that are being asked
 }
 
-// silentZoneThreshold is after how many machines of a zone that were asked in vain, while none was heard of, the rest of it is not waited for: it is cut off, most
-// likely, and a third of a large fleet took ten seconds to be asked, while answers of other zones waited behind it.
+// silentZoneThreshold is after how many machines of a zone that were asked in vain, while none was heard of, the rest
+// of it is not waited for: it is cut off, most likely, and a third of a large fleet took ten seconds to be asked,
+// while answers of other zones waited behind it.
 const silentZoneThreshold = 5
 
 func (r *leaderTerm) zoneProbe(zone int32) *zoneProbeCounts {
@@ -61,8 +62,8 @@
 	return z
 }
 
-// recordProbe counts a machine of a zone that was heard of, or asked in vain. Where nothing is heard of other zones either, it
-// may be this node that is late.
+// recordProbe counts a machine of a zone that was heard of, or asked in vain. Where nothing is heard of other zones
+// either, it may be this node that is late.
 func (r *leaderTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
@@ -84,7 +85,8 @@
 	}
 }
 
-// probeMachine asks a machine how it is now; then, if not nil, is called when it has answered or has not. It tells whether it asks.
+// probeMachine asks a machine how it is now; then, if not nil, is called when it has answered or has not. It tells
+// whether it asks.
 func (pr *probes) probeMachine(machine *model.Machine, onDone func()) bool {
 	term := pr.term.ownTerm
 	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes || onDone == nil && pr.now()-machine.ProbedAt < probeInterval {
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -103,7 +103,8 @@
 	return provisioner.New(ctx, pv.cloud, max(2, int(rps)), max(2*time.Second, config.Seconds(8/rps)), trusted, pv.loop.post, onResult, pv.log)
 }
 
-// runProvisioner has the leader's own desk do what is wanted. Where the duty is held by itself, that is only what was begun before.
+// runProvisioner has the leader's own desk do what is wanted. Where the duty is held by itself, that is only what was
+// begun before.
 func (pv *provisioning) runProvisioner(now time.Time) {
 	term := pv.term.ownTerm
 	desired := pv.desiredCapacity()
@@ -182,8 +183,9 @@
 	}
 }
 
-// replaceReleased rents machines in place of those that were returned in a cut zone, where the plan rents nothing: so they are up, or nearly, when the cut ends. Until then they count
-// for nothing. Without it a zone that came back stood empty while its machines booted, and for as long as the cloud was down.
+// replaceReleased rents machines in place of those that were returned in a cut zone, where the plan rents nothing: so
+// they are up, or nearly, when the cut ends. Until then they count for nothing. Without it a zone that came back
+// stood empty while its machines booted, and for as long as the cloud was down.
 func (pv *provisioning) replaceReleased(term *leaderTerm, offers map[autoscaler.InstanceOffer]int) {
 	for offer, count := range offers {
 		for ; count > 0; count -= wire.MaxScaleOut {
@@ -222,12 +224,12 @@
 	}
 }
 
-// releaseUnlisted gives up silent machines that the cloud does not list, though they were rented long enough ago: they were
-// taken, or have died. The list lags, one may be older than the one before, and reading it took a while, in which
-// machines came behind what was read; so absence counts only of machines that this leader has known for longer than
-// all that. It is a hint, not evidence: that is the answer to the return. Without it, machines of one zone that are
-// taken together look like a cut, in which they would be left alone, and what must run there waited for a minute and
-// a half.
+// releaseUnlisted gives up silent machines that the cloud does not list, though they were rented long enough ago:
+// they were taken, or have died. The list lags, one may be older than the one before, and reading it took a while, in
+// which machines came behind what was read; so absence counts only of machines that this leader has known for longer
+// than all that. It is a hint, not evidence: that is the answer to the return. Without it, machines of one zone that
+// are taken together look like a cut, in which they would be left alone, and what must run there waited for a minute
+// and a half.
 func (pv *provisioning) releaseUnlisted(rows []wire.ListedMachine, took time.Duration) {
 	if pv.roles.rolesDistributed() {
 		return // whoever deals with the cloud passes on only what the log does not know
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -41,8 +41,8 @@
 		}
 	}
 	if ready && rd.forward.isIsolated() && !rd.term.isActive() && (rd.term.ownTerm != nil || !rd.replica.isStoreReachable()) {
-		// Neither the log nor anybody who has it is reached: it can answer nothing but what is over, while those that it does
-		// not hear of may be well.
+		// Neither the log nor anybody who has it is reached: it can answer nothing but what is over, while those that
+		// it does not hear of may be well.
 		ready = false
 	}
 	rd.ready.Store(ready)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -19,9 +19,10 @@
 	extraMachines = flag.Int("machines", 0, "so many machines TestKnownAgain has beside the usual ones, all with six tasks of arrays")
 )
 
-// TestStatusAfterFullRestart: after the end of all controllers at once every job is answered for within a bound, the live ones and those that ended long
-// ago, with everybody asking at the same time, the state service's limits, and a snapshot of many finished jobs to be read; also where the
-// state service answers thirty times slower. The worst case is the sum in docs/DESIGN.md ("Known").
+// TestStatusAfterFullRestart: after the end of all controllers at once every job is answered for within a bound, the
+// live ones and those that ended long ago, with everybody asking at the same time, the state service's limits, and a
+// snapshot of many finished jobs to be read; also where the state service answers thirty times slower. The worst case
+// is the sum in docs/DESIGN.md ("Known").
 func TestStatusAfterFullRestart(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -105,8 +106,9 @@
 	}
 }
 
-// TestPollsDuringSubmissionFlood: no question about a job waits behind submissions. While the leader is not reached and hundreds of users submit at once, far more than the
-// intake may take, what others ask about their jobs is answered; a question held to the limit of submissions is refused with them.
+// TestPollsDuringSubmissionFlood: no question about a job waits behind submissions. While the leader is not reached
+// and hundreds of users submit at once, far more than the intake may take, what others ask about their jobs is
+// answered; a question held to the limit of submissions is refused with them.
 func TestPollsDuringSubmissionFlood(t *testing.T) {
 	runCluster(t, 60, func(w *emulator.Environment) {
 		w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -82,7 +82,8 @@
 	return ra.settings.Members[index-1].Node, true
 }
 
-// isRelay tells whether a node, by its index in the table of seats, offered itself as a relay a moment ago and is reached.
+// isRelay tells whether a node, by its index in the table of seats, offered itself as a relay a moment ago and is
+// reached.
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
 	return at != 0 && ra.now()-at < offerTTL && time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
@@ -130,8 +131,8 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo is how a machine may be asked: by the node through which it reports and, if that fails, by one other way; nil
-// stands for from here. A leader that is cut off from workers whose relays are not must not take them for silent.
+// routesTo is how a machine may be asked: by the node through which it reports and, if that fails, by one other way;
+// nil stands for from here. A leader that is cut off from workers whose relays are not must not take them for silent.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -17,7 +17,8 @@
 	"fieldhill/wire"
 )
 
-// withRelays runs f in a world whose workers are spread over three controllers, with a service on each of twelve machines.
+// withRelays runs f in a world whose workers are spread over three controllers, with a service on each of twelve
+// machines.
 func withRelays(t *testing.T, seed uint64, f func(w *emulator.Environment)) {
 	savedThreshold := *relayThreshold
 	defer func() { *relayThreshold = savedThreshold }()
@@ -60,8 +61,9 @@
 	}
 }
 
-// TestRelayFaults: workers are spread evenly; nothing is started anew and no lease runs out while the leader ends, a relay ends, any node
-// loses the workers, a relay loses the leader or all of the others, or the leader stands still; and work goes on to be started.
+// TestRelayFaults: workers are spread evenly; nothing is started anew and no lease runs out while the leader ends, a
+// relay ends, any node loses the workers, a relay loses the leader or all of the others, or the leader stands still;
+// and work goes on to be started.
 func TestRelayFaults(t *testing.T) {
 	n := 100
 	for name, begin := range map[string]func(w *emulator.Environment, leaderIndex int) (end func()){
@@ -118,8 +120,9 @@
 	}
 }
 
-// TestRelayRenewsLeases: a leader that is too late to answer reports, for several leases, costs no worker its lease, because relays
-// answer by themselves; before the bound for what they can't know of, and stops of cancelled jobs included.
+// TestRelayRenewsLeases: a leader that is too late to answer reports, for several leases, costs no worker its lease,
+// because relays answer by themselves; before the bound for what they can't know of, and stops of cancelled jobs
+// included.
 func TestRelayRenewsLeases(t *testing.T) {
 	withRelays(t, 62, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -144,8 +147,8 @@
 	})
 }
 
-// TestRelayRenewalBound: a relay that can't reach the log renews no longer than any node may, and what asks a node that does not
-// lead to take a report is told so.
+// TestRelayRenewalBound: a relay that can't reach the log renews no longer than any node may, and what asks a node
+// that does not lead to take a report is told so.
 func TestRelayRenewalBound(t *testing.T) {
 	withRelays(t, 63, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -169,7 +172,8 @@
 	})
 }
 
-// TestMixedVersions: a node of an older version, which knows no relays, is sent no workers and gets the leader's as before.
+// TestMixedVersions: a node of an older version, which knows no relays, is sent no workers and gets the leader's as
+// before.
 func TestMixedVersions(t *testing.T) {
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -184,8 +188,8 @@
 	})
 }
 
-// TestCommandOutcomeThroughRelay: what the leader concludes of a command that a relay was to send: only what surely was not sent counts as
-// not sent, since another copy of it may be executed at any later time.
+// TestCommandOutcomeThroughRelay: what the leader concludes of a command that a relay was to send: only what surely
+// was not sent counts as not sent, since another copy of it may be executed at any later time.
 func TestCommandOutcomeThroughRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -13,7 +13,8 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// replica keeps this controller's copy of the log up to date: loads, applies, follows, and reads up to the end for a request.
+// replica keeps this controller's copy of the log up to date: loads, applies, follows, and reads up to the end for a
+// request.
 type replica struct {
 	*environment
 	keepalives *followerKeepalives
@@ -36,12 +37,14 @@
 func (rp *replica) reset() {
 	rp.model = model.New(&rp.settings.Params)
 	rp.appliedSeq, rp.loaded, rp.term.ownTerm = 0, false, nil
-	rp.keepalives.clearedMachines = clearedMachines{} // machines' numbers are the log's, but those that are gone need not be kept
+	// machines' numbers are the log's, but those that are gone need not be kept
+	rp.keepalives.clearedMachines = clearedMachines{}
 	rp.generation++
 }
 
-// isStoreReachable tells whether a follower is in touch with the state service. What its replica is surely complete up to is no
-// measure of that: where nothing happens it lags by two watches, the one that is under way and the one before.
+// isStoreReachable tells whether a follower is in touch with the state service. What its replica is surely complete
+// up to is no measure of that: where nothing happens it lags by two watches, the one that is under way and the one
+// before.
 func (rp *replica) isStoreReachable() bool {
 	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
 }
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -20,7 +20,8 @@
 	"fieldhill/wire"
 )
 
-// singletonRoles holds the singleton roles (provisioner, compactor) one by one and does the work of those that this controller holds.
+// singletonRoles holds the singleton roles (provisioner, compactor) one by one and does the work of those that this
+// controller holds.
 type singletonRoles struct {
 	*environment
 	commits      *commitPipeline
@@ -238,8 +239,9 @@
 	}()
 }
 
-// resignRole gives a duty up: what is under way is ended first, then the row of those that got nowhere is written, if this is
-// one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays the next holder.
+// resignRole gives a duty up: what is under way is ended first, then the row of those that got nowhere is written, if
+// this is one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays
+// the next holder.
 func (rs *singletonRoles) resignRole(role *singleton.Role) {
 	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(), "reason", role.ReleaseReason())
 	lease, term, name, stuck, noProgress := role.Lease(), role.Term(), role.Name.String(), role.StalledHolders(), role.NoProgress()
@@ -316,8 +318,8 @@
 	}
 }
 
-// publishResult tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for as long as the
-// log shows it as open.
+// publishResult tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for
+// as long as the log shows it as open.
 func (rs *singletonRoles) publishResult(ctx context.Context, role *singleton.Role, term uint64, result *provisioner.Result) {
 	if result.Kind != provisioner.CloudUnavailable {
 		rs.onRoleProgress(role)
@@ -350,8 +352,8 @@
 	}()
 }
 
-// maxListedBytes is how many bytes of rows a part of a list has, with room for what else is in the frame, and resultTimeout is
-// how long the leader may take for all that is told at once: then the next list is due.
+// maxListedBytes is how many bytes of rows a part of a list has, with room for what else is in the frame, and
+// resultTimeout is how long the leader may take for all that is told at once: then the next list is due.
 const (
 	maxListedBytes = rpc.MaxBody - 1<<10
 	resultTimeout  = 3 * time.Second
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -31,7 +31,8 @@
 	return -1
 }
 
-// checkMachinesKnown compares the machines that the cloud has with those that the leader knows, and demands that no rental is open.
+// checkMachinesKnown compares the machines that the cloud has with those that the leader knows, and demands that no
+// rental is open.
 func checkMachinesKnown(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	leader := nodeAt(findLeader())
@@ -122,8 +123,8 @@
 	})
 }
 
-// TestScaleOutResponseLost: the answer to a rental is lost, and all controllers end. The log has what was asked for, and the next
-// holder asks again under that name: nothing is rented twice.
+// TestScaleOutResponseLost: the answer to a rental is lost, and all controllers end. The log has what was asked for,
+// and the next holder asks again under that name: nothing is rented twice.
 func TestScaleOutResponseLost(t *testing.T) {
 	runClusterWithRoles(t, 43, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -150,8 +151,8 @@
 	})
 }
 
-// TestOlderNodeDisablesRoles: while one node knows nothing of duties, or was started without, the leader does it all, and logs
-// nothing that such a node can't read.
+// TestOlderNodeDisablesRoles: while one node knows nothing of duties, or was started without, the leader does it all,
+// and logs nothing that such a node can't read.
 func TestOlderNodeDisablesRoles(t *testing.T) {
 	runClusterWithRoles(t, 44, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -179,8 +180,8 @@
 	})
 }
 
-// TestProvisionerFailoverTime measures how long it takes from the moment at which who deals with the cloud stands still to the next rental:
-// with the duty held by itself, and with the leader holding all. It is played with -hard.
+// TestProvisionerFailoverTime measures how long it takes from the moment at which who deals with the cloud stands
+// still to the next rental: with the duty held by itself, and with the leader holding all. It is played with -hard.
 func TestProvisionerFailoverTime(t *testing.T) {
 	if !*allScenarios {
 		t.Skip("a measurement: -hard")
--- a/internal/controller/slow_leader_test.go
+++ b/internal/controller/slow_leader_test.go
@@ -7,9 +7,10 @@
 	"fieldhill/internal/emulator"
 )
 
-// TestSlowLeaderDelaysEviction: a leader whose loop is late again and again, though never for a second, hears of a part of the fleet only. What
-// it did not listen to counts against nobody: a machine that says nothing is given up after ten seconds of listening, which take it
-// three times as long. Four hundred machines that were well were once returned as silent within three seconds.
+// TestSlowLeaderDelaysEviction: a leader whose loop is late again and again, though never for a second, hears of a
+// part of the fleet only. What it did not listen to counts against nobody: a machine that says nothing is given up
+// after ten seconds of listening, which take it three times as long. Four hundred machines that were well were once
+// returned as silent within three seconds.
 func TestSlowLeaderDelaysEviction(t *testing.T) {
 	evictedAfter := func(late time.Duration) (took time.Duration) {
 		runCluster(t, 60, func(w *emulator.Environment) {
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -28,9 +28,10 @@
 	return time.Since(began)
 }
 
-// TestAgentRestart: a machine whose worker is back within a moment under the same name holds nothing any more, whether its numbers go on
-// or begin at 1, also beside a takeover and when it is back again and again. One whose numbers began at 1 used to be taken for a late
-// copy of its own past: it was answered and given nothing, and its replicas stayed down for good.
+// TestAgentRestart: a machine whose worker is back within a moment under the same name holds nothing any more,
+// whether its numbers go on or begin at 1, also beside a takeover and when it is back again and again. One whose
+// numbers began at 1 used to be taken for a late copy of its own past: it was answered and given nothing, and its
+// replicas stayed down for good.
 func TestAgentRestart(t *testing.T) {
 	for _, resetNumbers := range []bool{false, true} {
 		for _, times := range []int{1, 3} {
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestStaleReportCopies: copies of what machines said before they were gone, or cut off, prove nothing about now: neither for the leader that
-// heard the first of them, nor for the next one, to whom all numbers are new.
+// TestStaleReportCopies: copies of what machines said before they were gone, or cut off, prove nothing about now:
+// neither for the leader that heard the first of them, nor for the next one, to whom all numbers are new.
 func TestStaleReportCopies(t *testing.T) {
 	flood := func(w *emulator.Environment, reports []*wire.Heartbeat, until func() bool) {
 		for !until() {
@@ -153,8 +154,9 @@
 	})
 }
 
-// TestInboundPartition: a machine whose reports arrive while nothing reaches it gets no work, and what it held runs elsewhere when its own
-// lease has run out, or it was returned; one machine, a zone, and beside a takeover. Jobs cancelled meanwhile end in time, which the referee sees.
+// TestInboundPartition: a machine whose reports arrive while nothing reaches it gets no work, and what it held runs
+// elsewhere when its own lease has run out, or it was returned; one machine, a zone, and beside a takeover. Jobs
+// cancelled meanwhile end in time, which the referee sees.
 func TestInboundPartition(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -214,8 +216,8 @@
 	}
 }
 
-// TestPartitionedController: a controller that has lost the state service and the other controllers, but not its workers, is not offered to users,
-// and does not keep from the next leader the machines whose workers it still hears.
+// TestPartitionedController: a controller that has lost the state service and the other controllers, but not its
+// workers, is not offered to users, and does not keep from the next leader the machines whose workers it still hears.
 func TestPartitionedController(t *testing.T) {
 	for _, d := range []time.Duration{5 * time.Second, 70 * time.Second} {
 		t.Run(fmt.Sprint(d), func(t *testing.T) {
@@ -249,7 +251,8 @@
 					}
 					w.Cancel(j.ID)
 					if d > 20*time.Second {
-						// Idle machines, which the next leader does not ask, have found it: each worker was kept for 3 s and sent away.
+						// Idle machines, which the next leader does not ask, have found it: each worker was kept for
+						// 3 s and sent away.
 						time.Sleep(time.Until(began.Add(16 * time.Second)))
 						node := nodeAt(findLeader())
 						node.loop.postAndWait(func() {
@@ -275,8 +278,9 @@
 	}
 }
 
-// zoneWithoutController has all controllers stand in zone a. Two services may run anywhere, three must in zone b, and arrays that may go anywhere fill the
-// rest of their machines, so that each machine of the zone holds something that may. It tells what holds work there.
+// zoneWithoutController has all controllers stand in zone a. Two services may run anywhere, three must in zone b, and
+// arrays that may go anywhere fill the rest of their machines, so that each machine of the zone holds something that
+// may. It tells what holds work there.
 func zoneWithoutController(w *emulator.Environment) (held []*emulator.Worker) {
 	for i := range 3 {
 		w.Crash(i)
@@ -313,9 +317,10 @@
 	}
 }
 
-// TestZoneWithoutController: all controllers stand in one zone and another one is cut off. Its leases were renewed by nobody since, which all
-// controllers know of each other; so its machines are returned, and its work starts elsewhere, as soon as the leases are over, not after the time for which a controller that
-// can't be asked might have renewed them (24 s of lease and 25 s less a margin of that bound: 57 s). One that can't be asked brings that back.
+// TestZoneWithoutController: all controllers stand in one zone and another one is cut off. Its leases were renewed by
+// nobody since, which all controllers know of each other; so its machines are returned, and its work starts
+// elsewhere, as soon as the leases are over, not after the time for which a controller that can't be asked might have
+// renewed them (24 s of lease and 25 s less a margin of that bound: 57 s). One that can't be asked brings that back.
 func TestZoneWithoutController(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -17,7 +17,8 @@
 // pollInterval is the pause between two questions of users who look closely.
 const pollInterval = 3 * time.Millisecond
 
-// submitAndObserve submits jobs, and looks at each closely right after it was accepted, after it was confirmed as cancelled, which some are at once, and after it ended.
+// submitAndObserve submits jobs, and looks at each closely right after it was accepted, after it was confirmed as
+// cancelled, which some are at once, and after it ended.
 func submitAndObserve(w *emulator.Environment, rng *rand.Rand, first, jobs int, pause time.Duration) {
 	for n := first; n < first+jobs; n++ {
 		j := newJobSpec(n, wire.Array, 1, 1+4*rng.Float64())
@@ -57,10 +58,11 @@
 	}
 }
 
-// TestStatusConsistency: users ask at all nodes within milliseconds, and repeat the submission, right after a job was accepted, ended or confirmed as cancelled, and some
-// cancel at once; by every way in which a node answers. No node may say anything older than what any said, which the referee sees. The
-// last ones have transactions carried out at once whose answers alone are lost, while the other nodes read what was written: a leader that did not know yet that its write of a
-// cancellation went through called the job running.
+// TestStatusConsistency: users ask at all nodes within milliseconds, and repeat the submission, right after a job was
+// accepted, ended or confirmed as cancelled, and some cancel at once; by every way in which a node answers. No node
+// may say anything older than what any said, which the referee sees. The last ones have transactions carried out at
+// once whose answers alone are lost, while the other nodes read what was written: a leader that did not know yet that
+// its write of a cancellation went through called the job running.
 func TestStatusConsistency(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -136,8 +138,9 @@
 	}
 }
 
-// TestCommitResponseLost: the leader's write is carried out at once and only its answer is lost, while the other nodes read what it wrote. What they tell
-// of a job's acceptance, cancellation and end the leader does not contradict while it does not know. It called a job running that they called cancelled.
+// TestCommitResponseLost: the leader's write is carried out at once and only its answer is lost, while the other
+// nodes read what it wrote. What they tell of a job's acceptance, cancellation and end the leader does not contradict
+// while it does not know. It called a job running that they called cancelled.
 func TestCommitResponseLost(t *testing.T) {
 	runFaultCombination(t, 2, 66, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -204,8 +207,8 @@
 	})
 }
 
-// TestCancelAtCompletion: users call off jobs at the moment of the end of their last task, with no other trouble; all ask and repeat the submission then. A job is
-// told to be done or cancelled, never both.
+// TestCancelAtCompletion: users call off jobs at the moment of the end of their last task, with no other trouble; all
+// ask and repeat the submission then. A job is told to be done or cancelled, never both.
 func TestCancelAtCompletion(t *testing.T) {
 	runFaultCombination(t, 1, 62, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -244,8 +247,10 @@
 	})
 }
 
-// TestInvalidRequests: what can't run, lacks a field or has a wrong one is refused for good, with one error that names the field, alike by the leader, by a follower that passes it
-// on, and by the intake; a job that was accepted is never told so, whatever is sent under its id, also while only the intake has it; a cancellation of one that is done says done.
+// TestInvalidRequests: what can't run, lacks a field or has a wrong one is refused for good, with one error that
+// names the field, alike by the leader, by a follower that passes it on, and by the intake; a job that was accepted
+// is never told so, whatever is sent under its id, also while only the intake has it; a cancellation of one that is
+// done says done.
 func TestInvalidRequests(t *testing.T) {
 	runCluster(t, 64, func(w *emulator.Environment) {
 		startServices(w, 1)
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -64,7 +64,8 @@
 	return out
 }
 
-// isCleared tells whether a node that does not reach this one has just heard from a machine, and nothing of a cancelled job was left there.
+// isCleared tells whether a node that does not reach this one has just heard from a machine, and nothing of a
+// cancelled job was left there.
 func (r *leaderTerm) isCleared(id model.MachineID) bool {
 	for _, a := range r.zones.nodes {
 		if a.clearedMachines[id] && time.Since(a.updatedAt) < 2*partitionReportInterval {
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -6,7 +6,8 @@
 	"fieldhill/wire"
 )
 
-// capacityUnusedFor is for how long a job may wait, once all troubles are over, while a machine that fits has room and its team is under its limit.
+// capacityUnusedFor is for how long a job may wait, once all troubles are over, while a machine that fits has room
+// and its team is under its limit.
 const capacityUnusedFor = 90 * time.Second
 
 // freeMachine is what is left of a machine.
@@ -67,8 +68,8 @@
 	}
 }
 
-// canPlaceNext tells whether there is room for what is next of a job: a task, or all of a gang, which for this is packed plainly: it is not said to fit where
-// it does not, but may be said not to fit where it does.
+// canPlaceNext tells whether there is room for what is next of a job: a task, or all of a gang, which for this is
+// packed plainly: it is not said to fit where it does not, but may be said not to fit where it does.
 func (t *jobRecord) canPlaceNext(free []freeMachine, quotaLeft float64, unlimited bool) bool {
 	s := t.spec
 	need := 1
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -39,18 +39,22 @@
 	rng                                           *rand.Rand
 	mu                                            sync.Mutex
 	gangMembers                                   map[string]map[string]bool // job and attempt: members that gathered
-	lateCommandChance                             float64                    // chance that a direct command is executed only after its sender gave up
-	maxCommandDelay                               time.Duration
-	duplicateChance                               float64 // chance that a report comes again
-	maxDuplicateDelay                             time.Duration
-	retainChance                                  float64           // chance that a copy of a report is kept for the next leader
-	retainedHeartbeats                            []*wire.Heartbeat // those that are
-	cancelAtEndChance                             float64           // chance that a job is cancelled at the moment of its end
-	cancelledAtEnd                                int               // how often that was so
-	finishedGangs                                 map[uint64]bool
-	failingJobs                                   map[string]bool // jobs that fail on every machine
-	runtimeFactor                                 float64         // tasks run so many times as long as their owners say; 0: 1
-	onTaskStart                                   func(s *wire.JobSpec)
+	// chance that a direct command is executed only after its sender gave up
+	lateCommandChance float64
+	maxCommandDelay   time.Duration
+	duplicateChance   float64 // chance that a report comes again
+	maxDuplicateDelay time.Duration
+	// chance that a copy of a report is kept for the next leader
+	retainChance       float64
+	retainedHeartbeats []*wire.Heartbeat // those that are
+	// chance that a job is cancelled at the moment of its end
+	cancelAtEndChance float64
+	cancelledAtEnd    int // how often that was so
+	finishedGangs     map[uint64]bool
+	failingJobs       map[string]bool // jobs that fail on every machine
+	// tasks run so many times as long as their owners say; 0: 1
+	runtimeFactor float64
+	onTaskStart   func(s *wire.JobSpec)
 }
 
 type controllerProcess struct {
@@ -106,7 +110,8 @@
 type Deployment struct {
 	Params config.Params
 	Types  []wire.MachineType
-	// MaxMachines is how many machines of a type and kind each zone has, and Page how many machines a page of the cloud's list has.
+	// MaxMachines is how many machines of a type and kind each zone has, and Page how many machines a page of the
+	// cloud's list has.
 	MaxMachines func(typ string, spot bool) int
 	PageSize    int
 	// OnTaskStart, if not nil, is told whenever a worker begins a task.
@@ -115,7 +120,8 @@
 
 // SmallDeployment is the deployment that tests run on.
 func SmallDeployment() Deployment {
-	return Deployment{Params: DefaultParams(), Types: smallDeploymentTypes, PageSize: 2} // small pages, to have them tested
+	// small pages, to have them tested
+	return Deployment{Params: DefaultParams(), Types: smallDeploymentTypes, PageSize: 2}
 }
 
 // NewOnNetwork makes a world on some other network, on which nothing can be cut or frozen.
@@ -232,7 +238,8 @@
 	w.Cloud.mu.Unlock()
 }
 
-// DuplicateHeartbeats sets the chance that a copy of a report comes to the node that it was sent to, and by how much it may be late.
+// DuplicateHeartbeats sets the chance that a copy of a report comes to the node that it was sent to, and by how much
+// it may be late.
 func (w *Environment) DuplicateHeartbeats(chance float64, maxDelay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -280,7 +287,8 @@
 	w.retainChance = share
 }
 
-// ReplayRetained sends copies that were kept to every node, all at once, and counts them: of each machine the oldest, one in the middle and the newest.
+// ReplayRetained sends copies that were kept to every node, all at once, and counts them: of each machine the oldest,
+// one in the middle and the newest.
 func (w *Environment) ReplayRetained() (sent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -332,7 +340,8 @@
 	}()
 }
 
-// PollRepeatedly has users ask for a job at all nodes, so many times with a short pause between them, and repeat its submission.
+// PollRepeatedly has users ask for a job at all nodes, so many times with a short pause between them, and repeat its
+// submission.
 func (w *Environment) PollRepeatedly(spec *wire.JobSpec, times int, pause time.Duration) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
@@ -491,7 +500,8 @@
 	return len(w.gangMembers[gangAttemptKey(task, attempt)]) == members
 }
 
-// isGangFinished tells whether a gang is done: its tasks complete together, and the result is kept for those whose end was not seen.
+// isGangFinished tells whether a gang is done: its tasks complete together, and the result is kept for those whose
+// end was not seen.
 func (w *Environment) isGangFinished(task string) bool {
 	n, _, _ := wire.ParseTaskID(task)
 	w.mu.Lock()
@@ -590,14 +600,15 @@
 	listing            []wire.ListedMachine
 	launched           int
 	outage             bool
-	dropResponseChance float64                         // chance that a request is carried out and not answered
-	bootSlowdown       float64                         // boots take so many times as long; 0: as usual
-	neverBootsEvery    int                             // one in so many never comes up; 0: none
-	deletionDelay      time.Duration                   // by how much deletions are carried out late, their sender having given up
-	maxMachines        int                             // machines of each type, zone and kind
-	maxMachinesOf      func(typ string, spot bool) int // the same, where it differs
-	machineTypes       []wire.MachineType
-	pageSize           int // machines on a page of the list
+	dropResponseChance float64 // chance that a request is carried out and not answered
+	bootSlowdown       float64 // boots take so many times as long; 0: as usual
+	neverBootsEvery    int     // one in so many never comes up; 0: none
+	// by how much deletions are carried out late, their sender having given up
+	deletionDelay time.Duration
+	maxMachines   int                             // machines of each type, zone and kind
+	maxMachinesOf func(typ string, spot bool) int // the same, where it differs
+	machineTypes  []wire.MachineType
+	pageSize      int // machines on a page of the list
 }
 
 // defaultMaxMachines is how many machines of each type, zone and kind there are, unless a test says otherwise.
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -13,15 +13,16 @@
 // InvariantChecker sees every task that is on a machine and every answer to a user, and
 // notes each broken rule.
 type InvariantChecker struct {
-	mu                sync.Mutex
-	limits            map[string][2]float64 // team: CPUs, GPUs at most
-	cancelBound       time.Duration
-	jobs              map[uint64]*jobRecord
-	placements        map[string]map[string]bool // task: machines where it has its image and is not gone
-	usage             map[string][2]float64      // team: CPUs and GPUs of what is in on
-	violations        []string
-	starts            int
-	racingReads       int  // answers to questions that came within a moment after a job was accepted, ended or cancelled
+	mu          sync.Mutex
+	limits      map[string][2]float64 // team: CPUs, GPUs at most
+	cancelBound time.Duration
+	jobs        map[uint64]*jobRecord
+	placements  map[string]map[string]bool // task: machines where it has its image and is not gone
+	usage       map[string][2]float64      // team: CPUs and GPUs of what is in on
+	violations  []string
+	starts      int
+	// answers to questions that came within a moment after a job was accepted, ended or cancelled
+	racingReads       int
 	startsAfterCancel int  // starts of jobs whose cancellation was confirmed
 	faultsOver        bool // all troubles are over
 }
@@ -53,20 +54,23 @@
 }
 
 type jobRecord struct {
-	spec                 *wire.JobSpec
-	starts               int
-	accepted             bool
-	done                 map[int]bool
-	finalState           string
-	cancelRequested      bool // its user asked to cancel it
-	cancelledAt          time.Time
-	taskZones            map[int]string // where each task is
-	stateChangedAt       time.Time      // when it was told to be accepted, done or cancelled
-	submittedAt          time.Time      // when its user began to submit it
-	startedAt            time.Time      // when its first task started, of a gang all at once; zero: not yet
-	unansweredSince      time.Time      // since when no question about it was answered, all troubles over; zero: the last one was
-	placeableSince       time.Time      // since when a task of it waits, all troubles over, though a machine that fits has room and its team is under its limit
-	replicaUpSeconds     float64        // replicas' seconds, from replicaStartupGrace on
+	spec            *wire.JobSpec
+	starts          int
+	accepted        bool
+	done            map[int]bool
+	finalState      string
+	cancelRequested bool // its user asked to cancel it
+	cancelledAt     time.Time
+	taskZones       map[int]string // where each task is
+	stateChangedAt  time.Time      // when it was told to be accepted, done or cancelled
+	submittedAt     time.Time      // when its user began to submit it
+	startedAt       time.Time      // when its first task started, of a gang all at once; zero: not yet
+	// since when no question about it was answered, all troubles over; zero: the last one was
+	unansweredSince time.Time
+	// since when a task of it waits, all troubles over, though a machine that fits has room and its team is under its
+	// limit
+	placeableSince       time.Time
+	replicaUpSeconds     float64 // replicas' seconds, from replicaStartupGrace on
 	replicaWantedSeconds float64
 }
 
@@ -342,7 +346,8 @@
 	return t != nil && t.accepted && !t.cancelRequested && !t.done[k] && len(t.done) == t.spec.Tasks-1
 }
 
-// RacingReads counts the answers to questions that came within a moment after a job was told to be accepted, done or cancelled.
+// RacingReads counts the answers to questions that came within a moment after a job was told to be accepted, done or
+// cancelled.
 func (f *InvariantChecker) RacingReads() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -371,7 +376,8 @@
 	return t != nil && t.done[k]
 }
 
-// StartsAfterCancel counts the tasks that were started after the cancellation of their job was confirmed, within the time that the protocol leaves.
+// StartsAfterCancel counts the tasks that were started after the cancellation of their job was confirmed, within the
+// time that the protocol leaves.
 func (f *InvariantChecker) StartsAfterCancel() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestInvariantCheckerFindsPlantedViolations: a task that starts on two machines, and a team that uses more than its limit, also after
-// many tasks came and went.
+// TestInvariantCheckerFindsPlantedViolations: a task that starts on two machines, and a team that uses more than its
+// limit, also after many tasks came and went.
 func TestInvariantCheckerFindsPlantedViolations(t *testing.T) {
 	f := NewInvariantChecker(map[string][2]float64{"red": {10, 0}}, time.Minute)
 	f.RegisterJob(&wire.JobSpec{ID: wire.JobID(1), Team: "red", Shape: wire.Array, Tasks: 200, CPUs: 0.1})
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -35,16 +35,18 @@
 	requestBytes int // of their bodies
 	peakKeys     int // most keys held at once
 
-	outage                                bool
-	refusedHosts                          map[string]bool // hosts that alone get what all get in an outage
-	latency                               time.Duration   // that an answer takes
-	dropResponseChance, dropRequestChance float64         // chances that a transaction is applied, but not answered; that it is neither
-	maxExtraTxnDelay                      time.Duration   // by how much an unanswered transaction may be applied late
-	minTxnDelay                           time.Duration   // and by how much at least
-	delayedTxns                           map[string]int  // what was carried out late, by the kind of its first write
-	dropAfterCommitChance                 float64         // chance that a transaction is carried out at once and its answer alone is lost
-	droppedResponses                      map[string]int  // of how many that was so, by the kind of their first write
-	requestLimiter, changeLimiter         *rate.Limiter   // nil: any number
+	outage       bool
+	refusedHosts map[string]bool // hosts that alone get what all get in an outage
+	latency      time.Duration   // that an answer takes
+	// chances that a transaction is applied, but not answered; that it is neither
+	dropResponseChance, dropRequestChance float64
+	maxExtraTxnDelay                      time.Duration  // by how much an unanswered transaction may be applied late
+	minTxnDelay                           time.Duration  // and by how much at least
+	delayedTxns                           map[string]int // what was carried out late, by the kind of its first write
+	// chance that a transaction is carried out at once and its answer alone is lost
+	dropAfterCommitChance         float64
+	droppedResponses              map[string]int // of how many that was so, by the kind of their first write
+	requestLimiter, changeLimiter *rate.Limiter  // nil: any number
 }
 
 type entry struct {
@@ -80,14 +82,16 @@
 	}
 }
 
-// DelayTxns has a share of the transactions get no answer, and carries each of them out later, after newer ones: from two seconds on, up to so much more.
+// DelayTxns has a share of the transactions get no answer, and carries each of them out later, after newer ones: from
+// two seconds on, up to so much more.
 func (s *KVStore) DelayTxns(share float64, maxExtraDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropResponseChance, s.dropRequestChance, s.minTxnDelay, s.maxExtraTxnDelay = share, 0, 2*time.Second, maxExtraDelay
 }
 
-// DropResponses has a share of the transactions carried out at once while their answers are lost: their sender waits in vain, or its connection breaks.
+// DropResponses has a share of the transactions carried out at once while their answers are lost: their sender waits
+// in vain, or its connection breaks.
 func (s *KVStore) DropResponses(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +121,8 @@
 	return operation + strings.Join(parts[:min(2, len(parts))], "/")
 }
 
-// RefuseHost has a host get 503 while the others are served, or ends that. Its open watches wait meanwhile, and its leases run out.
+// RefuseHost has a host get 503 while the others are served, or ends that. Its open watches wait meanwhile, and its
+// leases run out.
 func (s *KVStore) RefuseHost(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -94,9 +94,10 @@
 	}
 }
 
-// Hang makes the machine execute nothing for a while. One that hangs already is left alone, and between two hangs it comes to
-// run: two that followed on each other once kept it for longer than a cancellation has, which no service can help while the state service is
-// away, and which the protocol excludes, since a machine that hangs goes on within its lease or not at all.
+// Hang makes the machine execute nothing for a while. One that hangs already is left alone, and between two hangs it
+// comes to run: two that followed on each other once kept it for longer than a cancellation has, which no service can
+// help while the state service is away, and which the protocol excludes, since a machine that hangs goes on within
+// its lease or not at all.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,8 +128,8 @@
 	w.outboundPartitioned = on
 }
 
-// DelayCommands has direct commands to the machine held up from now on: their senders get no answer, and they are carried out so much
-// later if token and session still match. 0 ends that for those that come from then on.
+// DelayCommands has direct commands to the machine held up from now on: their senders get no answer, and they are
+// carried out so much later if token and session still match. 0 ends that for those that come from then on.
 func (w *Worker) DelayCommands(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,7 +143,8 @@
 	return w.delayedCommands
 }
 
-// dropIfInboundPartitioned loses what was sent to a machine that can't be reached: its sender gets no answer while it waits for one.
+// dropIfInboundPartitioned loses what was sent to a machine that can't be reached: its sender gets no answer while it
+// waits for one.
 func (w *Worker) dropIfInboundPartitioned() {
 	for range 50 {
 		w.mu.Lock()
@@ -156,8 +158,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Reboot ends the machine's worker with everything on it, and starts it again under the same name. The protocol does not say
-// what its numbers begin with: they go on in a new session, or, if afresh, begin at 1 as those of a new machine do.
+// Reboot ends the machine's worker with everything on it, and starts it again under the same name. The protocol does
+// not say what its numbers begin with: they go on in a new session, or, if afresh, begin at 1 as those of a new
+// machine do.
 func (w *Worker) Reboot(resetCounters bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -27,8 +27,8 @@
 	requests map[string]*requestMetrics
 
 	Placed, Stopped, Provisioned, ProvisionRefused, ScaledIn, Terms *metrics.Counter
-	// Relayed are workers' reports passed on to the leader and answered by it, Kept those that this node answered itself
-	// because the leader did not in time, Moved workers that this node sent to another one.
+	// Relayed are workers' reports passed on to the leader and answered by it, Kept those that this node answered
+	// itself because the leader did not in time, Moved workers that this node sent to another one.
 	Relayed, AnsweredLocally, Reassigned *metrics.Counter
 	// NotAdmitted are new jobs that were refused because this node was late.
 	NotAdmitted *metrics.Counter
@@ -132,7 +132,8 @@
 	return 0
 }
 
-// ObserveFailover counts how long after it was noticed that there is no leader a part of the takeover by this node came.
+// ObserveFailover counts how long after it was noticed that there is no leader a part of the takeover by this node
+// came.
 func (s *Registry) ObserveFailover(part candidacy.Phase, seconds float64) {
 	s.failovers[part].Update(seconds)
 }
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Clone copies what scheduling reads and changes: jobs, runs, machines, teams and names. Nothing
-// that the copy's owner does reaches the model, and the copy may be read while the model goes
-// on; what never changes (jobs' descriptions, machines' details) is shared. What only matters
-// between a leader and its workers (commands under way, judgements) is left out, and so are the
-// final states, which grow with history; machines are not found by name. It takes some milliseconds for ten thousand runs.
+// Clone copies what scheduling reads and changes: jobs, runs, machines, teams and names. Nothing that the copy's
+// owner does reaches the model, and the copy may be read while the model goes on; what never changes (jobs'
+// descriptions, machines' details) is shared. What only matters between a leader and its workers (commands under way,
+// judgements) is left out, and so are the final states, which grow with history; machines are not found by name. It
+// takes some milliseconds for ten thousand runs.
 func (m *Model) Clone() *Model {
 	c := &Model{
 		Images: m.Images.Clone(), Classes: m.Classes.Clone(), Zones: m.Zones.Clone(), TypeNames: m.TypeNames.Clone(),
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -18,9 +18,9 @@
 	decayedAt   Time
 }
 
-// decaySeconds is over how long a job fades, in seconds from its coming: several of the longest jobs that arrays usually
-// make, so that a class is neither behind for one slow job nor well for what it had an hour ago. Those that wait
-// fade as those that are done do: large ones, which wait for long, would else be all that is left to count.
+// decaySeconds is over how long a job fades, in seconds from its coming: several of the longest jobs that arrays
+// usually make, so that a class is neither behind for one slow job nor well for what it had an hour ago. Those that
+// wait fade as those that are done do: large ones, which wait for long, would else be all that is left to count.
 const decaySeconds = 600.0
 
 // RecencyWeight is how much a job counts, from 1 when it comes on.
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -12,9 +12,10 @@
 	"fieldhill/wire"
 )
 
-// This explores what one machine and its leaders can say to each other, in every order: reports, copies of them at any later time,
-// questions, commands (starts, stops and reaps) that are late or lost, a task that ends by itself, a worker that begins anew under its name, with numbers that go on or begin at 1, a lease that
-// runs out, and a new leader while the old one's commands are still under way. The model and its judgement of reports are the real ones.
+// This explores what one machine and its leaders can say to each other, in every order: reports, copies of them at
+// any later time, questions, commands (starts, stops and reaps) that are late or lost, a task that ends by itself, a
+// worker that begins anew under its name, with numbers that go on or begin at 1, a lease that runs out, and a new
+// leader while the old one's commands are still under way. The model and its judgement of reports are the real ones.
 //
 // A command that was on its way to an earlier life ends with its connection: the new life does not know it.
 
@@ -22,13 +23,17 @@
 type mutation int
 
 const (
-	noMutation          mutation = iota
-	copyPassesForAnswer          // a copy of a report passes for the answer to a question, and the token in it is not looked at
-	answerNotAwaited             // a start under way in the answer to a report is not waited for
-	lostStartIgnored             // a direct start without an answer is taken for one that never left
-	anySessionProves             // the session of any report ends the runs of lower ones
-	relayForwardsLate            // a relay that has answered a report itself gives the worker the leader's answer when that comes, whatever the worker has said since
-	reapsEarly                   // the end of an attempt is logged, and it is reaped, though a start of it may be under way; nothing fences that
+	noMutation mutation = iota
+	// a copy of a report passes for the answer to a question, and the token in it is not looked at
+	copyPassesForAnswer
+	answerNotAwaited // a start under way in the answer to a report is not waited for
+	lostStartIgnored // a direct start without an answer is taken for one that never left
+	anySessionProves // the session of any report ends the runs of lower ones
+	// a relay that has answered a report itself gives the worker the leader's answer when that comes, whatever the
+	// worker has said since
+	relayForwardsLate
+	// the end of an attempt is logged, and it is reaped, though a start of it may be under way; nothing fences that
+	reapsEarly
 )
 
 type inFlightMessage struct {
@@ -380,8 +385,8 @@
 	return w
 }
 
-// TestNoOrderStartsTwice explores the orders of all this, and finds what is done wrongly on purpose: from a task that was just placed, and from one that
-// runs while another copy of its start is held up.
+// TestNoOrderStartsTwice explores the orders of all this, and finds what is done wrongly on purpose: from a task that
+// was just placed, and from one that runs while another copy of its start is held up.
 func TestNoOrderStartsTwice(t *testing.T) {
 	held := []string{"the leader sends a command", "the leader gives a command up", "the worker reports", "report 0 arrives", "the answer of term 3 arrives", "the worker reports"}
 	for _, c := range []struct {
--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -7,8 +7,9 @@
 	"fieldhill/wire"
 )
 
-// TestGangStartWaitsForLongFetch: of a gang whose image takes longer to fetch than its members wait for each other, the member that has it is told to start
-// once the one that fetches has it too. Where the fetch is short nothing waits.
+// TestGangStartWaitsForLongFetch: of a gang whose image takes longer to fetch than its members wait for each other,
+// the member that has it is told to start once the one that fetches has it too. Where the fetch is short nothing
+// waits.
 func TestGangStartWaitsForLongFetch(t *testing.T) {
 	for _, c := range []struct {
 		gb    float64
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -128,22 +128,23 @@
 	started       bool // a task of it was placed
 
 	// What the leader keeps for scheduling.
-	WaitedRounds    int            // rounds spent waiting for a busy machine with the image
-	PendingReason   pending.Reason // what was in the way of its next task when last looked at
-	reasonHistory   [maxReasonHistory]ReasonSince
-	NotBefore       Time
-	LocalRoomSince  Time // when room was last begun to be made where its image is; 0: never
-	Errors          int
-	FailedOn        map[MachineID]Time // machines where a task of it failed, and when last
-	Faulty          bool               // it fails on every machine, as far as was seen
-	pauses          int                // how often it was paused for that
-	taskTimes       average            // of its completed tasks' times, in logarithms
-	WithinGuarantee bool               // it fits into its team's guarantee together with the team's earlier unfinished jobs
-	Guaranteed      bool               // it is served as within the guarantee
-	Deferrable      bool               // its part of the guarantee may wait for what is owed
-	UnderServed     bool               // its class or team is served for too little of its work (the floor)
-	Rank            int                // who has a higher one is served before it
-	KnownSince      Time               // when this node learnt of it
+	WaitedRounds   int            // rounds spent waiting for a busy machine with the image
+	PendingReason  pending.Reason // what was in the way of its next task when last looked at
+	reasonHistory  [maxReasonHistory]ReasonSince
+	NotBefore      Time
+	LocalRoomSince Time // when room was last begun to be made where its image is; 0: never
+	Errors         int
+	FailedOn       map[MachineID]Time // machines where a task of it failed, and when last
+	Faulty         bool               // it fails on every machine, as far as was seen
+	pauses         int                // how often it was paused for that
+	taskTimes      average            // of its completed tasks' times, in logarithms
+	// it fits into its team's guarantee together with the team's earlier unfinished jobs
+	WithinGuarantee bool
+	Guaranteed      bool // it is served as within the guarantee
+	Deferrable      bool // its part of the guarantee may wait for what is owed
+	UnderServed     bool // its class or team is served for too little of its work (the floor)
+	Rank            int  // who has a higher one is served before it
+	KnownSince      Time // when this node learnt of it
 }
 
 // Waiting counts the tasks that want a place.
@@ -286,19 +287,20 @@
 	ReleaseSeq uint64 // the log's number of that
 
 	// What the leader observes.
-	Session                uint64
-	Reports                staleness.Tracker // what was heard of its worker
-	InboundPartitionSince  Time              // since when answers are known not to arrive; 0: they do
-	TokenBump              uint64
-	Reported               bool // it has reported to this leader
-	LastReport             Time
-	KnownSince             Time
-	ProvisionedAt          Time // when this leader rented it; 0: another did
-	BootOverdue            bool // it should have come up by now
-	PreemptionAt           Time // when the cloud takes it; 0: no notice
-	Draining               bool // gets no new work and is returned when empty
-	Quarantined            bool // distrusted
-	OutboundPartitionSince Time // since when its reports reach no controller, though it answers: its lease ran out; 0: they do
+	Session               uint64
+	Reports               staleness.Tracker // what was heard of its worker
+	InboundPartitionSince Time              // since when answers are known not to arrive; 0: they do
+	TokenBump             uint64
+	Reported              bool // it has reported to this leader
+	LastReport            Time
+	KnownSince            Time
+	ProvisionedAt         Time // when this leader rented it; 0: another did
+	BootOverdue           bool // it should have come up by now
+	PreemptionAt          Time // when the cloud takes it; 0: no notice
+	Draining              bool // gets no new work and is returned when empty
+	Quarantined           bool // distrusted
+	// since when its reports reach no controller, though it answers: its lease ran out; 0: they do
+	OutboundPartitionSince Time
 	SlowUntil              Time // it was found to be slow, and gets only services until then
 	IdleSince              Time
 	// SuspectFrom is since when every node that may renew the lease of a suspect
@@ -345,21 +347,24 @@
 	Order                             []*Machine // by id
 	ByName                            map[string]*Machine
 	Teams                             []*Team
-	ByClass, ByTeam                   []CompletionStats // by class and by team index; the former may be shorter than Classes
-	teamByName                        map[string]*Team
-	jobsInOrder                       []*Job // live jobs in the order of acceptance, and settled ones until the next look
-	settledCount                      int    // how many of jobsInOrder are settled
-	Types                             []Type // by type index
-	Tombstones                        map[string]bool
-	GangWait                          Time // how long a gang's member waits for the others, by the platform
-	tombstoneRing                     []string
-	maxFleetSize                      int // how many machines there were at once at most, as far as this process knows
-	NextMachine                       MachineID
-	Intents                           []Intent // rentals that may be under way, in the order of the log
-	jobOrder                          uint64
-	LiveTasks                         int
-	finalSeqs                         map[JobID]uint64 // log number of recent final states
-	classBias                         []average        // by class: by how much its owners' estimates were wrong, in logarithms
+	// by class and by team index; the former may be shorter than Classes
+	ByClass, ByTeam []CompletionStats
+	teamByName      map[string]*Team
+	// live jobs in the order of acceptance, and settled ones until the next look
+	jobsInOrder   []*Job
+	settledCount  int    // how many of jobsInOrder are settled
+	Types         []Type // by type index
+	Tombstones    map[string]bool
+	GangWait      Time // how long a gang's member waits for the others, by the platform
+	tombstoneRing []string
+	maxFleetSize  int // how many machines there were at once at most, as far as this process knows
+	NextMachine   MachineID
+	Intents       []Intent // rentals that may be under way, in the order of the log
+	jobOrder      uint64
+	LiveTasks     int
+	finalSeqs     map[JobID]uint64 // log number of recent final states
+	// by class: by how much its owners' estimates were wrong, in logarithms
+	classBias []average
 
 	// TermBase is the lowest token of the present term.
 	TermBase uint64
@@ -701,7 +706,8 @@
 		machine.Reserved.Mem += sign * s.MemoryGB
 	}
 	if len(machine.Runs) == 0 {
-		machine.CPUs, machine.GPUs, machine.Mem, machine.Reserved = 0, 0, 0, ReservedResources{} // no drift from rounding
+		// no drift from rounding
+		machine.CPUs, machine.GPUs, machine.Mem, machine.Reserved = 0, 0, 0, ReservedResources{}
 	}
 	if t := r.Job.Team; t != nil {
 		t.UsedCPUs += sign * s.CPUs
@@ -806,9 +812,9 @@
 	}
 }
 
-// minTombstones is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had are,
-// so that none is forgotten while a list lags though all machines were lost and others were rented. Replicas may differ
-// in how many they keep: no entry is applied otherwise for it.
+// minTombstones is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had
+// are, so that none is forgotten while a list lags though all machines were lost and others were rented. Replicas may
+// differ in how many they keep: no entry is applied otherwise for it.
 const minTombstones = 1024
 
 func (m *Model) removeMachine(id MachineID, now Time) {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -152,8 +152,8 @@
 	if v := m.Observe(machine, testReport(1, 1, 3<<24), nil, 1); !v.IsStale() {
 		t.Error("an old report was believed")
 	}
-	// A report may have been sent by an earlier life of the worker, whose sessions had gone further: it has the machine asked, and counts once it shows a token
-	// that was given out since.
+	// A report may have been sent by an earlier life of the worker, whose sessions had gone further: it has the
+	// machine asked, and counts once it shows a token that was given out since.
 	v := m.Observe(machine, testReport(2, 1, 3<<24), nil, 1)
 	if len(v.Entries) != 0 || !v.NeedsProbe {
 		t.Errorf("a report's newer session ends what ran in the older by itself: %v, asked %v", v.Entries, v.NeedsProbe)
@@ -408,7 +408,8 @@
 	})
 }
 
-// TestOutboundPartitionedMachine: a machine that answers with a newer session, while no report of it comes, lost its lease though it is reached: it gets services only, until a report comes.
+// TestOutboundPartitionedMachine: a machine that answers with a newer session, while no report of it comes, lost its
+// lease though it is reached: it gets services only, until a report comes.
 func TestOutboundPartitionedMachine(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	token := m.Token(machine)
@@ -651,8 +652,8 @@
 	}
 }
 
-// TestIntentsInSnapshots: rentals under way survive in snapshots, in the order of the log, and a snapshot without any is
-// of the version that nodes which don't know them read.
+// TestIntentsInSnapshots: rentals under way survive in snapshots, in the order of the log, and a snapshot without any
+// is of the version that nodes which don't know them read.
 func TestIntentsInSnapshots(t *testing.T) {
 	m := New(params())
 	apply := func(seq uint64, e *Entry) {
@@ -687,9 +688,9 @@
 	}
 }
 
-// TestReportFromEarlierIncarnation: the first report that a new leader gets of a machine may be a copy from an earlier life of its worker, whose sessions
-// had gone further than those of the present one. Its session once passed for a proof that the runs of a lower one are gone, and they
-// were started elsewhere while they ran.
+// TestReportFromEarlierIncarnation: the first report that a new leader gets of a machine may be a copy from an
+// earlier life of its worker, whose sessions had gone further than those of the present one. Its session once passed
+// for a proof that the runs of a lower one are gone, and they were started elsewhere while they ran.
 func TestReportFromEarlierIncarnation(t *testing.T) {
 	m, machine, run := newPlacedModel(t) // a run in session 1 of the present life
 	m.BeginTerm(4<<24, 0)
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -22,15 +22,14 @@
 //   - in a command of an earlier leader (Inherited): over once the worker
 //     reports a token of this term.
 //
-// That a worker's lease is over is known without its word, if no node can have
-// renewed it. A machine that has long said nothing is made suspect by an entry:
-// a node that knows of it does not renew the lease, and a node whose copy of the
-// log is older stops at its bound, counted from that copy. So once the entry has
-// been committed for that bound and a lease, the worker has ended everything on the
-// machine, or will as soon as it executes anything; a start that is still under way names a session that is over. That is
-// no evidence: a machine that hangs holds its tasks until it wakes. But nothing is lost any more by returning it, and the cloud's answer to that is
-// evidence. If the leader hears from the worker meanwhile it takes the suspicion back before it answers.
-// A leader counts from its own election if the entry is older. (EntryLeaseExpired, by which older versions had the end of a lease end the runs, is
+// That a worker's lease is over is known without its word, if no node can have renewed it. A machine that has long
+// said nothing is made suspect by an entry: a node that knows of it does not renew the lease, and a node whose copy
+// of the log is older stops at its bound, counted from that copy. So once the entry has been committed for that bound
+// and a lease, the worker has ended everything on the machine, or will as soon as it executes anything; a start that
+// is still under way names a session that is over. That is no evidence: a machine that hangs holds its tasks until it
+// wakes. But nothing is lost any more by returning it, and the cloud's answer to that is evidence. If the leader
+// hears from the worker meanwhile it takes the suspicion back before it answers. A leader counts from its own
+// election if the entry is older. (EntryLeaseExpired, by which older versions had the end of a lease end the runs, is
 // still read.)
 
 // BeginTerm makes the node that holds the model a leader: nothing observed
@@ -52,8 +51,9 @@
 	}
 }
 
-// LeaseExpired tells whether the lease of a suspect machine has surely run out: since all that may have renewed it told when they last did (own is when
-// this node did; others is how many there are besides it), or, where not all did, by the bound for which any node may go on with an old copy of the log.
+// LeaseExpired tells whether the lease of a suspect machine has surely run out: since all that may have renewed it
+// told when they last did (own is when this node did; others is how many there are besides it), or, where not all
+// did, by the bound for which any node may go on with an old copy of the log.
 func (machine *Machine) LeaseExpired(bound, duration, ownRenewal, now Time, others int) bool {
 	if !machine.Suspect || machine.SuspectFrom == 0 {
 		return false
@@ -149,7 +149,8 @@
 	case !isProbeAnswer:
 		machine.DirectFailed, machine.OutboundPartitionSince = false, 0
 	case knownBefore && verdict.Freshness != staleness.Restarted && r.AgentEpoch > session && machine.OutboundPartitionSince == 0:
-		machine.OutboundPartitionSince = max(now, 1) // it is reached, and nobody renewed its lease: what it gets lasts for a lease
+		// it is reached, and nobody renewed its lease: what it gets lasts for a lease
+		machine.OutboundPartitionSince = max(now, 1)
 	}
 	switch {
 	case machine.Reports.OneWay():
@@ -157,7 +158,8 @@
 	case tokenSeen || isProbeAnswer:
 		machine.InboundPartitionSince = 0
 	case leaseExpired:
-		machine.MarkInboundPartition(now) // its lease ran out although its reports were answered; the report after the next answer tells
+		// its lease ran out although its reports were answered; the report after the next answer tells
+		machine.MarkInboundPartition(now)
 	}
 	if r.NoticeS != nil {
 		if machine.PreemptionAt == 0 {
@@ -197,8 +199,8 @@
 	return verdict
 }
 
-// RaiseToken raises a machine's token, unless the worker is yet to show the last one: whether answers arrive is not known, and the report
-// after the next answer tells.
+// RaiseToken raises a machine's token, unless the worker is yet to show the last one: whether answers arrive is not
+// known, and the report after the next answer tells.
 func (m *Model) RaiseToken(machine *Machine) {
 	if machine.Reports.Token() >= m.Token(machine) {
 		machine.TokenBump++
@@ -243,7 +245,8 @@
 	}
 	run.seenObservation = machine.observation
 	if !isProbeAnswer {
-		run.answeredReportSeq = 0 // the worker has one report in flight: what answered the one before was taken or dropped
+		// the worker has one report in flight: what answered the one before was taken or dropped
+		run.answeredReportSeq = 0
 	}
 	if run.Session < machine.Session {
 		// The worker forgot everything between the sessions; a task listed now
@@ -279,9 +282,10 @@
 		return
 	}
 	if s.Cause != wire.CauseDone && (m.startMayBeInFlight(machine, run) || run.answeredReportSeq != 0) {
-		// What it lists is not started again. But if the worker has begun anew since, it may be, by the start that is under way: the end
-		// counts as soon as the worker shows the token that fences that. So it may, once it is reaped, by the same start in an answer to a report
-		// that is held up: what a question or a direct command showed waits for the next report.
+		// What it lists is not started again. But if the worker has begun anew since, it may be, by the start that is
+		// under way: the end counts as soon as the worker shows the token that fences that. So it may, once it is
+		// reaped, by the same start in an answer to a report that is held up: what a question or a direct command
+		// showed waits for the next report.
 		if run.Phase == Unseen {
 			run.setPhase(Fetching) // it need not be told to start it again
 		}
@@ -313,9 +317,9 @@
 func (m *Model) judgeUnlisted(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) *Entry {
 	gone := &Entry{Kind: EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt}
 	if run.Session < r.AgentEpoch {
-		// A newer session: everything of the older one is gone, and commands for it are refused. Unless the worker has begun
-		// anew since it sent this, with numbers that begin at 1: then the older session may be that of its present life, in which
-		// the run may be, or be started by what is on its way.
+		// A newer session: everything of the older one is gone, and commands for it are refused. Unless the worker
+		// has begun anew since it sent this, with numbers that begin at 1: then the older session may be that of its
+		// present life, in which the run may be, or be started by what is on its way.
 		if m.startMayBeInFlight(machine, run) || !m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 			return nil
 		}
@@ -351,9 +355,10 @@
 	return nil
 }
 
-// provesGone tells whether a report may end a run that was there by not listing it, or by a newer session. That is so rare that it may take a question: a
-// report that a worker sent before it began anew, with numbers that begin at 1, may come after newer ones whose numbers are no higher. So the machine is asked, and
-// its answer counts at once; a report counts if it shows a token that was first given out after one like it was heard.
+// provesGone tells whether a report may end a run that was there by not listing it, or by a newer session. That is so
+// rare that it may take a question: a report that a worker sent before it began anew, with numbers that begin at 1,
+// may come after newer ones whose numbers are no higher. So the machine is asked, and its answer counts at once; a
+// report counts if it shows a token that was first given out after one like it was heard.
 func (m *Model) provesGone(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) bool {
 	if isProbeAnswer || run.goneFromToken != 0 && r.FencingToken >= run.goneFromToken {
 		return true
@@ -367,8 +372,8 @@
 	return false
 }
 
-// startMayBeInFlight tells whether a start of a run in an earlier session may be under way, and raises the token above it if so: once the worker has
-// the new token the start is refused, whatever the worker's session is by then.
+// startMayBeInFlight tells whether a start of a run in an earlier session may be under way, and raises the token
+// above it if so: once the worker has the new token the start is refused, whatever the worker's session is by then.
 func (m *Model) startMayBeInFlight(machine *Machine, run *Run) bool {
 	_, open := machine.unresolvedStarts[run.key()]
 	if open {
@@ -449,8 +454,8 @@
 				*c.GraceS = r.Job.Spec.CheckpointWriteS + 1
 			}
 		case r.Job.Cancelled && committed >= r.PlacedSeq:
-			// The cancellation itself need not be in the log yet: nothing is told by a stop, and one that is sent in vain
-			// ends an attempt, which is reported and followed by another.
+			// The cancellation itself need not be in the log yet: nothing is told by a stop, and one that is sent in
+			// vain ends an attempt, which is reported and followed by another.
 			c.Verb, c.GraceS = wire.Stop, new(float64)
 		default:
 			continue
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -79,8 +79,9 @@
 // services, so it keeps them, and its place for more; nothing moves off it.
 func (machine *Machine) IsSlow(now Time) bool { return now < machine.SlowUntil }
 
-// ServicesOnly tells whether a machine gets services only: it is slow, which is nothing to them, or its reports reach no controller, so that what runs there is ended with its
-// lease again and again, by which services lose a moment and the rest all that it did.
+// ServicesOnly tells whether a machine gets services only: it is slow, which is nothing to them, or its reports reach
+// no controller, so that what runs there is ended with its lease again and again, by which services lose a moment and
+// the rest all that it did.
 func (machine *Machine) ServicesOnly(now Time) bool {
 	return machine.IsSlow(now) || machine.OutboundPartitionSince != 0
 }
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -32,8 +32,8 @@
 	return c
 }
 
-// countingNetwork is a network whose connections, and tries to make one, are counted; at each one above the bound spare is
-// called first.
+// countingNetwork is a network whose connections, and tries to make one, are counted; at each one above the bound
+// spare is called first.
 type countingNetwork struct {
 	host.Net
 	maxOpen   int64
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -1,10 +1,10 @@
 // Package standby decides whether a controller may stand for election now. It is pure: what the others say of
 // themselves, whether a leader is known, and the time go in; whether to stand, or when to ask again, comes out.
 //
-// A process that has just ended is back within a fraction of a second, knows at once that its own lead is over,
-// and would be the first to take it again: cold, while others run on that follow the log. So a fresh process
-// stands back while a warm one is there, for longer each time that it has ended lately. No rule depends on it: who leads
-// is decided by the key in the state service alone, and whoever stands back too long stands after all.
+// A process that has just ended is back within a fraction of a second, knows at once that its own lead is over, and
+// would be the first to take it again: cold, while others run on that follow the log. So a fresh process stands back
+// while a warm one is there, for longer each time that it has ended lately. No rule depends on it: who leads is
+// decided by the key in the state service alone, and whoever stands back too long stands after all.
 package candidacy
 
 import (
@@ -28,8 +28,8 @@
 	StatusTTL          Time // how long what a node said of itself counts
 }
 
-// DefaultRules are the rules. A warm node that notices has the lead within some 0.2 s; where the others can't be heard of, that
-// is waited for several times over, and no longer: they may all be gone.
+// DefaultRules are the rules. A warm node that notices has the lead within some 0.2 s; where the others can't be
+// heard of, that is waited for several times over, and no longer: they may all be gone.
 var DefaultRules = Rules{
 	FreshFor: 2 * time.Second, MaxFreshFor: time.Minute, RestartMemory: 2 * time.Minute, YieldToWarm: 1500 * time.Millisecond, MaxYield: 6 * time.Second,
 	YieldToUnreachable: 800 * time.Millisecond, StatusTTL: 1500 * time.Millisecond,
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestNoLeaderToBeginWith: a process that finds no leader at all does not wait for those that it can't hear of, since a warm one
-// would have stood before it began; but it leaves the lead to one that it hears of.
+// TestNoLeaderToBeginWith: a process that finds no leader at all does not wait for those that it can't hear of, since
+// a warm one would have stood before it began; but it leaves the lead to one that it hears of.
 func TestNoLeaderToBeginWith(t *testing.T) {
 	if at := standsAfter(t, New(DefaultRules, 2, 0), time.Minute, nil); at != 0 {
 		t.Errorf("it stands after %v", at)
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestWarmProcessStandsAtOnce: a process that has run for a while stands at once, and none stands while a leader is known.
+// TestWarmProcessStandsAtOnce: a process that has run for a while stands at once, and none stands while a leader is
+// known.
 func TestWarmProcessStandsAtOnce(t *testing.T) {
 	eligibility := New(DefaultRules, 1, 0)
 	now := DefaultRules.FreshFor
@@ -117,7 +118,8 @@
 	}
 }
 
-// TestRecentIncarnationsAreCounted: processes are counted once each, and for as long as they say; the one that asks is never forgotten.
+// TestRecentIncarnationsAreCounted: processes are counted once each, and for as long as they say; the one that asks
+// is never forgotten.
 func TestRecentIncarnationsAreCounted(t *testing.T) {
 	eligibility := New(DefaultRules, 1, 0)
 	for i := range 40 {
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -1,20 +1,24 @@
-// Package vouch tells whether something that ends leases may have been confirmed that a node does not know of. It is pure.
+// Package vouch tells whether something that ends leases may have been confirmed that a node does not know of. It is
+// pure.
 //
-// A node that can't read the log keeps workers' leases only for a bound: a job cancelled meanwhile must lose its tasks in time. While the
-// state service is down for all, nothing can be confirmed that was not in the log before; but that a node can't tell, since it may
-// be the only one that is refused. What it can tell is this. It was complete at some time (its copy of the log held all
-// that was committed then). Whatever was confirmed since, to a user or to whoever counts the time of a lease, was confirmed by a process of a
-// controller that had the batch with it. So if it asks each of the other controllers, and all say
+// A node that can't read the log keeps workers' leases only for a bound: a job cancelled meanwhile must lose its
+// tasks in time. While the state service is down for all, nothing can be confirmed that was not in the log before;
+// but that a node can't tell, since it may be the only one that is refused. What it can tell is this. It was complete
+// at some time (its copy of the log held all that was committed then). Whatever was confirmed since, to a user or to
+// whoever counts the time of a lease, was confirmed by a process of a controller that had the batch with it. So if it
+// asks each of the other controllers, and all say
 //
 //   - that their process began before this node was complete: then no earlier process of theirs can have confirmed what this node does not
 //     have, since that one was over by then;
 //   - that their process has never seen a batch beyond the last one that this node has;
 //
-// then nothing that this node lacks had been confirmed when it asked: it was as good as complete at that time. The bound counts from there, and
-// it may ask again. One controller that does not answer, that began later, or that has seen more, and the old bound stands. What is
-// told are ages and log numbers, not times of day; an answer that is late makes a process look younger than it is, never older.
+// then nothing that this node lacks had been confirmed when it asked: it was as good as complete at that time. The
+// bound counts from there, and it may ask again. One controller that does not answer, that began later, or that has
+// seen more, and the old bound stands. What is told are ages and log numbers, not times of day; an answer that is
+// late makes a process look younger than it is, never older.
 //
-// An answer speaks for the whole of the past of its process, so a copy that is thrown away and read anew takes nothing from it: Past only grows.
+// An answer speaks for the whole of the past of its process, so a copy that is thrown away and read anew takes
+// nothing from it: Past only grows.
 package commitfence
 
 import (
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -11,7 +11,8 @@
 
 func TestMain(m *testing.M) { virtualtime.MainRapid(m, 3000) }
 
-// process is a plain account of one process of a controller, in true time: when it lived, how fast its clock is, and when it learnt of each batch.
+// process is a plain account of one process of a controller, in true time: when it lived, how fast its clock is, and
+// when it learnt of each batch.
 type process struct {
 	node         int
 	begun, ended float64 // ended 0: it lives
@@ -19,9 +20,10 @@
 	watermarks   Watermarks
 }
 
-// TestNothingConfirmedUnknown draws histories of some controllers: batches are committed, processes learn of them, confirm them and end; the
-// asker is complete at some time and asks later, while answers come late or not at all. Whenever all vouch, a plain account of who confirmed what
-// must have nothing confirmed before the questions that the asker lacks.
+// TestNothingConfirmedUnknown draws histories of some controllers: batches are committed, processes learn of them,
+// confirm them and end; the asker is complete at some time and asks later, while answers come late or not at all.
+// Whenever all vouch, a plain account of who confirmed what must have nothing confirmed before the questions that the
+// asker lacks.
 func TestNothingConfirmedUnknown(t *testing.T) {
 	proven, denied := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -219,9 +219,9 @@
 	})
 }
 
-// TestLateCopyOfADeletedBatch: the first copy of a batch's write has no answer and is carried out after the repeat, after newer batches and after the
-// compaction that deleted the batch. Who reads the log does not take it for the log's end, and the next compaction deletes it again: it
-// used to stay until another leader compacted.
+// TestLateCopyOfADeletedBatch: the first copy of a batch's write has no answer and is carried out after the repeat,
+// after newer batches and after the compaction that deleted the batch. Who reads the log does not take it for the
+// log's end, and the next compaction deletes it again: it used to stay until another leader compacted.
 func TestLateCopyOfADeletedBatch(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -268,7 +268,8 @@
 	})
 }
 
-// TestLostAnswers: a write whose answer is lost is sent again soon, and holds up those behind it for half a second, not for two; the log has each batch once, as it was first written.
+// TestLostAnswers: a write whose answer is lost is sent again soon, and holds up those behind it for half a second,
+// not for two; the log has each batch once, as it was first written.
 func TestLostAnswers(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("n0")
--- a/internal/replication/oplog/oplog.go
+++ b/internal/replication/oplog/oplog.go
@@ -12,10 +12,10 @@
 // A new leader reads the log after its own election, when no older copy can
 // pass (a) any more, so what it reads is final.
 //
-// After compaction the batch's key is gone again (but for the last one that the snapshot covers), so a copy that is applied
-// very late could bring it back; its number is below the snapshot's and nobody
-// reads it, and the compactions of the next minutes delete it again (lateWriteWindow). The key that names the snapshot is written under a condition on its
-// own version, so it never goes back.
+// After compaction the batch's key is gone again (but for the last one that the snapshot covers), so a copy that is
+// applied very late could bring it back; its number is below the snapshot's and nobody reads it, and the compactions
+// of the next minutes delete it again (lateWriteWindow). The key that names the snapshot is written under a condition
+// on its own version, so it never goes back.
 package oplog
 
 import (
@@ -118,8 +118,8 @@
 	l.writes.SetBurst(burst(limit))
 }
 
-// DefaultWriteShare is the part of the write rate that a leader takes who cleans up as well. Room is kept for the election of the
-// next leader.
+// DefaultWriteShare is the part of the write rate that a leader takes who cleans up as well. Room is kept for the
+// election of the next leader.
 const DefaultWriteShare = 0.85
 
 // MaxData is how many bytes a batch may hold.
@@ -128,8 +128,8 @@
 // pageKeys is how many keys a read asks for at once. A page may have fewer, by its bytes.
 const pageKeys = 1000
 
-// rangeAll reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a watch
-// from there sees whatever changes meanwhile.
+// rangeAll reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a
+// watch from there sees whatever changes meanwhile.
 func (l *Log) rangeAll(ctx context.Context, prefix, after string, visit func(it *wire.Item) error) (rev uint64, err error) {
 	for {
 		page, err := l.store.Range(ctx, prefix, after, pageKeys)
@@ -361,16 +361,17 @@
 	}
 }
 
-// resendAfter is after how long without an answer a transaction is sent once more at the earliest, resendLatencyFactor after how many times the usual time, and maxCopies
-// how many copies may be under way.
+// resendAfter is after how long without an answer a transaction is sent once more at the earliest,
+// resendLatencyFactor after how many times the usual time, and maxCopies how many copies may be under way.
 const (
 	resendAfter         = 400 * time.Millisecond
 	resendLatencyFactor = 4
 	maxCopies           = 3
 )
 
-// send sends a transaction, and again, unchanged, if the answer is long in coming: it may be lost, and everybody who waits for the log would wait for two seconds. The
-// first answer that tells the transaction's fate counts; the other copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
+// send sends a transaction, and again, unchanged, if the answer is long in coming: it may be lost, and everybody who
+// waits for the log would wait for two seconds. The first answer that tells the transaction's fate counts; the other
+// copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
 func (l *Log) send(ctx context.Context, txn *wire.Txn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -523,8 +524,8 @@
 		return err
 	}
 	var obsolete []string
-	// The last batch that the snapshot covers stays until the next one: who reads the log's end from an older number finds
-	// it there, and that what lies between is gone. A node that woke after a compaction found nothing behind
+	// The last batch that the snapshot covers stays until the next one: who reads the log's end from an older number
+	// finds it there, and that what lies between is gone. A node that woke after a compaction found nothing behind
 	// its own number, took that for the end, and called accepted jobs unknown.
 	for s := max(1, previous.Seq); s < seq; s++ {
 		obsolete = append(obsolete, batchKey(s))
@@ -593,8 +594,9 @@
 	return keys, nil
 }
 
-// lateWriteWindow is for how long after a write without an answer each compaction looks for what a late copy may have brought back: a batch, or a part of
-// a snapshot, that was deleted meanwhile. Nobody reads it, but it would stay for good, and a leader may lead for months.
+// lateWriteWindow is for how long after a write without an answer each compaction looks for what a late copy may have
+// brought back: a batch, or a part of a snapshot, that was deleted meanwhile. Nobody reads it, but it would stay for
+// good, and a leader may lead for months.
 const lateWriteWindow = 5 * time.Minute
 
 // sweepPageSize is how many keys a sweep reads at once, with their values of some kilobytes each.
@@ -606,19 +608,20 @@
 	Seq     uint64 // how far it had read the log
 	Version uint64 // of the record: it grows with each
 	Data    []byte // what else it says, at most MaxData bytes
-	// Parts is what it says beyond that, MaxPartitionedNodeParts-1 parts at most. Each, and Data, is complete in itself: a reader may
-	// find parts that are newer than Data, and an older version reads Data alone.
+	// Parts is what it says beyond that, MaxPartitionedNodeParts-1 parts at most. Each, and Data, is complete in
+	// itself: a reader may find parts that are newer than Data, and an older version reads Data alone.
 	Parts [][]byte
 }
 
-// maxTxnBytes is less than what the state service takes as one transaction, which is 64 KiB, and valueOverhead more than a
-// value takes besides its data.
+// maxTxnBytes is less than what the state service takes as one transaction, which is 64 KiB, and valueOverhead more
+// than a value takes besides its data.
 const (
 	maxTxnBytes   = 60 << 10
 	valueOverhead = 256
 )
 
-// MaxPartitionedNodeParts is into how many parts of MaxData bytes what a node says may be cut: they are written in one transaction.
+// MaxPartitionedNodeParts is into how many parts of MaxData bytes what a node says may be cut: they are written in
+// one transaction.
 func (l *Log) MaxPartitionedNodeParts() int {
 	return max(1, min(l.maxTxnOps, maxTxnBytes/(base64.StdEncoding.EncodedLen(l.maxData)+valueOverhead)))
 }
@@ -627,8 +630,8 @@
 	return fmt.Sprintf("%s%s/%04d", prefixPartitionedParts, node, part)
 }
 
-// PutPartitionedNode tells the leader that this node does not reach it. Further parts of an earlier, longer record stay and count
-// for nothing.
+// PutPartitionedNode tells the leader that this node does not reach it. Further parts of an earlier, longer record
+// stay and count for nothing.
 func (l *Log) PutPartitionedNode(ctx context.Context, node PartitionedNode) error {
 	t := &wire.Txn{Then: []wire.Write{{Put: prefixPartitioned + node.Node, Value: &wire.LogValue{Version: formatVersion, Node: node.Node,
 		Seq: node.Seq, Count: len(node.Parts), Data: base64.StdEncoding.EncodeToString(node.Data)}}}}
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -11,8 +11,9 @@
 	"fieldhill/wire"
 )
 
-// The keys of duties. Who holds one: held/DUTY, on a lease. How many holders in a row got nowhere: stuck/DUTY. Which nodes
-// know of duties and take part: part/NODE, for good; a node without one is an older one, or was started without.
+// The keys of duties. Who holds one: held/DUTY, on a lease. How many holders in a row got nowhere: stuck/DUTY. Which
+// nodes know of duties and take part: part/NODE, for good; a node without one is an older one, or was started
+// without.
 const (
 	prefixRole        = prefix + "duty/"
 	prefixHolder      = prefixRole + "held/"
@@ -109,8 +110,8 @@
 	return err
 }
 
-// WithWriteShare makes a log of the same state service that takes a part of the write rate of its own, for who cleans up and
-// does not lead.
+// WithWriteShare makes a log of the same state service that takes a part of the write rate of its own, for who cleans
+// up and does not lead.
 func (l *Log) WithWriteShare(writeRPS, share float64, logger *slog.Logger) *Log {
 	return &Log{store: l.store, maxData: l.maxData, maxTxnOps: l.maxTxnOps, logger: logger, writes: newLimiter(writeRPS * share)}
 }
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTrustEndsBeforeTheLease: a holder's trust, on a clock that is slow by as much as clocks may drift apart, ends before
-// the lease may, on one that is fast.
+// TestTrustEndsBeforeTheLease: a holder's trust, on a clock that is slow by as much as clocks may drift apart, ends
+// before the lease may, on one that is fast.
 func TestTrustEndsBeforeTheLease(t *testing.T) {
 	const drift = 0.0005 // each way
 	for n := range NameCount {
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestFreeRoleIsAcquiredInTurn: a free duty is taken by one node at once and by the others in turn, the leader last; a leader that holds
-// duties gives them away one after the other once there is somebody else.
+// TestFreeRoleIsAcquiredInTurn: a free duty is taken by one node at once and by the others in turn, the leader last;
+// a leader that holds duties gives them away one after the other once there is somebody else.
 func TestFreeRoleIsAcquiredInTurn(t *testing.T) {
 	nodes := []string{"a", "b", "c"}
 	for n := range NameCount {
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestOlderUpdatesOfAKeyAreIgnored: words of the key come by several ways; an older one changes nothing, a newer one ends what is held.
+// TestOlderUpdatesOfAKeyAreIgnored: words of the key come by several ways; an older one changes nothing, a newer one
+// ends what is held.
 func TestOlderUpdatesOfAKeyAreIgnored(t *testing.T) {
 	role := New(Provisioning, "a", DefaultRules(Provisioning))
 	role.Observe(RoleHolder{Term: 7}, 0)
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestLostWhileRenewing: a hold that ends while its renewal is under way leaves the node able to take the duty again. The
-// answer used to be passed over, and the node waited for it for good.
+// TestLostWhileRenewing: a hold that ends while its renewal is under way leaves the node able to take the duty again.
+// The answer used to be passed over, and the node waited for it for good.
 func TestLostWhileRenewing(t *testing.T) {
 	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &View{Ready: true, Live: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -38,8 +38,8 @@
 	// maxBatchBytes is about how many bytes one write carries at most, and bufferSize how many one read takes.
 	maxBatchBytes = 32 << 10
 	bufferSize    = 16 << 10
-	// MaxBody is how many bytes the ID and body of a call, or the body of a reply, have at most: the other side ends the
-	// connection over a larger frame, and all calls on it are lost with it. The rest is for the envelope.
+	// MaxBody is how many bytes the ID and body of a call, or the body of a reply, have at most: the other side ends
+	// the connection over a larger frame, and all calls on it are lost with it. The rest is for the envelope.
 	MaxBody = maxPayload - 1<<10
 	// writeGap is between two writes at least, so that on a busy link more frames share one.
 	writeGap = 2 * time.Millisecond
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -93,9 +93,9 @@
 
 // estimateFigure reckons a figure at a size: that at the size of the sweep, and what each slope adds.
 //
-// A slope that is not shown to be above zero is left out, so that nothing is reckoned to become cheaper with size. So are the
-// rates by finished jobs: these end just before the measurement, and cleaning up after them falls into it, which is no cost of
-// knowing them.
+// A slope that is not shown to be above zero is left out, so that nothing is reckoned to become cheaper with size. So
+// are the rates by finished jobs: these end just before the measurement, and cleaning up after them falls into it,
+// which is no cost of knowing them.
 func estimateFigure(stored map[string][]Measurement, target, base regionSize, figure string) (estimate, error) {
 	var result estimate
 	lines := map[string]Line{}
@@ -141,7 +141,8 @@
 var planFigures = []string{"leader cpu", "leader resident MB", "leader sockets", "leader log KB/s", "leader batches/s", "leader peer KB/s", "other cpu", "other resident MB", "other sockets",
 	"state requests/s", "state changes/s", "state KB/s", "worker KB/s", "worker sockets"}
 
-// CapacityTables recomputes the tables of docs/CAPACITY.md from the measurements stored in a folder and the sweep's file.
+// CapacityTables recomputes the tables of docs/CAPACITY.md from the measurements stored in a folder and the sweep's
+// file.
 func CapacityTables(dir, sweep string) (string, error) {
 	stored, err := readMeasurements(dir)
 	if err != nil {
--- a/internal/scale/linefit.go
+++ b/internal/scale/linefit.go
@@ -13,12 +13,14 @@
 	Slope        float64 `json:"b"`
 	InterceptErr float64 `json:"err_a"`
 	SlopeErr     float64 `json:"err_b"`
-	// RSquared is the share of the variance that the line explains, N how many points there were, and From and To their range.
+	// RSquared is the share of the variance that the line explains, N how many points there were, and From and To
+	// their range.
 	RSquared   float64 `json:"r2"`
 	PointCount int     `json:"n"`
 	MinSize    float64 `json:"from"`
 	MaxSize    float64 `json:"to"`
-	// Bend is by how much the slope of the upper half of the range differs from that of the lower half, as a share of B.
+	// Bend is by how much the slope of the upper half of the range differs from that of the lower half, as a share of
+	// B.
 	Bend float64 `json:"bend"`
 }
 
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -137,7 +137,8 @@
 			startedAt := time.Now()
 			time.Sleep(lagInterval)
 			l.mu.Lock()
-			_ = l.histogram.RecordValue(max(1, (time.Since(startedAt) - lagInterval).Microseconds())) // a minute is beyond any run
+			// a minute is beyond any run
+			_ = l.histogram.RecordValue(max(1, (time.Since(startedAt) - lagInterval).Microseconds()))
 			l.mu.Unlock()
 		}
 	}()
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -74,8 +74,8 @@
 	return c.Conn.Close()
 }
 
-// network is a region's part of the loopback network as the stand-ins see it. Workers listen at addresses of their own behind
-// one socket, because thousands of listeners would use up this process's files.
+// network is a region's part of the loopback network as the stand-ins see it. Workers listen at addresses of their
+// own behind one socket, because thousands of listeners would use up this process's files.
 type network struct {
 	workers, others traffic
 	mu              sync.Mutex
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -1,5 +1,6 @@
-// Package scale runs real controllers among thousands of hollow workers on loopback, and measures what each role costs. Hollow
-// workers speak the workers' protocol over real connections, many to a process, and their tasks compute nothing.
+// Package scale runs real controllers among thousands of hollow workers on loopback, and measures what each role
+// costs. Hollow workers speak the workers' protocol over real connections, many to a process, and their tasks compute
+// nothing.
 package scale
 
 import (
@@ -25,7 +26,8 @@
 	Accelerators         int `toml:"accelerators" json:"accelerators"`
 	Teams                int `toml:"teams" json:"teams"`
 	TasksRunning         int `toml:"tasks_running" json:"tasks_running"`
-	FinishedBefore       int `toml:"finished_before" json:"finished_before"` // short jobs, all done before the measurement begins
+	// short jobs, all done before the measurement begins
+	FinishedBefore int `toml:"finished_before" json:"finished_before"`
 
 	Starts   Starts   `toml:"starts" json:"starts"`
 	Gangs    Gangs    `toml:"gangs" json:"gangs"`
@@ -36,9 +38,11 @@
 
 // Starts is the rate of task starts that is asked for, over time.
 type Starts struct {
-	PerS             float64 `toml:"per_s" json:"per_s"`
-	Shape            string  `toml:"shape" json:"shape"`         // steady; ramp: from nothing to the rate; burst: the rate in the middle third, a fifth of it else
-	FirstRegionShare float64 `toml:"one_share" json:"one_share"` // share of the rate that goes to the first region; 0: even
+	PerS float64 `toml:"per_s" json:"per_s"`
+	// steady; ramp: from nothing to the rate; burst: the rate in the middle third, a fifth of it else
+	Shape string `toml:"shape" json:"shape"`
+	// share of the rate that goes to the first region; 0: even
+	FirstRegionShare float64 `toml:"one_share" json:"one_share"`
 }
 
 // Gangs are the gangs that run on the machines with accelerators.
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -124,7 +124,8 @@
 }
 func (r *region) gpuMachines() int { return r.profile.share(r.profile.gpuMachines(), r.index) }
 
-// deployment is the deployment: as many machines of each type as the profile has, spread over the zones, and teams of equal shares.
+// deployment is the deployment: as many machines of each type as the profile has, spread over the zones, and teams of
+// equal shares.
 func (r *region) deployment() emulator.Deployment {
 	profile := r.profile
 	params := emulator.DefaultParams()
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -8,12 +8,13 @@
 
 // Report is what a run measured. Rates are by second of the measured time.
 type Report struct {
-	Profile      Profile  `json:"profile"`
-	MeasuredS    float64  `json:"measured_s"`
-	Regions      []Region `json:"regions"`
-	Machine      Machine  `json:"machine"`
-	Violations   []string `json:"rules_broken"`
-	MachineLimit string   `json:"machine_was_the_limit,omitempty"` // why the figures are the machine's and not the service's
+	Profile    Profile  `json:"profile"`
+	MeasuredS  float64  `json:"measured_s"`
+	Regions    []Region `json:"regions"`
+	Machine    Machine  `json:"machine"`
+	Violations []string `json:"rules_broken"`
+	// why the figures are the machine's and not the service's
+	MachineLimit string `json:"machine_was_the_limit,omitempty"`
 }
 
 // Region is what one region did.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,7 +18,8 @@
 const (
 	progressInterval    = 5 * time.Second
 	memoryCheckInterval = 2 * time.Second
-	// maxLagMillis is how late hollow workers may be, and minIdleShare how much of the machine must be idle, for the figures to be the service's.
+	// maxLagMillis is how late hollow workers may be, and minIdleShare how much of the machine must be idle, for the
+	// figures to be the service's.
 	maxLagMillis  = 50.0
 	minIdleShare  = 0.05
 	maxStealShare = 0.1
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestFitLineRecoversSlope: the slope of drawn points with noise lies within some errors of the true one, and a bend is seen.
+// TestFitLineRecoversSlope: the slope of drawn points with noise lies within some errors of the true one, and a bend
+// is seen.
 func TestFitLineRecoversSlope(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var points, bent []Point
--- a/internal/scheduling/admission/admission.go
+++ b/internal/scheduling/admission/admission.go
@@ -1,9 +1,9 @@
 // Package admission decides whether new work is taken while a controller is late. It is pure.
 //
-// A controller that takes more than it can do ends up doing less: what it has taken waits, its users ask again, and the
-// answers that keep running work alive wait behind both. So new jobs are refused at the door, with a time to come back,
-// while work has to queue for longer than it should. As in CoDel (Nichols and Jacobson, 2012) the measure is the shortest
-// wait of an interval: a burst lets some wait and others not, while a queue that stands lets all wait.
+// A controller that takes more than it can do ends up doing less: what it has taken waits, its users ask again, and
+// the answers that keep running work alive wait behind both. So new jobs are refused at the door, with a time to come
+// back, while work has to queue for longer than it should. As in CoDel (Nichols and Jacobson, 2012) the measure is
+// the shortest wait of an interval: a burst lets some wait and others not, while a queue that stands lets all wait.
 package admission
 
 import "time"
@@ -14,7 +14,8 @@
 const (
 	// TargetWait is how long work may queue in a controller that keeps up.
 	TargetWait = 250 * time.Millisecond
-	// Interval is how long all of it has to queue for longer before new work is refused, and for how long a verdict stands.
+	// Interval is how long all of it has to queue for longer before new work is refused, and for how long a verdict
+	// stands.
 	Interval = time.Second
 	// maxRetryAfter bounds the time after which a refused user is asked to come back.
 	maxRetryAfter = 8 * time.Second
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -57,8 +57,9 @@
 const (
 	typesInterval      = 60 * time.Second
 	typesRetryInterval = time.Second
-	renotifyAfter      = time.Second     // what was told and is still wanted is told again
-	releaseRetryAfter  = 2 * time.Second // and so long after an answer a machine that is still to be returned is returned again
+	renotifyAfter      = time.Second // what was told and is still wanted is told again
+	// and so long after an answer a machine that is still to be returned is returned again
+	releaseRetryAfter = 2 * time.Second
 )
 
 // Provisioner deals with the cloud. Turn, and all that post runs, must be called by one goroutine.
@@ -97,7 +98,8 @@
 
 // ifTrusted asks for something if this node has the duty now. Between a decision and its request any time may have
 // passed, and no token fences a request to the cloud. One that is sent late all the same does no harm: what it rents
-// has a name that the log knows, or is adopted by whoever leads then; what it deletes had no work since the log said so.
+// has a name that the log knows, or is adopted by whoever leads then; what it deletes had no work since the log said
+// so.
 func (p *Provisioner) ifTrusted(request func() error) error {
 	if !p.trusted() {
 		return ErrNotHolder
@@ -186,7 +188,8 @@
 	return ok && wire.Unmarshal(statusErr.Body, &problem) == nil && problem.Error == "no capacity"
 }
 
-// startRelease returns machines, a hundred at a time. The answer is the evidence that they and everything on them are gone.
+// startRelease returns machines, a hundred at a time. The answer is the evidence that they and everything on them are
+// gone.
 func (p *Provisioner) startRelease(now time.Time, machines []string) {
 	for name, at := range p.releasedAt {
 		if now.Sub(at) > releaseRetryAfter {
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -50,8 +50,8 @@
 	return codec.Float(codec.Bool(b, r.Spot), r.AgeS)
 }
 
-// SplitListed makes outcomes of a machine list, each of MaxListedMachines rows and about so many bytes at most. An empty list
-// is one outcome too: it says that the cloud answers.
+// SplitListed makes outcomes of a machine list, each of MaxListedMachines rows and about so many bytes at most. An
+// empty list is one outcome too: it says that the cloud answers.
 func SplitListed(rows []wire.ListedMachine, maxBytes int) (parts []*Result) {
 	from, size := 0, 0
 	var row []byte
--- a/internal/scheduling/scheduler/awaiting_heartbeats_test.go
+++ b/internal/scheduling/scheduler/awaiting_heartbeats_test.go
@@ -8,8 +8,9 @@
 	"fieldhill/wire"
 )
 
-// TestPlacementWhileAwaitingHeartbeats: a leader that has not yet heard of all machines places what is urgent and finds its image on one that it has
-// heard of, and nothing else; it stops nothing. What waits says why, and goes once all are heard of.
+// TestPlacementWhileAwaitingHeartbeats: a leader that has not yet heard of all machines places what is urgent and
+// finds its image on one that it has heard of, and nothing else; it stops nothing. What waits says why, and goes once
+// all are heard of.
 func TestPlacementWhileAwaitingHeartbeats(t *testing.T) {
 	w := newEnvironment(t, 6)
 	s := New(webStartsSoon)
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -153,8 +153,9 @@
 	sameZone bool
 }
 
-// gangKnownUnplaceable tells whether a gang needs at least what one that was served before it did not find: it stands behind it, so it may stop
-// no more, and what was kept since only grew. With a hundred gangs waiting each of them looked through all machines in each round.
+// gangKnownUnplaceable tells whether a gang needs at least what one that was served before it did not find: it stands
+// behind it, so it may stop no more, and what was kept since only grew. With a hundred gangs waiting each of them
+// looked through all machines in each round.
 func (s *Scheduler) gangKnownUnplaceable(need demandShape, members int, oneZone bool) bool {
 	for i := range s.unplaceableGangs {
 		g := &s.unplaceableGangs[i]
@@ -204,12 +205,13 @@
 	return complete
 }
 
-// cheapestGangRoom finds the room for a gang, or for as many members as possible, that costs least: what is undone by stopping others, and
-// what the members lose while the image is fetched.
+// cheapestGangRoom finds the room for a gang, or for as many members as possible, that costs least: what is undone by
+// stopping others, and what the members lose while the image is fetched.
 func (s *Scheduler) cheapestGangRoom(m *model.Model, t *placementTurn, n int, now model.Time) (best []preemptionChoice, bestCost float64) {
 	j := t.job
-	zones := map[int32][]preemptionChoice{} // room for one more member each; runs are those of the earlier ones there too
-	possibleMembers := map[int32]int{}      // members that find room when other gangs end
+	// room for one more member each; runs are those of the earlier ones there too
+	zones := map[int32][]preemptionChoice{}
+	possibleMembers := map[int32]int{} // members that find room when other gangs end
 	for i := range s.machines {
 		view := &s.machines[i]
 		if !s.mayUse(m, j, view, t.need) || !s.serviceAllowed(j, view) {
@@ -253,10 +255,11 @@
 	return best, bestCost
 }
 
-// preemptAtImageHolders makes room for a gang on machines that have its image, though there are free ones that have not, if less is undone by that
-// than its members would lose while they fetch. That is DAD's wait for a busy holder as far as a gang can use it: where an image takes ten
-// times as long as the two rounds, low work leaves a holder within a moment, and members that fetch for very different times would not meet before
-// the first of them gives up. It tells whether the gang waits for that, which it does for a part of its time only.
+// preemptAtImageHolders makes room for a gang on machines that have its image, though there are free ones that have
+// not, if less is undone by that than its members would lose while they fetch. That is DAD's wait for a busy holder
+// as far as a gang can use it: where an image takes ten times as long as the two rounds, low work leaves a holder
+// within a moment, and members that fetch for very different times would not meet before the first of them gives up.
+// It tells whether the gang waits for that, which it does for a part of its time only.
 func (s *Scheduler) preemptAtImageHolders(m *model.Model, t *placementTurn, n int, plan []*machineView, now model.Time, binder Binder) bool {
 	j := t.job
 	if s.AwaitingHeartbeats || j.Spec.Spread || j.Faulty {
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -41,9 +41,10 @@
 	return Resources{CPUs: j.Spec.CPUs * n, GPUs: j.Spec.GPUs * n}
 }
 
-// guaranteeOrder orders a team's work of one priority for what its guarantee has left: gangs that run keep theirs, owed ones that have waited
-// for long are next, then the other owed ones, the smallest first, and then the rest as it came. By age alone a few large gangs had all of it, and
-// small ones behind them were passed over, though they were what half of the class would be served by.
+// guaranteeOrder orders a team's work of one priority for what its guarantee has left: gangs that run keep theirs,
+// owed ones that have waited for long are next, then the other owed ones, the smallest first, and then the rest as it
+// came. By age alone a few large gangs had all of it, and small ones behind them were passed over, though they were
+// what half of the class would be served by.
 func guaranteeOrder(m *model.Model, j *model.Job, now model.Time) float64 {
 	switch {
 	case j.Kind != model.Gang:
@@ -60,13 +61,12 @@
 // MarkGuarantees marks the jobs that are within their team's guarantee, and those that are served so.
 // Within it are those that fit into it together with the team's earlier unfinished jobs.
 //
-// Of a team that wants more, the guarantee is an amount, and the team's oldest jobs used to
-// have all of it. That is first come, first served among low arrays, and before what is more
-// urgent: on a day with work for twice the machines, large ones that came early kept hundreds of
-// small ones from starting. So low arrays keep it for being early only while they are new; what is
-// left goes to the team's most urgent work, and among low arrays, and gangs that are owed, to those that need least to be done. As
-// the promise is to teams whose unfinished jobs all fit, what low arrays of others have of it is
-// only spared: it may wait for what is owed (the floor).
+// Of a team that wants more, the guarantee is an amount, and the team's oldest jobs used to have all of it. That is
+// first come, first served among low arrays, and before what is more urgent: on a day with work for twice the
+// machines, large ones that came early kept hundreds of small ones from starting. So low arrays keep it for being
+// early only while they are new; what is left goes to the team's most urgent work, and among low arrays, and gangs
+// that are owed, to those that need least to be done. As the promise is to teams whose unfinished jobs all fit, what
+// low arrays of others have of it is only spared: it may wait for what is owed (the floor).
 func MarkGuarantees(m *model.Model, jobs []*model.Job, now model.Time, objectives []config.Objective) {
 	newSeconds := newJobSeconds(objectives)
 	wantedSoFar, spent := make([]Resources, len(m.Teams)), make([]Resources, len(m.Teams))
@@ -104,7 +104,8 @@
 	for _, e := range rest {
 		e.j.Deferrable = isLowArray(e.j) && !guaranteeCovers(e.j.Team, wantedSoFar[e.j.Team.Index], e.j)
 	}
-	queueBlocked := make([]bool, len(m.Teams)) // a larger one is first in the queue: those behind don't pass it by being smaller
+	// a larger one is first in the queue: those behind don't pass it by being smaller
+	queueBlocked := make([]bool, len(m.Teams))
 	for _, e := range rest {
 		i, short := e.j.Team.Index, isLowArray(e.j)
 		switch total := spent[i].Plus(unfinishedDemand(e.j)); {
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -14,11 +14,11 @@
 // many tasks of jobs that are never done. A class or team below the floor is owed: among the work that
 // has no better right, it goes first until it is above the floor again.
 //
-// What is owed takes nothing from production, nor from a team whose unfinished jobs all fit into its guarantee, nor from
-// new work within one; it stops nothing that it could not stop before. While it is owed it is not stopped either for work that has
-// no better right than its own. A team is owed only as long as it uses less than
-// its fair part of the machines, and classes that do go before those that don't: who sends nine tenths of all
-// jobs does not go before the others for being served badly.
+// What is owed takes nothing from production, nor from a team whose unfinished jobs all fit into its guarantee, nor
+// from new work within one; it stops nothing that it could not stop before. While it is owed it is not stopped either
+// for work that has no better right than its own. A team is owed only as long as it uses less than its fair part of
+// the machines, and classes that do go before those that don't: who sends nine tenths of all jobs does not go before
+// the others for being served badly.
 
 const (
 	minimumJobShare  = 0.7  // served for less of its jobs, a class or team is owed: half of it, and some room to spare
@@ -120,8 +120,8 @@
 	return share
 }
 
-// underServed tells whether a job goes first for the floor's sake, and in which place: in steps of how badly its class or
-// team is served, those first that use less than their fair part. A class with ten times more work than
+// underServed tells whether a job goes first for the floor's sake, and in which place: in steps of how badly its
+// class or team is served, those first that use less than their fair part. A class with ten times more work than
 // there is room for is served worst by the count of its tasks, and would go before all others for good.
 func (f *minimumShare) underServed(j *model.Job) (position int, ok bool) {
 	if j.Team == nil || int(j.Class) >= len(f.classes) || j.Team.Index >= len(f.teams) || j.Faulty {
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -149,13 +149,15 @@
 	}
 }
 
-// TestUnderServedGangsSmallestFirst: of a team whose gangs want more than there is, large early ones kept many small late ones from
-// starting, by being first for the guarantee and first of all after a minute's waiting, and less than half of the class was
-// done. While the class is owed the small ones pass; who has waited for very long passes them in turn.
+// TestUnderServedGangsSmallestFirst: of a team whose gangs want more than there is, large early ones kept many small
+// late ones from starting, by being first for the guarantee and first of all after a minute's waiting, and less than
+// half of the class was done. While the class is owed the small ones pass; who has waited for very long passes them
+// in turn.
 func TestUnderServedGangsSmallestFirst(t *testing.T) {
 	w := newEnvironment(t, 4)
 	w.model.Teams[0].CPUs, w.model.Teams[0].CPUsMax = 32, 0
-	w.submit(100, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Types = "red", 40, []string{"none"} }) // red wants more than its guarantee
+	// red wants more than its guarantee
+	w.submit(100, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Types = "red", 40, []string{"none"} })
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5, Share: 0.9}}})
 	n := uint64(0)
 	gang := func(tasks int) *model.Job {
@@ -200,7 +202,8 @@
 	}
 }
 
-// TestGangPruningChangesNothing: gangs that don't look for room, since one before them found none, decide as if they had looked.
+// TestGangPruningChangesNothing: gangs that don't look for room, since one before them found none, decide as if they
+// had looked.
 func TestGangPruningChangesNothing(t *testing.T) {
 	examined := [2]int{}
 	for seed := range uint64(40) {
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -42,7 +42,8 @@
 	return 1 + lostSeconds*max(r.Job.Spec.CPUs, 0.1)
 }
 
-// fetchSeconds is how many seconds a machine takes to have a job's image, with the fetches that share the line; 0: it has it.
+// fetchSeconds is how many seconds a machine takes to have a job's image, with the fetches that share the line; 0: it
+// has it.
 func fetchSeconds(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	rate := m.TypeOf(machine).FetchGBPerS
 	if rate <= 0 || machine.HasImage(j.Image) {
@@ -55,8 +56,9 @@
 	return backlogGB / rate
 }
 
-// fetchIdleCost is what a task of a job costs, in CPU seconds, while its machine fetches its image: its place is taken and it does nothing. It stands beside
-// the harm of stopping others, so that room is made where the image is unless that undoes more than the fetch takes.
+// fetchIdleCost is what a task of a job costs, in CPU seconds, while its machine fetches its image: its place is
+// taken and it does nothing. It stands beside the harm of stopping others, so that room is made where the image is
+// unless that undoes more than the fetch takes.
 func fetchIdleCost(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	return fetchSeconds(m, j, machine) * max(j.Spec.CPUs, 0.1)
 }
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -45,8 +45,8 @@
 	return j.Kind == model.Array && j.Priority == model.Low
 }
 
-// servedShortestFirst tells whether a job is an array that is not urgent. These are served shortest first instead of by turns: when there is
-// more work than room, turns make every job late, and this way most are in time.
+// servedShortestFirst tells whether a job is an array that is not urgent. These are served shortest first instead of
+// by turns: when there is more work than room, turns make every job late, and this way most are in time.
 func servedShortestFirst(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority < model.High
 }
@@ -57,8 +57,9 @@
 	return float64(j.Waiting()) * max(1, m.ExpectedSeconds(j)) * max(0.01, j.Spec.CPUs)
 }
 
-// missedObjectives tells which of the times that the objectives set a job it can't keep any more, if it were placed now and took as long as is
-// expected: 0, none; 1, the first; and so on. A job that can't keep the last one is served after all that can keep more.
+// missedObjectives tells which of the times that the objectives set a job it can't keep any more, if it were placed
+// now and took as long as is expected: 0, none; 1, the first; and so on. A job that can't keep the last one is served
+// after all that can keep more.
 func (s *Scheduler) missedObjectives(m *model.Model, j *model.Job, now model.Time) (missed int) {
 	if mustBegin(j, now) {
 		return -1
@@ -74,11 +75,12 @@
 	return missed
 }
 
-// beginDeadline is after how long an array of which nothing has begun goes before the others, whatever its size: the largest ones would be
-// last for as long as smaller ones come.
+// beginDeadline is after how long an array of which nothing has begun goes before the others, whatever its size: the
+// largest ones would be last for as long as smaller ones come.
 const beginDeadline = model.Time(120e9)
 
-// mustBegin tells whether an array is to begin now: its first task is placed before those of others, and the rest in its turn.
+// mustBegin tells whether an array is to begin now: its first task is placed before those of others, and the rest in
+// its turn.
 func mustBegin(j *model.Job, now model.Time) bool {
 	return j.Live+j.Done == 0 && now-j.KnownSince > beginDeadline && servedShortestFirst(j)
 }
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -64,8 +64,8 @@
 	return Resources{machine.CPUs, machine.GPUs, machine.Mem}
 }
 
-// MovableWork tells of what on a machine may run in another zone once it is gone: whether any of it is urgent, so that room is made for it, and
-// how much the rest needs.
+// MovableWork tells of what on a machine may run in another zone once it is gone: whether any of it is urgent, so
+// that room is made for it, and how much the rest needs.
 func MovableWork(machine *model.Machine) (urgent bool, low Resources) {
 	for _, r := range machine.Runs {
 		switch {
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -48,8 +48,8 @@
 	LowPriorityLimit    int
 	LowPriorityDeferred bool
 
-	// AwaitingHeartbeats tells that not all machines with work are heard of yet. Only what is urgent and finds its image on one that is
-	// is placed, and nothing is stopped.
+	// AwaitingHeartbeats tells that not all machines with work are heard of yet. Only what is urgent and finds its
+	// image on one that is is placed, and nothing is stopped.
 	AwaitingHeartbeats bool
 
 	// OnlyJob is the one job that is served, nil: all. It is for rounds on copies.
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -259,7 +259,8 @@
 	}
 }
 
-// TestNormalArraysInTime: of arrays of normal rank with deadlines those that can keep theirs go first, the smallest first.
+// TestNormalArraysInTime: of arrays of normal rank with deadlines those that can keep theirs go first, the smallest
+// first.
 func TestNormalArraysInTime(t *testing.T) {
 	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "deadline", Class: "c", Share: 0.9}, {Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9}}})
@@ -665,8 +666,8 @@
 	}
 }
 
-// TestGangPreemptsAtImageHolders: low work makes room for a gang where its image is, if less is undone by that than the gang would lose while free
-// machines fetch the image; it does not where the fetch is short.
+// TestGangPreemptsAtImageHolders: low work makes room for a gang where its image is, if less is undone by that than
+// the gang would lose while free machines fetch the image; it does not where the fetch is short.
 func TestGangPreemptsAtImageHolders(t *testing.T) {
 	for _, c := range []struct {
 		gb   float64
--- a/internal/scheduling/scheduler/score.go
+++ b/internal/scheduling/scheduler/score.go
@@ -13,10 +13,10 @@
 	return (missing-presentBytes)/(2*(totalBytes+1)) + 0.5
 }
 
-// locality extends the paper's measure: an image that is being fetched counts as
-// mostly there (it stays below the threshold on a loaded machine too), and a missing one is worse the longer its fetch will take with the
-// fetches that share the line. Without it, tasks of a burst that needs one image
-// wait for busy holders and then pile their fetches on the idlest machines.
+// locality extends the paper's measure: an image that is being fetched counts as mostly there (it stays below the
+// threshold on a loaded machine too), and a missing one is worse the longer its fetch will take with the fetches that
+// share the line. Without it, tasks of a burst that needs one image wait for busy holders and then pile their fetches
+// on the idlest machines.
 func locality(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	size := j.Spec.ImageGB * 1e9
 	if machine.HasImage(j.Image) {
