--- a/internal/scheduling/scheduler/urgency.go
+++ b/internal/scheduling/scheduler/urgency.go
@@ -55,9 +55,10 @@
 	case lastObjective == 0 && !j.UnderServed:
 		return urgencyOnTime, 0
 	case j.UnderServed:
-		// Half of a class is served by its small gangs while there is not room for all. Where the large ones that wait for long
-		// went first, all that came in a long burst waited behind them in turn, and half of the class was
-		// not served. They go first again as soon as the class is served; until then small ones pass them, for a while.
+		// Half of a class is served by its small gangs while there is not room for all. Where the large ones that
+		// wait for long went first, all that came in a long burst waited behind them in turn, and half of the class
+		// was not served. They go first again as soon as the class is served; until then small ones pass them, for a
+		// while.
 		if waited > max(underServedMaxWaitSeconds, overdueFactor*lastObjective) {
 			return urgencyOverdue, 0
 		}
--- a/internal/testing/virtualtime/isolated.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -15,9 +15,10 @@
 // singleTestEnv tells a process that it was started to run one test of many.
 const singleTestEnv = "FIELDHILL_BUBBLE_ONE"
 
-// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several at a time, each on one processor as Main has it. All
-// tests of such a package used to share one processor of many, and under the race detector that took five minutes. Where a part of the
-// tests is asked for, or their output as they run, it is Main.
+// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several
+// at a time, each on one processor as Main has it. All tests of such a package used to share one processor of many,
+// and under the race detector that took five minutes. Where a part of the tests is asked for, or their output as they
+// run, it is Main.
 func MainIsolated(m *testing.M) {
 	flag.Parse()
 	for _, f := range []string{"run", "list", "v", "bench", "fuzz", "cpuprofile", "memprofile", "coverprofile", "trace"} {
--- a/internal/testing/virtualtime/virtualtime_test.go
+++ b/internal/testing/virtualtime/virtualtime_test.go
@@ -9,9 +9,9 @@
 
 func TestMain(m *testing.M) { Main(m) }
 
-// TestTimersOfOneInstant wakes goroutines that read a timer's channel at the instant at
-// which other timers start goroutines. On eight processors and under the race detector it
-// ended in a segmentation fault, or a failed check of the detector's, in nine of nine runs before this test was written down.
+// TestTimersOfOneInstant wakes goroutines that read a timer's channel at the instant at which other timers start
+// goroutines. On eight processors and under the race detector it ended in a segmentation fault, or a failed check of
+// the detector's, in nine of nine runs before this test was written down.
 func TestTimersOfOneInstant(t *testing.T) {
 	const rounds, timersPerRound = 1000, 64
 	synctest.Test(t, func(t *testing.T) {
