--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -46,7 +46,10 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Description("Try fieldhill out: three controllers and stand-ins for everything else, on loopback."))
+	k := kong.Parse(
+		&c,
+		kong.Description("Try fieldhill out: three controllers and stand-ins for everything else, on loopback."),
+	)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	k.FatalIfErrorf(c.run(ctx))
@@ -72,19 +75,47 @@
 	}
 	metricsAddrs, adminAddrs := map[string]string{}, map[string]string{}
 	for i := range controllerCount {
-		metricsAddrs[emulator.ControllerName(i)], adminAddrs[emulator.ControllerName(i)] = portAddr(31+i), portAddr(41+i)
+		metricsAddrs[emulator.ControllerName(i)], adminAddrs[emulator.ControllerName(i)] = portAddr(
+			31+i,
+		), portAddr(
+			41+i,
+		)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	controllers := &supervisor.Supervisor{Executable: c.Program, Dir: c.Dir, RestartDelay: restartDelay, OnEvent: func(s string) { fmt.Println(s) }}
+	controllers := &supervisor.Supervisor{
+		Executable:   c.Program,
+		Dir:          c.Dir,
+		RestartDelay: restartDelay,
+		OnEvent:      func(s string) { fmt.Println(s) },
+	}
 	start := func(ctx context.Context, _ host.Net, s *config.Settings) error {
-		fmt.Printf("counters of %s: http://%s/metrics; its operators: %s\n", s.Node, metricsAddrs[s.Node], adminAddrs[s.Node])
-		if err := controllers.Run(ctx, s, "--metrics", metricsAddrs[s.Node], "--operate", adminAddrs[s.Node]); err != nil {
+		fmt.Printf(
+			"counters of %s: http://%s/metrics; its operators: %s\n",
+			s.Node,
+			metricsAddrs[s.Node],
+			adminAddrs[s.Node],
+		)
+		if err := controllers.Run(
+			ctx,
+			s,
+			"--metrics",
+			metricsAddrs[s.Node],
+			"--operate",
+			adminAddrs[s.Node],
+		); err != nil {
 			cancel(err)
 		}
 		return nil
 	}
-	environment, err := emulator.NewOnNetwork(ctx, func(string) host.Net { return host.Real{} }, addresses, controllerCount, c.Seed, start)
+	environment, err := emulator.NewOnNetwork(
+		ctx,
+		func(string) host.Net { return host.Real{} },
+		addresses,
+		controllerCount,
+		c.Seed,
+		start,
+	)
 	if err != nil {
 		return err
 	}
@@ -110,7 +141,13 @@
 			return nil
 		case <-tick.C:
 			finished, accepted := environment.Checker.Finished()
-			fmt.Printf("%d machines, %d tasks on them; %d jobs accepted, %d known to be over\n", len(environment.Cloud.Workers()), environment.Checker.Tasks(), accepted, finished)
+			fmt.Printf(
+				"%d machines, %d tasks on them; %d jobs accepted, %d known to be over\n",
+				len(environment.Cloud.Workers()),
+				environment.Checker.Tasks(),
+				accepted,
+				finished,
+			)
 			violations := environment.Checker.Violations()
 			for _, b := range violations[printed:] {
 				fmt.Println("BROKEN RULE", b)
--- a/cmd/fieldhill/admin.go
+++ b/cmd/fieldhill/admin.go
@@ -86,7 +86,13 @@
 			}
 			fmt.Fprintf(w, "%s %-13s %s\n", mark, r.Code, r.Text)
 			if whatIf && (r.Binding || r.PlacedWithout > 0 || r.PreemptedWithout > 0) {
-				fmt.Fprintf(w, "  %-13s without it: %d placed, %d of others stopped\n", "", r.PlacedWithout, r.PreemptedWithout)
+				fmt.Fprintf(
+					w,
+					"  %-13s without it: %d placed, %d of others stopped\n",
+					"",
+					r.PlacedWithout,
+					r.PreemptedWithout,
+				)
 			}
 		}
 	}
@@ -108,7 +114,13 @@
 			fmt.Fprintf(w, "  %-13s for %s\n", p.Code, formatSeconds(p.SinceS))
 			continue
 		}
-		fmt.Fprintf(w, "  %-13s for %s until %s ago\n", p.Code, formatSeconds(p.SinceS-e.History[i-1].SinceS), formatSeconds(e.History[i-1].SinceS))
+		fmt.Fprintf(
+			w,
+			"  %-13s for %s until %s ago\n",
+			p.Code,
+			formatSeconds(p.SinceS-e.History[i-1].SinceS),
+			formatSeconds(e.History[i-1].SinceS),
+		)
 	}
 }
 
@@ -148,7 +160,17 @@
 		if j.Position > 0 {
 			place = strconv.Itoa(j.Position)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", place, j.ID, j.Team, j.Class, j.Waiting, j.Reason, formatSeconds(j.SinceS))
+		fmt.Fprintf(
+			table,
+			"%s\t%s\t%s\t%s\t%d\t%s\t%s\n",
+			place,
+			j.ID,
+			j.Team,
+			j.Class,
+			j.Waiting,
+			j.Reason,
+			formatSeconds(j.SinceS),
+		)
 	}
 	_ = table.Flush() // as any print to a terminal
 	fmt.Fprintf(w, "%d tasks wait", queue.Tasks)
--- a/cmd/fieldhill/admin_test.go
+++ b/cmd/fieldhill/admin_test.go
@@ -11,8 +11,23 @@
 // TestPrintExplanation: the reasons that bind come first, what lifting one does only if asked for,
 // and an answer without a leader says how old it is.
 func TestPrintExplanation(t *testing.T) {
-	e := &wire.Explanation{ID: "req-000412", State: "pending", Waiting: 2, Node: "n1", Reasons: []wire.Reason{{Code: "no-room", Text: "no room"},
-		{Code: "team-limit", Text: "its team's limit", Binding: true, PlacedWithout: 2}}, Pairs: [][2]string{{"queue", "no-room"}}, History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 5}, {Code: "no-room", SinceS: 65}}}
+	e := &wire.Explanation{
+		ID:      "req-000412",
+		State:   "pending",
+		Waiting: 2,
+		Node:    "n1",
+		Reasons: []wire.Reason{
+			{Code: "no-room", Text: "no room"},
+			{
+				Code:          "team-limit",
+				Text:          "its team's limit",
+				Binding:       true,
+				PlacedWithout: 2,
+			},
+		},
+		Pairs:   [][2]string{{"queue", "no-room"}},
+		History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 5}, {Code: "no-room", SinceS: 65}},
+	}
 	var b bytes.Buffer
 	printExplanation(&b, e, true)
 	want := `req-000412 pending, 2 tasks wait
@@ -31,7 +46,12 @@
 	}
 	b.Reset()
 	e.AgeS = 7
-	if printExplanation(&b, e, false); !strings.Contains(b.String(), "(as n1 knew 7 s ago)") || strings.Contains(b.String(), "without it") {
+	if printExplanation(
+		&b,
+		e,
+		false,
+	); !strings.Contains(b.String(), "(as n1 knew 7 s ago)") ||
+		strings.Contains(b.String(), "without it") {
 		t.Errorf("got\n%s", b.String())
 	}
 }
@@ -40,15 +60,25 @@
 func TestPrintQueueFitsTerminal(t *testing.T) {
 	var b bytes.Buffer
 	printQueue(&b, &wire.Queue{Tasks: 1209, More: 3, Jobs: []wire.QueuedJob{
-		{Position: 1, ID: "req-000412", Team: "siliguri-loops", Class: "pipeflow-gang", Waiting: 4, Reason: "no-gang-room", SinceS: 61.23},
-		{Position: 0, ID: "req-000413", Team: "red", Class: "meterbatch", Waiting: 1205, Reason: "paused", SinceS: 1}}})
+		{
+			Position: 1,
+			ID:       "req-000412",
+			Team:     "siliguri-loops",
+			Class:    "pipeflow-gang",
+			Waiting:  4,
+			Reason:   "no-gang-room",
+			SinceS:   61.23,
+		},
+		{Position: 0, ID: "req-000413", Team: "red", Class: "meterbatch", Waiting: 1205, Reason: "paused", SinceS: 1},
+	}})
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	for _, l := range lines {
 		if len(l) > 80 {
 			t.Errorf("%d columns: %q", len(l), l)
 		}
 	}
-	if len(lines) != 4 || !strings.HasPrefix(lines[1], "1 ") || !strings.HasPrefix(lines[2], "- ") || lines[3] != "1209 tasks wait; 3 more jobs" {
+	if len(lines) != 4 || !strings.HasPrefix(lines[1], "1 ") || !strings.HasPrefix(lines[2], "- ") ||
+		lines[3] != "1209 tasks wait; 3 more jobs" {
 		t.Errorf("got\n%s", b.String())
 	}
 }
--- a/cmd/fieldhill/client.go
+++ b/cmd/fieldhill/client.go
@@ -39,7 +39,12 @@
 }
 
 // roundTrip sends a request to a controller and reads the answer up to a limit of bytes.
-func roundTrip(addr, method, path string, body []byte, timeout time.Duration, limit int64) (*http.Response, []byte, error) {
+func roundTrip(
+	addr, method, path string,
+	body []byte,
+	timeout time.Duration,
+	limit int64,
+) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
@@ -123,7 +128,12 @@
 
 var (
 	shapes     = map[string]string{"array": wire.Array, "gang": wire.Gang, "service": wire.Service}
-	priorities = map[string]string{"production": wire.Production, "high": wire.High, "normal": wire.Normal, "low": wire.Low}
+	priorities = map[string]string{
+		"production": wire.Production,
+		"high":       wire.High,
+		"normal":     wire.Normal,
+		"low":        wire.Low,
+	}
 )
 
 // readJob reads a description and puts it into the platform's words.
@@ -146,9 +156,28 @@
 	if !ok {
 		return nil, fmt.Errorf("priority %q is none of production, high, normal, low", f.Priority)
 	}
-	return &wire.JobSpec{ID: f.ID, Class: f.Class, Team: f.Team, Shape: shape, Priority: priority, Tasks: f.Tasks, CPUs: f.CPUs, GPUs: f.GPUs,
-		MemoryGB: f.MemoryGB, Image: f.Image, ImageGB: f.ImageGB, Types: f.Types, Zone: f.Zone, SameZone: f.SameZone, Spread: f.Spread, Spot: f.Spot,
-		EstimateS: f.EstimateS, CheckpointIntervalS: f.CheckpointIntervalS, CheckpointWriteS: f.CheckpointWriteS, DeadlineS: f.DeadlineS}, nil
+	return &wire.JobSpec{
+		ID:                  f.ID,
+		Class:               f.Class,
+		Team:                f.Team,
+		Shape:               shape,
+		Priority:            priority,
+		Tasks:               f.Tasks,
+		CPUs:                f.CPUs,
+		GPUs:                f.GPUs,
+		MemoryGB:            f.MemoryGB,
+		Image:               f.Image,
+		ImageGB:             f.ImageGB,
+		Types:               f.Types,
+		Zone:                f.Zone,
+		SameZone:            f.SameZone,
+		Spread:              f.Spread,
+		Spot:                f.Spot,
+		EstimateS:           f.EstimateS,
+		CheckpointIntervalS: f.CheckpointIntervalS,
+		CheckpointWriteS:    f.CheckpointWriteS,
+		DeadlineS:           f.DeadlineS,
+	}, nil
 }
 
 func (c *submitCmd) Run() error {
--- a/cmd/fieldhill/client_test.go
+++ b/cmd/fieldhill/client_test.go
@@ -36,8 +36,21 @@
 		t.Fatal(err)
 	}
 	due := 900.0
-	want := &wire.JobSpec{ID: "req-000412", Class: "train", Team: "vision", Shape: wire.Gang, Priority: wire.Low, Tasks: 4, CPUs: 8, MemoryGB: 64.5,
-		Image: "img-07", ImageGB: 6.2, SameZone: true, EstimateS: 240, DeadlineS: &due}
+	want := &wire.JobSpec{
+		ID:        "req-000412",
+		Class:     "train",
+		Team:      "vision",
+		Shape:     wire.Gang,
+		Priority:  wire.Low,
+		Tasks:     4,
+		CPUs:      8,
+		MemoryGB:  64.5,
+		Image:     "img-07",
+		ImageGB:   6.2,
+		SameZone:  true,
+		EstimateS: 240,
+		DeadlineS: &due,
+	}
 	if d := cmp.Diff(want, spec); d != "" {
 		t.Error(d)
 	}
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -100,7 +100,13 @@
 		runtime.GOMAXPROCS(1) // threads beyond the share only cost switches
 	}
 	return controller.New(host.Real{}, settings, controller.Options{
-		Beta: s.Beta, Threshold: s.Threshold, WaitRounds: s.WaitRounds, RoundInterval: s.Round, MetricsAddr: s.Metrics, AdminAddr: withHost(s.Operate, settings.Bind), SingletonRoles: s.Duties,
+		Beta:           s.Beta,
+		Threshold:      s.Threshold,
+		WaitRounds:     s.WaitRounds,
+		RoundInterval:  s.Round,
+		MetricsAddr:    s.Metrics,
+		AdminAddr:      withHost(s.Operate, settings.Bind),
+		SingletonRoles: s.Duties,
 	}, logger).Run(context.Background())
 }
 
@@ -114,18 +120,36 @@
 		return err
 	}
 	p := &settings.Params
-	fmt.Printf("node %s in zone %s, users at %s, controllers at %s\n", settings.Node, settings.Zone, settings.Bind, settings.PeerListen)
+	fmt.Printf(
+		"node %s in zone %s, users at %s, controllers at %s\n",
+		settings.Node,
+		settings.Zone,
+		settings.Bind,
+		settings.PeerListen,
+	)
 	for _, m := range settings.Members {
 		fmt.Printf("member %s in zone %s at %s\n", m.Node, m.Zone, m.Addr)
 	}
 	for _, t := range p.Teams {
-		fmt.Printf("team %s: %g CPUs and %g GPUs guaranteed, at most %s CPUs and %s GPUs\n", t.Name, t.CPUs, t.GPUs, formatLimit(t.CPUsMax), formatLimit(t.GPUsMax))
+		fmt.Printf(
+			"team %s: %g CPUs and %g GPUs guaranteed, at most %s CPUs and %s GPUs\n",
+			t.Name,
+			t.CPUs,
+			t.GPUs,
+			formatLimit(t.CPUsMax),
+			formatLimit(t.GPUsMax),
+		)
 	}
 	for _, o := range p.Objectives {
 		fmt.Printf("objective %s %s: %.4g%% within %g s\n", o.Kind, o.Class, 100*o.Share, o.WithinS)
 	}
-	fmt.Printf("workers: report every %g s, lease %g s, cancelled within %g s; leases kept without a leader for at most %v\n",
-		p.Workers.HeartbeatS, p.Workers.LeaseS, p.Workers.CancelS, settings.StaleRenewalLimit())
+	fmt.Printf(
+		"workers: report every %g s, lease %g s, cancelled within %g s; leases kept without a leader for at most %v\n",
+		p.Workers.HeartbeatS,
+		p.Workers.LeaseS,
+		p.Workers.CancelS,
+		settings.StaleRenewalLimit(),
+	)
 	return nil
 }
 
@@ -156,6 +180,10 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("fieldhill"), kong.Description("A cluster scheduler: decides what runs where, rents the machines, and answers the users."))
+	ctx := kong.Parse(
+		&c,
+		kong.Name("fieldhill"),
+		kong.Description("A cluster scheduler: decides what runs where, rents the machines, and answers the users."),
+	)
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -44,7 +44,12 @@
 			return scale.Options{}, err
 		}
 	}
-	return scale.Options{Program: c.Program, Dir: dir, FirstNetByte: c.Net, OnProgress: func(s string) { fmt.Println(s) }}, nil
+	return scale.Options{
+		Program:      c.Program,
+		Dir:          dir,
+		FirstNetByte: c.Net,
+		OnProgress:   func(s string) { fmt.Println(s) },
+	}, nil
 }
 
 type runCmd struct {
@@ -92,7 +97,12 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Description("Run fieldhill's controllers among hollow workers on loopback, and measure what each role costs."))
+	k := kong.Parse(
+		&c,
+		kong.Description(
+			"Run fieldhill's controllers among hollow workers on loopback, and measure what each role costs.",
+		),
+	)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
@@ -124,7 +134,15 @@
 	defer f.Close()
 	encoder := json.NewEncoder(f)
 	return sweep.Run(ctx, options, c.Only, func(measurement scale.Measurement, report *scale.Report) error {
-		fmt.Printf("%s: leader %.3f of a core, others %.3f, %.0f starts/s, %d rules broken %s\n", measurement.Run, report.Regions[0].Leader.CPU, report.Regions[0].Others.CPU, report.Regions[0].StartsPerS, measurement.Violations, measurement.MachineLimit)
+		fmt.Printf(
+			"%s: leader %.3f of a core, others %.3f, %.0f starts/s, %d rules broken %s\n",
+			measurement.Run,
+			report.Regions[0].Leader.CPU,
+			report.Regions[0].Others.CPU,
+			report.Regions[0].StartsPerS,
+			measurement.Violations,
+			measurement.MachineLimit,
+		)
 		return encoder.Encode(measurement)
 	})
 }
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -62,7 +62,10 @@
 	mux.HandleFunc("GET "+wire.PathAdminJobs+"/{id}"+wire.WhySuffix, func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		if _, ok := wire.JobNumber(id); !ok {
-			writeResponse(w, Refuse(http.StatusBadRequest, fmt.Sprintf("id: %q is not a job's id, such as req-000412", id), 0))
+			writeResponse(
+				w,
+				Refuse(http.StatusBadRequest, fmt.Sprintf("id: %q is not a job's id, such as req-000412", id), 0),
+			)
 			return
 		}
 		writeResponse(w, s.Explain(r.Context(), id))
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -28,7 +28,16 @@
 }
 
 func (s *stubService) Roles(context.Context) *rpc.Response {
-	return Encode(http.StatusOK, &wire.RoleList{Node: "n", Leader: "m", Distributed: true, Roles: []wire.RoleStatus{{Role: "rent", Holder: "n", Term: 7, ObservedS: 3}}, UncertainProvisioning: []string{"fh-1-2"}})
+	return Encode(
+		http.StatusOK,
+		&wire.RoleList{
+			Node:                  "n",
+			Leader:                "m",
+			Distributed:           true,
+			Roles:                 []wire.RoleStatus{{Role: "rent", Holder: "n", Term: 7, ObservedS: 3}},
+			UncertainProvisioning: []string{"fh-1-2"},
+		},
+	)
 }
 
 func (s *stubService) Explain(_ context.Context, id string) *rpc.Response {
@@ -50,7 +59,12 @@
 // publishedName is the name under which a schema defines a type: definitions keep the names under which they were
 // first published, whatever the type is called in Go.
 func publishedName(t reflect.Type) string {
-	published := map[string]string{"RoleList": "Duties", "RoleStatus": "Duty", "QueuedJob": "Queued", "ReasonPeriod": "Past"}
+	published := map[string]string{
+		"RoleList":     "Duties",
+		"RoleStatus":   "Duty",
+		"QueuedJob":    "Queued",
+		"ReasonPeriod": "Past",
+	}
 	if name, ok := published[t.Name()]; ok {
 		return name
 	}
@@ -61,8 +75,24 @@
 // them, and an answer with a field that is missing or of another kind is not.
 func TestPublishedSchemas(t *testing.T) {
 	s := &stubService{
-		explanation: &wire.Explanation{ID: "req-000412", State: "pending", Node: "n", Reasons: []wire.Reason{{Code: "team-limit", Text: "its team's limit", Binding: true, Unit: "CPUs", Need: 4, Used: 24, Limit: 24}},
-			Pairs: [][2]string{{"queue", "no-room"}}, History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 3}}},
+		explanation: &wire.Explanation{
+			ID:    "req-000412",
+			State: "pending",
+			Node:  "n",
+			Reasons: []wire.Reason{
+				{
+					Code:    "team-limit",
+					Text:    "its team's limit",
+					Binding: true,
+					Unit:    "CPUs",
+					Need:    4,
+					Used:    24,
+					Limit:   24,
+				},
+			},
+			Pairs:   [][2]string{{"queue", "no-room"}},
+			History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 3}},
+		},
 		queue: &wire.Queue{Node: "n", Jobs: []wire.QueuedJob{{Position: 1, ID: "req-000412", Reason: "no-room"}}},
 	}
 	for _, c := range []struct {
@@ -74,7 +104,11 @@
 		{"duties.json", wire.PathAdminRoles, &wire.RoleList{}},
 	} {
 		// Newer versions may add fields, which clients ignore.
-		b, err := json.MarshalIndent((&generate.Reflector{AllowAdditionalProperties: true, Anonymous: true, Namer: publishedName}).Reflect(c.of), "", "  ")
+		b, err := json.MarshalIndent(
+			(&generate.Reflector{AllowAdditionalProperties: true, Anonymous: true, Namer: publishedName}).Reflect(c.of),
+			"",
+			"  ",
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +170,11 @@
 	if len(s.requests) != 0 {
 		t.Errorf("somebody was asked: %v", s.requests)
 	}
-	if get(s, "/v1/queue?team=red&reason=paced&most=500"); len(s.requests) != 1 || s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
+	if get(
+		s,
+		"/v1/queue?team=red&reason=paced&most=500",
+	); len(s.requests) != 1 ||
+		s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
 		t.Errorf("asked %+v", s.requests)
 	}
 	if w := get(s, "/api/jobs"); w.Code != 404 {
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -22,17 +22,38 @@
 // operatorMessages has every message of the operators' interface, no field at its zero value.
 func operatorMessages() map[string]any {
 	return map[string]any{
-		"why.json": &wire.Explanation{ID: "req-000412", State: wire.JobPending, LogBatch: 1 << 40, Node: "n1", AgeS: 1.5,
-			Waiting: 4, Starting: 2, WillPlace: 1, WillPreempt: 3, Complete: true, Partial: true,
-			Reasons: []wire.Reason{{Code: "team-limit", Text: "its team's limit", Binding: true, PlacedWithout: 4, PreemptedWithout: 1,
-				RemainingS: 2.5, Count: 3, First: "req-000007", Unit: "GPUs", Need: 4, Used: 62, Limit: 64}},
-			Pairs: [][2]string{{"queue", "no-room"}}, History: []wire.ReasonPeriod{{Code: "paced", SinceS: 65}}},
+		"why.json": &wire.Explanation{
+			ID:          "req-000412",
+			State:       wire.JobPending,
+			LogBatch:    1 << 40,
+			Node:        "n1",
+			AgeS:        1.5,
+			Waiting:     4,
+			Starting:    2,
+			WillPlace:   1,
+			WillPreempt: 3,
+			Complete:    true,
+			Partial:     true,
+			Reasons: []wire.Reason{
+				{Code: "team-limit", Text: "its team's limit", Binding: true, PlacedWithout: 4, PreemptedWithout: 1,
+					RemainingS: 2.5, Count: 3, First: "req-000007", Unit: "GPUs", Need: 4, Used: 62, Limit: 64},
+			},
+			Pairs:   [][2]string{{"queue", "no-room"}},
+			History: []wire.ReasonPeriod{{Code: "paced", SinceS: 65}},
+		},
 		"queue.json": &wire.Queue{Node: "n1", LogBatch: 7, Tasks: 9, More: 2, Jobs: []wire.QueuedJob{
 			{Position: 1, ID: "req-000412", Team: "red", Class: "train", Priority: wire.High, Waiting: 4,
 				Reason: "no-room", Text: "no room on machines that suit it", SinceS: 5, AgeS: 6}}},
-		"duties.json": &wire.RoleList{Node: "n1", Leader: "n2", Distributed: true, UncertainProvisioning: []string{"fh-1-2"},
-			Roles: []wire.RoleStatus{{Role: "rent", Holder: "n1", Term: 7, ObservedS: 3, LastProgressS: 0.25, NoProgressHolders: 1,
-				ReleaseReason: "no answer"}}},
+		"duties.json": &wire.RoleList{
+			Node:                  "n1",
+			Leader:                "n2",
+			Distributed:           true,
+			UncertainProvisioning: []string{"fh-1-2"},
+			Roles: []wire.RoleStatus{
+				{Role: "rent", Holder: "n1", Term: 7, ObservedS: 3, LastProgressS: 0.25, NoProgressHolders: 1,
+					ReleaseReason: "no answer"},
+			},
+		},
 		"problem.json": &wire.AdminProblem{Error: "unknown"},
 		"filter.json":  &Filter{Team: "red", Class: "train", Reason: "paced", Limit: 500}, // between controllers
 	}
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -18,7 +18,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		const others = 2
 		at := func(name string, from, to time.Duration) time.Duration {
-			return from + time.Duration(rapid.IntRange(0, int((to-from)/time.Millisecond)).Draw(rt, name))*time.Millisecond
+			return from + time.Duration(
+				rapid.IntRange(0, int((to-from)/time.Millisecond)).Draw(rt, name),
+			)*time.Millisecond
 		}
 		last := time.Duration(0) // when the lease was last renewed by anybody
 		var proof ExpiryProof
@@ -43,7 +45,9 @@
 				}
 			}
 			table.Forget(from - retention)
-			report, err := ReadReport(table.Report([]string{"m"}, []string{"other"}, from, retention, 1<<20).Append(nil))
+			report, err := ReadReport(
+				table.Report([]string{"m"}, []string{"other"}, from, retention, 1<<20).Append(nil),
+			)
 			if err != nil {
 				rt.Fatal(err)
 			}
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -105,7 +105,16 @@
 		if r.Err != nil {
 			break
 		}
-		report.Tasks = append(report.Tasks, wire.TaskStatus{Task: r.String(), Attempt: r.Uint(), State: readText(r), Cause: readText(r), Checkpointed: r.Bool()})
+		report.Tasks = append(
+			report.Tasks,
+			wire.TaskStatus{
+				Task:         r.String(),
+				Attempt:      r.Uint(),
+				State:        readText(r),
+				Cause:        readText(r),
+				Checkpointed: r.Bool(),
+			},
+		)
 	}
 	return report
 }
@@ -133,7 +142,10 @@
 		if r.Err != nil {
 			break
 		}
-		orders.Commands = append(orders.Commands, wire.Command{Verb: readText(r), Task: r.String(), Attempt: r.Uint(), GraceS: readSeconds(r)})
+		orders.Commands = append(
+			orders.Commands,
+			wire.Command{Verb: readText(r), Task: r.String(), Attempt: r.Uint(), GraceS: readSeconds(r)},
+		)
 	}
 	if !r.Done() {
 		return nil, ErrMalformed
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -19,7 +19,10 @@
 	}
 	for i, cause := range []string{wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
 		wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown, "another"} {
-		full.Tasks = append(full.Tasks, wire.TaskStatus{Task: "t", State: wire.TaskExited, Cause: cause, Checkpointed: i%2 == 0})
+		full.Tasks = append(
+			full.Tasks,
+			wire.TaskStatus{Task: "t", State: wire.TaskExited, Cause: cause, Checkpointed: i%2 == 0},
+		)
 	}
 	short := &wire.Heartbeat{Machine: "host-2", Tasks: []wire.TaskStatus{}}
 	report := func(r *wire.Heartbeat) []byte { return AppendReport(nil, r) }
@@ -27,8 +30,19 @@
 	golden.RoundTrip(t, "report-short.hex", short, report, ReadReport)
 
 	orders := &wire.Orders{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
-		{Verb: wire.Start, Task: "job-1.0", Attempt: 1}, {Verb: wire.Stop, Task: "job-1.1", Attempt: 200, GraceS: ptr(0.0)},
-		{Verb: wire.Stop, Task: "job-2.0", Attempt: 1, GraceS: ptr(2.5)}, {Verb: wire.Forget, Task: "job-3.4095", Attempt: 3},
+		{
+			Verb:    wire.Start,
+			Task:    "job-1.0",
+			Attempt: 1,
+		},
+		{Verb: wire.Stop, Task: "job-1.1", Attempt: 200, GraceS: ptr(0.0)},
+		{
+			Verb:    wire.Stop,
+			Task:    "job-2.0",
+			Attempt: 1,
+			GraceS:  ptr(2.5),
+		},
+		{Verb: wire.Forget, Task: "job-3.4095", Attempt: 3},
 		{Verb: "another"},
 	}}
 	write := func(o *wire.Orders) []byte { return AppendOrders(nil, o) }
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -24,7 +24,11 @@
 			for i := range open {
 				open[i] = rapid.IntRange(0, 9).Draw(t, "open") > 0
 			}
-			machine, node := fmt.Sprint("m", rapid.IntRange(0, 60).Draw(t, "machine")), rapid.IntRange(0, nodes-1).Draw(t, "node")
+			machine, node := fmt.Sprint(
+				"m",
+				rapid.IntRange(0, 60).Draw(t, "machine"),
+			), rapid.IntRange(0, nodes-1).
+				Draw(t, "node")
 			table.RecordReport(machine, node, now)
 			reference[machine], lastReport[machine] = node, now
 			before := append([]int(nil), table.Counts()...)
@@ -94,17 +98,37 @@
 
 func drawReport(t *rapid.T) *wire.Heartbeat {
 	text := rapid.StringMatching(`[a-z0-9/.:-]{0,20}`)
-	report := &wire.Heartbeat{Machine: text.Draw(t, "machine"), Addr: text.Draw(t, "addr"), Type: text.Draw(t, "type"), Zone: text.Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), AgentEpoch: rapid.Uint64().Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), FencingToken: rapid.Uint64().Draw(t, "token"),
-		Tasks: []wire.TaskStatus{}}
+	report := &wire.Heartbeat{
+		Machine: text.Draw(t, "machine"),
+		Addr:    text.Draw(t, "addr"),
+		Type:    text.Draw(t, "type"),
+		Zone:    text.Draw(t, "zone"),
+		Spot: rapid.Bool().
+			Draw(t, "spot"),
+		AgentEpoch:   rapid.Uint64().Draw(t, "session"),
+		Seq:          rapid.Uint64().Draw(t, "seq"),
+		FencingToken: rapid.Uint64().Draw(t, "token"),
+		Tasks:        []wire.TaskStatus{},
+	}
 	if rapid.Bool().Draw(t, "notice") {
 		s := rapid.Float64Range(0, 1e6).Draw(t, "notice_s")
 		report.NoticeS = &s
 	}
 	knownOrText := rapid.OneOf(rapid.SampledFrom(knownTexts), text)
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
-		report.Tasks = append(report.Tasks, wire.TaskStatus{Task: text.Draw(t, "task"), Attempt: rapid.Uint64().Draw(t, "attempt"),
-			State: knownOrText.Draw(t, "state"), Cause: knownOrText.Draw(t, "cause"), Checkpointed: rapid.Bool().Draw(t, "saved")})
+		report.Tasks = append(
+			report.Tasks,
+			wire.TaskStatus{
+				Task:    text.Draw(t, "task"),
+				Attempt: rapid.Uint64().Draw(t, "attempt"),
+				State: knownOrText.Draw(
+					t,
+					"state",
+				),
+				Cause:        knownOrText.Draw(t, "cause"),
+				Checkpointed: rapid.Bool().Draw(t, "saved"),
+			},
+		)
 	}
 	return report
 }
@@ -114,9 +138,16 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := drawReport(t)
-		orders := &wire.Orders{FencingToken: report.FencingToken, AgentEpoch: report.AgentEpoch, Commands: []wire.Command{}}
+		orders := &wire.Orders{
+			FencingToken: report.FencingToken,
+			AgentEpoch:   report.AgentEpoch,
+			Commands:     []wire.Command{},
+		}
 		for _, s := range report.Tasks {
-			orders.Commands = append(orders.Commands, wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS})
+			orders.Commands = append(
+				orders.Commands,
+				wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS},
+			)
 		}
 		result := CommandResult{Fate: uint8(len(report.Tasks)), Report: report}
 		offer := Offer{Node: report.Machine, HasCapacity: report.Spot}
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -44,7 +44,12 @@
 
 // NewTable makes an empty table for a cell of so many nodes.
 func NewTable(nodes int) *Table {
-	return &Table{assignments: map[string]assignment{}, counts: make([]int, nodes), nextPause: make([]Time, nodes), closedUntil: make([]Time, nodes)}
+	return &Table{
+		assignments: map[string]assignment{},
+		counts:      make([]int, nodes),
+		nextPause:   make([]Time, nodes),
+		closedUntil: make([]Time, nodes),
+	}
 }
 
 // UpdateSpreading decides whether workers are spread: when the cell has more machines than the leader takes
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -76,7 +76,12 @@
 
 // Handler routes requests to a service, and tells of each answer and how long it took. The
 // crowd is that of the server that it will serve.
-func Handler(s Service, logger *slog.Logger, limiter *ConnLimiter, onResponse func(kind string, status int, took time.Duration)) http.Handler {
+func Handler(
+	s Service,
+	logger *slog.Logger,
+	limiter *ConnLimiter,
+	onResponse func(kind string, status int, took time.Duration),
+) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(kind, pattern string, f func(w http.ResponseWriter, r *http.Request) *rpc.Response) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -96,9 +101,13 @@
 	handle("status", "GET "+wire.PathJobs+"/{id}", func(w http.ResponseWriter, r *http.Request) *rpc.Response {
 		return s.Status(r.Context(), r.PathValue("id"))
 	})
-	handle("cancel", "POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix, func(w http.ResponseWriter, r *http.Request) *rpc.Response {
-		return s.Cancel(r.Context(), r.PathValue("id"))
-	})
+	handle(
+		"cancel",
+		"POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix,
+		func(w http.ResponseWriter, r *http.Request) *rpc.Response {
+			return s.Cancel(r.Context(), r.PathValue("id"))
+		},
+	)
 	mux.HandleFunc("GET "+wire.PathReady, func(w http.ResponseWriter, r *http.Request) {
 		if s.Ready() {
 			w.WriteHeader(http.StatusOK)
@@ -156,9 +165,14 @@
 // connections.
 func Serve(ctx context.Context, ln net.Listener, limiter *ConnLimiter, h http.Handler, logger *slog.Logger) error {
 	server := &http.Server{
-		Handler: h, ConnState: limiter.onConnState, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second, WriteTimeout: 15 * time.Second,
-		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(trimmingHandler{logger.Handler()}, slog.LevelDebug),
+		Handler:           h,
+		ConnState:         limiter.onConnState,
+		ReadHeaderTimeout: 10 * time.Second,
+		ReadTimeout:       15 * time.Second,
+		WriteTimeout:      15 * time.Second,
+		IdleTimeout:       90 * time.Second,
+		MaxHeaderBytes:    8 << 10,
+		ErrorLog:          slog.NewLogLogger(trimmingHandler{logger.Handler()}, slog.LevelDebug),
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -51,7 +51,15 @@
 				time.Sleep(time.Duration(i) * every / agents)
 				for ctx.Err() == nil {
 					cctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-					err := c.Do(cctx, "POST", "node:80", wire.PathHeartbeat, &wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1}, nil, wire.MaxBody)
+					err := c.Do(
+						cctx,
+						"POST",
+						"node:80",
+						wire.PathHeartbeat,
+						&wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1},
+						nil,
+						wire.MaxBody,
+					)
 					if cancel(); err != nil && ctx.Err() == nil {
 						failed <- fmt.Errorf("worker %d: %w", i, err)
 					}
@@ -81,7 +89,12 @@
 
 // TestBodies: what is too long or malformed is refused with its reason, and not read on.
 func TestBodies(t *testing.T) {
-	h := Handler(stubService{}, slog.New(slog.DiscardHandler), &ConnLimiter{MaxConns: 10}, func(string, int, time.Duration) {})
+	h := Handler(
+		stubService{},
+		slog.New(slog.DiscardHandler),
+		&ConnLimiter{MaxConns: 10},
+		func(string, int, time.Duration) {},
+	)
 	for _, c := range []struct {
 		path string
 		body []byte
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -189,7 +189,8 @@
 		}
 	}
 	for i, o := range p.Objectives {
-		if o.WithinS < 0 || notFinite(o.WithinS) || o.Share < 0 || o.Share > 1 || notFinite(o.Share) || notFinite(o.Times) {
+		if o.WithinS < 0 || notFinite(o.WithinS) || o.Share < 0 || o.Share > 1 || notFinite(o.Share) ||
+			notFinite(o.Times) {
 			return fmt.Errorf("params.objectives[%d]: invalid", i)
 		}
 	}
@@ -219,7 +220,11 @@
 		return fmt.Errorf("params.workers.cancel_s: must be above lease_s")
 	}
 	if s.StaleRenewalLimit() <= 0 {
-		return fmt.Errorf("params.workers.cancel_s: %v leaves no room over lease_s of %v: what clocks may differ by takes it up", w.CancelS, w.LeaseS)
+		return fmt.Errorf(
+			"params.workers.cancel_s: %v leaves no room over lease_s of %v: what clocks may differ by takes it up",
+			w.CancelS,
+			w.LeaseS,
+		)
 	}
 	if p.KVStore.ValueKB < 1 || p.KVStore.TxnOps < 3 {
 		return fmt.Errorf("params.state: value_kb under 1 or txn_ops under 3")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -62,7 +62,8 @@
 		t.Errorf("read %+v", s)
 	}
 	// Workers cut off for the whole bound still end in time for a cancellation.
-	if limit := s.StaleRenewalLimit(); limit <= 0 || limit+Seconds(s.Params.Workers.LeaseS) >= Seconds(s.Params.Workers.CancelS) {
+	if limit := s.StaleRenewalLimit(); limit <= 0 ||
+		limit+Seconds(s.Params.Workers.LeaseS) >= Seconds(s.Params.Workers.CancelS) {
 		t.Errorf("leases are kept for %v", time.Duration(limit))
 	}
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -34,7 +34,12 @@
 		return cn.cancelAsLeader(ctx, id)
 	}
 	if !leads {
-		if response, ok := cn.forward.toLeader(ctx, request, responseTimeout); ok && response.Status != http.StatusServiceUnavailable {
+		if response, ok := cn.forward.toLeader(
+			ctx,
+			request,
+			responseTimeout,
+		); ok &&
+			response.Status != http.StatusServiceUnavailable {
 			return response
 		}
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -81,7 +81,11 @@
 
 // relayThreshold is with more than how many machines nodes that are started now spread workers over the cell; 0: as
 // usual.
-var relayThreshold = flag.Int("relays", 0, "spread workers over the controllers from so many machines on, in every test")
+var relayThreshold = flag.Int(
+	"relays",
+	0,
+	"spread workers over the controllers from so many machines on, in every test",
+)
 
 // maxSilentProbes is how many silent machines of a zone nodes that are started now ask at once; 0: as usual.
 var maxSilentProbes int
@@ -102,7 +106,20 @@
 	}
 	return func(ctx context.Context, network host.Net, settings *config.Settings) error {
 		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level})).With("node", settings.Node)
-		node := New(network, settings, Options{Beta: 0.8, Threshold: 0.5, WaitRounds: 2, RoundInterval: 2 * time.Second, MetricsAddr: metricsAddr(settings.Node), AdminAddr: adminAddr(settings.Node), SingletonRoles: distributedRoles}, log)
+		node := New(
+			network,
+			settings,
+			Options{
+				Beta:           0.8,
+				Threshold:      0.5,
+				WaitRounds:     2,
+				RoundInterval:  2 * time.Second,
+				MetricsAddr:    metricsAddr(settings.Node),
+				AdminAddr:      adminAddr(settings.Node),
+				SingletonRoles: distributedRoles,
+			},
+			log,
+		)
 		node.ctx = ctx
 		if compactEvery > 0 {
 			node.commits.snapshotInterval = compactEvery
@@ -139,7 +156,14 @@
 		f(w)
 		finished, accepted := w.Checker.Finished()
 		writes, keys := w.Store.Load()
-		t.Logf("%d starts, %d jobs accepted, %d over; %d writes, at most %d keys", w.Checker.Starts(), accepted, finished, writes, keys)
+		t.Logf(
+			"%d starts, %d jobs accepted, %d over; %d writes, at most %d keys",
+			w.Checker.Starts(),
+			accepted,
+			finished,
+			writes,
+			keys,
+		)
 		for _, b := range w.Checker.Violations() {
 			t.Error(b)
 		}
@@ -150,8 +174,19 @@
 }
 
 func newJobSpec(n int, shape string, tasks int, run float64) *wire.JobSpec {
-	return &wire.JobSpec{ID: wire.JobID(uint64(n)), Class: "batch", Team: "red", Shape: shape, Priority: wire.Low, Tasks: tasks, CPUs: 1,
-		MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: run}
+	return &wire.JobSpec{
+		ID:        wire.JobID(uint64(n)),
+		Class:     "batch",
+		Team:      "red",
+		Shape:     shape,
+		Priority:  wire.Low,
+		Tasks:     tasks,
+		CPUs:      1,
+		MemoryGB:  2,
+		Image:     "img",
+		ImageGB:   1,
+		EstimateS: run,
+	}
 }
 
 // newWebService is a production service of one task.
@@ -296,7 +331,11 @@
 		w.Store.SetOutage(false)
 		time.Sleep(30 * time.Second)
 		if w.Checker.Starts() != starts || w.Checker.Running("req-000001") != 4 {
-			t.Errorf("%d replicas run, %d tasks were started anew", w.Checker.Running("req-000001"), w.Checker.Starts()-starts)
+			t.Errorf(
+				"%d replicas run, %d tasks were started anew",
+				w.Checker.Running("req-000001"),
+				w.Checker.Starts()-starts,
+			)
 		}
 		if c := w.Submit(j); c != 201 && c != 200 {
 			t.Errorf("the submission got %d after the outage", c)
@@ -567,7 +606,9 @@
 		w.Cloud.SetBootFaults(1, 2)
 		for n := 5; n <= 8; n++ {
 			s := newJobSpec(n, wire.Service, 1, 0)
-			s.Priority, s.Class, s.CPUs, s.MemoryGB, s.Types, s.Team = wire.Production, "other", 3, 60, []string{"large"}, "blue"
+			s.Priority, s.Class, s.CPUs, s.MemoryGB, s.Types, s.Team = wire.Production, "other", 3, 60, []string{
+				"large",
+			}, "blue"
 			w.Submit(s)
 		}
 		time.Sleep(100 * time.Second)
@@ -709,10 +750,14 @@
 			s := newJobSpec(n, wire.Array, 1+rng.IntN(10), 2+10*rng.Float64())
 			switch rng.IntN(4) {
 			case 0:
-				s.Shape, s.Tasks, s.CheckpointIntervalS, s.CheckpointWriteS, s.Priority = wire.Gang, 1+rng.IntN(3), 3, 1, wire.High
+				s.Shape, s.Tasks, s.CheckpointIntervalS, s.CheckpointWriteS, s.Priority = wire.Gang, 1+rng.IntN(
+					3,
+				), 3, 1, wire.High
 				s.SameZone = rng.IntN(2) == 0
 			case 1:
-				s.Shape, s.Tasks, s.Spread, s.Class, s.Priority = wire.Service, 1+rng.IntN(3), true, "web", wire.Production
+				s.Shape, s.Tasks, s.Spread, s.Class, s.Priority = wire.Service, 1+rng.IntN(
+					3,
+				), true, "web", wire.Production
 			}
 			s.Spot = rng.IntN(2) == 0
 			if rng.IntN(2) == 0 {
@@ -840,7 +885,12 @@
 	for _, id := range open {
 		// A job that no node could take for a minute was never accepted; the
 		// referee knows the difference.
-		if code, s := w.Request("poll", id, nil); code != 404 && (code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
+		if code, s := w.Request(
+			"poll",
+			id,
+			nil,
+		); code != 404 &&
+			(code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
 			t.Errorf("%s: %d %+v", id, code, s)
 		}
 		if k := w.Checker.Running(id); k != 0 {
@@ -873,7 +923,10 @@
 func backgroundFaults(w *emulator.Environment, rng *rand.Rand) (endFaults func()) {
 	var ended atomic.Bool
 	if rng.IntN(2) == 0 {
-		w.DuplicateHeartbeats(0.05+0.3*rng.Float64(), time.Duration(2+rng.IntN(2*int(w.Params.Workers.LeaseS)))*time.Second)
+		w.DuplicateHeartbeats(
+			0.05+0.3*rng.Float64(),
+			time.Duration(2+rng.IntN(2*int(w.Params.Workers.LeaseS)))*time.Second,
+		)
 	}
 	go func() {
 		for w.Context().Err() == nil {
@@ -1125,7 +1178,11 @@
 				t.Errorf("job %d: %v", n, err)
 			}
 		}
-		if s, err := do(wire.PathJobs+"/req-000002"+wire.CancelSuffix, struct{}{}); err != nil || s.State != wire.JobCancelled {
+		if s, err := do(
+			wire.PathJobs+"/req-000002"+wire.CancelSuffix,
+			struct{}{},
+		); err != nil ||
+			s.State != wire.JobCancelled {
 			t.Errorf("cancellation: %v %v", s, err)
 		}
 		if finished, accepted := w.Checker.Finished(); finished != 1 || accepted != 6 {
@@ -1149,9 +1206,14 @@
 		w.RequestAt(i, "poll", "nonsense", nil)
 		read := func(i int) string {
 			h := w.Network.Host("operator")
-			c := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
-				return h.Dial(ctx, a, time.Second)
-			}}}
+			c := http.Client{
+				Transport: &http.Transport{
+					DisableKeepAlives: true,
+					DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
+						return h.Dial(ctx, a, time.Second)
+					},
+				},
+			}
 			resp, err := c.Get("http://" + metricsAddr(emulator.ControllerName(i)) + metrics.Path)
 			if err != nil {
 				t.Fatal(err)
@@ -1171,7 +1233,10 @@
 				t.Errorf("%s is missing", want)
 			}
 		}
-		if page := read((i + 1) % 3); !strings.Contains(page, "\nfieldhill_leads 0\n") || !strings.Contains(page, "\nfieldhill_jobs 2\n") {
+		if page := read(
+			(i + 1) % 3,
+		); !strings.Contains(page, "\nfieldhill_leads 0\n") ||
+			!strings.Contains(page, "\nfieldhill_jobs 2\n") {
 			t.Error("a follower has another view")
 		}
 		if t.Failed() {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -39,7 +39,9 @@
 	if term == nil || machine.DirectInFlight {
 		return
 	}
-	if cd.replica.model.Machines[machine.ID] != machine || machine.DirectFailed || !machine.Reported || machine.Info.Addr == "" || machine.Releasing {
+	if cd.replica.model.Machines[machine.ID] != machine || machine.DirectFailed || !machine.Reported ||
+		machine.Info.Addr == "" ||
+		machine.Releasing {
 		delete(term.dispatch.dirtyMachines, machine)
 		return
 	}
@@ -75,7 +77,10 @@
 				cd.replica.model.StartsLost(machine, commands, token)
 				cd.probes.probeMachine(machine, func() {
 					// Reports may go on to come from it.
-					if cd.term.ownTerm == term && cd.replica.model.Machines[machine.ID] == machine && cd.now()-machine.LastReport > probeTimeout && machine.DirectFailed && machine.InboundPartitionSince == 0 {
+					if cd.term.ownTerm == term && cd.replica.model.Machines[machine.ID] == machine &&
+						cd.now()-machine.LastReport > probeTimeout &&
+						machine.DirectFailed &&
+						machine.InboundPartitionSince == 0 {
 						machine.MarkInboundPartition(cd.now())
 						cd.replica.model.RaiseToken(machine)
 						cd.probes.logInboundPartition(machine)
@@ -103,7 +108,8 @@
 // hasUncommitted tells whether a machine has a placement that is not committed yet.
 func (cd *commandDispatcher) hasUncommitted(machine *model.Machine) bool {
 	for _, run := range machine.Runs {
-		if run.PlacedSeq > cd.term.ownTerm.commits.committedSeq || run.Job.FinalSeq > cd.term.ownTerm.commits.committedSeq {
+		if run.PlacedSeq > cd.term.ownTerm.commits.committedSeq ||
+			run.Job.FinalSeq > cd.term.ownTerm.commits.committedSeq {
 			return true
 		}
 	}
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -45,7 +45,9 @@
 // outage used to end all work when the bound was over.
 func (cf *commitFence) runBarrierRound() {
 	now := time.Now()
-	if cf.term.isActive() || !cf.replica.loaded || cf.term.ownTerm == nil && cf.replica.isStoreReachable() || now.Sub(cf.knownCommittedAt()) > cf.settings.StaleRenewalLimit() || now.Sub(cf.lastBarrierRound) < barrierInterval {
+	if cf.term.isActive() || !cf.replica.loaded || cf.term.ownTerm == nil && cf.replica.isStoreReachable() ||
+		now.Sub(cf.knownCommittedAt()) > cf.settings.StaleRenewalLimit() ||
+		now.Sub(cf.lastBarrierRound) < barrierInterval {
 		return
 	}
 	for _, link := range cf.links {
@@ -55,7 +57,12 @@
 	}
 	cf.lastBarrierRound = now
 	generation := cf.replica.generation
-	round := cf.replica.watermarks.BeginRound(cf.now(), cf.knownCommittedAt().Sub(cf.startTime), cf.replica.appliedSeq, len(cf.settings.Members))
+	round := cf.replica.watermarks.BeginRound(
+		cf.now(),
+		cf.knownCommittedAt().Sub(cf.startTime),
+		cf.replica.appliedSeq,
+		len(cf.settings.Members),
+	)
 	advanceFence := func() {
 		at, ok := round.Proven()
 		if !ok || cf.replica.generation != generation || !cf.replica.loaded {
@@ -63,7 +70,8 @@
 		}
 		if t := cf.startTime.Add(at); t.After(cf.knownCommittedAt()) {
 			if !cf.provenAt.After(cf.replica.caughtUpAt) {
-				cf.log.Info("key-value store unreachable from all controllers, leases extended", "duration", time.Since(cf.replica.caughtUpAt).Round(time.Second))
+				cf.log.Info("key-value store unreachable from all controllers, leases extended",
+					"duration", time.Since(cf.replica.caughtUpAt).Round(time.Second))
 			}
 			cf.provenAt = t
 		}
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -134,7 +134,8 @@
 
 // stalled tells whether a write has been under way for suspiciously long.
 func (r *leaderTerm) stalled() bool {
-	return r.commits.writeInFlight && time.Since(r.commits.writeStarted) > 1200*time.Millisecond || len(r.commits.queue) > 16
+	return r.commits.writeInFlight && time.Since(r.commits.writeStarted) > 1200*time.Millisecond ||
+		len(r.commits.queue) > 16
 }
 
 // onCommitted notes that a batch is in the log.
@@ -170,7 +171,9 @@
 		cp.dispatch.sendDirect(machine)
 	}
 	term.commits.batchesSinceSnapshot++
-	if term.commits.batchesSinceSnapshot > cp.snapshotInterval && len(term.commits.queue) == 0 && term.commits.snapshots != nil && !cp.roles.rolesDistributed() {
+	if term.commits.batchesSinceSnapshot > cp.snapshotInterval && len(term.commits.queue) == 0 &&
+		term.commits.snapshots != nil &&
+		!cp.roles.rolesDistributed() {
 		select {
 		case term.commits.snapshots <- snapshot{seq, cp.replica.model.Snapshot()}:
 			term.commits.batchesSinceSnapshot = 0
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -189,17 +189,30 @@
 		run("link", func() error { l.Run(ctx); return nil })
 	}
 	run("api", func() error {
-		return api.Serve(ctx, apiListener, c.connLimiter, api.Handler(c.requestHandlers(), c.log, c.connLimiter, c.metrics.ObserveRequest), c.log)
+		return api.Serve(
+			ctx,
+			apiListener,
+			c.connLimiter,
+			api.Handler(c.requestHandlers(), c.log, c.connLimiter, c.metrics.ObserveRequest),
+			c.log,
+		)
 	})
 	if metricsListener != nil {
 		run("metrics", func() error {
-			return api.Serve(ctx, metricsListener, &api.ConnLimiter{MaxConns: maxMetricsConns}, c.metrics.Handler(c.telemetry.snapshot), c.log)
+			return api.Serve(
+				ctx,
+				metricsListener,
+				&api.ConnLimiter{MaxConns: maxMetricsConns},
+				c.metrics.Handler(c.telemetry.snapshot),
+				c.log,
+			)
 		})
 	}
 	if adminListener != nil {
 		run("operate", func() error { return adminapi.Serve(ctx, adminListener, c.explanations, c.log) })
 	}
-	c.log.Info("controller started", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind, "pid", os.Getpid())
+	c.log.Info("controller started", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind,
+		"pid", os.Getpid())
 	<-ctx.Done()
 	if c.roles.state != nil {
 		<-c.loop.loopDone
@@ -225,7 +238,13 @@
 const defaultSnapshotInterval = 500
 
 func newEligibility(settings *config.Settings, links map[string]*rpc.Link, now func() model.Time) *eligibility {
-	s := &eligibility{watch: candidacy.New(candidacy.DefaultRules, len(settings.Members), now()), nodeIndex: map[string]int{}, incarnation: rand.Uint64(), node: settings.Node, now: now}
+	s := &eligibility{
+		watch:       candidacy.New(candidacy.DefaultRules, len(settings.Members), now()),
+		nodeIndex:   map[string]int{},
+		incarnation: rand.Uint64(),
+		node:        settings.Node,
+		now:         now,
+	}
 	for i, m := range settings.Members {
 		s.nodeIndex[m.Node] = i
 		link := links[m.Node]
@@ -284,7 +303,8 @@
 	for machine := range term.dispatch.dirtyMachines {
 		c.dispatch.sendDirect(machine)
 	}
-	if now.Sub(term.provisioning.lastAutoscale) > 500*time.Millisecond && now.After(term.leadership.reportGraceEnd) && !term.stalled() {
+	if now.Sub(term.provisioning.lastAutoscale) > 500*time.Millisecond && now.After(term.leadership.reportGraceEnd) &&
+		!term.stalled() {
 		term.provisioning.lastAutoscale = now
 		c.provisioning.runAutoscaler(term)
 	}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -143,7 +143,12 @@
 		if err := store.Revoke(w.Context(), old.Lease); err != nil {
 			t.Fatal(err)
 		}
-		won, err := election.Acquire(w.Context(), store, emulator.ControllerName((i+1)%3), slog.New(slog.DiscardHandler))
+		won, err := election.Acquire(
+			w.Context(),
+			store,
+			emulator.ControllerName((i+1)%3),
+			slog.New(slog.DiscardHandler),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +183,10 @@
 		if loaded {
 			t.Error("the log was read already: the test is for before")
 		}
-		if a := node.heartbeatRouter.Heartbeat(w.Context(), &wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Seq: 1}); a.Status != 421 {
+		if a := node.heartbeatRouter.Heartbeat(
+			w.Context(),
+			&wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Seq: 1},
+		); a.Status != 421 {
 			t.Errorf("a report got %d", a.Status)
 		}
 		for range 10 { // the job that there is, at any time from here on
@@ -281,7 +289,10 @@
 		n := nodeAt(k)
 		n.loop.postAndWait(func() {
 			leads, _ := n.term.ownTerm.leadership.timeline.ReachedAfter(candidacy.Leading)
-			if allReported, reached := n.term.ownTerm.leadership.timeline.ReachedAfter(candidacy.AgentsAccounted); !reached || allReported-leads > 2*time.Second {
+			if allReported, reached := n.term.ownTerm.leadership.timeline.ReachedAfter(
+				candidacy.AgentsAccounted,
+			); !reached ||
+				allReported-leads > 2*time.Second {
 				t.Errorf("it had heard of all that can be heard of %v after it led (%v)", allReported-leads, reached)
 			}
 		})
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -31,7 +31,12 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	recentProcesses := s.watch.RecordIncarnation(i, incarnation, now)
-	return candidacy.Status{Warm: s.warm.Load() && !s.watch.IsFresh(now), RecentIncarnations: recentProcesses}.Append(nil)
+	return candidacy.Status{
+		Warm:               s.warm.Load() && !s.watch.IsFresh(now),
+		RecentIncarnations: recentProcesses,
+	}.Append(
+		nil,
+	)
 }
 
 // mayStand tells whether this node may stand for election, and if not, when to ask again.
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -146,7 +146,11 @@
 }
 
 // awaitResponse has the loop run f and waits for its reply.
-func (el *eventLoop) awaitResponse(ctx context.Context, enqueue func(func()) error, f func(send func(*rpc.Response))) *rpc.Response {
+func (el *eventLoop) awaitResponse(
+	ctx context.Context,
+	enqueue func(func()) error,
+	f func(send func(*rpc.Response)),
+) *rpc.Response {
 	responses := make(chan *rpc.Response, 1)
 	if enqueue(func() { f(func(r *rpc.Response) { responses <- r }) }) != nil {
 		return loopBusyResponse
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -53,7 +53,12 @@
 	if leads, _ := ex.forward.routingState(); leads {
 		return ex.explainAsLeader(ctx, model.JobID(jobNumber))
 	}
-	if response, ok := ex.forward.toLeader(ctx, &rpc.Request{Op: rpc.OpPendingReasons, ID: id}, responseTimeout); ok && response.Status != http.StatusNotImplemented {
+	if response, ok := ex.forward.toLeader(
+		ctx,
+		&rpc.Request{Op: rpc.OpPendingReasons, ID: id},
+		responseTimeout,
+	); ok &&
+		response.Status != http.StatusNotImplemented {
 		return response
 	}
 	return ex.respondToAdmin(ctx, func() *rpc.Response { return ex.explainFromReplica(model.JobID(jobNumber)) })
@@ -68,7 +73,12 @@
 	if err != nil {
 		return adminNoLeader
 	}
-	if response, ok := ex.forward.toLeader(ctx, &rpc.Request{Op: rpc.OpQueue, Body: body}, responseTimeout); ok && response.Status != http.StatusNotImplemented {
+	if response, ok := ex.forward.toLeader(
+		ctx,
+		&rpc.Request{Op: rpc.OpQueue, Body: body},
+		responseTimeout,
+	); ok &&
+		response.Status != http.StatusNotImplemented {
 		return response
 	}
 	return adminNoLeader
@@ -115,10 +125,18 @@
 	case j == nil:
 		return ex.explanationResponse(id, &explanation.Analysis{}, nil)
 	}
-	return ex.explanationResponse(id, &explanation.Analysis{Waiting: j.Waiting()}, []pending.Reason{{Code: pending.NoLeader}})
+	return ex.explanationResponse(
+		id,
+		&explanation.Analysis{Waiting: j.Waiting()},
+		[]pending.Reason{{Code: pending.NoLeader}},
+	)
 }
 
-func (ex *explanations) explanationResponse(id model.JobID, a *explanation.Analysis, around []pending.Reason) *rpc.Response {
+func (ex *explanations) explanationResponse(
+	id model.JobID,
+	a *explanation.Analysis,
+	around []pending.Reason,
+) *rpc.Response {
 	e := ex.header(id)
 	fillExplanation(e, ex.replica.model.Jobs[id], a, around)
 	return adminapi.Encode(http.StatusOK, e)
@@ -126,7 +144,14 @@
 
 // header begins an explanation; it is for the loop.
 func (ex *explanations) header(id model.JobID) *wire.Explanation {
-	e := &wire.Explanation{ID: wire.JobID(uint64(id)), Node: ex.settings.Node, LogBatch: ex.replica.appliedSeq, Reasons: []wire.Reason{}, Pairs: [][2]string{}, History: []wire.ReasonPeriod{}}
+	e := &wire.Explanation{
+		ID:       wire.JobID(uint64(id)),
+		Node:     ex.settings.Node,
+		LogBatch: ex.replica.appliedSeq,
+		Reasons:  []wire.Reason{},
+		Pairs:    [][2]string{},
+		History:  []wire.ReasonPeriod{},
+	}
 	if s := ex.jobStatus.committedStatus(id); s != nil {
 		e.State = s.State
 	}
@@ -135,7 +160,10 @@
 	}
 	if j := ex.replica.model.Jobs[id]; j != nil {
 		for _, p := range j.ReasonHistory() {
-			e.History = append(e.History, wire.ReasonPeriod{Code: p.Code.String(), SinceS: (ex.now() - p.Since).Seconds()})
+			e.History = append(
+				e.History,
+				wire.ReasonPeriod{Code: p.Code.String(), SinceS: (ex.now() - p.Since).Seconds()},
+			)
 		}
 	}
 	return e
@@ -161,7 +189,8 @@
 			return adminNoLeader
 		case j == nil && ex.replica.model.Finals[id] == 0:
 			return adminUnknownJob
-		case j != nil && j.AcceptSeq > ex.term.ownTerm.commits.committedSeq, ex.replica.model.FinalSeq(id) > ex.term.ownTerm.commits.committedSeq:
+		case j != nil && j.AcceptSeq > ex.term.ownTerm.commits.committedSeq,
+			ex.replica.model.FinalSeq(id) > ex.term.ownTerm.commits.committedSeq:
 			return adminapi.Refuse(http.StatusServiceUnavailable, "the log does not have it yet", 1)
 		case j == nil:
 			return ex.explanationResponse(id, &explanation.Analysis{}, nil)
@@ -188,13 +217,24 @@
 		q := &wire.Queue{Node: ex.settings.Node, LogBatch: ex.replica.appliedSeq, Jobs: []wire.QueuedJob{}}
 		add := func(place int, j *model.Job) {
 			switch {
-			case f.Team != "" && f.Team != j.Spec.Team, f.Class != "" && f.Class != j.Spec.Class, f.Reason != "" && f.Reason != j.PendingReason.Code.String():
+			case f.Team != "" && f.Team != j.Spec.Team,
+				f.Class != "" && f.Class != j.Spec.Class,
+				f.Reason != "" && f.Reason != j.PendingReason.Code.String():
 				return
 			case len(q.Jobs) >= f.Limit:
 				q.More++
 			default:
-				row := wire.QueuedJob{Position: place, ID: j.Spec.ID, Team: j.Spec.Team, Class: j.Spec.Class, Priority: j.Spec.Priority, Waiting: j.Waiting(),
-					Reason: j.PendingReason.Code.String(), Text: j.PendingReason.String(), AgeS: (now - j.KnownSince).Seconds()}
+				row := wire.QueuedJob{
+					Position: place,
+					ID:       j.Spec.ID,
+					Team:     j.Spec.Team,
+					Class:    j.Spec.Class,
+					Priority: j.Spec.Priority,
+					Waiting:  j.Waiting(),
+					Reason:   j.PendingReason.Code.String(),
+					Text:     j.PendingReason.String(),
+					AgeS:     (now - j.KnownSince).Seconds(),
+				}
 				if history := j.ReasonHistory(); len(history) > 0 {
 					row.SinceS = (now - history[0].Since).Seconds()
 				}
@@ -235,7 +275,10 @@
 		out = append(out, pending.Reason{Code: pending.NoLeader})
 	}
 	if now := time.Now(); now.Before(r.leadership.reportGraceEnd) && !ex.probes.allMachinesReported() {
-		out = append(out, pending.Reason{Code: pending.AwaitingHeartbeats, Remaining: r.leadership.reportGraceEnd.Sub(now)})
+		out = append(
+			out,
+			pending.Reason{Code: pending.AwaitingHeartbeats, Remaining: r.leadership.reportGraceEnd.Sub(now)},
+		)
 	}
 	if r.stalled() {
 		out = append(out, pending.Reason{Code: pending.StoreUnavailable})
@@ -271,12 +314,28 @@
 		e.Starting = j.Live - j.Running
 	}
 	appendReason := func(r pending.Reason, f explanation.Finding) {
-		e.Reasons = append(e.Reasons, wire.Reason{Code: r.Code.String(), Text: r.String(), Binding: f.Binding, PlacedWithout: f.IfLifted.Placed, PreemptedWithout: f.IfLifted.Preempted,
-			RemainingS: r.Remaining.Seconds(), Count: r.Count, First: r.First, Unit: r.Unit, Need: r.Need, Used: r.Used, Limit: r.Limit})
+		e.Reasons = append(
+			e.Reasons,
+			wire.Reason{
+				Code:             r.Code.String(),
+				Text:             r.String(),
+				Binding:          f.Binding,
+				PlacedWithout:    f.IfLifted.Placed,
+				PreemptedWithout: f.IfLifted.Preempted,
+				RemainingS:       r.Remaining.Seconds(),
+				Count:            r.Count,
+				First:            r.First,
+				Unit:             r.Unit,
+				Need:             r.Need,
+				Used:             r.Used,
+				Limit:            r.Limit,
+			},
+		)
 	}
 	for _, r := range outside {
 		// While no round is run nothing else matters.
-		blocksAll := r.Code == pending.NoLeader || r.Code == pending.AwaitingHeartbeats || r.Code == pending.StoreUnavailable
+		blocksAll := r.Code == pending.NoLeader || r.Code == pending.AwaitingHeartbeats ||
+			r.Code == pending.StoreUnavailable
 		appendReason(r, explanation.Finding{Binding: blocksAll && a.Waiting > 0})
 	}
 	for _, f := range a.Findings {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -81,7 +81,12 @@
 		}
 		time.Sleep(70 * time.Second)
 		for k := 100; k < n; k++ {
-			if code, s := w.Request("poll", wire.JobID(uint64(k)), nil); code != 404 && (code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
+			if code, s := w.Request(
+				"poll",
+				wire.JobID(uint64(k)),
+				nil,
+			); code != 404 &&
+				(code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
 				t.Errorf("%d: %d %+v", k, code, s)
 			}
 		}
@@ -239,7 +244,9 @@
 		checkAtLimit := func(phase string) {
 			for _, team := range teams {
 				limit := w.Params.Teams[slices.IndexFunc(w.Params.Teams, func(t teamConfig) bool { return t.Name == team })].CPUsMax
-				if used := w.Checker.UsedCPUs(team); used < limit-1.5 { // jobs come in pairs of tasks of one CPU, beside a service of three
+				if used := w.Checker.UsedCPUs(
+					team,
+				); used < limit-1.5 { // jobs come in pairs of tasks of one CPU, beside a service of three
 					t.Errorf("%s: %s uses %g of %g CPUs", phase, team, used, limit)
 				}
 			}
@@ -280,7 +287,10 @@
 			time.Sleep(time.Duration(rng.IntN(10000)) * time.Millisecond)
 		}
 		if runningWhenCancelled < 12 {
-			t.Errorf("%d tasks were on machines as their jobs were cancelled: the meeting did not take place", runningWhenCancelled)
+			t.Errorf(
+				"%d tasks were on machines as their jobs were cancelled: the meeting did not take place",
+				runningWhenCancelled,
+			)
 		}
 		time.Sleep(60 * time.Second)
 		checkAtLimit("afterwards")
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -58,60 +58,147 @@
 }
 
 var overloadScenarios = []overloadScenario{
-	{"four times a class while half of the machines are gone", true, defaultTeams, []workload{webLoad, batchLoad, guestLoad, gangLoad.scaled(1.5, 0, 240), batchLoad.scaled(3, 100, 200)}, 0, func(w *emulator.Environment, s int) {
-		if s == 100 {
-			w.Cloud.SetCapacity(2)
-			for i, worker := range w.Cloud.Workers() {
-				if i%2 == 0 {
-					w.Cloud.Reclaim(worker.Name)
+	{
+		"four times a class while half of the machines are gone",
+		true,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, guestLoad, gangLoad.scaled(1.5, 0, 240), batchLoad.scaled(3, 100, 200)},
+		0,
+		func(w *emulator.Environment, s int) {
+			if s == 100 {
+				w.Cloud.SetCapacity(2)
+				for i, worker := range w.Cloud.Workers() {
+					if i%2 == 0 {
+						w.Cloud.Reclaim(worker.Name)
+					}
 				}
 			}
-		}
-	}},
-	{"the cloud is down after a zone died", false, defaultTeams, []workload{webLoad, batchLoad, guestLoad, gangLoad}, 0, func(w *emulator.Environment, s int) {
-		switch s {
-		case 100:
-			w.Cloud.SetOutage(true)
-			for _, worker := range w.Cloud.Workers() {
-				if worker.Zone == "b" {
-					w.Cloud.Reclaim(worker.Name)
+		},
+	},
+	{
+		"the cloud is down after a zone died",
+		false,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, guestLoad, gangLoad},
+		0,
+		func(w *emulator.Environment, s int) {
+			switch s {
+			case 100:
+				w.Cloud.SetOutage(true)
+				for _, worker := range w.Cloud.Workers() {
+					if worker.Zone == "b" {
+						w.Cloud.Reclaim(worker.Name)
+					}
 				}
+			case 250:
+				w.Cloud.SetOutage(false)
 			}
-		case 250:
-			w.Cloud.SetOutage(false)
-		}
-	}},
-	{"one team sends nine tenths", false, defaultTeams, []workload{webLoad, gangLoad, batchLoad.scaled(0.3, 0, 260), guestLoad.scaled(9, 0, 260)}, 0, nil},
-	{"few huge arrays beside many", true, defaultTeams, []workload{webLoad, batchLoad.scaled(2, 0, 260), {"huge", "red", wire.Array, wire.Low, 0.05, 0, 150, []int{200}, 1, 10}}, 0, nil},
-	{"thousands of one task", false, defaultTeams, []workload{webLoad, batchLoad, {"dust", "guest", wire.Array, wire.Low, 8, 0, 260, []int{1}, 1, 6}}, 0, nil},
-	{"estimates wrong by three times", false, defaultTeams, []workload{webLoad, batchLoad, guestLoad, gangLoad.scaled(1.5, 0, 200)}, 3, nil},
-	{"the leader is late for a minute", false, defaultTeams, []workload{webLoad, batchLoad, guestLoad, gangLoad}, 0, func(w *emulator.Environment, s int) {
-		if s < 100 || s >= 160 {
-			return
-		}
-		if n := nodeAt(max(0, findLeader())); n != nil {
-			for range 3 {
-				go n.loop.post(func() { time.Sleep(200 * time.Millisecond) })
+		},
+	},
+	{
+		"one team sends nine tenths",
+		false,
+		defaultTeams,
+		[]workload{webLoad, gangLoad, batchLoad.scaled(0.3, 0, 260), guestLoad.scaled(9, 0, 260)},
+		0,
+		nil,
+	},
+	{
+		"few huge arrays beside many",
+		true,
+		defaultTeams,
+		[]workload{
+			webLoad,
+			batchLoad.scaled(2, 0, 260),
+			{"huge", "red", wire.Array, wire.Low, 0.05, 0, 150, []int{200}, 1, 10},
+		},
+		0,
+		nil,
+	},
+	{
+		"thousands of one task",
+		false,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, {"dust", "guest", wire.Array, wire.Low, 8, 0, 260, []int{1}, 1, 6}},
+		0,
+		nil,
+	},
+	{
+		"estimates wrong by three times",
+		false,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, guestLoad, gangLoad.scaled(1.5, 0, 200)},
+		3,
+		nil,
+	},
+	{
+		"the leader is late for a minute",
+		false,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, guestLoad, gangLoad},
+		0,
+		func(w *emulator.Environment, s int) {
+			if s < 100 || s >= 160 {
+				return
 			}
-		}
-	}},
-	{"gangs of four among fragments", false, defaultTeams, []workload{webLoad.scaled(0.5, 0, 200), batchLoad.scaled(2, 0, 260), {"sim", "red", wire.Gang, wire.High, 0.03, 20, 240, []int{4}, 9, 25}}, 0, nil},
-	{"all controllers end every minute", false, defaultTeams, []workload{webLoad, batchLoad, guestLoad, gangLoad}, 0, func(w *emulator.Environment, s int) {
-		if s == 0 || s%60 != 0 {
-			return
-		}
-		for i := range 3 {
-			w.Crash(i)
-		}
-		time.Sleep(3 * time.Second)
-		for i := range 3 {
-			w.Start(i)
-		}
-	}},
-	{"a class comes in the last quarter", false, defaultTeams, []workload{webLoad, batchLoad.scaled(1.5, 0, 260), guestLoad, {"late", "red", wire.Array, wire.Low, 0.5, 200, 265, []int{4, 8, 20}, 1, 8}}, 0, nil},
+			if n := nodeAt(max(0, findLeader())); n != nil {
+				for range 3 {
+					go n.loop.post(func() { time.Sleep(200 * time.Millisecond) })
+				}
+			}
+		},
+	},
+	{
+		"gangs of four among fragments",
+		false,
+		defaultTeams,
+		[]workload{
+			webLoad.scaled(0.5, 0, 200),
+			batchLoad.scaled(2, 0, 260),
+			{"sim", "red", wire.Gang, wire.High, 0.03, 20, 240, []int{4}, 9, 25},
+		},
+		0,
+		nil,
+	},
+	{
+		"all controllers end every minute",
+		false,
+		defaultTeams,
+		[]workload{webLoad, batchLoad, guestLoad, gangLoad},
+		0,
+		func(w *emulator.Environment, s int) {
+			if s == 0 || s%60 != 0 {
+				return
+			}
+			for i := range 3 {
+				w.Crash(i)
+			}
+			time.Sleep(3 * time.Second)
+			for i := range 3 {
+				w.Start(i)
+			}
+		},
+	},
+	{
+		"a class comes in the last quarter",
+		false,
+		defaultTeams,
+		[]workload{
+			webLoad,
+			batchLoad.scaled(1.5, 0, 260),
+			guestLoad,
+			{"late", "red", wire.Array, wire.Low, 0.5, 200, 265, []int{4, 8, 20}, 1, 8},
+		},
+		0,
+		nil,
+	},
 }
 
-var allScenarios = flag.Bool("hard", false, "play all hard days, not only the two that others than the floor would fail")
+var allScenarios = flag.Bool(
+	"hard",
+	false,
+	"play all hard days, not only the two that others than the floor would fail",
+)
 
 // TestOverloadFairness plays them. As each takes half a minute under the race detector, two of them do for every day:
 // one that serves a class of few large arrays, and one where a guest stands behind a burst.
@@ -121,7 +208,12 @@
 			continue
 		}
 		t.Run(scenario.name, func(t *testing.T) {
-			runClusterWithTeams(t, uint64(i+1), scenario.teams, func(w *emulator.Environment) { runOverload(t, w, scenario, rand.New(rand.NewPCG(uint64(i), 5))) })
+			runClusterWithTeams(
+				t,
+				uint64(i+1),
+				scenario.teams,
+				func(w *emulator.Environment) { runOverload(t, w, scenario, rand.New(rand.NewPCG(uint64(i), 5))) },
+			)
 		})
 	}
 }
@@ -147,7 +239,10 @@
 				}
 				n++
 				j := newJobSpec(n, l.shape, l.tasks[rng.IntN(len(l.tasks))], l.runSeconds*(0.5+rng.Float64()))
-				j.Class, j.Team, j.Priority, j.CPUs, j.MemoryGB, j.Image, j.Spot = l.class, l.team, l.priority, l.cpus, 1, fmt.Sprint("img-", rng.IntN(4)), l.shape != wire.Service
+				j.Class, j.Team, j.Priority, j.CPUs, j.MemoryGB, j.Image, j.Spot = l.class, l.team, l.priority, l.cpus, 1, fmt.Sprint(
+					"img-",
+					rng.IntN(4),
+				), l.shape != wire.Service
 				j.SameZone, j.Spread = l.shape == wire.Gang, l.shape == wire.Service
 				capacity.add(s, j)
 				w.Checker.RegisterJob(j)
@@ -176,7 +271,12 @@
 		name   func(j demand) string
 	}{{"class", classes, func(j demand) string { return j.spec.Class }}, {"team", teams, func(j demand) string { return j.spec.Team }}} {
 		needJobs, needTasks := capacity.requiredShare(of.name, true), capacity.requiredShare(of.name, false)
-		t.Logf("half of the jobs of each %s takes %.2f of the machines at the tightest, half of the tasks %.2f", of.what, needJobs, needTasks)
+		t.Logf(
+			"half of the jobs of each %s takes %.2f of the machines at the tightest, half of the tasks %.2f",
+			of.what,
+			needJobs,
+			needTasks,
+		)
 		for _, name := range slices.Sorted(maps.Keys(of.counts)) {
 			c := of.counts[name]
 			jobs, tasks, up := c.Shares()
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -83,10 +83,18 @@
 
 // runFaultCombination plays a meeting in a world of its own for each seed, with what the test draws; at sets the
 // test's draws apart from those of others.
-func runFaultCombination(t *testing.T, count, seedOffset uint64, f func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand)) {
+func runFaultCombination(
+	t *testing.T,
+	count, seedOffset uint64,
+	f func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand),
+) {
 	for seed := range seeds(count) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runCluster(t, seedOffset+seed, func(w *emulator.Environment) { f(t, w, seed, rand.New(rand.NewPCG(seed, seedOffset))) })
+			runCluster(
+				t,
+				seedOffset+seed,
+				func(w *emulator.Environment) { f(t, w, seed, rand.New(rand.NewPCG(seed, seedOffset))) },
+			)
 		})
 	}
 }
@@ -312,7 +320,12 @@
 		}
 		time.Sleep(60 * time.Second)
 		for _, id := range ids {
-			if code, s := w.Request("poll", id, nil); code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled {
+			if code, s := w.Request(
+				"poll",
+				id,
+				nil,
+			); code != 200 ||
+				s.State != wire.JobDone && s.State != wire.JobCancelled {
 				t.Errorf("%s: %d %+v", id, code, s)
 			}
 		}
@@ -401,7 +414,10 @@
 					w.Restart(max(0, findLeader()), time.Duration(20+rng.IntN(900))*time.Millisecond)
 				}
 				if partly < 3 {
-					t.Errorf("%d times a job was partly done at a change of leader: the meeting did not take place", partly)
+					t.Errorf(
+						"%d times a job was partly done at a change of leader: the meeting did not take place",
+						partly,
+					)
 				}
 				time.Sleep(60 * time.Second)
 				for _, j := range jobs {
@@ -473,10 +489,19 @@
 		close(done)
 		time.Sleep(40 * time.Second)
 		if cancelled.Load() < 5 || asked.Load() < 100 {
-			t.Errorf("%d cancellations and %d questions were answered: the meeting did not take place", cancelled.Load(), asked.Load())
+			t.Errorf(
+				"%d cancellations and %d questions were answered: the meeting did not take place",
+				cancelled.Load(),
+				asked.Load(),
+			)
 		}
 		for _, id := range ids {
-			if code, s := w.Request("poll", id, nil); code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled {
+			if code, s := w.Request(
+				"poll",
+				id,
+				nil,
+			); code != 200 ||
+				s.State != wire.JobDone && s.State != wire.JobCancelled {
 				t.Errorf("%s: %d %+v", id, code, s)
 			}
 		}
@@ -566,7 +591,12 @@
 			}
 			time.Sleep(60 * time.Second)
 			for _, id := range ids {
-				if code, s := w.Request("poll", id, nil); code != 404 && (code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
+				if code, s := w.Request(
+					"poll",
+					id,
+					nil,
+				); code != 404 &&
+					(code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
 					t.Errorf("%s: %d %+v", id, code, s)
 				}
 			}
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -17,7 +17,11 @@
 }
 
 // onMachines begins a trouble of those machines that are picked, and returns what ends it.
-func onMachines(w *emulator.Environment, pick func(*emulator.Worker) bool, apply func(worker *emulator.Worker, on bool)) (end func()) {
+func onMachines(
+	w *emulator.Environment,
+	pick func(*emulator.Worker) bool,
+	apply func(worker *emulator.Worker, on bool),
+) (end func()) {
 	var affected []*emulator.Worker
 	for _, worker := range w.Cloud.Workers() {
 		if pick(worker) {
@@ -84,7 +88,11 @@
 		return func() {}
 	}},
 	{"machines hear nothing", func(w *emulator.Environment, rng *rand.Rand) func() {
-		return onMachines(w, func(*emulator.Worker) bool { return rng.IntN(2) == 0 }, (*emulator.Worker).SetInboundPartition)
+		return onMachines(
+			w,
+			func(*emulator.Worker) bool { return rng.IntN(2) == 0 },
+			(*emulator.Worker).SetInboundPartition,
+		)
 	}},
 	{"commands held up", func(w *emulator.Environment, rng *rand.Rand) func() {
 		d := time.Duration(2+rng.IntN(70)) * time.Second
@@ -142,7 +150,11 @@
 	}},
 	{"machines reach nobody", func(w *emulator.Environment, rng *rand.Rand) func() {
 		zone := rng.IntN(2) == 0
-		return onMachines(w, func(worker *emulator.Worker) bool { return zone && worker.Zone == "b" || !zone && rng.IntN(3) == 0 }, (*emulator.Worker).SetOutboundPartition)
+		return onMachines(
+			w,
+			func(worker *emulator.Worker) bool { return zone && worker.Zone == "b" || !zone && rng.IntN(3) == 0 },
+			(*emulator.Worker).SetOutboundPartition,
+		)
 	}},
 	{"many cancelled at once, and machines hang", func(w *emulator.Environment, rng *rand.Rand) func() {
 		lasts := time.Duration(rng.IntN(60)) * time.Second
@@ -250,9 +262,13 @@
 			s.CPUs, s.Spot, s.Image = 0.5, rng.IntN(2) == 0, fmt.Sprint("img-", rng.IntN(3))
 			switch rng.IntN(4) {
 			case 0:
-				s.Shape, s.Tasks, s.CheckpointIntervalS, s.CheckpointWriteS, s.Priority = wire.Gang, 1+rng.IntN(3), 3, 1, wire.High
+				s.Shape, s.Tasks, s.CheckpointIntervalS, s.CheckpointWriteS, s.Priority = wire.Gang, 1+rng.IntN(
+					3,
+				), 3, 1, wire.High
 			case 1:
-				s.Shape, s.Tasks, s.Spread, s.Class, s.Priority = wire.Service, 1+rng.IntN(3), true, "web", wire.Production
+				s.Shape, s.Tasks, s.Spread, s.Class, s.Priority = wire.Service, 1+rng.IntN(
+					3,
+				), true, "web", wire.Production
 			}
 			if rng.IntN(2) == 0 {
 				s.Team = "blue"
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -58,7 +58,11 @@
 				}
 				asked.leases.renewals.Renewed(name(i), asked.now()-time.Duration(i)*time.Millisecond)
 			}
-			_ = asked.replica.model.Apply(&model.Entry{Kind: model.EntrySuspect, Machine: 100_000 + machines - 1}, asked.replica.appliedSeq, asked.now())
+			_ = asked.replica.model.Apply(
+				&model.Entry{Kind: model.EntrySuspect, Machine: 100_000 + machines - 1},
+				asked.replica.appliedSeq,
+				asked.now(),
+			)
 		})
 		link := leader.links[emulator.ControllerName(other)]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -74,7 +78,8 @@
 			t.Error(err)
 			return
 		}
-		if age := word.RenewalAges[name(machines-1)]; age < (machines-1)*time.Millisecond || age > (machines+1000)*time.Millisecond {
+		if age := word.RenewalAges[name(machines-1)]; age < (machines-1)*time.Millisecond ||
+			age > (machines+1000)*time.Millisecond {
 			t.Errorf("the suspect machine was renewed %v ago", age)
 		}
 		if time.Since(link.LastResponse()) > linkFreshness {
@@ -158,10 +163,20 @@
 		time.Sleep(time.Second)
 		list := make([]wire.ListedMachine, machines)
 		for i := range list {
-			list[i] = wire.ListedMachine{Name: fmt.Sprintf("host-%06d", i), Addr: "10.1.0.1:1", Type: "small", Zone: "a",
-				State: wire.MachineRunning}
+			list[i] = wire.ListedMachine{
+				Name:  fmt.Sprintf("host-%06d", i),
+				Addr:  "10.1.0.1:1",
+				Type:  "small",
+				Zone:  "a",
+				State: wire.MachineRunning,
+			}
 		}
-		n.roles.publishResult(ctx, &singleton.Role{}, 7, &provisioner.Result{Kind: provisioner.MachinesListed, Listing: list})
+		n.roles.publishResult(
+			ctx,
+			&singleton.Role{},
+			7,
+			&provisioner.Result{Kind: provisioner.MachinesListed, Listing: list},
+		)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if len(told) != machines {
@@ -193,7 +208,9 @@
 		leader := config.Member{Node: "leader", Zone: "b", Addr: "leader:1"}
 		set := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{leader}}
 		n := New(network.Host("n2"), set, Options{}, slog.New(slog.DiscardHandler))
-		n.ctx, n.oplog, n.replica.loaded, n.replica.caughtUpAt, n.term.leader = ctx, store, true, time.Now(), &oplog.Leader{Node: "leader"}
+		n.ctx, n.oplog, n.replica.loaded, n.replica.caughtUpAt, n.term.leader = ctx, store, true, time.Now(), &oplog.Leader{
+			Node: "leader",
+		}
 		holdCancelled(t, n, first, machines)
 		for _, machine := range n.replica.model.Order {
 			n.keepalives.clearedMachines[machine.ID] = time.Now()
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -65,7 +65,11 @@
 }
 
 // toLeader sends a request to the leader. ok is false if the leader can't be asked.
-func (fw *forwarder) toLeader(ctx context.Context, request *rpc.Request, timeout time.Duration) (response *rpc.Response, ok bool) {
+func (fw *forwarder) toLeader(
+	ctx context.Context,
+	request *rpc.Request,
+	timeout time.Duration,
+) (response *rpc.Response, ok bool) {
 	leader := fw.routing.Load().leader
 	link := fw.links[leader]
 	if link == nil || time.Since(link.LastResponse()) > linkFreshness {
@@ -102,9 +106,18 @@
 
 // toLeaderOrOthers asks the leader, if that is another node, and the rest if this one is out
 // of touch with the state service.
-func (fw *forwarder) toLeaderOrOthers(ctx context.Context, request *rpc.Request, leads, storeReachable bool) (*rpc.Response, bool) {
+func (fw *forwarder) toLeaderOrOthers(
+	ctx context.Context,
+	request *rpc.Request,
+	leads, storeReachable bool,
+) (*rpc.Response, bool) {
 	if !leads {
-		if response, ok := fw.toLeader(ctx, request, forwardTimeout); ok && response.Status != http.StatusServiceUnavailable {
+		if response, ok := fw.toLeader(
+			ctx,
+			request,
+			forwardTimeout,
+		); ok &&
+			response.Status != http.StatusServiceUnavailable {
 			return response, true
 		}
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -83,7 +83,10 @@
 		set := &config.Settings{Params: emulator.DefaultParams(), Node: "n0",
 			Members: []config.Member{{Node: "n1", Addr: "10.0.0.2:81"}}}
 		ctx, stop := context.WithCancel(context.Background())
-		c := &calling{Controller: New(network.Host("n0"), set, Options{SingletonRoles: true}, quiet), calls: make(chan *rpc.Request, 100)}
+		c := &calling{
+			Controller: New(network.Host("n0"), set, Options{SingletonRoles: true}, quiet),
+			calls:      make(chan *rpc.Request, 100),
+		}
 		c.Controller.ctx, c.to = ctx, c.links["n1"]
 		ln, err := network.Host("n1").Listen(set.Members[0].Addr)
 		if err != nil {
@@ -124,8 +127,18 @@
 func TestGoldenCalls(t *testing.T) {
 	var all strings.Builder
 	inCall(t, func(ctx context.Context, c *calling) {
-		report := &wire.Heartbeat{Machine: "host-1", Addr: "10.1.0.1:9", AgentEpoch: 1, Seq: 2, Tasks: []wire.TaskStatus{}}
-		hired := &provisioner.Result{Kind: provisioner.ScaledOut, ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2}, Machines: []string{"host-1"}}
+		report := &wire.Heartbeat{
+			Machine:    "host-1",
+			Addr:       "10.1.0.1:9",
+			AgentEpoch: 1,
+			Seq:        2,
+			Tasks:      []wire.TaskStatus{},
+		}
+		hired := &provisioner.Result{
+			Kind:     provisioner.ScaledOut,
+			ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2},
+			Machines: []string{"host-1"},
+		}
 		for _, ask := range []func(){
 			func() { c.submissions.Submit(ctx, mustMarshal(t, newJobSpec(7, wire.Array, 1, 1))) },
 			func() { c.jobStatus.Status(ctx, "req-000007") },
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -66,7 +66,10 @@
 	defer state.reports.release()
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	reply, err := target.Do(ctx, &rpc.Request{Op: rpc.OpRelayReport, ID: hr.settings.Node, Body: relay.AppendReport(nil, report)})
+	reply, err := target.Do(
+		ctx,
+		&rpc.Request{Op: rpc.OpRelayReport, ID: hr.settings.Node, Body: relay.AppendReport(nil, report)},
+	)
 	switch {
 	case err != nil || reply.Status == statusBusy:
 		return hr.renewRelayed(hr.ctx, report)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -98,7 +98,11 @@
 		return api.RetryLater("no leader at the moment", 1)
 	}
 	machine.Reports.RecordAnswer(hb.replica.model.Token(machine))
-	return hb.leases.renew(machine.Info.Name, hb.replica.model.Token(machine), hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true))
+	return hb.leases.renew(
+		machine.Info.Name,
+		hb.replica.model.Token(machine),
+		hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true),
+	)
 }
 
 // onSuspectReport takes the report of a machine whose lease is to run out. Before it is answered, which renews the
@@ -110,7 +114,8 @@
 	}
 	term := hb.term.ownTerm
 	if !hb.probes.probeMachine(machine, func() {
-		if hb.term.ownTerm == term && hb.term.isActive() && hb.replica.model.Machines[machine.ID] == machine && !machine.Suspect {
+		if hb.term.ownTerm == term && hb.term.isActive() && hb.replica.model.Machines[machine.ID] == machine &&
+			!machine.Suspect {
 			send(hb.replyToMachine(machine))
 		} else {
 			send(api.RetryLater("its lease is to run out", 1))
@@ -125,7 +130,8 @@
 func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(*rpc.Response)) {
 	term := hb.term.ownTerm
 	refusal := api.RetryLater("this machine is not known", 1)
-	if len(term.heartbeats.unknownMachines) >= hb.probes.maxFollowUpProbes || term.heartbeats.unknownMachines[report.Machine] {
+	if len(term.heartbeats.unknownMachines) >= hb.probes.maxFollowUpProbes ||
+		term.heartbeats.unknownMachines[report.Machine] {
 		send(refusal)
 		return
 	}
@@ -134,14 +140,28 @@
 		answer, err := hb.agents.Probe(term.ctx, report.Addr, probeTimeout)
 		hb.loop.post(func() {
 			delete(term.heartbeats.unknownMachines, report.Machine)
-			if hb.term.ownTerm != term || !hb.term.isActive() || err != nil || answer.Machine != report.Machine || hb.replica.model.Tombstones[report.Machine] {
+			if hb.term.ownTerm != term || !hb.term.isActive() || err != nil || answer.Machine != report.Machine ||
+				hb.replica.model.Tombstones[report.Machine] {
 				send(refusal)
 				return
 			}
 			if hb.replica.model.ByName[report.Machine] == nil {
-				hb.log.Info("machine registered", "machine", report.Machine, "type", answer.Type, "zone", answer.Zone, "spot", answer.Spot)
-				hb.commits.propose(&model.Entry{Kind: model.EntryMachine, Machine: hb.replica.model.NextMachine, At: time.Now().UnixMilli(),
-					Info: &model.MachineInfo{Name: answer.Machine, Addr: answer.Addr, Type: answer.Type, Zone: answer.Zone, Spot: answer.Spot}})
+				hb.log.Info("machine registered", "machine", report.Machine, "type", answer.Type,
+					"zone", answer.Zone, "spot", answer.Spot)
+				hb.commits.propose(
+					&model.Entry{
+						Kind:    model.EntryMachine,
+						Machine: hb.replica.model.NextMachine,
+						At:      time.Now().UnixMilli(),
+						Info: &model.MachineInfo{
+							Name: answer.Machine,
+							Addr: answer.Addr,
+							Type: answer.Type,
+							Zone: answer.Zone,
+							Spot: answer.Spot,
+						},
+					},
+				)
 			}
 			machine := hb.replica.model.ByName[report.Machine]
 			hb.observe(machine, answer, hb.replica.model.BeginProbe(machine))
@@ -178,7 +198,11 @@
 }
 
 // observe takes in a report, or the answer to a question, and logs what it proves.
-func (hb *heartbeats) observe(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) model.ReportVerdict {
+func (hb *heartbeats) observe(
+	machine *model.Machine,
+	report *wire.Heartbeat,
+	question *staleness.Question,
+) model.ReportVerdict {
 	wasQuarantined, wasPartitioned, firstReport := machine.Quarantined, machine.InboundPartitionSince != 0, !machine.Reported
 	verdict := hb.replica.model.Observe(machine, report, question, hb.now())
 	for _, e := range verdict.Entries {
@@ -192,11 +216,16 @@
 	hb.term.ownTerm.recordProbe(hb.term.ownTerm.zoneProbe(machine.Zone), true)
 	hb.provisioning.recordAddr(machine, report.Addr)
 	if firstReport && machine.ProvisionedAt != 0 {
-		hb.provisioning.autoscaler.OnBooted(machine.Type, machine.Zone, autoscaler.BootRatio(hb.replica.model, machine, hb.now()))
+		hb.provisioning.autoscaler.OnBooted(
+			machine.Type,
+			machine.Zone,
+			autoscaler.BootRatio(hb.replica.model, machine, hb.now()),
+		)
 	}
 	switch {
 	case verdict.Freshness == staleness.Restarted:
-		hb.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch, "seq", report.Seq, "tasks", len(machine.Runs))
+		hb.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch,
+			"seq", report.Seq, "tasks", len(machine.Runs))
 		hb.dispatch.markForCommands(machine) // a token that its earlier life can't have
 	case verdict.Slow:
 		hb.logSlow(machine)
@@ -230,5 +259,6 @@
 }
 
 func (hb *heartbeats) logSlow(machine *model.Machine) {
-	hb.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs), "duration", machine.SlowUntil-hb.now())
+	hb.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs),
+		"duration", machine.SlowUntil-hb.now())
 }
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -134,7 +134,8 @@
 	known := false
 	in.loop.postAndWait(func() {
 		term = in.term.ownTerm
-		known = term == nil || in.replica.model.Jobs[model.JobID(jobNumber)] != nil || in.replica.model.Finals[model.JobID(jobNumber)] != 0
+		known = term == nil || in.replica.model.Jobs[model.JobID(jobNumber)] != nil ||
+			in.replica.model.Finals[model.JobID(jobNumber)] != 0
 	})
 	if known {
 		return true
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -104,14 +104,20 @@
 	// A final state that the replica knows can't change any more.
 	var final *wire.JobStatus
 	js.loop.postAndWait(func() {
-		if (js.term.ownTerm == nil || js.replica.model.FinalSeq(model.JobID(jobNumber)) <= js.term.ownTerm.commits.committedSeq) && js.replica.model.Finals[model.JobID(jobNumber)] != 0 {
+		if (js.term.ownTerm == nil || js.replica.model.FinalSeq(model.JobID(jobNumber)) <= js.term.ownTerm.commits.committedSeq) &&
+			js.replica.model.Finals[model.JobID(jobNumber)] != 0 {
 			final = js.committedStatus(model.JobID(jobNumber))
 		}
 	})
 	if final != nil {
 		return api.Encode(http.StatusOK, final)
 	}
-	if response, ok := js.forward.toLeaderOrOthers(ctx, &rpc.Request{Op: rpc.OpStatus, ID: id}, leads, storeReachable); ok {
+	if response, ok := js.forward.toLeaderOrOthers(
+		ctx,
+		&rpc.Request{Op: rpc.OpStatus, ID: id},
+		leads,
+		storeReachable,
+	); ok {
 		return response
 	}
 	if leads {
@@ -130,7 +136,8 @@
 	}
 	return js.loop.respondInTurn(ctx, func(send func(*rpc.Response)) {
 		id := model.JobID(jobNumber)
-		if js.term.ownTerm != nil && js.replica.model.Finals[id] != 0 && js.replica.model.FinalSeq(id) <= js.term.ownTerm.commits.committedSeq {
+		if js.term.ownTerm != nil && js.replica.model.Finals[id] != 0 &&
+			js.replica.model.FinalSeq(id) <= js.term.ownTerm.commits.committedSeq {
 			send(api.Encode(http.StatusOK, js.committedStatus(id)))
 			return
 		}
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -78,7 +78,8 @@
 // bound: a job cancelled after the log was last read here still loses its tasks
 // in time when the leases then run out.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) *rpc.Response {
-	if machine := fk.replica.model.ByName[report.Machine]; machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
+	if machine := fk.replica.model.ByName[report.Machine]; machine != nil &&
+		(machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
 		return api.RetryLater("its lease is to run out", 1)
 	}
 	commands := []wire.Command{}
@@ -89,8 +90,12 @@
 		}
 		id := model.JobID(num)
 		j := fk.replica.model.Jobs[id]
-		if fk.replica.model.Finals[id] == model.FinalCancelled || j != nil && j.Cancelled && (fk.term.ownTerm == nil || j.FinalSeq <= fk.term.ownTerm.commits.committedSeq) {
-			commands = append(commands, wire.Command{Verb: wire.Stop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64)})
+		if fk.replica.model.Finals[id] == model.FinalCancelled ||
+			j != nil && j.Cancelled && (fk.term.ownTerm == nil || j.FinalSeq <= fk.term.ownTerm.commits.committedSeq) {
+			commands = append(
+				commands,
+				wire.Command{Verb: wire.Stop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64)},
+			)
 		}
 	}
 	if machine := fk.replica.model.ByName[report.Machine]; machine != nil {
@@ -111,8 +116,14 @@
 func (fk *followerKeepalives) sweep(now time.Time) {
 	if now.Sub(fk.lastSweep) >= sweepInterval {
 		fk.lastSweep = now
-		maps.DeleteFunc(fk.noRedirectUntil, func(_ string, until time.Time) bool { return now.Sub(until) > returnWindow })
-		maps.DeleteFunc(fk.clearedMachines, func(_ model.MachineID, at time.Time) bool { return now.Sub(at) >= 2*partitionReportInterval })
+		maps.DeleteFunc(
+			fk.noRedirectUntil,
+			func(_ string, until time.Time) bool { return now.Sub(until) > returnWindow },
+		)
+		maps.DeleteFunc(
+			fk.clearedMachines,
+			func(_ model.MachineID, at time.Time) bool { return now.Sub(at) >= 2*partitionReportInterval },
+		)
 	}
 	if len(fk.noRedirectUntil) > maxNoRedirectEntries+2*len(fk.replica.model.Order) {
 		clear(fk.noRedirectUntil)
@@ -123,7 +134,8 @@
 // bytes: the others are of no interest.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
 	for _, machine := range m.Order {
-		if at, ok := c[machine.ID]; ok && now.Sub(at) < 2*partitionReportInterval && machine.HasCancelledTask() && len(b)+5 <= maxBytes {
+		if at, ok := c[machine.ID]; ok && now.Sub(at) < 2*partitionReportInterval && machine.HasCancelledTask() &&
+			len(b)+5 <= maxBytes {
 			b = codec.Uint(b, uint64(machine.ID))
 		}
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -171,7 +171,11 @@
 	term.leadership.timeline.Mark(candidacy.LogRead, ls.now())
 	// Before anything is answered the leader knows every job that was accepted
 	// without one.
-	if err := retryRead(ctx, errs, func() (err error) { intakeJobs, revision, err = ls.oplog.ListIntake(ctx); return err }); err != nil {
+	if err := retryRead(
+		ctx,
+		errs,
+		func() (err error) { intakeJobs, revision, err = ls.oplog.ListIntake(ctx); return err },
+	); err != nil {
 		return err
 	}
 	ls.loop.postAndWait(func() {
@@ -218,7 +222,8 @@
 					errs <- err
 					return
 				case err != nil && ctx.Err() == nil:
-					ls.log.Warn("log compaction failed, previous snapshot kept", "seq", s.seq, "bytes", len(s.data), "err", err)
+					ls.log.Warn("log compaction failed, previous snapshot kept", "seq", s.seq, "bytes", len(s.data),
+						"err", err)
 				default:
 					ls.log.Debug("log compacted", "seq", s.seq, "bytes", len(s.data), "err", err)
 				}
@@ -250,24 +255,44 @@
 	term.commits.committedSeq = ls.replica.appliedSeq
 	term.commits.batchesSinceSnapshot = 0
 	ls.replica.model.BeginTerm(term.leader.Term<<machineTokenBits, ls.now())
-	ls.rounds.scheduler = scheduler.New(scheduler.Params{Beta: ls.options.Beta, Threshold: ls.options.Threshold, WaitRounds: ls.options.WaitRounds, Objectives: ls.settings.Params.Objectives})
+	ls.rounds.scheduler = scheduler.New(
+		scheduler.Params{
+			Beta:       ls.options.Beta,
+			Threshold:  ls.options.Threshold,
+			WaitRounds: ls.options.WaitRounds,
+			Objectives: ls.settings.Params.Objectives,
+		},
+	)
 	ls.provisioning.autoscaler = autoscaler.New(ls.settings.Params.Objectives)
-	term.provisioning.provisioner = ls.provisioning.newProvisioner(term.ctx, func() bool { return ls.now() < model.Time(term.trustedUntilOffset.Load()) }, func(o provisioner.Result) {
-		if ls.term.ownTerm == term {
-			ls.provisioning.onProvisionerResult(term, &o)
-		}
-	})
+	term.provisioning.provisioner = ls.provisioning.newProvisioner(
+		term.ctx,
+		func() bool { return ls.now() < model.Time(term.trustedUntilOffset.Load()) },
+		func(o provisioner.Result) {
+			if ls.term.ownTerm == term {
+				ls.provisioning.onProvisionerResult(term, &o)
+			}
+		},
+	)
 	// Machines that worked for the last leader report within this time.
 	term.leadership.reportGraceEnd = time.Now().Add(config.Seconds(ls.settings.Params.Workers.HeartbeatS * 1.25))
 	term.leadership.timeline.Mark(candidacy.Leading, ls.now())
 	ls.loop.roundRequested = true
 	term.heartbeats.lastHeartbeat, term.rounds.lowPriorityLimit = ls.now(), maxLowPerRound
 	nodeCount := len(ls.settings.Members) + 1
-	term.assignments.table, term.assignments.acceptingNodes, term.assignments.lastRelayOffers = relay.NewTable(nodeCount), make([]bool, nodeCount), make([]model.Time, nodeCount)
+	term.assignments.table, term.assignments.acceptingNodes, term.assignments.lastRelayOffers = relay.NewTable(
+		nodeCount,
+	), make(
+		[]bool,
+		nodeCount,
+	), make(
+		[]model.Time,
+		nodeCount,
+	)
 	ls.assignments.maintainAssignments(term)
 	ls.probes.probeAll()
 	ls.metrics.Terms.Inc()
-	ls.log.Info("leader elected", "term", term.leader.Term, "seq", ls.replica.appliedSeq, "jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
+	ls.log.Info("leader elected", "term", term.leader.Term, "seq", ls.replica.appliedSeq,
+		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
 }
 
 func (ls *leadership) stepDown(term *leaderTerm) {
@@ -285,7 +310,8 @@
 
 // logFailover tells once how long each part of the takeover took, when all have come or no more are waited for.
 func (ls *leadership) logFailover(term *leaderTerm) {
-	if term.leadership.failoverLogged || !term.leadership.timeline.IsComplete() && time.Since(term.leadership.reportGraceEnd) < failoverLogTimeout {
+	if term.leadership.failoverLogged ||
+		!term.leadership.timeline.IsComplete() && time.Since(term.leadership.reportGraceEnd) < failoverLogTimeout {
 		return
 	}
 	term.leadership.failoverLogged = true
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -149,7 +149,14 @@
 	}
 }
 
-func (lr *leaseRenewal) queryZoneRenewals(term *leaderTerm, link *rpc.Link, node int, zone int32, name string, seq uint64) {
+func (lr *leaseRenewal) queryZoneRenewals(
+	term *leaderTerm,
+	link *rpc.Link,
+	node int,
+	zone int32,
+	name string,
+	seq uint64,
+) {
 	ctx, cancel := context.WithTimeout(term.ctx, renewalQueryInterval)
 	defer cancel()
 	response, err := link.Do(ctx, &rpc.Request{Op: rpc.OpRenewals, ID: name, Body: codec.Uint(nil, seq)})
@@ -167,7 +174,11 @@
 		}
 		for _, machine := range lr.replica.model.Order {
 			if machine.Zone == zone && machine.Suspect && machine.SuspectFrom > 0 && machine.SuspectSeq() <= seq {
-				machine.Renewals.Record(node, len(lr.settings.Members), report.LastRenewal(machine.Info.Name, lr.now(), lr.retention()))
+				machine.Renewals.Record(
+					node,
+					len(lr.settings.Members),
+					report.LastRenewal(machine.Info.Name, lr.now(), lr.retention()),
+				)
 			}
 		}
 	})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -256,7 +256,10 @@
 					}
 				}
 				young.KnownSince, young.LastReport = n.now()-25*time.Second, n.now()-6*time.Second
-				n.provisioning.onProvisionerResult(n.term.ownTerm, &provisioner.Result{Kind: provisioner.MachinesListed, Listing: rows, Elapsed: took})
+				n.provisioning.onProvisionerResult(
+					n.term.ownTerm,
+					&provisioner.Result{Kind: provisioner.MachinesListed, Listing: rows, Elapsed: took},
+				)
 				given = young.Releasing
 				young.LastReport = n.now()
 			})
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -106,7 +106,12 @@
 				}
 				w.Restart(max(0, findLeader()), 300*time.Millisecond)
 				time.Sleep(75 * time.Second)
-				t.Logf("%d mute machines, %d tasks started anew, %d of 4 services up", k, w.Checker.Starts()-starts, servicesUp(w, 4))
+				t.Logf(
+					"%d mute machines, %d tasks started anew, %d of 4 services up",
+					k,
+					w.Checker.Starts()-starts,
+					servicesUp(w, 4),
+				)
 				for _, worker := range w.Cloud.Workers() {
 					worker.SetOutboundPartition(false)
 				}
@@ -139,7 +144,9 @@
 			j.Image = fmt.Sprint("img-", n%4)
 			switch n % 4 {
 			case 0:
-				j.Shape, j.Tasks, j.CheckpointIntervalS, j.CheckpointWriteS, j.Priority, j.SameZone = wire.Gang, 1+rng.IntN(3), 3, 1, wire.High, true
+				j.Shape, j.Tasks, j.CheckpointIntervalS, j.CheckpointWriteS, j.Priority, j.SameZone = wire.Gang, 1+rng.IntN(
+					3,
+				), 3, 1, wire.High, true
 			case 1:
 				j.Team = "blue"
 			}
@@ -152,7 +159,10 @@
 		lost := 0
 		for range 6 {
 			time.Sleep(time.Duration(4000+rng.IntN(9000)) * time.Millisecond)
-			up := slices.DeleteFunc(w.Cloud.Workers(), func(worker *emulator.Worker) bool { return worker.Zone != b || !w.Checker.HasTasks(worker.Name) })
+			up := slices.DeleteFunc(
+				w.Cloud.Workers(),
+				func(worker *emulator.Worker) bool { return worker.Zone != b || !w.Checker.HasTasks(worker.Name) },
+			)
 			for _, worker := range up {
 				switch lost++; rng.IntN(4) {
 				case 0:
@@ -200,7 +210,12 @@
 				go func(id string) {
 					polls.Add(1)
 					began := time.Now()
-					if code, _ := w.Request("poll", id, nil); code != 200 && code != 404 || time.Since(began) > 2*time.Second {
+					if code, _ := w.Request(
+						"poll",
+						id,
+						nil,
+					); code != 200 && code != 404 ||
+						time.Since(began) > 2*time.Second {
 						unanswered.Add(1)
 					}
 				}(wire.JobID(uint64(100 + rng.IntN(jobs))))
@@ -235,21 +250,40 @@
 		cancels += w.CancelledAtEnd()
 		time.Sleep(60 * time.Second)
 		close(done)
-		t.Logf("%d cancelled; %d submissions slow, %d refused; %d of %d polls unanswered", cancels, slow.Load(), refused.Load(), unanswered.Load(), polls.Load())
+		t.Logf(
+			"%d cancelled; %d submissions slow, %d refused; %d of %d polls unanswered",
+			cancels,
+			slow.Load(),
+			refused.Load(),
+			unanswered.Load(),
+			polls.Load(),
+		)
 		if cancels < jobs/6 {
 			t.Errorf("%d of %d jobs were cancelled: the meeting did not take place", cancels, jobs)
 		}
 		if slow.Load() > jobs/50 || refused.Load() > 0 || unanswered.Load() > polls.Load()/100 {
-			t.Errorf("%d submissions took longer than a second, %d were refused; %d of %d polls got no answer", slow.Load(), refused.Load(), unanswered.Load(), polls.Load())
+			t.Errorf(
+				"%d submissions took longer than a second, %d were refused; %d of %d polls got no answer",
+				slow.Load(),
+				refused.Load(),
+				unanswered.Load(),
+				polls.Load(),
+			)
 		}
 		for n := range jobs {
-			if code, s := w.Request("poll", wire.JobID(uint64(100+n)), nil); code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled {
+			if code, s := w.Request(
+				"poll",
+				wire.JobID(uint64(100+n)),
+				nil,
+			); code != 200 ||
+				s.State != wire.JobDone && s.State != wire.JobCancelled {
 				t.Errorf("%d: %d %+v", 100+n, code, s)
 			}
 		}
 		if leader := nodeAt(max(0, findLeader())); leader != nil {
 			leader.loop.postAndWait(func() {
-				if leader.term.ownTerm == nil || len(leader.term.ownTerm.commits.queue) > 2 || len(leader.replica.model.Jobs) > 3 {
+				if leader.term.ownTerm == nil || len(leader.term.ownTerm.commits.queue) > 2 ||
+					len(leader.replica.model.Jobs) > 3 {
 					t.Errorf("the log is behind: %d jobs are open", len(leader.replica.model.Jobs))
 				}
 			})
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -75,7 +75,8 @@
 			upByZone[machine.Zone]++
 			// When the first machine of a cut zone is given up, every other one
 			// has missed a report too; outside a cut few have.
-			if machine.InboundPartitionSince != 0 || now-machine.LastReport > config.Seconds(mh.settings.Params.Workers.HeartbeatS*1.25) {
+			if machine.InboundPartitionSince != 0 ||
+				now-machine.LastReport > config.Seconds(mh.settings.Params.Workers.HeartbeatS*1.25) {
 				silentByZone[machine.Zone]++
 			}
 			if machine.InboundPartitionSince != 0 {
@@ -143,7 +144,8 @@
 			mh.provisioning.releaseMachine(machine, "boot timed out")
 		}
 	}
-	if checkPartition && !term.zones.partitionQueryInFlight && time.Since(term.zones.lastPartitionQuery) > partitionReportInterval/2 {
+	if checkPartition && !term.zones.partitionQueryInFlight &&
+		time.Since(term.zones.lastPartitionQuery) > partitionReportInterval/2 {
 		mh.zones.queryPartitionedNodes(term)
 	}
 }
@@ -178,10 +180,12 @@
 	}
 	now := time.Now()
 	minZones := min(2, len(mh.settings.Params.Zones)) // where there is only one zone a cut of it looks the same
-	nothingReceived := total >= 3 && len(upByZone) >= minZones && mh.now()-term.heartbeats.lastHeartbeat > mh.isolationSilence(total)
+	nothingReceived := total >= 3 && len(upByZone) >= minZones &&
+		mh.now()-term.heartbeats.lastHeartbeat > mh.isolationSilence(total)
 	mostSilent := silent >= 3 && silent*10 >= total*9 && zones >= minZones
 	// A new leader is looked for first.
-	if !peerReachable || !nothingReceived && !mostSilent || now.Sub(term.leadership.reportGraceEnd) < 2*config.Seconds(mh.settings.Params.Workers.HeartbeatS) {
+	if !peerReachable || !nothingReceived && !mostSilent ||
+		now.Sub(term.leadership.reportGraceEnd) < 2*config.Seconds(mh.settings.Params.Workers.HeartbeatS) {
 		term.health.heartbeatsMissingSince = time.Time{}
 		return
 	}
@@ -222,7 +226,12 @@
 // unless it hangs: such a machine is returned before the time is over, also if its zone is only parted from this
 // node, unless the controller there has just heard that nothing of the kind is left. While the cloud is down nothing
 // is proven, and nothing is marked either: the end of the cut may come first.
-func (mh *machineHealth) releaseInCutZone(term *leaderTerm, machine *model.Machine, silent bool, freeByZone map[int32]*scheduler.Resources) bool {
+func (mh *machineHealth) releaseInCutZone(
+	term *leaderTerm,
+	machine *model.Machine,
+	silent bool,
+	freeByZone map[int32]*scheduler.Resources,
+) bool {
 	if len(machine.Runs) == 0 || term.provisioning.cloudUnavailable {
 		return false
 	}
@@ -268,7 +277,8 @@
 // markSuspect makes a machine suspect: its lease runs out. When that is over it is returned if its work may run
 // elsewhere; otherwise it is left where it is, and of use again when the cut is over.
 func (mh *machineHealth) markSuspect(machine *model.Machine) {
-	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone, "tasks", len(machine.Runs))
+	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone,
+		"tasks", len(machine.Runs))
 	seq := mh.commits.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
 	mh.commits.whenCommitted(seq, func(ok bool) {
 		if ok {
--- a/internal/controller/pending_test.go
+++ b/internal/controller/pending_test.go
@@ -16,9 +16,15 @@
 // queryAdmin asks a node on its operators' address.
 func queryAdmin(w *emulator.Environment, i int, path string, out any) (status int, err error) {
 	operator := w.Network.Host("operator")
-	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
-		return operator.Dial(ctx, a, time.Second)
-	}}}
+	client := http.Client{
+		Timeout: 5 * time.Second,
+		Transport: &http.Transport{
+			DisableKeepAlives: true,
+			DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
+				return operator.Dial(ctx, a, time.Second)
+			},
+		},
+	}
 	resp, err := client.Get("http://" + adminAddr(emulator.ControllerName(i)) + path)
 	if err != nil {
 		return 0, err
@@ -75,10 +81,17 @@
 				}
 			}
 			// One of the two has found its place within the limit.
-			if explanation.Waiting != 1 || limit == nil || limit.Used != 24 || limit.Limit != 24 || limit.Need != 4 || limit.Unit != "CPUs" || limit.Count != 2 || limit.First != big.ID {
+			if explanation.Waiting != 1 || limit == nil || limit.Used != 24 || limit.Limit != 24 || limit.Need != 4 ||
+				limit.Unit != "CPUs" ||
+				limit.Count != 2 ||
+				limit.First != big.ID {
 				t.Errorf("node %d: %+v", (leader+k)%3, explanation)
 			}
-			if len(explanation.History) == 0 || explanation.History[0].Code != "team-limit" || explanation.History[0].SinceS < 8 || explanation.History[0].SinceS > 20 || explanation.AgeS != 0 || explanation.Node != emulator.ControllerName(leader) {
+			if len(explanation.History) == 0 || explanation.History[0].Code != "team-limit" ||
+				explanation.History[0].SinceS < 8 ||
+				explanation.History[0].SinceS > 20 ||
+				explanation.AgeS != 0 ||
+				explanation.Node != emulator.ControllerName(leader) {
 				t.Errorf("node %d tells of the past: %+v", (leader+k)%3, explanation)
 			}
 			if _, code := queryPending(w, leader, more.ID); code != 429 {
@@ -86,10 +99,19 @@
 			}
 			var queue wire.Queue
 			code, err := queryAdmin(w, (leader+k)%3, wire.PathAdminQueue+"?reason=team-limit", &queue)
-			if err != nil || code != 200 || len(queue.Jobs) != 1 || queue.Jobs[0].ID != more.ID || queue.Jobs[0].Position != 1 || queue.Tasks != 1 || queue.More != 0 {
+			if err != nil || code != 200 || len(queue.Jobs) != 1 || queue.Jobs[0].ID != more.ID ||
+				queue.Jobs[0].Position != 1 ||
+				queue.Tasks != 1 ||
+				queue.More != 0 {
 				t.Errorf("node %d lists %+v: %d, %v", (leader+k)%3, queue, code, err)
 			}
-			if code, err := queryAdmin(w, (leader+k)%3, wire.PathAdminQueue+"?team=blue", &queue); err != nil || code != 200 || len(queue.Jobs) != 0 {
+			if code, err := queryAdmin(
+				w,
+				(leader+k)%3,
+				wire.PathAdminQueue+"?team=blue",
+				&queue,
+			); err != nil || code != 200 ||
+				len(queue.Jobs) != 0 {
 				t.Errorf("node %d lists %+v of a team without jobs: %d, %v", (leader+k)%3, queue, code, err)
 			}
 			time.Sleep(2 * time.Second)
@@ -99,11 +121,21 @@
 		}
 		w.Cancel(big.ID)
 		time.Sleep(20 * time.Second)
-		if explanation, code := queryPending(w, leader, more.ID); code != 200 || explanation.Waiting != 0 || len(explanation.Reasons) != 0 {
+		if explanation, code := queryPending(
+			w,
+			leader,
+			more.ID,
+		); code != 200 || explanation.Waiting != 0 ||
+			len(explanation.Reasons) != 0 {
 			t.Errorf("of a job that runs: %+v, %d", explanation, code)
 		}
 		time.Sleep(2 * time.Second)
-		if explanation, code := queryPending(w, (leader+1)%3, big.ID); code != 200 || explanation.State != wire.JobCancelled {
+		if explanation, code := queryPending(
+			w,
+			(leader+1)%3,
+			big.ID,
+		); code != 200 ||
+			explanation.State != wire.JobCancelled {
 			t.Errorf("of a job that was cancelled: %+v, %d", explanation, code)
 		}
 		time.Sleep(2 * time.Second)
@@ -115,13 +147,23 @@
 		*wide.Zone = "a" // and at most half of them may be there
 		w.Submit(wide)
 		time.Sleep(10 * time.Second)
-		if explanation, code := queryPending(w, leader, wide.ID); code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[spread]" || !explanation.Complete {
+		if explanation, code := queryPending(
+			w,
+			leader,
+			wide.ID,
+		); code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[spread]" ||
+			!explanation.Complete {
 			t.Errorf("of a job that must be in one zone and may not: %+v, %d", explanation, code)
 		}
 		w.Store.SetOutage(true)
 		w.Crash(leader)
 		time.Sleep(4 * time.Second)
-		if explanation, code := queryPending(w, (leader+1)%3, wide.ID); code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[no-leader]" || explanation.AgeS <= 0 {
+		if explanation, code := queryPending(
+			w,
+			(leader+1)%3,
+			wide.ID,
+		); code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[no-leader]" ||
+			explanation.AgeS <= 0 {
 			t.Errorf("without a leader: %+v, %d", explanation, code)
 		}
 		w.Store.SetOutage(false)
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -34,7 +34,9 @@
 // leader placed nothing for a whole report period.
 func (pr *probes) allMachinesReported() bool {
 	for _, machine := range pr.replica.model.Order {
-		if !machine.Reported && len(machine.Runs) > 0 && !machine.Suspect && !pr.term.ownTerm.probes.unresponsive[machine] && !pr.term.ownTerm.zoneProbe(machine.Zone).silent.Load() {
+		if !machine.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
+			!pr.term.ownTerm.probes.unresponsive[machine] &&
+			!pr.term.ownTerm.zoneProbe(machine.Zone).silent.Load() {
 			return false
 		}
 	}
@@ -71,7 +73,10 @@
 	} else {
 		counts.unanswered++
 	}
-	counts.silent.Store(counts.answered == 0 && counts.unanswered >= silentZoneThreshold && r.probes.heartbeatCount >= silentZoneThreshold)
+	counts.silent.Store(
+		counts.answered == 0 && counts.unanswered >= silentZoneThreshold &&
+			r.probes.heartbeatCount >= silentZoneThreshold,
+	)
 }
 
 // probeAll asks all machines with work how they are. A new leader places nothing
@@ -89,7 +94,8 @@
 // whether it asks.
 func (pr *probes) probeMachine(machine *model.Machine, onDone func()) bool {
 	term := pr.term.ownTerm
-	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes || onDone == nil && pr.now()-machine.ProbedAt < probeInterval {
+	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes ||
+		onDone == nil && pr.now()-machine.ProbedAt < probeInterval {
 		return false
 	}
 	term.probes.followUpProbes++
@@ -111,7 +117,8 @@
 }
 
 func (pr *probes) logInboundPartition(machine *model.Machine) {
-	pr.log.Info("machine inbound partition changed", "machine", machine.Info.Name, "zone", machine.Info.Zone, "inbound_partition", machine.InboundPartitionSince != 0, "tasks", len(machine.Runs))
+	pr.log.Info("machine inbound partition changed", "machine", machine.Info.Name, "zone", machine.Info.Zone,
+		"inbound_partition", machine.InboundPartitionSince != 0, "tasks", len(machine.Runs))
 }
 
 // probeSilent asks a silent machine how it is. A worker that lost its node may take
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -55,7 +55,8 @@
 	}
 	pv.commits.propose(&model.Entry{Kind: model.EntryRelease, Machine: machine.ID})
 	pv.metrics.ScaledIn.Inc()
-	pv.log.Info("machine released", "machine", machine.Info.Name, "type", machine.Info.Type, "zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
+	pv.log.Info("machine released", "machine", machine.Info.Name, "type", machine.Info.Type,
+		"zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
 }
 
 // runAutoscaler rents and returns.
@@ -72,7 +73,8 @@
 	pv.rounds.scheduler.ServiceHeadroom, pv.rounds.scheduler.ServiceSlots, pv.rounds.scheduler.LowPriorityAllowed = plan.Headroom, plan.ForServices, plan.LowPriorityAllowed
 	for _, machine := range pv.replica.model.Order {
 		if machine.Draining != plan.Drain[machine] {
-			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type, "draining", !machine.Draining)
+			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
+				"draining", !machine.Draining)
 			machine.Draining = !machine.Draining
 			pv.loop.roundRequested = true
 		}
@@ -98,9 +100,22 @@
 }
 
 // newProvisioner makes a desk that works until a context ends, while it is trusted.
-func (pv *provisioning) newProvisioner(ctx context.Context, trusted func() bool, onResult func(provisioner.Result)) *provisioner.Provisioner {
+func (pv *provisioning) newProvisioner(
+	ctx context.Context,
+	trusted func() bool,
+	onResult func(provisioner.Result),
+) *provisioner.Provisioner {
 	rps := pv.settings.Params.Cloud.RPS
-	return provisioner.New(ctx, pv.cloud, max(2, int(rps)), max(2*time.Second, config.Seconds(8/rps)), trusted, pv.loop.post, onResult, pv.log)
+	return provisioner.New(
+		ctx,
+		pv.cloud,
+		max(2, int(rps)),
+		max(2*time.Second, config.Seconds(8/rps)),
+		trusted,
+		pv.loop.post,
+		onResult,
+		pv.log,
+	)
 }
 
 // runProvisioner has the leader's own desk do what is wanted. Where the duty is held by itself, that is only what was
@@ -133,20 +148,37 @@
 }
 
 func (pv *provisioning) offerOf(order *provisioner.ScaleOut) autoscaler.InstanceOffer {
-	return autoscaler.InstanceOffer{Type: pv.replica.model.TypeNames.ID(order.Type), Zone: pv.replica.model.Zones.ID(order.Zone), Spot: order.Spot}
+	return autoscaler.InstanceOffer{
+		Type: pv.replica.model.TypeNames.ID(order.Type),
+		Zone: pv.replica.model.Zones.ID(order.Zone),
+		Spot: order.Spot,
+	}
 }
 
 // scaleOut asks for machines.
 func (pv *provisioning) scaleOut(term *leaderTerm, request autoscaler.ScaleOut) {
 	term.provisioning.scaleOutCount++
-	order := provisioner.ScaleOut{Name: autoscaler.RequestName(term.leader.Term, term.provisioning.scaleOutCount), Type: pv.replica.model.TypeNames.Name(request.Type), Zone: pv.replica.model.Zones.Name(request.Zone), Spot: request.Spot, Count: min(request.Count, wire.MaxScaleOut)}
-	pv.log.Info("scale-out requested", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "count", order.Count, "request", order.Name, "reason", request.Purpose)
+	order := provisioner.ScaleOut{
+		Name:  autoscaler.RequestName(term.leader.Term, term.provisioning.scaleOutCount),
+		Type:  pv.replica.model.TypeNames.Name(request.Type),
+		Zone:  pv.replica.model.Zones.Name(request.Zone),
+		Spot:  request.Spot,
+		Count: min(request.Count, wire.MaxScaleOut),
+	}
+	pv.log.Info("scale-out requested", "type", order.Type, "zone", order.Zone, "spot", order.Spot,
+		"count", order.Count, "request", order.Name, "reason", request.Purpose)
 	if !pv.roles.rolesDistributed() {
 		term.provisioning.orders[order.Name] = order
 		return
 	}
 	// Whoever deals with the cloud reads it in the log.
-	pv.commits.propose(&model.Entry{Kind: model.EntryIntent, Info: &model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}, Count: order.Count})
+	pv.commits.propose(
+		&model.Entry{
+			Kind:  model.EntryIntent,
+			Info:  &model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot},
+			Count: order.Count,
+		},
+	)
 }
 
 // onProvisionerResult takes in what came of a request to the cloud.
@@ -189,7 +221,14 @@
 func (pv *provisioning) replaceReleased(term *leaderTerm, offers map[autoscaler.InstanceOffer]int) {
 	for offer, count := range offers {
 		for ; count > 0; count -= wire.MaxScaleOut {
-			pv.scaleOut(term, autoscaler.ScaleOut{InstanceOffer: offer, Count: min(count, wire.MaxScaleOut), Purpose: "replacement in partitioned zone"})
+			pv.scaleOut(
+				term,
+				autoscaler.ScaleOut{
+					InstanceOffer: offer,
+					Count:         min(count, wire.MaxScaleOut),
+					Purpose:       "replacement in partitioned zone",
+				},
+			)
 		}
 	}
 }
@@ -207,7 +246,8 @@
 	if len(result.Machines) < order.Count {
 		pv.metrics.ProvisionRefused.Inc()
 		pv.autoscaler.OnRefused(offer, pv.now())
-		pv.log.Info("scale-out incomplete", "type", order.Type, "zone", order.Zone, "spot", order.Spot, "requested", order.Count, "provisioned", len(result.Machines))
+		pv.log.Info("scale-out incomplete", "type", order.Type, "zone", order.Zone, "spot", order.Spot,
+			"requested", order.Count, "provisioned", len(result.Machines))
 	} else {
 		pv.autoscaler.OnAvailable(offer)
 	}
@@ -215,8 +255,10 @@
 		if pv.replica.model.ByName[name] != nil || pv.replica.model.Tombstones[name] {
 			continue
 		}
-		pv.commits.propose(&model.Entry{Kind: model.EntryMachine, Machine: pv.replica.model.NextMachine, At: time.Now().UnixMilli(),
-			Info: &model.MachineInfo{Name: name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}})
+		pv.commits.propose(
+			&model.Entry{Kind: model.EntryMachine, Machine: pv.replica.model.NextMachine, At: time.Now().UnixMilli(),
+				Info: &model.MachineInfo{Name: name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}},
+		)
 		pv.replica.model.ByName[name].ProvisionedAt = pv.now() - result.Elapsed
 	}
 	if intent { // behind its machines: a successor that finds it open asks again, and is told the same names
@@ -252,7 +294,10 @@
 
 // recordType logs a type that is new or has changed in more than its price.
 func (pv *provisioning) recordType(t *wire.MachineType) {
-	if id, ok := pv.replica.model.TypeNames.Find(t.Name); ok && int(id) < len(pv.replica.model.Types) && pv.replica.model.Types[id].Known {
+	if id, ok := pv.replica.model.TypeNames.Find(
+		t.Name,
+	); ok && int(id) < len(pv.replica.model.Types) &&
+		pv.replica.model.Types[id].Known {
 		old := &pv.replica.model.Types[id].MachineType
 		a, b := *old, *t
 		a.Price, a.SpotPrice, a.Zones = 0, 0, nil
@@ -276,8 +321,20 @@
 	machine := pv.replica.model.ByName[row.Name]
 	if machine == nil {
 		pv.log.Info("machine discovered", "machine", row.Name, "type", row.Type, "zone", row.Zone, "state", row.State)
-		pv.commits.propose(&model.Entry{Kind: model.EntryMachine, Machine: pv.replica.model.NextMachine, At: time.Now().UnixMilli() - int64(row.AgeS*1000),
-			Info: &model.MachineInfo{Name: row.Name, Addr: row.Addr, Type: row.Type, Zone: row.Zone, Spot: row.Spot}})
+		pv.commits.propose(
+			&model.Entry{
+				Kind:    model.EntryMachine,
+				Machine: pv.replica.model.NextMachine,
+				At:      time.Now().UnixMilli() - int64(row.AgeS*1000),
+				Info: &model.MachineInfo{
+					Name: row.Name,
+					Addr: row.Addr,
+					Type: row.Type,
+					Zone: row.Zone,
+					Spot: row.Spot,
+				},
+			},
+		)
 		machine = pv.replica.model.ByName[row.Name]
 	}
 	if machine.Info.Addr == "" {
@@ -297,7 +354,10 @@
 	desired := provisioner.Desired{TypesUnknown: !pv.replica.model.TypesKnown()}
 	for _, i := range pv.replica.model.Intents {
 		if i.Seq <= committed {
-			desired.ScaleOuts = append(desired.ScaleOuts, provisioner.ScaleOut{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count})
+			desired.ScaleOuts = append(
+				desired.ScaleOuts,
+				provisioner.ScaleOut{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count},
+			)
 		}
 	}
 	for _, machine := range pv.replica.model.Order {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -40,7 +40,8 @@
 			ready = time.Since(rd.replica.caughtUpAt) < 2*linkFreshness+followTimeout
 		}
 	}
-	if ready && rd.forward.isIsolated() && !rd.term.isActive() && (rd.term.ownTerm != nil || !rd.replica.isStoreReachable()) {
+	if ready && rd.forward.isIsolated() && !rd.term.isActive() &&
+		(rd.term.ownTerm != nil || !rd.replica.isStoreReachable()) {
 		// Neither the log nor anybody who has it is reached: it can answer nothing but what is over, while those that
 		// it does not hear of may be well.
 		ready = false
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -16,7 +16,11 @@
 
 var (
 	finishedJobs  = flag.Int("history", 20_000, "finished jobs that TestKnownAgain has behind it")
-	extraMachines = flag.Int("machines", 0, "so many machines TestKnownAgain has beside the usual ones, all with six tasks of arrays")
+	extraMachines = flag.Int(
+		"machines",
+		0,
+		"so many machines TestKnownAgain has beside the usual ones, all with six tasks of arrays",
+	)
 )
 
 // TestStatusAfterFullRestart: after the end of all controllers at once every job is answered for within a bound, the
@@ -30,78 +34,83 @@
 		most time.Duration
 	}{{"as usual", 3 * time.Millisecond, 8 * time.Second}, {"thirty times slower", 90 * time.Millisecond, 15 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			runClusterWithTeams(t, 51, []config.Team{{Name: "red", CPUs: 16}, {Name: "blue"}}, func(w *emulator.Environment) {
-				w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
-				w.Cloud.SetCapacity(max(4, *extraMachines))
-				startServices(w, 5)
-				for k := range *extraMachines / 50 {
-					j := newJobSpec(1000+k, wire.Array, 300, 3600)
-					j.Team, j.Types, j.CPUs, j.MemoryGB = "blue", []string{"small"}, 0.6, 1
-					w.Submit(j)
-				}
-				if *extraMachines > 0 {
-					time.Sleep(4 * time.Minute)
-					t.Logf("%d machines, %d tasks", len(w.Cloud.Workers()), w.Checker.Tasks())
-				}
-				leader := nodeAt(findLeader())
-				leader.loop.postAndWait(func() {
-					for k := range *finishedJobs {
-						leader.replica.model.Finals[model.JobID(100_000+k)] = model.FinalDone
+			runClusterWithTeams(
+				t,
+				51,
+				[]config.Team{{Name: "red", CPUs: 16}, {Name: "blue"}},
+				func(w *emulator.Environment) {
+					w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
+					w.Cloud.SetCapacity(max(4, *extraMachines))
+					startServices(w, 5)
+					for k := range *extraMachines / 50 {
+						j := newJobSpec(1000+k, wire.Array, 300, 3600)
+						j.Team, j.Types, j.CPUs, j.MemoryGB = "blue", []string{"small"}, 0.6, 1
+						w.Submit(j)
 					}
-					leader.commits.snapshotInterval = 0 // the next batch is followed by a compaction
-				})
-				w.Submit(newWebService(6, 0.5, "small"))
-				time.Sleep(20 * time.Second)
-				w.Store.SetLatency(c.slow)
-				for i := range 3 {
-					w.Kill(i)
-				}
-				time.Sleep(200 * time.Millisecond)
-				for i := range 3 {
-					w.Start(i)
-				}
-				began := time.Now()
-				var mu sync.Mutex
-				worst, asked := time.Duration(0), 0
-				var wg sync.WaitGroup
-				for k := range 300 { // users poll about every five seconds, each its job
-					id := wire.JobID(uint64(1 + k%6))
-					if k >= 60 {
-						old := 100_000 + (k*997)%*finishedJobs
-						id = wire.JobID(uint64(old))
-						w.Checker.RegisterFinishedJob(newJobSpec(old, wire.Array, 1, 5))
+					if *extraMachines > 0 {
+						time.Sleep(4 * time.Minute)
+						t.Logf("%d machines, %d tasks", len(w.Cloud.Workers()), w.Checker.Tasks())
 					}
-					wg.Go(func() {
-						time.Sleep(time.Duration(k*17) * time.Millisecond)
-						last := began
-						for time.Since(began) < 40*time.Second {
-							code, s := w.Request("poll", id, nil)
-							if now := time.Now(); code == 200 {
-								mu.Lock()
-								worst, asked = max(worst, now.Sub(last)), asked+1
-								mu.Unlock()
-								last = now
-								if k >= 60 && s.State != wire.JobDone {
-									t.Errorf("%s is %s", id, s.State)
-								}
-							} else if code == 404 {
-								t.Errorf("%s is not known", id)
-							}
-							time.Sleep(5 * time.Second)
+					leader := nodeAt(findLeader())
+					leader.loop.postAndWait(func() {
+						for k := range *finishedJobs {
+							leader.replica.model.Finals[model.JobID(100_000+k)] = model.FinalDone
 						}
-						mu.Lock()
-						worst = max(worst, time.Since(last))
-						mu.Unlock()
+						leader.commits.snapshotInterval = 0 // the next batch is followed by a compaction
 					})
-				}
-				wg.Wait()
-				t.Logf("%d answers, the longest time without one about a job %v", asked, worst)
-				if worst > c.most || asked == 0 { // a poll comes every five seconds
-					t.Errorf("no question about a job was answered for %v", worst)
-				}
-				w.Store.SetLatency(3 * time.Millisecond)
-				time.Sleep(20 * time.Second)
-			})
+					w.Submit(newWebService(6, 0.5, "small"))
+					time.Sleep(20 * time.Second)
+					w.Store.SetLatency(c.slow)
+					for i := range 3 {
+						w.Kill(i)
+					}
+					time.Sleep(200 * time.Millisecond)
+					for i := range 3 {
+						w.Start(i)
+					}
+					began := time.Now()
+					var mu sync.Mutex
+					worst, asked := time.Duration(0), 0
+					var wg sync.WaitGroup
+					for k := range 300 { // users poll about every five seconds, each its job
+						id := wire.JobID(uint64(1 + k%6))
+						if k >= 60 {
+							old := 100_000 + (k*997)%*finishedJobs
+							id = wire.JobID(uint64(old))
+							w.Checker.RegisterFinishedJob(newJobSpec(old, wire.Array, 1, 5))
+						}
+						wg.Go(func() {
+							time.Sleep(time.Duration(k*17) * time.Millisecond)
+							last := began
+							for time.Since(began) < 40*time.Second {
+								code, s := w.Request("poll", id, nil)
+								if now := time.Now(); code == 200 {
+									mu.Lock()
+									worst, asked = max(worst, now.Sub(last)), asked+1
+									mu.Unlock()
+									last = now
+									if k >= 60 && s.State != wire.JobDone {
+										t.Errorf("%s is %s", id, s.State)
+									}
+								} else if code == 404 {
+									t.Errorf("%s is not known", id)
+								}
+								time.Sleep(5 * time.Second)
+							}
+							mu.Lock()
+							worst = max(worst, time.Since(last))
+							mu.Unlock()
+						})
+					}
+					wg.Wait()
+					t.Logf("%d answers, the longest time without one about a job %v", asked, worst)
+					if worst > c.most || asked == 0 { // a poll comes every five seconds
+						t.Errorf("no question about a job was answered for %v", worst)
+					}
+					w.Store.SetLatency(3 * time.Millisecond)
+					time.Sleep(20 * time.Second)
+				},
+			)
 		})
 	}
 }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -103,5 +103,8 @@
 	}
 	defer ry.state.orders.release()
 	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
-	return &rpc.Response{Status: http.StatusOK, Body: relay.CommandResult{Fate: uint8(fate), Report: report}.Append(nil)}
+	return &rpc.Response{
+		Status: http.StatusOK,
+		Body:   relay.CommandResult{Fate: uint8(fate), Report: report}.Append(nil),
+	}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -49,7 +49,12 @@
 		}
 		term := ra.term.ownTerm
 		term.assignments.acceptingNodes[index], term.assignments.lastRelayOffers[index] = offer.HasCapacity, ra.now()
-		send(&rpc.Response{Status: http.StatusOK, Body: relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())})
+		send(
+			&rpc.Response{
+				Status: http.StatusOK,
+				Body:   relay.AppendOfferAnswer(nil, term.assignments.table.Spreading()),
+			},
+		)
 	})
 }
 
@@ -86,7 +91,8 @@
 // reached.
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
-	return at != 0 && ra.now()-at < offerTTL && time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
+	return at != 0 && ra.now()-at < offerTTL &&
+		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
 }
 
 // maintainAssignments is the leader's part of the housekeeping.
@@ -100,7 +106,12 @@
 
 // sendOrders sends a direct command, through the relay by which the machine reports, if there is one. A command whose
 // relay is lost meanwhile may be executed at any later time, as one that a network holds.
-func (ra *relayAssignments) sendOrders(ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders) (agent.CommandFate, *wire.Heartbeat, error) {
+func (ra *relayAssignments) sendOrders(
+	ctx context.Context,
+	via *rpc.Link,
+	addr string,
+	orders *wire.Orders,
+) (agent.CommandFate, *wire.Heartbeat, error) {
 	if via == nil {
 		return ra.agents.SendOrders(ctx, addr, orders)
 	}
@@ -149,7 +160,11 @@
 }
 
 // queryMachine asks a worker how it is, by one way after the other until it answers.
-func (ra *relayAssignments) queryMachine(ctx context.Context, routes []*rpc.Link, addr string) (report *wire.Heartbeat, err error) {
+func (ra *relayAssignments) queryMachine(
+	ctx context.Context,
+	routes []*rpc.Link,
+	addr string,
+) (report *wire.Heartbeat, err error) {
 	for _, via := range routes {
 		if via == nil {
 			report, err = ra.agents.Probe(ctx, addr, probeTimeout)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -154,12 +154,18 @@
 		leaderIndex := findLeader()
 		other := nodeAt((leaderIndex + 1) % 3)
 		report := w.Cloud.Workers()[0].LastHeartbeat()
-		request := &rpc.Request{Op: rpc.OpRelayReport, ID: emulator.ControllerName((leaderIndex + 2) % 3), Body: relay.AppendReport(nil, report)}
+		request := &rpc.Request{
+			Op:   rpc.OpRelayReport,
+			ID:   emulator.ControllerName((leaderIndex + 2) % 3),
+			Body: relay.AppendReport(nil, report),
+		}
 		if reply := other.handlePeerRequest(context.Background(), request); reply.Status != statusNotLeader {
 			t.Errorf("a node that does not lead answers a relayed report with %d", reply.Status)
 		}
 		request.Body = request.Body[1:]
-		if reply := nodeAt(leaderIndex).handlePeerRequest(context.Background(), request); reply.Status != http.StatusBadRequest {
+		if reply := nodeAt(
+			leaderIndex,
+		).handlePeerRequest(context.Background(), request); reply.Status != http.StatusBadRequest {
 			t.Errorf("a malformed report is answered with %d", reply.Status)
 		}
 		w.PartitionFromStoreAndPeers((leaderIndex+1)%3, true)
@@ -205,9 +211,20 @@
 			}
 			switch request.ID {
 			case "executed":
-				return &rpc.Response{Status: http.StatusOK, Body: relay.CommandResult{Fate: uint8(agent.Executed), Report: &wire.Heartbeat{Machine: "m"}}.Append(nil)}
+				return &rpc.Response{
+					Status: http.StatusOK,
+					Body: relay.CommandResult{
+						Fate:   uint8(agent.Executed),
+						Report: &wire.Heartbeat{Machine: "m"},
+					}.Append(
+						nil,
+					),
+				}
 			case "unanswered":
-				return &rpc.Response{Status: http.StatusOK, Body: relay.CommandResult{Fate: uint8(agent.Unknown)}.Append(nil)}
+				return &rpc.Response{
+					Status: http.StatusOK,
+					Body:   relay.CommandResult{Fate: uint8(agent.Unknown)}.Append(nil),
+				}
 			case "busy":
 				return &rpc.Response{Status: statusBusy}
 			case "malformed":
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -126,7 +126,8 @@
 			}
 		}
 		rp.term.leader, rp.caughtUpAt, rp.lastStoreContact, rp.loaded = loaded.Leader, sentAt, time.Now(), true
-		rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq, "jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
+		rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq,
+			"jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
 	})
 	return loaded.Revision, err
 }
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -29,10 +29,20 @@
 
 // Bind logs and applies a placement (sched.Doer).
 func (sr *schedulingRounds) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
-	sr.log.Debug("task placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name, "image_cached", machine.HasImage(j.Image), "score", score)
+	sr.log.Debug("task placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name,
+		"image_cached", machine.HasImage(j.Image), "score", score)
 	sr.metrics.Placed.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
-	sr.commits.propose(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID, Session: machine.Session})
+	sr.commits.propose(
+		&model.Entry{
+			Kind:    model.EntryPlace,
+			Job:     j.ID,
+			Task:    task,
+			Attempt: attempt,
+			Machine: machine.ID,
+			Session: machine.Session,
+		},
+	)
 	sr.dispatch.markForCommands(machine)
 }
 
@@ -42,7 +52,8 @@
 	if run.Stop {
 		return
 	}
-	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)), "machine", run.Machine.Info.Name, "reason", reason)
+	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)),
+		"machine", run.Machine.Info.Name, "reason", reason)
 	run.Stop, run.Hard = true, hard
 	sr.metrics.Stopped.Inc()
 	sr.dispatch.stopRun(run)
@@ -58,7 +69,8 @@
 	sr.loop.lastRound = time.Now()
 	// Before all machines with work are heard of, only what is urgent and finds its image where it may go at once is
 	// placed, and nothing is stopped: what is decided knows a part of the fleet only.
-	sr.scheduler.AwaitingHeartbeats = sr.loop.lastRound.Before(term.leadership.reportGraceEnd) && !sr.probes.allMachinesReported()
+	sr.scheduler.AwaitingHeartbeats = sr.loop.lastRound.Before(term.leadership.reportGraceEnd) &&
+		!sr.probes.allMachinesReported()
 	if !sr.scheduler.AwaitingHeartbeats {
 		term.leadership.timeline.Mark(candidacy.AgentsAccounted, sr.now())
 	}
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -75,7 +75,10 @@
 	if rs.state == nil || !rs.state.loaded || !rs.state.participants[rs.settings.Node] {
 		return false
 	}
-	return !slices.ContainsFunc(rs.settings.Members, func(m config.Member) bool { return !rs.state.participants[m.Node] })
+	return !slices.ContainsFunc(
+		rs.settings.Members,
+		func(m config.Member) bool { return !rs.state.participants[m.Node] },
+	)
 }
 
 // watchRoles reads the keys of duties and follows them, until the context ends.
@@ -109,7 +112,11 @@
 // withdrawFromRoles says that this node takes no part, if an earlier process of it did.
 func (rs *singletonRoles) withdrawFromRoles(ctx context.Context) {
 	changes, _, err := rs.oplog.Roles(ctx)
-	if err == nil && slices.ContainsFunc(changes, func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node }) {
+	if err == nil &&
+		slices.ContainsFunc(
+			changes,
+			func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node },
+		) {
 		err = rs.oplog.SetParticipation(ctx, rs.settings.Node, false)
 	}
 	if err != nil && ctx.Err() == nil {
@@ -126,7 +133,10 @@
 	if complete {
 		clear(roles.participants)
 		for _, role := range roles.roles {
-			if !slices.ContainsFunc(changes, func(change oplog.RoleUpdate) bool { return change.HeldRole == role.Name.String() }) {
+			if !slices.ContainsFunc(
+				changes,
+				func(change oplog.RoleUpdate) bool { return change.HeldRole == role.Name.String() },
+			) {
 				role.Observe(singleton.RoleHolder{Term: revision}, now)
 			}
 		}
@@ -194,7 +204,8 @@
 		rs.syncRole(role)
 	}
 	now := rs.now()
-	if role := roles.roles[singleton.Provisioning]; role.Trusted(now) && roles.provisioner != nil && (rs.replica.loaded || rs.term.ownTerm != nil) {
+	if role := roles.roles[singleton.Provisioning]; role.Trusted(now) && roles.provisioner != nil &&
+		(rs.replica.loaded || rs.term.ownTerm != nil) {
 		roles.provisioner.Reconcile(time.Now(), rs.provisioning.desiredCapacity())
 	}
 	if role := roles.roles[singleton.Compaction]; role.Trusted(now) && roles.compactor != nil {
@@ -204,7 +215,9 @@
 		roles.loggedAt = time.Now()
 		for _, role := range roles.roles {
 			if role.Term() != 0 {
-				rs.log.Info("singleton role held", "role", role.Name.String(), "term", role.Term(), "held_duration", now-role.HeldSince(), "since_progress", now-role.LastProgress(), "open_scale_outs", len(rs.replica.model.Intents))
+				rs.log.Info("singleton role held", "role", role.Name.String(), "term", role.Term(),
+					"held_duration", now-role.HeldSince(), "since_progress", now-role.LastProgress(),
+					"open_scale_outs", len(rs.replica.model.Intents))
 			}
 		}
 	}
@@ -213,9 +226,17 @@
 func (rs *singletonRoles) acquireRole(role *singleton.Role) {
 	go func() {
 		sent := rs.now()
-		lease, term, err := election.AcquireKey(rs.ctx, rs.store, role.Rules.TTL, oplog.RoleKey(role.Name.String()), rs.settings.Node, func(lease uint64) *wire.Txn {
-			return oplog.AcquireRoleTxn(role.Name.String(), rs.settings.Node, lease)
-		}, rs.log)
+		lease, term, err := election.AcquireKey(
+			rs.ctx,
+			rs.store,
+			role.Rules.TTL,
+			oplog.RoleKey(role.Name.String()),
+			rs.settings.Node,
+			func(lease uint64) *wire.Txn {
+				return oplog.AcquireRoleTxn(role.Name.String(), rs.settings.Node, lease)
+			},
+			rs.log,
+		)
 		rs.loop.post(func() {
 			role.Acquired(sent, rs.now(), lease, term)
 			if err != nil && !errors.Is(err, election.ErrTaken) {
@@ -243,7 +264,8 @@
 // this is one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays
 // the next holder.
 func (rs *singletonRoles) resignRole(role *singleton.Role) {
-	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(), "reason", role.ReleaseReason())
+	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(),
+		"reason", role.ReleaseReason())
 	lease, term, name, stuck, noProgress := role.Lease(), role.Term(), role.Name.String(), role.StalledHolders(), role.NoProgress()
 	role.Released()
 	rs.syncRole(role)
@@ -280,7 +302,8 @@
 	if current.cancel != nil {
 		current.cancel()
 		current.cancel = nil
-		rs.log.Info("singleton role ended", "role", role.Name.String(), "term", current.term, "reason", role.ReleaseReason())
+		rs.log.Info("singleton role ended", "role", role.Name.String(), "term", current.term,
+			"reason", role.ReleaseReason())
 	}
 	switch role.Name {
 	case singleton.Provisioning:
@@ -297,11 +320,15 @@
 	switch role.Name {
 	case singleton.Provisioning:
 		term := current.term
-		rs.state.provisioner = rs.provisioning.newProvisioner(ctx, func() bool { return int64(rs.now()) < current.trustedUntil.Load() }, func(o provisioner.Result) {
-			if role.Term() == term {
-				rs.publishResult(ctx, role, term, &o)
-			}
-		})
+		rs.state.provisioner = rs.provisioning.newProvisioner(
+			ctx,
+			func() bool { return int64(rs.now()) < current.trustedUntil.Load() },
+			func(o provisioner.Result) {
+				if role.Term() == term {
+					rs.publishResult(ctx, role, term, &o)
+				}
+			},
+		)
 	case singleton.Compaction:
 		rs.state.compactor = rs.newCompactor(ctx, role, current.term)
 	}
@@ -320,7 +347,12 @@
 
 // publishResult tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for
 // as long as the log shows it as open.
-func (rs *singletonRoles) publishResult(ctx context.Context, role *singleton.Role, term uint64, result *provisioner.Result) {
+func (rs *singletonRoles) publishResult(
+	ctx context.Context,
+	role *singleton.Role,
+	term uint64,
+	result *provisioner.Result,
+) {
 	if result.Kind != provisioner.CloudUnavailable {
 		rs.onRoleProgress(role)
 	}
@@ -334,7 +366,8 @@
 	if result.Kind == provisioner.MachinesListed { // only what the leader does not know from the log
 		result.Listing = slices.DeleteFunc(result.Listing, func(row wire.ListedMachine) bool {
 			machine := rs.replica.model.ByName[row.Name]
-			return rs.replica.model.Tombstones[row.Name] || machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
+			return rs.replica.model.Tombstones[row.Name] ||
+				machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
 		})
 		parts = provisioner.SplitListed(result.Listing, maxListedBytes)
 	}
@@ -388,7 +421,8 @@
 // newCompactor begins to clean up under a term.
 func (rs *singletonRoles) newCompactor(ctx context.Context, role *singleton.Role, term uint64) *logCompactor {
 	compactor := &logCompactor{ctx: ctx, busy: true}
-	compactor.compactor = rs.oplog.WithWriteShare(rs.settings.Params.KVStore.WriteRPS, compactionShare, rs.log).NewCompactor(oplog.Fence{Key: oplog.RoleKey(role.Name.String()), Version: term, Term: compactionTermBase + term})
+	compactor.compactor = rs.oplog.WithWriteShare(rs.settings.Params.KVStore.WriteRPS, compactionShare, rs.log).
+		NewCompactor(oplog.Fence{Key: oplog.RoleKey(role.Name.String()), Version: term, Term: compactionTermBase + term})
 	compactor.compactor.OnProgress = func() {
 		rs.loop.post(func() {
 			if role.Term() == term {
@@ -440,7 +474,12 @@
 
 // roleStatus is how the duties stand, for operators.
 func (rs *singletonRoles) roleStatus() *wire.RoleList {
-	status := &wire.RoleList{Node: rs.settings.Node, Distributed: rs.rolesDistributed(), Roles: []wire.RoleStatus{}, UncertainProvisioning: []string{}}
+	status := &wire.RoleList{
+		Node:                  rs.settings.Node,
+		Distributed:           rs.rolesDistributed(),
+		Roles:                 []wire.RoleStatus{},
+		UncertainProvisioning: []string{},
+	}
 	if rs.term.leader != nil {
 		status.Leader = rs.term.leader.Node
 	}
@@ -453,7 +492,14 @@
 	now := rs.now()
 	for _, role := range rs.state.roles {
 		holder := role.Holder()
-		d := wire.RoleStatus{Role: role.Name.String(), Holder: holder.Node, Term: holder.Term, ObservedS: (now - holder.Since).Seconds(), NoProgressHolders: role.StalledHolders(), ReleaseReason: role.ReleaseReason()}
+		d := wire.RoleStatus{
+			Role:              role.Name.String(),
+			Holder:            holder.Node,
+			Term:              holder.Term,
+			ObservedS:         (now - holder.Since).Seconds(),
+			NoProgressHolders: role.StalledHolders(),
+			ReleaseReason:     role.ReleaseReason(),
+		}
 		if role.Term() != 0 {
 			d.LastProgressS = (now - role.LastProgress()).Seconds()
 		}
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -76,10 +76,19 @@
 		// Whoever is asked tells the same of who holds what.
 		for i := range 3 {
 			var d wire.RoleList
-			if _, err := queryAdmin(w, i, wire.PathAdminRoles, &d); err != nil || !d.Distributed || len(d.Roles) != 2 || len(d.UncertainProvisioning) != 0 {
+			if _, err := queryAdmin(
+				w,
+				i,
+				wire.PathAdminRoles,
+				&d,
+			); err != nil || !d.Distributed || len(d.Roles) != 2 ||
+				len(d.UncertainProvisioning) != 0 {
 				t.Fatalf("%d tells %+v, %v", i, d, err)
 			}
-			if at := findRoleHolder(singleton.Provisioning); at >= 0 && d.Roles[0].Holder != emulator.ControllerName(at) {
+			if at := findRoleHolder(
+				singleton.Provisioning,
+			); at >= 0 &&
+				d.Roles[0].Holder != emulator.ControllerName(at) {
 				t.Errorf("%d takes %s for who deals with the cloud, it is %d", i, d.Roles[0].Holder, at)
 			}
 		}
@@ -215,6 +224,11 @@
 		}
 		distributedRoles = false
 		slices.Sort(took)
-		t.Logf("spread %v: next rental after %v in the middle, %v at worst", distributed, took[len(took)/2], took[len(took)-1])
+		t.Logf(
+			"spread %v: next rental after %v in the middle, %v at worst",
+			distributed,
+			took[len(took)/2],
+			took[len(took)-1],
+		)
 	}
 }
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -173,7 +173,8 @@
 				startServices(w, 5) // the other zone has four such machines
 				var partitioned []*emulator.Worker
 				for _, worker := range w.Cloud.Workers() {
-					if c.zone && worker.Zone == "b" || !c.zone && len(partitioned) == 0 && w.Checker.HasTasks(worker.Name) {
+					if c.zone && worker.Zone == "b" ||
+						!c.zone && len(partitioned) == 0 && w.Checker.HasTasks(worker.Name) {
 						worker.SetInboundPartition(true)
 						partitioned = append(partitioned, worker)
 					}
@@ -234,7 +235,13 @@
 					w.Checker.RegisterJob(j)
 					b, _ := wire.Marshal(j)
 					for k := 1; ; k++ {
-						if code, _ := w.RequestAt((i+k)%3, "submit", j.ID, b); code == 201 || code == 200 || time.Since(began) > 30*time.Second {
+						if code, _ := w.RequestAt(
+							(i+k)%3,
+							"submit",
+							j.ID,
+							b,
+						); code == 201 || code == 200 ||
+							time.Since(began) > 30*time.Second {
 							break
 						}
 						time.Sleep(300 * time.Millisecond)
@@ -258,7 +265,11 @@
 						node.loop.postAndWait(func() {
 							for _, machine := range node.replica.model.Order {
 								if !machine.Reported {
-									t.Errorf("node %d: %s has not found the next leader after 16 s", i, machine.Info.Name)
+									t.Errorf(
+										"node %d: %s has not found the next leader after 16 s",
+										i,
+										machine.Info.Name,
+									)
 								}
 							}
 						})
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -123,7 +123,12 @@
 					t.Errorf("%d close looks: the meeting did not take place", k)
 				}
 				for n := 100; n < 130; n++ {
-					if code, s := w.Request("poll", wire.JobID(uint64(n)), nil); code != 404 && (code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
+					if code, s := w.Request(
+						"poll",
+						wire.JobID(uint64(n)),
+						nil,
+					); code != 404 &&
+						(code != 200 || s.State != wire.JobDone && s.State != wire.JobCancelled) {
 						t.Errorf("%d: %d %+v", n, code, s)
 					}
 				}
@@ -131,7 +136,8 @@
 					lost[kind] += k
 				}
 			})
-			if strings.HasPrefix(c.name, "answers lost") && (lost["put f/log"] < 5 || strings.HasSuffix(c.name, "log") && lost["put f/in"] == 0) {
+			if strings.HasPrefix(c.name, "answers lost") &&
+				(lost["put f/log"] < 5 || strings.HasSuffix(c.name, "log") && lost["put f/in"] == 0) {
 				t.Errorf("answers were lost to %v: the meeting did not take place", lost)
 			}
 		})
@@ -190,7 +196,12 @@
 			w.Store.DropResponses(0)
 			time.Sleep(3 * time.Second)
 			if first == "" || agree.Load() == 0 {
-				t.Errorf("%s: another node said %q, the leader agreed %d times: the meeting did not take place", c.what, first, agree.Load())
+				t.Errorf(
+					"%s: another node said %q, the leader agreed %d times: the meeting did not take place",
+					c.what,
+					first,
+					agree.Load(),
+				)
 			}
 			if w.Store.DroppedResponses()["put f/log"] == 0 {
 				t.Errorf("%s: no answer was lost", c.what)
@@ -280,9 +291,38 @@
 			code  int
 			spec  func(s *wire.JobSpec)
 		}{
-			{"cores", missingField, 400, nil}, {"jobclass", missingField, 400, nil}, {"spread", nil, 400, nil}, {"pieces", 0, 400, nil}, {"pieces", -3, 400, nil},
-			{"mem_gb", "much", 400, nil}, {"cores", -1.0, 400, nil}, {"rank", "urgent", 400, nil}, {"shape", "heap", 400, nil}, {"due_s", "soon", 400, nil}, {"hall", 7, 400, nil},
-			{"owner", "green", 422, nil}, {"cores", 17.0, 422, nil}, {"mem_gb", 65.0, 422, nil}, {"gpus", 1.0, 422, nil}, {"models", []string{"huge"}, 422, nil}, {"hall", "c", 422, nil},
+			{
+				"cores",
+				missingField,
+				400,
+				nil,
+			},
+			{"jobclass", missingField, 400, nil},
+			{"spread", nil, 400, nil},
+			{"pieces", 0, 400, nil},
+			{"pieces", -3, 400, nil},
+			{
+				"mem_gb",
+				"much",
+				400,
+				nil,
+			},
+			{"cores", -1.0, 400, nil},
+			{"rank", "urgent", 400, nil},
+			{"shape", "heap", 400, nil},
+			{"due_s", "soon", 400, nil},
+			{"hall", 7, 400, nil},
+			{
+				"owner",
+				"green",
+				422,
+				nil,
+			},
+			{"cores", 17.0, 422, nil},
+			{"mem_gb", 65.0, 422, nil},
+			{"gpus", 1.0, 422, nil},
+			{"models", []string{"huge"}, 422, nil},
+			{"hall", "c", 422, nil},
 			{"pieces", 30, 422, func(s *wire.JobSpec) { s.Shape = wire.Gang }},
 			{"pieces", 3, 422, func(s *wire.JobSpec) { s.Shape, s.Spread, s.Zone = wire.Gang, true, &b }},
 			{"pieces", 2, 422, func(s *wire.JobSpec) { s.Shape, s.Spread, s.SameZone = wire.Gang, true, true }},
@@ -304,7 +344,13 @@
 		// A user who repeats what was accepted hears of it, whatever else is in the body.
 		resubmit := func(label string, id *wire.JobSpec, at int) {
 			for _, o := range invalid {
-				if code, _ := w.RequestAt(at, "submit", id.ID, body(id, o.field, o.value)); code != 200 && code != 503 && code != 429 {
+				if code, _ := w.RequestAt(
+					at,
+					"submit",
+					id.ID,
+					body(id, o.field, o.value),
+				); code != 200 && code != 503 &&
+					code != 429 {
 					t.Errorf("%s: %s again with %s = %v got %d", label, id.ID, o.field, o.value, code)
 				}
 			}
@@ -323,7 +369,12 @@
 			}
 			code := 0
 			for range 40 { // the intake's share of the writes is small
-				if code, _ = w.RequestAt((leaderIndex+1)%3, "submit", s.ID, body(s, o.field, o.value)); code != http.StatusServiceUnavailable {
+				if code, _ = w.RequestAt(
+					(leaderIndex+1)%3,
+					"submit",
+					s.ID,
+					body(s, o.field, o.value),
+				); code != http.StatusServiceUnavailable {
 					break
 				}
 				time.Sleep(500 * time.Millisecond)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -87,7 +87,12 @@
 	if !leads && storeReachable {
 		return sb.submitWithFallback(ctx, body)
 	}
-	if response, ok := sb.forward.toLeaderOrOthers(ctx, &rpc.Request{Op: rpc.OpSubmit, Body: body}, leads, storeReachable); ok {
+	if response, ok := sb.forward.toLeaderOrOthers(
+		ctx,
+		&rpc.Request{Op: rpc.OpSubmit, Body: body},
+		leads,
+		storeReachable,
+	); ok {
 		return response
 	}
 	if leads {
@@ -196,7 +201,13 @@
 	}
 	if wait, ok := sb.loop.admissionGate.Admit(sb.now()); !ok {
 		sb.metrics.NotAdmitted.Inc()
-		send(&rpc.Response{Status: http.StatusTooManyRequests, RetryAfter: int(wait / time.Second), Body: overloadedResponse.Body})
+		send(
+			&rpc.Response{
+				Status:     http.StatusTooManyRequests,
+				RetryAfter: int(wait / time.Second),
+				Body:       overloadedResponse.Body,
+			},
+		)
 		return
 	}
 	entry := model.Accepted(spec, time.Now().UnixMilli())
@@ -248,7 +259,10 @@
 		return api.Refuse(http.StatusUnprocessableEntity, reason)
 	}
 	limit := sb.maxUnfinishedTasks()
-	if team := sb.replica.model.TeamOf(spec.Team); sb.replica.model.LiveTasks+spec.Tasks > limit || len(sb.replica.model.Teams) > 1 && team.LiveTasks+spec.Tasks > limit*4/5 {
+	if team := sb.replica.model.TeamOf(
+		spec.Team,
+	); sb.replica.model.LiveTasks+spec.Tasks > limit ||
+		len(sb.replica.model.Teams) > 1 && team.LiveTasks+spec.Tasks > limit*4/5 {
 		// No team alone fills it, or a guest's arrays would shut out the others.
 		response := api.RetryLater("too many unfinished tasks", 10)
 		response.Status = http.StatusTooManyRequests
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -44,7 +44,11 @@
 }
 
 func (tm *telemetry) view() metrics.Snapshot {
-	view := metrics.Snapshot{IsLeader: tm.term.isActive(), Applied: tm.replica.appliedSeq, Jobs: len(tm.replica.model.Jobs)}
+	view := metrics.Snapshot{
+		IsLeader: tm.term.isActive(),
+		Applied:  tm.replica.appliedSeq,
+		Jobs:     len(tm.replica.model.Jobs),
+	}
 	if tm.term.leader != nil {
 		view.Term = tm.term.leader.Term
 	}
@@ -54,7 +58,11 @@
 		view.AssignedAgents = tm.term.ownTerm.assignments.table.Counts()[relay.Leader]
 	}
 	if singletons := tm.roles.state; singletons != nil {
-		view.HoldsProvisioning, view.HoldsCompaction = singletons.roles[singleton.Provisioning].Trusted(tm.now()), singletons.roles[singleton.Compaction].Trusted(tm.now())
+		view.HoldsProvisioning, view.HoldsCompaction = singletons.roles[singleton.Provisioning].Trusted(
+			tm.now(),
+		), singletons.roles[singleton.Compaction].Trusted(
+			tm.now(),
+		)
 	}
 	view.WorstClass, view.WorstTeam = 1, 1
 	if tm.term.ownTerm != nil {
@@ -107,10 +115,12 @@
 	}
 	for _, j := range long {
 		logged[j.ID] = j.PendingReason.Code
-		tm.log.Info("job pending", "job", j.Spec.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Waiting(), "reason", j.PendingReason.Code, "explanation", j.PendingReason)
+		tm.log.Info("job pending", "job", j.Spec.ID, "class", j.Spec.Class, "team", j.Spec.Team,
+			"tasks", j.Waiting(), "reason", j.PendingReason.Code, "explanation", j.PendingReason)
 	}
 	term.telemetry.loggedReasons = logged
-	tm.log.Info("workload summary", "jobs", len(tm.replica.model.Jobs), "pending_by_class", classes, "pending_by_reason", reasons)
+	tm.log.Info("workload summary", "jobs", len(tm.replica.model.Jobs), "pending_by_class", classes,
+		"pending_by_reason", reasons)
 	tm.logServed()
 }
 
@@ -126,17 +136,25 @@
 	var lines []line
 	for i := range tm.replica.model.ByClass {
 		share, underServed := tm.rounds.scheduler.ClassStanding(int32(i))
-		lines = append(lines, line{"class", tm.replica.model.Classes.Name(int32(i)), share, underServed, &tm.replica.model.ByClass[i]})
+		lines = append(
+			lines,
+			line{"class", tm.replica.model.Classes.Name(int32(i)), share, underServed, &tm.replica.model.ByClass[i]},
+		)
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].share < lines[k].share })
 	lines = lines[:min(len(lines), maxLogLines)]
 	for i := range tm.replica.model.ByTeam {
 		share, underServed := tm.rounds.scheduler.TeamStanding(i)
-		lines = append(lines, line{"team", tm.replica.model.Teams[i].Name, share, underServed, &tm.replica.model.ByTeam[i]})
+		lines = append(
+			lines,
+			line{"team", tm.replica.model.Teams[i].Name, share, underServed, &tm.replica.model.ByTeam[i]},
+		)
 	}
 	for _, l := range lines {
-		tm.log.Info("completion summary", l.what, l.name, "share", math.Round(l.share*1000)/1000, "under_served", l.owed, "jobs", l.s.Jobs, "started", l.s.Started, "completed", l.s.Done,
-			"cancelled", l.s.Cancelled, "tasks", l.s.Tasks, "tasks_completed", l.s.TasksDone, "availability", l.s.Availability())
+		tm.log.Info("completion summary", l.what, l.name, "share", math.Round(l.share*1000)/1000,
+			"under_served", l.owed, "jobs", l.s.Jobs, "started", l.s.Started, "completed", l.s.Done,
+			"cancelled", l.s.Cancelled, "tasks", l.s.Tasks, "tasks_completed", l.s.TasksDone,
+			"availability", l.s.Availability())
 	}
 }
 
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -80,7 +80,8 @@
 // zone is not cut off from everything, but only parted from the leader. As long
 // as that is not known, it may be so.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
-	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() || time.Since(term.zones.lastPartitionQuery) > 2*partitionReportInterval {
+	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
+		time.Since(term.zones.lastPartitionQuery) > 2*partitionReportInterval {
 		return true
 	}
 	for _, m := range zl.settings.Members {
@@ -133,7 +134,9 @@
 // log but does not reach it.
 func (zl *zoneLiveness) reportPartition() {
 	now := time.Now()
-	if zl.term.ownTerm != nil || !zl.replica.loaded || zl.term.leader == nil || now.Sub(zl.lastPartitionReport) < partitionReportInterval || now.Sub(zl.replica.caughtUpAt) > 2*followTimeout {
+	if zl.term.ownTerm != nil || !zl.replica.loaded || zl.term.leader == nil ||
+		now.Sub(zl.lastPartitionReport) < partitionReportInterval ||
+		now.Sub(zl.replica.caughtUpAt) > 2*followTimeout {
 		return
 	}
 	if link := zl.links[zl.term.leader.Node]; link == nil || now.Sub(link.LastResponse()) < linkFreshness {
@@ -143,7 +146,12 @@
 	maxData := zl.oplog.MaxData()
 	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // a part may end a number early
 	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxData)
-	record := oplog.PartitionedNode{Node: zl.settings.Node, Seq: zl.replica.appliedSeq, Data: parts[0], Parts: parts[1:]}
+	record := oplog.PartitionedNode{
+		Node:  zl.settings.Node,
+		Seq:   zl.replica.appliedSeq,
+		Data:  parts[0],
+		Parts: parts[1:],
+	}
 	go func() {
 		ctx, cancel := context.WithTimeout(zl.ctx, partitionReportInterval)
 		defer cancel()
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -60,7 +60,10 @@
 
 // probe asks a node about once a second whether it is ready.
 func (b *balancer) probe(ctx context.Context, i int) {
-	c := http.Client{Transport: &http.Transport{DialContext: dialFunc(b.environment.networkOf("balancer"))}, Timeout: time.Second}
+	c := http.Client{
+		Transport: &http.Transport{DialContext: dialFunc(b.environment.networkOf("balancer"))},
+		Timeout:   time.Second,
+	}
 	for ctx.Err() == nil {
 		resp, err := c.Get("http://" + b.environment.controllers[i].userAddr + wire.PathReady)
 		ok := err == nil && resp.StatusCode == http.StatusOK
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -28,7 +28,11 @@
 				r.cpus, r.memoryGB = r.cpus-x.spec.CPUs, r.memoryGB-x.spec.MemoryGB
 			}
 		}
-		healthy := worker.epoch > 0 && !worker.terminated && !worker.inboundPartitioned && !worker.outboundPartitioned && !worker.failsTasks && worker.commandDelay == 0 && !time.Now().Before(worker.hungUntil)
+		healthy := worker.epoch > 0 && !worker.terminated && !worker.inboundPartitioned &&
+			!worker.outboundPartitioned &&
+			!worker.failsTasks &&
+			worker.commandDelay == 0 &&
+			!time.Now().Before(worker.hungUntil)
 		worker.mu.Unlock()
 		if healthy {
 			all = append(all, r)
@@ -62,7 +66,16 @@
 		case t.placeableSince.IsZero():
 			t.placeableSince = time.Now()
 		case time.Since(t.placeableSince) > capacityUnusedFor:
-			f.violate("left_waiting", "%s (%s, %d tasks, %d there, %d done) waits for %v while there is room for it", s.ID, s.Shape, s.Tasks, len(t.taskZones), len(t.done), time.Since(t.placeableSince))
+			f.violate(
+				"left_waiting",
+				"%s (%s, %d tasks, %d there, %d done) waits for %v while there is room for it",
+				s.ID,
+				s.Shape,
+				s.Tasks,
+				len(t.taskZones),
+				len(t.done),
+				time.Since(t.placeableSince),
+			)
 			t.placeableSince = time.Now()
 		}
 	}
@@ -92,7 +105,8 @@
 		for _, x := range s.Types {
 			ok = ok || x == r.machineType
 		}
-		if !ok || s.Zone != nil && *s.Zone != r.zone || r.spot && !s.Spot || s.SameZone && len(t.taskZones) > placedIn[r.zone] {
+		if !ok || s.Zone != nil && *s.Zone != r.zone || r.spot && !s.Spot ||
+			s.SameZone && len(t.taskZones) > placedIn[r.zone] {
 			continue
 		}
 		for r.cpus >= s.CPUs-1e-9 && r.memoryGB >= s.MemoryGB-1e-9 && s.CPUs > 0 {
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -71,8 +71,14 @@
 // DefaultParams are settings for tests.
 func DefaultParams() config.Params {
 	return config.Params{
-		InitialSize: 3, Zones: []string{"a", "b"}, TimeBoundMS: 500,
-		Teams:      []config.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 20}, {Name: "guest"}},
+		InitialSize: 3,
+		Zones:       []string{"a", "b"},
+		TimeBoundMS: 500,
+		Teams: []config.Team{
+			{Name: "red", CPUs: 16, CPUsMax: 24},
+			{Name: "blue", CPUs: 8, CPUsMax: 20},
+			{Name: "guest"},
+		},
 		Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 2, Share: 0.9}},
 		Workers:    config.Workers{HeartbeatS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 5, CancelS: 49},
 		KVStore:    config.KVStore{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12},
@@ -98,7 +104,14 @@
 // New makes a world in memory with so many nodes, which are not started yet.
 func New(ctx context.Context, controllers int, seed uint64, run ControllerFunc) *Environment {
 	network := NewNetwork()
-	w, err := NewOnNetwork(ctx, func(name string) host.Net { return network.Host(name) }, inMemoryAddresses, controllers, seed, run)
+	w, err := NewOnNetwork(
+		ctx,
+		func(name string) host.Net { return network.Host(name) },
+		inMemoryAddresses,
+		controllers,
+		seed,
+		run,
+	)
 	if err != nil {
 		panic(err)
 	}
@@ -125,23 +138,70 @@
 }
 
 // NewOnNetwork makes a world on some other network, on which nothing can be cut or frozen.
-func NewOnNetwork(ctx context.Context, networkOf func(name string) host.Net, addresses Addresses, controllers int, seed uint64, run ControllerFunc) (*Environment, error) {
+func NewOnNetwork(
+	ctx context.Context,
+	networkOf func(name string) host.Net,
+	addresses Addresses,
+	controllers int,
+	seed uint64,
+	run ControllerFunc,
+) (*Environment, error) {
 	return NewDeployment(ctx, networkOf, addresses, controllers, seed, run, SmallDeployment())
 }
 
 // NewDeployment makes a world of a deployment on some network.
-func NewDeployment(ctx context.Context, networkOf func(name string) host.Net, addresses Addresses, controllers int, seed uint64, run ControllerFunc, deployment Deployment) (*Environment, error) {
+func NewDeployment(
+	ctx context.Context,
+	networkOf func(name string) host.Net,
+	addresses Addresses,
+	controllers int,
+	seed uint64,
+	run ControllerFunc,
+	deployment Deployment,
+) (*Environment, error) {
 	params := deployment.Params
 	w := &Environment{
-		Store: NewKVStore(seed), Params: params, ctx: ctx, runController: run, networkOf: networkOf, addresses: addresses,
-		leaseDuration: config.Seconds(params.Workers.LeaseS), heartbeatInterval: config.Seconds(params.Workers.HeartbeatS), gangTimeout: config.Seconds(params.Workers.GangWaitS),
-		fetchDuration: 1500 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 2)), gangMembers: map[string]map[string]bool{}, finishedGangs: map[uint64]bool{}, failingJobs: map[string]bool{},
+		Store: NewKVStore(
+			seed,
+		),
+		Params:        params,
+		ctx:           ctx,
+		runController: run,
+		networkOf:     networkOf,
+		addresses:     addresses,
+		leaseDuration: config.Seconds(
+			params.Workers.LeaseS,
+		),
+		heartbeatInterval: config.Seconds(params.Workers.HeartbeatS),
+		gangTimeout:       config.Seconds(params.Workers.GangWaitS),
+		fetchDuration:     1500 * time.Millisecond,
+		rng:               rand.New(rand.NewPCG(seed, 2)),
+		gangMembers:       map[string]map[string]bool{},
+		finishedGangs:     map[uint64]bool{},
+		failingJobs:       map[string]bool{},
 	}
 	w.Checker = NewInvariantChecker(teamLimits(params.Teams), config.Seconds(params.Workers.CancelS))
 	w.onTaskStart = deployment.OnTaskStart
-	w.Cloud = &Cloud{environment: w, machineTypes: deployment.Types, pageSize: deployment.PageSize, maxMachinesOf: deployment.MaxMachines, maxMachines: defaultMaxMachines, Machines: map[string]*Worker{}, machinesByRequest: map[string][]string{}, bootedAt: map[string]time.Time{}}
+	w.Cloud = &Cloud{
+		environment:       w,
+		machineTypes:      deployment.Types,
+		pageSize:          deployment.PageSize,
+		maxMachinesOf:     deployment.MaxMachines,
+		maxMachines:       defaultMaxMachines,
+		Machines:          map[string]*Worker{},
+		machinesByRequest: map[string][]string{},
+		bootedAt:          map[string]time.Time{},
+	}
 	for i := range controllers {
-		w.controllers = append(w.controllers, &controllerProcess{name: ControllerName(i), zone: params.Zones[i%len(params.Zones)], userAddr: addresses.Users(i), peerAddr: addresses.Peers(i)})
+		w.controllers = append(
+			w.controllers,
+			&controllerProcess{
+				name:     ControllerName(i),
+				zone:     params.Zones[i%len(params.Zones)],
+				userAddr: addresses.Users(i),
+				peerAddr: addresses.Peers(i),
+			},
+		)
 	}
 	if err := w.Store.Serve(ctx, networkOf("state"), addresses.Store); err != nil {
 		return nil, err
@@ -181,11 +241,20 @@
 // Start starts a node.
 func (w *Environment) Start(i int) {
 	process := w.controllers[i]
-	settings := &config.Settings{Node: process.name, Zone: process.zone, Bind: process.userAddr, PeerListen: process.peerAddr, Params: w.Params,
-		Endpoints: config.Endpoints{Cloud: w.addresses.Cloud, KVStore: w.addresses.Store}}
+	settings := &config.Settings{
+		Node:       process.name,
+		Zone:       process.zone,
+		Bind:       process.userAddr,
+		PeerListen: process.peerAddr,
+		Params:     w.Params,
+		Endpoints:  config.Endpoints{Cloud: w.addresses.Cloud, KVStore: w.addresses.Store},
+	}
 	for _, other := range w.controllers {
 		if other != process {
-			settings.Members = append(settings.Members, config.Member{Node: other.name, Zone: other.zone, Addr: other.peerAddr})
+			settings.Members = append(
+				settings.Members,
+				config.Member{Node: other.name, Zone: other.zone, Addr: other.peerAddr},
+			)
 		}
 	}
 	ctx, stop := context.WithCancel(w.ctx)
@@ -251,10 +320,15 @@
 	w.mu.Lock()
 	duplicate, delay := false, time.Duration(0)
 	if w.retainChance > 0 && w.rng.Float64() < w.retainChance {
-		w.retainedHeartbeats = append(w.retainedHeartbeats[max(0, len(w.retainedHeartbeats)-maxRetainedHeartbeats):], heartbeat)
+		w.retainedHeartbeats = append(
+			w.retainedHeartbeats[max(0, len(w.retainedHeartbeats)-maxRetainedHeartbeats):],
+			heartbeat,
+		)
 	}
 	if w.duplicateChance > 0 {
-		duplicate, delay = w.rng.Float64() < w.duplicateChance, time.Duration(w.rng.Float64()*float64(w.maxDuplicateDelay))
+		duplicate, delay = w.rng.Float64() < w.duplicateChance, time.Duration(
+			w.rng.Float64()*float64(w.maxDuplicateDelay),
+		)
 	}
 	w.mu.Unlock()
 	if duplicate {
@@ -526,7 +600,12 @@
 
 // sendRequest sends a user's request to a node and tells the referee of the answer; the code is
 // 0 without one.
-func (w *Environment) sendRequest(ctx context.Context, i int, operation, id string, body []byte) (code int, header http.Header, responseBody []byte, status *wire.JobStatus) {
+func (w *Environment) sendRequest(
+	ctx context.Context,
+	i int,
+	operation, id string,
+	body []byte,
+) (code int, header http.Header, responseBody []byte, status *wire.JobStatus) {
 	transport := &http.Transport{DialContext: dialFunc(w.networkOf("user")), DisableKeepAlives: true}
 	c := http.Client{Transport: transport, Timeout: 5 * time.Second}
 	defer transport.CloseIdleConnections()
@@ -582,7 +661,12 @@
 func (w *Environment) retryUntilDecided(operation, id string, body []byte) int {
 	code := 0
 	for range 60 {
-		if code, _ = w.Request(operation, id, body); code == 200 || code == 201 || code == 400 || code == 422 || code == 404 {
+		if code, _ = w.Request(
+			operation,
+			id,
+			body,
+		); code == 200 || code == 201 || code == 400 || code == 422 ||
+			code == 404 {
 			return code
 		}
 		time.Sleep(time.Second)
@@ -641,8 +725,28 @@
 }
 
 var smallDeploymentTypes = []wire.MachineType{
-	{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 6, Zones: []string{"a", "b"}},
-	{Name: "large", CPUs: 16, MemoryGB: 64, CacheGB: 40, FetchGBPerS: 1, Price: 3, SpotPrice: 1, BootS: 8, Zones: []string{"a", "b"}},
+	{
+		Name:        "small",
+		CPUs:        4,
+		MemoryGB:    16,
+		CacheGB:     20,
+		FetchGBPerS: 1,
+		Price:       1,
+		SpotPrice:   0.4,
+		BootS:       6,
+		Zones:       []string{"a", "b"},
+	},
+	{
+		Name:        "large",
+		CPUs:        16,
+		MemoryGB:    64,
+		CacheGB:     40,
+		FetchGBPerS: 1,
+		Price:       3,
+		SpotPrice:   1,
+		BootS:       8,
+		Zones:       []string{"a", "b"},
+	},
 }
 
 func (c *Cloud) machineType(name string) *wire.MachineType {
@@ -681,7 +785,10 @@
 				if time.Now().Before(c.bootedAt[w.Name]) {
 					st = wire.MachineBooting
 				}
-				c.listing = append(c.listing, wire.ListedMachine{Name: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, State: st})
+				c.listing = append(
+					c.listing,
+					wire.ListedMachine{Name: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, State: st},
+				)
 			}
 			sort.Slice(c.listing, func(i, k int) bool { return c.listing[i].Name < c.listing[k].Name })
 			c.mu.Unlock()
@@ -835,8 +942,17 @@
 	c.launched++
 	name := fmt.Sprintf("host-%06d", c.launched)
 	ctx, stop := context.WithCancel(ctx)
-	worker := &Worker{Name: name, Addr: c.environment.addresses.Worker(c.launched), Type: machineType, Zone: zone, Spot: spot, environment: c.environment,
-		rng: rand.New(rand.NewPCG(uint64(c.launched), 3)), stop: stop, cachedImages: map[string]bool{}}
+	worker := &Worker{
+		Name:         name,
+		Addr:         c.environment.addresses.Worker(c.launched),
+		Type:         machineType,
+		Zone:         zone,
+		Spot:         spot,
+		environment:  c.environment,
+		rng:          rand.New(rand.NewPCG(uint64(c.launched), 3)),
+		stop:         stop,
+		cachedImages: map[string]bool{},
+	}
 	c.Machines[name] = worker
 	d := time.Duration(c.machineType(machineType).BootS * (0.6 + 0.9*worker.rng.Float64()) * 1e9)
 	if c.bootSlowdown > 0 {
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -76,7 +76,13 @@
 
 // NewInvariantChecker makes a referee for teams' limits.
 func NewInvariantChecker(limits map[string][2]float64, cancelBound time.Duration) *InvariantChecker {
-	return &InvariantChecker{limits: limits, cancelBound: cancelBound, jobs: map[uint64]*jobRecord{}, placements: map[string]map[string]bool{}, usage: map[string][2]float64{}}
+	return &InvariantChecker{
+		limits:      limits,
+		cancelBound: cancelBound,
+		jobs:        map[uint64]*jobRecord{},
+		placements:  map[string]map[string]bool{},
+		usage:       map[string][2]float64{},
+	}
 }
 
 func (f *InvariantChecker) violate(rule, format string, args ...any) {
@@ -102,7 +108,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
-	t := &jobRecord{spec: s, done: map[int]bool{}, taskZones: map[int]string{}, accepted: true, finalState: wire.JobDone, submittedAt: time.Now()}
+	t := &jobRecord{
+		spec:        s,
+		done:        map[int]bool{},
+		taskZones:   map[int]string{},
+		accepted:    true,
+		finalState:  wire.JobDone,
+		submittedAt: time.Now(),
+	}
 	for k := range s.Tasks {
 		t.done[k] = true
 	}
@@ -154,7 +167,17 @@
 	}
 	if !okType || s.Zone != nil && *s.Zone != worker.Zone || worker.Spot && !s.Spot || s.SameZone && otherZones > 0 ||
 		s.Spread && sameZone+1 > (s.Tasks+1)/2 {
-		f.violate("wrong_place", "%s on %s (%s, %s, spot %v) with %d there and %d elsewhere", task, worker.Name, worker.Type, worker.Zone, worker.Spot, sameZone, otherZones)
+		f.violate(
+			"wrong_place",
+			"%s on %s (%s, %s, spot %v) with %d there and %d elsewhere",
+			task,
+			worker.Name,
+			worker.Type,
+			worker.Zone,
+			worker.Spot,
+			sameZone,
+			otherZones,
+		)
 	}
 	if !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > f.cancelBound {
 		f.violate("ran_cancelled", "%s starts %v after its cancellation", task, time.Since(t.cancelledAt))
@@ -231,7 +254,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.jobs {
-		if t.spec.Shape == wire.Service && t.accepted && !t.cancelRequested && time.Since(t.submittedAt) > replicaStartupGrace {
+		if t.spec.Shape == wire.Service && t.accepted && !t.cancelRequested &&
+			time.Since(t.submittedAt) > replicaStartupGrace {
 			t.replicaWantedSeconds += checkInterval.Seconds() * float64(t.spec.Tasks)
 			t.replicaUpSeconds += checkInterval.Seconds() * float64(len(t.taskZones))
 		}
@@ -246,7 +270,13 @@
 	for task, machines := range f.placements {
 		n, _, _ := wire.ParseTaskID(task)
 		if t := f.jobs[n]; !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > f.cancelBound {
-			f.violate("ran_cancelled", "%s is on %v %v after its cancellation", task, machines, time.Since(t.cancelledAt))
+			f.violate(
+				"ran_cancelled",
+				"%s is on %v %v after its cancellation",
+				task,
+				machines,
+				time.Since(t.cancelledAt),
+			)
 			t.cancelledAt = time.Now() // once is enough
 		}
 	}
@@ -279,13 +309,23 @@
 	defer f.mu.Unlock()
 	n, _ := wire.JobNumber(id)
 	if t := f.jobs[n]; t != nil {
-		return ClientView{t.accepted, t.finalState, !t.stateChangedAt.IsZero() && time.Since(t.stateChangedAt) < racingReadWindow}
+		return ClientView{
+			t.accepted,
+			t.finalState,
+			!t.stateChangedAt.IsZero() && time.Since(t.stateChangedAt) < racingReadWindow,
+		}
 	}
 	return ClientView{}
 }
 
 // RecordResponse notes an answer that a user got: of a submission, a poll or a cancellation.
-func (f *InvariantChecker) RecordResponse(id string, operation string, before ClientView, code int, status *wire.JobStatus) {
+func (f *InvariantChecker) RecordResponse(
+	id string,
+	operation string,
+	before ClientView,
+	code int,
+	status *wire.JobStatus,
+) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, _ := wire.JobNumber(id)
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -68,7 +68,13 @@
 
 // NewKVStore makes an empty service.
 func NewKVStore(seed uint64) *KVStore {
-	return &KVStore{rng: rand.New(rand.NewPCG(seed, 1)), keys: map[string]*entry{}, leases: map[uint64]*leaseGrant{}, changed: make(chan struct{}), latency: 3 * time.Millisecond}
+	return &KVStore{
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		keys:    map[string]*entry{},
+		leases:  map[uint64]*leaseGrant{},
+		changed: make(chan struct{}),
+		latency: 3 * time.Millisecond,
+	}
 }
 
 // SetOutage begins or ends an outage; at its end all leases have their full time.
@@ -249,7 +255,13 @@
 func (s *KVStore) SetRateLimits(rps, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requestLimiter, s.changeLimiter = rate.NewLimiter(rate.Limit(rps), int(rps)), rate.NewLimiter(rate.Limit(changes), int(changes))
+	s.requestLimiter, s.changeLimiter = rate.NewLimiter(
+		rate.Limit(rps),
+		int(rps),
+	), rate.NewLimiter(
+		rate.Limit(changes),
+		int(changes),
+	)
 }
 
 func (s *KVStore) handle(w http.ResponseWriter, r *http.Request) {
@@ -330,7 +342,9 @@
 		return
 	}
 	s.mu.Lock()
-	dropResponse, dropRequest, delay := s.rng.Float64() < s.dropResponseChance, s.rng.Float64() < s.dropRequestChance, s.minTxnDelay+time.Duration(s.rng.Float64()*float64(s.maxExtraTxnDelay))
+	dropResponse, dropRequest, delay := s.rng.Float64() < s.dropResponseChance, s.rng.Float64() < s.dropRequestChance, s.minTxnDelay+time.Duration(
+		s.rng.Float64()*float64(s.maxExtraTxnDelay),
+	)
 	s.mu.Unlock()
 	if dropRequest {
 		panic(http.ErrAbortHandler)
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -33,7 +33,14 @@
 
 // NewNetwork makes an empty network.
 func NewNetwork() *Network {
-	return &Network{ports: map[string]*listener{}, unpowered: map[string]bool{}, partitions: map[[2]string]bool{}, routes: map[net.Conn]string{}, pendingDialers: map[net.Conn]string{}, frozenUntil: map[string]time.Time{}}
+	return &Network{
+		ports:          map[string]*listener{},
+		unpowered:      map[string]bool{},
+		partitions:     map[[2]string]bool{},
+		routes:         map[net.Conn]string{},
+		pendingDialers: map[net.Conn]string{},
+		frozenUntil:    map[string]time.Time{},
+	}
 }
 
 // Freeze has a host stand still: it neither sends nor receives nor connects until
--- a/internal/emulator/served.go
+++ b/internal/emulator/served.go
@@ -102,7 +102,10 @@
 	out := map[string]*LargestJobs{}
 	for class, list := range byClass {
 		slices.SortFunc(list, func(a, b *jobRecord) int { return cmp.Compare(resourceDemand(b), resourceDemand(a)) })
-		maxTasks := slices.MaxFunc(list, func(a, b *jobRecord) int { return cmp.Compare(a.spec.Tasks, b.spec.Tasks) }).spec.Tasks
+		maxTasks := slices.MaxFunc(
+			list,
+			func(a, b *jobRecord) int { return cmp.Compare(a.spec.Tasks, b.spec.Tasks) },
+		).spec.Tasks
 		l := &LargestJobs{}
 		for i, t := range list {
 			if i >= (len(list)+9)/10 && t.spec.Tasks < maxTasks {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -213,7 +213,8 @@
 				w.cachedImages[t.spec.Image] = true
 				t.onMachine = true
 				w.environment.Checker.RecordStart(t.id, w)
-				if w.environment.Checker.isDone(t.id) || t.spec.Shape == wire.Gang && w.environment.isGangFinished(t.id) {
+				if w.environment.Checker.isDone(t.id) ||
+					t.spec.Shape == wire.Gang && w.environment.isGangFinished(t.id) {
 					w.exitTask(t, wire.CauseDone, false)
 				} else if t.spec.Shape == wire.Gang {
 					w.environment.joinGang(t.id, t.attempt, w.Name)
@@ -289,9 +290,27 @@
 
 func (w *Worker) buildHeartbeat() *wire.Heartbeat {
 	w.sequence++
-	heartbeat := &wire.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, AgentEpoch: w.epoch, Seq: w.sequence, FencingToken: w.fencingToken}
+	heartbeat := &wire.Heartbeat{
+		Machine:      w.Name,
+		Addr:         w.Addr,
+		Type:         w.Type,
+		Zone:         w.Zone,
+		Spot:         w.Spot,
+		AgentEpoch:   w.epoch,
+		Seq:          w.sequence,
+		FencingToken: w.fencingToken,
+	}
 	for _, t := range w.tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
+		heartbeat.Tasks = append(
+			heartbeat.Tasks,
+			wire.TaskStatus{
+				Task:         t.id,
+				Attempt:      t.attempt,
+				State:        t.state,
+				Cause:        t.cause,
+				Checkpointed: t.checkpointed,
+			},
+		)
 	}
 	return heartbeat
 }
@@ -385,7 +404,9 @@
 			time.Sleep(delay)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if !w.terminated && !w.inboundPartitioned && w.incarnation == incarnation && orders.FencingToken >= w.fencingToken && orders.AgentEpoch == w.epoch {
+			if !w.terminated && !w.inboundPartitioned && w.incarnation == incarnation &&
+				orders.FencingToken >= w.fencingToken &&
+				orders.AgentEpoch == w.epoch {
 				w.fencingToken = orders.FencingToken
 				w.execute(orders.Commands)
 			}
@@ -446,7 +467,15 @@
 		w.environment.maybeDuplicate(controller.userAddr, heartbeat)
 		requestCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		var response wire.HeartbeatResponse
-		err := client.Do(requestCtx, "POST", controller.userAddr, wire.PathHeartbeat, heartbeat, &response, wire.MaxBody)
+		err := client.Do(
+			requestCtx,
+			"POST",
+			controller.userAddr,
+			wire.PathHeartbeat,
+			heartbeat,
+			&response,
+			wire.MaxBody,
+		)
 		cancel()
 		w.mu.Lock()
 		if w.inboundPartitioned {
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -41,10 +41,30 @@
 	}
 	ok := false
 	page := s.Handler(func() (Snapshot, bool) {
-		return Snapshot{IsLeader: true, Term: 1, Applied: 2, Jobs: 3, Waiting: 4, Running: 5, Up: 6, Booting: 7, Idle: 8,
-			Suspect: 9, Releasing: 10, WorstClass: 0.25, WorstTeam: 0.5, UnderServedClasses: 11, UnderServedTeams: 12,
-			HoldsProvisioning: ok, HoldsCompaction: !ok, OpenProvisioning: 13,
-			PeerFrames: 14, PeerBytes: 15, PeerWrites: 16, AssignedAgents: 17}, ok
+		return Snapshot{
+			IsLeader:           true,
+			Term:               1,
+			Applied:            2,
+			Jobs:               3,
+			Waiting:            4,
+			Running:            5,
+			Up:                 6,
+			Booting:            7,
+			Idle:               8,
+			Suspect:            9,
+			Releasing:          10,
+			WorstClass:         0.25,
+			WorstTeam:          0.5,
+			UnderServedClasses: 11,
+			UnderServedTeams:   12,
+			HoldsProvisioning:  ok,
+			HoldsCompaction:    !ok,
+			OpenProvisioning:   13,
+			PeerFrames:         14,
+			PeerBytes:          15,
+			PeerWrites:         16,
+			AssignedAgents:     17,
+		}, ok
 	})
 	var b strings.Builder
 	for _, path := range []string{Path, Path, "/"} {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -86,14 +86,21 @@
 		LogWrite:         set.NewPrometheusHistogramExt("fieldhill_log_write_seconds", bucketBounds),
 	}
 	for p := range candidacy.PhaseCount {
-		s.failovers[p] = set.NewPrometheusHistogramExt(`fieldhill_takeover_seconds{part="`+p.String()+`"}`, bucketBounds)
+		s.failovers[p] = set.NewPrometheusHistogramExt(
+			`fieldhill_takeover_seconds{part="`+p.String()+`"}`,
+			bucketBounds,
+		)
 	}
 	for _, k := range kinds {
 		responseCounter := func(outcome string) *metrics.Counter {
 			return set.NewCounter(`fieldhill_answers_total{request="` + k + `",answer="` + outcome + `"}`)
 		}
-		s.requests[k] = &requestMetrics{duration: set.NewPrometheusHistogramExt(`fieldhill_request_seconds{request="`+k+`"}`, bucketBounds),
-			ok: responseCounter("ok"), refused: responseCounter("refused"), retryable: responseCounter("later")}
+		s.requests[k] = &requestMetrics{
+			duration:  set.NewPrometheusHistogramExt(`fieldhill_request_seconds{request="`+k+`"}`, bucketBounds),
+			ok:        responseCounter("ok"),
+			refused:   responseCounter("refused"),
+			retryable: responseCounter("later"),
+		}
 	}
 	s.snapshot.Store(&Snapshot{})
 	for name, f := range map[string]func(v *Snapshot) float64{
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -12,11 +12,31 @@
 // takes some milliseconds for ten thousand runs.
 func (m *Model) Clone() *Model {
 	c := &Model{
-		Images: m.Images.Clone(), Classes: m.Classes.Clone(), Zones: m.Zones.Clone(), TypeNames: m.TypeNames.Clone(),
-		Jobs: make(map[JobID]*Job, len(m.Jobs)), Finals: map[JobID]Final{}, Machines: make(map[MachineID]*Machine, len(m.Machines)),
-		ByName: map[string]*Machine{}, teamByName: map[string]*Team{}, Types: slices.Clone(m.Types), Tombstones: map[string]bool{},
-		NextMachine: m.NextMachine, jobOrder: m.jobOrder, LiveTasks: m.LiveTasks, finalSeqs: map[JobID]uint64{},
-		classBias: slices.Clone(m.classBias), ByClass: slices.Clone(m.ByClass), ByTeam: slices.Clone(m.ByTeam), TermBase: m.TermBase, GangWait: m.GangWait,
+		Images:    m.Images.Clone(),
+		Classes:   m.Classes.Clone(),
+		Zones:     m.Zones.Clone(),
+		TypeNames: m.TypeNames.Clone(),
+		Jobs: make(
+			map[JobID]*Job,
+			len(m.Jobs),
+		),
+		Finals:      map[JobID]Final{},
+		Machines:    make(map[MachineID]*Machine, len(m.Machines)),
+		ByName:      map[string]*Machine{},
+		teamByName:  map[string]*Team{},
+		Types:       slices.Clone(m.Types),
+		Tombstones:  map[string]bool{},
+		NextMachine: m.NextMachine,
+		jobOrder:    m.jobOrder,
+		LiveTasks:   m.LiveTasks,
+		finalSeqs:   map[JobID]uint64{},
+		classBias: slices.Clone(
+			m.classBias,
+		),
+		ByClass:  slices.Clone(m.ByClass),
+		ByTeam:   slices.Clone(m.ByTeam),
+		TermBase: m.TermBase,
+		GangWait: m.GangWait,
 	}
 	for i := range c.Types {
 		c.Types[i].ZoneIDs = slices.Clone(c.Types[i].ZoneIDs)
@@ -29,10 +49,30 @@
 	// One piece of memory for each kind: thousands of small ones take ten times as long.
 	machines, imageCount, fetchCount, runCount := make([]Machine, len(m.Order)), 0, 0, 0
 	for _, machine := range m.Order {
-		imageCount, fetchCount, runCount = imageCount+len(machine.cache), fetchCount+len(machine.fetches), runCount+len(machine.Runs)
+		imageCount, fetchCount, runCount = imageCount+len(
+			machine.cache,
+		), fetchCount+len(
+			machine.fetches,
+		), runCount+len(
+			machine.Runs,
+		)
 	}
 	c.Order = make([]*Machine, len(m.Order))
-	cacheSlab, fetchSlab, runSlab, runPtrs := make([]cachedImage, 0, imageCount), make([]pendingFetch, 0, fetchCount), make([]Run, runCount), make([]*Run, runCount)
+	cacheSlab, fetchSlab, runSlab, runPtrs := make(
+		[]cachedImage,
+		0,
+		imageCount,
+	), make(
+		[]pendingFetch,
+		0,
+		fetchCount,
+	), make(
+		[]Run,
+		runCount,
+	), make(
+		[]*Run,
+		runCount,
+	)
 	for i, machine := range m.Order {
 		o := &machines[i]
 		*o = *machine
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -89,7 +89,11 @@
 	for _, j := range m.JobsInOrder() {
 		if j.Kind == Service && !j.Cancelled {
 			m.updateStats(j, func(c *CompletionStats) {
-				c.WantedSeconds, c.UpSeconds = c.WantedSeconds+seconds*float64(len(j.Tasks)), c.UpSeconds+seconds*float64(j.Running)
+				c.WantedSeconds, c.UpSeconds = c.WantedSeconds+seconds*float64(
+					len(j.Tasks),
+				), c.UpSeconds+seconds*float64(
+					j.Running,
+				)
 			})
 		}
 	}
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -72,7 +72,11 @@
 func (w exploredState) clone() exploredState {
 	m := w.model.Clone()
 	for i, machine := range w.model.Order {
-		m.Order[i].unresolvedStarts, m.Order[i].reapable = maps.Clone(machine.unresolvedStarts), slices.Clone(machine.reapable)
+		m.Order[i].unresolvedStarts, m.Order[i].reapable = maps.Clone(
+			machine.unresolvedStarts,
+		), slices.Clone(
+			machine.reapable,
+		)
 		m.ByName[machine.Info.Name] = m.Order[i]
 	}
 	w.model, w.reports, w.inFlight = m, slices.Clone(w.reports), slices.Clone(w.inFlight)
@@ -81,16 +85,44 @@
 
 func (w exploredState) Key() string {
 	machine := w.model.Order[0]
-	b := fmt.Appendf(nil, "%+v %v %v %v %v", machine.Reports, machine.Session, machine.TokenBump, machine.unresolvedStarts, machine.reapable)
+	b := fmt.Appendf(
+		nil,
+		"%+v %v %v %v %v",
+		machine.Reports,
+		machine.Session,
+		machine.TokenBump,
+		machine.unresolvedStarts,
+		machine.reapable,
+	)
 	for _, r := range machine.Runs {
-		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v", r.Attempt, r.Session, r.Phase, r.Inherited, r.answeredReportSeq, r.Stop, r.goneFromToken)
+		b = fmt.Appendf(
+			b,
+			" %v/%v/%v/%v/%v/%v/%v",
+			r.Attempt,
+			r.Session,
+			r.Phase,
+			r.Inherited,
+			r.answeredReportSeq,
+			r.Stop,
+			r.goneFromToken,
+		)
 	}
 	for _, x := range []uint64{w.incarnation, w.session, w.seq, w.token, w.heldAttempt, w.earlyReaped, uint64(w.awaitedReport), uint64(w.terms), uint64(w.lapses), w.model.TermBase} {
 		b = binary.AppendUvarint(b, x)
 	}
 	b = fmt.Appendf(b, "%v %v %v %v %+v", w.elsewhere, w.exited, w.broken, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
-		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v", u.incarnation, u.token, u.session, u.answer, u.awaited, u.term, u.question)
+		b = fmt.Appendf(
+			b,
+			"%v %v %v %v %v %v %+v",
+			u.incarnation,
+			u.token,
+			u.session,
+			u.answer,
+			u.awaited,
+			u.term,
+			u.question,
+		)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
@@ -196,7 +228,13 @@
 			step(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) {
 				machine := w.model.Order[0]
 				v := w.observe(&r, nil)
-				u := inFlightMessage{incarnation: w.incarnation, session: r.AgentEpoch, answer: true, token: w.model.Token(machine), term: w.model.TermBase}
+				u := inFlightMessage{
+					incarnation: w.incarnation,
+					session:     r.AgentEpoch,
+					answer:      true,
+					token:       w.model.Token(machine),
+					term:        w.model.TermBase,
+				}
 				if !v.IsStale() {
 					machine.Reports.RecordAnswer(w.model.Token(machine))
 					u.commands = w.commands(true)
@@ -212,7 +250,10 @@
 			})
 			step("the worker gives its report up", func(w *exploredState) { w.awaitedReport = 0 })
 			if w.relay && w.relayedReport == 0 {
-				step(fmt.Sprint("a relay answers report ", i, " by itself"), func(w *exploredState) { w.awaitedReport, w.relayedReport = 0, i+1 })
+				step(
+					fmt.Sprint("a relay answers report ", i, " by itself"),
+					func(w *exploredState) { w.awaitedReport, w.relayedReport = 0, i+1 },
+				)
 			}
 		} else {
 			step(fmt.Sprint("a copy of report ", i, " comes"), func(w *exploredState) {
@@ -234,7 +275,14 @@
 			}
 			machine := w.model.Order[0]
 			machine.Reports.RecordAnswer(w.model.Token(machine))
-			u := inFlightMessage{incarnation: w.incarnation, session: r.AgentEpoch, answer: true, token: w.model.Token(machine), term: w.model.TermBase, commands: w.commands(true)}
+			u := inFlightMessage{
+				incarnation: w.incarnation,
+				session:     r.AgentEpoch,
+				answer:      true,
+				token:       w.model.Token(machine),
+				term:        w.model.TermBase,
+				commands:    w.commands(true),
+			}
 			if w.mutation == relayForwardsLate {
 				w.inFlight = append(w.inFlight, u)
 			} // else the relay has no connection any more on which the worker waits for it
@@ -293,11 +341,23 @@
 		}
 	}
 	// There is one command to a machine at a time.
-	if machine.Reported && len(w.inFlight) < 2 && !slices.ContainsFunc(w.inFlight, func(u inFlightMessage) bool { return u.awaited && u.term == w.model.TermBase }) {
+	if machine.Reported && len(w.inFlight) < 2 &&
+		!slices.ContainsFunc(
+			w.inFlight,
+			func(u inFlightMessage) bool { return u.awaited && u.term == w.model.TermBase },
+		) {
 		step("the leader sends a command", func(w *exploredState) {
 			machine := w.model.Order[0]
 			commands := w.commands(false)
-			u := inFlightMessage{incarnation: w.incarnation, session: machine.Session, token: w.model.Token(machine), commands: commands, awaited: true, question: w.model.BeginProbe(machine), term: w.model.TermBase}
+			u := inFlightMessage{
+				incarnation: w.incarnation,
+				session:     machine.Session,
+				token:       w.model.Token(machine),
+				commands:    commands,
+				awaited:     true,
+				question:    w.model.BeginProbe(machine),
+				term:        w.model.TermBase,
+			}
 			w.model.StartsSent(machine, commands, u.token)
 			w.inFlight = append(w.inFlight, u)
 		})
@@ -305,7 +365,18 @@
 	if machine.Reported && job.Tasks[0].State == Waiting && job.Tasks[0].Attempt < 2 && !w.elsewhere {
 		step("the task is placed here", func(w *exploredState) {
 			machine := w.model.Order[0]
-			_ = w.model.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: w.model.Jobs[7].Tasks[0].Attempt + 1, Machine: machine.ID, Session: machine.Session}, 1, 1)
+			_ = w.model.Apply(
+				&Entry{
+					Kind:    EntryPlace,
+					Job:     7,
+					Task:    0,
+					Attempt: w.model.Jobs[7].Tasks[0].Attempt + 1,
+					Machine: machine.ID,
+					Session: machine.Session,
+				},
+				1,
+				1,
+			)
 		})
 	}
 	if job.Tasks[0].State == Waiting && job.Tasks[0].Attempt > 0 && !w.elsewhere {
@@ -388,7 +459,14 @@
 // TestNoOrderStartsTwice explores the orders of all this, and finds what is done wrongly on purpose: from a task that
 // was just placed, and from one that runs while another copy of its start is held up.
 func TestNoOrderStartsTwice(t *testing.T) {
-	held := []string{"the leader sends a command", "the leader gives a command up", "the worker reports", "report 0 arrives", "the answer of term 3 arrives", "the worker reports"}
+	held := []string{
+		"the leader sends a command",
+		"the leader gives a command up",
+		"the worker reports",
+		"report 0 arrives",
+		"the answer of term 3 arrives",
+		"the worker reports",
+	}
 	for _, c := range []struct {
 		slip        mutation
 		from        []string
--- a/internal/model/gang_start.go
+++ b/internal/model/gang_start.go
@@ -24,7 +24,8 @@
 		return false
 	}
 	for i := range j.Tasks {
-		if o := j.Tasks[i].Run; o != nil && o != r && o.Attempt == r.Attempt && o.IsWanted() && o.Phase <= Fetching && m.IsLongFetch(j, o.Machine) {
+		if o := j.Tasks[i].Run; o != nil && o != r && o.Attempt == r.Attempt && o.IsWanted() && o.Phase <= Fetching &&
+			m.IsLongFetch(j, o.Machine) {
 			return true
 		}
 	}
--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -42,7 +42,12 @@
 			t.Errorf("%g GB: the member that fetches got %d commands", c.gb, k)
 		}
 		state := func(seq uint64, state string) ReportVerdict {
-			return m.Observe(fetches, testReport(1, seq, 3<<24, wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}), nil, 1)
+			return m.Observe(
+				fetches,
+				testReport(1, seq, 3<<24, wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}),
+				nil,
+				1,
+			)
 		}
 		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
 			t.Errorf("%g GB: told to meet while it fetches", c.gb)
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -18,10 +18,30 @@
 
 // everyEntry is a batch with each kind of entry in the order of their numbers, some more than once.
 func everyEntry() []*Entry {
-	full := &wire.JobSpec{ID: wire.JobID(300), Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.Production,
-		Tasks: wire.MaxTasks, CPUs: 0.5, GPUs: 1, MemoryGB: 1e-9, Image: "img", ImageGB: 2.5, Types: []string{"t", "u"},
-		Zone: ptr("b"), SameZone: true, Spread: true, Spot: true, EstimateS: 60, CheckpointIntervalS: 0.1, CheckpointWriteS: 7,
-		DeadlineS: ptr(0.0)}
+	full := &wire.JobSpec{
+		ID:       wire.JobID(300),
+		Class:    "train",
+		Team:     "red",
+		Shape:    wire.Gang,
+		Priority: wire.Production,
+		Tasks:    wire.MaxTasks,
+		CPUs:     0.5,
+		GPUs:     1,
+		MemoryGB: 1e-9,
+		Image:    "img",
+		ImageGB:  2.5,
+		Types:    []string{"t", "u"},
+		Zone: ptr(
+			"b",
+		),
+		SameZone:            true,
+		Spread:              true,
+		Spot:                true,
+		EstimateS:           60,
+		CheckpointIntervalS: 0.1,
+		CheckpointWriteS:    7,
+		DeadlineS:           ptr(0.0),
+	}
 	bare := &wire.JobSpec{ID: wire.JobID(7), Shape: wire.Service, Priority: wire.Low, Tasks: 1, Types: []string{}}
 	machine := &MachineInfo{Name: "host-1", Addr: "10.1.0.1:1", Type: "t", Zone: "a", Spot: true}
 	return []*Entry{
@@ -100,7 +120,9 @@
 	}
 	u := &wire.MachineType{Name: "u", CPUs: 0.1, GPUs: 8, BootS: 1e-9, Zones: []string{"b", "a"}}
 	m := New(params())
-	applyAll(t, m,
+	applyAll(
+		t,
+		m,
 		&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 8, CacheGB: 10, Zones: []string{"a"}}},
 		&Entry{Kind: EntryType, Type: u},
 		&Entry{Kind: EntryMachine, Machine: 1, At: 1_700_000_000_123, Info: testInfo("host-1")},
@@ -108,16 +130,37 @@
 		&Entry{Kind: EntryMachine, Machine: 3, Info: testInfo("host-3")},
 		&Entry{Kind: EntryMachine, Machine: 4, Info: testInfo("host-4")},
 		&Entry{Kind: EntryMachine, Machine: 5, Info: testInfo("host-5")},
-		&Entry{Kind: EntryGone, Machine: 5}, &Entry{Kind: EntryGone, Machine: 4},
-		&Entry{Kind: EntrySuspect, Machine: 2}, &Entry{Kind: EntryRelease, Machine: 3},
-		Accepted(testSpec(1, 1), 5), Accepted(testSpec(300, 1), 6), Accepted(testSpec(301, 2), 7), Accepted(testSpec(2, 1), 8),
-		place(1, 0, 1, 1), entry(EntryDone, 1, 0, 1), entry(EntryDone, 300, 0, 1),
-		entry(EntryCancel, 2, 0, 0), entry(EntryCancel, 301, 0, 0),
+		&Entry{Kind: EntryGone, Machine: 5},
+		&Entry{Kind: EntryGone, Machine: 4},
+		&Entry{Kind: EntrySuspect, Machine: 2},
+		&Entry{Kind: EntryRelease, Machine: 3},
+		Accepted(
+			testSpec(1, 1),
+			5,
+		),
+		Accepted(testSpec(300, 1), 6),
+		Accepted(testSpec(301, 2), 7),
+		Accepted(testSpec(2, 1), 8),
+		place(1, 0, 1, 1),
+		entry(EntryDone, 1, 0, 1),
+		entry(EntryDone, 300, 0, 1),
+		entry(EntryCancel, 2, 0, 0),
+		entry(EntryCancel, 301, 0, 0),
 		Accepted(testSpec(21, 5), 9), // part done, with attempts, part placed, part waiting
-		entry(EntryDone, 21, 0, 0), place(21, 1, 1, 1), entry(EntryEnded, 21, 1, 1), place(21, 1, 2, 1),
-		entry(EntryDone, 21, 1, 2), place(21, 2, 300, 1), place(21, 3, 1, 2), entry(EntryEnded, 21, 3, 1),
-		Accepted(other, 10), place(20, 0, 1, 1), entry(EntryDone, 20, 0, 1), // a second image in the cache
-		Accepted(testSpec(22, 2), 11), place(22, 1, 1, 2), entry(EntryCancel, 22, 0, 0), // over, but for its run
+		entry(EntryDone, 21, 0, 0),
+		place(21, 1, 1, 1),
+		entry(EntryEnded, 21, 1, 1),
+		place(21, 1, 2, 1),
+		entry(EntryDone, 21, 1, 2),
+		place(21, 2, 300, 1),
+		place(21, 3, 1, 2),
+		entry(EntryEnded, 21, 3, 1),
+		Accepted(other, 10),
+		place(20, 0, 1, 1),
+		entry(EntryDone, 20, 0, 1), // a second image in the cache
+		Accepted(testSpec(22, 2), 11),
+		place(22, 1, 1, 2),
+		entry(EntryCancel, 22, 0, 0), // over, but for its run
 		&Entry{Kind: EntryAccept, Job: 400, Spec: &full, At: 12},
 	)
 	return m
@@ -197,13 +240,15 @@
 		if diff := cmp.Diff(finals, m.Finals); diff != "" {
 			t.Errorf("version %d: %s", version, diff)
 		}
-		if j := m.Jobs[21]; j.Done != 2 || j.Live != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 || j.At != 9 {
+		if j := m.Jobs[21]; j.Done != 2 || j.Live != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 ||
+			j.At != 9 {
 			t.Errorf("version %d: job 21 is %+v", version, j)
 		}
 		if j := m.Jobs[22]; !j.Cancelled || j.Live != 1 || j.Tasks[1].Run.Machine.Info.Name != "host-2" {
 			t.Errorf("version %d: job 22 is %+v", version, j)
 		}
-		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 || len(machine.cache) != 2 {
+		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 ||
+			len(machine.cache) != 2 {
 			t.Errorf("version %d: gone %v, next %d, cache %v", version, m.Tombstones, m.NextMachine, machine.cache)
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -452,7 +452,8 @@
 	zones := map[int32]bool{}
 	for i := range m.Types {
 		t := &m.Types[i]
-		if !t.Known || s.CPUs > t.CPUs+epsilon || s.GPUs > t.GPUs+epsilon || s.MemoryGB > t.MemoryGB+epsilon || !allowsType(s, t.Name) {
+		if !t.Known || s.CPUs > t.CPUs+epsilon || s.GPUs > t.GPUs+epsilon || s.MemoryGB > t.MemoryGB+epsilon ||
+			!allowsType(s, t.Name) {
 			continue
 		}
 		for _, z := range t.ZoneIDs {
@@ -530,7 +531,9 @@
 
 // IsUsable tells whether a machine may be given work.
 func (machine *Machine) IsUsable() bool {
-	return machine.Reported && !machine.IsLeaving() && !machine.Releasing && !machine.Suspect && machine.DoubtSince == 0 && machine.InboundPartitionSince == 0
+	return machine.Reported && !machine.IsLeaving() && !machine.Releasing && !machine.Suspect &&
+		machine.DoubtSince == 0 &&
+		machine.InboundPartitionSince == 0
 }
 
 // Apply carries out one entry of the log.
@@ -588,7 +591,17 @@
 		}
 	case EntryIntent:
 		if m.intentIndex(e.Info.Name) < 0 {
-			m.Intents = append(m.Intents, Intent{Name: e.Info.Name, Type: e.Info.Type, Zone: e.Info.Zone, Spot: e.Info.Spot, Count: e.Count, Seq: seq})
+			m.Intents = append(
+				m.Intents,
+				Intent{
+					Name:  e.Info.Name,
+					Type:  e.Info.Type,
+					Zone:  e.Info.Zone,
+					Spot:  e.Info.Spot,
+					Count: e.Count,
+					Seq:   seq,
+				},
+			)
 		}
 	case EntryIntentDone:
 		if i := m.intentIndex(e.Info.Name); i >= 0 {
@@ -686,7 +699,15 @@
 		return fmt.Errorf("model: placement of %d/%d on %d does not fit the log", e.Job, e.Task, e.Machine)
 	}
 	t := &j.Tasks[e.Task]
-	r := &Run{Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, Session: e.Session, PlacedSeq: seq, PlacedAt: now}
+	r := &Run{
+		Job:       j,
+		Task:      e.Task,
+		Attempt:   e.Attempt,
+		Machine:   machine,
+		Session:   e.Session,
+		PlacedSeq: seq,
+		PlacedAt:  now,
+	}
 	t.State, t.Attempt, t.Run = Placed, e.Attempt, r
 	j.Live++
 	m.markStarted(j)
@@ -904,7 +925,8 @@
 	for cachedGB > limit && len(machine.cache) > 1 {
 		oldest := -1
 		for i := range machine.cache {
-			if machine.cache[i].image != j.Image && !machine.usesImage(machine.cache[i].image) && (oldest < 0 || machine.cache[i].lastUsed < machine.cache[oldest].lastUsed) {
+			if machine.cache[i].image != j.Image && !machine.usesImage(machine.cache[i].image) &&
+				(oldest < 0 || machine.cache[i].lastUsed < machine.cache[oldest].lastUsed) {
 				oldest = i
 			}
 		}
