--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -21,8 +21,18 @@
 }
 
 func testSpec(n uint64, tasks int) *wire.JobSpec {
-	return &wire.JobSpec{ID: wire.JobID(n), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks, CPUs: 1, MemoryGB: 1,
-		Image: "i", ImageGB: 1}
+	return &wire.JobSpec{
+		ID:       wire.JobID(n),
+		Class:    "c",
+		Team:     "red",
+		Shape:    wire.Array,
+		Priority: wire.Low,
+		Tasks:    tasks,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+	}
 }
 
 func testInfo(n string) *MachineInfo { return &MachineInfo{Name: n, Addr: "x:1", Type: "t", Zone: "a"} }
@@ -51,7 +61,16 @@
 }
 
 func testReport(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: "host-1", Addr: "x:1", Type: "t", Zone: "a", AgentEpoch: session, Seq: seq, FencingToken: token, Tasks: tasks}
+	return &wire.Heartbeat{
+		Machine:      "host-1",
+		Addr:         "x:1",
+		Type:         "t",
+		Zone:         "a",
+		AgentEpoch:   session,
+		Seq:          seq,
+		FencingToken: token,
+		Tasks:        tasks,
+	}
 }
 
 func verbs(cmds []wire.Command) (v []string) {
@@ -113,7 +132,17 @@
 	m.StartsLost(machine, cmds, token)
 	m.StartsSent(machine, cmds, token)
 	m.StartsAnswered(machine, cmds, token, true)
-	v := m.Observe(machine, testReport(1, 2, token, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), m.BeginProbe(machine), 1)
+	v := m.Observe(
+		machine,
+		testReport(
+			1,
+			2,
+			token,
+			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError},
+		),
+		m.BeginProbe(machine),
+		1,
+	)
 	for _, e := range v.Entries {
 		_ = m.Apply(e, 5, 1)
 	}
@@ -123,7 +152,17 @@
 			t.Error("the attempt is forgotten while a copy of its start is under way: it would run again")
 		}
 	}
-	m.Observe(machine, testReport(1, 3, m.Token(machine), wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError}), nil, 2)
+	m.Observe(
+		machine,
+		testReport(
+			1,
+			3,
+			m.Token(machine),
+			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError},
+		),
+		nil,
+		2,
+	)
 	m.SealReapable(machine, 5)
 	if d := cmp.Diff([]string{"reap req-000007/0"}, verbs(m.Commands(machine, 9, true))); d != "" {
 		t.Error(d)
@@ -174,7 +213,13 @@
 		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
-		if v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1); len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
+		if v := m.Observe(
+			machine,
+			testReport(session, 9, 3<<24),
+			m.BeginProbe(machine),
+			1,
+		); len(v.Entries) != 1 ||
+			v.Entries[0].Kind != EntryEnded {
 			t.Errorf("the answer to a question, session %d: %v", session, v.Entries)
 		}
 	}
@@ -185,7 +230,17 @@
 func TestLateResultStillCounts(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
-	v := m.Observe(machine, testReport(1, 2, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}), nil, 1)
+	v := m.Observe(
+		machine,
+		testReport(
+			1,
+			2,
+			3<<24,
+			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone},
+		),
+		nil,
+		1,
+	)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryDone {
 		t.Errorf("got %v", v.Entries)
 	}
@@ -286,7 +341,11 @@
 		m := New(params())
 		reference := &referenceModel{tasks: map[JobID][]string{}, finals: map[JobID]string{}}
 		machines := map[MachineID]bool{}
-		_ = m.Apply(&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}}, 1, 0)
+		_ = m.Apply(
+			&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}},
+			1,
+			0,
+		)
 		attempt := uint32(0)
 		for seq := uint64(2); seq < 80; seq++ {
 			var e *Entry
@@ -300,7 +359,12 @@
 			switch rapid.IntRange(0, 9).Draw(t, "kind") {
 			case 0, 1:
 				if j == nil && m.Finals[id] == 0 {
-					e = &Entry{Kind: EntryAccept, Job: id, Spec: testSpec(uint64(id), rapid.IntRange(1, 4).Draw(t, "tasks")), At: 5}
+					e = &Entry{
+						Kind: EntryAccept,
+						Job:  id,
+						Spec: testSpec(uint64(id), rapid.IntRange(1, 4).Draw(t, "tasks")),
+						At:   5,
+					}
 				}
 			case 2:
 				if !machines[machineID] && machineID >= m.NextMachine {
@@ -319,7 +383,14 @@
 			case 5, 6, 7:
 				if j != nil && !j.Cancelled && j.Tasks[taskIndex].State == Waiting && machines[machineID] {
 					attempt++
-					e = &Entry{Kind: EntryPlace, Job: id, Task: taskIndex, Attempt: attempt, Machine: machineID, Session: 1}
+					e = &Entry{
+						Kind:    EntryPlace,
+						Job:     id,
+						Task:    taskIndex,
+						Attempt: attempt,
+						Machine: machineID,
+						Session: 1,
+					}
 				}
 			case 8, 9:
 				if j != nil && j.Tasks[taskIndex].Run != nil {
@@ -377,7 +448,13 @@
 		t.Fatal(err)
 	}
 	if len(restored.Finals) != n || len(restored.Jobs) != 0 || m.LiveTasks != 0 {
-		t.Errorf("%d final states, %d jobs, %d tasks after %v", len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began))
+		t.Errorf(
+			"%d final states, %d jobs, %d tasks after %v",
+			len(restored.Finals),
+			len(restored.Jobs),
+			m.LiveTasks,
+			time.Since(began),
+		)
 	}
 }
 
@@ -416,7 +493,13 @@
 	if m.Observe(machine, testReport(1, 2, token), m.BeginProbe(machine), 1); machine.ServicesOnly(1) {
 		t.Error("one that answers in its session counts as mute")
 	}
-	if m.Observe(machine, testReport(2, 5, token), m.BeginProbe(machine), 2); !machine.ServicesOnly(2) || !machine.IsUsable() {
+	if m.Observe(
+		machine,
+		testReport(2, 5, token),
+		m.BeginProbe(machine),
+		2,
+	); !machine.ServicesOnly(2) ||
+		!machine.IsUsable() {
 		t.Error("its lease ran out under our questions, and it gets all work, or none")
 	}
 	if m.Observe(machine, testReport(1, 3, token), nil, 3); !machine.ServicesOnly(3) {
@@ -449,7 +532,8 @@
 		t.Error("gone before the entry was committed, or still in use")
 	}
 	machine.SuspicionCommitted(11, 11*time.Second)
-	if machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(0.9e9), 2) || !machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(1.2e9), 2) {
+	if machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(0.9e9), 2) ||
+		!machine.LeaseExpired(bound, lease, 0, machine.SuspectFrom+bound+lease+Time(1.2e9), 2) {
 		t.Error("not gone a second after the bound and the lease")
 	}
 	again := New(params())
@@ -457,7 +541,8 @@
 		t.Fatal(err)
 	}
 	again.BeginTerm(4<<24, time.Minute)
-	if o := again.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) || !o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
+	if o := again.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) ||
+		!o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
 		t.Error("a new leader does not count from its own election")
 	}
 	apply(EntryTrust, 12*time.Second)
@@ -515,7 +600,12 @@
 	machine := x.model.Machines[machineID]
 	sendReport := func(state, cause string) {
 		x.reportSeq++
-		r := testReport(1, x.reportSeq, 3<<24, wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause})
+		r := testReport(
+			1,
+			x.reportSeq,
+			3<<24,
+			wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause},
+		)
 		v := x.model.Observe(machine, r, nil, x.now)
 		slow = slow || v.Slow
 		for _, e := range v.Entries {
@@ -534,7 +624,12 @@
 
 func newTiming(t *testing.T, estimate float64) *timing {
 	x := &timing{test: t, model: New(params()), now: 1}
-	x.apply(&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}})
+	x.apply(
+		&Entry{
+			Kind: EntryType,
+			Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}},
+		},
+	)
 	for n := MachineID(1); n <= 3; n++ {
 		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
 	}
@@ -605,7 +700,8 @@
 		if x.model.DetectSlow(x.model.Machines[3], x.now) {
 			t.Errorf("%s: nothing runs, and it is late", c.name)
 		}
-		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want || machine.IsSlow(x.now+2*slowPeriod) {
+		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want ||
+			machine.IsSlow(x.now+2*slowPeriod) {
 			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(x.now))
 		}
 	}
@@ -642,7 +738,11 @@
 				now = x.now - began
 			}
 			if c.good && x.now == began+config.Seconds(3) {
-				x.model.recordDuration(machine, &Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now}, x.now+config.Seconds(20))
+				x.model.recordDuration(
+					machine,
+					&Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now},
+					x.now+config.Seconds(20),
+				)
 			}
 			x.now += config.Seconds(3)
 		}
@@ -697,7 +797,12 @@
 	if v := m.Observe(machine, testReport(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.IsStale() {
 		t.Errorf("a copy of session 2 proves %d ends", len(v.Entries))
 	}
-	v := m.Observe(machine, testReport(1, 7, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskRunning}), m.BeginProbe(machine), 2)
+	v := m.Observe(
+		machine,
+		testReport(1, 7, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskRunning}),
+		m.BeginProbe(machine),
+		2,
+	)
 	if len(v.Entries) != 0 || run.Phase != Running {
 		t.Errorf("an answer that lists the run proves %d ends, phase %d", len(v.Entries), run.Phase)
 	}
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -58,7 +58,11 @@
 	if !machine.Suspect || machine.SuspectFrom == 0 {
 		return false
 	}
-	if from, complete := machine.Renewals.CountsFrom(others, ownRenewal); complete && lease.Expired(from, duration, now) {
+	if from, complete := machine.Renewals.CountsFrom(
+		others,
+		ownRenewal,
+	); complete &&
+		lease.Expired(from, duration, now) {
 		return true
 	}
 	return lease.Expired(machine.SuspectFrom, bound+duration, now)
@@ -222,7 +226,14 @@
 	return now - machine.LastReport
 }
 
-func (m *Model) observeTask(machine *Machine, s *wire.TaskStatus, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict, now Time) {
+func (m *Model) observeTask(
+	machine *Machine,
+	s *wire.TaskStatus,
+	r *wire.Heartbeat,
+	isProbeAnswer bool,
+	verdict *ReportVerdict,
+	now Time,
+) {
 	n, task, ok := wire.ParseTaskID(s.Task)
 	if !ok || s.Attempt >= 1<<31 {
 		return
@@ -235,10 +246,14 @@
 	exited := s.State == wire.TaskExited
 	if run == nil || run.Session > machine.Session {
 		reapable := reapableTask{key: k, exited: exited}
-		if j := m.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled && int(task) < len(j.Tasks) &&
+		if j := m.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled &&
+			int(task) < len(j.Tasks) &&
 			j.Tasks[task].State == Waiting {
 			// A result that was kept through a change of leaders still counts.
-			verdict.Entries = append(verdict.Entries, &Entry{Kind: EntryDone, Job: k.job, Task: k.task, Attempt: k.attempt})
+			verdict.Entries = append(
+				verdict.Entries,
+				&Entry{Kind: EntryDone, Job: k.job, Task: k.task, Attempt: k.attempt},
+			)
 		}
 		machine.reapable = append(machine.reapable, reapable)
 		return
@@ -254,7 +269,10 @@
 		if m.startMayBeInFlight(machine, run) || !m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 			return
 		}
-		verdict.Entries = append(verdict.Entries, &Entry{Kind: EntryEnded, Job: k.job, Task: k.task, Attempt: k.attempt})
+		verdict.Entries = append(
+			verdict.Entries,
+			&Entry{Kind: EntryEnded, Job: k.job, Task: k.task, Attempt: k.attempt},
+		)
 		return
 	}
 	run.goneFromToken = 0
@@ -314,7 +332,13 @@
 }
 
 // judgeUnlisted judges a run that a report does not list.
-func (m *Model) judgeUnlisted(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) *Entry {
+func (m *Model) judgeUnlisted(
+	machine *Machine,
+	run *Run,
+	r *wire.Heartbeat,
+	isProbeAnswer bool,
+	verdict *ReportVerdict,
+) *Entry {
 	gone := &Entry{Kind: EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt}
 	if run.Session < r.AgentEpoch {
 		// A newer session: everything of the older one is gone, and commands for it are refused. Unless the worker
@@ -349,7 +373,8 @@
 	if run.Inherited && r.FencingToken < m.TermBase {
 		return nil
 	}
-	if run.Phase == Unseen && !run.IsWanted() || run.Phase != Unseen && m.provesGone(machine, run, r, isProbeAnswer, verdict) {
+	if run.Phase == Unseen && !run.IsWanted() ||
+		run.Phase != Unseen && m.provesGone(machine, run, r, isProbeAnswer, verdict) {
 		return gone
 	}
 	return nil
@@ -359,7 +384,13 @@
 // rare that it may take a question: a report that a worker sent before it began anew, with numbers that begin at 1,
 // may come after newer ones whose numbers are no higher. So the machine is asked, and its answer counts at once; a
 // report counts if it shows a token that was first given out after one like it was heard.
-func (m *Model) provesGone(machine *Machine, run *Run, r *wire.Heartbeat, isProbeAnswer bool, verdict *ReportVerdict) bool {
+func (m *Model) provesGone(
+	machine *Machine,
+	run *Run,
+	r *wire.Heartbeat,
+	isProbeAnswer bool,
+	verdict *ReportVerdict,
+) bool {
 	if isProbeAnswer || run.goneFromToken != 0 && r.FencingToken >= run.goneFromToken {
 		return true
 	}
--- a/internal/model/reason_history_test.go
+++ b/internal/model/reason_history_test.go
@@ -16,7 +16,12 @@
 		j.PendingReason = pending.Reason{Code: c, Count: i}
 		j.RecordReason(Time(i+1) * 1e9)
 	}
-	want := []ReasonSince{{pending.None, 6e9}, {pending.NoCapacity, 5e9}, {pending.TeamLimit, 4e9}, {pending.NoCapacity, 2e9}}
+	want := []ReasonSince{
+		{pending.None, 6e9},
+		{pending.NoCapacity, 5e9},
+		{pending.TeamLimit, 4e9},
+		{pending.NoCapacity, 2e9},
+	}
 	if d := cmp.Diff(want, j.ReasonHistory()); d != "" {
 		t.Error(d)
 	}
@@ -28,7 +33,8 @@
 	}); n != 0 {
 		t.Errorf("%g allocations for a change of reason", n)
 	}
-	if actual := j.ReasonHistory(); len(actual) != maxReasonHistory || actual[0].Since != at || actual[maxReasonHistory-1].Since != at-maxReasonHistory+1 {
+	if actual := j.ReasonHistory(); len(actual) != maxReasonHistory || actual[0].Since != at ||
+		actual[maxReasonHistory-1].Since != at-maxReasonHistory+1 {
 		t.Errorf("after many changes: %+v at %d", actual, at)
 	}
 }
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -78,7 +78,9 @@
 	if len(m.Intents) > 0 {
 		b = codec.Uint(b, uint64(len(m.Intents)))
 		for _, i := range m.Intents {
-			b = (&Entry{Kind: EntryIntent, Info: &MachineInfo{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot}, Count: i.Count}).Append(b)
+			b = (&Entry{Kind: EntryIntent, Info: &MachineInfo{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot}, Count: i.Count}).Append(
+				b,
+			)
 		}
 	}
 	return b
@@ -191,7 +193,14 @@
 			return codec.ErrShort
 		}
 		if state == Placed {
-			e := &Entry{Kind: EntryPlace, Job: j.ID, Task: int32(i), Attempt: attempt, Machine: MachineID(r.Max(1 << 31)), Session: r.Uint()}
+			e := &Entry{
+				Kind:    EntryPlace,
+				Job:     j.ID,
+				Task:    int32(i),
+				Attempt: attempt,
+				Machine: MachineID(r.Max(1 << 31)),
+				Session: r.Uint(),
+			}
 			if r.Err != nil || n != 1 {
 				return codec.ErrShort
 			}
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -46,7 +46,8 @@
 func (m *Model) recordDuration(machine *Machine, r *Run, now Time) (slow bool) {
 	j := r.Job
 	took := now - r.StartedAt
-	if r.StartedAt == 0 || took < minTimedDuration || r.Inherited || r.Attempt > 1 && j.Spec.CheckpointIntervalS > 0 || r.StartedAt < machine.silenceEndedAt {
+	if r.StartedAt == 0 || took < minTimedDuration || r.Inherited || r.Attempt > 1 && j.Spec.CheckpointIntervalS > 0 ||
+		r.StartedAt < machine.silenceEndedAt {
 		return false // seen too late, too short to tell, continued from a checkpoint, or hung meanwhile
 	}
 	logSeconds := math.Log(took.Seconds())
@@ -72,7 +73,8 @@
 	}
 	j.taskTimes.add(logSeconds, 1, math.Inf(1))
 	// One job's tasks may differ by chance: two of them must agree.
-	return !machine.IsSlow(now) && machine.pace.weight >= minPaceTasks && machine.paceJobs >= 2 && machine.pace.mean > math.Log(slowFactor)
+	return !machine.IsSlow(now) && machine.pace.weight >= minPaceTasks && machine.paceJobs >= 2 &&
+		machine.pace.mean > math.Log(slowFactor)
 }
 
 // IsSlow tells whether a machine was found to be slow lately. Speed is nothing to
@@ -106,7 +108,8 @@
 	for _, r := range machine.Runs {
 		j := r.Job
 		if j.Kind != Array || j.taskTimes.weight < minPaceTasks || r.Phase != Running || r.Stop || r.Inherited || r.StartedAt == 0 ||
-			r.StartedAt < machine.silenceEndedAt || r.StartedAt <= max(machine.lastOnTimeStart, machine.slowFoundAt) || now-r.StartedAt < minTimedDuration ||
+			r.StartedAt < machine.silenceEndedAt || r.StartedAt <= max(machine.lastOnTimeStart, machine.slowFoundAt) ||
+			now-r.StartedAt < minTimedDuration ||
 			math.Log((now-r.StartedAt).Seconds())-j.taskTimes.mean < math.Log(slowFactor) {
 			continue
 		}
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -28,7 +28,12 @@
 // Questions beside them make idle connections close where all together were more.
 func New(network host.Net, timeout time.Duration, conns int) *Client {
 	c := &Client{timeout: timeout, slots: make(chan struct{}, max(1, conns/2))}
-	c.transport = msgpackhttp.New(&countingNetwork{Net: network, maxOpen: int64(conns), closeIdle: c.Close}, 1, conns/2, timeout)
+	c.transport = msgpackhttp.New(
+		&countingNetwork{Net: network, maxOpen: int64(conns), closeIdle: c.Close},
+		1,
+		conns/2,
+		timeout,
+	)
 	return c
 }
 
@@ -95,7 +100,11 @@
 }
 
 // SendOrders sends commands. The report is the worker's, if it sent one.
-func (c *Client) SendOrders(ctx context.Context, addr string, orders *wire.Orders) (CommandFate, *wire.Heartbeat, error) {
+func (c *Client) SendOrders(
+	ctx context.Context,
+	addr string,
+	orders *wire.Orders,
+) (CommandFate, *wire.Heartbeat, error) {
 	timer := time.NewTimer(slotTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -39,7 +39,11 @@
 			defer ln.Close()
 			wg.Go(func() {
 				start := time.Now()
-				fate, _, _ := client.SendOrders(context.Background(), addr, &wire.Orders{FencingToken: 1, AgentEpoch: 1})
+				fate, _, _ := client.SendOrders(
+					context.Background(),
+					addr,
+					&wire.Orders{FencingToken: 1, AgentEpoch: 1},
+				)
 				mu.Lock()
 				defer mu.Unlock()
 				fates[fate]++
@@ -50,7 +54,13 @@
 		}
 		wg.Wait()
 		if fates[Unknown] != conns/2 || fates[Unsent] != machines-conns/2 {
-			t.Errorf("%d commands without an answer and %d not sent, of %d with room for %d", fates[Unknown], fates[Unsent], machines, conns/2)
+			t.Errorf(
+				"%d commands without an answer and %d not sent, of %d with room for %d",
+				fates[Unknown],
+				fates[Unsent],
+				machines,
+				conns/2,
+			)
 		}
 		client.Close()
 		time.Sleep(time.Minute)
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -23,7 +23,11 @@
 
 // New makes a client that sends at most rps requests a second.
 func New(network host.Net, addr string, rps float64) *Client {
-	return &Client{transport: msgpackhttp.New(network, 4, 4, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps)))}
+	return &Client{
+		transport: msgpackhttp.New(network, 4, 4, 2*time.Second),
+		addr:      addr,
+		budget:    rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
+	}
 }
 
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -36,8 +36,16 @@
 // New makes a client that sends at most rps requests a second. Renewals of a
 // lease are not held back by the budget.
 func New(network host.Net, addr string, rps float64) *Client {
-	return &Client{transport: msgpackhttp.New(network, 8, 8, 2*time.Second), addr: addr, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		userBudget: rate.NewLimiter(rate.Limit(rps/2), max(1, int(rps/4))), userSlots: make(chan struct{}, maxUserReads)}
+	return &Client{
+		transport: msgpackhttp.New(network, 8, 8, 2*time.Second),
+		addr:      addr,
+		budget:    rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
+		userBudget: rate.NewLimiter(
+			rate.Limit(rps/2),
+			max(1, int(rps/4)),
+		),
+		userSlots: make(chan struct{}, maxUserReads),
+	}
 }
 
 // ForUser runs a read that a user's request needs, within the part of the budget
@@ -112,7 +120,14 @@
 // Grant asks for a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var answer wire.LeaseResponse
-	err := c.doUnbudgeted(ctx, "POST", wire.PathLeases, &wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &answer, 2*time.Second)
+	err := c.doUnbudgeted(
+		ctx,
+		"POST",
+		wire.PathLeases,
+		&wire.LeaseRequest{TTLMillis: ttl.Milliseconds()},
+		&answer,
+		2*time.Second,
+	)
 	return answer.Lease, err
 }
 
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -31,8 +31,13 @@
 // DefaultRules are the rules. A warm node that notices has the lead within some 0.2 s; where the others can't be
 // heard of, that is waited for several times over, and no longer: they may all be gone.
 var DefaultRules = Rules{
-	FreshFor: 2 * time.Second, MaxFreshFor: time.Minute, RestartMemory: 2 * time.Minute, YieldToWarm: 1500 * time.Millisecond, MaxYield: 6 * time.Second,
-	YieldToUnreachable: 800 * time.Millisecond, StatusTTL: 1500 * time.Millisecond,
+	FreshFor:           2 * time.Second,
+	MaxFreshFor:        time.Minute,
+	RestartMemory:      2 * time.Minute,
+	YieldToWarm:        1500 * time.Millisecond,
+	MaxYield:           6 * time.Second,
+	YieldToUnreachable: 800 * time.Millisecond,
+	StatusTTL:          1500 * time.Millisecond,
 }
 
 // Status is what a node says of itself when it is asked whether it is there.
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -97,7 +97,12 @@
 		t.Errorf("it stands after %v", at)
 	}
 	eligibility := New(DefaultRules, 2, 0)
-	if at := standsAfter(t, eligibility, time.Minute, func(now Time) { eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now) }); at < DefaultRules.YieldToWarm {
+	if at := standsAfter(
+		t,
+		eligibility,
+		time.Minute,
+		func(now Time) { eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now) },
+	); at < DefaultRules.YieldToWarm {
 		t.Errorf("beside a warm one it stands after %v", at)
 	}
 }
@@ -124,7 +129,14 @@
 	eligibility := New(DefaultRules, 1, 0)
 	for i := range 40 {
 		for range 3 {
-			if actual, want := eligibility.RecordIncarnation(0, uint64(i), Time(i)*time.Second), min(i+1, maxIncarnations); actual != want {
+			if actual, want := eligibility.RecordIncarnation(
+				0,
+				uint64(i),
+				Time(i)*time.Second,
+			), min(
+				i+1,
+				maxIncarnations,
+			); actual != want {
 				t.Fatalf("%d processes met, should be %d", actual, want)
 			}
 		}
@@ -143,7 +155,14 @@
 			for i := range 3 {
 				switch rapid.IntRange(0, 3).Draw(r, "word") {
 				case 0:
-					eligibility.RecordStatus(i, Status{Warm: rapid.Bool().Draw(r, "warm"), RecentIncarnations: rapid.IntRange(0, maxIncarnations).Draw(r, "met")}, now)
+					eligibility.RecordStatus(
+						i,
+						Status{
+							Warm:               rapid.Bool().Draw(r, "warm"),
+							RecentIncarnations: rapid.IntRange(0, maxIncarnations).Draw(r, "met"),
+						},
+						now,
+					)
 				case 1:
 					eligibility.RecordUnreachable(i)
 				}
@@ -161,7 +180,10 @@
 			t.Errorf("%+v came back as %+v, %v", status, decoded, err)
 		}
 	}
-	if node, incarnation, err := ReadQuery(AppendQuery(nil, "n1", 1<<60)); err != nil || node != "n1" || incarnation != 1<<60 {
+	if node, incarnation, err := ReadQuery(
+		AppendQuery(nil, "n1", 1<<60),
+	); err != nil || node != "n1" ||
+		incarnation != 1<<60 {
 		t.Error(node, incarnation, err)
 	}
 	encoded := AppendQuery(nil, "n1", 7)
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -81,7 +81,13 @@
 
 // BeginRound begins a round of questions now, by a node that was complete at a time and has all batches up to a number.
 func (w *Watermarks) BeginRound(now, complete Time, seq uint64, peers int) *BarrierRound {
-	round := &BarrierRound{startedAt: now, completeAt: complete, knownSeq: seq, confirmed: make([]bool, peers), unconfirmed: peers}
+	round := &BarrierRound{
+		startedAt:   now,
+		completeAt:  complete,
+		knownSeq:    seq,
+		confirmed:   make([]bool, peers),
+		unconfirmed: peers,
+	}
 	if w.highest > seq {
 		round.unconfirmed++ // this process itself has seen more than its copy holds now
 	}
@@ -91,7 +97,8 @@
 // Record takes in the word of another controller that came now, in answer to a question of this round.
 func (r *BarrierRound) Record(node int, report WatermarkReport, now Time) {
 	// Its clock may be fast: it is no older than it says, less the drift.
-	if age := report.Age - report.Age/driftDivisor; r.confirmed[node] || report.Highest > r.knownSeq || now-age > r.completeAt {
+	if age := report.Age - report.Age/driftDivisor; r.confirmed[node] || report.Highest > r.knownSeq ||
+		now-age > r.completeAt {
 		return
 	}
 	r.confirmed[node] = true
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -80,7 +80,10 @@
 					if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 						continue
 					}
-					report, err := ReadReport(processes[n].watermarks.Report(Time((now - processes[n].begun) * processes[n].rate * 1e9)).Append(nil))
+					report, err := ReadReport(
+						processes[n].watermarks.Report(Time((now - processes[n].begun) * processes[n].rate * 1e9)).
+							Append(nil),
+					)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -95,7 +98,14 @@
 				proven++
 				for _, c := range confirmed {
 					if c.seq > askerSeq && c.at <= asked {
-						t.Fatalf("batch %d was confirmed at %v; the asker has %d, was complete at %v, and was told at %v that it is as good as complete", c.seq, c.at, askerSeq, complete, asked)
+						t.Fatalf(
+							"batch %d was confirmed at %v; the asker has %d, was complete at %v, and was told at %v that it is as good as complete",
+							c.seq,
+							c.at,
+							askerSeq,
+							complete,
+							asked,
+						)
 					}
 				}
 				askerCompleteAt, complete = at, asked
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -59,20 +59,34 @@
 			If: []wire.Condition{{Key: oplog.KeyLeader}, {Key: oplog.KeyTerm, Version: termVersion}},
 			Then: []wire.Write{
 				{Put: oplog.KeyTerm, Value: &wire.LogValue{Version: 1, Term: term}},
-				{Put: oplog.KeyLeader, Lease: lease, Value: &wire.LogValue{Version: 1, Term: term, Node: node, Lease: lease}},
+				{
+					Put:   oplog.KeyLeader,
+					Lease: lease,
+					Value: &wire.LogValue{Version: 1, Term: term, Node: node, Lease: lease},
+				},
 			},
 		}
 	}, logger)
 	if err != nil {
 		return nil, err
 	}
-	return &Leadership{Leader: oplog.Leader{Node: node, Term: term, Lease: lease, Version: version}, TrustedUntil: sent.Add(TrustPeriod)}, nil
+	return &Leadership{
+		Leader:       oplog.Leader{Node: node, Term: term, Lease: lease, Version: version},
+		TrustedUntil: sent.Add(TrustPeriod),
+	}, nil
 }
 
 // AcquireKey tries once to make a key that hangs on a lease of its own: the leader's, or that of a duty. txn gives the
 // transaction that makes it, whose value names the node and the lease. It returns the key's version. The lease may be
 // trusted for its time from before the call.
-func AcquireKey(ctx context.Context, store *kvstore.Client, ttl time.Duration, key, node string, makeTxn func(lease uint64) *wire.Txn, logger *slog.Logger) (lease, version uint64, err error) {
+func AcquireKey(
+	ctx context.Context,
+	store *kvstore.Client,
+	ttl time.Duration,
+	key, node string,
+	makeTxn func(lease uint64) *wire.Txn,
+	logger *slog.Logger,
+) (lease, version uint64, err error) {
 	if lease, err = store.Grant(ctx, ttl); err != nil {
 		return 0, 0, err
 	}
@@ -101,7 +115,12 @@
 
 // RenewUntilLost renews the lease until the context ends or the lease is over, calling
 // renewed with the time until which the lead may be trusted.
-func RenewUntilLost(ctx context.Context, store *kvstore.Client, leadership *Leadership, onRenewed func(until time.Time)) error {
+func RenewUntilLost(
+	ctx context.Context,
+	store *kvstore.Client,
+	leadership *Leadership,
+	onRenewed func(until time.Time),
+) error {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -80,7 +80,11 @@
 func (s *store) append(n *node, k int) {
 	for range k {
 		s.lastSeq++
-		if err := n.Append(s.ctx, &n.leadership.Leader, oplog.Batch{Seq: s.lastSeq, Term: n.leadership.Term, Data: data(s.lastSeq)}); err != nil {
+		if err := n.Append(
+			s.ctx,
+			&n.leadership.Leader,
+			oplog.Batch{Seq: s.lastSeq, Term: n.leadership.Term, Data: data(s.lastSeq)},
+		); err != nil {
 			s.test.Fatal(err)
 		}
 	}
@@ -200,7 +204,8 @@
 				if from > s.lastSeq {
 					continue
 				}
-				if err := a.NewCompactor(a.leadership.Fence()).Compact(s.ctx, s.lastSeq, snapshot(s.lastSeq)); err != nil {
+				if err := a.NewCompactor(a.leadership.Fence()).
+					Compact(s.ctx, s.lastSeq, snapshot(s.lastSeq)); err != nil {
 					t.Fatal(err)
 				}
 				batches, err := a.BatchesAfter(s.ctx, from)
@@ -279,7 +284,11 @@
 		const batches = 60
 		start := time.Now()
 		for seq := uint64(1); seq <= batches; seq++ {
-			if err := n.Append(s.ctx, &n.leadership.Leader, oplog.Batch{Seq: seq, Term: n.leadership.Term, Data: data(seq)}); err != nil {
+			if err := n.Append(
+				s.ctx,
+				&n.leadership.Leader,
+				oplog.Batch{Seq: seq, Term: n.leadership.Term, Data: data(seq)},
+			); err != nil {
 				t.Error(err)
 				return
 			}
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -137,13 +137,24 @@
 		"intakes": &wire.Items{Revision: 520, More: true, Items: []wire.Item{
 			{Key: "f/in/000000000000300", Version: 9, Value: accept}}},
 		"intakes-2": &wire.Items{Revision: 521, Items: []wire.Item{
-			{Key: "f/in/999999999999999", Version: 10, Value: raw(wire.LogValue{Version: 1, Data: text("accept last")})}}},
+			{
+				Key:     "f/in/999999999999999",
+				Version: 10,
+				Value:   raw(wire.LogValue{Version: 1, Data: text("accept last")}),
+			},
+		}},
 		"intake-follow": &wire.Events{Revision: 522, Events: []wire.Event{
 			{Put: "f/in/000000000000300", Version: 522, Value: accept}}},
 		"apart": &wire.Items{Revision: 1, Items: []wire.Item{{Key: "f/apart/node-3", Version: 30, Value: apart}}},
 		"duties": &wire.Items{Revision: 530, Items: []wire.Item{
 			{Key: "f/duty/held/rent", Version: 31, Lease: 12, Value: held},
-			{Key: "f/duty/stuck/rent", Version: 32, Value: stuck}, {Key: "f/duty/part/node-3", Version: 33, Value: part}}},
+			{
+				Key:     "f/duty/stuck/rent",
+				Version: 32,
+				Value:   stuck,
+			},
+			{Key: "f/duty/part/node-3", Version: 33, Value: part},
+		}},
 		"duties-follow": &wire.Events{Revision: 531, Events: []wire.Event{{Delete: "f/duty/held/rent", Version: 531}}},
 	}
 }
@@ -258,9 +269,17 @@
 			[]oplog.PartitionedNode{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
 		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
 			key := oplog.RoleKey("rent")
-			lease, version, err := election.AcquireKey(ctx, svc, 4*time.Second, key, "node-2", func(lease uint64) *wire.Txn {
-				return oplog.AcquireRoleTxn("rent", "node-2", lease)
-			}, discardLogger)
+			lease, version, err := election.AcquireKey(
+				ctx,
+				svc,
+				4*time.Second,
+				key,
+				"node-2",
+				func(lease uint64) *wire.Txn {
+					return oplog.AcquireRoleTxn("rent", "node-2", lease)
+				},
+				discardLogger,
+			)
 			return []uint64{lease, version}, err
 		}, []uint64{1 << 41, 600}, nil},
 		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
@@ -268,16 +287,38 @@
 		}, nil, nil},
 		{"take part", "txn", takePart(true), nil, nil},
 		{"take no part", "txn", takePart(false), nil, nil},
-		{"duties", "duties", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-			list, revision, err := l.Roles(ctx)
-			return []any{list, revision}, err
-		}, []any{[]oplog.RoleUpdate{{HeldRole: "rent", Node: "node-2", Term: 31, Lease: 12},
-			{StalledRole: "rent", Term: 32, Count: 3}, {Participant: "node-3", Node: "node-3", Term: 33}}, uint64(530)}, nil},
+		{
+			"duties",
+			"duties",
+			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+				list, revision, err := l.Roles(ctx)
+				return []any{list, revision}, err
+			},
+			[]any{
+				[]oplog.RoleUpdate{
+					{HeldRole: "rent", Node: "node-2", Term: 31, Lease: 12},
+					{
+						StalledRole: "rent",
+						Term:        32,
+						Count:       3,
+					},
+					{Participant: "node-3", Node: "node-3", Term: 33},
+				},
+				uint64(530),
+			},
+			nil,
+		},
 		{"follow duties", "duties-follow", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			list, revision, err := l.FollowRoles(ctx, 530, 1500*time.Millisecond)
 			return []any{list, revision}, err
 		}, []any{[]oplog.RoleUpdate{{HeldRole: "rent", Deleted: true, Term: 531}}, uint64(531)}, nil},
-		{"acquire", "term lease txn", acquire, oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
+		{
+			"acquire",
+			"term lease txn",
+			acquire,
+			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600},
+			nil,
+		},
 		{"acquire the first term", "404 lease txn", acquire,
 			oplog.Leader{Node: "node-1", Term: 1, Lease: 1 << 41, Version: 600}, nil},
 		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, election.ErrTaken},
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -96,7 +96,11 @@
 }
 
 // WatchIntake waits until jobs came in after a revision.
-func (l *Log) WatchIntake(ctx context.Context, after uint64, hold time.Duration) (revision uint64, arrived bool, err error) {
+func (l *Log) WatchIntake(
+	ctx context.Context,
+	after uint64,
+	hold time.Duration,
+) (revision uint64, arrived bool, err error) {
 	changes, err := l.store.Follow(ctx, prefixIntake, after, hold)
 	if err != nil {
 		return 0, false, err
--- a/internal/replication/oplog/oplog.go
+++ b/internal/replication/oplog/oplog.go
@@ -130,7 +130,11 @@
 
 // rangeAll reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a
 // watch from there sees whatever changes meanwhile.
-func (l *Log) rangeAll(ctx context.Context, prefix, after string, visit func(it *wire.Item) error) (rev uint64, err error) {
+func (l *Log) rangeAll(
+	ctx context.Context,
+	prefix, after string,
+	visit func(it *wire.Item) error,
+) (rev uint64, err error) {
 	for {
 		page, err := l.store.Range(ctx, prefix, after, pageKeys)
 		if err != nil {
@@ -478,7 +482,10 @@
 	l := c.log
 	var previous *wire.LogValue
 	var metaVersion uint64
-	if err := retryRead(ctx, func() (err error) { previous, metaVersion, err = l.currentSnapshot(ctx); return err }); err != nil {
+	if err := retryRead(
+		ctx,
+		func() (err error) { previous, metaVersion, err = l.currentSnapshot(ctx); return err },
+	); err != nil {
 		return err
 	}
 	if previous.Seq >= seq {
@@ -504,15 +511,20 @@
 		remaining = remaining[n:]
 	}
 	err := l.commit(ctx, &wire.Txn{
-		If:   []wire.Condition{guard, {Key: keyMeta, Version: metaVersion}},
-		Then: []wire.Write{{Put: keyMeta, Value: &wire.LogValue{Version: formatVersion, Term: c.fence.Term, Seq: seq, Count: parts}}},
+		If: []wire.Condition{guard, {Key: keyMeta, Version: metaVersion}},
+		Then: []wire.Write{
+			{Put: keyMeta, Value: &wire.LogValue{Version: formatVersion, Term: c.fence.Term, Seq: seq, Count: parts}},
+		},
 	}, func(failed []string) error {
 		if err := checkDeposed(failed); err != nil {
 			return err
 		}
 		// An earlier copy of this write went through, or somebody else's did: the key says which.
 		var current *wire.LogValue
-		if err := retryRead(ctx, func() (err error) { current, _, err = l.currentSnapshot(ctx); return err }); err != nil {
+		if err := retryRead(
+			ctx,
+			func() (err error) { current, _, err = l.currentSnapshot(ctx); return err },
+		); err != nil {
 			return err
 		}
 		if current.Seq != seq || current.Term != c.fence.Term {
@@ -578,7 +590,10 @@
 		after, more := "", true
 		for more {
 			var page *wire.Items
-			if err := retryRead(ctx, func() (err error) { page, err = l.store.Range(ctx, in.prefix, after, sweepPageSize); return err }); err != nil {
+			if err := retryRead(
+				ctx,
+				func() (err error) { page, err = l.store.Range(ctx, in.prefix, after, sweepPageSize); return err },
+			); err != nil {
 				return nil, err
 			}
 			more = page.More && len(page.Items) > 0
@@ -633,8 +648,12 @@
 // PutPartitionedNode tells the leader that this node does not reach it. Further parts of an earlier, longer record
 // stay and count for nothing.
 func (l *Log) PutPartitionedNode(ctx context.Context, node PartitionedNode) error {
-	t := &wire.Txn{Then: []wire.Write{{Put: prefixPartitioned + node.Node, Value: &wire.LogValue{Version: formatVersion, Node: node.Node,
-		Seq: node.Seq, Count: len(node.Parts), Data: base64.StdEncoding.EncodeToString(node.Data)}}}}
+	t := &wire.Txn{
+		Then: []wire.Write{
+			{Put: prefixPartitioned + node.Node, Value: &wire.LogValue{Version: formatVersion, Node: node.Node,
+				Seq: node.Seq, Count: len(node.Parts), Data: base64.StdEncoding.EncodeToString(node.Data)}},
+		},
+	}
 	for i, part := range node.Parts {
 		t.Then = append(t.Then, wire.Write{Put: keyPartitionedPart(node.Node, i+1), Value: &wire.LogValue{
 			Version: formatVersion, Node: node.Node, Data: base64.StdEncoding.EncodeToString(part)}})
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -70,7 +70,11 @@
 }
 
 // FollowRoles waits for changes after one.
-func (l *Log) FollowRoles(ctx context.Context, after uint64, hold time.Duration) (list []RoleUpdate, revision uint64, err error) {
+func (l *Log) FollowRoles(
+	ctx context.Context,
+	after uint64,
+	hold time.Duration,
+) (list []RoleUpdate, revision uint64, err error) {
 	changes, err := l.store.Follow(ctx, prefixRole, after, hold)
 	if err != nil {
 		return nil, 0, err
@@ -90,7 +94,12 @@
 // AcquireRoleTxn is the transaction that makes the key of who holds a duty, if there is none.
 func AcquireRoleTxn(role, node string, lease uint64) *wire.Txn {
 	key := RoleKey(role)
-	return &wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Write{{Put: key, Lease: lease, Value: &wire.LogValue{Version: formatVersion, Node: node, Lease: lease}}}}
+	return &wire.Txn{
+		If: []wire.Condition{{Key: key}},
+		Then: []wire.Write{
+			{Put: key, Lease: lease, Value: &wire.LogValue{Version: formatVersion, Node: node, Lease: lease}},
+		},
+	}
 }
 
 // PutStalledHolders writes how many holders of a duty in a row got nowhere, if this one still holds it.
@@ -113,5 +122,11 @@
 // WithWriteShare makes a log of the same state service that takes a part of the write rate of its own, for who cleans
 // up and does not lead.
 func (l *Log) WithWriteShare(writeRPS, share float64, logger *slog.Logger) *Log {
-	return &Log{store: l.store, maxData: l.maxData, maxTxnOps: l.maxTxnOps, logger: logger, writes: newLimiter(writeRPS * share)}
+	return &Log{
+		store:     l.store,
+		maxData:   l.maxData,
+		maxTxnOps: l.maxTxnOps,
+		logger:    logger,
+		writes:    newLimiter(writeRPS * share),
+	}
 }
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -86,7 +86,13 @@
 func nodeName(i int) string { return string(rune('A' + i)) }
 
 func (w modelState) clone() modelState {
-	w.messages, w.openRequests, w.provisioned = slices.Clone(w.messages), slices.Clone(w.openRequests), slices.Clone(w.provisioned)
+	w.messages, w.openRequests, w.provisioned = slices.Clone(
+		w.messages,
+	), slices.Clone(
+		w.openRequests,
+	), slices.Clone(
+		w.provisioned,
+	)
 	return w
 }
 
@@ -111,13 +117,38 @@
 			b = append(append(b, x...), 0)
 		}
 	}
-	appendInts(int64(w.now), int64(w.holder), int64(w.term), int64(w.deletedRevision), int64(w.lease), int64(w.leaseEnds), int64(len(w.openRequests)))
+	appendInts(
+		int64(w.now),
+		int64(w.holder),
+		int64(w.term),
+		int64(w.deletedRevision),
+		int64(w.lease),
+		int64(w.leaseEnds),
+		int64(len(w.openRequests)),
+	)
 	appendStrings(w.provisioned...)
 	for i := range w.nodes {
 		n := &w.nodes[i]
 		role := &n.role
-		appendInts(int64(role.holder.Term), int64(role.holder.Since), int64(role.freeSince), int64(role.stalledHolders), int64(role.lease), int64(role.term), int64(role.trustedUntil), int64(role.renewSentAt),
-			int64(role.heldSince), int64(role.lastProgress), int64(role.betterSince), int64(role.backoffUntil), int64(role.backoff), int64(n.actionTerm), int64(n.restarts))
+		appendInts(
+			int64(role.holder.Term),
+			int64(role.holder.Since),
+			int64(role.freeSince),
+			int64(role.stalledHolders),
+			int64(role.lease),
+			int64(role.term),
+			int64(role.trustedUntil),
+			int64(role.renewSentAt),
+			int64(
+				role.heldSince,
+			),
+			int64(role.lastProgress),
+			int64(role.betterSince),
+			int64(role.backoffUntil),
+			int64(role.backoff),
+			int64(n.actionTerm),
+			int64(n.restarts),
+		)
 		appendBools(role.observed, role.awaitingAnswer, role.progressed, n.awaitingAnswer, n.wrote, n.provisioned)
 		appendStrings(role.holder.Node, role.releaseReason, n.pendingAction)
 	}
@@ -142,13 +173,19 @@
 		return "both nodes trust that they hold the duty"
 	}
 	for i := range w.nodes {
-		if role := &w.nodes[i].role; w.holder == i && role.Term() == w.term && !w.nodes[i].provisioned && !w.nodes[i].wrote &&
+		if role := &w.nodes[i].role; w.holder == i && role.Term() == w.term && !w.nodes[i].provisioned &&
+			!w.nodes[i].wrote &&
 			w.now-role.HeldSince() > modelRules.Patience+modelRules.TTL+2 {
 			return nodeName(i) + " holds the duty for long and gets nowhere"
 		}
 	}
 	if len(w.provisioned) > wantedRequests {
-		return fmt.Sprintf("machines were rented %d times for %d wish: %v", len(w.provisioned), wantedRequests, w.provisioned)
+		return fmt.Sprintf(
+			"machines were rented %d times for %d wish: %v",
+			len(w.provisioned),
+			wantedRequests,
+			w.provisioned,
+		)
 	}
 	return ""
 }
@@ -186,7 +223,12 @@
 			return nil
 		}
 		if w.holder < 0 || w.term != m.term {
-			w.violation = fmt.Sprintf("a write of %s under term %d is applied, the key is of term %d", nodeName(m.node), m.term, w.term)
+			w.violation = fmt.Sprintf(
+				"a write of %s under term %d is applied, the key is of term %d",
+				nodeName(m.node),
+				m.term,
+				w.term,
+			)
 		}
 	}
 	return nil
@@ -237,8 +279,13 @@
 		step("the lease ends", func(w *modelState) { w.releaseKey() })
 	}
 	for i, m := range w.messages {
-		request := m.kind == acquireRequest || m.kind == renewRequest || m.kind == provisionRequest || m.kind == writeRequest
-		description := fmt.Sprintf("%s of %s", [...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal", "a rental " + m.name, "the answer to the rental " + m.name, "a write"}[m.kind], nodeName(m.node))
+		request := m.kind == acquireRequest || m.kind == renewRequest || m.kind == provisionRequest ||
+			m.kind == writeRequest
+		description := fmt.Sprintf(
+			"%s of %s",
+			[...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal", "a rental " + m.name, "the answer to the rental " + m.name, "a write"}[m.kind],
+			nodeName(m.node),
+		)
 		if request {
 			step(description+" is carried out", func(w *modelState) {
 				w.messages = slices.Delete(w.messages, i, i+1)
@@ -261,7 +308,13 @@
 }
 
 // sendSteps gives the ways that a request may go.
-func sendSteps(step func(string, func(*modelState)), mayDelay bool, description string, m message, before func(w *modelState)) {
+func sendSteps(
+	step func(string, func(*modelState)),
+	mayDelay bool,
+	description string,
+	m message,
+	before func(w *modelState),
+) {
 	step(description+", answered at once", func(w *modelState) {
 		before(w)
 		if answer := w.serve(m); answer != nil {
@@ -306,9 +359,21 @@
 		switch next.Decide(w.now, view) {
 		case Acquire:
 			lease := uint64(10*(i+1)) + uint64(w.now)
-			sendSteps(step, !w.promptDelivery, self+" asks for the key", message{kind: acquireRequest, node: i, sent: w.now, lease: lease}, func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true })
+			sendSteps(
+				step,
+				!w.promptDelivery,
+				self+" asks for the key",
+				message{kind: acquireRequest, node: i, sent: w.now, lease: lease},
+				func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true },
+			)
 		case Renew:
-			sendSteps(step, !w.promptDelivery, self+" renews its lease", message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()}, func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true })
+			sendSteps(
+				step,
+				!w.promptDelivery,
+				self+" renews its lease",
+				message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()},
+				func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true },
+			)
 		case Release:
 			step(self+" lets go: "+next.ReleaseReason(), func(w *modelState) {
 				if w.holder == i && w.lease == next.Lease() {
@@ -325,9 +390,18 @@
 	}
 	switch {
 	case n.pendingAction == "" && n.role.Trusted(w.now) && !n.wrote && !w.noWrites:
-		step(self+" is about to write", func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "write", n.role.Term() })
+		step(
+			self+" is about to write",
+			func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "write", n.role.Term() },
+		)
 	case n.pendingAction == "write":
-		sendSteps(step, !w.promptDelivery, self+" writes", message{kind: writeRequest, node: i, term: n.actionTerm}, func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].wrote = "", true })
+		sendSteps(
+			step,
+			!w.promptDelivery,
+			self+" writes",
+			message{kind: writeRequest, node: i, term: n.actionTerm},
+			func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].wrote = "", true },
+		)
 	}
 	if n.pendingAction == "" && n.role.Trusted(w.now) && !n.provisioned && !w.noProvisioning {
 		name := ""
@@ -341,11 +415,20 @@
 			}
 		}
 		if name != "" {
-			step(self+" is about to rent "+name, func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "hire "+name, n.role.Term() })
+			step(
+				self+" is about to rent "+name,
+				func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "hire "+name, n.role.Term() },
+			)
 		}
 	}
 	if name, ok := strings.CutPrefix(n.pendingAction, "hire "); ok {
-		sendSteps(step, !w.promptDelivery, self+" rents "+name, message{kind: provisionRequest, node: i, term: n.actionTerm, name: name}, func(w *modelState) { w.nodes[i].pendingAction = "" })
+		sendSteps(
+			step,
+			!w.promptDelivery,
+			self+" rents "+name,
+			message{kind: provisionRequest, node: i, term: n.actionTerm, name: name},
+			func(w *modelState) { w.nodes[i].pendingAction = "" },
+		)
 	}
 	if n.restarts == 0 && n.role.Term() != 0 && !w.promptDelivery {
 		step(self+" ends and starts anew", func(w *modelState) {
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -58,8 +58,15 @@
 // DefaultRules are the rules of a duty. The lease is twice as long as a leader's, since nothing that a user waits for
 // hangs on it.
 func DefaultRules(n Name) Rules {
-	rules := Rules{TTL: 6 * time.Second, RenewInterval: 1500 * time.Millisecond, Patience: 20 * time.Second, Backoff: 10 * time.Second, MaxBackoff: 5 * time.Minute,
-		TurnDelay: 500 * time.Millisecond, SettleTime: 20*time.Second + 20*time.Second*Time(n)} // never two at once
+	rules := Rules{
+		TTL:           6 * time.Second,
+		RenewInterval: 1500 * time.Millisecond,
+		Patience:      20 * time.Second,
+		Backoff:       10 * time.Second,
+		MaxBackoff:    5 * time.Minute,
+		TurnDelay:     500 * time.Millisecond,
+		SettleTime:    20*time.Second + 20*time.Second*Time(n),
+	} // never two at once
 	if n == Compaction {
 		rules.Patience = time.Minute
 	}
@@ -233,7 +240,8 @@
 		return NoAction
 	}
 	if r.term == 0 {
-		if !v.Ready || r.holder.Node != "" || now < r.backoffUntil || now < r.freeSince+Time(r.rank(v))*r.Rules.TurnDelay {
+		if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
+			now < r.freeSince+Time(r.rank(v))*r.Rules.TurnDelay {
 			return NoAction
 		}
 		r.awaitingAnswer = true
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -43,8 +43,21 @@
 
 // TestGoldenFrames: calls with every operation, and answers, are written and read as they always were.
 func TestGoldenFrames(t *testing.T) {
-	ops := []Op{OpPing, OpSubmit, OpStatus, OpCancel, OpPendingReasons, OpQueue, OpRoleResult, OpRenewals, OpWatermark, OpRelayOffer, OpRelayReport,
-		OpRelayOrders, OpRelayProbe}
+	ops := []Op{
+		OpPing,
+		OpSubmit,
+		OpStatus,
+		OpCancel,
+		OpPendingReasons,
+		OpQueue,
+		OpRoleResult,
+		OpRenewals,
+		OpWatermark,
+		OpRelayOffer,
+		OpRelayReport,
+		OpRelayOrders,
+		OpRelayProbe,
+	}
 	var calls []frame[Request]
 	for i, op := range ops {
 		if int(op) != i+1 {
@@ -59,10 +72,20 @@
 
 	var replies []frame[Response]
 	for i, status := range []int{200, 201, 400, 404, 409, 410, 421, 429, 500, 501, 503, 504} {
-		replies = append(replies, frame[Response]{kindResponse, uint64(i + 1), &Response{Status: status, Body: []byte{}}})
+		replies = append(
+			replies,
+			frame[Response]{kindResponse, uint64(i + 1), &Response{Status: status, Body: []byte{}}},
+		)
 	}
-	replies = append(replies, frame[Response]{kindResponse, 13, &Response{Status: 429, RetryAfter: 7, Body: []byte("seven")}},
-		frame[Response]{kindResponse, 14, &Response{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))}})
+	replies = append(
+		replies,
+		frame[Response]{kindResponse, 13, &Response{Status: 429, RetryAfter: 7, Body: []byte("seven")}},
+		frame[Response]{
+			kindResponse,
+			14,
+			&Response{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))},
+		},
+	)
 	frames(t, "replies.hex", replies, appendResponse, readResponse)
 }
 
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -172,7 +172,13 @@
 			continue
 		}
 		wg.Go(func() {
-			if err := serveConn(ctx, conn, handler, traffic); err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil {
+			if err := serveConn(
+				ctx,
+				conn,
+				handler,
+				traffic,
+			); err != nil && !errors.Is(err, io.EOF) &&
+				ctx.Err() == nil {
 				logger.Debug("peer connection ended", "remote_addr", conn.RemoteAddr(), "err", err)
 			}
 		})
@@ -294,7 +300,14 @@
 
 // NewLink makes a link that is down.
 func NewLink(network host.Net, node, addr string, logger *slog.Logger) *Link {
-	return &Link{Node: node, Addr: addr, network: network, logger: logger, pending: map[uint64]chan *Response{}, Traffic: &Traffic{}}
+	return &Link{
+		Node:    node,
+		Addr:    addr,
+		network: network,
+		logger:  logger,
+		pending: map[uint64]chan *Response{},
+		Traffic: &Traffic{},
+	}
 }
 
 // LastResponse tells when the other side last answered anything.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -66,12 +66,20 @@
 		conns, link := runLink(ctx)
 		go func() {
 			_ = serveConn(ctx, <-conns, func(_ context.Context, request *Request) *Response {
-				return &Response{Status: http.StatusTeapot, RetryAfter: 7, Body: append([]byte(request.ID), request.Body...)}
+				return &Response{
+					Status:     http.StatusTeapot,
+					RetryAfter: 7,
+					Body:       append([]byte(request.ID), request.Body...),
+				}
 			}, &Traffic{})
 		}()
 		time.Sleep(10 * time.Millisecond)
 		response, err := link.Do(ctx, &Request{Op: OpSubmit, ID: "x", Body: []byte("yz")})
-		if diff := cmp.Diff(&Response{Status: http.StatusTeapot, RetryAfter: 7, Body: []byte("xyz")}, response); diff != "" || err != nil {
+		if diff := cmp.Diff(
+			&Response{Status: http.StatusTeapot, RetryAfter: 7, Body: []byte("xyz")},
+			response,
+		); diff != "" ||
+			err != nil {
 			t.Error(err, diff)
 		}
 		stop()
@@ -166,7 +174,11 @@
 		if !errors.Is(err, ErrTooLarge) || !IsNotSent(err) {
 			t.Errorf("a large call: %+v, %v", a, err)
 		}
-		if a, err := l.Do(ctx, &Request{Op: OpSubmit, Body: make([]byte, MaxBody)}); err != nil || len(a.Body) != MaxBody {
+		if a, err := l.Do(
+			ctx,
+			&Request{Op: OpSubmit, Body: make([]byte, MaxBody)},
+		); err != nil ||
+			len(a.Body) != MaxBody {
 			t.Errorf("what just fits: %v", err)
 		}
 		if err := <-underWay; err != nil {
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -26,14 +26,26 @@
 // plannedRegion is a region of the plan, with its part of the peak of starts or all of it.
 func plannedRegion(starts float64) regionSize {
 	regions := float64(capacityPlan.regions)
-	return regionSize{"workers": capacityPlan.workers / regions, "tasks_running": capacityPlan.running / regions, "starts_per_s": starts, "teams": capacityPlan.teams,
-		"finished_before": capacityPlan.finishedADay / regions, "controllers": plannedControllers}
+	return regionSize{
+		"workers":         capacityPlan.workers / regions,
+		"tasks_running":   capacityPlan.running / regions,
+		"starts_per_s":    starts,
+		"teams":           capacityPlan.teams,
+		"finished_before": capacityPlan.finishedADay / regions,
+		"controllers":     plannedControllers,
+	}
 }
 
 // profileSize is how large the profile of a sweep is.
 func profileSize(p *Profile) regionSize {
-	return regionSize{"workers": float64(p.Workers), "tasks_running": float64(p.TasksRunning), "starts_per_s": p.Starts.PerS, "teams": float64(p.Teams),
-		"finished_before": float64(p.FinishedBefore), "controllers": float64(p.ControllersPerRegion)}
+	return regionSize{
+		"workers":         float64(p.Workers),
+		"tasks_running":   float64(p.TasksRunning),
+		"starts_per_s":    p.Starts.PerS,
+		"teams":           float64(p.Teams),
+		"finished_before": float64(p.FinishedBefore),
+		"controllers":     float64(p.ControllersPerRegion),
+	}
 }
 
 // variedSizes are the things that are varied, in the order of the tables.
@@ -135,11 +147,36 @@
 }
 
 // slopeFigures are the figures whose slopes are printed.
-var slopeFigures = []string{"leader cpu", "other cpu", "leader resident MB", "other resident MB", "leader sockets", "leader log KB/s", "leader peer KB/s", "state requests/s", "state changes/s", "worker KB/s"}
+var slopeFigures = []string{
+	"leader cpu",
+	"other cpu",
+	"leader resident MB",
+	"other resident MB",
+	"leader sockets",
+	"leader log KB/s",
+	"leader peer KB/s",
+	"state requests/s",
+	"state changes/s",
+	"worker KB/s",
+}
 
 // planFigures are the figures that are reckoned at the plan's size.
-var planFigures = []string{"leader cpu", "leader resident MB", "leader sockets", "leader log KB/s", "leader batches/s", "leader peer KB/s", "other cpu", "other resident MB", "other sockets",
-	"state requests/s", "state changes/s", "state KB/s", "worker KB/s", "worker sockets"}
+var planFigures = []string{
+	"leader cpu",
+	"leader resident MB",
+	"leader sockets",
+	"leader log KB/s",
+	"leader batches/s",
+	"leader peer KB/s",
+	"other cpu",
+	"other resident MB",
+	"other sockets",
+	"state requests/s",
+	"state changes/s",
+	"state KB/s",
+	"worker KB/s",
+	"worker sockets",
+}
 
 // CapacityTables recomputes the tables of docs/CAPACITY.md from the measurements stored in a folder and the sweep's
 // file.
@@ -169,7 +206,9 @@
 }
 
 func writeSlopes(b *strings.Builder, stored map[string][]Measurement) error {
-	b.WriteString("| cost | by | a | b | error of b | R² | range | bend | runs |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString(
+		"| cost | by | a | b | error of b | R² | range | bend | runs |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
+	)
 	for _, from := range []struct{ file, note string }{{"sweep", ""}, {"alone", ", without relays"}, {"gangs", ""}} {
 		varies := variedSizes
 		switch from.file {
@@ -187,7 +226,21 @@
 				if math.Abs(l.Slope) < 2*l.SlopeErr {
 					continue
 				}
-				fmt.Fprintf(b, "| %s | %s%s | %.4g | %.4g | %.2g | %.2f | %g to %g | %+.0f%% | %d |\n", figure, vary, from.note, l.Intercept, l.Slope, l.SlopeErr, l.RSquared, l.MinSize, l.MaxSize, 100*l.Bend, l.PointCount)
+				fmt.Fprintf(
+					b,
+					"| %s | %s%s | %.4g | %.4g | %.2g | %.2f | %g to %g | %+.0f%% | %d |\n",
+					figure,
+					vary,
+					from.note,
+					l.Intercept,
+					l.Slope,
+					l.SlopeErr,
+					l.RSquared,
+					l.MinSize,
+					l.MaxSize,
+					100*l.Bend,
+					l.PointCount,
+				)
 			}
 		}
 	}
@@ -197,7 +250,9 @@
 
 func writePlan(b *strings.Builder, stored map[string][]Measurement, base regionSize) error {
 	mean, peak := plannedRegion(capacityPlan.starts/float64(capacityPlan.regions)), plannedRegion(capacityPlan.starts)
-	b.WriteString("\n| a region of the plan | 550 starts a second | how it is known | 2,200 starts a second, all in this region | how it is known |\n| --- | --- | --- | --- | --- |\n")
+	b.WriteString(
+		"\n| a region of the plan | 550 starts a second | how it is known | 2,200 starts a second, all in this region | how it is known |\n| --- | --- | --- | --- | --- |\n",
+	)
 	for _, figure := range planFigures {
 		m, err := estimateFigure(stored, mean, base, figure)
 		if err != nil {
@@ -207,7 +262,17 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(b, "| %s | %.3g ± %.2g | %s | %.3g ± %.2g | %s |\n", figure, m.value, m.stdErr, m.confidence(), p.value, p.stdErr, p.confidence())
+		fmt.Fprintf(
+			b,
+			"| %s | %.3g ± %.2g | %s | %.3g ± %.2g | %s |\n",
+			figure,
+			m.value,
+			m.stdErr,
+			m.confidence(),
+			p.value,
+			p.stdErr,
+			p.confidence(),
+		)
 	}
 	return nil
 }
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -91,9 +91,35 @@
 
 // DefaultProfile is what a profile's file leaves out.
 func DefaultProfile() Profile {
-	return Profile{Seed: 1, WarmupS: 15, RunS: 20, Regions: 1, ZonesPerRegion: 2, ControllersPerRegion: 3, Workers: 40, Teams: 4, TasksRunning: 80,
-		Starts: Starts{PerS: 10, Shape: "steady"}, Gangs: Gangs{RunS: 30}, Workload: Workload{TasksPerJob: 20, UrgentPerS: 1},
-		Limits: Limits{ReportS: 3, LeaseS: 24, CancelS: 49, MaxSockets: 3526, StateRPS: 250, WriteRPS: 40, ValueKB: 16, TxnOps: 24, StateLatencyMS: 3, CloudRPS: 8}}
+	return Profile{
+		Seed:                 1,
+		WarmupS:              15,
+		RunS:                 20,
+		Regions:              1,
+		ZonesPerRegion:       2,
+		ControllersPerRegion: 3,
+		Workers:              40,
+		Teams:                4,
+		TasksRunning:         80,
+		Starts: Starts{
+			PerS:  10,
+			Shape: "steady",
+		},
+		Gangs:    Gangs{RunS: 30},
+		Workload: Workload{TasksPerJob: 20, UrgentPerS: 1},
+		Limits: Limits{
+			ReportS:        3,
+			LeaseS:         24,
+			CancelS:        49,
+			MaxSockets:     3526,
+			StateRPS:       250,
+			WriteRPS:       40,
+			ValueKB:        16,
+			TxnOps:         24,
+			StateLatencyMS: 3,
+			CloudRPS:       8,
+		},
+	}
 }
 
 // LoadProfile reads a file.
@@ -145,7 +171,13 @@
 	}
 	for i, g := range p.Gangs.Sizes {
 		if g < 1 || g > maxGangSize || g > p.gpuMachines()/p.Regions {
-			return fmt.Errorf("gangs.sizes[%d]: %d is not from 1 to %d and the %d machines with accelerators of a region", i, g, maxGangSize, p.gpuMachines()/p.Regions)
+			return fmt.Errorf(
+				"gangs.sizes[%d]: %d is not from 1 to %d and the %d machines with accelerators of a region",
+				i,
+				g,
+				maxGangSize,
+				p.gpuMachines()/p.Regions,
+			)
 		}
 	}
 	if n := p.Regions*p.ControllersPerRegion + 1; n > maxProcesses {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -85,20 +85,40 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	started := &region{profile: profile, index: index, netByte: netByte, network: regionNetwork, rng: rand.New(rand.NewPCG(profile.Seed, uint64(index))),
+	started := &region{
+		profile:        profile,
+		index:          index,
+		netByte:        netByte,
+		network:        regionNetwork,
+		rng:            rand.New(rand.NewPCG(profile.Seed, uint64(index))),
 		supervisor:     &supervisor.Supervisor{Executable: program, Dir: dir, RestartDelay: restartDelay},
-		startLatencies: map[string]*latencyRecorder{}, submitLatency: newLatencyRecorder()}
+		startLatencies: map[string]*latencyRecorder{},
+		submitLatency:  newLatencyRecorder(),
+	}
 	for _, class := range []string{baseClass, gangClass, churnClass, urgentClass, shortClass} {
 		started.startLatencies[class] = newLatencyRecorder()
 	}
 	failed, fail := context.WithCancelCause(ctx)
 	runController := func(_ context.Context, _ host.Net, s *config.Settings) error {
-		if err := started.supervisor.Run(ctx, s, "--metrics", metricsAddr(netByte, started.nodeIndex(s.Node))); err != nil {
+		if err := started.supervisor.Run(
+			ctx,
+			s,
+			"--metrics",
+			metricsAddr(netByte, started.nodeIndex(s.Node)),
+		); err != nil {
 			fail(err)
 		}
 		return nil
 	}
-	started.environment, err = emulator.NewDeployment(ctx, regionNetwork.hostNetwork, regionAddresses(netByte), profile.ControllersPerRegion, profile.Seed+uint64(index), runController, started.deployment())
+	started.environment, err = emulator.NewDeployment(
+		ctx,
+		regionNetwork.hostNetwork,
+		regionAddresses(netByte),
+		profile.ControllersPerRegion,
+		profile.Seed+uint64(index),
+		runController,
+		started.deployment(),
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -136,26 +156,54 @@
 	cpus := machineCPUs * float64(r.cpuMachines()+r.gpuMachines())
 	params.Teams = []config.Team{{Name: baseTeam}}
 	for t := range profile.Teams {
-		params.Teams = append(params.Teams, config.Team{Name: teamName(t), CPUs: cpus / float64(4*profile.Teams), CPUsMax: max(8, 2*cpus/float64(profile.Teams))})
+		params.Teams = append(
+			params.Teams,
+			config.Team{
+				Name:    teamName(t),
+				CPUs:    cpus / float64(4*profile.Teams),
+				CPUsMax: max(8, 2*cpus/float64(profile.Teams)),
+			},
+		)
 	}
 	params.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: 6.8, Share: 0.99}}
 	workers, limits := &params.Workers, profile.Limits
 	workers.HeartbeatS, workers.LeaseS, workers.CancelS = limits.ReportS, limits.LeaseS, limits.CancelS
-	params.KVStore = config.KVStore{RPS: limits.StateRPS, WriteRPS: limits.WriteRPS, ValueKB: limits.ValueKB, TxnOps: limits.TxnOps}
+	params.KVStore = config.KVStore{
+		RPS:      limits.StateRPS,
+		WriteRPS: limits.WriteRPS,
+		ValueKB:  limits.ValueKB,
+		TxnOps:   limits.TxnOps,
+	}
 	params.Cloud.RPS = limits.CloudRPS
 	params.Limits = config.Limits{CPUShare: 1, MemoryMB: 1024, MaxSockets: limits.MaxSockets}
 	machine := func(name string, gpus float64) wire.MachineType {
-		return wire.MachineType{Name: name, CPUs: machineCPUs, GPUs: gpus, MemoryGB: machineGB, CacheGB: 1000, FetchGBPerS: 1, Price: 1 + gpus, SpotPrice: 1 + gpus, BootS: 2, Zones: params.Zones}
+		return wire.MachineType{
+			Name:        name,
+			CPUs:        machineCPUs,
+			GPUs:        gpus,
+			MemoryGB:    machineGB,
+			CacheGB:     1000,
+			FetchGBPerS: 1,
+			Price:       1 + gpus,
+			SpotPrice:   1 + gpus,
+			BootS:       2,
+			Zones:       params.Zones,
+		}
 	}
 	perZone := func(n int) int { return (n + profile.ZonesPerRegion - 1) / profile.ZonesPerRegion }
 	maxMachines := map[string]int{cpuType: perZone(r.cpuMachines()), gpuType: perZone(r.gpuMachines())}
-	return emulator.Deployment{Params: params, Types: []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpusPerMachine)}, PageSize: 500,
+	return emulator.Deployment{
+		Params:   params,
+		Types:    []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpusPerMachine)},
+		PageSize: 500,
 		MaxMachines: func(typ string, spot bool) int {
 			if spot {
 				return 0
 			}
 			return maxMachines[typ]
-		}, OnTaskStart: r.onTaskStart}
+		},
+		OnTaskStart: r.onTaskStart,
+	}
 }
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
@@ -175,8 +223,19 @@
 
 func (r *region) newJob(class, priority, team string, tasks int, cpus, runS float64) *wire.JobSpec {
 	n := r.lastJobNumber.Add(1)
-	return &wire.JobSpec{ID: wire.JobID(uint64(n)), Class: class, Team: team, Shape: wire.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 0.1,
-		Image: fmt.Sprintf("img-%d", n%warmImages), ImageGB: 0.1, EstimateS: runS}
+	return &wire.JobSpec{
+		ID:        wire.JobID(uint64(n)),
+		Class:     class,
+		Team:      team,
+		Shape:     wire.Array,
+		Priority:  priority,
+		Tasks:     tasks,
+		CPUs:      cpus,
+		MemoryGB:  0.1,
+		Image:     fmt.Sprintf("img-%d", n%warmImages),
+		ImageGB:   0.1,
+		EstimateS: runS,
+	}
 }
 
 const (
@@ -213,7 +272,12 @@
 	r.accepted.Add(1)
 	for ctx.Err() == nil {
 		wait(ctx, pollInterval)
-		if code, status := r.environment.Request("poll", s.ID, nil); code == 200 && (status.State == wire.JobDone || status.State == wire.JobCancelled) {
+		if code, status := r.environment.Request(
+			"poll",
+			s.ID,
+			nil,
+		); code == 200 &&
+			(status.State == wire.JobDone || status.State == wire.JobCancelled) {
 			if onFinished != nil {
 				onFinished()
 			}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -87,7 +87,13 @@
 func (l *latencyRecorder) summary() Latency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Latency{l.histogram.TotalCount(), l.histogram.ValueAtQuantile(50), l.histogram.ValueAtQuantile(99), l.histogram.Max(), l.histogram.Mean()}
+	return Latency{
+		l.histogram.TotalCount(),
+		l.histogram.ValueAtQuantile(50),
+		l.histogram.ValueAtQuantile(99),
+		l.histogram.Max(),
+		l.histogram.Mean(),
+	}
 }
 
 func perSecond(before, after metricValues, seconds float64, names ...string) (sum float64) {
@@ -110,24 +116,53 @@
 func controllerCost(before, after metricValues, seconds float64) ControllerCost {
 	rate := func(names ...string) float64 { return perSecond(before, after, seconds, names...) }
 	return ControllerCost{
-		CPU: rate("process_cpu_seconds_total"), ResidentMB: after["process_resident_memory_bytes"] / bytesPerMB, HeapMB: after["go_memstats_heap_inuse_bytes"] / bytesPerMB,
-		Sockets: after["process_open_fds"], Threads: after["process_num_threads"],
-		HeartbeatsPerS: rate(answerCounters("report")...), HeartbeatsRelayedPerS: rate("fieldhill_reports_relayed_total"), HeartbeatsAnsweredLocallyPerS: rate("fieldhill_reports_kept_total"),
-		UserRequestsPerS: rate(append(append(answerCounters("submit"), answerCounters("status")...), answerCounters("cancel")...)...),
-		FramesPerS:       rate("fieldhill_peer_frames_total"), PeerBytesPerS: rate("fieldhill_peer_bytes_total"),
-		LogBytesPerS: rate("fieldhill_log_bytes_total"), BatchesPerS: rate("fieldhill_log_write_seconds_count"),
+		CPU: rate(
+			"process_cpu_seconds_total",
+		),
+		ResidentMB: after["process_resident_memory_bytes"] / bytesPerMB,
+		HeapMB:     after["go_memstats_heap_inuse_bytes"] / bytesPerMB,
+		Sockets:    after["process_open_fds"],
+		Threads:    after["process_num_threads"],
+		HeartbeatsPerS: rate(
+			answerCounters("report")...),
+		HeartbeatsRelayedPerS:         rate("fieldhill_reports_relayed_total"),
+		HeartbeatsAnsweredLocallyPerS: rate("fieldhill_reports_kept_total"),
+		UserRequestsPerS: rate(
+			append(append(answerCounters("submit"), answerCounters("status")...), answerCounters("cancel")...)...),
+		FramesPerS:    rate("fieldhill_peer_frames_total"),
+		PeerBytesPerS: rate("fieldhill_peer_bytes_total"),
+		LogBytesPerS:  rate("fieldhill_log_bytes_total"),
+		BatchesPerS:   rate("fieldhill_log_write_seconds_count"),
 	}
 }
 
 // fields are a role's figures, for means and maxima.
 func (r *ControllerCost) fields() []*float64 {
-	return []*float64{&r.CPU, &r.ResidentMB, &r.HeapMB, &r.Sockets, &r.Threads, &r.HeartbeatsPerS, &r.HeartbeatsRelayedPerS, &r.HeartbeatsAnsweredLocallyPerS, &r.UserRequestsPerS, &r.FramesPerS, &r.PeerBytesPerS, &r.LogBytesPerS, &r.BatchesPerS}
+	return []*float64{
+		&r.CPU,
+		&r.ResidentMB,
+		&r.HeapMB,
+		&r.Sockets,
+		&r.Threads,
+		&r.HeartbeatsPerS,
+		&r.HeartbeatsRelayedPerS,
+		&r.HeartbeatsAnsweredLocallyPerS,
+		&r.UserRequestsPerS,
+		&r.FramesPerS,
+		&r.PeerBytesPerS,
+		&r.LogBytesPerS,
+		&r.BatchesPerS,
+	}
 }
 
 // summarize makes a region's report of what was counted before and after.
 func (r *region) summarize(before, after snapshot) Region {
 	seconds := after.at.Sub(before.at).Seconds()
-	summary := Region{StartLatency: map[string]Latency{}, Failovers: map[string]float64{}, TargetStartsPerS: r.profile.rate(r.index, r.profile.WarmupS+r.profile.RunS/2)}
+	summary := Region{
+		StartLatency:     map[string]Latency{},
+		Failovers:        map[string]float64{},
+		TargetStartsPerS: r.profile.rate(r.index, r.profile.WarmupS+r.profile.RunS/2),
+	}
 	others := 0.0
 	for i, c := range after.controllers {
 		if c == nil || before.controllers[i] == nil {
@@ -153,12 +188,20 @@
 	}
 	workers := max(1, len(r.environment.Cloud.Workers()))
 	summary.Workers.Up, summary.Workers.LostLeas = workers, r.countLostLeases()
-	summary.Workers.BytesS = float64(after.workerBytes[0]+after.workerBytes[1]-before.workerBytes[0]-before.workerBytes[1]) / seconds / float64(workers)
+	summary.Workers.BytesS = float64(
+		after.workerBytes[0]+after.workerBytes[1]-before.workerBytes[0]-before.workerBytes[1],
+	) / seconds / float64(
+		workers,
+	)
 	summary.Workers.Sockets = float64(r.network.workers.open.Load()) / float64(workers)
 	summary.StartsPerS = float64(after.starts-before.starts) / seconds
 	summary.TasksRunning = r.environment.Checker.Tasks()
-	summary.Store = StoreLoad{RequestsPerS: float64(after.store.Requests-before.store.Requests) / seconds, ChangesPerS: float64(after.store.Changes-before.store.Changes) / seconds,
-		BytesPerS: float64(after.store.Bytes-before.store.Bytes) / seconds, Keys: after.store.Keys}
+	summary.Store = StoreLoad{
+		RequestsPerS: float64(after.store.Requests-before.store.Requests) / seconds,
+		ChangesPerS:  float64(after.store.Changes-before.store.Changes) / seconds,
+		BytesPerS:    float64(after.store.Bytes-before.store.Bytes) / seconds,
+		Keys:         after.store.Keys,
+	}
 	for p, l := range r.startLatencies {
 		summary.StartLatency[p] = l.summary()
 	}
@@ -171,24 +214,76 @@
 func (r *Report) Print(w io.Writer) {
 	table := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	defer table.Flush()
-	fmt.Fprintf(table, "region\trole\tcpu\tresident MB\theap MB\tsockets\tthreads\treports/s\trelayed/s\tkept/s\tusers/s\tframes/s\tpeer KB/s\tlog KB/s\tbatches/s\n")
+	fmt.Fprintf(
+		table,
+		"region\trole\tcpu\tresident MB\theap MB\tsockets\tthreads\treports/s\trelayed/s\tkept/s\tusers/s\tframes/s\tpeer KB/s\tlog KB/s\tbatches/s\n",
+	)
 	for i, g := range r.Regions {
 		for _, x := range []struct {
 			name string
 			r    ControllerCost
 		}{{"leader", g.Leader}, {"others", g.Others}, {"most", g.Peak}} {
-			fmt.Fprintf(table, "%d\t%s\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\n", i, x.name, x.r.CPU, x.r.ResidentMB, x.r.HeapMB, x.r.Sockets, x.r.Threads,
-				x.r.HeartbeatsPerS, x.r.HeartbeatsRelayedPerS, x.r.HeartbeatsAnsweredLocallyPerS, x.r.UserRequestsPerS, x.r.FramesPerS, x.r.PeerBytesPerS/1024, x.r.LogBytesPerS/1024, x.r.BatchesPerS)
+			fmt.Fprintf(
+				table,
+				"%d\t%s\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\n",
+				i,
+				x.name,
+				x.r.CPU,
+				x.r.ResidentMB,
+				x.r.HeapMB,
+				x.r.Sockets,
+				x.r.Threads,
+				x.r.HeartbeatsPerS,
+				x.r.HeartbeatsRelayedPerS,
+				x.r.HeartbeatsAnsweredLocallyPerS,
+				x.r.UserRequestsPerS,
+				x.r.FramesPerS,
+				x.r.PeerBytesPerS/1024,
+				x.r.LogBytesPerS/1024,
+				x.r.BatchesPerS,
+			)
 		}
 	}
-	fmt.Fprintf(table, "\nregion\tworkers\tKB/s each\tleases lost\tstarts/s\tasked\trunning\tjobs\turgent p50/p99/max ms\tchurn p50/p99/max ms\tsubmit p99 ms\taccepted\tgiven up\tstate req/s\tchanges/s\n")
+	fmt.Fprintf(
+		table,
+		"\nregion\tworkers\tKB/s each\tleases lost\tstarts/s\tasked\trunning\tjobs\turgent p50/p99/max ms\tchurn p50/p99/max ms\tsubmit p99 ms\taccepted\tgiven up\tstate req/s\tchanges/s\n",
+	)
 	for i, g := range r.Regions {
 		urgent, churn := g.StartLatency[urgentClass], g.StartLatency[churnClass]
-		fmt.Fprintf(table, "%d\t%d\t%.2f\t%d\t%.0f\t%.0f\t%d\t%d\t%d/%d/%d\t%d/%d/%d\t%d\t%d\t%d\t%.0f\t%.1f\n", i, g.Workers.Up, g.Workers.BytesS/1024, g.Workers.LostLeas, g.StartsPerS, g.TargetStartsPerS, g.TasksRunning, g.JobsKnown,
-			urgent.P50, urgent.P99, urgent.Max, churn.P50, churn.P99, churn.Max, g.SubmitLatency.P99, g.Accepted, g.GivenUp, g.Store.RequestsPerS, g.Store.ChangesPerS)
+		fmt.Fprintf(
+			table,
+			"%d\t%d\t%.2f\t%d\t%.0f\t%.0f\t%d\t%d\t%d/%d/%d\t%d/%d/%d\t%d\t%d\t%d\t%.0f\t%.1f\n",
+			i,
+			g.Workers.Up,
+			g.Workers.BytesS/1024,
+			g.Workers.LostLeas,
+			g.StartsPerS,
+			g.TargetStartsPerS,
+			g.TasksRunning,
+			g.JobsKnown,
+			urgent.P50,
+			urgent.P99,
+			urgent.Max,
+			churn.P50,
+			churn.P99,
+			churn.Max,
+			g.SubmitLatency.P99,
+			g.Accepted,
+			g.GivenUp,
+			g.Store.RequestsPerS,
+			g.Store.ChangesPerS,
+		)
 	}
 	machine := r.Machine
-	fmt.Fprintf(table, "\nhollow side: %.2f cores, %.0f MB, timers late by %.1f ms (p99); machine idle %.2f, stolen %.3f\n", machine.HollowCPU, machine.HollowMB, machine.HollowLagP99, machine.Idle, machine.Steal)
+	fmt.Fprintf(
+		table,
+		"\nhollow side: %.2f cores, %.0f MB, timers late by %.1f ms (p99); machine idle %.2f, stolen %.3f\n",
+		machine.HollowCPU,
+		machine.HollowMB,
+		machine.HollowLagP99,
+		machine.Idle,
+		machine.Steal,
+	)
 	if r.MachineLimit != "" {
 		fmt.Fprintf(table, "THE MACHINE WAS THE LIMIT: %s\n", r.MachineLimit)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -85,8 +85,14 @@
 		}
 	}
 	total := max(1, cpuTimesAfter.total-cpuTimesBefore.total)
-	report.Machine = Machine{HollowCPU: (cpuAfter - cpuBefore) / seconds, HollowMB: resident, HollowLagP99: lag.p99Millis(), Idle: (cpuTimesAfter.idle - cpuTimesBefore.idle) / total, Steal: (cpuTimesAfter.steal - cpuTimesBefore.steal) / total,
-		CPUPerWorker: (cpuAfter - cpuBefore) / seconds / float64(max(1, workers))}
+	report.Machine = Machine{
+		HollowCPU:    (cpuAfter - cpuBefore) / seconds,
+		HollowMB:     resident,
+		HollowLagP99: lag.p99Millis(),
+		Idle:         (cpuTimesAfter.idle - cpuTimesBefore.idle) / total,
+		Steal:        (cpuTimesAfter.steal - cpuTimesBefore.steal) / total,
+		CPUPerWorker: (cpuAfter - cpuBefore) / seconds / float64(max(1, workers)),
+	}
 	report.MachineLimit = limitingCause(report.Machine)
 	return report, nil
 }
@@ -145,7 +151,15 @@
 			starts += r.environment.Checker.Starts()
 			violations += len(r.environment.Checker.Violations())
 		}
-		onProgress(fmt.Sprintf("%d workers, %d tasks on them, %d starts so far, %d rules broken", workers, running, starts, violations))
+		onProgress(
+			fmt.Sprintf(
+				"%d workers, %d tasks on them, %d starts so far, %d rules broken",
+				workers,
+				running,
+				starts,
+				violations,
+			),
+		)
 	}
 	return nil
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -21,7 +21,11 @@
 		}
 	}
 	l, err := FitLine(points)
-	if err != nil || math.Abs(l.Slope-0.02) > 4*l.SlopeErr || math.Abs(l.Intercept-5) > 4*l.InterceptErr || l.SlopeErr > 0.002 || l.MinSize != 100 || l.MaxSize != 1000 || l.PointCount != 30 {
+	if err != nil || math.Abs(l.Slope-0.02) > 4*l.SlopeErr || math.Abs(l.Intercept-5) > 4*l.InterceptErr ||
+		l.SlopeErr > 0.002 ||
+		l.MinSize != 100 ||
+		l.MaxSize != 1000 ||
+		l.PointCount != 30 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if l, err := FitLine(bent); err != nil || l.Bend < 0.5 {
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -107,12 +107,30 @@
 func figures(r *Report) map[string]float64 {
 	g := r.Regions[0]
 	out := map[string]float64{
-		"leader cpu": g.Leader.CPU, "leader resident MB": g.Leader.ResidentMB, "leader heap MB": g.Leader.HeapMB, "leader sockets": g.Leader.Sockets,
-		"leader reports/s": g.Leader.HeartbeatsPerS, "leader peer KB/s": g.Leader.PeerBytesPerS / 1024, "leader log KB/s": g.Leader.LogBytesPerS / 1024, "leader batches/s": g.Leader.BatchesPerS,
-		"other cpu": g.Others.CPU, "other resident MB": g.Others.ResidentMB, "other sockets": g.Others.Sockets, "other peer KB/s": g.Others.PeerBytesPerS / 1024,
-		"state requests/s": g.Store.RequestsPerS, "state changes/s": g.Store.ChangesPerS, "state KB/s": g.Store.BytesPerS / 1024, "state keys": float64(g.Store.Keys),
-		"worker KB/s": g.Workers.BytesS / 1024, "worker sockets": g.Workers.Sockets, "hollow cpu": r.Machine.HollowCPU, "hollow MB": r.Machine.HollowMB,
-		"starts/s": g.StartsPerS, "urgent p99 s": float64(g.StartLatency[urgentClass].P99) / 1000, "submit p99 s": float64(g.SubmitLatency.P99) / 1000, "leases lost": float64(g.Workers.LostLeas),
+		"leader cpu":         g.Leader.CPU,
+		"leader resident MB": g.Leader.ResidentMB,
+		"leader heap MB":     g.Leader.HeapMB,
+		"leader sockets":     g.Leader.Sockets,
+		"leader reports/s":   g.Leader.HeartbeatsPerS,
+		"leader peer KB/s":   g.Leader.PeerBytesPerS / 1024,
+		"leader log KB/s":    g.Leader.LogBytesPerS / 1024,
+		"leader batches/s":   g.Leader.BatchesPerS,
+		"other cpu":          g.Others.CPU,
+		"other resident MB":  g.Others.ResidentMB,
+		"other sockets":      g.Others.Sockets,
+		"other peer KB/s":    g.Others.PeerBytesPerS / 1024,
+		"state requests/s":   g.Store.RequestsPerS,
+		"state changes/s":    g.Store.ChangesPerS,
+		"state KB/s":         g.Store.BytesPerS / 1024,
+		"state keys":         float64(g.Store.Keys),
+		"worker KB/s":        g.Workers.BytesS / 1024,
+		"worker sockets":     g.Workers.Sockets,
+		"hollow cpu":         r.Machine.HollowCPU,
+		"hollow MB":          r.Machine.HollowMB,
+		"starts/s":           g.StartsPerS,
+		"urgent p99 s":       float64(g.StartLatency[urgentClass].P99) / 1000,
+		"submit p99 s":       float64(g.SubmitLatency.P99) / 1000,
+		"leases lost":        float64(g.Workers.LostLeas),
 	}
 	for k, v := range out {
 		out[k] = math.Round(v*1e5) / 1e5
@@ -121,7 +139,12 @@
 }
 
 // Run carries the sweep out, one run after the other, and hands on what each measured.
-func (s *Sweep) Run(ctx context.Context, o Options, onlyVaried string, onMeasurement func(Measurement, *Report) error) error {
+func (s *Sweep) Run(
+	ctx context.Context,
+	o Options,
+	onlyVaried string,
+	onMeasurement func(Measurement, *Report) error,
+) error {
 	for _, x := range s.Series {
 		if onlyVaried != "" && x.Varied != onlyVaried {
 			continue
@@ -136,7 +159,10 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", p.Name, err)
 				}
-				if err := onMeasurement(Measurement{x.Varied, v, p.Name, r.MachineLimit, len(r.Violations), figures(r)}, r); err != nil {
+				if err := onMeasurement(
+					Measurement{x.Varied, v, p.Name, r.MachineLimit, len(r.Violations), figures(r)},
+					r,
+				); err != nil {
 					return err
 				}
 			}
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -67,7 +67,14 @@
 		dueTasks += p.rate(r.index, now.Sub(startedAt).Seconds()) * now.Sub(last).Seconds()
 		last = now
 		for tasksPerJob := float64(p.Workload.TasksPerJob); dueTasks >= tasksPerJob; dueTasks -= tasksPerJob {
-			s := r.newJob(churnClass, wire.Normal, teamName(k%p.Teams), p.Workload.TasksPerJob, cpus, runS/runtimeFactor)
+			s := r.newJob(
+				churnClass,
+				wire.Normal,
+				teamName(k%p.Teams),
+				p.Workload.TasksPerJob,
+				cpus,
+				runS/runtimeFactor,
+			)
 			if r.randomFloat() < p.Workload.ColdShare {
 				s.Image = "cold-" + s.ID
 			}
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -93,7 +93,17 @@
 
 // New makes a fleet.
 func New(obj []config.Objective) *Autoscaler {
-	return &Autoscaler{Objectives: obj, refusals: map[InstanceOffer]refusal{}, classes: map[int32]*jobClass{}, gpuWork: scheduler.GPUDemand{}, partitionedZones: map[int32]bool{}, machineCounts: map[InstanceOffer]int{}, bootTimes: map[typeZone]bootStats{}, lateMachines: map[typeZone]int{}, seenJobs: map[model.JobID]bool{}}
+	return &Autoscaler{
+		Objectives:       obj,
+		refusals:         map[InstanceOffer]refusal{},
+		classes:          map[int32]*jobClass{},
+		gpuWork:          scheduler.GPUDemand{},
+		partitionedZones: map[int32]bool{},
+		machineCounts:    map[InstanceOffer]int{},
+		bootTimes:        map[typeZone]bootStats{},
+		lateMachines:     map[typeZone]int{},
+		seenJobs:         map[model.JobID]bool{},
+	}
 }
 
 // OnRefused notes that the cloud had nothing of an offer; it is asked again after
@@ -110,7 +120,8 @@
 func (a *Autoscaler) RefusalsFor(m *model.Model, j *model.Job, now model.Time) (n int, retryIn model.Time) {
 	for o, r := range a.refusals {
 		t := &m.Types[o.Type]
-		if r.until <= now || !j.AllowsMachine(o.Type, o.Zone, o.Spot) || !scheduler.TypeCapacity(t).Contains(scheduler.TaskDemand(j)) {
+		if r.until <= now || !j.AllowsMachine(o.Type, o.Zone, o.Spot) ||
+			!scheduler.TypeCapacity(t).Contains(scheduler.TaskDemand(j)) {
 			continue
 		}
 		if n++; n == 1 || r.until-now < retryIn {
@@ -343,7 +354,8 @@
 		for _, r := range s.machine.Runs {
 			hasGang = hasGang || r.Job.Spec.GPUs > 0
 		}
-		p.LowPriorityAllowed[s.machine] = !a.gpuWork.FitsAny(s.total) || reserved[s] && (!hasGang || scheduler.Reserved(s.machine).CPUs > 0)
+		p.LowPriorityAllowed[s.machine] = !a.gpuWork.FitsAny(s.total) ||
+			reserved[s] && (!hasGang || scheduler.Reserved(s.machine).CPUs > 0)
 		for _, isAffordable := range affordable {
 			p.LowPriorityAllowed[s.machine] = p.LowPriorityAllowed[s.machine] || isAffordable(s.offer)
 		}
@@ -360,7 +372,10 @@
 		p.ScaleOuts = append(p.ScaleOuts, ScaleOut{o, n, slots[first[o]].purpose})
 	}
 	// In the order in which the demand asked: the most urgent first.
-	sort.Slice(p.ScaleOuts, func(i, k int) bool { return first[p.ScaleOuts[i].InstanceOffer] < first[p.ScaleOuts[k].InstanceOffer] })
+	sort.Slice(
+		p.ScaleOuts,
+		func(i, k int) bool { return first[p.ScaleOuts[i].InstanceOffer] < first[p.ScaleOuts[k].InstanceOffer] },
+	)
 	for _, s := range slots {
 		if s.machine != nil && !s.used && s.machine.Reported && len(s.machine.Runs) > 0 {
 			p.Drain[s.machine] = true
@@ -387,14 +402,22 @@
 	var out []*slot
 	for _, mc := range m.Order {
 		t := m.TypeOf(mc)
-		if !t.Known || mc.Quarantined || mc.Releasing || mc.PreemptionAt != 0 || mc.Suspect || mc.InboundPartitionSince != 0 || mc.BootOverdue {
+		if !t.Known || mc.Quarantined || mc.Releasing || mc.PreemptionAt != 0 || mc.Suspect ||
+			mc.InboundPartitionSince != 0 ||
+			mc.BootOverdue {
 			continue
 		}
 		if !mc.Reported && a.partitionedZones[mc.Zone] {
 			continue // it boots for the end of the cut
 		}
 		total := scheduler.MachineCapacity(m, mc)
-		s := &slot{machine: mc, offer: InstanceOffer{mc.Type, mc.Zone, mc.Spot}, total: total, free: total, servicesOnly: mc.ServicesOnly(now)}
+		s := &slot{
+			machine:      mc,
+			offer:        InstanceOffer{mc.Type, mc.Zone, mc.Spot},
+			total:        total,
+			free:         total,
+			servicesOnly: mc.ServicesOnly(now),
+		}
 		for _, r := range mc.Runs {
 			// Low work gives way, so its room is not lost to what is more
 			// urgent; it is packed again behind it.
@@ -447,7 +470,16 @@
 			continue // what fails everywhere is worth no machine
 		}
 		n = min(n, teamAllowance(j, preemptible)+expiring[j])
-		it := demand{need: scheduler.TaskDemand(j), types: j.Types, zone: j.Zone, spot: j.Spec.Spot, count: n, service: j.Kind == model.Service, priority: j.Priority, purpose: "demand of job " + j.Spec.ID}
+		it := demand{
+			need:     scheduler.TaskDemand(j),
+			types:    j.Types,
+			zone:     j.Zone,
+			spot:     j.Spec.Spot,
+			count:    n,
+			service:  j.Kind == model.Service,
+			priority: j.Priority,
+			purpose:  "demand of job " + j.Spec.ID,
+		}
 		it.applySpread(j)
 		if j.Kind != model.Array {
 			urgent = append(urgent, it)
@@ -498,7 +530,17 @@
 			continue
 		}
 		if k := int(math.Ceil(n)); k > 0 {
-			it := demand{need: c.need, types: c.types, zone: c.zone, spot: c.spot && c.kind != model.Service, count: k, service: c.kind == model.Service, standby: true, maxPriceFactor: 6, purpose: "expected demand of class " + m.Classes.Name(id)}
+			it := demand{
+				need:           c.need,
+				types:          c.types,
+				zone:           c.zone,
+				spot:           c.spot && c.kind != model.Service,
+				count:          k,
+				service:        c.kind == model.Service,
+				standby:        true,
+				maxPriceFactor: 6,
+				purpose:        "expected demand of class " + m.Classes.Name(id),
+			}
 			if c.spread && k > 1 {
 				it.maxPerZone, it.inZone = k/2+1, map[int32]int{}
 			}
@@ -576,7 +618,13 @@
 }
 
 // pack puts an item's tasks onto slots, wishing for machines where room ends.
-func (a *Autoscaler) pack(m *model.Model, it *demand, slots *[]*slot, now model.Time, forServices map[*model.Machine]int) {
+func (a *Autoscaler) pack(
+	m *model.Model,
+	it *demand,
+	slots *[]*slot,
+	now model.Time,
+	forServices map[*model.Machine]int,
+) {
 	left := it.count
 	fillSlot := func(s *slot, allowed func(*slot) bool) {
 		for left > 0 && allowed(s) && s.free.Contains(it.need) && it.canUse(s) {
@@ -733,7 +781,8 @@
 func (a *Autoscaler) vacate(m *model.Model, slots []*slot, forServices map[*model.Machine]int) *model.Machine {
 	var victim *slot
 	for _, s := range slots {
-		if s.machine == nil || !s.machine.Reported || s.total.GPUs == 0 || !a.gpuWork.FitsAny(s.total) || forServices[s.machine] > 0 {
+		if s.machine == nil || !s.machine.Reported || s.total.GPUs == 0 || !a.gpuWork.FitsAny(s.total) ||
+			forServices[s.machine] > 0 {
 			continue
 		}
 		reserved := scheduler.Reserved(s.machine)
@@ -759,12 +808,15 @@
 		}
 		need := scheduler.TaskDemand(j)
 		fits := func(s *slot) bool {
-			return s != victim && s.machine != nil && s.machine.IsUsable() && j.AllowsMachine(s.machine.Type, s.machine.Zone, s.machine.Spot) &&
-				(s.machine.Zone == victim.machine.Zone || j.ZoneAllows(s.machine.Zone)) && s.free.Minus(taken[s]).Contains(need)
+			return s != victim && s.machine != nil && s.machine.IsUsable() &&
+				j.AllowsMachine(s.machine.Type, s.machine.Zone, s.machine.Spot) &&
+				(s.machine.Zone == victim.machine.Zone || j.ZoneAllows(s.machine.Zone)) &&
+				s.free.Minus(taken[s]).Contains(need)
 		}
 		var target *slot
 		for _, s := range slots {
-			if s.total.GPUs == 0 && fits(s) && (target == nil || s.machine.HasImage(j.Image) && !target.machine.HasImage(j.Image)) {
+			if s.total.GPUs == 0 && fits(s) &&
+				(target == nil || s.machine.HasImage(j.Image) && !target.machine.HasImage(j.Image)) {
 				target = s
 			}
 		}
@@ -854,7 +906,13 @@
 		verdict := &verdicts[index(o)]
 		if *verdict == 0 {
 			*verdict = -1
-			if p, ok := a.pricePerTask(m, it, o, math.MaxInt32); ok && (it.maxPriceFactor == 0 || p <= cheapest*it.maxPriceFactor) {
+			if p, ok := a.pricePerTask(
+				m,
+				it,
+				o,
+				math.MaxInt32,
+			); ok &&
+				(it.maxPriceFactor == 0 || p <= cheapest*it.maxPriceFactor) {
 				*verdict = 1
 			}
 		}
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -33,7 +33,13 @@
 			name = "dear"
 		}
 		id := model.MachineID(i + 1)
-		apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: &model.MachineInfo{Name: fmt.Sprint("m", i), Type: name, Zone: "a"}})
+		apply(
+			&model.Entry{
+				Kind:    model.EntryMachine,
+				Machine: id,
+				Info:    &model.MachineInfo{Name: fmt.Sprint("m", i), Type: name, Zone: "a"},
+			},
+		)
 		m.Machines[id].Reported, m.Machines[id].Session = true, 1
 	}
 	a := New([]config.Objective{{Kind: "wait", Class: "web", WithinS: 25, Share: 0.9}})
@@ -47,8 +53,23 @@
 func placeServices(m *model.Model, apply func(*model.Entry), from, n int, on model.MachineID) {
 	for i := range n {
 		id := uint64(from + i)
-		apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(id), Class: "web", Team: "red", Shape: wire.Service, Priority: wire.Production, Tasks: 1,
-			CPUs: 4, MemoryGB: 4, Image: "w", ImageGB: 2}, 0))
+		apply(
+			model.Accepted(
+				&wire.JobSpec{
+					ID:       wire.JobID(id),
+					Class:    "web",
+					Team:     "red",
+					Shape:    wire.Service,
+					Priority: wire.Production,
+					Tasks:    1,
+					CPUs:     4,
+					MemoryGB: 4,
+					Image:    "w",
+					ImageGB:  2,
+				},
+				0,
+			),
+		)
 		apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(id), Task: 0, Attempt: 1, Machine: on, Session: 1})
 	}
 }
@@ -63,10 +84,26 @@
 	if p := a.Plan(m, 60e9); len(p.ScaleOuts) != 0 {
 		t.Errorf("rents %+v for services that are expected", p.ScaleOuts)
 	}
-	gang := &wire.JobSpec{ID: wire.JobID(9), Class: "gang", Team: "red", Shape: wire.Gang, Priority: wire.Normal, Tasks: 2,
-		CPUs: 80, GPUs: 8, MemoryGB: 600, Image: "g", ImageGB: 7, SameZone: true}
+	gang := &wire.JobSpec{
+		ID:       wire.JobID(9),
+		Class:    "gang",
+		Team:     "red",
+		Shape:    wire.Gang,
+		Priority: wire.Normal,
+		Tasks:    2,
+		CPUs:     80,
+		GPUs:     8,
+		MemoryGB: 600,
+		Image:    "g",
+		ImageGB:  7,
+		SameZone: true,
+	}
 	apply(model.Accepted(gang, 0))
-	if p := a.Plan(m, 61e9); len(p.ScaleOuts) != 1 || p.ScaleOuts[0].Count != 2 || m.TypeNames.Name(p.ScaleOuts[0].Type) != "dear" {
+	if p := a.Plan(
+		m,
+		61e9,
+	); len(p.ScaleOuts) != 1 || p.ScaleOuts[0].Count != 2 ||
+		m.TypeNames.Name(p.ScaleOuts[0].Type) != "dear" {
 		t.Errorf("rents %+v for a gang of two", p.ScaleOuts)
 	}
 }
@@ -99,16 +136,56 @@
 	}
 	for n := range 2 {
 		id := model.JobID(n + 1)
-		apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(uint64(id)), Class: "gang", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 1,
-			CPUs: 94, GPUs: 8, MemoryGB: 600, Image: "g", ImageGB: 7}, 0))
-		apply(&model.Entry{Kind: model.EntryPlace, Job: id, Task: 0, Attempt: 1, Machine: model.MachineID(n + 1), Session: 1})
+		apply(
+			model.Accepted(
+				&wire.JobSpec{
+					ID:       wire.JobID(uint64(id)),
+					Class:    "gang",
+					Team:     "red",
+					Shape:    wire.Gang,
+					Priority: wire.High,
+					Tasks:    1,
+					CPUs:     94,
+					GPUs:     8,
+					MemoryGB: 600,
+					Image:    "g",
+					ImageGB:  7,
+				},
+				0,
+			),
+		)
+		apply(
+			&model.Entry{
+				Kind:    model.EntryPlace,
+				Job:     id,
+				Task:    0,
+				Attempt: 1,
+				Machine: model.MachineID(n + 1),
+				Session: 1,
+			},
+		)
 	}
 	if p := a.Plan(m, 0); len(p.ForServices) != 0 {
 		t.Errorf("services may go to %d machines although none waits", len(p.ForServices))
 	}
 	for n := range 10 { // 3 replicas each, 23 fill a machine
-		apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(uint64(8 + n)), Class: "web", Team: "red", Shape: wire.Service, Priority: wire.Production,
-			Tasks: 3, CPUs: 4, MemoryGB: 4, Image: "w", ImageGB: 2}, 0))
+		apply(
+			model.Accepted(
+				&wire.JobSpec{
+					ID:       wire.JobID(uint64(8 + n)),
+					Class:    "web",
+					Team:     "red",
+					Shape:    wire.Service,
+					Priority: wire.Production,
+					Tasks:    3,
+					CPUs:     4,
+					MemoryGB: 4,
+					Image:    "w",
+					ImageGB:  2,
+				},
+				0,
+			),
+		)
 		want := 0
 		if n >= 3 {
 			want = 1
@@ -134,7 +211,14 @@
 		a.refusals = map[InstanceOffer]refusal{}
 		a.Plan(m, 0)
 		provision := func(id model.MachineID, checkAt int64) *model.Machine {
-			apply(&model.Entry{Kind: model.EntryMachine, Machine: id, At: checkAt, Info: &model.MachineInfo{Name: fmt.Sprint("new", id), Type: "cheap", Zone: "a"}})
+			apply(
+				&model.Entry{
+					Kind:    model.EntryMachine,
+					Machine: id,
+					At:      checkAt,
+					Info:    &model.MachineInfo{Name: fmt.Sprint("new", id), Type: "cheap", Zone: "a"},
+				},
+			)
 			return m.Machines[id]
 		}
 		late := provision(10, 1000) // cheap machines boot for 40 s
@@ -145,8 +229,23 @@
 				placeServices(m, apply, int(id)*10, 2, id)
 			}
 		}
-		apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(1), Class: "web", Team: "red", Shape: wire.Service, Priority: wire.Production, Tasks: 2,
-			CPUs: 4, MemoryGB: 4, Image: "w", ImageGB: 2}, 0))
+		apply(
+			model.Accepted(
+				&wire.JobSpec{
+					ID:       wire.JobID(1),
+					Class:    "web",
+					Team:     "red",
+					Shape:    wire.Service,
+					Priority: wire.Production,
+					Tasks:    2,
+					CPUs:     4,
+					MemoryGB: 4,
+					Image:    "w",
+					ImageGB:  2,
+				},
+				0,
+			),
+		)
 		a.Objectives = nil // nothing is kept ready
 		checkAt := func(s int64) ([]*model.Machine, int) {
 			abandoned := a.CheckBoots(m, 1000+s*1000, model.Time(s)*1e9, 0)
@@ -157,7 +256,13 @@
 		}
 		abandoned, n := checkAt(80)
 		if len(abandoned) != 0 || late.BootOverdue != others || (n == 1) != others {
-			t.Errorf("others %v, after 80 s: %d given up, overdue %v, %d rented", others, len(abandoned), late.BootOverdue, n)
+			t.Errorf(
+				"others %v, after 80 s: %d given up, overdue %v, %d rented",
+				others,
+				len(abandoned),
+				late.BootOverdue,
+				n,
+			)
 		}
 		if n == 1 {
 			provision(20, 81_000)
@@ -195,8 +300,24 @@
 	for range 4 {
 		a.OnRefused(o, 0) // a pause of 80 s
 	}
-	apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(1), Class: "web", Team: "red", Shape: wire.Service, Priority: wire.Production, Tasks: 1,
-		CPUs: 4, MemoryGB: 4, Image: "w", ImageGB: 2, Types: []string{"cheap"}}, 0))
+	apply(
+		model.Accepted(
+			&wire.JobSpec{
+				ID:       wire.JobID(1),
+				Class:    "web",
+				Team:     "red",
+				Shape:    wire.Service,
+				Priority: wire.Production,
+				Tasks:    1,
+				CPUs:     4,
+				MemoryGB: 4,
+				Image:    "w",
+				ImageGB:  2,
+				Types:    []string{"cheap"},
+			},
+			0,
+		),
+	)
 	if n := scaledOut(a.Plan(m, 10e9)); n != 0 {
 		t.Fatalf("%d machines are asked for in the pause", n)
 	}
@@ -212,11 +333,27 @@
 func TestGuaranteedArraysYieldToServices(t *testing.T) {
 	m, a, apply := newTestModel(t, 1, 1)
 	m.Teams[0].CPUs = 200
-	gang := &wire.JobSpec{ID: wire.JobID(9), Class: "gang", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 1,
-		CPUs: 94, GPUs: 8, MemoryGB: 600, Image: "g", ImageGB: 7}
+	gang := &wire.JobSpec{
+		ID:       wire.JobID(9),
+		Class:    "gang",
+		Team:     "red",
+		Shape:    wire.Gang,
+		Priority: wire.High,
+		Tasks:    1,
+		CPUs:     94,
+		GPUs:     8,
+		MemoryGB: 600,
+		Image:    "g",
+		ImageGB:  7,
+	}
 	apply(model.Accepted(gang, 0))
-	apply(model.Accepted(&wire.JobSpec{ID: wire.JobID(8), Class: "low", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 8,
-		CPUs: 1, MemoryGB: 1, Image: "l", ImageGB: 1, EstimateS: 60}, 0))
+	apply(
+		model.Accepted(
+			&wire.JobSpec{ID: wire.JobID(8), Class: "low", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 8,
+				CPUs: 1, MemoryGB: 1, Image: "l", ImageGB: 1, EstimateS: 60},
+			0,
+		),
+	)
 	for k := range int32(8) {
 		apply(&model.Entry{Kind: model.EntryPlace, Job: 8, Task: k, Attempt: 1, Machine: 1, Session: 1})
 	}
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -59,7 +59,8 @@
 		mc.BootOverdue = false
 		boot := max(m.TypeOf(mc).BootS, 10)
 		age := float64(at-mc.At) / 1000
-		if mc.Reported || len(mc.Runs) > 0 || mc.Suspect || mc.Releasing || age < lateWhenOthersUp*boot+3 || now-mc.KnownSince < settleTime {
+		if mc.Reported || len(mc.Runs) > 0 || mc.Suspect || mc.Releasing || age < lateWhenOthersUp*boot+3 ||
+			now-mc.KnownSince < settleTime {
 			continue
 		}
 		if rentalTimes == nil {
--- a/internal/scheduling/explanation/constraints.go
+++ b/internal/scheduling/explanation/constraints.go
@@ -31,7 +31,11 @@
 		for i := range t.job.Tasks {
 			if r := t.job.Tasks[i].Run; r != nil {
 				// It can't fail: the run is there. The job may settle if it was cancelled.
-				_ = t.model.Apply(&model.Entry{Kind: model.EntryEnded, Job: t.job.ID, Task: r.Task, Attempt: r.Attempt}, 0, t.now)
+				_ = t.model.Apply(
+					&model.Entry{Kind: model.EntryEnded, Job: t.job.ID, Task: r.Task, Attempt: r.Attempt},
+					0,
+					t.now,
+				)
 			}
 		}
 	}},
@@ -44,7 +48,10 @@
 		return r, r.Count > 0
 	}, func(t *simulation) { t.scheduler.OnlyJob = t.job }},
 	{pending.Throttled, func(t *simulation) (pending.Reason, bool) {
-		return pending.Reason{Count: t.scheduler.LowPriorityLimit}, t.scheduler.LowPriorityLimit > 0 && t.job.Priority == model.Low && t.job.Waiting() > t.scheduler.LowPriorityLimit
+		return pending.Reason{
+				Count: t.scheduler.LowPriorityLimit,
+			}, t.scheduler.LowPriorityLimit > 0 && t.job.Priority == model.Low &&
+				t.job.Waiting() > t.scheduler.LowPriorityLimit
 	}, func(t *simulation) { t.scheduler.LowPriorityLimit = 0 }},
 	{pending.TeamLimit, func(t *simulation) (pending.Reason, bool) {
 		n := minTasksAtOnce(t.job)
@@ -84,22 +91,33 @@
 			}
 		}
 	}},
-	machineConstraint(pending.Booting, func(t *simulation, mc *model.Machine) bool { return !mc.Reported && !mc.Releasing && !mc.Suspect },
-		func(t *simulation, mc *model.Machine) { mc.Reported = true }),
+	machineConstraint(
+		pending.Booting,
+		func(t *simulation, mc *model.Machine) bool { return !mc.Reported && !mc.Releasing && !mc.Suspect },
+		func(t *simulation, mc *model.Machine) { mc.Reported = true },
+	),
 	machineConstraint(pending.Releasing, func(t *simulation, mc *model.Machine) bool { return mc.Releasing },
 		func(t *simulation, mc *model.Machine) { mc.Releasing, mc.Reported = false, true }),
 	machineConstraint(pending.Suspect, func(t *simulation, mc *model.Machine) bool { return mc.Suspect },
 		func(t *simulation, mc *model.Machine) { mc.Suspect, mc.Reported = false, true }),
-	machineConstraint(pending.Quarantined, func(t *simulation, mc *model.Machine) bool { return mc.Quarantined || mc.DoubtSince != 0 },
-		func(t *simulation, mc *model.Machine) { mc.Quarantined, mc.DoubtSince = false, 0 }),
-	machineConstraint(pending.Draining, func(t *simulation, mc *model.Machine) bool { return mc.Draining || mc.PreemptionAt != 0 },
-		func(t *simulation, mc *model.Machine) { mc.Draining, mc.PreemptionAt = false, 0 }),
+	machineConstraint(
+		pending.Quarantined,
+		func(t *simulation, mc *model.Machine) bool { return mc.Quarantined || mc.DoubtSince != 0 },
+		func(t *simulation, mc *model.Machine) { mc.Quarantined, mc.DoubtSince = false, 0 },
+	),
+	machineConstraint(
+		pending.Draining,
+		func(t *simulation, mc *model.Machine) bool { return mc.Draining || mc.PreemptionAt != 0 },
+		func(t *simulation, mc *model.Machine) { mc.Draining, mc.PreemptionAt = false, 0 },
+	),
 	machineConstraint(pending.Slow, func(t *simulation, mc *model.Machine) bool {
 		return mc.ServicesOnly(t.now) && t.job.Kind != model.Service
 	},
 		func(t *simulation, mc *model.Machine) { mc.SlowUntil, mc.OutboundPartitionSince = 0, 0 }),
 	{pending.FailedBefore, func(t *simulation) (r pending.Reason, ok bool) {
-		r.Count, r.First = t.countMachines(func(mc *model.Machine) bool { return t.job.FailedOn != nil && t.job.Avoids(mc, t.now) })
+		r.Count, r.First = t.countMachines(
+			func(mc *model.Machine) bool { return t.job.FailedOn != nil && t.job.Avoids(mc, t.now) },
+		)
 		return r, r.Count > 0
 	}, func(t *simulation) { t.job.FailedOn = nil }},
 	{pending.ZoneSpread, func(t *simulation) (pending.Reason, bool) {
@@ -109,7 +127,11 @@
 		return pending.Reason{}, t.job.Spec.SameZone && (t.zoneClosed() || minTasksAtOnce(t.job) > 1)
 	}, func(t *simulation) { t.copySpec().SameZone = false }},
 	{pending.Headroom, func(t *simulation) (pending.Reason, bool) {
-		return pending.Reason{Unit: "CPUs", Need: t.scheduler.ServiceHeadroom}, t.scheduler.ServiceHeadroom > 0 && t.job.Priority < model.Production
+		return pending.Reason{
+				Unit: "CPUs",
+				Need: t.scheduler.ServiceHeadroom,
+			}, t.scheduler.ServiceHeadroom > 0 &&
+				t.job.Priority < model.Production
 	}, func(t *simulation) { t.scheduler.ServiceHeadroom = 0 }},
 	{pending.TooExpensive, func(t *simulation) (r pending.Reason, ok bool) {
 		r.Count, r.First = t.countMachines(func(mc *model.Machine) bool {
@@ -122,7 +144,9 @@
 		}
 	}},
 	{pending.ReservedForGPUs, func(t *simulation) (r pending.Reason, ok bool) {
-		r.Count, r.First = t.countMachines(func(mc *model.Machine) bool { return t.fits(mc) && !t.scheduler.ServiceAllowedOn(t.model, t.job, mc) })
+		r.Count, r.First = t.countMachines(
+			func(mc *model.Machine) bool { return t.fits(mc) && !t.scheduler.ServiceAllowedOn(t.model, t.job, mc) },
+		)
 		return r, r.Count > 0
 	}, func(t *simulation) {
 		for _, mc := range t.model.Order {
@@ -136,7 +160,8 @@
 			if !t.fits(mc) || !mc.IsUsable() {
 				return false
 			}
-			free := scheduler.MachineCapacity(t.model, mc).Minus(scheduler.Resources{CPUs: mc.CPUs, GPUs: mc.GPUs, MemoryGB: mc.Mem})
+			free := scheduler.MachineCapacity(t.model, mc).
+				Minus(scheduler.Resources{CPUs: mc.CPUs, GPUs: mc.GPUs, MemoryGB: mc.Mem})
 			for ; free.Contains(need) && placeable < t.job.Waiting(); placeable++ {
 				free = free.Minus(need)
 			}
@@ -149,11 +174,17 @@
 
 // imageWait is DAD's wait for a busy machine with the image.
 var imageWait = constraint{pending.ImageBusy, func(t *simulation) (pending.Reason, bool) {
-	return pending.Reason{Count: t.scheduler.Params.WaitRounds - t.job.WaitedRounds}, t.job.PendingReason.Code == pending.ImageBusy
+	return pending.Reason{
+		Count: t.scheduler.Params.WaitRounds - t.job.WaitedRounds,
+	}, t.job.PendingReason.Code == pending.ImageBusy
 }, func(t *simulation) { t.job.WaitedRounds = t.scheduler.Params.WaitRounds }}
 
 // machineConstraint is a reason that keeps some machines from being used.
-func machineConstraint(code pending.Code, excludes func(t *simulation, mc *model.Machine) bool, restore func(t *simulation, mc *model.Machine)) constraint {
+func machineConstraint(
+	code pending.Code,
+	excludes func(t *simulation, mc *model.Machine) bool,
+	restore func(t *simulation, mc *model.Machine),
+) constraint {
 	return constraint{code, func(t *simulation) (r pending.Reason, ok bool) {
 		r.Count, r.First = t.countMachines(func(mc *model.Machine) bool { return t.fits(mc) && excludes(t, mc) })
 		return r, r.Count > 0
@@ -226,7 +257,15 @@
 				id := t.model.NextMachine
 				name := fmt.Sprintf("room-for-%s-%d", t.job.Spec.ID, added)
 				// Names of machines in the model come from the cloud, so this one is new.
-				if t.model.Apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: &model.MachineInfo{Name: name, Type: machineType.Name, Zone: t.model.Zones.Name(zone)}}, 0, t.now) != nil {
+				if t.model.Apply(
+					&model.Entry{
+						Kind:    model.EntryMachine,
+						Machine: id,
+						Info:    &model.MachineInfo{Name: name, Type: machineType.Name, Zone: t.model.Zones.Name(zone)},
+					},
+					0,
+					t.now,
+				) != nil {
 					continue
 				}
 				mc := t.model.Machines[id]
--- a/internal/scheduling/explanation/explanation.go
+++ b/internal/scheduling/explanation/explanation.go
@@ -136,7 +136,19 @@
 	d.seq++
 	// An entry that does not apply would be one that the scheduler should not have decided; then
 	// it counts for nothing here, as there.
-	if d.model.Apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: mc.ID, Session: mc.Session}, d.seq, 0) == nil && j == d.job {
+	if d.model.Apply(
+		&model.Entry{
+			Kind:    model.EntryPlace,
+			Job:     j.ID,
+			Task:    task,
+			Attempt: attempt,
+			Machine: mc.ID,
+			Session: mc.Session,
+		},
+		d.seq,
+		0,
+	) == nil &&
+		j == d.job {
 		d.Placed++
 	}
 }
--- a/internal/scheduling/explanation/explanation_test.go
+++ b/internal/scheduling/explanation/explanation_test.go
@@ -25,8 +25,16 @@
 }
 
 func newTestCluster(t testing.TB) *testCluster {
-	cluster := &testCluster{test: t, scheduler: scheduler.New(scheduler.Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})}
-	cluster.model = model.New(&config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUsMax: 100}, {Name: "blue", CPUs: 50}}})
+	cluster := &testCluster{
+		test:      t,
+		scheduler: scheduler.New(scheduler.Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2}),
+	}
+	cluster.model = model.New(
+		&config.Params{
+			Zones: []string{"a", "b"},
+			Teams: []config.Team{{Name: "red", CPUsMax: 100}, {Name: "blue", CPUs: 50}},
+		},
+	)
 	for _, ty := range []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64}, {Name: "tiny", CPUs: 1, MemoryGB: 2}} {
 		ty.CacheGB, ty.FetchGBPerS, ty.Zones = 20, 1, []string{"a", "b"}
 		cluster.apply(&model.Entry{Kind: model.EntryType, Type: &ty})
@@ -44,7 +52,13 @@
 
 func (cluster *testCluster) machine(typ, zone string) *model.Machine {
 	id := cluster.model.NextMachine
-	cluster.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: &model.MachineInfo{Name: fmt.Sprint("m", id), Type: typ, Zone: zone}})
+	cluster.apply(
+		&model.Entry{
+			Kind:    model.EntryMachine,
+			Machine: id,
+			Info:    &model.MachineInfo{Name: fmt.Sprint("m", id), Type: typ, Zone: zone},
+		},
+	)
 	mc := cluster.model.Machines[id]
 	mc.Reported, mc.Session = true, 1
 	return mc
@@ -52,8 +66,20 @@
 
 // job accepts one of a task of 4 CPUs for small machines, unless it is changed.
 func (cluster *testCluster) job(n uint64, change func(*wire.JobSpec)) *model.Job {
-	s := &wire.JobSpec{ID: wire.JobID(n), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 4, MemoryGB: 4,
-		Image: "i", ImageGB: 1, Types: []string{"small"}, EstimateS: 10}
+	s := &wire.JobSpec{
+		ID:        wire.JobID(n),
+		Class:     "c",
+		Team:      "red",
+		Shape:     wire.Array,
+		Priority:  wire.Normal,
+		Tasks:     1,
+		CPUs:      4,
+		MemoryGB:  4,
+		Image:     "i",
+		ImageGB:   1,
+		Types:     []string{"small"},
+		EstimateS: 10,
+	}
 	if change != nil {
 		change(s)
 	}
@@ -62,7 +88,16 @@
 }
 
 func (cluster *testCluster) place(j *model.Job, task int32, mc *model.Machine) {
-	cluster.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: j.Tasks[task].Attempt + 1, Machine: mc.ID, Session: 1})
+	cluster.apply(
+		&model.Entry{
+			Kind:    model.EntryPlace,
+			Job:     j.ID,
+			Task:    task,
+			Attempt: j.Tasks[task].Attempt + 1,
+			Machine: mc.ID,
+			Session: 1,
+		},
+	)
 }
 
 // fill has a machine taken by a job that does not give way.
@@ -174,7 +209,11 @@
 		},
 		pending.ReservedForGPUs: func(cluster *testCluster) *model.Job {
 			cluster.machine("large", "a")
-			cluster.place(cluster.job(2, func(s *wire.JobSpec) { s.Types, s.GPUs, s.Shape = []string{"large"}, 1, wire.Gang }), 0, cluster.machine("large", "b"))
+			cluster.place(
+				cluster.job(2, func(s *wire.JobSpec) { s.Types, s.GPUs, s.Shape = []string{"large"}, 1, wire.Gang }),
+				0,
+				cluster.machine("large", "b"),
+			)
 			return cluster.job(1, func(s *wire.JobSpec) { s.Types, s.Shape, s.CPUs = nil, wire.Service, 6 })
 		},
 		pending.ImageBusy: func(cluster *testCluster) *model.Job {
@@ -223,12 +262,47 @@
 
 // stateOf is what must not change: the replicated part, and what was seen of machines.
 func stateOf(cluster *testCluster) (out []string) {
-	out = append(out, string(cluster.model.Snapshot()), fmt.Sprint(cluster.scheduler.ServiceHeadroom, cluster.scheduler.LowPriorityLimit, cluster.scheduler.OnlyJob, len(cluster.scheduler.ServiceSlots), len(cluster.scheduler.LowPriorityAllowed)))
+	out = append(
+		out,
+		string(cluster.model.Snapshot()),
+		fmt.Sprint(
+			cluster.scheduler.ServiceHeadroom,
+			cluster.scheduler.LowPriorityLimit,
+			cluster.scheduler.OnlyJob,
+			len(cluster.scheduler.ServiceSlots),
+			len(cluster.scheduler.LowPriorityAllowed),
+		),
+	)
 	for _, mc := range cluster.model.Order {
-		out = append(out, fmt.Sprint(mc.Info.Name, mc.Reported, mc.Releasing, mc.Suspect, mc.DoubtSince, mc.Draining, mc.SlowUntil, mc.CPUs, len(mc.Runs)))
+		out = append(
+			out,
+			fmt.Sprint(
+				mc.Info.Name,
+				mc.Reported,
+				mc.Releasing,
+				mc.Suspect,
+				mc.DoubtSince,
+				mc.Draining,
+				mc.SlowUntil,
+				mc.CPUs,
+				len(mc.Runs),
+			),
+		)
 	}
 	for _, j := range cluster.model.JobsInOrder() {
-		out = append(out, fmt.Sprint(j.ID, j.NotBefore, j.WaitedRounds, j.Faulty, j.Live, j.Team.CPUsMax, j.Spec.Spread, len(j.FailedOn)))
+		out = append(
+			out,
+			fmt.Sprint(
+				j.ID,
+				j.NotBefore,
+				j.WaitedRounds,
+				j.Faulty,
+				j.Live,
+				j.Team.CPUsMax,
+				j.Spec.Spread,
+				len(j.FailedOn),
+			),
+		)
 	}
 	return out
 }
@@ -294,7 +368,10 @@
 		cluster.machine([]string{"small", "large"}[i%2], []string{"a", "b"}[i/3])
 	}
 	for n := range uint64(8) {
-		cluster.job(n+1, func(s *wire.JobSpec) { s.Types, s.CPUs, s.Tasks, s.Spread = nil, float64(1+n%4), int(1+n%3), n%2 == 0 })
+		cluster.job(
+			n+1,
+			func(s *wire.JobSpec) { s.Types, s.CPUs, s.Tasks, s.Spread = nil, float64(1+n%4), int(1+n%3), n%2 == 0 },
+		)
 	}
 	c := cluster.model.Clone()
 	placements := func(m *model.Model) (out []string) {
--- a/internal/scheduling/pending/reason_test.go
+++ b/internal/scheduling/pending/reason_test.go
@@ -18,7 +18,16 @@
 		}
 		names[c.String()] = c
 	}
-	r := Reason{Code: TeamLimit, Count: 3, Unit: "GPUs", Need: 4, Used: 62, Limit: 64, First: "req-000007", Remaining: 1500 * time.Millisecond}
+	r := Reason{
+		Code:      TeamLimit,
+		Count:     3,
+		Unit:      "GPUs",
+		Need:      4,
+		Used:      62,
+		Limit:     64,
+		First:     "req-000007",
+		Remaining: 1500 * time.Millisecond,
+	}
 	if text, want := r.String(), "its team's limit: 3, 4 GPUs needed, 62 of 64 in use, first req-000007, for 1.5s"; text != want {
 		t.Errorf("%q, not %q", text, want)
 	}
--- a/internal/scheduling/provisioner/golden_test.go
+++ b/internal/scheduling/provisioner/golden_test.go
@@ -14,7 +14,15 @@
 // its number.
 func TestGoldenOutcomes(t *testing.T) {
 	rows := []wire.ListedMachine{
-		{Name: "host-1", Addr: "10.1.0.1:1", Type: "small", Zone: "a", Spot: true, State: wire.MachineRunning, AgeS: 61.5},
+		{
+			Name:  "host-1",
+			Addr:  "10.1.0.1:1",
+			Type:  "small",
+			Zone:  "a",
+			Spot:  true,
+			State: wire.MachineRunning,
+			AgeS:  61.5,
+		},
 		{Name: "host-2", Zone: "b", State: wire.MachineBooting},
 	}
 	offers := []wire.MachineType{
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -88,9 +88,28 @@
 
 // New makes a desk that works until the context ends. trusted tells whether it may act; post runs something in the
 // goroutine of Turn; tell is called there.
-func New(ctx context.Context, client *cloud.Client, maxInFlight int, listInterval time.Duration, trusted func() bool, post func(func()), onResult func(Result), logger *slog.Logger) *Provisioner {
-	return &Provisioner{ctx: ctx, cloud: client, trusted: trusted, post: post, onResult: onResult, logger: logger, maxInFlight: maxInFlight, listInterval: listInterval,
-		scaleOuts: map[string]*scaleOutState{}, releasedAt: map[string]time.Time{}}
+func New(
+	ctx context.Context,
+	client *cloud.Client,
+	maxInFlight int,
+	listInterval time.Duration,
+	trusted func() bool,
+	post func(func()),
+	onResult func(Result),
+	logger *slog.Logger,
+) *Provisioner {
+	return &Provisioner{
+		ctx:          ctx,
+		cloud:        client,
+		trusted:      trusted,
+		post:         post,
+		onResult:     onResult,
+		logger:       logger,
+		maxInFlight:  maxInFlight,
+		listInterval: listInterval,
+		scaleOuts:    map[string]*scaleOutState{},
+		releasedAt:   map[string]time.Time{},
+	}
 }
 
 // ErrNotHolder says that nothing was asked, since this node is not sure to have the duty.
@@ -140,7 +159,13 @@
 }
 
 func (p *Provisioner) startScaleOut(order ScaleOut, state *scaleOutState) {
-	request := &wire.ScaleOutRequest{Request: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot, Count: order.Count}
+	request := &wire.ScaleOutRequest{
+		Request: order.Name,
+		Type:    order.Type,
+		Zone:    order.Zone,
+		Spot:    order.Spot,
+		Count:   order.Count,
+	}
 	go func() {
 		backoff := 500 * time.Millisecond
 		for {
@@ -154,10 +179,17 @@
 			if p.ctx.Err() != nil {
 				return
 			}
-			if refused := code == http.StatusBadRequest || code == http.StatusServiceUnavailable && isNoCapacity(err); err == nil || refused {
+			if refused := code == http.StatusBadRequest ||
+				code == http.StatusServiceUnavailable && isNoCapacity(err); err == nil ||
+				refused {
 				p.post(func() {
 					p.inFlight--
-					state.result = &Result{Kind: ScaledOut, ScaleOut: order, Machines: names, Elapsed: time.Since(sentAt)}
+					state.result = &Result{
+						Kind:     ScaledOut,
+						ScaleOut: order,
+						Machines: names,
+						Elapsed:  time.Since(sentAt),
+					}
 					state.notifiedAt = time.Now()
 					p.onResult(*state.result)
 				})
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -91,14 +91,31 @@
 	result, r := &Result{Kind: ResultKind(b[0])}, &codec.Reader{Data: b[1:]}
 	switch result.Kind {
 	case ScaledOut:
-		result.ScaleOut = ScaleOut{Name: r.String(), Type: r.String(), Zone: r.String(), Spot: r.Bool(), Count: r.Max(wire.MaxScaleOut)}
+		result.ScaleOut = ScaleOut{
+			Name:  r.String(),
+			Type:  r.String(),
+			Zone:  r.String(),
+			Spot:  r.Bool(),
+			Count: r.Max(wire.MaxScaleOut),
+		}
 		result.Elapsed = time.Duration(r.Max(1<<31)) * time.Millisecond
 		result.Machines = readNames(r)
 	case Released:
 		result.Machines = readNames(r)
 	case MachinesListed:
 		for range r.Max(MaxListedMachines) {
-			result.Listing = append(result.Listing, wire.ListedMachine{Name: r.String(), Addr: r.String(), Type: r.String(), Zone: r.String(), State: r.String(), Spot: r.Bool(), AgeS: r.Float()})
+			result.Listing = append(
+				result.Listing,
+				wire.ListedMachine{
+					Name:  r.String(),
+					Addr:  r.String(),
+					Type:  r.String(),
+					Zone:  r.String(),
+					State: r.String(),
+					Spot:  r.Bool(),
+					AgeS:  r.Float(),
+				},
+			)
 		}
 	case TypesListed:
 		for range r.Max(uint64(len(r.Data))) {
--- a/internal/scheduling/scheduler/awaiting_heartbeats_test.go
+++ b/internal/scheduling/scheduler/awaiting_heartbeats_test.go
@@ -19,7 +19,16 @@
 	if web.Live != 1 {
 		t.Fatal("the first replica has no place")
 	}
-	w.model.Observe(web.Tasks[0].Run.Machine, &wire.Heartbeat{AgentEpoch: 1, Seq: 1, Tasks: []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}}, nil, 2e9)
+	w.model.Observe(
+		web.Tasks[0].Run.Machine,
+		&wire.Heartbeat{
+			AgentEpoch: 1,
+			Seq:        1,
+			Tasks:      []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}},
+		},
+		nil,
+		2e9,
+	)
 	low := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Spot = 24, true })
 	s.Round(w.model, 3e9, true, w)
 	s.Round(w.model, 5e9, true, w)
@@ -37,7 +46,14 @@
 	}
 	for _, machine := range w.model.Order {
 		if machine != web.Tasks[0].Run.Machine && !machine.Spot {
-			w.apply(&model.Entry{Kind: model.EntryDone, Job: low.ID, Task: machine.Runs[0].Task, Attempt: machine.Runs[0].Attempt})
+			w.apply(
+				&model.Entry{
+					Kind:    model.EntryDone,
+					Job:     low.ID,
+					Task:    machine.Runs[0].Task,
+					Attempt: machine.Runs[0].Attempt,
+				},
+			)
 			break
 		}
 	}
@@ -46,7 +62,14 @@
 		s.Round(w.model, model.Time(60+10*i)*1e9, true, w)
 	}
 	if more.Live != 1 || other.Live != 0 || late.Live != 0 || len(w.stopped) != 0 {
-		t.Errorf("early: %d with its image there, %d without, %d low, %v stopped (%d low tasks ran)", more.Live, other.Live, late.Live, w.stopped, filled)
+		t.Errorf(
+			"early: %d with its image there, %d without, %d low, %v stopped (%d low tasks ran)",
+			more.Live,
+			other.Live,
+			late.Live,
+			w.stopped,
+			filled,
+		)
 	}
 	for _, j := range []*model.Job{other, late} {
 		if j.PendingReason.Code != pending.AwaitingHeartbeats {
--- a/internal/scheduling/scheduler/drain.go
+++ b/internal/scheduling/scheduler/drain.go
@@ -60,7 +60,9 @@
 		need := TaskDemand(j)
 		for i := range s.machines {
 			view := &s.machines[i]
-			if view.machine == s.DrainTarget || !s.mayUse(m, j, view, need) || withImage && !view.machine.HasImage(j.Image) || !s.serviceAllowed(j, view) ||
+			if view.machine == s.DrainTarget || !s.mayUse(m, j, view, need) ||
+				withImage && !view.machine.HasImage(j.Image) ||
+				!s.serviceAllowed(j, view) ||
 				view.machine.Zone != r.Machine.Zone && !j.ZoneAllows(view.machine.Zone) {
 				continue
 			}
@@ -68,7 +70,14 @@
 				binder.Preempt(r, false, "machine draining for scale-in")
 				return true
 			}
-			if runs, cost, ok := s.victims(j, view, need, model.Normal, now); ok && len(runs) > 0 && (best.view == nil || cost < best.cost) {
+			if runs, cost, ok := s.victims(
+				j,
+				view,
+				need,
+				model.Normal,
+				now,
+			); ok && len(runs) > 0 &&
+				(best.view == nil || cost < best.cost) {
 				best, bestNeed = preemptionChoice{view: view, cost: cost, runs: runs}, need
 			}
 		}
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -47,7 +47,11 @@
 	kind := kindOf(j)
 	if j.FailedOn != nil || !coveredBy(s.unplaceable, kind, t.need) { // else not even one member finds room
 		plan := s.planGang(m, t, memberCount)
-		if s.AwaitingHeartbeats && slices.ContainsFunc(plan, func(view *machineView) bool { return locality(m, j, view.machine)*s.Params.Beta >= s.Params.Threshold }) {
+		if s.AwaitingHeartbeats &&
+			slices.ContainsFunc(
+				plan,
+				func(view *machineView) bool { return locality(m, j, view.machine)*s.Params.Beta >= s.Params.Threshold },
+			) {
 			j.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
 			return
 		}
@@ -64,7 +68,15 @@
 				return
 			}
 			for _, view := range plan {
-				s.bind(m, j, view, j.NextWaiting(), attempt+1, s.score(locality(m, j, view.machine), load(m, view.machine)), binder)
+				s.bind(
+					m,
+					j,
+					view,
+					j.NextWaiting(),
+					attempt+1,
+					s.score(locality(m, j, view.machine), load(m, view.machine)),
+					binder,
+				)
 			}
 			return
 		}
@@ -178,7 +190,8 @@
 	}
 	kind := preemptionKindOf(j)
 	demand := demandShape{kind, t.need}
-	if s.partialGangHeld && !s.searchEveryGang && j.FailedOn == nil && s.gangKnownUnplaceable(demand, n, j.Spec.SameZone) {
+	if s.partialGangHeld && !s.searchEveryGang && j.FailedOn == nil &&
+		s.gangKnownUnplaceable(demand, n, j.Spec.SameZone) {
 		return false
 	}
 	best, _ := s.cheapestGangRoom(m, t, n, now)
@@ -207,7 +220,12 @@
 
 // cheapestGangRoom finds the room for a gang, or for as many members as possible, that costs least: what is undone by
 // stopping others, and what the members lose while the image is fetched.
-func (s *Scheduler) cheapestGangRoom(m *model.Model, t *placementTurn, n int, now model.Time) (best []preemptionChoice, bestCost float64) {
+func (s *Scheduler) cheapestGangRoom(
+	m *model.Model,
+	t *placementTurn,
+	n int,
+	now model.Time,
+) (best []preemptionChoice, bestCost float64) {
 	j := t.job
 	// room for one more member each; runs are those of the earlier ones there too
 	zones := map[int32][]preemptionChoice{}
@@ -234,7 +252,10 @@
 			if !ok {
 				break
 			}
-			zones[zone] = append(zones[zone], preemptionChoice{view, cost - previousCost + fetchIdleCost(m, j, view.machine), runs, i})
+			zones[zone] = append(
+				zones[zone],
+				preemptionChoice{view, cost - previousCost + fetchIdleCost(m, j, view.machine), runs, i},
+			)
 			previousCost = cost
 		}
 	}
@@ -248,7 +269,8 @@
 		for _, o := range list {
 			cost += o.cost
 		}
-		if len(list) > len(best) || len(list) == len(best) && (cost < bestCost || cost == bestCost && list[0].index < best[0].index) {
+		if len(list) > len(best) ||
+			len(list) == len(best) && (cost < bestCost || cost == bestCost && list[0].index < best[0].index) {
 			best, bestCost = list, cost
 		}
 	}
@@ -260,7 +282,14 @@
 // as far as a gang can use it: where an image takes ten times as long as the two rounds, low work leaves a holder
 // within a moment, and members that fetch for very different times would not meet before the first of them gives up.
 // It tells whether the gang waits for that, which it does for a part of its time only.
-func (s *Scheduler) preemptAtImageHolders(m *model.Model, t *placementTurn, n int, plan []*machineView, now model.Time, binder Binder) bool {
+func (s *Scheduler) preemptAtImageHolders(
+	m *model.Model,
+	t *placementTurn,
+	n int,
+	plan []*machineView,
+	now model.Time,
+	binder Binder,
+) bool {
 	j := t.job
 	if s.AwaitingHeartbeats || j.Spec.Spread || j.Faulty {
 		return false
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -31,7 +31,8 @@
 
 // guaranteeCovers tells whether a team's guarantee holds a use of it by a job.
 func guaranteeCovers(t *model.Team, use Resources, j *model.Job) bool {
-	return (t.CPUs > 0 || j.Spec.CPUs == 0 || j.Spec.GPUs > 0) && (t.CPUs == 0 || use.CPUs <= t.CPUs+1e-6) && use.GPUs <= t.GPUs+1e-6 &&
+	return (t.CPUs > 0 || j.Spec.CPUs == 0 || j.Spec.GPUs > 0) && (t.CPUs == 0 || use.CPUs <= t.CPUs+1e-6) &&
+		use.GPUs <= t.GPUs+1e-6 &&
 		(t.GPUs > 0 || j.Spec.GPUs == 0)
 }
 
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -39,7 +39,11 @@
 	big := w.submit(4, func(s *wire.JobSpec) { s.Shape, s.Priority, s.Tasks, s.CPUs = wire.Gang, wire.High, 3, 4 })
 	one := w.submit(5, func(s *wire.JobSpec) { s.Shape, s.Priority, s.CPUs = wire.Gang, wire.High, 4 })
 	if mark(62e9); big.Guaranteed || one.Guaranteed {
-		t.Errorf("of two gangs the large one is guaranteed %v, the small one behind it %v", big.Guaranteed, one.Guaranteed)
+		t.Errorf(
+			"of two gangs the large one is guaranteed %v, the small one behind it %v",
+			big.Guaranteed,
+			one.Guaranteed,
+		)
 	}
 }
 
@@ -53,8 +57,13 @@
 			j := w.submit(n+1, func(s *wire.JobSpec) {
 				s.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(rt, "team")
 				s.Shape = rapid.SampledFrom([]string{wire.Array, wire.Gang, wire.Service}).Draw(rt, "shape")
-				s.Priority = rapid.SampledFrom([]string{wire.Low, wire.Normal, wire.High, wire.Production}).Draw(rt, "priority")
-				s.Tasks, s.CPUs, s.EstimateS = rapid.IntRange(1, 4).Draw(rt, "tasks"), float64(rapid.IntRange(1, 3).Draw(rt, "cpus")), 20
+				s.Priority = rapid.SampledFrom([]string{wire.Low, wire.Normal, wire.High, wire.Production}).
+					Draw(rt, "priority")
+				s.Tasks, s.CPUs, s.EstimateS = rapid.IntRange(1, 4).
+					Draw(rt, "tasks"),
+					float64(
+						rapid.IntRange(1, 3).Draw(rt, "cpus"),
+					), 20
 			})
 			j.KnownSince = model.Time(rapid.IntRange(0, 30).Draw(rt, "began")) * 1e9
 		}
@@ -71,9 +80,16 @@
 					given += cpus
 				}
 				if j.WithinGuarantee != (all <= team.CPUs) {
-					rt.Errorf("job %d is within %v, the team's jobs up to it want %g of %g", j.ID, j.WithinGuarantee, all, team.CPUs)
+					rt.Errorf(
+						"job %d is within %v, the team's jobs up to it want %g of %g",
+						j.ID,
+						j.WithinGuarantee,
+						all,
+						team.CPUs,
+					)
 				}
-				if j.WithinGuarantee && !j.Guaranteed && (j.Kind != model.Array || j.Priority > model.Low || now-j.KnownSince <= 10e9) {
+				if j.WithinGuarantee && !j.Guaranteed &&
+					(j.Kind != model.Array || j.Priority > model.Low || now-j.KnownSince <= 10e9) {
 					rt.Errorf("job %d fits beside the earlier ones and is not served so", j.ID)
 				}
 			}
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -46,7 +46,13 @@
 type tally struct{ jobs, tasks, jobsServed, tasksServed, wants, uses float64 }
 
 func (t *tally) add(j *model.Job, now model.Time) {
-	weight, taskCount, servedCount := model.RecencyWeight(now-j.KnownSince), float64(len(j.Tasks)), float64(j.Done+j.Live)
+	weight, taskCount, servedCount := model.RecencyWeight(
+		now-j.KnownSince,
+	), float64(
+		len(j.Tasks),
+	), float64(
+		j.Done+j.Live,
+	)
 	t.jobs, t.tasks = t.jobs+weight, t.tasks+weight*taskCount
 	t.jobsServed, t.tasksServed = t.jobsServed+weight*servedCount/taskCount, t.tasksServed+weight*servedCount
 	t.wants, t.uses = t.wants+(taskCount-float64(j.Done))*j.Spec.CPUs, t.uses+float64(j.Live)*j.Spec.CPUs
@@ -59,7 +65,10 @@
 	if t.jobs+jobs == 0 {
 		return 1
 	}
-	return min((t.jobsServed+jobs)/(t.jobs+jobs), (t.tasksServed+tasks)/(t.tasks+tasks)*minimumJobShare/minimumTaskShare)
+	return min(
+		(t.jobsServed+jobs)/(t.jobs+jobs),
+		(t.tasksServed+tasks)/(t.tasks+tasks)*minimumJobShare/minimumTaskShare,
+	)
 }
 
 // recompute reckons the standings anew.
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -144,7 +144,13 @@
 			t.Fatalf("the gangs' class is owed %v", underServed)
 		}
 		if (len(w.stopped) == 0) != wellServed {
-			t.Errorf("the gangs' class served well %v: %d low tasks were stopped; %d and %d members run", wellServed, len(w.stopped), gang.Live, other.Live)
+			t.Errorf(
+				"the gangs' class served well %v: %d low tasks were stopped; %d and %d members run",
+				wellServed,
+				len(w.stopped),
+				gang.Live,
+				other.Live,
+			)
 		}
 	}
 }
@@ -158,7 +164,9 @@
 	w.model.Teams[0].CPUs, w.model.Teams[0].CPUsMax = 32, 0
 	// red wants more than its guarantee
 	w.submit(100, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Types = "red", 40, []string{"none"} })
-	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5, Share: 0.9}}})
+	s := New(
+		Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5, Share: 0.9}}},
+	)
 	n := uint64(0)
 	gang := func(tasks int) *model.Job {
 		n++
@@ -222,7 +230,9 @@
 						s.Team = []string{"red", "blue"}[rng.IntN(2)]
 						s.Tasks, s.CPUs, s.Spot = 1+rng.IntN(4), float64(1+rng.IntN(4)), rng.IntN(2) == 0
 						if rng.IntN(4) > 0 {
-							s.Shape, s.SameZone, s.Priority = wire.Gang, rng.IntN(2) == 0, []string{wire.Normal, wire.High}[rng.IntN(2)]
+							s.Shape, s.SameZone, s.Priority = wire.Gang, rng.IntN(
+								2,
+							) == 0, []string{wire.Normal, wire.High}[rng.IntN(2)]
 						}
 					})
 				}
@@ -232,13 +242,21 @@
 					w.endStopping(machine)
 					for _, r := range slices.Clone(machine.Runs) {
 						if rng.IntN(5) == 0 {
-							w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+							w.apply(
+								&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt},
+							)
 						}
 					}
 				}
 			}
 		}
-		if d := cmp.Diff(environments[1].placed, environments[0].placed) + cmp.Diff(environments[1].stopped, environments[0].stopped); d != "" {
+		if d := cmp.Diff(
+			environments[1].placed,
+			environments[0].placed,
+		) + cmp.Diff(
+			environments[1].stopped,
+			environments[0].stopped,
+		); d != "" {
 			t.Fatalf("seed %d: decided otherwise (-plain +as it is): %s", seed, d)
 		}
 	}
--- a/internal/scheduling/scheduler/placement.go
+++ b/internal/scheduling/scheduler/placement.go
@@ -110,7 +110,15 @@
 			continue
 		}
 		localityScore := locality(m, j, view.machine)
-		t.candidates = append(t.candidates, candidate{view, localityScore, s.score(localityScore, load(m, view.machine)) + s.gpuMismatchPenalty(m, j, view), i})
+		t.candidates = append(
+			t.candidates,
+			candidate{
+				view,
+				localityScore,
+				s.score(localityScore, load(m, view.machine)) + s.gpuMismatchPenalty(m, j, view),
+				i,
+			},
+		)
 	}
 	heap.Init(t)
 }
@@ -129,7 +137,10 @@
 	}
 	if s.LowPriorityLimit > 0 && j.Priority == model.Low {
 		if s.lowPriorityPlaced >= s.LowPriorityLimit {
-			s.LowPriorityDeferred, j.PendingReason = true, pending.Reason{Code: pending.Throttled, Count: s.LowPriorityLimit}
+			s.LowPriorityDeferred, j.PendingReason = true, pending.Reason{
+				Code:  pending.Throttled,
+				Count: s.LowPriorityLimit,
+			}
 			return false
 		}
 		s.lowPriorityPlaced++
@@ -186,7 +197,13 @@
 // free machines would have to fetch it for longer than the service may take to
 // start. Low work that stops has left within a moment. It tells whether the
 // service should wait for that; it does so for a part of its time only.
-func (s *Scheduler) preemptAtImage(m *model.Model, t *placementTurn, free *candidate, now model.Time, binder Binder) bool {
+func (s *Scheduler) preemptAtImage(
+	m *model.Model,
+	t *placementTurn,
+	free *candidate,
+	now model.Time,
+	binder Binder,
+) bool {
 	j := t.job
 	if j.Kind != model.Service {
 		return false
@@ -195,14 +212,16 @@
 		return false
 	}
 	within, _ := s.startWithin(j)
-	if since := now - j.LocalRoomSince; j.LocalRoomSince != 0 && since < localRetryAfter && since > config.Seconds(within*0.6) {
+	if since := now - j.LocalRoomSince; j.LocalRoomSince != 0 && since < localRetryAfter &&
+		since > config.Seconds(within*0.6) {
 		return false // once for all its tasks, not for each
 	}
 	z := zoneCache{job: j}
 	var choices choiceHeap
 	for i := range s.machines {
 		view := &s.machines[i]
-		if !s.mayUse(m, j, view, t.need) || !view.machine.HasImage(j.Image) || !s.serviceAllowed(j, view) || !z.allow(view.machine.Zone) ||
+		if !s.mayUse(m, j, view, t.need) || !view.machine.HasImage(j.Image) || !s.serviceAllowed(j, view) ||
+			!z.allow(view.machine.Zone) ||
 			!view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed).Contains(t.need) {
 			continue
 		}
@@ -226,7 +245,15 @@
 	return j.Kind != model.Service && j.WaitedRounds < s.Params.WaitRounds
 }
 
-func (s *Scheduler) bind(m *model.Model, j *model.Job, view *machineView, task int32, attempt uint32, score float64, binder Binder) {
+func (s *Scheduler) bind(
+	m *model.Model,
+	j *model.Job,
+	view *machineView,
+	task int32,
+	attempt uint32,
+	score float64,
+	binder Binder,
+) {
 	j.PendingReason = pending.Reason{}
 	binder.Bind(j, task, attempt, view.machine, score)
 	if view.capacity.GPUs > 0 && j.Kind == model.Service && s.ServiceSlots[view.machine] > 0 {
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -112,7 +112,8 @@
 	var choices choiceHeap
 	for i := range s.machines {
 		view := &s.machines[i]
-		if !s.mayUse(m, j, view, t.need) || !s.serviceAllowed(j, view) || !view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed).Contains(t.need) {
+		if !s.mayUse(m, j, view, t.need) || !s.serviceAllowed(j, view) ||
+			!view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed).Contains(t.need) {
 			continue
 		}
 		if !z.allow(view.machine.Zone) {
@@ -133,7 +134,17 @@
 
 // claimBest claims room for the waiting tasks of a job where it costs least, and
 // stops what is in the way, up to a priority, if it may. It returns how many found none.
-func (s *Scheduler) claimBest(m *model.Model, j *model.Job, need Resources, choices choiceHeap, maxPriority model.Priority, stop bool, reason string, now model.Time, binder Binder) int {
+func (s *Scheduler) claimBest(
+	m *model.Model,
+	j *model.Job,
+	need Resources,
+	choices choiceHeap,
+	maxPriority model.Priority,
+	stop bool,
+	reason string,
+	now model.Time,
+	binder Binder,
+) int {
 	heap.Init(&choices)
 	inZone := map[int32]int{} // claimed by this job
 	unclaimed := min(j.Waiting(), maxClaims)
@@ -172,7 +183,13 @@
 
 // victims finds runs of at most a priority whose end makes room on a machine, least
 // harm first. Up to normal rank these are tasks of arrays: they leave within a moment, and nobody waits for them.
-func (s *Scheduler) victims(j *model.Job, view *machineView, need Resources, maxPriority model.Priority, now model.Time) ([]*model.Run, float64, bool) {
+func (s *Scheduler) victims(
+	j *model.Job,
+	view *machineView,
+	need Resources,
+	maxPriority model.Priority,
+	now model.Time,
+) ([]*model.Run, float64, bool) {
 	available := view.capacity.Minus(used(view.machine)).Plus(view.stoppingResources()).Minus(view.claimed)
 	if available.Contains(need) {
 		return nil, 0, true
@@ -180,7 +197,8 @@
 	pool := s.victimPool[:0]
 	reclaimable := available
 	for _, r := range view.machine.Runs {
-		if r.Job.Priority <= maxPriority && mayPreempt(r, j) && (maxPriority > model.Normal || servedShortestFirst(r.Job)) {
+		if r.Job.Priority <= maxPriority && mayPreempt(r, j) &&
+			(maxPriority > model.Normal || servedShortestFirst(r.Job)) {
 			pool = append(pool, victim{r, preemptionCost(r, now)})
 			reclaimable = reclaimable.Plus(TaskDemand(r.Job))
 		}
@@ -287,7 +305,8 @@
 		if shortfall.cpus <= 1e-6 && shortfall.gpus <= 1e-6 {
 			return
 		}
-		if !r.IsWanted() || shortfall.cpus > 1e-6 && r.Job.Spec.CPUs == 0 || shortfall.cpus <= 1e-6 && r.Job.Spec.GPUs == 0 {
+		if !r.IsWanted() || shortfall.cpus > 1e-6 && r.Job.Spec.CPUs == 0 ||
+			shortfall.cpus <= 1e-6 && r.Job.Spec.GPUs == 0 {
 			continue
 		}
 		shortfall.cpus, shortfall.gpus = shortfall.cpus-r.Job.Spec.CPUs, shortfall.gpus-r.Job.Spec.GPUs
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -68,7 +68,8 @@
 	for _, o := range s.Params.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
-		case o.Kind == "finished" && expectedEnd > o.WithinS, o.Kind == "deadline" && j.Spec.DeadlineS != nil && expectedEnd > *j.Spec.DeadlineS*max(1, o.Times):
+		case o.Kind == "finished" && expectedEnd > o.WithinS,
+			o.Kind == "deadline" && j.Spec.DeadlineS != nil && expectedEnd > *j.Spec.DeadlineS*max(1, o.Times):
 			missed++
 		}
 	}
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -107,8 +107,15 @@
 }
 
 func kindOf(j *model.Job) shapeKind {
-	return shapeKind{types: j.TypesKey, zone: j.Zone, spot: j.Spec.Spot, service: j.Kind == model.Service, needsGPUs: j.Spec.GPUs > 0,
-		production: j.Priority == model.Production, lowPriority: j.Priority == model.Low}
+	return shapeKind{
+		types:       j.TypesKey,
+		zone:        j.Zone,
+		spot:        j.Spec.Spot,
+		service:     j.Kind == model.Service,
+		needsGPUs:   j.Spec.GPUs > 0,
+		production:  j.Priority == model.Production,
+		lowPriority: j.Priority == model.Low,
+	}
 }
 
 // preemptionKindOf is the kind where others are stopped: whom a job may stop is part of it.
@@ -149,7 +156,8 @@
 	if view.claimed != (Resources{}) && !free.Plus(view.stoppingResources()).Minus(view.claimed).Contains(need) {
 		return false
 	}
-	if j.Priority < model.Production && view.reservedForServices != (Resources{}) && !free.Minus(view.reservedForServices).Contains(need) {
+	if j.Priority < model.Production && view.reservedForServices != (Resources{}) &&
+		!free.Minus(view.reservedForServices).Contains(need) {
 		return false
 	}
 	if total.GPUs == 0 {
@@ -172,7 +180,8 @@
 // returned. It goes to a machine that gangs use only as far as the fleet found
 // no other room for services.
 func (s *Scheduler) serviceAllowed(j *model.Job, view *machineView) bool {
-	return j.Kind != model.Service || j.Spec.GPUs > 0 || view.capacity.GPUs == 0 || s.ServiceSlots[view.machine] > 0 || !s.gpuDemand.FitsAny(view.capacity)
+	return j.Kind != model.Service || j.Spec.GPUs > 0 || view.capacity.GPUs == 0 || s.ServiceSlots[view.machine] > 0 ||
+		!s.gpuDemand.FitsAny(view.capacity)
 }
 
 // Reserved is the room that services without GPUs have taken of a machine.
@@ -201,7 +210,13 @@
 	if t.Index < len(s.reservedQuota) {
 		reserved = s.reservedQuota[t.Index]
 	}
-	r := pending.Reason{Code: pending.TeamLimit, Unit: "CPUs", Need: j.Spec.CPUs * float64(n), Used: t.UsedCPUs + reserved.CPUs, Limit: t.CPUsMax}
+	r := pending.Reason{
+		Code:  pending.TeamLimit,
+		Unit:  "CPUs",
+		Need:  j.Spec.CPUs * float64(n),
+		Used:  t.UsedCPUs + reserved.CPUs,
+		Limit: t.CPUsMax,
+	}
 	if g := j.Spec.GPUs * float64(n); t.GPUsMax > 0 && t.UsedGPUs+reserved.GPUs+g > t.GPUsMax+1e-6 {
 		r.Unit, r.Need, r.Used, r.Limit = "GPUs", g, t.UsedGPUs+reserved.GPUs, t.GPUsMax
 	}
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -53,7 +53,16 @@
 }
 
 func (w *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
-	w.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID, Session: machine.Session})
+	w.apply(
+		&model.Entry{
+			Kind:    model.EntryPlace,
+			Job:     j.ID,
+			Task:    task,
+			Attempt: attempt,
+			Machine: machine.ID,
+			Session: machine.Session,
+		},
+	)
 	w.placed = append(w.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
 	t := w.model.TypeOf(machine)
 	var cpus, mem, team float64
@@ -76,10 +85,18 @@
 		w.test.Fatalf("%s holds %g CPUs and %g GB", machine.Info.Name, cpus, mem)
 	case j.Team.CPUsMax > 0 && team > j.Team.CPUsMax:
 		w.test.Fatalf("team %s uses %g CPUs", j.Team.Name, team)
-	case machine.Spot && !j.Spec.Spot, j.Spec.Zone != nil && *j.Spec.Zone != machine.Info.Zone, j.Spec.SameZone && len(zones) > 1:
+	case machine.Spot && !j.Spec.Spot,
+		j.Spec.Zone != nil && *j.Spec.Zone != machine.Info.Zone,
+		j.Spec.SameZone && len(zones) > 1:
 		w.test.Fatalf("job %d does not allow %s", j.ID, machine.Info.Name)
 	case j.Spec.Spread && zones[machine.Info.Zone] > (len(j.Tasks)+1)/2:
-		w.test.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[machine.Info.Zone], len(j.Tasks), machine.Info.Zone)
+		w.test.Fatalf(
+			"job %d has %d of %d tasks in zone %s",
+			j.ID,
+			zones[machine.Info.Zone],
+			len(j.Tasks),
+			machine.Info.Zone,
+		)
 	}
 }
 
@@ -98,11 +115,39 @@
 }
 
 func newEnvironment(t *testing.T, machines int) *environment {
-	w := &environment{test: t, model: model.New(&config.Params{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}}})}
-	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a", "b"}}})
+	w := &environment{
+		test: t,
+		model: model.New(
+			&config.Params{
+				Zones: []string{"a", "b"},
+				Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}},
+			},
+		),
+	}
+	w.apply(
+		&model.Entry{
+			Kind: model.EntryType,
+			Type: &wire.MachineType{
+				Name:        "t",
+				CPUs:        4,
+				MemoryGB:    8,
+				CacheGB:     10,
+				FetchGBPerS: 1,
+				Zones:       []string{"a", "b"},
+			},
+		},
+	)
 	for i := range machines {
-		w.apply(&model.Entry{Kind: model.EntryMachine, Machine: model.MachineID(i + 1),
-			Info: &model.MachineInfo{Name: fmt.Sprint("m", i), Type: "t", Zone: string(rune('a' + i%2)), Spot: i%4 == 3}})
+		w.apply(&model.Entry{
+			Kind:    model.EntryMachine,
+			Machine: model.MachineID(i + 1),
+			Info: &model.MachineInfo{
+				Name: fmt.Sprint("m", i),
+				Type: "t",
+				Zone: string(rune('a' + i%2)),
+				Spot: i%4 == 3,
+			},
+		})
 		machine := w.model.Machines[model.MachineID(i+1)]
 		machine.Reported, machine.Session = true, 1
 	}
@@ -110,7 +155,18 @@
 }
 
 func (w *environment) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
-	s := &wire.JobSpec{ID: wire.JobID(n), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
+	s := &wire.JobSpec{
+		ID:       wire.JobID(n),
+		Class:    "c",
+		Team:     "blue",
+		Shape:    wire.Array,
+		Priority: wire.Low,
+		Tasks:    1,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+	}
 	if change != nil {
 		change(s)
 	}
@@ -119,7 +175,11 @@
 }
 
 // webStartsSoon wants services of class web to start before web's image can be fetched.
-var webStartsSoon = Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 1, Share: 0.9}}}
+var webStartsSoon = Params{
+	Beta:       0.8,
+	Threshold:  0.5,
+	Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 1, Share: 0.9}},
+}
 
 // submitWeb submits a service whose image takes 3 s to fetch.
 func (w *environment) submitWeb(n uint64, tasks int) *model.Job {
@@ -234,7 +294,12 @@
 		}
 	}
 	if web.Live != 1 || low.Live != 2 || low.PendingReason.Code != pending.NoCapacity {
-		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, low.PendingReason)
+		t.Errorf(
+			"%d replicas and %d low tasks are placed, the rest waits for %q",
+			web.Live,
+			low.Live,
+			low.PendingReason,
+		)
 	}
 }
 
@@ -243,7 +308,13 @@
 // so as well; by turns all of them were late together.
 func TestShortArraysFirst(t *testing.T) {
 	w := newEnvironment(t, 1)
-	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}}})
+	s := New(
+		Params{
+			Beta:       0.8,
+			Threshold:  0.5,
+			Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}},
+		},
+	)
 	late := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 }) // more than its team is guaranteed
 	late.KnownSince = -200e9
 	long := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
@@ -263,16 +334,33 @@
 // first.
 func TestNormalArraysInTime(t *testing.T) {
 	w := newEnvironment(t, 1)
-	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "deadline", Class: "c", Share: 0.9}, {Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9}}})
+	s := New(
+		Params{
+			Beta:      0.8,
+			Threshold: 0.5,
+			Objectives: []config.Objective{
+				{Kind: "deadline", Class: "c", Share: 0.9},
+				{Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9},
+			},
+		},
+	)
 	submitArray := func(n uint64, tasks int, due float64) *model.Job {
-		j := w.submit(n, func(s *wire.JobSpec) { s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due })
+		j := w.submit(
+			n,
+			func(s *wire.JobSpec) { s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due },
+		)
 		j.Guaranteed = false
 		return j
 	}
 	late, large, small := submitArray(1, 9, 20), submitArray(2, 20, 70), submitArray(3, 3, 70)
 	s.Round(w.model, 5e9, true, w)
 	if small.Live != 3 || large.Live != 1 || late.Live != 0 {
-		t.Errorf("placed %d of the small, %d of the large, %d of the job that is late anyway", small.Live, large.Live, late.Live)
+		t.Errorf(
+			"placed %d of the small, %d of the large, %d of the job that is late anyway",
+			small.Live,
+			large.Live,
+			late.Live,
+		)
 	}
 }
 
@@ -282,7 +370,14 @@
 func TestGangsInTimeFirst(t *testing.T) {
 	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
-		{Kind: "wait", Class: "g", WithinS: 40}, {Kind: "wait", Class: "g", WithinS: 60}, {Kind: "wait", Class: "g", WithinS: 180}}})
+		{
+			Kind:    "wait",
+			Class:   "g",
+			WithinS: 40,
+		},
+		{Kind: "wait", Class: "g", WithinS: 60},
+		{Kind: "wait", Class: "g", WithinS: 180},
+	}})
 	gang := func(n uint64, class string, estimate float64, began model.Time) *model.Job {
 		j := w.submit(n, func(s *wire.JobSpec) {
 			s.Shape, s.Priority, s.CPUs, s.Class, s.EstimateS = wire.Gang, wire.High, 4, class, estimate
@@ -326,14 +421,34 @@
 	scheduler *Scheduler
 }
 
-func (p *referenceEnvironment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, reportedScore float64) {
+func (p *referenceEnvironment) Bind(
+	j *model.Job,
+	task int32,
+	attempt uint32,
+	machine *model.Machine,
+	reportedScore float64,
+) {
 	score := func(o *model.Machine) float64 { return p.scheduler.score(locality(p.model, j, o), load(p.model, o)) }
 	if d := reportedScore - score(machine); d > 1e-9 || d < -1e-9 {
-		p.test.Fatalf("job %d is said to go to %s with score %g, not %g", j.ID, machine.Info.Name, reportedScore, score(machine))
+		p.test.Fatalf(
+			"job %d is said to go to %s with score %g, not %g",
+			j.ID,
+			machine.Info.Name,
+			reportedScore,
+			score(machine),
+		)
 	}
 	for _, o := range p.model.Order {
-		if o.IsUsable() && j.AllowsMachine(o.Type, o.Zone, o.Spot) && p.model.Fits(j, o) && j.ZoneAllows(o.Zone) && score(o) < score(machine)-1e-9 {
-			p.test.Fatalf("job %d went to %s with score %g, %s has %g", j.ID, machine.Info.Name, score(machine), o.Info.Name, score(o))
+		if o.IsUsable() && j.AllowsMachine(o.Type, o.Zone, o.Spot) && p.model.Fits(j, o) && j.ZoneAllows(o.Zone) &&
+			score(o) < score(machine)-1e-9 {
+			p.test.Fatalf(
+				"job %d went to %s with score %g, %s has %g",
+				j.ID,
+				machine.Info.Name,
+				score(machine),
+				o.Info.Name,
+				score(o),
+			)
 		}
 	}
 	p.environment.Bind(j, task, attempt, machine, reportedScore)
@@ -364,7 +479,8 @@
 					continue
 				}
 				for _, machine := range w.model.Order {
-					if j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) && j.ZoneAllows(machine.Zone) {
+					if j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) &&
+						j.ZoneAllows(machine.Zone) {
 						t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, machine.Info.Name)
 					}
 				}
@@ -561,7 +677,13 @@
 	if s.Round(w.model, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
-	if s.Round(w.model, 20.7e9, false, w); second.Live != 2 || second.Tasks[0].Run.Machine == full || len(w.stopped) != 3 {
+	if s.Round(
+		w.model,
+		20.7e9,
+		false,
+		w,
+	); second.Live != 2 || second.Tasks[0].Run.Machine == full ||
+		len(w.stopped) != 3 {
 		t.Errorf("after waiting in vain: placed %v, stopped %v", w.placed, w.stopped)
 	}
 }
@@ -615,8 +737,23 @@
 // it, and then the service went to where it had to fetch.
 func TestServiceTakesSpareGPUs(t *testing.T) {
 	w := newEnvironment(t, 2)
-	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{Name: "g", CPUs: 4, GPUs: 2, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a"}}})
-	w.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}})
+	w.apply(
+		&model.Entry{
+			Kind: model.EntryType,
+			Type: &wire.MachineType{
+				Name:        "g",
+				CPUs:        4,
+				GPUs:        2,
+				MemoryGB:    8,
+				CacheGB:     10,
+				FetchGBPerS: 1,
+				Zones:       []string{"a"},
+			},
+		},
+	)
+	w.apply(
+		&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}},
+	)
 	spare := w.model.Machines[9]
 	spare.Reported, spare.Session = true, 1
 	s := New(webStartsSoon)
@@ -644,7 +781,13 @@
 	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 20, 0.5, 0.1 })
 	web := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
 	for round := range 4 {
-		if s.Round(w.model, model.Time(round)*1e9, true, w); low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
+		if s.Round(
+			w.model,
+			model.Time(round)*1e9,
+			true,
+			w,
+		); low.Live != 5*(round+1) || web.Live != 6 ||
+			s.LowPriorityDeferred != (round < 3) {
 			t.Fatalf("round %d: %d low tasks, %d replicas, left %v", round, low.Live, web.Live, s.LowPriorityDeferred)
 		}
 	}
@@ -674,7 +817,13 @@
 		stop bool
 	}{{40, true}, {2, false}} {
 		w := newEnvironment(t, 6)
-		s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}}})
+		s := New(
+			Params{
+				Beta:       0.8,
+				Threshold:  0.5,
+				Objectives: []config.Objective{{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}},
+			},
+		)
 		gang := w.submit(9, func(s *wire.JobSpec) {
 			s.Class, s.Shape, s.Priority, s.Tasks, s.CPUs, s.Image, s.ImageGB = "g", wire.Gang, wire.High, 2, 4, "big", c.gb
 		})
@@ -690,7 +839,13 @@
 		}
 		s.Round(w.model, 3e9, true, w)
 		if stopped := len(w.stopped) > 0; stopped != c.stop || c.stop != (gang.Live == 0) {
-			t.Errorf("image of %g GB: %d stopped, %d members placed, waits for %q", c.gb, len(w.stopped), gang.Live, gang.PendingReason)
+			t.Errorf(
+				"image of %g GB: %d stopped, %d members placed, waits for %q",
+				c.gb,
+				len(w.stopped),
+				gang.Live,
+				gang.PendingReason,
+			)
 		}
 	}
 }
--- a/internal/scheduling/scheduler/score.go
+++ b/internal/scheduling/scheduler/score.go
@@ -54,7 +54,8 @@
 	if j.Kind == model.Service && s.blocksGPUWork(j, view, true) && !s.blocksGPUWork(j, view, false) {
 		return 4 // better one that no gang fits any more
 	}
-	if j.Kind == model.Service && view.machine.HasImage(j.Image) && !s.gpuDemand.FitsAny(view.capacity) && s.fetchTooLate(m, j, view.machine) {
+	if j.Kind == model.Service && view.machine.HasImage(j.Image) && !s.gpuDemand.FitsAny(view.capacity) &&
+		s.fetchTooLate(m, j, view.machine) {
 		// No work needs its GPUs, and elsewhere the service would be late. Low work
 		// used to make room here, for which the service then did not come.
 		return 0.5
--- a/internal/scheduling/scheduler/urgency.go
+++ b/internal/scheduling/scheduler/urgency.go
@@ -65,7 +65,8 @@
 	case waited > max(overdueSeconds, overdueFactor*lastObjective):
 		return urgencyOverdue, 0
 	}
-	if lastObjective >= objectiveSpread*firstObjective && waited >= nearLastObjective*lastObjective && waited+startSeconds <= lastObjective {
+	if lastObjective >= objectiveSpread*firstObjective && waited >= nearLastObjective*lastObjective &&
+		waited+startSeconds <= lastObjective {
 		return urgencyOverdue, 0
 	}
 	return urgency, remainingWork(m, j)
--- a/internal/testing/virtualtime/isolated.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -53,7 +53,9 @@
 	for range max(1, runtime.NumCPU()/2) {
 		workers.Go(func() {
 			for name := range next {
-				cmd := exec.Command(os.Args[0], append(os.Args[1:len(os.Args):len(os.Args)], "-test.run=^"+regexp.QuoteMeta(name)+"$")...)
+				cmd := exec.Command(
+					os.Args[0],
+					append(os.Args[1:len(os.Args):len(os.Args)], "-test.run=^"+regexp.QuoteMeta(name)+"$")...)
 				cmd.Env = append(os.Environ(), singleTestEnv+"=1")
 				out, err := cmd.CombinedOutput()
 				mu.Lock()
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,10 +7,29 @@
 )
 
 func goodJob() map[string]any {
-	return map[string]any{"name_id": "req-000412", "jobclass": "train", "owner": "vision", "shape": "group", "rank": "high",
-		"pieces": 16, "cores": 8.0, "gpus": 1.0, "mem_gb": 64.0, "bundle": "img-07", "image_gb": 6.2, "models": []string{"g8"},
-		"hall": nil, "same_place": true, "spread": false, "loaners": true, "runtime_s": 240.0, "snapshot_s": 30.0, "flush_s": 4.0,
-		"due_s": 900.0, "unknown": map[string]any{"deep": []any{1, "x", nil}}}
+	return map[string]any{
+		"name_id":    "req-000412",
+		"jobclass":   "train",
+		"owner":      "vision",
+		"shape":      "group",
+		"rank":       "high",
+		"pieces":     16,
+		"cores":      8.0,
+		"gpus":       1.0,
+		"mem_gb":     64.0,
+		"bundle":     "img-07",
+		"image_gb":   6.2,
+		"models":     []string{"g8"},
+		"hall":       nil,
+		"same_place": true,
+		"spread":     false,
+		"loaners":    true,
+		"runtime_s":  240.0,
+		"snapshot_s": 30.0,
+		"flush_s":    4.0,
+		"due_s":      900.0,
+		"unknown":    map[string]any{"deep": []any{1, "x", nil}},
+	}
 }
 
 func TestParseJobAcceptsProtocolExample(t *testing.T) {
@@ -20,7 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ID != "req-000412" || s.Tasks != 16 || s.CPUs != 8 || len(s.Types) != 1 || s.Zone != nil || *s.DeadlineS != 900 || !s.SameZone {
+	if s.ID != "req-000412" || s.Tasks != 16 || s.CPUs != 8 || len(s.Types) != 1 || s.Zone != nil ||
+		*s.DeadlineS != 900 ||
+		!s.SameZone {
 		t.Errorf("read %+v", s)
 	}
 	// Amounts may come as integers, and what may be null may be left out.
