--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// store is a state service with logs that use it, each as a node of its own.
+// store is an emulated key-value store with logs that use it, each as a node of its own.
 type store struct {
 	test    *testing.T
 	ctx     context.Context
@@ -45,7 +45,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		s := &store{test: t, ctx: ctx, net: emulator.NewNetwork(), service: emulator.NewKVStore(1)}
-		go s.service.Serve(ctx, s.net.Host("state"), stateAddr)
+		if err := s.service.Serve(ctx, s.net.Host("state"), stateAddr); err != nil {
+			t.Fatal(err)
+		}
 		synctest.Wait()
 		f(s)
 		stop()
@@ -80,11 +82,8 @@
 func (s *store) append(n *node, k int) {
 	for range k {
 		s.lastSeq++
-		if err := n.Append(
-			s.ctx,
-			&n.leadership.Leader,
-			oplog.Batch{Seq: s.lastSeq, Term: n.leadership.Term, Data: data(s.lastSeq)},
-		); err != nil {
+		batch := oplog.Batch{Seq: s.lastSeq, Term: n.leadership.Term, Data: data(s.lastSeq)}
+		if err := n.Append(s.ctx, &n.leadership.Leader, batch); err != nil {
 			s.test.Fatal(err)
 		}
 	}
@@ -113,10 +112,9 @@
 	return loaded.SnapshotSeq
 }
 
-// TestCompactionAfterFailover: a follower that takes over compacts a log that its predecessor
-// has compacted since it read it. It held the predecessor's snapshot for the one that it had
-// read itself, so that its own was refused, and deleted the batches behind it all the same:
-// until its next compaction no node that started could read the log.
+// TestCompactionAfterFailover: a follower that becomes leader compacts a log that its predecessor has compacted since it
+// read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused, and
+// deleted the batches behind it all the same: until its next compaction no node that started could read the log.
 func TestCompactionAfterFailover(t *testing.T) {
 	withStore(t, func(s *store) {
 		a, b := s.open("a"), s.open("b")
@@ -148,35 +146,14 @@
 			nodes := []*node{s.open("a"), s.open("b"), s.open("c")}
 			for i, n := range nodes {
 				s.elect(n, string(rune('a'+i)))
-				s.append(n, 20)
-				ctx, stop := context.WithCancel(s.ctx)
-				if i < 2 {
-					time.AfterFunc(cutAfter, stop)
-				}
-				err := n.NewCompactor(n.leadership.Fence()).Compact(ctx, s.lastSeq-3, snapshot(s.lastSeq-3))
-				stop()
-				time.Sleep(3 * time.Second) // what was under way has arrived
-				s.requireComplete(fmt.Sprintf("%v into compaction %d", cutAfter, i))
-				switch {
-				case i < 2 && errors.Is(err, context.Canceled):
+				cut := s.compactCut(n, i < 2, cutAfter, fmt.Sprintf("%v into compaction %d", cutAfter, i))
+				if cut {
 					cutCount++
-				case err != nil:
-					t.Errorf("compaction %d, to be cut after %v: %v", i, cutAfter, err)
-				case i == 1:
-					done = true
 				}
+				done = done || i == 1 && !cut
 				s.depose(n)
 			}
-			page, err := nodes[0].store.Range(s.ctx, "f/", "", 1000)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var remaining []string
-			for _, it := range page.Items {
-				if strings.HasPrefix(it.Key, "f/log/") || strings.HasPrefix(it.Key, "f/snap/") {
-					remaining = append(remaining, it.Key)
-				}
-			}
+			remaining := s.keysOfLog(nodes[0])
 			part := nodes[0].MaxData()
 			if want := 4 + (len(snapshot(57))+part-1)/part; len(remaining) != want {
 				t.Errorf("cut after %v: %d keys are left instead of %d: %v", cutAfter, len(remaining), want, remaining)
@@ -191,8 +168,45 @@
 	}
 }
 
-// TestEndBehindCompaction: who knows the log to a number that a compaction has passed learns, on reading its end, that
-// batches are missing. It used to read nothing, took that for the end, and a node that had stood still for
+// compactCut has a leader append and compact, ends the compaction after a while if it is to be cut, and demands that
+// the log is whole then. It tells whether the compaction was cut.
+func (s *store) compactCut(n *node, mayCut bool, cutAfter time.Duration, stage string) (cut bool) {
+	s.test.Helper()
+	s.append(n, 20)
+	ctx, stop := context.WithCancel(s.ctx)
+	if mayCut {
+		time.AfterFunc(cutAfter, stop)
+	}
+	err := n.NewCompactor(n.leadership.Fence()).Compact(ctx, s.lastSeq-3, snapshot(s.lastSeq-3))
+	stop()
+	time.Sleep(3 * time.Second) // what was under way has arrived
+	s.requireComplete(stage)
+	if mayCut && errors.Is(err, context.Canceled) {
+		return true
+	}
+	if err != nil {
+		s.test.Errorf("%s: %v", stage, err)
+	}
+	return false
+}
+
+// keysOfLog lists the keys of batches and snapshots.
+func (s *store) keysOfLog(n *node) (keys []string) {
+	s.test.Helper()
+	page, err := n.store.Range(s.ctx, "f/", "", 1000)
+	if err != nil {
+		s.test.Fatal(err)
+	}
+	for _, item := range page.Items {
+		if strings.HasPrefix(item.Key, "f/log/") || strings.HasPrefix(item.Key, "f/snap/") {
+			keys = append(keys, item.Key)
+		}
+	}
+	return keys
+}
+
+// TestEndBehindCompaction: a reader that knows the log to a number that a compaction has passed learns, on reading its
+// end, that batches are missing. It used to read nothing, took that for the end, and a node that had been paused for
 // longer than a compaction called accepted jobs unknown.
 func TestEndBehindCompaction(t *testing.T) {
 	withStore(t, func(s *store) {
@@ -204,8 +218,8 @@
 				if from > s.lastSeq {
 					continue
 				}
-				if err := a.NewCompactor(a.leadership.Fence()).
-					Compact(s.ctx, s.lastSeq, snapshot(s.lastSeq)); err != nil {
+				compactor := a.NewCompactor(a.leadership.Fence())
+				if err := compactor.Compact(s.ctx, s.lastSeq, snapshot(s.lastSeq)); err != nil {
 					t.Fatal(err)
 				}
 				batches, err := a.BatchesAfter(s.ctx, from)
@@ -225,7 +239,7 @@
 }
 
 // TestLateCopyOfADeletedBatch: the first copy of a batch's write has no answer and is carried out after the repeat,
-// after newer batches and after the compaction that deleted the batch. Who reads the log does not take it for the
+// after newer batches and after the compaction that deleted the batch. A reader of the log does not take it for the
 // log's end, and the next compaction deletes it again: it used to stay until another leader compacted.
 func TestLateCopyOfADeletedBatch(t *testing.T) {
 	withStore(t, func(s *store) {
@@ -260,7 +274,7 @@
 		s.requireComplete("after the late copy")
 		actual, err := a.BatchesAfter(s.ctx, 5)
 		if err != nil || len(actual) < 2 || actual[0].Seq != 6 || actual[1].Seq == 7 {
-			t.Errorf("who knows the log to 5 does not see that batches are missing: %v, %v", actual, err)
+			t.Errorf("a reader that knows the log to 5 does not see that batches are missing: %v, %v", actual, err)
 		}
 		s.append(a, 4)
 		if err := compactor.Compact(s.ctx, 14, snapshot(14)); err != nil {
@@ -284,18 +298,15 @@
 		const batches = 60
 		start := time.Now()
 		for seq := uint64(1); seq <= batches; seq++ {
-			if err := n.Append(
-				s.ctx,
-				&n.leadership.Leader,
-				oplog.Batch{Seq: seq, Term: n.leadership.Term, Data: data(seq)},
-			); err != nil {
+			batch := oplog.Batch{Seq: seq, Term: n.leadership.Term, Data: data(seq)}
+			if err := n.Append(s.ctx, &n.leadership.Leader, batch); err != nil {
 				t.Error(err)
 				return
 			}
 		}
 		elapsed, lost := time.Since(start), s.service.DroppedResponses()["put f/log"]
 		if lost < 10 {
-			t.Errorf("%d answers were lost: the meeting did not take place", lost)
+			t.Errorf("%d answers were lost: too few to test anything", lost)
 		}
 		if limit := time.Duration(lost) * 600 * time.Millisecond; elapsed > limit {
 			t.Errorf("%d batches took %v; %d answers were lost", batches, elapsed, lost)
@@ -314,10 +325,10 @@
 	})
 }
 
-// TestAllNodesAreRead: whoever reads which nodes don't reach the leader, or take part in duties, reads all of them,
-// also where they are more than one page: a zone whose node did not count was taken for one that is cut off.
+// TestAllNodesAreRead: a reader of the partitioned nodes, or of those that take part in singleton roles, gets all of them,
+// also where they are more than one page: a zone whose node did not count was taken for a partitioned one.
 func TestAllNodesAreRead(t *testing.T) {
-	const nodes = 60 // a page of the stand-in has 50
+	const nodes = 60 // a page of the emulator has 50
 	withStore(t, func(s *store) {
 		n := s.open("a")
 		for i := range nodes {
@@ -329,19 +340,20 @@
 				t.Error(err)
 			}
 		}
-		apart, err := n.PartitionedNodes(s.ctx)
-		if err != nil || len(apart) != nodes {
-			t.Errorf("%d of %d nodes that don't reach the leader are read: %v", len(apart), nodes, err)
+		partitioned, err := n.PartitionedNodes(s.ctx)
+		if err != nil || len(partitioned) != nodes {
+			t.Errorf("%d of %d nodes that don't reach the leader are read: %v", len(partitioned), nodes, err)
 		}
-		duties, rev, err := n.Roles(s.ctx)
-		if err != nil || len(duties) != nodes || rev == 0 {
-			t.Errorf("%d of %d nodes that take part are read, to %d: %v", len(duties), nodes, rev, err)
+		roles, rev, err := n.Roles(s.ctx)
+		if err != nil || len(roles) != nodes || rev == 0 {
+			t.Errorf("%d of %d nodes that take part are read, to %d: %v", len(roles), nodes, rev, err)
 		}
 	})
 }
 
-// TestLongApart: what a node says beyond one value comes back whole, and nothing of it counts once the node says less.
-func TestLongApart(t *testing.T) {
+// TestLongPartitionRecord: a record that is longer than one value is read back whole, and nothing of it counts once a
+// shorter one was written.
+func TestLongPartitionRecord(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("a")
 		if n.MaxPartitionedNodeParts() < 7 {
@@ -363,13 +375,13 @@
 		if err := n.PutPartitionedNode(s.ctx, oplog.PartitionedNode{Node: "n1", Data: part(9)}); err != nil {
 			t.Error(err)
 		}
-		for _, said := range []oplog.PartitionedNode{long, short, none, long} {
-			if err := n.PutPartitionedNode(s.ctx, said); err != nil {
+		for _, written := range []oplog.PartitionedNode{long, short, none, long} {
+			if err := n.PutPartitionedNode(s.ctx, written); err != nil {
 				t.Error(err)
 			}
 			got := read()
 			got.Version = 0
-			if d := cmp.Diff(said, got); d != "" {
+			if d := cmp.Diff(written, got); d != "" {
 				t.Error(d)
 			}
 		}
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -9,7 +9,9 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -27,20 +29,20 @@
 	"fieldhill/wire"
 )
 
-// reply is what the fake state service answers: a status, if it is not 200, and a body.
+// reply is what the fake key-value store answers: a status, if it is not 200, and a body.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// fakeState records the requests, and answers each with the next reply.
-type fakeState struct {
+// fakeStore records the requests, and answers each with the next reply.
+type fakeStore struct {
 	t       *testing.T
 	log     bytes.Buffer // the requests
 	replies []reply
 }
 
-func (f *fakeState) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(&f.log, "%s %s %s\n", r.Method, r.URL.RequestURI(), r.Header.Get("Content-Type"))
 	if len(body) > 0 {
@@ -62,7 +64,7 @@
 }
 
 // with runs f with a log and a client that talk to the fake.
-func (f *fakeState) with(run func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
+func (f *fakeStore) with(run func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
 	synctest.Test(f.t, func(t *testing.T) {
 		network := emulator.NewNetwork()
 		ln, err := network.Host("state").Listen(stateAddr)
@@ -74,7 +76,9 @@
 		svc := kvstore.New(network.Host("node"), stateAddr, 1000)
 		run(t.Context(), oplog.New(svc, 400, 0, 12, discardLogger), svc)
 		svc.Close()
-		server.Close()
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
 		time.Sleep(time.Minute)
 	})
 }
@@ -86,18 +90,29 @@
 
 func text(b string) string { return base64.StdEncoding.EncodeToString([]byte(b)) }
 
-// answers are what the state service says, with everything that this service stores in it.
+// answers are what the key-value store says, with everything that this service stores in it.
 func answers() map[string]any {
-	leader := raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
-	taken := raw(wire.LogValue{Version: 1, Term: 10, Node: "node-1", Lease: 1 << 41})
-	accept := raw(wire.LogValue{Version: 1, Data: text("accept 300")})
-	batch := func(term uint64, data string) msgpack.RawMessage {
-		return raw(wire.LogValue{Version: 1, Term: term, Data: text(data)})
+	all := map[string]any{}
+	for _, group := range []map[string]any{
+		logAnswers(), compactionAnswers(), txnAnswers(), intakeAnswers(), partitionAnswers(), roleAnswers(),
+	} {
+		maps.Copy(all, group)
 	}
-	held := raw(wire.LogValue{Version: 1, Node: "node-2", Lease: 12})
-	stuck := raw(wire.LogValue{Version: 1, Count: 3})
-	part := raw(wire.LogValue{Version: 1, Node: "node-3"})
-	apart := raw(wire.LogValue{Version: 1, Node: "node-3", Seq: 40, Data: text("ids")})
+	return all
+}
+
+func storedLeader() msgpack.RawMessage {
+	return raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
+}
+
+func storedBatch(term uint64, data string) msgpack.RawMessage {
+	return raw(wire.LogValue{Version: 1, Term: term, Data: text(data)})
+}
+
+func storedParticipant() msgpack.RawMessage { return raw(wire.LogValue{Version: 1, Node: "node-3"}) }
+
+func logAnswers() map[string]any {
+	leader, batch := storedLeader(), storedBatch
 	return map[string]any{
 		"load-1": &wire.Items{More: true, Revision: 500, Items: []wire.Item{
 			{Key: "f/leader", Version: 499, Lease: 1 << 40, Value: leader},
@@ -115,9 +130,15 @@
 			{Key: "f/log/000000000000043", Version: 12, Value: batch(9, "second")}}},
 		"follow": &wire.Events{Revision: 510, Events: []wire.Event{
 			{Put: "f/log/000000000000044", Version: 503, Value: batch(9, "third")},
-			{Delete: "f/log/000000000000042", Version: 504}, {Put: "f/other", Version: 505, Value: part},
+			{Delete: "f/log/000000000000042", Version: 504}, {Put: "f/other", Version: 505, Value: storedParticipant()},
 			{Put: "f/leader", Version: 510, Value: leader}}},
 		"follow-gone": &wire.Events{Revision: 511, Events: []wire.Event{{Delete: "f/leader", Version: 511}}},
+	}
+}
+
+func compactionAnswers() map[string]any {
+	batch := storedBatch
+	return map[string]any{
 		"meta": &wire.Item{Key: "f/meta", Version: 13, Lease: 1,
 			Value: raw(wire.LogValue{Version: 1, Term: 8, Seq: 3, Count: 2})},
 		"left-log": &wire.Items{Revision: 1, Items: []wire.Item{
@@ -126,34 +147,51 @@
 		"left-snap": &wire.Items{Revision: 1, Items: []wire.Item{
 			{Key: "f/snap/000000000000002/0000", Version: 2, Value: batch(1, "late")},
 			{Key: "f/snap/000000000000003/0000", Version: 3, Value: batch(1, "old")}}},
+		"left-none": &wire.Items{Items: []wire.Item{}, Revision: 1},
+	}
+}
+
+func txnAnswers() map[string]any {
+	taken := raw(wire.LogValue{Version: 1, Term: 10, Node: "node-1", Lease: 1 << 41})
+	return map[string]any{
 		"term":       &wire.Item{Key: "f/term", Version: 499, Value: raw(wire.LogValue{Version: 1, Term: 9})},
 		"leader":     &wire.Item{Key: "f/leader", Version: 600, Lease: 1 << 41, Value: taken},
 		"txn-there":  &wire.TxnResponse{Failed: []string{"f/log/000000000000044"}, Revision: 601},
-		"left-none":  &wire.Items{Items: []wire.Item{}, Revision: 1},
 		"lease":      &wire.LeaseResponse{Lease: 1 << 41},
 		"txn":        &wire.TxnResponse{Revision: 600, Failed: []string{}},
 		"txn-failed": &wire.TxnResponse{Failed: []string{"f/log/000000000000044", "f/leader"}, Revision: 601},
-		"intake":     &wire.Item{Key: "f/in/000000000000300", Version: 9, Value: accept},
+	}
+}
+
+func intakeAnswers() map[string]any {
+	first := raw(wire.LogValue{Version: 1, Data: text("accept 300")})
+	last := raw(wire.LogValue{Version: 1, Data: text("accept last")})
+	return map[string]any{
+		"intake": &wire.Item{Key: "f/in/000000000000300", Version: 9, Value: first},
 		"intakes": &wire.Items{Revision: 520, More: true, Items: []wire.Item{
-			{Key: "f/in/000000000000300", Version: 9, Value: accept}}},
+			{Key: "f/in/000000000000300", Version: 9, Value: first}}},
 		"intakes-2": &wire.Items{Revision: 521, Items: []wire.Item{
-			{
-				Key:     "f/in/999999999999999",
-				Version: 10,
-				Value:   raw(wire.LogValue{Version: 1, Data: text("accept last")}),
-			},
-		}},
+			{Key: "f/in/999999999999999", Version: 10, Value: last}}},
 		"intake-follow": &wire.Events{Revision: 522, Events: []wire.Event{
-			{Put: "f/in/000000000000300", Version: 522, Value: accept}}},
+			{Put: "f/in/000000000000300", Version: 522, Value: first}}},
+	}
+}
+
+func partitionAnswers() map[string]any {
+	apart := raw(wire.LogValue{Version: 1, Node: "node-3", Seq: 40, Data: text("ids")})
+	return map[string]any{
 		"apart": &wire.Items{Revision: 1, Items: []wire.Item{{Key: "f/apart/node-3", Version: 30, Value: apart}}},
+	}
+}
+
+func roleAnswers() map[string]any {
+	held := raw(wire.LogValue{Version: 1, Node: "node-2", Lease: 12})
+	stuck := raw(wire.LogValue{Version: 1, Count: 3})
+	return map[string]any{
 		"duties": &wire.Items{Revision: 530, Items: []wire.Item{
 			{Key: "f/duty/held/rent", Version: 31, Lease: 12, Value: held},
-			{
-				Key:     "f/duty/stuck/rent",
-				Version: 32,
-				Value:   stuck,
-			},
-			{Key: "f/duty/part/node-3", Version: 33, Value: part},
+			{Key: "f/duty/stuck/rent", Version: 32, Value: stuck},
+			{Key: "f/duty/part/node-3", Version: 33, Value: storedParticipant()},
 		}},
 		"duties-follow": &wire.Events{Revision: 531, Events: []wire.Event{{Delete: "f/duty/held/rent", Version: 531}}},
 	}
@@ -161,7 +199,7 @@
 
 func stored(t *testing.T, name string) []byte { return golden.Read(t, "answer-"+name+".hex") }
 
-// use is what the program asks of the state service, the stored answers that it gets, and what it makes of them.
+// use is what the program asks of the key-value store, the stored answers that it gets, and what it makes of them.
 type use struct {
 	name    string
 	answers string // names of stored answers; STATUS or STATUS:NAME for those that are not 200
@@ -173,7 +211,7 @@
 // carry runs one use against the fake, and gives the requests as text.
 func (u *use) carry(t *testing.T, body func(name string) []byte) (requests string, got any, err error) {
 	t.Helper()
-	f := &fakeState{t: t}
+	f := &fakeStore{t: t}
 	for _, a := range strings.Fields(u.answers) {
 		var r reply
 		if n, _ := fmt.Sscanf(a, "%d", &r.status); n == 1 {
@@ -197,32 +235,23 @@
 
 func load(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.Load(ctx) }
 
-// uses are all ways in which the program uses the state service.
+// uses are all ways in which the program uses the key-value store, in the order of the stored file.
 func uses() []use {
-	leader := &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499}
+	return slices.Concat(logUses(), compactionUses(), intakeUses(), partitionUses(), roleUses(), electionUses())
+}
+
+func goldenLeader() *oplog.Leader {
+	return &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499}
+}
+
+func logUses() []use {
 	batch := oplog.Batch{Seq: 44, Term: 9, Data: []byte{0, 1, 0xff, 'x'}}
 	add := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-		return nil, l.Append(ctx, leader, batch)
+		return nil, l.Append(ctx, goldenLeader(), batch)
 	}
 	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 500, 5*time.Second)
 	}
-	putIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-		return nil, l.PutIntake(ctx, oplog.Intake{Job: 300, Data: []byte("accept 300")})
-	}
-	getIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.GetIntake(ctx, 300) }
-	acquire := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-		won, err := election.Acquire(ctx, svc, "node-1", discardLogger)
-		if err != nil {
-			return nil, err
-		}
-		return won.Leader, nil
-	}
-	takePart := func(part bool) func(context.Context, *oplog.Log, *kvstore.Client) (any, error) {
-		return func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-			return nil, l.SetParticipation(ctx, "node-3", part)
-		}
-	}
 	return []use{
 		{"load", "load-1 load-2", load, loaded, nil},
 		{"since", "since", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
@@ -235,15 +264,31 @@
 		{"append", "txn", add, nil, nil},
 		{"append, deposed", "409:txn-failed", add, nil, oplog.ErrDeposed},
 		{"append, there already", "409:txn-there", add, nil, nil},
+	}
+}
+
+func compactionUses() []use {
+	return []use{
 		{"compact", "meta txn txn txn left-log left-snap txn",
 			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-				return nil, l.NewCompactor(leader.Fence()).Compact(ctx, 5, bytes.Repeat([]byte("snap."), 60))
+				return nil, l.NewCompactor(goldenLeader().Fence()).Compact(ctx, 5, bytes.Repeat([]byte("snap."), 60))
 			}, nil, nil},
 		{"compact without a snapshot, beside the leader", "404 txn txn left-none left-none txn",
 			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 				fence := oplog.Fence{Key: oplog.RoleKey("clean"), Version: 31, Term: 31}
 				return nil, l.NewCompactor(fence).Compact(ctx, 3, []byte("snap"))
 			}, nil, nil},
+	}
+}
+
+func intakeUses() []use {
+	putIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+		return nil, l.PutIntake(ctx, oplog.Intake{Job: 300, Data: []byte("accept 300")})
+	}
+	getIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+		return l.GetIntake(ctx, 300)
+	}
+	return []use{
 		{"put intake", "txn", putIntake, nil, nil},
 		{"put intake, there already", "409:txn-failed", putIntake, nil, nil},
 		{"get intake", "intake", getIntake, &oplog.Intake{Job: 300, Data: []byte("accept 300")}, nil},
@@ -258,81 +303,83 @@
 			return []any{revision, some}, err
 		}, []any{uint64(522), true}, nil},
 		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-			return nil, l.DropIntake(ctx, leader, []uint64{300, 7})
+			return nil, l.DropIntake(ctx, goldenLeader(), []uint64{300, 7})
 		}, nil, nil},
+	}
+}
+
+func partitionUses() []use {
+	return []use{
 		{"put apart", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutPartitionedNode(ctx, oplog.PartitionedNode{Node: "node-3", Seq: 40, Data: []byte("ids")})
 		}, nil, nil},
 		{"apart", "apart", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return l.PartitionedNodes(ctx)
-		},
-			[]oplog.PartitionedNode{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
-		{"take a duty", "lease txn", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-			key := oplog.RoleKey("rent")
-			lease, version, err := election.AcquireKey(
-				ctx,
-				svc,
-				4*time.Second,
-				key,
-				"node-2",
-				func(lease uint64) *wire.Txn {
-					return oplog.AcquireRoleTxn("rent", "node-2", lease)
-				},
-				discardLogger,
-			)
-			return []uint64{lease, version}, err
-		}, []uint64{1 << 41, 600}, nil},
+		}, []oplog.PartitionedNode{{Node: "node-3", Seq: 40, Version: 30, Data: []byte("ids")}}, nil},
+	}
+}
+
+func roleUses() []use {
+	participate := func(participates bool) func(context.Context, *oplog.Log, *kvstore.Client) (any, error) {
+		return func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+			return nil, l.SetParticipation(ctx, "node-3", participates)
+		}
+	}
+	acquireRole := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
+		txn := func(lease uint64) *wire.Txn { return oplog.AcquireRoleTxn("rent", "node-2", lease) }
+		key := oplog.RoleKey("rent")
+		lease, version, err := election.AcquireKey(ctx, svc, 4*time.Second, key, "node-2", txn, discardLogger)
+		return []uint64{lease, version}, err
+	}
+	return []use{
+		{"take a duty", "lease txn", acquireRole, []uint64{1 << 41, 600}, nil},
 		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutStalledHolders(ctx, "rent", 31, 3)
 		}, nil, nil},
-		{"take part", "txn", takePart(true), nil, nil},
-		{"take no part", "txn", takePart(false), nil, nil},
-		{
-			"duties",
-			"duties",
-			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-				list, revision, err := l.Roles(ctx)
-				return []any{list, revision}, err
-			},
-			[]any{
-				[]oplog.RoleUpdate{
-					{HeldRole: "rent", Node: "node-2", Term: 31, Lease: 12},
-					{
-						StalledRole: "rent",
-						Term:        32,
-						Count:       3,
-					},
-					{Participant: "node-3", Node: "node-3", Term: 33},
-				},
-				uint64(530),
-			},
-			nil,
-		},
+		{"take part", "txn", participate(true), nil, nil},
+		{"take no part", "txn", participate(false), nil, nil},
+		{"duties", "duties", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+			list, revision, err := l.Roles(ctx)
+			return []any{list, revision}, err
+		}, []any{[]oplog.RoleUpdate{
+			{HeldRole: "rent", Node: "node-2", Term: 31, Lease: 12},
+			{StalledRole: "rent", Term: 32, Count: 3},
+			{Participant: "node-3", Node: "node-3", Term: 33},
+		}, uint64(530)}, nil},
 		{"follow duties", "duties-follow", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			list, revision, err := l.FollowRoles(ctx, 530, 1500*time.Millisecond)
 			return []any{list, revision}, err
 		}, []any{[]oplog.RoleUpdate{{HeldRole: "rent", Deleted: true, Term: 531}}, uint64(531)}, nil},
-		{
-			"acquire",
-			"term lease txn",
-			acquire,
-			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600},
-			nil,
-		},
-		{"acquire the first term", "404 lease txn", acquire,
-			oplog.Leader{Node: "node-1", Term: 1, Lease: 1 << 41, Version: 600}, nil},
+	}
+}
+
+func electionUses() []use {
+	acquire := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
+		won, err := election.Acquire(ctx, svc, "node-1", discardLogger)
+		if err != nil {
+			return nil, err
+		}
+		return won.Leader, nil
+	}
+	renew := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
+		times := 0
+		held := &election.Leadership{Leader: *goldenLeader()}
+		err := election.RenewUntilLost(ctx, svc, held, func(time.Time) { times++ })
+		return times, err
+	}
+	wonWith := func(term uint64) oplog.Leader {
+		return oplog.Leader{Node: "node-1", Term: term, Lease: 1 << 41, Version: 600}
+	}
+	return []use{
+		{"acquire", "term lease txn", acquire, wonWith(10), nil},
+		{"acquire the first term", "404 lease txn", acquire, wonWith(1), nil},
 		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, election.ErrTaken},
-		{"acquire, no answer", "term lease 503 leader", acquire,
-			oplog.Leader{Node: "node-1", Term: 10, Lease: 1 << 41, Version: 600}, nil},
-		{"keep", "200 404", func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-			times := 0
-			err := election.RenewUntilLost(ctx, svc, &election.Leadership{Leader: *leader}, func(time.Time) { times++ })
-			return times, err
-		}, 1, oplog.ErrDeposed},
+		{"acquire, no answer", "term lease 503 leader", acquire, wonWith(10), nil},
+		{"keep", "200 404", renew, 1, oplog.ErrDeposed},
 	}
 }
 
-// TestGoldenTransactions: every request to the state service is the same as ever, and every stored answer, with
+// TestGoldenTransactions: every request to the key-value store is the same as ever, and every stored answer, with
 // all that this service keeps there, is read as what it stands for.
 func TestGoldenTransactions(t *testing.T) {
 	for name, answer := range answers() {
@@ -372,7 +419,7 @@
 func TestGoldenFindsDifferences(t *testing.T) {
 	find := func(what string, planted []byte) {
 		t.Helper()
-		f := &fakeState{t: t}
+		f := &fakeStore{t: t}
 		for range 5 { // a log with gaps is read again
 			f.replies = append(f.replies, reply{body: planted}, reply{body: stored(t, "load-2")})
 		}
@@ -388,7 +435,7 @@
 		other, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
 		find("tag "+tag, bytes.ReplaceAll(good, is, other))
 	}
-	leader := raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
+	leader := storedLeader()
 	at := bytes.Index(good, leader)
 	if at < 0 {
 		t.Fatal("the leader's value is not stored as it is written now")
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"log/slog"
+	"fmt"
 	"strings"
 	"time"
 
@@ -11,9 +11,9 @@
 	"fieldhill/wire"
 )
 
-// The keys of duties. Who holds one: held/DUTY, on a lease. How many holders in a row got nowhere: stuck/DUTY. Which
-// nodes know of duties and take part: part/NODE, for good; a node without one is an older one, or was started
-// without.
+// The keys of singleton roles. Who holds one: held/ROLE, on a lease. How many holders in a row made no progress:
+// stuck/ROLE. Which nodes know of roles and take part: part/NODE, for good; a node without one is an older one, or was
+// started without.
 const (
 	prefixRole        = prefix + "duty/"
 	prefixHolder      = prefixRole + "held/"
@@ -21,18 +21,26 @@
 	prefixParticipant = prefixRole + "part/"
 )
 
-// RoleKey is the key of who holds a duty.
+// RoleKey is the key of the holder of a role; its version is the holder's term.
 func RoleKey(role string) string { return prefixHolder + role }
 
-// RoleUpdate is a change of a key of duties, or that there is none.
+// RoleUpdate is the state of one key of the roles, or that it was deleted. One of HeldRole, StalledRole and Participant
+// is set, and says what kind of key it is.
 type RoleUpdate struct {
-	HeldRole, StalledRole, Participant string // one of them: the duty, or the node
-	Deleted                            bool
-	Node                               string // who holds it
-	Term, Lease                        uint64 // the number of the change; on which lease the key hangs
-	Count                              int
+	HeldRole    string // a role that is held, or was
+	StalledRole string // a role whose holders made no progress
+	Participant string // a node that takes part
+	Deleted     bool
+	Node        string // the holder, or the participant
+	Term        uint64 // the revision of the change
+	Lease       uint64 // on which the key hangs
+	Count       int    // how many holders in a row made no progress
 }
 
+// roleRecords are the keys of singleton roles.
+type roleRecords struct{ store *store }
+
+// decodeRoleUpdate reads a key of the roles; what it can't read is passed over.
 func decodeRoleUpdate(key string, raw msgpack.RawMessage, version uint64, deleted bool) (update RoleUpdate, ok bool) {
 	update.Term, update.Deleted = version, deleted
 	switch {
@@ -46,7 +54,7 @@
 		return update, false
 	}
 	if !deleted {
-		value, _, err := decodeValue(raw)
+		value, _, err := decodeValue(key, raw)
 		if err != nil {
 			return update, false
 		}
@@ -55,43 +63,41 @@
 	return update, true
 }
 
-// Roles reads all of their keys, and the number of the change up to which that is.
-func (l *Log) Roles(ctx context.Context) (list []RoleUpdate, revision uint64, err error) {
-	revision, err = l.rangeAll(ctx, prefixRole, "", func(it *wire.Item) error {
-		if n, ok := decodeRoleUpdate(it.Key, it.Value, it.Version, false); ok {
-			list = append(list, n)
+// Roles reads all keys of the roles, and the revision from which to follow them.
+func (r roleRecords) Roles(ctx context.Context) (list []RoleUpdate, revision uint64, err error) {
+	revision, err = r.store.rangeAll(ctx, prefixRole, "", func(item *wire.Item) error {
+		if update, ok := decodeRoleUpdate(item.Key, item.Value, item.Version, false); ok {
+			list = append(list, update)
 		}
 		return nil
 	})
 	if err != nil {
-		return nil, 0, err
+		return nil, 0, fmt.Errorf("oplog: list %s: %w", prefixRole, err)
 	}
 	return list, revision, nil
 }
 
-// FollowRoles waits for changes after one.
-func (l *Log) FollowRoles(
-	ctx context.Context,
-	after uint64,
-	hold time.Duration,
+// FollowRoles waits for changes after a revision.
+func (r roleRecords) FollowRoles(
+	ctx context.Context, after uint64, hold time.Duration,
 ) (list []RoleUpdate, revision uint64, err error) {
-	changes, err := l.store.Follow(ctx, prefixRole, after, hold)
+	changes, err := r.store.client.Follow(ctx, prefixRole, after, hold)
 	if err != nil {
-		return nil, 0, err
+		return nil, 0, fmt.Errorf("oplog: follow %s: %w", prefixRole, err)
 	}
-	for _, e := range changes.Events {
-		key, deleted := e.Put, false
+	for _, event := range changes.Events {
+		key, deleted := event.Put, false
 		if key == "" {
-			key, deleted = e.Delete, true
+			key, deleted = event.Delete, true
 		}
-		if n, ok := decodeRoleUpdate(key, e.Value, e.Version, deleted); ok {
-			list = append(list, n)
+		if update, ok := decodeRoleUpdate(key, event.Value, event.Version, deleted); ok {
+			list = append(list, update)
 		}
 	}
 	return list, max(after, changes.Revision), nil
 }
 
-// AcquireRoleTxn is the transaction that makes the key of who holds a duty, if there is none.
+// AcquireRoleTxn is the transaction that makes the key of a role's holder, if there is none.
 func AcquireRoleTxn(role, node string, lease uint64) *wire.Txn {
 	key := RoleKey(role)
 	return &wire.Txn{
@@ -102,31 +108,28 @@
 	}
 }
 
-// PutStalledHolders writes how many holders of a duty in a row got nowhere, if this one still holds it.
-func (l *Log) PutStalledHolders(ctx context.Context, role string, term uint64, holders int) error {
-	_, err := l.store.Txn(ctx, &wire.Txn{If: []wire.Condition{{Key: RoleKey(role), Version: term}},
-		Then: []wire.Write{{Put: prefixStalled + role, Value: &wire.LogValue{Version: formatVersion, Count: holders}}}})
-	return err
+// PutStalledHolders writes how many holders of a role in a row made no progress, if the one of a term still holds it.
+func (r roleRecords) PutStalledHolders(ctx context.Context, role string, term uint64, holders int) error {
+	key := prefixStalled + role
+	_, err := r.store.client.Txn(ctx, &wire.Txn{
+		If:   []wire.Condition{{Key: RoleKey(role), Version: term}},
+		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: formatVersion, Count: holders}}},
+	})
+	if err != nil {
+		return fmt.Errorf("oplog: write %s: %w", key, err)
+	}
+	return nil
 }
 
-// SetParticipation says that a node takes part in duties, or that it does not any more.
-func (l *Log) SetParticipation(ctx context.Context, node string, participates bool) error {
-	write := wire.Write{Delete: prefixParticipant + node}
+// SetParticipation says that a node takes part in roles, or that it does not any more.
+func (r roleRecords) SetParticipation(ctx context.Context, node string, participates bool) error {
+	key := prefixParticipant + node
+	write := wire.Write{Delete: key}
 	if participates {
-		write = wire.Write{Put: prefixParticipant + node, Value: &wire.LogValue{Version: formatVersion, Node: node}}
+		write = wire.Write{Put: key, Value: &wire.LogValue{Version: formatVersion, Node: node}}
 	}
-	_, err := l.store.Txn(ctx, &wire.Txn{Then: []wire.Write{write}})
-	return err
-}
-
-// WithWriteShare makes a log of the same state service that takes a part of the write rate of its own, for who cleans
-// up and does not lead.
-func (l *Log) WithWriteShare(writeRPS, share float64, logger *slog.Logger) *Log {
-	return &Log{
-		store:     l.store,
-		maxData:   l.maxData,
-		maxTxnOps: l.maxTxnOps,
-		logger:    logger,
-		writes:    newLimiter(writeRPS * share),
+	if _, err := r.store.client.Txn(ctx, &wire.Txn{Then: []wire.Write{write}}); err != nil {
+		return fmt.Errorf("oplog: write %s: %w", key, err)
 	}
+	return nil
 }
--- /dev/null
+++ b/internal/replication/oplog/store.go
@@ -0,0 +1,141 @@
+package oplog
+
+import (
+	"context"
+	"encoding/base64"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"golang.org/x/time/rate"
+
+	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/wire"
+)
+
+// Keys. Everything lives under one prefix, so that one watch sees all of it.
+const (
+	prefix = "f/"
+	// KeyLeader hangs on the leader's lease; its version fences the leader's writes.
+	KeyLeader = "f/leader"
+	// KeyTerm has the number of the last term, and stays when the leader key goes.
+	KeyTerm        = "f/term"
+	keyMeta        = "f/meta" // the manifest: which snapshot is in force
+	prefixLog      = "f/log/"
+	prefixSnapshot = "f/snap/"
+)
+
+// formatVersion is the version of every value.
+const formatVersion = 1
+
+func batchKey(seq uint64) string { return fmt.Sprintf("%s%015d", prefixLog, seq) }
+
+func snapshotPrefix(seq uint64) string { return fmt.Sprintf("%s%015d/", prefixSnapshot, seq) }
+
+func snapshotKey(seq uint64, part int) string {
+	return fmt.Sprintf("%s%04d", snapshotPrefix(seq), part)
+}
+
+// store reads and writes the keys of the log within the limits of the key-value store.
+type store struct {
+	client         *kvstore.Client
+	writes         *rate.Limiter // the write budget
+	maxData        int           // bytes of a value, before its encoding
+	maxTxnOps      int
+	logger         *slog.Logger
+	lastUnanswered atomic.Int64 // when a write had no answer last, in nanoseconds; 0: none had
+}
+
+// Values are stored as base64 in an envelope: maxDataBytes leaves room for both.
+const (
+	envelopeBytes = 200
+	minDataBytes  = 256
+)
+
+func maxDataBytes(valueKB float64) int {
+	return max(minDataBytes, (int(valueKB*1024)-envelopeBytes)/4*3)
+}
+
+// pageKeys is how many keys a read asks for at once. A page may have fewer, by its bytes.
+const pageKeys = 1000
+
+// rangeAll reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a
+// watch from there sees whatever changes meanwhile.
+func (s *store) rangeAll(
+	ctx context.Context, prefix, after string, visit func(item *wire.Item) error,
+) (revision uint64, err error) {
+	for {
+		page, err := s.client.Range(ctx, prefix, after, pageKeys)
+		if err != nil {
+			return 0, err
+		}
+		if revision == 0 {
+			revision = page.Revision
+		}
+		for i := range page.Items {
+			if err := visit(&page.Items[i]); err != nil {
+				return 0, err
+			}
+			after = page.Items[i].Key
+		}
+		if !page.More || len(page.Items) == 0 {
+			return revision, nil
+		}
+	}
+}
+
+// get reads the value of a key, and the key's version; nil and 0 if there is no such key.
+func (s *store) get(ctx context.Context, key string) (value *wire.LogValue, data []byte, version uint64, err error) {
+	item, err := s.client.Get(ctx, key)
+	switch {
+	case msgpackhttp.StatusCode(err) == http.StatusNotFound:
+		return nil, nil, 0, nil
+	case err != nil:
+		return nil, nil, 0, err
+	}
+	value, data, err = decodeValue(key, item.Value)
+	return value, data, item.Version, err
+}
+
+func encodeData(data []byte) string { return base64.StdEncoding.EncodeToString(data) }
+
+// decodeValue reads a value, and the data in it. Its error is a *CorruptValueError.
+func decodeValue(key string, raw msgpack.RawMessage) (*wire.LogValue, []byte, error) {
+	var value wire.LogValue
+	if err := wire.Unmarshal(raw, &value); err != nil {
+		return nil, nil, &CorruptValueError{Key: key, Err: err}
+	}
+	if value.Version != formatVersion {
+		return nil, nil, &CorruptValueError{Key: key, Err: &FormatVersionError{Version: value.Version}}
+	}
+	data, err := base64.StdEncoding.DecodeString(value.Data)
+	if err != nil {
+		return nil, nil, &CorruptValueError{Key: key, Err: err}
+	}
+	return &value, data, nil
+}
+
+func decodeLeader(raw msgpack.RawMessage, keyVersion uint64) (*Leader, error) {
+	value, _, err := decodeValue(KeyLeader, raw)
+	if err != nil {
+		return nil, err
+	}
+	return &Leader{Node: value.Node, Term: value.Term, Lease: value.Lease, Version: keyVersion}, nil
+}
+
+func decodeBatch(key string, raw msgpack.RawMessage) (Batch, error) {
+	seq, err := strconv.ParseUint(strings.TrimPrefix(key, prefixLog), 10, 64)
+	if err != nil {
+		return Batch{}, &CorruptValueError{Key: key, Err: err}
+	}
+	value, data, err := decodeValue(key, raw)
+	if err != nil {
+		return Batch{}, &CorruptBatchError{Seq: seq, Err: err}
+	}
+	return Batch{Seq: seq, Term: value.Term, Data: data}, nil
+}
