--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -112,8 +112,8 @@
 	return loaded.SnapshotSeq
 }
 
-// TestCompactionAfterFailover: a follower that becomes leader compacts a log that its predecessor has compacted since it
-// read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused, and
+// TestCompactionAfterFailover: a follower that becomes leader compacts a log that its predecessor has compacted since
+// it read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused, and
 // deleted the batches behind it all the same: until its next compaction no node that started could read the log.
 func TestCompactionAfterFailover(t *testing.T) {
 	withStore(t, func(s *store) {
@@ -325,8 +325,8 @@
 	})
 }
 
-// TestAllNodesAreRead: a reader of the partitioned nodes, or of those that take part in singleton roles, gets all of them,
-// also where they are more than one page: a zone whose node did not count was taken for a partitioned one.
+// TestAllNodesAreRead: a reader of the partitioned nodes, or of those that take part in singleton roles, gets all of
+// them, also where they are more than one page: a zone whose node did not count was taken for a partitioned one.
 func TestAllNodesAreRead(t *testing.T) {
 	const nodes = 60 // a page of the emulator has 50
 	withStore(t, func(s *store) {
