--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -19,9 +21,8 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// TestCommandsInFlightAreBounded: when hundreds of machines that say nothing are to be told
-// something at once, commands beyond the bound are known not to have been sent, within half a
-// second, instead of taking the process's last sockets.
+// TestCommandsInFlightAreBounded: when hundreds of machines that do not respond are sent commands at once, those beyond
+// the bound are known not to have been sent, within half a second, instead of taking the process's last sockets.
 func TestCommandsInFlightAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns, machines = 20, 200
@@ -36,14 +37,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer ln.Close()
+			defer closeOrFail(t, ln)
 			wg.Go(func() {
 				start := time.Now()
-				fate, _, _ := client.SendOrders(
-					context.Background(),
-					addr,
-					&wire.Orders{FencingToken: 1, AgentEpoch: 1},
-				)
+				orders := &wire.Orders{FencingToken: 1, AgentEpoch: 1}
+				fate, _, _ := client.SendOrders(context.Background(), addr, orders)
 				mu.Lock()
 				defer mu.Unlock()
 				fates[fate]++
@@ -54,19 +52,22 @@
 		}
 		wg.Wait()
 		if fates[Unknown] != conns/2 || fates[Unsent] != machines-conns/2 {
-			t.Errorf(
-				"%d commands without an answer and %d not sent, of %d with room for %d",
-				fates[Unknown],
-				fates[Unsent],
-				machines,
-				conns/2,
-			)
+			t.Errorf("%d commands without an answer and %d not sent, of %d with room for %d",
+				fates[Unknown], fates[Unsent], machines, conns/2)
 		}
 		client.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
+// closeOrFail closes what a test has opened.
+func closeOrFail(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
+}
+
 // sockets is a network that counts its open connections.
 type sockets struct {
 	host.Net
@@ -93,10 +94,10 @@
 	return c.Conn.Close()
 }
 
-// TestQuestionsTakeIdleConnections: idle connections, commands and questions take no more sockets together than the
-// client was given: where questions come on top of as many commands and idle connections as there may be, idle ones
-// close. Below that bound they are kept.
-func TestQuestionsTakeIdleConnections(t *testing.T) {
+// TestProbesTakeIdleConnections: idle connections, commands and probes take no more sockets together than the client
+// was given: where probes come on top of as many commands and idle connections as there may be, idle ones close. Below
+// that bound they are kept.
+func TestProbesTakeIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns = 40
 		network := emulator.NewNetwork()
@@ -112,13 +113,13 @@
 		var wg sync.WaitGroup
 		for i := range conns / 2 {
 			ln, addr := listen(fmt.Sprint("well", i))
-			defer ln.Close()
+			defer closeOrFail(t, ln)
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				b, _ := wire.Marshal(&wire.Heartbeat{Machine: "m", AgentEpoch: 1})
 				_, _ = w.Write(b)
 			})}
 			go func() { _ = srv.Serve(ln) }()
-			defer srv.Close()
+			defer closeOrFail(t, srv)
 			wg.Go(func() {
 				if _, err := c.Probe(context.Background(), addr, time.Second); err != nil {
 					t.Error(err)
@@ -131,9 +132,9 @@
 		}
 		for i := range conns / 2 {
 			silent, addr := listen(fmt.Sprint("silent", i)) // it accepts, and never answers
-			defer silent.Close()
+			defer closeOrFail(t, silent)
 			asked, askedAddr := listen(fmt.Sprint("asked", i))
-			defer asked.Close()
+			defer closeOrFail(t, asked)
 			wg.Go(func() {
 				_, _, _ = c.SendOrders(context.Background(), addr, &wire.Orders{FencingToken: 1, AgentEpoch: 1})
 			})
--- a/internal/platform/agent/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -11,8 +11,8 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenRequests: commands and questions are sent to workers as in the stored file, and each answer is
-// taken for the same fate, by number, with the same report.
+// TestGoldenRequests: commands and probes are sent to agents as in the stored file, and each response is
+// taken for the same fate, by number, with the same heartbeat.
 func TestGoldenRequests(t *testing.T) {
 	report, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", AgentEpoch: 1 << 40,
 		Seq: 3, FencingToken: 7,
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -1,9 +1,10 @@
-// Package cloud is the client of the cloud's interface, with a rate budget.
+// Package cloud is the client of the cloud's API, with a budget of requests.
 package cloud
 
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"net/url"
 	"time"
 
@@ -14,6 +15,14 @@
 	"fieldhill/wire"
 )
 
+const (
+	maxConns    = 4
+	dialTimeout = 2 * time.Second
+	// callTimeout includes the wait for the budget.
+	callTimeout      = 8 * time.Second
+	maxResponseBytes = 1 << 20
+)
+
 // Client talks to the cloud.
 type Client struct {
 	transport *msgpackhttp.Client
@@ -24,44 +33,44 @@
 // New makes a client that sends at most rps requests a second.
 func New(network host.Net, addr string, rps float64) *Client {
 	return &Client{
-		transport: msgpackhttp.New(network, 4, 4, 2*time.Second),
+		transport: msgpackhttp.New(network, maxConns, maxConns, dialTimeout),
 		addr:      addr,
 		budget:    rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
 	}
 }
 
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.budget.Wait(ctx); err != nil {
 		return err
 	}
-	return c.transport.Do(ctx, method, c.addr, path, in, out, 1<<20)
+	return c.transport.Do(ctx, method, c.addr, path, in, out, maxResponseBytes)
 }
 
 // Close ends idle connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// MachineTypes asks what can be rented.
+// MachineTypes asks which machine types can be provisioned.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var types wire.MachineTypes
-	err := c.do(ctx, "GET", wire.PathTypes, nil, &types)
+	err := c.do(ctx, http.MethodGet, wire.PathTypes, nil, &types)
 	return types.Types, err
 }
 
-// Provision rents machines. A refusal for lack of capacity is a status error 503.
+// Provision asks for machines and gives their names. A refusal for lack of capacity is a status error with code 503.
 func (c *Client) Provision(ctx context.Context, request *wire.ScaleOutRequest) ([]string, error) {
 	var names wire.MachineNames
-	err := c.do(ctx, "POST", wire.PathMachines, request, &names)
+	err := c.do(ctx, http.MethodPost, wire.PathMachines, request, &names)
 	return names.Machines, err
 }
 
-// Release returns machines. When it succeeds they and everything on them are gone.
+// Release gives machines back to the cloud. When it succeeds they and everything on them are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
-	return c.do(ctx, "POST", wire.PathRelease, &wire.MachineNames{Machines: names}, nil)
+	return c.do(ctx, http.MethodPost, wire.PathRelease, &wire.MachineNames{Machines: names}, nil)
 }
 
-// ListMachines reads the whole machine list.
+// ListMachines reads the whole list of machines, page after page.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	after := ""
@@ -71,7 +80,7 @@
 			query.Set("after", after)
 		}
 		var page wire.MachineList
-		if err := c.do(ctx, "GET", wire.PathMachines+"?"+query.Encode(), nil, &page); err != nil {
+		if err := c.do(ctx, http.MethodGet, wire.PathMachines+"?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		machines = append(machines, page.Machines...)
--- a/internal/platform/cloud/golden_test.go
+++ b/internal/platform/cloud/golden_test.go
@@ -22,24 +22,30 @@
 	c := New(host.Real{}, r.Addr, 1000)
 	defer c.Close()
 	ctx := context.Background()
+	machineType := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1,
+		Price: 3.5, SpotPrice: 1.25, BootS: 40, Zones: []string{"a", "b"}}
+	request := &wire.ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2}
 	for _, call := range []struct {
 		name string
 		do   func() (any, error)
 		of   []any
 	}{
-		{"types", func() (any, error) { types, err := c.MachineTypes(ctx); return &wire.MachineTypes{Types: types}, err },
-			[]any{&wire.MachineTypes{Types: []wire.MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256,
-				CacheGB:     100,
-				FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1.25, BootS: 40, Zones: []string{"a", "b"}}}}}},
+		{"types", func() (any, error) {
+			types, err := c.MachineTypes(ctx)
+			return &wire.MachineTypes{Types: types}, err
+		}, []any{&wire.MachineTypes{Types: []wire.MachineType{machineType}}}},
 		{"hire", func() (any, error) {
-			names, err := c.Provision(ctx, &wire.ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2})
+			names, err := c.Provision(ctx, request)
 			return &wire.MachineNames{Machines: names}, err
 		}, []any{&wire.MachineNames{Machines: []string{"m-7", "m-8"}}}},
-		{"release", func() (any, error) { return &wire.MachineNames{}, c.Release(ctx, []string{"m-7", "m-8"}) },
-			[]any{&wire.MachineNames{}}},
-		{"list", func() (any, error) { list, err := c.ListMachines(ctx); return &wire.MachineList{Machines: list}, err },
-			[]any{&wire.MachineList{Machines: []wire.ListedMachine{row, second}, More: true},
-				&wire.MachineList{Machines: []wire.ListedMachine{row}}}},
+		{"release", func() (any, error) {
+			return &wire.MachineNames{}, c.Release(ctx, []string{"m-7", "m-8"})
+		}, []any{&wire.MachineNames{}}},
+		{"list", func() (any, error) {
+			list, err := c.ListMachines(ctx)
+			return &wire.MachineList{Machines: list}, err
+		}, []any{&wire.MachineList{Machines: []wire.ListedMachine{row, second}, More: true},
+			&wire.MachineList{Machines: []wire.ListedMachine{row}}}},
 	} {
 		var answers [][]byte
 		for _, answer := range call.of {
--- a/internal/platform/msgpackhttp/msgpackhttp.go
+++ b/internal/platform/msgpackhttp/msgpackhttp.go
@@ -1,5 +1,5 @@
-// Package mphttp is the client side of the platform's HTTP with MessagePack
-// bodies, shared by the clients of the state service, the cloud and the workers.
+// Package msgpackhttp is the client side of the platform's HTTP with MessagePack bodies, shared by the clients of the
+// key-value store, the cloud and the agents.
 package msgpackhttp
 
 import (
@@ -16,7 +16,7 @@
 	"fieldhill/wire"
 )
 
-// StatusError is an answer other than the one hoped for.
+// StatusError is a response with another status than 200.
 type StatusError struct {
 	Code int
 	Body []byte
@@ -24,7 +24,7 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
 
-// StatusCode returns the status behind an error, or 0 if there was no answer.
+// StatusCode returns the status behind an error, or 0 if there was no response.
 func StatusCode(err error) int {
 	var statusErr *StatusError
 	if errors.As(err, &statusErr) {
@@ -33,7 +33,10 @@
 	return 0
 }
 
-// IsUnsent tells whether a request surely never left: no connection was made.
+// ErrTooLarge says that a response has more bytes than the caller takes.
+var ErrTooLarge = errors.New("response too large")
+
+// IsUnsent tells whether a request surely was not sent: no connection was made.
 func IsUnsent(err error) bool {
 	var target unsentError
 	return errors.As(err, &target)
@@ -42,12 +45,23 @@
 // unsentError marks the error of a connection that was not made.
 type unsentError struct{ error }
 
-// Client talks to hosts over connections that are kept.
+// Unwrap gives the cause.
+func (e unsentError) Unwrap() error { return e.error }
+
+// Client talks to hosts over connections that are reused.
 type Client struct {
 	httpClient *http.Client
 }
 
-// New makes a client that keeps up to maxPerHost connections to a host.
+const (
+	// idleTimeout is longer than any interval at which a host is called regularly.
+	idleTimeout = 2 * time.Minute
+	// Buffers are small since there may be a connection to each of thousands of machines.
+	bufferBytes    = 2 << 10
+	maxHeaderBytes = 8 << 10
+)
+
+// New makes a client that has up to maxPerHost connections to a host, and of all of them maxIdle that are idle.
 func New(network host.Net, maxPerHost, maxIdle int, dialTimeout time.Duration) *Client {
 	return &Client{httpClient: &http.Client{
 		Transport: &http.Transport{
@@ -59,8 +73,8 @@
 				return c, err
 			},
 			MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxPerHost, MaxConnsPerHost: maxPerHost,
-			IdleConnTimeout: 2 * time.Minute, DisableCompression: true,
-			ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10, MaxResponseHeaderBytes: 8 << 10,
+			IdleConnTimeout: idleTimeout, DisableCompression: true,
+			ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -69,9 +83,8 @@
 // Close ends idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Do sends a request and decodes a 200 into out. Any other status is a
-// *StatusError; an error without a status means that the fate is unknown,
-// unless Unsent.
+// Do sends a request and decodes a 200 into out. Any other status is a *StatusError; an error without a status means
+// that the fate of the request is unknown, unless IsUnsent. limit bounds the bytes of the response, ErrTooLarge.
 func (c *Client) Do(ctx context.Context, method, addr, path string, in, out any, limit int64) error {
 	var body io.Reader
 	if in != nil {
@@ -92,13 +105,13 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // all that is wanted of the body was read
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return err
 	}
 	if int64(len(data)) > limit {
-		return fmt.Errorf("answer over %d bytes", limit)
+		return fmt.Errorf("%w: over %d bytes", ErrTooLarge, limit)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{resp.StatusCode, data}
