--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -41,52 +41,31 @@
 	})
 }
 
-// TestGoldenFrames: calls with every operation, and answers, are written and read as they always were.
+// TestGoldenFrames: requests with every operation, and responses, are written and read as they always were.
 func TestGoldenFrames(t *testing.T) {
-	ops := []Op{
-		OpPing,
-		OpSubmit,
-		OpStatus,
-		OpCancel,
-		OpPendingReasons,
-		OpQueue,
-		OpRoleResult,
-		OpRenewals,
-		OpWatermark,
-		OpRelayOffer,
-		OpRelayReport,
-		OpRelayOrders,
-		OpRelayProbe,
-	}
-	var calls []frame[Request]
+	ops := []Op{OpPing, OpSubmit, OpStatus, OpCancel, OpPendingReasons, OpQueue, OpRoleResult, OpRenewals, OpWatermark,
+		OpRelayOffer, OpRelayReport, OpRelayOrders, OpRelayProbe}
+	var requests []frame[Request]
 	for i, op := range ops {
 		if int(op) != i+1 {
 			t.Errorf("operation %d has number %d", i+1, op)
 		}
-		call := &Request{Op: op, ID: fmt.Sprint("id-", i), Body: []byte{byte(i)}}
-		calls = append(calls, frame[Request]{kindRequest, uint64(i) << 32, call})
+		request := &Request{Op: op, ID: fmt.Sprint("id-", i), Body: []byte{byte(i)}}
+		requests = append(requests, frame[Request]{kindRequest, uint64(i) << 32, request})
 	}
-	calls = append(calls, frame[Request]{kindRequest, 1<<64 - 1, &Request{Op: OpPing, Body: []byte{}}},
+	requests = append(requests, frame[Request]{kindRequest, 1<<64 - 1, &Request{Op: OpPing, Body: []byte{}}},
 		frame[Request]{kindRequest, 1, &Request{Op: OpSubmit, ID: "long", Body: []byte(strings.Repeat("body", 75))}})
-	frames(t, "calls.hex", calls, appendRequest, readRequest)
+	frames(t, "calls.hex", requests, appendRequest, readRequest)
 
-	var replies []frame[Response]
+	var responses []frame[Response]
 	for i, status := range []int{200, 201, 400, 404, 409, 410, 421, 429, 500, 501, 503, 504} {
-		replies = append(
-			replies,
-			frame[Response]{kindResponse, uint64(i + 1), &Response{Status: status, Body: []byte{}}},
-		)
+		response := &Response{Status: status, Body: []byte{}}
+		responses = append(responses, frame[Response]{kindResponse, uint64(i + 1), response})
 	}
-	replies = append(
-		replies,
-		frame[Response]{kindResponse, 13, &Response{Status: 429, RetryAfter: 7, Body: []byte("seven")}},
-		frame[Response]{
-			kindResponse,
-			14,
-			&Response{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))},
-		},
-	)
-	frames(t, "replies.hex", replies, appendResponse, readResponse)
+	short := &Response{Status: 429, RetryAfter: 7, Body: []byte("seven")}
+	long := &Response{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))}
+	responses = append(responses, frame[Response]{kindResponse, 13, short}, frame[Response]{kindResponse, 14, long})
+	frames(t, "replies.hex", responses, appendResponse, readResponse)
 }
 
 // TestGoldenRefused: a frame of another version, and one over the limit, end the connection.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -33,8 +34,15 @@
 	return conns, link
 }
 
-// TestStuckPeer: a peer that stops reading fails the calls to it in bounded time
-// and does not hold up whoever asks the link anything meanwhile.
+func closeConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestStuckPeer: a peer that stops reading fails the requests to it in bounded time and does not block those that use
+// the link meanwhile.
 func TestStuckPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -52,10 +60,10 @@
 			t.Errorf("the call took %v", elapsed)
 		}
 		stop()
-		remote.Close()
+		closeConn(t, remote)
 		time.Sleep(10 * time.Second)
 		for len(conns) > 0 {
-			(<-conns).Close()
+			closeConn(t, <-conns)
 		}
 	})
 }
@@ -75,11 +83,8 @@
 		}()
 		time.Sleep(10 * time.Millisecond)
 		response, err := link.Do(ctx, &Request{Op: OpSubmit, ID: "x", Body: []byte("yz")})
-		if diff := cmp.Diff(
-			&Response{Status: http.StatusTeapot, RetryAfter: 7, Body: []byte("xyz")},
-			response,
-		); diff != "" ||
-			err != nil {
+		want := &Response{Status: http.StatusTeapot, RetryAfter: 7, Body: []byte("xyz")}
+		if diff := cmp.Diff(want, response); diff != "" || err != nil {
 			t.Error(err, diff)
 		}
 		stop()
@@ -87,63 +92,76 @@
 	})
 }
 
-// TestPingsBesideAFlood: as many calls as a large fleet's reports are under way at once, and beside them, and beside
-// one more that is refused, pings are answered.
+// TestPingsBesideAFlood: as many requests as a large fleet's heartbeats are in flight at once, and beside them, and
+// beside one more that is refused, pings are answered.
 func TestPingsBesideAFlood(t *testing.T) {
 	const calls = 4096 // a relay of 4,000 machines and more
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		p, l := runLink(ctx)
 		held := make(chan struct{})
-		go func() {
-			_ = serveConn(ctx, <-p, func(ctx context.Context, c *Request) *Response {
-				if c.Op != OpPing {
-					select {
-					case <-held:
-					case <-ctx.Done():
-					}
-				}
-				return &Response{Status: http.StatusOK}
-			}, &Traffic{})
-		}()
+		go func() { _ = serveConn(ctx, <-p, heldHandler(held), &Traffic{}) }()
 		time.Sleep(10 * time.Millisecond)
-		var unsent, answered atomic.Int64
-		var wg sync.WaitGroup
-		for range calls {
-			wg.Go(func() {
-				a, err := l.Do(ctx, &Request{Op: OpRelayReport, ID: "n1", Body: make([]byte, 500)})
-				switch {
-				case IsNotSent(err):
-					unsent.Add(1)
-				case err == nil && a.Status == http.StatusOK:
-					answered.Add(1)
-				}
-			})
-		}
+		flood := startFlood(ctx, l, calls)
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
 			if ago := time.Since(l.LastResponse()); ago > time.Second {
-				t.Fatalf("nothing is heard for %v beside %d calls", ago, calls)
+				t.Fatalf("no response has come for %v beside %d requests", ago, calls)
 			}
 		}
 		if _, err := l.Do(ctx, &Request{Op: OpRelayReport}); !IsNotSent(err) {
-			t.Errorf("one call more than there may be got %v", err)
+			t.Errorf("one request more than there may be got %v", err)
 		}
 		if a, err := l.Do(ctx, &Request{Op: OpPing}); err != nil || a.Status != http.StatusOK {
 			t.Errorf("a ping beside them got %+v, %v", a, err)
 		}
 		close(held)
-		wg.Wait()
-		if answered.Load() != calls {
-			t.Errorf("%d of %d calls were answered, %d not sent", answered.Load(), calls, unsent.Load())
+		flood.wg.Wait()
+		if flood.answered.Load() != calls {
+			t.Errorf("%d of %d requests were answered, %d not sent", flood.answered.Load(), calls, flood.unsent.Load())
 		}
 		stop()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// TestLargeAnswerEndsNothing: an answer or a call that does not fit into a frame fails alone. The other side ended the
-// connection over it, and every call under way was lost.
+// heldHandler answers pings at once, and everything else when held is closed.
+func heldHandler(held <-chan struct{}) Handler {
+	return func(ctx context.Context, c *Request) *Response {
+		if c.Op != OpPing {
+			select {
+			case <-held:
+			case <-ctx.Done():
+			}
+		}
+		return &Response{Status: http.StatusOK}
+	}
+}
+
+// flood is many relayed heartbeats at once.
+type flood struct {
+	wg               sync.WaitGroup
+	unsent, answered atomic.Int64
+}
+
+func startFlood(ctx context.Context, l *Link, calls int) *flood {
+	f := &flood{}
+	for range calls {
+		f.wg.Go(func() {
+			a, err := l.Do(ctx, &Request{Op: OpRelayReport, ID: "n1", Body: make([]byte, 500)})
+			switch {
+			case IsNotSent(err):
+				f.unsent.Add(1)
+			case err == nil && a.Status == http.StatusOK:
+				f.answered.Add(1)
+			}
+		})
+	}
+	return f
+}
+
+// TestLargeAnswerEndsNothing: a response or a request that does not fit into a frame fails alone. The other side ended
+// the connection over it, and every request in flight was lost.
 func TestLargeAnswerEndsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -161,10 +179,10 @@
 			}, &Traffic{})
 		}()
 		time.Sleep(10 * time.Millisecond)
-		underWay := make(chan error, 1)
+		inFlight := make(chan error, 1)
 		go func() {
 			_, err := l.Do(ctx, &Request{Op: OpSubmit, ID: slow})
-			underWay <- err
+			inFlight <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
 		if a, err := l.Do(ctx, &Request{Op: OpQueue}); err != nil || a.Status != http.StatusInternalServerError {
@@ -174,15 +192,12 @@
 		if !errors.Is(err, ErrTooLarge) || !IsNotSent(err) {
 			t.Errorf("a large call: %+v, %v", a, err)
 		}
-		if a, err := l.Do(
-			ctx,
-			&Request{Op: OpSubmit, Body: make([]byte, MaxBody)},
-		); err != nil ||
-			len(a.Body) != MaxBody {
+		fitting := &Request{Op: OpSubmit, Body: make([]byte, MaxBody)}
+		if a, err := l.Do(ctx, fitting); err != nil || len(a.Body) != MaxBody {
 			t.Errorf("what just fits: %v", err)
 		}
-		if err := <-underWay; err != nil {
-			t.Errorf("the call under way: %v", err)
+		if err := <-inFlight; err != nil {
+			t.Errorf("the request in flight: %v", err)
 		}
 		if len(p) > 0 {
 			t.Error("the link connected anew")
@@ -192,6 +207,30 @@
 	})
 }
 
+// TestErrorsOfARequest: an error says what became of the request, and names the node.
+func TestErrorsOfARequest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		link := NewLink(make(pipes, 1), "node-2", "b:1", slog.New(slog.DiscardHandler))
+		_, err := link.Do(ctx, &Request{Op: OpStatus})
+		if !errors.Is(err, ErrNotConnected) || !IsNotSent(err) || !strings.Contains(err.Error(), "node-2") {
+			t.Errorf("a link that is down: %v", err)
+		}
+		conns, link := runLink(ctx)
+		remote := <-conns
+		time.Sleep(10 * time.Millisecond)
+		time.AfterFunc(time.Second, func() { closeConn(t, remote) })
+		if _, err := link.Do(ctx, &Request{Op: OpStatus}); !errors.Is(err, ErrConnectionLost) || IsNotSent(err) {
+			t.Errorf("a connection that ends: %v", err)
+		}
+		stop()
+		time.Sleep(10 * time.Second)
+		for len(conns) > 0 {
+			closeConn(t, <-conns)
+		}
+	})
+}
+
 func FuzzFrames(f *testing.F) {
 	f.Add(appendFrame(nil, kindRequest, 3, appendRequest(nil, &Request{Op: OpStatus, ID: "req-000001"})))
 	f.Add(appendFrame(nil, kindResponse, 3, appendResponse(nil, &Response{Status: 200, Body: []byte{1}})))
