--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -11,19 +11,19 @@
 	"fieldhill/internal/testing/modelcheck"
 )
 
-// This is a model of two nodes, the state service, the cloud and the log around the real keepers. Time is in whole
-// units. Whatever a node does may be answered at once, or be under way for any time, be lost, or lose its answer;
-// between the look at its trust and a request a node may stop, for any time; it may end and start anew.
+// This is a model of two nodes, the key-value store, the cloud and the log around the real Roles. Time is in whole
+// units. Whatever a node requests may be answered at once, or be in flight for any time, be lost, or lose its answer;
+// between the look at its trust and a request a node may be paused, for any time; it may end and start anew.
 
 // fault is what is broken on purpose.
 type fault int
 
 const (
 	noFault                fault = iota
-	noGuard                      // writes of a duty don't require its key
+	noGuard                      // writes of a role don't require its key
 	trustFromAnswer              // a lease is trusted from when the answer came
-	provisionBeforeLogging       // machines are rented before the wish is in the log
-	falseProgress                // a lease is renewed whether the duty gets on or not
+	provisionBeforeLogging       // machines are provisioned before the request is in the log
+	falseProgress                // a lease is renewed whether the role makes progress or not
 )
 
 var modelRules = Rules{TTL: 3, Trust: 2, RenewInterval: 1, Patience: 2, Backoff: 2, MaxBackoff: 4, SettleTime: 100}
@@ -42,7 +42,14 @@
 	writeRequest
 )
 
-// message is a request or an answer under way. term is the holder's, or what the answer says; ok tells that it worked.
+// String is what traces call it.
+func (k messageKind) String() string {
+	return [...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal",
+		"a rental", "the answer to the rental", "a write"}[k]
+}
+
+// message is a request or an answer in flight. term is the holder's, or what the answer says; ok tells that it
+// worked.
 type message struct {
 	kind  messageKind
 	node  int
@@ -55,7 +62,7 @@
 
 type node struct {
 	role           Role
-	awaitingAnswer bool   // a Take or Renew is under way
+	awaitingAnswer bool   // an Acquire or Renew is in flight
 	pendingAction  string // looked at its trust, and is about to: "hire NAME", "write"
 	actionTerm     uint64 // the term under which it looked
 	wrote          bool
@@ -65,8 +72,8 @@
 
 type modelState struct {
 	fault fault
-	// What is left out, so that the rest can be followed further: writes, rentals, and that anything is under way
-	// for long or lost.
+	// What is left out, so that the rest can be followed further: writes, provisioning, and that anything is in
+	// flight for long or lost.
 	noWrites, noProvisioning, promptDelivery bool
 
 	now             Time
@@ -78,91 +85,90 @@
 	lease           uint64
 	leaseEnds       Time // of the key's lease
 	messages        []message
-	openRequests    []string // wishes in the log
-	provisioned     []string // names under which machines were rented
+	openRequests    []string // scale-out requests in the log
+	provisioned     []string // names under which machines were provisioned
 	violation       string
 }
 
 func nodeName(i int) string { return string(rune('A' + i)) }
 
 func (w modelState) clone() modelState {
-	w.messages, w.openRequests, w.provisioned = slices.Clone(
-		w.messages,
-	), slices.Clone(
-		w.openRequests,
-	), slices.Clone(
-		w.provisioned,
-	)
+	w.messages = slices.Clone(w.messages)
+	w.openRequests = slices.Clone(w.openRequests)
+	w.provisioned = slices.Clone(w.provisioned)
 	return w
 }
 
-func (w modelState) Key() string {
-	b := make([]byte, 0, 256)
-	appendInts := func(list ...int64) {
-		for _, x := range list {
-			b = binary.AppendVarint(b, x)
-		}
+// stateKey is the encoding of a state that tells it from others.
+type stateKey []byte
+
+func (k *stateKey) ints(list ...int64) {
+	for _, x := range list {
+		*k = binary.AppendVarint(*k, x)
 	}
-	appendBools := func(list ...bool) {
-		for _, x := range list {
-			if x {
-				b = append(b, 1)
-			} else {
-				b = append(b, 0)
-			}
-		}
+}
+
+func (k *stateKey) times(list ...Time) {
+	for _, x := range list {
+		k.ints(int64(x))
 	}
-	appendStrings := func(list ...string) {
-		for _, x := range list {
-			b = append(append(b, x...), 0)
+}
+
+func (k *stateKey) bools(list ...bool) {
+	for _, x := range list {
+		if x {
+			*k = append(*k, 1)
+		} else {
+			*k = append(*k, 0)
 		}
 	}
-	appendInts(
-		int64(w.now),
-		int64(w.holder),
-		int64(w.term),
-		int64(w.deletedRevision),
-		int64(w.lease),
-		int64(w.leaseEnds),
-		int64(len(w.openRequests)),
-	)
-	appendStrings(w.provisioned...)
+}
+
+func (k *stateKey) strings(list ...string) {
+	for _, x := range list {
+		*k = append(append(*k, x...), 0)
+	}
+}
+
+func (k *stateKey) role(r *Role) {
+	k.ints(int64(r.holder.Term), int64(r.stalledHolders), int64(r.lease), int64(r.term))
+	k.times(r.holder.Since, r.freeSince, r.trustedUntil, r.renewSentAt, r.heldSince, r.lastProgress)
+	k.times(r.betterSince, r.backoffUntil, r.backoff)
+	k.bools(r.observed, r.awaitingAnswer, r.progressed)
+	k.strings(r.holder.Node, r.releaseReason)
+}
+
+func (k *stateKey) node(n *node) {
+	k.role(&n.role)
+	k.ints(int64(n.actionTerm), int64(n.restarts))
+	k.bools(n.awaitingAnswer, n.wrote, n.provisioned)
+	k.strings(n.pendingAction)
+}
+
+func (k *stateKey) message(m *message) {
+	k.ints(int64(m.kind), int64(m.node), int64(m.sent), int64(m.lease), int64(m.term))
+	k.bools(m.ok)
+	k.strings(m.name)
+}
+
+// Key leaves out the order of the messages.
+func (w modelState) Key() string {
+	k := make(stateKey, 0, 256)
+	k.ints(int64(w.now), int64(w.holder), int64(w.term), int64(w.deletedRevision), int64(w.lease), int64(w.leaseEnds))
+	k.ints(int64(len(w.openRequests)))
+	k.strings(w.provisioned...)
 	for i := range w.nodes {
-		n := &w.nodes[i]
-		role := &n.role
-		appendInts(
-			int64(role.holder.Term),
-			int64(role.holder.Since),
-			int64(role.freeSince),
-			int64(role.stalledHolders),
-			int64(role.lease),
-			int64(role.term),
-			int64(role.trustedUntil),
-			int64(role.renewSentAt),
-			int64(
-				role.heldSince,
-			),
-			int64(role.lastProgress),
-			int64(role.betterSince),
-			int64(role.backoffUntil),
-			int64(role.backoff),
-			int64(n.actionTerm),
-			int64(n.restarts),
-		)
-		appendBools(role.observed, role.awaitingAnswer, role.progressed, n.awaitingAnswer, n.wrote, n.provisioned)
-		appendStrings(role.holder.Node, role.releaseReason, n.pendingAction)
+		k.node(&w.nodes[i])
 	}
 	messages := make([]string, len(w.messages))
-	for i, m := range w.messages {
-		from := len(b)
-		appendInts(int64(m.kind), int64(m.node), int64(m.sent), int64(m.lease), int64(m.term))
-		appendBools(m.ok)
-		appendStrings(m.name)
-		messages[i], b = string(b[from:]), b[:from]
+	for i := range w.messages {
+		from := len(k)
+		k.message(&w.messages[i])
+		messages[i], k = string(k[from:]), k[:from]
 	}
 	slices.Sort(messages)
-	appendStrings(messages...)
-	return string(b)
+	k.strings(messages...)
+	return string(k)
 }
 
 func (w modelState) Violation() string {
@@ -173,19 +179,16 @@
 		return "both nodes trust that they hold the duty"
 	}
 	for i := range w.nodes {
-		if role := &w.nodes[i].role; w.holder == i && role.Term() == w.term && !w.nodes[i].provisioned &&
-			!w.nodes[i].wrote &&
-			w.now-role.HeldSince() > modelRules.Patience+modelRules.TTL+2 {
+		n := &w.nodes[i]
+		holds := w.holder == i && n.role.Term() == w.term
+		heldFor := w.now - n.role.HeldSince()
+		if holds && !n.provisioned && !n.wrote && heldFor > modelRules.Patience+modelRules.TTL+2 {
 			return nodeName(i) + " holds the duty for long and gets nowhere"
 		}
 	}
 	if len(w.provisioned) > wantedRequests {
-		return fmt.Sprintf(
-			"machines were rented %d times for %d wish: %v",
-			len(w.provisioned),
-			wantedRequests,
-			w.provisioned,
-		)
+		return fmt.Sprintf("machines were rented %d times for %d wish: %v",
+			len(w.provisioned), wantedRequests, w.provisioned)
 	}
 	return ""
 }
@@ -223,12 +226,8 @@
 			return nil
 		}
 		if w.holder < 0 || w.term != m.term {
-			w.violation = fmt.Sprintf(
-				"a write of %s under term %d is applied, the key is of term %d",
-				nodeName(m.node),
-				m.term,
-				w.term,
-			)
+			w.violation = fmt.Sprintf("a write of %s under term %d is applied, the key is of term %d",
+				nodeName(m.node), m.term, w.term)
 		}
 	}
 	return nil
@@ -253,7 +252,7 @@
 			n.role.Renewed(sent, m.ok, !m.ok)
 		}
 	case provisionResponse:
-		// It is told to the leader, which believes the present holder alone.
+		// It is reported to the leader, which accepts it from the present holder alone.
 		if n.role.Term() == m.term && n.role.IsCurrent(m.term) {
 			n.provisioned = true
 			n.role.RecordProgress(w.now)
@@ -281,11 +280,11 @@
 	for i, m := range w.messages {
 		request := m.kind == acquireRequest || m.kind == renewRequest || m.kind == provisionRequest ||
 			m.kind == writeRequest
-		description := fmt.Sprintf(
-			"%s of %s",
-			[...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal", "a rental " + m.name, "the answer to the rental " + m.name, "a write"}[m.kind],
-			nodeName(m.node),
-		)
+		description := m.kind.String()
+		if m.name != "" {
+			description += " " + m.name
+		}
+		description += " of " + nodeName(m.node)
 		if request {
 			step(description+" is carried out", func(w *modelState) {
 				w.messages = slices.Delete(w.messages, i, i+1)
@@ -308,13 +307,7 @@
 }
 
 // sendSteps gives the ways that a request may go.
-func sendSteps(
-	step func(string, func(*modelState)),
-	mayDelay bool,
-	description string,
-	m message,
-	before func(w *modelState),
-) {
+func sendSteps(step stepFunc, mayDelay bool, description string, m message, before func(w *modelState)) {
 	step(description+", answered at once", func(w *modelState) {
 		before(w)
 		if answer := w.serve(m); answer != nil {
@@ -329,10 +322,12 @@
 	}
 }
 
-func (w modelState) nodeSteps(i int, step func(string, func(*modelState))) {
+// stepFunc adds a step that may happen next.
+type stepFunc func(name string, apply func(*modelState))
+
+func (w modelState) nodeSteps(i int, step stepFunc) {
 	n := &w.nodes[i]
 	self := nodeName(i)
-	view := &View{Ready: true, Live: []string{"A", "B"}, Leader: "?"}
 	// The watch shows the key as it is; being late it shows what was, which changes nothing that is not seen later.
 	observed := RoleHolder{Term: w.deletedRevision}
 	if w.holder >= 0 {
@@ -342,105 +337,111 @@
 		step(self+" sees the key", func(w *modelState) { w.nodes[i].role.Observe(observed, w.now) })
 	}
 	if n.awaitingAnswer {
-		step(self+" gives up waiting", func(w *modelState) {
-			n := &w.nodes[i]
-			n.awaitingAnswer = false
-			if n.role.Term() == 0 {
-				n.role.Acquired(0, w.now, 0, 0)
-			} else {
-				n.role.Renewed(0, false, false)
-			}
-		})
+		step(self+" gives up waiting", func(w *modelState) { w.nodes[i].stopWaiting(w.now) })
 	} else if len(w.messages) < 3 {
-		next := n.role
-		if w.fault == falseProgress {
-			next.RecordIdle(w.now)
-		}
-		switch next.Decide(w.now, view) {
-		case Acquire:
-			lease := uint64(10*(i+1)) + uint64(w.now)
-			sendSteps(
-				step,
-				!w.promptDelivery,
-				self+" asks for the key",
-				message{kind: acquireRequest, node: i, sent: w.now, lease: lease},
-				func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true },
-			)
-		case Renew:
-			sendSteps(
-				step,
-				!w.promptDelivery,
-				self+" renews its lease",
-				message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()},
-				func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true },
-			)
-		case Release:
-			step(self+" lets go: "+next.ReleaseReason(), func(w *modelState) {
-				if w.holder == i && w.lease == next.Lease() {
-					w.releaseKey()
-				}
-				next.Released()
-				w.nodes[i].role, w.nodes[i].provisioned, w.nodes[i].wrote = next, false, false
-			})
-		default:
-			if next != n.role {
-				step(self+" looks at the time", func(w *modelState) { w.nodes[i].role = next })
+		w.decisionSteps(i, step)
+	}
+	w.writeSteps(i, step)
+	w.provisionSteps(i, step)
+	if n.restarts == 0 && n.role.Term() != 0 && !w.promptDelivery {
+		step(self+" ends and starts anew", func(w *modelState) {
+			w.nodes[i] = node{role: *New(Provisioning, self, modelRules), restarts: 1}
+		})
+	}
+}
+
+// stopWaiting has a node take a response that did not come for an unknown outcome.
+func (n *node) stopWaiting(now Time) {
+	n.awaitingAnswer = false
+	if n.role.Term() == 0 {
+		n.role.Acquired(0, now, 0, 0)
+	} else {
+		n.role.Renewed(0, false, false)
+	}
+}
+
+// decisionSteps are what a node may do of its own accord with the key.
+func (w modelState) decisionSteps(i int, step stepFunc) {
+	n, self := &w.nodes[i], nodeName(i)
+	next := n.role
+	if w.fault == falseProgress {
+		next.RecordIdle(w.now)
+	}
+	await := func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true }
+	switch next.Decide(w.now, &View{Ready: true, Live: []string{"A", "B"}, Leader: "?"}) {
+	case Acquire:
+		request := message{kind: acquireRequest, node: i, sent: w.now, lease: uint64(10*(i+1)) + uint64(w.now)}
+		sendSteps(step, !w.promptDelivery, self+" asks for the key", request, await)
+	case Renew:
+		request := message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()}
+		sendSteps(step, !w.promptDelivery, self+" renews its lease", request, await)
+	case Release:
+		step(self+" lets go: "+next.ReleaseReason(), func(w *modelState) {
+			if w.holder == i && w.lease == next.Lease() {
+				w.releaseKey()
 			}
+			next.Released()
+			w.nodes[i].role, w.nodes[i].provisioned, w.nodes[i].wrote = next, false, false
+		})
+	default:
+		if next != n.role {
+			step(self+" looks at the time", func(w *modelState) { w.nodes[i].role = next })
 		}
 	}
+}
+
+// writeSteps are the two halves of a write: the look at the trust, and the request.
+func (w modelState) writeSteps(i int, step stepFunc) {
+	n, self := &w.nodes[i], nodeName(i)
 	switch {
 	case n.pendingAction == "" && n.role.Trusted(w.now) && !n.wrote && !w.noWrites:
-		step(
-			self+" is about to write",
-			func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "write", n.role.Term() },
-		)
+		step(self+" is about to write", func(w *modelState) {
+			w.nodes[i].pendingAction, w.nodes[i].actionTerm = "write", n.role.Term()
+		})
 	case n.pendingAction == "write":
-		sendSteps(
-			step,
-			!w.promptDelivery,
-			self+" writes",
-			message{kind: writeRequest, node: i, term: n.actionTerm},
-			func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].wrote = "", true },
-		)
+		request := message{kind: writeRequest, node: i, term: n.actionTerm}
+		sendSteps(step, !w.promptDelivery, self+" writes", request, func(w *modelState) {
+			w.nodes[i].pendingAction, w.nodes[i].wrote = "", true
+		})
 	}
+}
+
+// provisionSteps are the two halves of a scale-out request: the look at the trust, and the request.
+func (w modelState) provisionSteps(i int, step stepFunc) {
+	n, self := &w.nodes[i], nodeName(i)
 	if n.pendingAction == "" && n.role.Trusted(w.now) && !n.provisioned && !w.noProvisioning {
-		name := ""
-		if len(w.openRequests) > 0 {
-			name = w.openRequests[0]
-		}
-		if w.fault == provisionBeforeLogging { // its own name, which the log is to learn with the answer
-			name = fmt.Sprint(self, n.restarts)
-			if len(w.openRequests) == 0 {
-				name = ""
-			}
-		}
-		if name != "" {
-			step(
-				self+" is about to rent "+name,
-				func(w *modelState) { w.nodes[i].pendingAction, w.nodes[i].actionTerm = "hire "+name, n.role.Term() },
-			)
+		if name := w.requestName(i); name != "" {
+			step(self+" is about to rent "+name, func(w *modelState) {
+				w.nodes[i].pendingAction, w.nodes[i].actionTerm = provisionAction+name, n.role.Term()
+			})
 		}
 	}
-	if name, ok := strings.CutPrefix(n.pendingAction, "hire "); ok {
-		sendSteps(
-			step,
-			!w.promptDelivery,
-			self+" rents "+name,
-			message{kind: provisionRequest, node: i, term: n.actionTerm, name: name},
-			func(w *modelState) { w.nodes[i].pendingAction = "" },
-		)
-	}
-	if n.restarts == 0 && n.role.Term() != 0 && !w.promptDelivery {
-		step(self+" ends and starts anew", func(w *modelState) {
-			w.nodes[i] = node{role: *New(Provisioning, self, modelRules), restarts: 1}
+	if name, ok := strings.CutPrefix(n.pendingAction, provisionAction); ok {
+		request := message{kind: provisionRequest, node: i, term: n.actionTerm, name: name}
+		sendSteps(step, !w.promptDelivery, self+" rents "+name, request, func(w *modelState) {
+			w.nodes[i].pendingAction = ""
 		})
 	}
 }
 
+// provisionAction is what a pending action that provisions begins with; the name of the request follows.
+const provisionAction = "hire "
+
+// requestName is the name under which a node provisions next, "" if nothing is wanted.
+func (w modelState) requestName(i int) string {
+	switch {
+	case len(w.openRequests) == 0:
+		return ""
+	case w.fault == provisionBeforeLogging: // its own name, which the log is to learn with the answer
+		return fmt.Sprint(nodeName(i), w.nodes[i].restarts)
+	}
+	return w.openRequests[0]
+}
+
 var maxStates = flag.Int("states", 50_000, "how many states to look at where nothing is to be found")
 
-// TestNoInterleavingBreaksARole explores every order of what may happen to two nodes that want one duty, and finds each
-// way in which the rules of it could be left out.
+// TestNoInterleavingBreaksARole explores every order of what may happen to two nodes that want one role, and finds
+// each way in which its rules could be left out.
 func TestNoInterleavingBreaksARole(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -453,9 +454,13 @@
 		{"the lease alone", modelState{noProvisioning: true, noWrites: true}, 12, ""},
 		{"nothing late", modelState{noProvisioning: true, noWrites: true, promptDelivery: true}, 60, ""},
 		{"no guard", modelState{fault: noGuard, noProvisioning: true}, 12, "is applied"},
-		{"trust from the answer", modelState{fault: trustFromAnswer, noProvisioning: true, noWrites: true}, 12, "both nodes trust"},
-		{"the wish behind the act", modelState{fault: provisionBeforeLogging, noWrites: true, promptDelivery: true}, 12, "rented 2 times"},
-		{"renewal without progress", modelState{fault: falseProgress, noProvisioning: true, noWrites: true, promptDelivery: true}, 60, "gets nowhere"},
+		{"trust from the answer", modelState{fault: trustFromAnswer, noProvisioning: true, noWrites: true},
+			12, "both nodes trust"},
+		{"the wish behind the act", modelState{fault: provisionBeforeLogging, noWrites: true, promptDelivery: true},
+			12, "rented 2 times"},
+		{"renewal without progress",
+			modelState{fault: falseProgress, noProvisioning: true, noWrites: true, promptDelivery: true},
+			60, "gets nowhere"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := c.w
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -1,15 +1,16 @@
-// Package duty decides which node does what only one may do at a time, besides leading: dealing with the
-// cloud, cleaning up in the state service. It is pure: what was seen of the duty's key, answers and the time
-// go in; what to ask of the state service comes out.
+// Package singleton decides which node holds a role that only one may hold at a time, besides leading: provisioning,
+// which deals with the cloud, and compaction, which cleans up in the key-value store. It is pure: what was seen of
+// the role's key, responses and the time go in; what to request of the store comes out.
 //
-// A duty is held by a key in the state service that hangs on a lease of its own. The key's version, which is
-// the number of the change that made it, is the duty's term: it only grows, and every write of the duty
-// requires it. The lease can't end earlier than its time after the last renewal that was answered was sent,
-// so a holder trusts its own clock until that long after sending, less the drift of two clocks.
+// A role is held by a key in the store that hangs on a lease of its own. The key's version, which is the revision of
+// the change that made it, is the role's term: it only grows, and every write of the role requires it. The lease
+// can't end earlier than its time after the last renewal that was answered was sent, so a holder trusts its own clock
+// until that long after sending, less the drift of two clocks.
 //
-// A holder renews only while the duty progresses. Past its patience it lets go and stands back for a growing
-// while, so that a node that reaches the other side better takes it. How many holders in a row got nowhere
-// stands in a key beside it (Stuck): when all did, the other side is away for everybody, and patience grows.
+// A holder renews only while the role makes progress. Past its patience it releases the role and backs off for a
+// growing while, so that a node that reaches the other side better acquires it. How many holders in a row made no
+// progress stands in a key beside it (ObserveStalledHolders): when all did not, the other side is unavailable for
+// everybody, and patience grows.
 package singleton
 
 import (
@@ -19,20 +20,20 @@
 	"time"
 )
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process began.
 type Time = time.Duration
 
-// Name is a duty.
+// Name is a role.
 type Name uint8
 
-// The duties. Placing is the leader's, whose lease is package lead's.
+// The roles. Scheduling is the leader's, whose lease is that of package election.
 const (
-	Provisioning Name = iota // types, list, rentals and returns of the cloud
-	Compaction               // snapshots, compaction, records that the log has
+	Provisioning Name = iota // the cloud's machine types and list, scale out and scale in
+	Compaction               // snapshots, compaction, deletion of records that the log has
 	NameCount                // how many there are
 )
 
-// String is the duty's name in keys, the log and counters.
+// String is the role's name in keys, the log and metrics.
 func (n Name) String() string {
 	switch n {
 	case Provisioning:
@@ -43,19 +44,29 @@
 	return "?"
 }
 
-// Rules are a duty's times.
+// Rules are a role's times.
 type Rules struct {
 	TTL           Time // of the lease
 	Trust         Time // how long after the sending of a renewal the lease surely lasts; below TTL
 	RenewInterval Time // between two renewals
 	Patience      Time // the longest time without progress
-	Backoff       Time // how long a holder that got nowhere stands back, first; it doubles
-	MaxBackoff    Time
-	TurnDelay     Time // a free duty is taken by the first in line at once, by each next one so much later
-	SettleTime    Time // how long there must be a better holder before a good one gives way
+	Backoff       Time // how long a holder without progress backs off at first; it doubles
+	MaxBackoff    Time // and does not get longer than this
+	TurnDelay     Time // a free role is acquired by the first in rank at once, by each next one so much later
+	SettleTime    Time // how long there must be a better holder before a good one releases the role
 }
 
-// DefaultRules are the rules of a duty. The lease is twice as long as a leader's, since nothing that a user waits for
+const (
+	// maxClockDriftDivisor is by how much two clocks may differ, as one part in so many, and trustMargin what is left
+	// beside that for the scheduling of this process.
+	maxClockDriftDivisor = 500
+	trustMargin          = 20 * time.Millisecond
+	// settleTime is that of the first role; each next one's is so much longer, so that two are never released at
+	// once.
+	settleTime = 20 * time.Second
+)
+
+// DefaultRules are the rules of a role. The lease is twice as long as a leader's, since nothing that a user waits for
 // hangs on it.
 func DefaultRules(n Name) Rules {
 	rules := Rules{
@@ -65,71 +76,83 @@
 		Backoff:       10 * time.Second,
 		MaxBackoff:    5 * time.Minute,
 		TurnDelay:     500 * time.Millisecond,
-		SettleTime:    20*time.Second + 20*time.Second*Time(n),
-	} // never two at once
+		SettleTime:    settleTime + settleTime*Time(n),
+	}
 	if n == Compaction {
 		rules.Patience = time.Minute
 	}
-	rules.Trust = rules.TTL - rules.TTL/500 - 20*time.Millisecond
+	rules.Trust = rules.TTL - rules.TTL/maxClockDriftDivisor - trustMargin
 	return rules
 }
 
-// RoleHolder is what the duty's key says.
+// RoleHolder is what the role's key says.
 type RoleHolder struct {
 	Node  string // "": nobody holds it
 	Term  uint64 // the key's version
-	Since Time   // when this node saw it
+	Since Time   // since when this node knows it
 }
 
 // View is what a node knows of the others.
 type View struct {
 	Ready  bool     // all members take part: with older nodes among them the leader does everything itself
-	Live   []string // nodes that are heard, this one among them
+	Live   []string // nodes that respond, this one among them
 	Leader string   // "": unknown
 }
 
 // Decision is what to do next.
 type Decision uint8
 
-// What a keeper may ask for. Each is asked once, and again only after its answer.
+// What to do. Acquire and Renew are requested once, and again only after their response.
 const (
 	NoAction Decision = iota
-	Acquire           // a lease, and the key if there is none: Took answers
-	Renew             // Renewed answers
-	Release           // end the lease, and with it the key: no answer; Stuck tells whether to write that first
+	Acquire           // request a lease, and the key if there is none: then call Acquired
+	Renew             // renew the lease: then call Renewed
+	Release           // write what NoProgress says, end the lease, and with it the key: then call Released
 )
 
-// Role is one node's part in one duty.
+// The reasons for which a role is released or lost. They are in the admin API and in the log.
+const (
+	reasonSuperseded   = "another may hold it"
+	reasonLeaseExpired = "its lease was not renewed in time"
+	reasonLeaseEnded   = "its lease has ended"
+	reasonNoProgress   = "it gets nowhere"
+	reasonOlderNode    = "an older node is there"
+	reasonLeaderIsBusy = "others have less to do"
+)
+
+// Role is one node's local state of one role.
 type Role struct {
 	Name  Name
-	Node  string
+	Node  string // this node
 	Rules Rules
 
+	// What was seen of the role's keys.
 	holder         RoleHolder
 	observed       bool // anything at all
 	freeSince      Time
-	stalledHolders int // holders in a row that got nowhere
+	stalledHolders int // holders in a row without progress
 
-	awaitingAnswer bool // Take or Renew is under way
-	lease          uint64
+	// This node's own hold.
+	awaitingAnswer bool   // an Acquire or Renew has no response yet
+	lease          uint64 // on which the key hangs
 	term           uint64 // 0: not held
-	trustedUntil   Time   // trusted until
-	renewSentAt    Time   // when a renewal was last sent
+	trustedUntil   Time
+	renewSentAt    Time // when a renewal was last sent
 	heldSince      Time
-	lastProgress   Time // when it last got on
-	progressed     bool // it got on in this term
-	betterSince    Time // since when another would do better; 0: not
+	lastProgress   Time
+	progressed     bool // it made progress in this term
+	betterSince    Time // since when another would be a better holder; 0: none would
 	backoffUntil   Time
 	backoff        Time
-	noProgress     bool   // it was let go for that
-	releaseReason  string // why it was last let go
+	noProgress     bool   // it was released for that
+	releaseReason  string // why it was last released or lost
 }
 
-// New makes a keeper that holds nothing and knows nothing.
+// New makes the state of a role that this node does not hold and knows nothing of.
 func New(n Name, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
 // Observe notes what the key says. Without a holder the term is the number of the change since which there is
-// none: terms and changes are counted alike, so an older word, come by a slower way, is told from a newer one.
+// none: terms and changes are counted alike, so an older message that came a slower way is told from a newer one.
 func (r *Role) Observe(holder RoleHolder, now Time) {
 	if r.observed && (holder.Term < r.holder.Term || holder.Term == r.holder.Term && holder.Node == r.holder.Node) {
 		return
@@ -139,11 +162,11 @@
 	}
 	r.holder, r.observed = holder, true
 	if r.term != 0 && holder.Term != r.term {
-		r.lose("another may hold it")
+		r.lose(reasonSuperseded)
 	}
 }
 
-// ObserveStalledHolders notes how many holders in a row got nowhere.
+// ObserveStalledHolders notes how many holders in a row made no progress.
 func (r *Role) ObserveStalledHolders(n int) { r.stalledHolders = n }
 
 // lose ends this node's hold.
@@ -151,7 +174,7 @@
 	r.term, r.lease, r.trustedUntil, r.betterSince, r.releaseReason = 0, 0, 0, 0, reason
 }
 
-// Term is the term under which this node holds the duty, 0 if it does not. Who acts asks Trusted as well.
+// Term is the term under which this node holds the role, 0 if it does not. To act, it must be Trusted as well.
 func (r *Role) Term() uint64 { return r.term }
 
 // Lease is the lease on which the key hangs.
@@ -160,32 +183,32 @@
 // TrustedUntil tells until when the hold is trusted.
 func (r *Role) TrustedUntil() Time { return r.trustedUntil }
 
-// Trusted tells whether this node surely holds the duty.
+// Trusted tells whether this node surely holds the role.
 func (r *Role) Trusted(now Time) bool { return r.term != 0 && now < r.trustedUntil }
 
-// Holder is who holds the duty, as far as was seen.
+// Holder is who holds the role, as far as was seen.
 func (r *Role) Holder() RoleHolder { return r.holder }
 
-// HeldSince is when this node took it, Progress when it last got on, Why why it last let go.
+// HeldSince is when this node acquired the role.
 func (r *Role) HeldSince() Time { return r.heldSince }
 
-// LastProgress is when the duty last got on at this node.
+// LastProgress is when the role last made progress at this node.
 func (r *Role) LastProgress() Time { return r.lastProgress }
 
-// ReleaseReason is why this node last let it go.
+// ReleaseReason is why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress tells whether it was let go because it got nowhere, which is to be written as Stuck.
+// NoProgress tells whether the role was released since it made no progress, which is to be written for the next
+// holders.
 func (r *Role) NoProgress() bool { return r.noProgress }
 
-// StalledHolders is how many holders in a row got nowhere.
+// StalledHolders is how many holders in a row made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent tells whether what a holder says under a term is to be believed: it is no older than what was
-// seen of the key.
+// IsCurrent tells whether what a holder reports under a term counts: it is no older than what was seen of the key.
 func (r *Role) IsCurrent(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience is the longest time without progress: longer when all others got nowhere either.
+// patience is the longest time without progress: longer when no other node made any either.
 func (r *Role) patience(v *View) Time {
 	limit := r.Rules.Patience
 	for rounds := r.stalledHolders / max(1, len(v.Live)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
@@ -194,8 +217,8 @@
 	return limit
 }
 
-// RecordProgress notes that the duty got on. It tells whether that ends a row of holders that did not, which is
-// then to be written.
+// RecordProgress notes that the role made progress. It tells whether that ends a row of holders that made none, which
+// is then to be written.
 func (r *Role) RecordProgress(now Time) (endsStall bool) {
 	if r.term == 0 {
 		return false
@@ -206,23 +229,23 @@
 	return endsStall
 }
 
-// RecordIdle notes that there is nothing to get on with.
+// RecordIdle notes that there is nothing to do, which is no lack of progress.
 func (r *Role) RecordIdle(now Time) {
 	if r.term != 0 {
 		r.lastProgress = now
 	}
 }
 
-// rank is this node's place in the line for the duty: by a hash of both, the leader last, since it has most to
-// do already.
+// rank is this node's place in the order in which nodes may acquire the role: by a hash of both, the leader last,
+// since it has most to do already.
 func (r *Role) rank(v *View) int {
-	line := slices.Clone(v.Live)
+	order := slices.Clone(v.Live)
 	weight := func(node string) uint64 {
 		hash := fnv.New64a()
 		hash.Write([]byte(r.Name.String() + "/" + node))
 		return hash.Sum64()
 	}
-	slices.SortFunc(line, func(a, b string) int {
+	slices.SortFunc(order, func(a, b string) int {
 		if (a == v.Leader) != (b == v.Leader) {
 			if a == v.Leader {
 				return 1
@@ -231,42 +254,52 @@
 		}
 		return cmp.Compare(weight(a), weight(b))
 	})
-	return max(0, slices.Index(line, r.Node))
+	return max(0, slices.Index(order, r.Node))
 }
 
 // Decide tells what to do.
 func (r *Role) Decide(now Time, v *View) Decision {
-	if r.awaitingAnswer || !r.observed {
+	switch {
+	case r.awaitingAnswer || !r.observed:
 		return NoAction
+	case r.term == 0:
+		return r.decideFree(now, v)
 	}
-	if r.term == 0 {
-		if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
-			now < r.freeSince+Time(r.rank(v))*r.Rules.TurnDelay {
-			return NoAction
-		}
-		r.awaitingAnswer = true
-		return Acquire
+	return r.decideHeld(now, v)
+}
+
+// decideFree decides for a node that does not hold the role.
+func (r *Role) decideFree(now Time, v *View) Decision {
+	if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
+		now < r.freeSince+Time(r.rank(v))*r.Rules.TurnDelay {
+		return NoAction
 	}
+	r.awaitingAnswer = true
+	return Acquire
+}
+
+// decideHeld decides for the holder.
+func (r *Role) decideHeld(now Time, v *View) Decision {
 	switch {
 	case now >= r.trustedUntil:
-		r.lose("its lease was not renewed in time")
+		r.lose(reasonLeaseExpired)
 		return NoAction
 	case now-r.lastProgress > r.patience(v):
 		r.stalledHolders++
 		r.noProgress = true
 		r.backoff = min(max(2*r.backoff, r.Rules.Backoff), r.Rules.MaxBackoff)
 		r.backoffUntil = now + r.backoff
-		r.releaseReason = "it gets nowhere"
+		r.releaseReason = reasonNoProgress
 		return Release
 	case !v.Ready:
-		r.releaseReason = "an older node is there"
+		r.releaseReason = reasonOlderNode
 		return Release
 	case r.Node == v.Leader && len(v.Live) > 1:
 		if r.betterSince == 0 {
 			r.betterSince = now
 		}
 		if now-r.betterSince > r.Rules.SettleTime {
-			r.releaseReason, r.backoffUntil = "others have less to do", now+2*r.Rules.TurnDelay
+			r.releaseReason, r.backoffUntil = reasonLeaderIsBusy, now+2*r.Rules.TurnDelay
 			return Release
 		}
 	default:
@@ -279,13 +312,14 @@
 	return Renew
 }
 
-// Released notes that the key was given up: what was asked for by Leave was sent, or will not be.
+// Released notes that the key was released: the request for it was sent, or will not be.
 func (r *Role) Released() {
 	reason := r.releaseReason
 	r.lose(reason)
 }
 
-// Acquired is the answer to Take: sent is when the lease was asked for, term the key's version, 0 if it was not won.
+// Acquired is the response to Acquire: sent is when the lease was requested, term the key's version, 0 if it was not
+// won.
 func (r *Role) Acquired(sent, now Time, lease, term uint64) {
 	r.awaitingAnswer = false
 	if term == 0 || term < r.holder.Term {
@@ -296,14 +330,14 @@
 	r.holder, r.observed = RoleHolder{Node: r.Node, Term: term, Since: now}, true
 }
 
-// Renewed is the answer to Renew, sent at a time: ok, or gone if the lease had ended. Without either its fate is
-// unknown, and it is sent again.
+// Renewed is the response to a Renew that was sent at a time: ok, or gone if the lease had ended. Without either its
+// fate is unknown, and it is sent again.
 func (r *Role) Renewed(sent Time, ok, gone bool) {
 	r.awaitingAnswer = false
 	switch {
 	case r.term == 0:
 	case gone:
-		r.lose("its lease has ended")
+		r.lose(reasonLeaseEnded)
 	case ok:
 		r.trustedUntil, r.renewSentAt = max(r.trustedUntil, sent+r.Rules.Trust), sent
 	}
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestTrustEndsBeforeTheLease: a holder's trust, on a clock that is slow by as much as clocks may drift apart, ends
-// before the lease may, on one that is fast.
+// before the lease may end, on one that is fast.
 func TestTrustEndsBeforeTheLease(t *testing.T) {
 	const drift = 0.0005 // each way
 	for n := range NameCount {
@@ -20,60 +20,78 @@
 	}
 }
 
-// TestFreeRoleIsAcquiredInTurn: a free duty is taken by one node at once and by the others in turn, the leader last;
-// a leader that holds duties gives them away one after the other once there is somebody else.
+// TestFreeRoleIsAcquiredInTurn: a free role is acquired by one node at once and by the others in turn, the leader
+// last.
 func TestFreeRoleIsAcquiredInTurn(t *testing.T) {
+	const freeAt = 10 * time.Second
 	nodes := []string{"a", "b", "c"}
 	for n := range NameCount {
 		first, last := "", ""
 		var order []Time
 		for _, node := range nodes {
-			role := New(n, node, DefaultRules(n))
-			role.Observe(RoleHolder{Term: 7}, 10*time.Second)
-			at := 10 * time.Second
-			for role.Decide(at, &View{Ready: true, Live: nodes, Leader: "b"}) != Acquire {
-				if at += 100 * time.Millisecond; at > time.Minute {
-					t.Fatalf("%v: %s never takes it", n, node)
-				}
-			}
-			if order = append(order, at); at == 10*time.Second {
+			at := acquiredAt(t, n, node, freeAt, &View{Ready: true, Live: nodes, Leader: "b"})
+			if order = append(order, at); at == freeAt {
 				first += node
-			} else if at == 10*time.Second+2*DefaultRules(n).TurnDelay {
+			} else if at == freeAt+2*DefaultRules(n).TurnDelay {
 				last += node
 			}
 		}
 		if len(first) != 1 || last != "b" {
-			t.Errorf("%v: taken at %v", n, order)
+			t.Errorf("%v: acquired at %v", n, order)
+		}
+	}
+}
+
+// acquiredAt is when a node asks for a role that is free from a time on.
+func acquiredAt(t *testing.T, n Name, node string, freeAt Time, view *View) Time {
+	t.Helper()
+	role := New(n, node, DefaultRules(n))
+	role.Observe(RoleHolder{Term: 7}, freeAt)
+	at := freeAt
+	for role.Decide(at, view) != Acquire {
+		if at += 100 * time.Millisecond; at > time.Minute {
+			t.Fatalf("%v: %s never acquires it", n, node)
 		}
 	}
+	return at
+}
+
+// TestLeaderReleasesRolesInTurn: a leader that holds roles releases them one after the other once there is another
+// node.
+func TestLeaderReleasesRolesInTurn(t *testing.T) {
 	var releasedAt []Time
 	for n := range NameCount {
-		role := New(n, "b", DefaultRules(n))
-		role.Observe(RoleHolder{Term: 7}, 0)
-		role.Acquired(0, 0, 1, 9)
-		view, at := &View{Ready: true, Live: []string{"b"}, Leader: "b"}, Time(0)
-		for ; ; at += 250 * time.Millisecond {
-			if at > 5*time.Second {
-				view.Live = nodes
-			}
-			role.RecordProgress(at)
-			decision := role.Decide(at, view)
-			if decision == Release || at > 5*time.Minute {
-				break
-			}
-			if decision == Renew {
-				role.Renewed(at, true, false)
-			}
-		}
-		releasedAt = append(releasedAt, at)
+		releasedAt = append(releasedAt, leaderReleasesAt(n, 5*time.Second, []string{"a", "b", "c"}))
 	}
 	if releasedAt[0] < 20*time.Second || releasedAt[1]-releasedAt[0] < 10*time.Second || releasedAt[1] > 2*time.Minute {
-		t.Errorf("the leader gave its duties away at %v", releasedAt)
+		t.Errorf("the leader released its roles at %v", releasedAt)
+	}
+}
+
+// leaderReleasesAt is when the leader b, which holds a role and makes progress, releases it if it is alone until a
+// time.
+func leaderReleasesAt(n Name, aloneUntil Time, nodes []string) Time {
+	role := New(n, "b", DefaultRules(n))
+	role.Observe(RoleHolder{Term: 7}, 0)
+	role.Acquired(0, 0, 1, 9)
+	view, at := &View{Ready: true, Live: []string{"b"}, Leader: "b"}, Time(0)
+	for ; ; at += 250 * time.Millisecond {
+		if at > aloneUntil {
+			view.Live = nodes
+		}
+		role.RecordProgress(at)
+		decision := role.Decide(at, view)
+		if decision == Release || at > 5*time.Minute {
+			return at
+		}
+		if decision == Renew {
+			role.Renewed(at, true, false)
+		}
 	}
 }
 
-// TestOlderUpdatesOfAKeyAreIgnored: words of the key come by several ways; an older one changes nothing, a newer one
-// ends what is held.
+// TestOlderUpdatesOfAKeyAreIgnored: updates of the key come several ways; an older one changes nothing, a newer one
+// ends the hold.
 func TestOlderUpdatesOfAKeyAreIgnored(t *testing.T) {
 	role := New(Provisioning, "a", DefaultRules(Provisioning))
 	role.Observe(RoleHolder{Term: 7}, 0)
@@ -84,7 +102,7 @@
 		}
 	}
 	if !role.IsCurrent(9) || role.IsCurrent(8) || role.IsCurrent(0) {
-		t.Error("what is said under term 9 is current, and nothing older")
+		t.Error("what is reported under term 9 is current, and nothing older")
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
 		t.Error("the key is gone, and the hold goes on")
@@ -94,8 +112,8 @@
 	}
 }
 
-// TestLostWhileRenewing: a hold that ends while its renewal is under way leaves the node able to take the duty again.
-// The answer used to be passed over, and the node waited for it for good.
+// TestLostWhileRenewing: a hold that ends while its renewal is in flight leaves the node able to acquire the role
+// again. The response used to be ignored, and the node waited for it for good.
 func TestLostWhileRenewing(t *testing.T) {
 	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &View{Ready: true, Live: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
