--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -14,8 +14,10 @@
 
 const millisecond = time.Millisecond
 
-// standsAfter is when a fresh process that sees no leader from its start on stands, asked as the storage asks.
-func standsAfter(t *testing.T, eligibility *Eligibility, until Time, receive func(now Time)) Time {
+// standsAfter is when a fresh process that sees no leader from its start on stands, asked as the controller asks; a
+// minute if it does not until then.
+func standsAfter(t *testing.T, eligibility *Eligibility, receive func(now Time)) Time {
+	const until = time.Minute
 	for now := Time(0); now < until; {
 		if receive != nil {
 			receive(now)
@@ -33,19 +35,19 @@
 	return until
 }
 
-// eligibilityAfterOwnLead is a watch of a process that has ended its earlier one's lead.
+// eligibilityAfterOwnLead is that of a process that has ended the leadership of its node's earlier one.
 func eligibilityAfterOwnLead(peers int) *Eligibility {
 	eligibility := New(DefaultRules, peers, 0)
 	eligibility.RecordLeader(true, 0)
 	return eligibility
 }
 
-// TestFreshProcessYields: how long a process that has just begun leaves the lead to others, by what it knows of them.
+// TestFreshProcessYields: how long a process that has just begun yields to others, by what it knows of them.
 func TestFreshProcessYields(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		others int
-		heard  func(eligibility *Eligibility, now Time)
+		report func(eligibility *Eligibility, now Time)
 		from   Time
 		to     Time
 	}{
@@ -54,7 +56,7 @@
 			eligibility.RecordStatus(0, Status{RecentIncarnations: 1}, now)
 			eligibility.RecordStatus(1, Status{RecentIncarnations: 1}, now)
 		}, 0, 0},
-		{"nobody is heard of", 2, nil, 800 * millisecond, 1000 * millisecond},
+		{"nobody responds", 2, nil, 800 * millisecond, 1000 * millisecond},
 		{"a warm one is there and does nothing", 2, func(eligibility *Eligibility, now Time) {
 			eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 			eligibility.RecordStatus(1, Status{RecentIncarnations: 1}, now)
@@ -63,7 +65,7 @@
 			eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 4}, now)
 			eligibility.RecordStatus(1, Status{RecentIncarnations: 1}, now)
 		}, 6000 * millisecond, 6200 * millisecond},
-		{"a warm one is heard of once and then no more", 1, func(eligibility *Eligibility, now Time) {
+		{"a warm one responds once and then no more", 1, func(eligibility *Eligibility, now Time) {
 			if now == 0 {
 				eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 			}
@@ -78,9 +80,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			eligibility := eligibilityAfterOwnLead(c.others)
-			at := standsAfter(t, eligibility, time.Minute, func(now Time) {
-				if c.heard != nil {
-					c.heard(eligibility, now)
+			at := standsAfter(t, eligibility, func(now Time) {
+				if c.report != nil {
+					c.report(eligibility, now)
 				}
 			})
 			if at < c.from || at > c.to {
@@ -90,19 +92,17 @@
 	}
 }
 
-// TestNoLeaderToBeginWith: a process that finds no leader at all does not wait for those that it can't hear of, since
-// a warm one would have stood before it began; but it leaves the lead to one that it hears of.
+// TestNoLeaderToBeginWith: a process that finds no leader at all does not wait for those that don't respond, since a
+// warm one would have stood before it began; but it yields to one that does.
 func TestNoLeaderToBeginWith(t *testing.T) {
-	if at := standsAfter(t, New(DefaultRules, 2, 0), time.Minute, nil); at != 0 {
+	if at := standsAfter(t, New(DefaultRules, 2, 0), nil); at != 0 {
 		t.Errorf("it stands after %v", at)
 	}
 	eligibility := New(DefaultRules, 2, 0)
-	if at := standsAfter(
-		t,
-		eligibility,
-		time.Minute,
-		func(now Time) { eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now) },
-	); at < DefaultRules.YieldToWarm {
+	at := standsAfter(t, eligibility, func(now Time) {
+		eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
+	})
+	if at < DefaultRules.YieldToWarm {
 		t.Errorf("beside a warm one it stands after %v", at)
 	}
 }
@@ -129,40 +129,29 @@
 	eligibility := New(DefaultRules, 1, 0)
 	for i := range 40 {
 		for range 3 {
-			if actual, want := eligibility.RecordIncarnation(
-				0,
-				uint64(i),
-				Time(i)*time.Second,
-			), min(
-				i+1,
-				maxIncarnations,
-			); actual != want {
-				t.Fatalf("%d processes met, should be %d", actual, want)
+			actual, want := eligibility.RecordIncarnation(0, uint64(i), Time(i)*time.Second), min(i+1, maxIncarnations)
+			if actual != want {
+				t.Fatalf("%d processes seen, should be %d", actual, want)
 			}
 		}
 	}
 	if actual := eligibility.RecordIncarnation(0, 39, time.Hour); actual != 1 {
-		t.Errorf("%d processes met within the last minutes, should be 1", actual)
+		t.Errorf("%d processes seen within the last minutes, should be 1", actual)
 	}
 }
 
-// TestSomeNodeAlwaysStands: whatever is heard, a node that sees no leader stands before long.
+// TestSomeNodeAlwaysStands: whatever the others report, a node that sees no leader stands before long.
 func TestSomeNodeAlwaysStands(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		eligibility := eligibilityAfterOwnLead(3)
 		limit := DefaultRules.MaxYield + DefaultRules.YieldToUnreachable
-		at := standsAfter(t, eligibility, time.Minute, func(now Time) {
+		at := standsAfter(t, eligibility, func(now Time) {
 			for i := range 3 {
-				switch rapid.IntRange(0, 3).Draw(r, "word") {
+				switch rapid.IntRange(0, 3).Draw(r, "status") {
 				case 0:
-					eligibility.RecordStatus(
-						i,
-						Status{
-							Warm:               rapid.Bool().Draw(r, "warm"),
-							RecentIncarnations: rapid.IntRange(0, maxIncarnations).Draw(r, "met"),
-						},
-						now,
-					)
+					warm := rapid.Bool().Draw(r, "warm")
+					recent := rapid.IntRange(0, maxIncarnations).Draw(r, "incarnations")
+					eligibility.RecordStatus(i, Status{Warm: warm, RecentIncarnations: recent}, now)
 				case 1:
 					eligibility.RecordUnreachable(i)
 				}
@@ -180,32 +169,32 @@
 			t.Errorf("%+v came back as %+v, %v", status, decoded, err)
 		}
 	}
-	if node, incarnation, err := ReadQuery(
-		AppendQuery(nil, "n1", 1<<60),
-	); err != nil || node != "n1" ||
-		incarnation != 1<<60 {
+	node, incarnation, err := ReadQuery(AppendQuery(nil, "n1", 1<<60))
+	if err != nil || node != "n1" || incarnation != 1<<60 {
 		t.Error(node, incarnation, err)
 	}
 	encoded := AppendQuery(nil, "n1", 7)
 	for i := range encoded {
 		if _, _, err := ReadQuery(encoded[:i]); err == nil {
-			t.Errorf("an ask cut after %d bytes was read", i)
+			t.Errorf("a query truncated after %d bytes was read", i)
 		}
 	}
-	for _, b := range [][]byte{nil, {9}, {statusVersion}, {statusVersion, 1}, {statusVersion, 1, 200, 1}, append(Status{}.Append(nil), 0)} {
+	for _, b := range [][]byte{
+		nil, {9}, {statusVersion}, {statusVersion, 1}, {statusVersion, 1, 200, 1}, append(Status{}.Append(nil), 0),
+	} {
 		if status, err := ReadStatus(b); err == nil {
 			t.Errorf("%v was read as %+v", b, status)
 		}
 	}
 }
 
-// TestTimeline: parts count from the first one that is known, each once.
+// TestTimeline: phases count from the first one that is known, each once.
 func TestTimeline(t *testing.T) {
 	var timeline Timeline
 	if _, ok := timeline.ReachedAfter(Leading); ok || timeline.IsComplete() {
-		t.Error("a takeover that did not begin has parts")
+		t.Error("a failover that did not begin has phases")
 	}
-	for p := Elected; p < PhaseCount; p++ { // the first node of all notices nothing
+	for p := Elected; p < PhaseCount; p++ { // the first leader of all has not seen the loss of another
 		if !timeline.Mark(p, Time(p)*time.Second) || timeline.Mark(p, time.Hour) {
 			t.Errorf("%v is not marked once", p)
 		}
@@ -214,14 +203,14 @@
 		t.Errorf("it led after %v (%v)", after, ok)
 	}
 	if timeline.Mark(LeaderLost, 0); !timeline.IsComplete() {
-		t.Error("all parts have come")
+		t.Error("all phases are reached")
 	}
 	if after, _ := timeline.ReachedAfter(Leading); after != 3*time.Second {
 		t.Errorf("it led %v after it was noticed", after)
 	}
 	for p := range PhaseCount {
 		if p.String() == "?" || p.String() == "" {
-			t.Errorf("part %d has no name", p)
+			t.Errorf("phase %d has no name", p)
 		}
 	}
 }
--- a/internal/replication/candidacy/failover.go
+++ b/internal/replication/candidacy/failover.go
@@ -1,34 +1,37 @@
 package candidacy
 
-// Phase is a step on the way from the end of one leader to a next one that has the whole fleet in hand. They come in
+// Phase is a step of a failover: from the end of one leader to a next one that manages the whole fleet. They come in
 // this order, but for the last one, which may come before others.
 type Phase uint8
 
-// The parts.
+// The phases.
 const (
 	LeaderLost      Phase = iota // this node saw that there is no leader
 	Elected                      // the key is its own
-	LogRead                      // the log's end, under its term
-	Leading                      // the intake too; all is applied, and it answers and decides
+	LogRead                      // it has read the log's end, under its term
+	Leading                      // and the intake; all is applied, and it answers requests and decides
 	FirstPlacement               // its first placement
 	FirstCommand                 // its first command to a machine
-	FirstExecution               // the first machine that said it carried one out
-	AgentsAccounted              // the last machine with work was heard of, or asked in vain
+	FirstExecution               // the first heartbeat that shows one executed
+	AgentsAccounted              // the last agent with work has sent a heartbeat, or was probed in vain
 	PhaseCount                   // how many there are
 )
 
-// String is the part's name in the log and on the page of counters.
-func (p Phase) String() string {
-	return [...]string{"noticed", "elected", "log_read", "leads", "placed", "sent", "executed", "heard", "?"}[min(p, PhaseCount)]
+var phaseNames = [...]string{
+	LeaderLost: "noticed", Elected: "elected", LogRead: "log_read", Leading: "leads", FirstPlacement: "placed",
+	FirstCommand: "sent", FirstExecution: "executed", AgentsAccounted: "heard", PhaseCount: "?",
 }
 
-// Timeline is when the parts of a takeover came.
+// String is the phase's name in the log and in the metrics.
+func (p Phase) String() string { return phaseNames[min(p, PhaseCount)] }
+
+// Timeline is when a failover reached its phases.
 type Timeline struct {
 	reachedAt [PhaseCount]Time
 	reached   [PhaseCount]bool
 }
 
-// Mark notes that a part has come, and tells whether it is for the first time.
+// Mark notes that a phase is reached, and tells whether it is for the first time.
 func (t *Timeline) Mark(p Phase, now Time) bool {
 	if t.reached[p] {
 		return false
@@ -37,7 +40,7 @@
 	return true
 }
 
-// ReachedAfter tells how long after the first part that is known a part came.
+// ReachedAfter tells how long after the first phase that is known a phase was reached.
 func (t *Timeline) ReachedAfter(p Phase) (Time, bool) {
 	for q := range PhaseCount {
 		if t.reached[q] {
@@ -47,7 +50,7 @@
 	return 0, false
 }
 
-// IsComplete tells whether all parts have come.
+// IsComplete tells whether all phases are reached.
 func (t *Timeline) IsComplete() bool {
 	for _, reached := range t.reached {
 		if !reached {
@@ -56,6 +59,3 @@
 	}
 	return true
 }
-
-// VacantSince is when there was first seen to be no leader, if there is none.
-func (e *Eligibility) VacantSince() (Time, bool) { return e.vacantSince, e.vacant }
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -20,97 +20,130 @@
 	watermarks   Watermarks
 }
 
+// confirmation is that a process told somebody of a batch, at a true time.
+type confirmation struct {
+	at  float64
+	seq uint64
+}
+
+// history is a plain account of some controllers and of the asker, in true time.
+type history struct {
+	t         *rapid.T
+	now       float64
+	committed uint64
+	processes []*process
+	confirmed []confirmation
+
+	asker           *process
+	askerSeq        uint64  // the batches that it has
+	complete        float64 // when it was complete, in true time
+	askerCompleteAt Time    // and on its clock
+
+	proven, denied int // rounds
+}
+
+func newHistory(t *rapid.T) *history {
+	h := &history{t: t, processes: make([]*process, rapid.IntRange(0, 3).Draw(t, "others"))}
+	h.asker = &process{rate: h.clock()}
+	for i := range h.processes {
+		h.processes[i] = &process{node: i, rate: h.clock()}
+	}
+	h.askerCompleteAt = h.askerTime()
+	return h
+}
+
+func (h *history) clock() float64 {
+	return 1 + rapid.SampledFrom([]float64{-0.0005, 0, 0.0005}).Draw(h.t, "drift")
+}
+
+func (h *history) askerTime() Time { return Time(h.now * h.asker.rate * 1e9) }
+
+// delay lets a message take some time.
+func (h *history) delay(name string) {
+	h.now += rapid.SampledFrom([]float64{0, 0.001, 1.9}).Draw(h.t, name)
+}
+
+func (h *history) confirm() { h.confirmed = append(h.confirmed, confirmation{h.now, h.committed}) }
+
+// step is one event.
+func (h *history) step() {
+	h.now += rapid.SampledFrom([]float64{0.001, 0.3, 5, 60}).Draw(h.t, "later")
+	i := -1
+	if len(h.processes) > 0 {
+		i = rapid.IntRange(0, len(h.processes)-1).Draw(h.t, "node")
+	}
+	switch event := rapid.IntRange(0, 5).Draw(h.t, "what"); {
+	case event == 0 && i >= 0: // it commits a batch, having all before, and may confirm it at once
+		h.committed++
+		h.processes[i].watermarks.Observe(h.committed)
+		if rapid.Bool().Draw(h.t, "tells") {
+			h.confirm()
+		}
+	case event == 1 && i >= 0: // it reads the log, and confirms what is in it
+		h.processes[i].watermarks.Observe(h.committed)
+		h.confirm()
+	case event == 2 && i >= 0: // it ends, and is back
+		h.processes[i].ended = h.now
+		h.processes[i] = &process{node: i, begun: h.now + 0.02, rate: h.clock()}
+		h.now += 0.03
+	case event == 3: // the asker reads the log
+		h.asker.watermarks.Observe(h.committed)
+		h.askerSeq, h.complete, h.askerCompleteAt = h.committed, h.now, h.askerTime()
+	case event == 4: // the asker itself commits a batch and confirms it; its replica, read anew, is the one from before
+		if rapid.IntRange(0, 9).Draw(h.t, "rare") == 0 {
+			h.committed++
+			h.asker.watermarks.Observe(h.committed)
+			h.confirm()
+		}
+	case event == 5:
+		h.ask()
+	}
+}
+
+// ask is a round; if it proves anything, no batch may have been confirmed before that the asker lacks.
+func (h *history) ask() {
+	asked := h.now
+	round := h.asker.watermarks.BeginRound(h.askerTime(), h.askerCompleteAt, h.askerSeq, len(h.processes))
+	for n, other := range h.processes {
+		h.delay("on the way")
+		if rapid.IntRange(0, 9).Draw(h.t, "lost") == 0 {
+			continue
+		}
+		age := Time((h.now - other.begun) * other.rate * 1e9)
+		report, err := ReadReport(other.watermarks.Report(age).Append(nil))
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		h.delay("back")
+		round.Record(n, report, h.askerTime())
+	}
+	at, ok := round.Proven()
+	if !ok {
+		h.denied++
+		return
+	}
+	h.proven++
+	for _, c := range h.confirmed {
+		if c.seq > h.askerSeq && c.at <= asked {
+			h.t.Fatalf("batch %d was confirmed at %v; the asker has %d, was complete at %v, "+
+				"and was proven at %v as good as complete", c.seq, c.at, h.askerSeq, h.complete, asked)
+		}
+	}
+	h.askerCompleteAt, h.complete = at, asked
+}
+
 // TestNothingConfirmedUnknown draws histories of some controllers: batches are committed, processes learn of them,
-// confirm them and end; the asker is complete at some time and asks later, while answers come late or not at all.
-// Whenever all vouch, a plain account of who confirmed what must have nothing confirmed before the questions that the
-// asker lacks.
+// confirm them and end; the asker is complete at some time and asks later, while responses come late or not at all.
+// Whenever all confirm, a plain account of what was confirmed must have nothing confirmed before the requests that
+// the asker lacks.
 func TestNothingConfirmedUnknown(t *testing.T) {
 	proven, denied := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		others := rapid.IntRange(0, 3).Draw(t, "others")
-		clock := func() float64 { return 1 + rapid.SampledFrom([]float64{-0.0005, 0, 0.0005}).Draw(t, "drift") }
-		asker := &process{rate: clock()}
-		processes := make([]*process, others)
-		for i := range processes {
-			processes[i] = &process{node: i, rate: clock()}
-		}
-		now, complete, askerSeq := 0.0, 0.0, uint64(0)
-		committed := uint64(0)
-		type confirmation struct {
-			at  float64
-			seq uint64
-		}
-		var confirmed []confirmation
-		askerTime := func() Time { return Time(now * asker.rate * 1e9) }
-		askerCompleteAt := askerTime()
+		h := newHistory(t)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			now += rapid.SampledFrom([]float64{0.001, 0.3, 5, 60}).Draw(t, "later")
-			i := -1
-			if others > 0 {
-				i = rapid.IntRange(0, others-1).Draw(t, "node")
-			}
-			switch event := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case event == 0 && i >= 0: // it commits a batch, having all before, and may confirm it at once
-				committed++
-				processes[i].watermarks.Observe(committed)
-				if rapid.Bool().Draw(t, "tells") {
-					confirmed = append(confirmed, confirmation{now, committed})
-				}
-			case event == 1 && i >= 0: // it reads the log, and tells what is in it
-				processes[i].watermarks.Observe(committed)
-				confirmed = append(confirmed, confirmation{now, committed})
-			case event == 2 && i >= 0: // it ends, and is back
-				processes[i].ended = now
-				processes[i] = &process{node: i, begun: now + 0.02, rate: clock()}
-				now += 0.03
-			case event == 3: // the asker reads the log
-				asker.watermarks.Observe(committed)
-				askerSeq, complete, askerCompleteAt = committed, now, askerTime()
-			case event == 4: // the asker itself commits a batch and tells of it; its copy, which was thrown away, is the one from before
-				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					committed++
-					asker.watermarks.Observe(committed)
-					confirmed = append(confirmed, confirmation{now, committed})
-				}
-			case event == 5: // it asks
-				asked := now
-				round := asker.watermarks.BeginRound(askerTime(), askerCompleteAt, askerSeq, others)
-				for n := range processes {
-					now += rapid.SampledFrom([]float64{0, 0.001, 1.9}).Draw(t, "on the way")
-					if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
-						continue
-					}
-					report, err := ReadReport(
-						processes[n].watermarks.Report(Time((now - processes[n].begun) * processes[n].rate * 1e9)).
-							Append(nil),
-					)
-					if err != nil {
-						t.Fatal(err)
-					}
-					now += rapid.SampledFrom([]float64{0, 0.001, 1.9}).Draw(t, "back")
-					round.Record(n, report, askerTime())
-				}
-				at, ok := round.Proven()
-				if !ok {
-					denied++
-					continue
-				}
-				proven++
-				for _, c := range confirmed {
-					if c.seq > askerSeq && c.at <= asked {
-						t.Fatalf(
-							"batch %d was confirmed at %v; the asker has %d, was complete at %v, and was told at %v that it is as good as complete",
-							c.seq,
-							c.at,
-							askerSeq,
-							complete,
-							asked,
-						)
-					}
-				}
-				askerCompleteAt, complete = at, asked
-			}
+			h.step()
 		}
+		proven, denied = proven+h.proven, denied+h.denied
 	})
 	if proven < 100 || denied < 100 {
 		t.Errorf("%d rounds proved it and %d did not: too few of one kind", proven, denied)
--- a/internal/replication/commitfence/golden_test.go
+++ b/internal/replication/commitfence/golden_test.go
@@ -7,15 +7,10 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenWord: the answer to OpVouch is written and read as it always was.
-func TestGoldenWord(t *testing.T) {
+// TestGoldenReport: the response to rpc.OpWatermark is written and read as it always was.
+func TestGoldenReport(t *testing.T) {
 	write := func(w WatermarkReport) []byte { return w.Append(nil) }
-	golden.RoundTrip(
-		t,
-		"word.hex",
-		WatermarkReport{Age: 90*time.Minute + 7*time.Millisecond, Highest: 1 << 40},
-		write,
-		ReadReport,
-	)
+	report := WatermarkReport{Age: 90*time.Minute + 7*time.Millisecond, Highest: 1 << 40}
+	golden.RoundTrip(t, "word.hex", report, write, ReadReport)
 	golden.RoundTrip(t, "word-none.hex", WatermarkReport{}, write, ReadReport)
 }
