--- a/wire/admin.go
+++ b/wire/admin.go
@@ -1,7 +1,7 @@
 package wire
 
-// Paths on the operators' address (--operate). They are this service's own, not the
-// platform's, and speak JSON; docs/schema has their schemas.
+// Paths of the admin API, on the operators' address (--operate). It is this service's own, not the platform's, and
+// speaks JSON; docs/schema has its schemas, which are generated from the structs here.
 const (
 	PathAdminJobs  = "/v1/jobs" // with /{id}/why behind it
 	WhySuffix      = "/why"
@@ -9,7 +9,9 @@
 	PathAdminRoles = "/v1/duties"
 )
 
-// RoleList tells who does what only one controller may do, as the one that was asked knows it.
+// RoleList names the holders of the singleton roles, as the controller that was asked knows them.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type RoleList struct {
 	Node                  string       `json:"node" jsonschema:"description=the controller that tells"`
 	Leader                string       `json:"leader" jsonschema:"description=who places; empty if nobody is known to"`
@@ -18,7 +20,9 @@
 	UncertainProvisioning []string     `json:"rentals" jsonschema:"description=names of rentals whose fate is not known"`
 }
 
-// RoleStatus is one of them.
+// RoleStatus is one singleton role and its holder.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type RoleStatus struct {
 	Role              string  `json:"duty" jsonschema:"enum=rent,enum=clean"`
 	Holder            string  `json:"holder" jsonschema:"description=empty if nobody holds it"`
@@ -29,10 +33,12 @@
 	ReleaseReason     string  `json:"why" jsonschema:"description=why the controller that tells last let it go"`
 }
 
-// MaxQueued is how many jobs an answer about the queue lists at most.
+// MaxQueued is how many jobs a Queue lists at most.
 const MaxQueued = 500
 
-// Explanation tells for what a job waits, at one state of the leader.
+// Explanation says for what a job waits, at one state of the leader.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type Explanation struct {
 	ID          string         `json:"id"`
 	State       string         `json:"state" jsonschema:"enum=pending,enum=running,enum=done,enum=withdrawn"`
@@ -50,7 +56,9 @@
 	History     []ReasonPeriod `json:"past" jsonschema:"description=what the scheduler gave as the reason, the present one first"`
 }
 
-// Reason is one of them.
+// Reason is one cause for which tasks of a job wait, and what would change without it.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type Reason struct {
 	Code             string  `json:"code" jsonschema:"description=stable, see docs/WHY.md"`
 	Text             string  `json:"text"`
@@ -81,7 +89,9 @@
 	More     int         `json:"more" jsonschema:"description=jobs that match and are not listed"`
 }
 
-// QueuedJob is one of them.
+// QueuedJob is a job with waiting tasks and the reason that the scheduler last gave for it.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type QueuedJob struct {
 	Position int     `json:"place" jsonschema:"description=in the whole queue from 1; 0: it does not take part at the moment"`
 	ID       string  `json:"id"`
@@ -95,7 +105,7 @@
 	AgeS     float64 `json:"age_s" jsonschema:"description=seconds since this leader knows the job"`
 }
 
-// AdminProblem is the body of a refusal on the operators' address.
+// AdminProblem is the body of a refusal of the admin API.
 type AdminProblem struct {
 	Error string `json:"error"`
 }
--- /dev/null
+++ b/wire/codec.go
@@ -0,0 +1,207 @@
+package wire
+
+import (
+	"bytes"
+	"errors"
+	"math"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"github.com/vmihailenco/msgpack/v5/msgpcode"
+)
+
+// maxDepth is how deeply maps and lists may be nested in a message; no message of the protocol comes near it.
+const maxDepth = 16
+
+// Marshal encodes a message.
+func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
+
+// Unmarshal decodes one message: a map with nothing behind it, nested no deeper than maxDepth. The depth is checked
+// first, because skipping unknown fields recurses and a hostile body could otherwise grow the stack at will.
+func Unmarshal(b []byte, v any) error {
+	if err := checkNesting(b); err != nil {
+		return err
+	}
+	return msgpack.Unmarshal(b, v)
+}
+
+// checkNesting reports whether the bytes are one map and nothing else, without decoding its values.
+func checkNesting(b []byte) error {
+	r := bytes.NewReader(b)
+	d := msgpack.NewDecoder(r)
+	c, err := d.PeekCode()
+	if err != nil {
+		return errors.New("empty body")
+	}
+	if !isMap(c) {
+		return errors.New("not a map")
+	}
+	if err := checkDepth(d, 0); err != nil {
+		return err
+	}
+	if _, err := d.PeekCode(); err == nil {
+		return errors.New("bytes behind the message")
+	}
+	return nil
+}
+
+func isMap(c byte) bool {
+	return msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32
+}
+
+func isArray(c byte) bool {
+	return msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32
+}
+
+// checkDepth skips one value that stands inside so many maps and lists, and refuses what no message contains: maps
+// with keys that are not text, binary data, and extensions.
+func checkDepth(d *msgpack.Decoder, depth int) error {
+	if depth > maxDepth {
+		return errors.New("nested too deeply")
+	}
+	c, err := d.PeekCode()
+	if err != nil {
+		return err
+	}
+	switch {
+	case isMap(c):
+		return checkMapDepth(d, depth)
+	case isArray(c):
+		n, err := d.DecodeArrayLen()
+		if err != nil {
+			return err
+		}
+		for range n {
+			if err := checkDepth(d, depth+1); err != nil {
+				return err
+			}
+		}
+		return nil
+	case msgpcode.IsExt(c) || msgpcode.IsBin(c):
+		return errors.New("binary data")
+	}
+	return d.Skip()
+}
+
+func checkMapDepth(d *msgpack.Decoder, depth int) error {
+	n, err := d.DecodeMapLen()
+	if err != nil {
+		return err
+	}
+	for range n {
+		k, err := d.PeekCode()
+		if err != nil {
+			return err
+		}
+		if !msgpcode.IsString(k) {
+			return errors.New("a key that is not text")
+		}
+		if err := d.Skip(); err != nil {
+			return err
+		}
+		if err := checkDepth(d, depth+1); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func isNil(d *msgpack.Decoder) bool {
+	c, err := d.PeekCode()
+	return err == nil && c == msgpcode.Nil
+}
+
+// decodeText reads text, where the library would also take binary data or nil.
+func decodeText(d *msgpack.Decoder) (string, error) {
+	c, err := d.PeekCode()
+	if err != nil {
+		return "", err
+	}
+	if !msgpcode.IsString(c) {
+		return "", errors.New("not text")
+	}
+	return d.DecodeString()
+}
+
+// decodeTexts reads a list of texts; nil stands for none.
+func decodeTexts(d *msgpack.Decoder) ([]string, error) {
+	c, err := d.PeekCode()
+	if err != nil {
+		return nil, err
+	}
+	if c == msgpcode.Nil {
+		return nil, d.DecodeNil()
+	}
+	if !isArray(c) {
+		return nil, errors.New("not a list")
+	}
+	n, err := d.DecodeArrayLen()
+	if err != nil {
+		return nil, err
+	}
+	out := []string{}
+	for range n {
+		t, err := decodeText(d)
+		if err != nil {
+			return nil, err
+		}
+		out = append(out, t)
+	}
+	return out, nil
+}
+
+func decodeBool(d *msgpack.Decoder) (bool, error) {
+	c, err := d.PeekCode()
+	if err != nil {
+		return false, err
+	}
+	if c != msgpcode.True && c != msgpcode.False {
+		return false, errors.New("not a boolean")
+	}
+	return d.DecodeBool()
+}
+
+func isInt(c byte) bool {
+	return msgpcode.IsFixedNum(c) || (c >= msgpcode.Uint8 && c <= msgpcode.Int64)
+}
+
+// decodeAmount reads a finite number of at least 0.
+func decodeAmount(d *msgpack.Decoder) (float64, error) {
+	c, err := d.PeekCode()
+	if err != nil {
+		return 0, err
+	}
+	if !isInt(c) && c != msgpcode.Float && c != msgpcode.Double {
+		return 0, errors.New("not a number")
+	}
+	f, err := d.DecodeFloat64()
+	if err != nil {
+		return 0, err
+	}
+	if math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
+		return 0, errors.New("not a finite amount")
+	}
+	return f, nil
+}
+
+// decodeCount reads an integer from 0 to MaxTasks, however many bytes it is encoded in.
+func decodeCount(d *msgpack.Decoder) (int, error) {
+	c, err := d.PeekCode()
+	if err != nil {
+		return 0, err
+	}
+	if !isInt(c) {
+		return 0, errors.New("not an integer")
+	}
+	if c == msgpcode.Uint64 {
+		u, err := d.DecodeUint64()
+		if err != nil || u > MaxTasks {
+			return 0, errors.New("out of range")
+		}
+		return int(u), nil
+	}
+	n, err := d.DecodeInt64()
+	if err != nil || n < 0 || n > MaxTasks {
+		return 0, errors.New("out of range")
+	}
+	return int(n), nil
+}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -20,9 +20,16 @@
 // fullMessages has every message of the platform's interfaces with no field at its zero value, so that a tag or a byte
 // that is not read shows.
 func fullMessages() map[string]any {
-	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: set(2.5)}
-	value := LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9, Seq: 1 << 40, Count: 3, Data: "\x01\x02text"}
-	raw, _ := Marshal(&value)
+	all := map[string]any{}
+	for _, messages := range []map[string]any{
+		fullUserMessages(), fullAgentMessages(), fullCloudMessages(), fullStoreMessages(),
+	} {
+		maps.Copy(all, messages)
+	}
+	return all
+}
+
+func fullUserMessages() map[string]any {
 	return map[string]any{
 		"job-spec": &JobSpec{
 			ID:                  "req-000412",
@@ -48,6 +55,12 @@
 		},
 		"job-status": &JobStatus{ID: "req-000412", State: JobRunning, Done: 3, Running: 13},
 		"problem":    &Problem{Error: "pieces: out of range"},
+	}
+}
+
+func fullAgentMessages() map[string]any {
+	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: set(2.5)}
+	return map[string]any{
 		"report": &Heartbeat{
 			Machine:      "m-7",
 			Addr:         "10.1.0.7:70",
@@ -58,34 +71,48 @@
 			Seq:          300,
 			FencingToken: 7,
 			NoticeS:      set(30.5),
-			Tasks: []TaskStatus{{Task: "req-000412/3", Attempt: 2, State: TaskExited,
-				Cause: CauseStopped, Checkpointed: true}},
+			Tasks: []TaskStatus{
+				{Task: "req-000412/3", Attempt: 2, State: TaskExited, Cause: CauseStopped, Checkpointed: true},
+			},
 		},
 		"report-answer": &HeartbeatResponse{FencingToken: 7, Commands: []Command{command}},
 		"redirect":      &Redirect{Node: "10.0.0.2:80"},
 		"orders":        &Orders{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []Command{command}},
-		"machine-types": &MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256,
-			CacheGB:     100,
-			FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1e-9, BootS: 40, Zones: []string{"a", "b"}}}},
+	}
+}
+
+func fullCloudMessages() map[string]any {
+	return map[string]any{
+		"machine-types": &MachineTypes{Types: []MachineType{
+			{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1e-9,
+				BootS: 40, Zones: []string{"a", "b"}},
+		}},
 		"hire":          &ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 50},
 		"machine-names": &MachineNames{Machines: []string{"m-7", "m-8"}},
-		"machine-list": &MachineList{More: true, Machines: []ListedMachine{{Name: "m-7", Addr: "10.1.0.7:70",
-			Type: "g8",
-			Zone: "a", Spot: true, State: MachineRunning, AgeS: 7.25}}},
+		"machine-list": &MachineList{More: true, Machines: []ListedMachine{
+			{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, State: MachineRunning, AgeS: 7.25},
+		}},
+	}
+}
+
+func fullStoreMessages() map[string]any {
+	value := LogValue{Version: 1, Term: 7, Node: "n1", Lease: 9, Seq: 1 << 40, Count: 3, Data: "\x01\x02text"}
+	raw, _ := Marshal(&value)
+	item := Item{Key: "f/log/1", Value: raw, Version: 12, Lease: 9}
+	return map[string]any{
 		"log-value": &value,
-		"item":      &Item{Key: "f/log/1", Value: raw, Version: 12, Lease: 9},
-		"items": &Items{Items: []Item{{Key: "f/log/1", Value: raw, Version: 12, Lease: 9}}, More: true,
-			Revision: 77},
+		"item":      &item,
+		"items":     &Items{Items: []Item{item}, More: true, Revision: 77},
 		"txn": &Txn{
-			If: []Condition{{Key: "f/lead", Version: 12}},
-			Then: []Write{{Put: "f/log/2", Value: &value, Lease: 9,
-				Delete: "f/log/1"}},
+			If:   []Condition{{Key: "f/lead", Version: 12}},
+			Then: []Write{{Put: "f/log/2", Value: &value, Lease: 9, Delete: "f/log/1"}},
 		},
 		"txn-answer":   &TxnResponse{Revision: 77, Failed: []string{"f/lead"}},
 		"lease-ask":    &LeaseRequest{TTLMillis: 2500},
 		"lease-answer": &LeaseResponse{Lease: 9},
-		"events": &Events{Revision: 77, Events: []Event{{Put: "f/log/2", Delete: "f/log/1", Value: raw,
-			Version: 13}}},
+		"events": &Events{Revision: 77, Events: []Event{
+			{Put: "f/log/2", Delete: "f/log/1", Value: raw, Version: 13},
+		}},
 	}
 }
 
@@ -94,8 +121,7 @@
 	raw, _ := Marshal(&LogValue{Version: 1})
 	all := map[string]any{
 		"job-spec-nulls": &JobSpec{ID: "req-1000000", Class: "web", Team: "red", Shape: Service,
-			Priority: Production, Tasks: 1,
-			Image: "i"},
+			Priority: Production, Tasks: 1, Image: "i"},
 		"job-spec-empty": &JobSpec{ID: "req-000001", Shape: Array, Priority: Low, Types: []string{},
 			Zone: set("")},
 		"problem-empty": &Problem{},
@@ -254,16 +280,17 @@
 		all  []any
 	}{
 		{"paths", []any{PathJobs, PathReady, PathHeartbeat, PathOrders, PathShow, PathTypes, PathMachines, PathRelease,
-			PathKeys,
-			PathTxn, PathLeases, PathWatch, CancelSuffix, PathAdminJobs, WhySuffix, PathAdminQueue, PathAdminRoles}},
-		{"limits", []any{MaxBody, MaxTasks, MaxScaleOut, MaxRelease, MaxList, maxDepth, uint64(maxJobNumber), MaxQueued}},
+			PathKeys, PathTxn, PathLeases, PathWatch, CancelSuffix, PathAdminJobs, WhySuffix, PathAdminQueue,
+			PathAdminRoles}},
+		{"limits", []any{MaxBody, MaxTasks, MaxScaleOut, MaxRelease, MaxList, maxDepth, uint64(maxJobNumber),
+			MaxQueued}},
 		{"content", []any{ContentType, jobIDPrefix, JobID(0), JobID(412), JobID(1_000_000), TaskID(412, 31)}},
 		{"shapes", []any{Array, Gang, Service}},
 		{"priorities", []any{Production, High, Normal, Low}},
 		{"job states", []any{JobPending, JobRunning, JobDone, JobCancelled}},
 		{"task states", []any{TaskFetching, TaskWaiting, TaskRunning, TaskCheckpointing, TaskExited}},
-		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseGangIncomplete, CauseError, CauseNoCapacity, CauseBusy,
-			CauseUnknown}},
+		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseGangIncomplete, CauseError, CauseNoCapacity,
+			CauseBusy, CauseUnknown}},
 		{"verbs", []any{Start, Stop, Forget}},
 		{"machine states", []any{MachineBooting, MachineRunning, MachineFailed}},
 	} {
--- /dev/null
+++ b/wire/ids.go
@@ -0,0 +1,55 @@
+package wire
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	jobIDPrefix = "req-"
+	// maxJobNumber is the largest number of at most fifteen digits, which a float64 holds exactly.
+	maxJobNumber = 999_999_999_999_999
+)
+
+// JobNumber reads a job id: the prefix and six digits, or more without a leading zero, so that exactly one id belongs
+// to a number and the service can store the number alone.
+func JobNumber(id string) (uint64, bool) {
+	s, ok := strings.CutPrefix(id, jobIDPrefix)
+	if !ok || len(s) < 6 || len(s) > 15 || (len(s) > 6 && s[0] == '0') {
+		return 0, false
+	}
+	var n uint64
+	for i := range len(s) {
+		if s[i] < '0' || s[i] > '9' {
+			return 0, false
+		}
+		n = n*10 + uint64(s[i]-'0')
+	}
+	return n, n <= maxJobNumber
+}
+
+// JobID is the id of the job with a number, the inverse of JobNumber.
+func JobID(n uint64) string { return fmt.Sprintf("%s%06d", jobIDPrefix, n) }
+
+// TaskID is the name of a task: its job's id and its index.
+func TaskID(job uint64, task int) string {
+	return JobID(job) + "/" + strconv.Itoa(task)
+}
+
+// ParseTaskID splits a task's name into its job's number and its index, the inverse of TaskID.
+func ParseTaskID(s string) (job uint64, task int, ok bool) {
+	id, t, found := strings.Cut(s, "/")
+	if !found {
+		return 0, 0, false
+	}
+	job, ok = JobNumber(id)
+	if !ok {
+		return 0, 0, false
+	}
+	task, err := strconv.Atoi(t)
+	if err != nil || task < 0 || task >= MaxTasks {
+		return 0, 0, false
+	}
+	return job, task, true
+}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -40,8 +40,7 @@
 		t.Fatal(err)
 	}
 	if s.ID != "req-000412" || s.Tasks != 16 || s.CPUs != 8 || len(s.Types) != 1 || s.Zone != nil ||
-		*s.DeadlineS != 900 ||
-		!s.SameZone {
+		*s.DeadlineS != 900 || !s.SameZone {
 		t.Errorf("read %+v", s)
 	}
 	// Amounts may come as integers, and what may be null may be left out.
