--- a/cmd/fieldhill/admin.go
+++ b/cmd/fieldhill/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,113 +15,140 @@
 	"fieldhill/wire"
 )
 
-// adminTarget is the operators' address that a command talks to.
+// adminTarget is the admin API that a command talks to.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type adminTarget struct {
 	Addr    string        `name:"operate" env:"FIELDHILL_OPERATE" required:"" placeholder:"HOST:PORT" help:"A controller's address for operators."`
 	Timeout time.Duration `default:"5s" help:"How long to wait for an answer."`
 	JSON    bool          `help:"Print the answer as it came."`
 }
 
-// get reads an answer into out, or prints it as it came and tells so.
-func (o *adminTarget) get(path string, out any) (printed bool, err error) {
-	resp, b, err := roundTrip(o.Addr, http.MethodGet, path, nil, o.Timeout, 1<<20)
+// maxAdminBody is how many bytes of an answer of the admin API are read: it has room for a full queue.
+const maxAdminBody = 1 << 20
+
+// get decodes an answer into out, or prints it as it came and reports that it did.
+func (a *adminTarget) get(path string, out any) (printed bool, err error) {
+	resp, body, err := roundTrip(a.Addr, http.MethodGet, path, nil, a.Timeout, maxAdminBody)
 	if err != nil {
 		return false, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		var p wire.AdminProblem
-		text := resp.Status
-		if json.Unmarshal(b, &p) == nil && p.Error != "" {
-			text += ": " + p.Error
-		}
-		if after := resp.Header.Get("Retry-After"); after != "" {
-			return false, &exitError{exitRetry, text + "; ask again in " + after + " s"}
-		}
-		return false, &exitError{exitRefused, text}
+		return false, adminRefusal(resp, body)
 	}
-	if o.JSON {
-		_, err := os.Stdout.Write(b)
+	if a.JSON {
+		_, err := os.Stdout.Write(body)
 		return true, err
 	}
-	return false, json.Unmarshal(b, out)
+	return false, json.Unmarshal(body, out)
+}
+
+// adminRefusal is the error for an answer other than 200; it is worth another try if the controller says when.
+func adminRefusal(resp *http.Response, body []byte) error {
+	text := resp.Status
+	var problem wire.AdminProblem
+	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
+		text += ": " + problem.Error
+	}
+	if after := resp.Header.Get("Retry-After"); after != "" {
+		return &exitError{exitRetry, text + "; ask again in " + after + " s"}
+	}
+	return &exitError{exitRefused, text}
+}
+
+// textPrinter prints lines and remembers the first error, so that a command ends with it rather than with half of its
+// output and the exit code of success.
+type textPrinter struct {
+	w   io.Writer
+	err error
+}
+
+func (p *textPrinter) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.w, format, args...)
+	}
 }
 
+// whyCmd explains why a job waits.
 type whyCmd struct {
 	adminTarget
 	ID     string `arg:"" help:"The job's id."`
 	WhatIf bool   `help:"Show for each reason what the next round would do without it."`
 }
 
+// Run carries out the command.
 func (c *whyCmd) Run() error {
-	var e wire.Explanation
-	if printed, err := c.get(wire.PathAdminJobs+"/"+url.PathEscape(c.ID)+wire.WhySuffix, &e); err != nil || printed {
+	var explanation wire.Explanation
+	path := wire.PathAdminJobs + "/" + url.PathEscape(c.ID) + wire.WhySuffix
+	if printed, err := c.get(path, &explanation); err != nil || printed {
 		return err
 	}
-	printExplanation(os.Stdout, &e, c.WhatIf)
-	return nil
+	return printExplanation(os.Stdout, &explanation, c.WhatIf)
 }
 
 // printExplanation prints why a job waits, the reasons that bind first.
-func printExplanation(w io.Writer, e *wire.Explanation, whatIf bool) {
-	fmt.Fprintf(w, "%s %s, %d tasks wait", e.ID, e.State, e.Waiting)
+func printExplanation(w io.Writer, e *wire.Explanation, whatIf bool) error {
+	p := &textPrinter{w: w}
+	p.printf("%s %s, %d tasks wait", e.ID, e.State, e.Waiting)
 	if e.Starting > 0 {
-		fmt.Fprintf(w, ", %d are starting", e.Starting)
+		p.printf(", %d are starting", e.Starting)
 	}
 	if e.AgeS > 0 {
-		fmt.Fprintf(w, " (as %s knew %.0f s ago)", e.Node, e.AgeS)
+		p.printf(" (as %s knew %.0f s ago)", e.Node, e.AgeS)
 	}
-	fmt.Fprintln(w)
+	p.printf("\n")
 	if e.Waiting > 0 && e.AgeS == 0 {
-		fmt.Fprintf(w, "The next round places %d of them.\n", e.WillPlace)
-	}
-	binds := false
-	for _, bind := range []bool{true, false} {
-		for i := range e.Reasons {
-			r := &e.Reasons[i]
-			if r.Binding != bind {
-				continue
-			}
-			mark := " "
-			if bind {
-				mark, binds = "*", true
-			}
-			fmt.Fprintf(w, "%s %-13s %s\n", mark, r.Code, r.Text)
-			if whatIf && (r.Binding || r.PlacedWithout > 0 || r.PreemptedWithout > 0) {
-				fmt.Fprintf(
-					w,
-					"  %-13s without it: %d placed, %d of others stopped\n",
-					"",
-					r.PlacedWithout,
-					r.PreemptedWithout,
-				)
-			}
-		}
+		p.printf("The next round places %d of them.\n", e.WillPlace)
 	}
+	anyBinding := p.printReasons(e.Reasons, true, whatIf)
+	p.printReasons(e.Reasons, false, whatIf)
 	switch {
-	case binds:
-		fmt.Fprintln(w, "Lifting any one of those with * would help.")
+	case anyBinding:
+		p.printf("Lifting any one of those with * would help.\n")
 	case e.Waiting > e.WillPlace && len(e.Reasons) > 0:
-		fmt.Fprintln(w, "Lifting none of them alone would help.")
+		p.printf("Lifting none of them alone would help.\n")
 	}
-	for _, p := range e.Pairs {
-		fmt.Fprintf(w, "Together, but neither alone: %s and %s.\n", p[0], p[1])
+	for _, pair := range e.Pairs {
+		p.printf("Together, but neither alone: %s and %s.\n", pair[0], pair[1])
 	}
 	if e.Partial {
-		fmt.Fprintln(w, "Not all pairs were tried.")
+		p.printf("Not all pairs were tried.\n")
+	}
+	p.printHistory(e.History)
+	return p.err
+}
+
+// printReasons prints the reasons that bind, or those that do not, and reports whether there was one.
+func (p *textPrinter) printReasons(reasons []wire.Reason, binding, whatIf bool) (found bool) {
+	mark := " "
+	if binding {
+		mark = "*"
+	}
+	for i := range reasons {
+		r := &reasons[i]
+		if r.Binding != binding {
+			continue
+		}
+		found = true
+		p.printf("%s %-13s %s\n", mark, r.Code, r.Text)
+		if whatIf && (r.Binding || r.PlacedWithout > 0 || r.PreemptedWithout > 0) {
+			p.printf("  %-13s without it: %d placed, %d of others stopped\n", "", r.PlacedWithout, r.PreemptedWithout)
+		}
 	}
-	for i, p := range e.History {
+	return found
+}
+
+// printHistory prints the reasons that the scheduler gave, the present one first: each ended when the one before it in
+// the list began.
+func (p *textPrinter) printHistory(history []wire.ReasonPeriod) {
+	for i, period := range history {
 		if i == 0 {
-			fmt.Fprintln(w, "What the scheduler gave as its reason:")
-			fmt.Fprintf(w, "  %-13s for %s\n", p.Code, formatSeconds(p.SinceS))
+			p.printf("What the scheduler gave as its reason:\n")
+			p.printf("  %-13s for %s\n", period.Code, formatSeconds(period.SinceS))
 			continue
 		}
-		fmt.Fprintf(
-			w,
-			"  %-13s for %s until %s ago\n",
-			p.Code,
-			formatSeconds(p.SinceS-e.History[i-1].SinceS),
-			formatSeconds(e.History[i-1].SinceS),
-		)
+		endS := history[i-1].SinceS
+		p.printf("  %-13s for %s until %s ago\n", period.Code, formatSeconds(period.SinceS-endS), formatSeconds(endS))
 	}
 }
 
@@ -128,6 +156,7 @@
 	return time.Duration(s * 1e9).Round(100 * time.Millisecond).String()
 }
 
+// queueCmd lists the jobs that wait.
 type queueCmd struct {
 	adminTarget
 	Team   string `help:"Only this team's jobs."`
@@ -136,46 +165,42 @@
 	Most   int    `default:"50" help:"How many jobs to list, 1 to 500."`
 }
 
+// Run carries out the command.
 func (c *queueCmd) Run() error {
-	q := url.Values{"most": {strconv.Itoa(c.Most)}}
-	for k, v := range map[string]string{"team": c.Team, "class": c.Class, "reason": c.Reason} {
-		if v != "" {
-			q.Set(k, v)
+	query := url.Values{"most": {strconv.Itoa(c.Most)}}
+	for key, value := range map[string]string{"team": c.Team, "class": c.Class, "reason": c.Reason} {
+		if value != "" {
+			query.Set(key, value)
 		}
 	}
-	var a wire.Queue
-	if printed, err := c.get(wire.PathAdminQueue+"?"+q.Encode(), &a); err != nil || printed {
+	var queue wire.Queue
+	if printed, err := c.get(wire.PathAdminQueue+"?"+query.Encode(), &queue); err != nil || printed {
 		return err
 	}
-	printQueue(os.Stdout, &a)
-	return nil
+	return printQueue(os.Stdout, &queue)
 }
 
 // printQueue prints a queue, in 80 columns as long as names are of usual length.
-func printQueue(w io.Writer, queue *wire.Queue) {
-	table := tabwriter.NewWriter(w, 0, 1, 2, ' ', 0)
-	fmt.Fprintln(table, "PLACE\tJOB\tTEAM\tCLASS\tTASKS\tREASON\tFOR")
+func printQueue(w io.Writer, queue *wire.Queue) error {
+	columns := tabwriter.NewWriter(w, 0, 1, 2, ' ', 0)
+	table := &textPrinter{w: columns}
+	table.printf("PLACE\tJOB\tTEAM\tCLASS\tTASKS\tREASON\tFOR\n")
 	for _, j := range queue.Jobs {
-		place := "-"
+		position := "-"
 		if j.Position > 0 {
-			place = strconv.Itoa(j.Position)
+			position = strconv.Itoa(j.Position)
 		}
-		fmt.Fprintf(
-			table,
-			"%s\t%s\t%s\t%s\t%d\t%s\t%s\n",
-			place,
-			j.ID,
-			j.Team,
-			j.Class,
-			j.Waiting,
-			j.Reason,
-			formatSeconds(j.SinceS),
-		)
-	}
-	_ = table.Flush() // as any print to a terminal
-	fmt.Fprintf(w, "%d tasks wait", queue.Tasks)
+		since := formatSeconds(j.SinceS)
+		table.printf("%s\t%s\t%s\t%s\t%d\t%s\t%s\n", position, j.ID, j.Team, j.Class, j.Waiting, j.Reason, since)
+	}
+	if err := errors.Join(table.err, columns.Flush()); err != nil {
+		return err
+	}
+	total := &textPrinter{w: w}
+	total.printf("%d tasks wait", queue.Tasks)
 	if queue.More > 0 {
-		fmt.Fprintf(w, "; %d more jobs", queue.More)
+		total.printf("; %d more jobs", queue.More)
 	}
-	fmt.Fprintln(w)
+	total.printf("\n")
+	return total.err
 }
--- a/cmd/fieldhill/admin_test.go
+++ b/cmd/fieldhill/admin_test.go
@@ -18,18 +18,15 @@
 		Node:    "n1",
 		Reasons: []wire.Reason{
 			{Code: "no-room", Text: "no room"},
-			{
-				Code:          "team-limit",
-				Text:          "its team's limit",
-				Binding:       true,
-				PlacedWithout: 2,
-			},
+			{Code: "team-limit", Text: "its team's limit", Binding: true, PlacedWithout: 2},
 		},
 		Pairs:   [][2]string{{"queue", "no-room"}},
 		History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 5}, {Code: "no-room", SinceS: 65}},
 	}
 	var b bytes.Buffer
-	printExplanation(&b, e, true)
+	if err := printExplanation(&b, e, true); err != nil {
+		t.Error(err)
+	}
 	want := `req-000412 pending, 2 tasks wait
 The next round places 0 of them.
 * team-limit    its team's limit
@@ -46,12 +43,10 @@
 	}
 	b.Reset()
 	e.AgeS = 7
-	if printExplanation(
-		&b,
-		e,
-		false,
-	); !strings.Contains(b.String(), "(as n1 knew 7 s ago)") ||
-		strings.Contains(b.String(), "without it") {
+	if err := printExplanation(&b, e, false); err != nil {
+		t.Error(err)
+	}
+	if !strings.Contains(b.String(), "(as n1 knew 7 s ago)") || strings.Contains(b.String(), "without it") {
 		t.Errorf("got\n%s", b.String())
 	}
 }
@@ -59,18 +54,14 @@
 // TestPrintQueueFitsTerminal: lines of usual names are at most 80 columns wide.
 func TestPrintQueueFitsTerminal(t *testing.T) {
 	var b bytes.Buffer
-	printQueue(&b, &wire.Queue{Tasks: 1209, More: 3, Jobs: []wire.QueuedJob{
-		{
-			Position: 1,
-			ID:       "req-000412",
-			Team:     "siliguri-loops",
-			Class:    "pipeflow-gang",
-			Waiting:  4,
-			Reason:   "no-gang-room",
-			SinceS:   61.23,
-		},
+	queue := &wire.Queue{Tasks: 1209, More: 3, Jobs: []wire.QueuedJob{
+		{Position: 1, ID: "req-000412", Team: "siliguri-loops", Class: "pipeflow-gang", Waiting: 4,
+			Reason: "no-gang-room", SinceS: 61.23},
 		{Position: 0, ID: "req-000413", Team: "red", Class: "meterbatch", Waiting: 1205, Reason: "paused", SinceS: 1},
-	}})
+	}}
+	if err := printQueue(&b, queue); err != nil {
+		t.Error(err)
+	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	for _, l := range lines {
 		if len(l) > 80 {
--- a/cmd/fieldhill/client.go
+++ b/cmd/fieldhill/client.go
@@ -21,30 +21,31 @@
 	exitRetry   = 3 // not now: ask again
 )
 
-// exitError is an error with an exit code.
+// exitError ends the program with an exit code that tells scripts whether to try again.
 type exitError struct {
 	code int
 	text string
 }
 
-func (f *exitError) Error() string { return f.text }
+// Error is what the program prints before it ends.
+func (e *exitError) Error() string { return e.text }
 
-// ExitCode is read by kong.
-func (f *exitError) ExitCode() int { return f.code }
+// ExitCode is called by kong.
+func (e *exitError) ExitCode() int { return e.code }
 
-// target is the controller that a client command talks to.
+// target is the user API that a client command talks to.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type target struct {
 	Addr    string        `name:"addr" env:"FIELDHILL_ADDR" required:"" help:"A controller's address for users, such as 10.0.0.1:8080."`
 	Timeout time.Duration `default:"5s" help:"How long to wait for an answer."`
 }
 
-// roundTrip sends a request to a controller and reads the answer up to a limit of bytes.
-func roundTrip(
-	addr, method, path string,
-	body []byte,
-	timeout time.Duration,
-	limit int64,
-) (*http.Response, []byte, error) {
+// roundTrip sends a request to a controller and reads up to limit bytes of the answer. The error is an *exitError if
+// no answer came.
+func roundTrip(addr, method, path string, body []byte, timeout time.Duration, limit int64) (
+	*http.Response, []byte, error,
+) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
@@ -58,7 +59,7 @@
 	if err != nil {
 		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no answer from %s: %v", addr, err)}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the body was read, or the error of reading it is returned
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit))
 	if err != nil {
 		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no whole answer from %s: %v", addr, err)}
@@ -66,7 +67,8 @@
 	return resp, b, nil
 }
 
-// send sends a request and decodes a good answer into out.
+// send sends a request and decodes an answer of success into out, unless that is nil. Any other answer becomes an
+// *exitError.
 func (t *target) send(method, path string, body []byte, out any) error {
 	resp, b, err := roundTrip(t.Addr, method, path, body, t.Timeout, wire.MaxBody)
 	if err != nil {
@@ -97,12 +99,13 @@
 	fmt.Printf("%s %s, %d tasks done, %d running\n", s.ID, s.State, s.Done, s.Running)
 }
 
+// submitCmd submits a job that is described in a file.
 type submitCmd struct {
 	target
 	File string `arg:"" help:"The job's description (TOML), see docs/OPERATING.md." type:"existingfile"`
 }
 
-// jobFile is a job as its owner writes it down.
+// jobFile is a job as its owner describes it, with the field's terms for keys where the protocol has words of its own.
 type jobFile struct {
 	ID                  string   `toml:"id"`
 	Class               string   `toml:"class"`
@@ -126,6 +129,7 @@
 	DeadlineS           *float64 `toml:"deadline_s"`
 }
 
+// The words of job files, and how the protocol spells them.
 var (
 	shapes     = map[string]string{"array": wire.Array, "gang": wire.Gang, "service": wire.Service}
 	priorities = map[string]string{
@@ -136,7 +140,7 @@
 	}
 )
 
-// readJob reads a description and puts it into the platform's words.
+// readJob reads a description and translates it into a submission of the protocol.
 func readJob(b []byte) (*wire.JobSpec, error) {
 	var f jobFile
 	d := toml.NewDecoder(bytes.NewReader(b))
@@ -180,6 +184,7 @@
 	}, nil
 }
 
+// Run carries out the command. What the service would refuse as malformed is refused without asking it.
 func (c *submitCmd) Run() error {
 	b, err := os.ReadFile(c.File)
 	if err != nil {
@@ -204,32 +209,38 @@
 	return nil
 }
 
-// jobCommand names a job at a controller.
+// jobCommand is a command about one job.
 type jobCommand struct {
 	target
 	ID string `arg:"" help:"The job's id."`
 }
 
-// printResult sends a request about the job and prints how it is.
-func (a *jobCommand) printResult(method, suffix string) error {
+// printResult sends a request about the job and prints the status in the answer.
+func (c *jobCommand) printResult(method, suffix string) error {
 	var s wire.JobStatus
-	if err := a.send(method, wire.PathJobs+"/"+a.ID+suffix, nil, &s); err != nil {
+	if err := c.send(method, wire.PathJobs+"/"+c.ID+suffix, nil, &s); err != nil {
 		return err
 	}
 	printStatus(&s)
 	return nil
 }
 
+// statusCmd prints how a job is.
 type statusCmd struct{ jobCommand }
 
+// Run carries out the command.
 func (c *statusCmd) Run() error { return c.printResult(http.MethodGet, "") }
 
+// cancelCmd cancels a job.
 type cancelCmd struct{ jobCommand }
 
+// Run carries out the command.
 func (c *cancelCmd) Run() error { return c.printResult(http.MethodPost, wire.CancelSuffix) }
 
+// readyCmd asks whether a controller takes requests.
 type readyCmd struct{ target }
 
+// Run carries out the command.
 func (c *readyCmd) Run() error {
 	if err := c.send(http.MethodGet, wire.PathReady, nil, nil); err != nil {
 		return err
--- a/cmd/fieldhill/client_test.go
+++ b/cmd/fieldhill/client_test.go
@@ -61,7 +61,12 @@
 	if _, err := wire.ParseJob(b); err != nil {
 		t.Error(err)
 	}
-	for _, change := range [][2]string{{"tasks", "pieces"}, {`"gang"`, `"group"`}, {`"low"`, `"idle"`}, {"= 8", "= eight"}} {
+	for _, change := range [][2]string{
+		{"tasks", "pieces"},
+		{`"gang"`, `"group"`},
+		{`"low"`, `"idle"`},
+		{"= 8", "= eight"},
+	} {
 		if _, err := readJob([]byte(strings.Replace(jobDescription, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s instead of %s was taken", change[1], change[0])
 		}
@@ -94,7 +99,12 @@
 	for _, tc := range []struct {
 		status, code int
 		after, want  string
-	}{{404, exitRefused, "", "because"}, {422, exitRefused, "", "because"}, {503, exitRetry, "7", "in 7 s"}, {429, exitRetry, "", "because"}} {
+	}{
+		{404, exitRefused, "", "because"},
+		{422, exitRefused, "", "because"},
+		{503, exitRetry, "7", "in 7 s"},
+		{429, exitRetry, "", "because"},
+	} {
 		status, after = tc.status, tc.after
 		var f *exitError
 		if err := c.Run(); !errors.As(err, &f) || f.code != tc.code || !strings.Contains(f.text, tc.want) {
--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -91,13 +91,11 @@
 		b.WriteString(strings.ReplaceAll(run(t, nil, args...), filepath.Dir(bad), "DIR"))
 	}
 	for _, flag := range []string{"--beta=2", "--threshold=3", "--wait-rounds=-1", "--round=1ms", "--metrics=x",
-		"--operate=x",
-		"--duties=x", "--log-level=loud", "--beta=x", "--nonsense"} {
+		"--operate=x", "--duties=x", "--log-level=loud", "--beta=x", "--nonsense"} {
 		b.WriteString(run(t, nil, flag, "--config", settings))
 	}
 	for _, variable := range []string{"FIELDHILL_BETA=2", "FIELDHILL_THRESHOLD=3", "FIELDHILL_WAIT_ROUNDS=-1",
-		"FIELDHILL_ROUND=1ms",
-		"FIELDHILL_METRICS=x", "FIELDHILL_OPERATE=x", "FIELDHILL_DUTIES=x", "LOG_LEVEL=loud"} {
+		"FIELDHILL_ROUND=1ms", "FIELDHILL_METRICS=x", "FIELDHILL_OPERATE=x", "FIELDHILL_DUTIES=x", "LOG_LEVEL=loud"} {
 		b.WriteString(run(t, []string{variable}, "--config", settings))
 	}
 	golden.Check(t, "settings.txt", []byte(b.String()))
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -21,6 +21,7 @@
 	"fieldhill/internal/platform/host"
 )
 
+// cli has a field for each command.
 type cli struct {
 	Serve serveCmd `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
 	Check checkCmd `cmd:"" help:"Check a settings file and print what was understood."`
@@ -35,6 +36,9 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
+// serveCmd runs a controller. The service's own flags complete the settings file, whose keys are the platform's.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type serveCmd struct {
 	Config     string        `required:"" help:"Settings file (TOML) of the platform." type:"existingfile"`
 	LogLevel   string        `env:"LOG_LEVEL" default:"info" help:"How much to log: error, info or debug."`
@@ -47,6 +51,7 @@
 	Duties     bool          `env:"FIELDHILL_DUTIES" help:"Have dealing with the cloud and cleaning up done by whichever controller does it best, each under a lease of its own, once all controllers have this; else the leader does it all."`
 }
 
+// Validate is called by kong when the flags are read.
 func (s *serveCmd) Validate() error {
 	switch {
 	case !(s.Beta >= 0 && s.Beta <= 1):
@@ -58,9 +63,12 @@
 	case s.Round < 50*time.Millisecond || s.Round > time.Minute:
 		return fmt.Errorf("round must be from 50ms to 1m")
 	}
-	for _, a := range []struct{ name, at string }{{"metrics", s.Metrics}, {"operate", withHost(s.Operate, "0.0.0.0:0")}} {
-		if _, err := netip.ParseAddrPort(a.at); a.at != "" && err != nil {
-			return fmt.Errorf("%s: %q is not an address with a port", a.name, a.at)
+	for _, flag := range []struct{ name, addr string }{
+		{"metrics", s.Metrics},
+		{"operate", withHost(s.Operate, "0.0.0.0:0")},
+	} {
+		if _, err := netip.ParseAddrPort(flag.addr); flag.addr != "" && err != nil {
+			return fmt.Errorf("%s: %q is not an address with a port", flag.name, flag.addr)
 		}
 	}
 	_, err := parseLevel(s.LogLevel)
@@ -87,6 +95,7 @@
 	return 0, fmt.Errorf("log level %q is none of error, info, debug", s)
 }
 
+// Run runs a controller until the process is ended.
 func (s *serveCmd) Run() error {
 	settings, err := config.Load(s.Config)
 	if err != nil {
@@ -110,72 +119,65 @@
 	}, logger).Run(context.Background())
 }
 
+// checkCmd reads a settings file and prints it as the controller understands it.
 type checkCmd struct {
 	File string `arg:"" help:"Settings file (TOML)." type:"existingfile"`
 }
 
+// Run carries out the command.
 func (c *checkCmd) Run() error {
 	settings, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
-	p := &settings.Params
-	fmt.Printf(
-		"node %s in zone %s, users at %s, controllers at %s\n",
-		settings.Node,
-		settings.Zone,
-		settings.Bind,
-		settings.PeerListen,
-	)
-	for _, m := range settings.Members {
+	printSettings(settings)
+	return nil
+}
+
+func printSettings(s *config.Settings) {
+	fmt.Printf("node %s in zone %s, users at %s, controllers at %s\n", s.Node, s.Zone, s.Bind, s.PeerListen)
+	for _, m := range s.Members {
 		fmt.Printf("member %s in zone %s at %s\n", m.Node, m.Zone, m.Addr)
 	}
-	for _, t := range p.Teams {
-		fmt.Printf(
-			"team %s: %g CPUs and %g GPUs guaranteed, at most %s CPUs and %s GPUs\n",
-			t.Name,
-			t.CPUs,
-			t.GPUs,
-			formatLimit(t.CPUsMax),
-			formatLimit(t.GPUsMax),
-		)
+	for _, t := range s.Params.Teams {
+		fmt.Printf("team %s: %g CPUs and %g GPUs guaranteed, at most %s CPUs and %s GPUs\n",
+			t.Name, t.CPUs, t.GPUs, formatLimit(t.CPUsMax), formatLimit(t.GPUsMax))
 	}
-	for _, o := range p.Objectives {
+	for _, o := range s.Params.Objectives {
 		fmt.Printf("objective %s %s: %.4g%% within %g s\n", o.Kind, o.Class, 100*o.Share, o.WithinS)
 	}
-	fmt.Printf(
-		"workers: report every %g s, lease %g s, cancelled within %g s; leases kept without a leader for at most %v\n",
-		p.Workers.HeartbeatS,
-		p.Workers.LeaseS,
-		p.Workers.CancelS,
-		settings.StaleRenewalLimit(),
-	)
-	return nil
+	workers := &s.Params.Workers
+	fmt.Printf("workers: report every %g s, lease %g s, cancelled within %g s; "+
+		"leases kept without a leader for at most %v\n",
+		workers.HeartbeatS, workers.LeaseS, workers.CancelS, s.StaleRenewalLimit())
 }
 
-func formatLimit(f float64) string {
-	if f == 0 {
+// formatLimit spells a team's limit, of which 0 stands for none.
+func formatLimit(limit float64) string {
+	if limit == 0 {
 		return "any number of"
 	}
-	return fmt.Sprintf("%g", f)
+	return fmt.Sprintf("%g", limit)
 }
 
 // version is the latest entry of CHANGELOG.md.
 const version = "0.4.0"
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run prints the version and, where the build knows it, the commit.
 func (versionCmd) Run() error {
-	rev := ""
+	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				rev = " " + s.Value
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				revision = " " + setting.Value
 			}
 		}
 	}
-	fmt.Println("fieldhill " + version + rev)
-	return nil
+	_, err := fmt.Println("fieldhill " + version + revision)
+	return err
 }
 
 func main() {
