--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden compares what the code writes with files that an earlier version wrote, so that a change of a stored
-// or transmitted format is found. It is for tests only. `go test PACKAGE -run Golden -update` writes the files.
+// Package golden compares the bytes that the code writes with files that an earlier version wrote, so that a change of
+// a stored or transmitted format is found. It is for tests only. `go test PACKAGE -run Golden -update` writes the
+// files.
 package golden
 
 import (
@@ -45,7 +46,7 @@
 		name, len(want), len(got), at, around(want, at), around(got, at))
 }
 
-// Read gives what testdata/golden/NAME holds, with the dump of a .hex file decoded.
+// Read returns the content of testdata/golden/NAME, with the dump of a .hex file decoded.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path(name))
@@ -86,7 +87,7 @@
 	}
 }
 
-// RoundTrip demands of a format that want is written as the stored bytes, that these are read as want, and that one
+// RoundTrip checks a format in both directions: want is written as the stored bytes, these are read as want, and one
 // changed byte is found.
 func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
 	t.Helper()
@@ -128,8 +129,10 @@
 	}
 }
 
+// path is relative, as a test runs in the directory of its package.
 func path(name string) string { return filepath.Join("testdata", "golden", name) }
 
+// around cuts out the bytes before and after a difference, for a message.
 func around(b []byte, at int) []byte {
 	return b[max(0, min(at, len(b))-16):min(len(b), at+bytesPerLine)]
 }
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -15,8 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Recorder is an HTTP server on the loopback address that writes down the requests it gets, for Check to compare.
+// Recorder is an HTTP server on the loopback address that records the requests it gets as text, for Check to compare.
 type Recorder struct {
+	// Addr is the server's host and port.
 	Addr string
 
 	mu     sync.Mutex
@@ -63,7 +64,7 @@
 	}
 }
 
-// Note adds a line to the record, such as what was made of an answer.
+// Note adds a line to the record, such as the client's result of an answer.
 func (r *Recorder) Note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -12,59 +12,70 @@
 	"fieldhill/internal/replication/candidacy"
 )
 
-// TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of
-// the view has a value of its own, so that names that changed places are found too.
-func TestGoldenPage(t *testing.T) {
-	s := New(api.RequestKinds...)
-	s.Placed.Set(101)
-	s.Stopped.Set(102)
-	s.Provisioned.Set(103)
-	s.ProvisionRefused.Set(104)
-	s.ScaledIn.Set(105)
-	s.Terms.Set(106)
-	s.Relayed.Set(107)
-	s.AnsweredLocally.Set(108)
-	s.Reassigned.Set(109)
-	s.NotAdmitted.Set(110)
-	s.LogBytes.Set(111)
-	s.SchedulingRound.Update(0.0625)
-	s.LogWrite.Update(0.03125)
-	for p := range candidacy.PhaseCount {
-		s.ObserveFailover(p, 0.25*float64(p+1))
+// fullRegistry counts something in every series, a value of its own in each, so that names that changed places are
+// found too.
+func fullRegistry() *Registry {
+	r := New(api.RequestKinds...)
+	r.Placed.Set(101)
+	r.Stopped.Set(102)
+	r.Provisioned.Set(103)
+	r.ProvisionRefused.Set(104)
+	r.ScaledIn.Set(105)
+	r.Terms.Set(106)
+	r.Relayed.Set(107)
+	r.AnsweredLocally.Set(108)
+	r.Reassigned.Set(109)
+	r.NotAdmitted.Set(110)
+	r.LogBytes.Set(111)
+	r.SchedulingRound.Update(0.0625)
+	r.LogWrite.Update(0.03125)
+	for phase := range candidacy.PhaseCount {
+		r.ObserveFailover(phase, 0.25*float64(phase+1))
 	}
 	for i, kind := range api.RequestKinds {
 		for status, times := range map[int]int{200: 1, 201: 1, 400: 2, 404: 1, 429: 2, 503: 2} {
 			for range times + i {
-				s.ObserveRequest(kind, status, time.Duration(i+1)*time.Second/8)
+				r.ObserveRequest(kind, status, time.Duration(i+1)*time.Second/8)
 			}
 		}
 	}
+	return r
+}
+
+// fullSnapshot has a value of its own in every field.
+func fullSnapshot() Snapshot {
+	return Snapshot{
+		IsLeader:           true,
+		Term:               1,
+		Applied:            2,
+		Jobs:               3,
+		Waiting:            4,
+		Running:            5,
+		Up:                 6,
+		Booting:            7,
+		Idle:               8,
+		Suspect:            9,
+		Releasing:          10,
+		WorstClass:         0.25,
+		WorstTeam:          0.5,
+		UnderServedClasses: 11,
+		UnderServedTeams:   12,
+		OpenProvisioning:   13,
+		PeerFrames:         14,
+		PeerBytes:          15,
+		PeerWrites:         16,
+		AssignedAgents:     17,
+	}
+}
+
+// TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of the
+// snapshot has a value of its own.
+func TestGoldenPage(t *testing.T) {
 	ok := false
-	page := s.Handler(func() (Snapshot, bool) {
-		return Snapshot{
-			IsLeader:           true,
-			Term:               1,
-			Applied:            2,
-			Jobs:               3,
-			Waiting:            4,
-			Running:            5,
-			Up:                 6,
-			Booting:            7,
-			Idle:               8,
-			Suspect:            9,
-			Releasing:          10,
-			WorstClass:         0.25,
-			WorstTeam:          0.5,
-			UnderServedClasses: 11,
-			UnderServedTeams:   12,
-			HoldsProvisioning:  ok,
-			HoldsCompaction:    !ok,
-			OpenProvisioning:   13,
-			PeerFrames:         14,
-			PeerBytes:          15,
-			PeerWrites:         16,
-			AssignedAgents:     17,
-		}, ok
+	page := fullRegistry().Handler(func() (Snapshot, bool) {
+		s := fullSnapshot()
+		s.HoldsProvisioning, s.HoldsCompaction = ok, !ok
+		return s, ok
 	})
 	var b strings.Builder
 	for _, path := range []string{Path, Path, "/"} {
@@ -72,7 +83,7 @@
 		page.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
 		fmt.Fprintf(&b, "=== GET %s\n%d %s\n", path, w.Code, w.Header().Get("Content-Type"))
 		for line := range strings.Lines(w.Body.String()) {
-			// What the library tells of the process differs from run to run.
+			// The library's series about the process differ from run to run.
 			if !strings.HasPrefix(line, "process_") && !strings.HasPrefix(line, "go_") {
 				b.WriteString(line)
 			}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,9 +1,10 @@
-// Package process keeps controllers running as processes of their own, as the platform would, for programs that play a
-// deployment on one machine.
+// Package supervisor keeps controllers running as processes of their own, as the platform would, for programs that
+// emulate a deployment on one machine.
 package supervisor
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -22,75 +23,78 @@
 	Executable   string
 	Dir          string // where settings and logs are written
 	RestartDelay time.Duration
-	// OnEvent, if not nil, is told of each start and end.
+	// OnEvent, if not nil, is called with a line for people at each start and end.
 	OnEvent func(string)
 
 	mu        sync.Mutex
-	processes map[string]*os.Process
+	processes map[string]*os.Process // by the controller's name; only those that run
 }
 
-func (k *Supervisor) notify(format string, args ...any) {
-	if k.OnEvent != nil {
-		k.OnEvent(fmt.Sprintf(format, args...))
+func (s *Supervisor) notify(format string, args ...any) {
+	if s.OnEvent != nil {
+		s.OnEvent(fmt.Sprintf(format, args...))
 	}
 }
 
-// Run runs a controller until the context ends.
-func (k *Supervisor) Run(ctx context.Context, s *config.Settings, args ...string) error {
-	settings, err := toml.Marshal(s)
+// Run runs a controller until the context ends, and returns nil then. Any error means that it could not be started.
+func (s *Supervisor) Run(ctx context.Context, settings *config.Settings, args ...string) (err error) {
+	node := settings.Node
+	encoded, err := toml.Marshal(settings)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode settings of controller %s: %w", node, err)
 	}
-	path := filepath.Join(k.Dir, s.Node+".toml")
-	if err := os.WriteFile(path, settings, 0o644); err != nil {
+	settingsPath := filepath.Join(s.Dir, node+".toml")
+	if err := os.WriteFile(settingsPath, encoded, 0o644); err != nil {
 		return err
 	}
-	logFile, err := os.OpenFile(filepath.Join(k.Dir, s.Node+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(s.Dir, node+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer logFile.Close()
+	defer func() { err = errors.Join(err, logFile.Close()) }()
 	for {
-		cmd := exec.CommandContext(ctx, k.Executable, append([]string{"--config", path}, args...)...)
+		cmd := exec.CommandContext(ctx, s.Executable, append([]string{"--config", settingsPath}, args...)...)
 		cmd.Stderr = logFile
 		// Ctrl-C is for this program, which ends the controllers itself.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
-			return err
+			return err // it names the operation and the program
 		}
-		k.setProcess(s.Node, cmd.Process)
-		k.notify("controller %s in zone %s runs as process %d at %s", s.Node, s.Zone, cmd.Process.Pid, s.Bind)
-		err := cmd.Wait()
-		k.setProcess(s.Node, nil)
+		s.setProcess(node, cmd.Process)
+		s.notify("controller %s in zone %s runs as process %d at %s",
+			node, settings.Zone, cmd.Process.Pid, settings.Bind)
+		exitErr := cmd.Wait()
+		s.setProcess(node, nil)
 		if ctx.Err() != nil {
 			return nil
 		}
-		k.notify("controller %s has ended (%v), it starts again in %v", s.Node, err, k.RestartDelay)
+		s.notify("controller %s has ended (%v), it starts again in %v", node, exitErr, s.RestartDelay)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(k.RestartDelay):
+		case <-time.After(s.RestartDelay):
 		}
 	}
 }
 
-func (k *Supervisor) setProcess(node string, process *os.Process) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.processes == nil {
-		k.processes = map[string]*os.Process{}
+// setProcess remembers a controller's process, or with nil that it has none.
+func (s *Supervisor) setProcess(node string, process *os.Process) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.processes == nil {
+		s.processes = map[string]*os.Process{}
 	}
 	if process == nil {
-		delete(k.processes, node)
+		delete(s.processes, node)
 	} else {
-		k.processes[node] = process
+		s.processes[node] = process
 	}
 }
 
-// Kill ends a controller's process without a signal that it could take, and tells whether it ran.
-func (k *Supervisor) Kill(node string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	process := k.processes[node]
+// Kill ends a controller's process with a signal that it can't handle, and reports whether it ran.
+func (s *Supervisor) Kill(node string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	process := s.processes[node]
 	return process != nil && process.Kill() == nil
 }
--- a/internal/testing/virtualtime/isolated.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -7,62 +7,85 @@
 	"os/exec"
 	"regexp"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
 )
 
-// singleTestEnv tells a process that it was started to run one test of many.
+// singleTestEnv marks a process that was started to run one test of many.
 const singleTestEnv = "FIELDHILL_BUBBLE_ONE"
 
-// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several
-// at a time, each on one processor as Main has it. All tests of such a package used to share one processor of many,
-// and under the race detector that took five minutes. Where a part of the tests is asked for, or their output as they
-// run, it is Main.
+// wholeRunFlags are the flags of `go test` that make sense for a single process only.
+var wholeRunFlags = []string{
+	"run", "list", "v", "bench", "fuzz", "cpuprofile", "memprofile", "coverprofile", "trace",
+}
+
+// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several at
+// a time, each on one processor as Main has it. On one shared processor of many they took five minutes under the race
+// detector. Where only some of the tests are asked for, or their output as they run, it is Main.
 func MainIsolated(m *testing.M) {
 	flag.Parse()
-	for _, f := range []string{"run", "list", "v", "bench", "fuzz", "cpuprofile", "memprofile", "coverprofile", "trace"} {
-		if testFlag := flag.Lookup("test." + f); testFlag != nil && testFlag.Value.String() != testFlag.DefValue {
-			Main(m)
-			return
-		}
-	}
-	if os.Getenv(singleTestEnv) != "" {
+	if os.Getenv(singleTestEnv) != "" || isWholeRunAsked() {
 		Main(m)
 		return
 	}
-	list, err := exec.Command(os.Args[0], "-test.list=.").Output()
+	names, err := listTests()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "can't list the tests:", err)
 		os.Exit(1)
 	}
-	var names []string
+	if len(names) == 0 {
+		fmt.Fprintln(os.Stderr, "no test is listed")
+		os.Exit(1)
+	}
+	if !runIsolated(names) {
+		fmt.Println("FAIL")
+		os.Exit(1)
+	}
+	fmt.Printf("%d tests, each in a process of its own\nPASS\n", len(names))
+}
+
+func isWholeRunAsked() bool {
+	for _, name := range wholeRunFlags {
+		if f := flag.Lookup("test." + name); f != nil && f.Value.String() != f.DefValue {
+			return true
+		}
+	}
+	return false
+}
+
+// listTests names the top-level tests of the running binary.
+func listTests() (names []string, err error) {
+	list, err := exec.Command(os.Args[0], "-test.list=.").Output()
+	if err != nil {
+		return nil, err
+	}
 	for _, name := range strings.Fields(string(list)) {
 		if strings.HasPrefix(name, "Test") || strings.HasPrefix(name, "Fuzz") {
 			names = append(names, name)
 		}
 	}
-	if len(names) == 0 {
-		fmt.Fprintln(os.Stderr, "no test is listed")
-		os.Exit(1)
-	}
+	return names, nil
+}
+
+// runIsolated runs each test in a process, on half of the processors, prints the output of those that fail and reports
+// whether none did.
+func runIsolated(names []string) bool {
 	next := make(chan string)
-	var workers sync.WaitGroup
+	var runners sync.WaitGroup
 	var mu sync.Mutex
-	failed := false
+	passed := true
 	for range max(1, runtime.NumCPU()/2) {
-		workers.Go(func() {
+		runners.Go(func() {
 			for name := range next {
-				cmd := exec.Command(
-					os.Args[0],
-					append(os.Args[1:len(os.Args):len(os.Args)], "-test.run=^"+regexp.QuoteMeta(name)+"$")...)
-				cmd.Env = append(os.Environ(), singleTestEnv+"=1")
-				out, err := cmd.CombinedOutput()
-				mu.Lock()
-				if err != nil {
-					failed = true
-					fmt.Printf("%s\n%s: %v\n", strings.TrimSpace(string(out)), name, err)
+				output, err := runSingleTest(name)
+				if err == nil {
+					continue
 				}
+				mu.Lock()
+				passed = false
+				fmt.Printf("%s\n%s: %v\n", strings.TrimSpace(string(output)), name, err)
 				mu.Unlock()
 			}
 		})
@@ -71,10 +94,13 @@
 		next <- name
 	}
 	close(next)
-	workers.Wait()
-	if failed {
-		fmt.Println("FAIL")
-		os.Exit(1)
-	}
-	fmt.Printf("%d tests, each in a process of its own\nPASS\n", len(names))
+	runners.Wait()
+	return passed
+}
+
+func runSingleTest(name string) (output []byte, err error) {
+	args := append(slices.Clone(os.Args[1:]), "-test.run=^"+regexp.QuoteMeta(name)+"$")
+	cmd := exec.Command(os.Args[0], args...)
+	cmd.Env = append(os.Environ(), singleTestEnv+"=1")
+	return cmd.CombinedOutput()
 }
--- a/internal/testing/virtualtime/rapid.go
+++ b/internal/testing/virtualtime/rapid.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// MainRapid is for the TestMain of packages that draw their cases with rapid: so many of them, and
-// the same ones every time.
+// MainRapid is for the TestMain of packages that draw their cases with rapid: it runs so many checks of each property,
+// from the same seed every time, so that a pass or failure can be repeated.
 func MainRapid(m *testing.M, checks int) {
 	if err := errors.Join(
 		flag.Set("rapid.seed", "20261201"),
--- a/internal/testing/virtualtime/virtualtime_test.go
+++ b/internal/testing/virtualtime/virtualtime_test.go
@@ -32,12 +32,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		if started.Load() != rounds*timersPerRound || received.Load() != rounds*timersPerRound {
-			t.Errorf(
-				"of %d timers each %d started a goroutine and %d could be read",
-				rounds*timersPerRound,
-				started.Load(),
-				received.Load(),
-			)
+			t.Errorf("of %d timers each %d started a goroutine and %d could be read",
+				rounds*timersPerRound, started.Load(), received.Load())
 		}
 	})
 }
