--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -10,16 +10,21 @@
 	"fieldhill/wire"
 )
 
-// ServeBalancer plays the load balancer of a deployment that people try out: users send their
-// requests to an address, and the referee hears of every job and answer. It passes over
-// nodes that are not ready, and tries three at most.
+// maxForwards is to how many controllers the load balancer forwards a request at most.
+const maxForwards = 3
+
+// probeInterval is how often the load balancer asks a controller whether it is ready.
+const probeInterval = time.Second
+
+// ServeBalancer emulates the load balancer of a deployment that people try out: users send their requests to an
+// address, and the invariant checker sees every job and answer. It passes over controllers that are not ready.
 func (w *Environment) ServeBalancer(ctx context.Context, addr string) error {
 	ln, err := w.networkOf("balancer").Listen(addr)
 	if err != nil {
 		return err
 	}
-	b := &balancer{environment: w, ready: make([]bool, len(w.controllers))}
-	for i := range w.controllers {
+	b := &balancer{environment: w, ready: make([]bool, len(w.processes))}
+	for i := range w.processes {
 		go b.probe(ctx, i)
 	}
 	mux := http.NewServeMux()
@@ -34,13 +39,13 @@
 			id = s.ID
 			w.Checker.RegisterJob(s)
 		}
-		b.forward(rw, r, "submit", id, body)
+		b.forward(rw, r, operationSubmit, id, body)
 	})
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		b.forward(rw, r, "poll", r.PathValue("id"), nil)
+		b.forward(rw, r, operationPoll, r.PathValue("id"), nil)
 	})
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix, func(rw http.ResponseWriter, r *http.Request) {
-		b.forward(rw, r, "cancel", r.PathValue("id"), nil)
+		b.forward(rw, r, operationCancel, r.PathValue("id"), nil)
 	})
 	mux.HandleFunc("GET "+wire.PathReady, func(rw http.ResponseWriter, r *http.Request) {
 		if len(b.readyControllers()) == 0 {
@@ -54,33 +59,33 @@
 type balancer struct {
 	environment *Environment
 	mu          sync.Mutex
-	ready       []bool
-	nextTurn    int
+	ready       []bool // by controller
+	nextTurn    int    // where the search for a ready controller begins
 }
 
-// probe asks a node about once a second whether it is ready.
+// probe asks a controller every probeInterval whether it is ready.
 func (b *balancer) probe(ctx context.Context, i int) {
 	c := http.Client{
 		Transport: &http.Transport{DialContext: dialFunc(b.environment.networkOf("balancer"))},
-		Timeout:   time.Second,
+		Timeout:   probeInterval,
 	}
 	for ctx.Err() == nil {
-		resp, err := c.Get("http://" + b.environment.controllers[i].userAddr + wire.PathReady)
+		resp, err := c.Get("http://" + b.environment.UserAddr(i) + wire.PathReady)
 		ok := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close() // the status is all that counts
 		}
 		b.mu.Lock()
 		b.ready[i] = ok
 		b.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Second):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// readyControllers names the nodes that are ready, each time beginning with the next one.
+// readyControllers lists the controllers that are ready, each time beginning with the next one.
 func (b *balancer) readyControllers() (ready []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,22 +98,21 @@
 	return ready
 }
 
+// forward passes a request on until a controller answers.
 func (b *balancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
-	for k, i := range b.readyControllers() {
-		if k == 3 {
-			break
-		}
-		code, header, responseBody, _ := b.environment.sendRequest(r.Context(), i, operation, id, body)
-		if code == 0 {
+	ready := b.readyControllers()
+	for _, i := range ready[:min(len(ready), maxForwards)] {
+		response := b.environment.send(r.Context(), i, operation, id, body)
+		if response.code == 0 {
 			continue
 		}
-		for _, h := range []string{"Content-Type", "Retry-After"} {
-			if v := header.Get(h); v != "" {
-				rw.Header().Set(h, v)
+		for _, name := range []string{"Content-Type", "Retry-After"} {
+			if value := response.header.Get(name); value != "" {
+				rw.Header().Set(name, value)
 			}
 		}
-		rw.WriteHeader(code)
-		_, _ = rw.Write(responseBody)
+		rw.WriteHeader(response.code)
+		_, _ = rw.Write(response.body)
 		return
 	}
 	rw.Header().Set("Retry-After", "1")
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -6,7 +6,7 @@
 	"fieldhill/wire"
 )
 
-// capacityUnusedFor is for how long a job may wait, once all troubles are over, while a machine that fits has room
+// capacityUnusedFor is for how long a job may wait, once all faults are over, while a machine that fits has room
 // and its team is under its limit.
 const capacityUnusedFor = 90 * time.Second
 
@@ -17,112 +17,119 @@
 	cpus, memoryGB    float64
 }
 
-// freeMachines is what is left of the machines that are up, well and reached.
+// freeMachines is what is left of the machines that are up, healthy and reachable.
 func (c *Cloud) freeMachines() (all []freeMachine) {
 	for _, worker := range c.Workers() {
-		worker.mu.Lock()
-		t := c.machineType(worker.Type)
-		r := freeMachine{worker.Type, worker.Zone, worker.Spot, t.CPUs, t.MemoryGB}
-		for _, x := range worker.tasks {
-			if x.state != wire.TaskExited {
-				r.cpus, r.memoryGB = r.cpus-x.spec.CPUs, r.memoryGB-x.spec.MemoryGB
-			}
-		}
-		healthy := worker.epoch > 0 && !worker.terminated && !worker.inboundPartitioned &&
-			!worker.outboundPartitioned &&
-			!worker.failsTasks &&
-			worker.commandDelay == 0 &&
-			!time.Now().Before(worker.hungUntil)
-		worker.mu.Unlock()
-		if healthy {
-			all = append(all, r)
+		if free, ok := worker.free(c.machineType(worker.Type)); ok {
+			all = append(all, free)
 		}
 	}
 	return all
 }
 
+// free is what is left of a machine of a type; not ok if a fault keeps it from taking tasks.
+func (w *Worker) free(machineType *wire.MachineType) (left freeMachine, ok bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	left = freeMachine{w.Type, w.Zone, w.Spot, machineType.CPUs, machineType.MemoryGB}
+	for _, t := range w.tasks {
+		if t.state != wire.TaskExited {
+			left.cpus -= t.spec.CPUs
+			left.memoryGB -= t.spec.MemoryGB
+		}
+	}
+	reachable := !w.inboundPartitioned && !w.outboundPartitioned && w.commandDelay == 0
+	healthy := !w.terminated && !w.failsTasks && !time.Now().Before(w.hungUntil)
+	return left, w.epoch > 0 && reachable && healthy
+}
+
 // checkUnusedCapacity looks for jobs that wait though there is room for them.
 func (w *Environment) checkUnusedCapacity() {
-	f := w.Checker
-	f.mu.Lock()
-	faultsOver := f.faultsOver
-	f.mu.Unlock()
-	if !faultsOver {
+	if !w.Checker.areFaultsOver() {
 		return
 	}
-	free := w.Cloud.freeMachines()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	w.Checker.checkWaiting(w.Cloud.freeMachines())
+}
+
+func (c *InvariantChecker) areFaultsOver() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.faultsOver
+}
+
+// checkWaiting checks that no job waits for long which could be placed on what is left of the machines.
+func (c *InvariantChecker) checkWaiting(free []freeMachine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	used := map[string]float64{}
-	for task, machines := range f.placements {
+	for task, machines := range c.placements {
 		n, _, _ := wire.ParseTaskID(task)
-		used[f.jobs[n].spec.Team] += f.jobs[n].spec.CPUs * float64(len(machines))
+		spec := c.jobs[n].spec
+		used[spec.Team] += spec.CPUs * float64(len(machines))
 	}
-	for _, t := range f.jobs {
+	for _, t := range c.jobs {
 		s := t.spec
-		switch quota := f.limits[s.Team][0]; {
-		case !t.accepted || t.cancelRequested || t.finalState != "" || len(t.taskZones)+len(t.done) >= s.Tasks || !t.canPlaceNext(free, quota-used[s.Team], quota == 0):
+		quota := c.limits[s.Team][0]
+		waits := t.accepted && !t.cancelRequested && t.finalState == "" && len(t.taskZones)+len(t.done) < s.Tasks
+		switch {
+		case !waits || !t.canPlaceNext(free, quota-used[s.Team], quota == 0):
 			t.placeableSince = time.Time{}
 		case t.placeableSince.IsZero():
 			t.placeableSince = time.Now()
 		case time.Since(t.placeableSince) > capacityUnusedFor:
-			f.violate(
-				"left_waiting",
-				"%s (%s, %d tasks, %d there, %d done) waits for %v while there is room for it",
-				s.ID,
-				s.Shape,
-				s.Tasks,
-				len(t.taskZones),
-				len(t.done),
-				time.Since(t.placeableSince),
-			)
+			c.violate("left_waiting", "%s (%s, %d tasks, %d there, %d done) waits for %v while there is room for it",
+				s.ID, s.Shape, s.Tasks, len(t.taskZones), len(t.done), time.Since(t.placeableSince))
 			t.placeableSince = time.Now()
 		}
 	}
 }
 
-// canPlaceNext tells whether there is room for what is next of a job: a task, or all of a gang, which for this is
+// canPlaceNext reports whether there is room for what is next of a job: a task, or all of a gang, which for this is
 // packed plainly: it is not said to fit where it does not, but may be said not to fit where it does.
 func (t *jobRecord) canPlaceNext(free []freeMachine, quotaLeft float64, unlimited bool) bool {
 	s := t.spec
 	need := 1
 	if s.Shape == wire.Gang {
 		if len(t.taskZones) > 0 {
-			return false // some of it are there still, of this attempt or the last
+			return false // some of its tasks are there still, of this attempt or the last
 		}
 		need = s.Tasks
 	}
-	if !unlimited && s.CPUs*float64(need) > quotaLeft+1e-9 {
+	if !unlimited && s.CPUs*float64(need) > quotaLeft+capacityTolerance {
 		return false
 	}
 	placedIn := map[string]int{}
-	for _, z := range t.taskZones {
-		placedIn[z]++
-	}
-	fits := map[string]int{}
-	for _, r := range free {
-		ok := s.Types == nil
-		for _, x := range s.Types {
-			ok = ok || x == r.machineType
-		}
-		if !ok || s.Zone != nil && *s.Zone != r.zone || r.spot && !s.Spot ||
-			s.SameZone && len(t.taskZones) > placedIn[r.zone] {
-			continue
-		}
-		for r.cpus >= s.CPUs-1e-9 && r.memoryGB >= s.MemoryGB-1e-9 && s.CPUs > 0 {
-			r.cpus, r.memoryGB = r.cpus-s.CPUs, r.memoryGB-s.MemoryGB
-			fits[r.zone]++
-		}
+	for _, zone := range t.taskZones {
+		placedIn[zone]++
 	}
 	bestZone, total := 0, 0
-	for zone, k := range fits {
+	for zone, count := range t.fitsByZone(free, placedIn) {
 		if s.Spread {
-			k = min(k, (s.Tasks+1)/2-placedIn[zone])
+			count = min(count, maxTasksPerZone(s)-placedIn[zone])
 		}
-		bestZone, total = max(bestZone, k), total+max(k, 0)
+		bestZone = max(bestZone, count)
+		total += max(count, 0)
 	}
 	if s.SameZone && s.Shape == wire.Gang {
 		return bestZone >= need
 	}
 	return total >= need
 }
+
+// fitsByZone counts how many tasks of a job fit on what is left of the machines of each zone.
+func (t *jobRecord) fitsByZone(free []freeMachine, placedIn map[string]int) map[string]int {
+	s := t.spec
+	fits := map[string]int{}
+	for _, left := range free {
+		isElsewhere := s.SameZone && len(t.taskZones) > placedIn[left.zone]
+		if isElsewhere || !allowsMachine(s, left.machineType, left.zone, left.spot) {
+			continue
+		}
+		for left.cpus >= s.CPUs-capacityTolerance && left.memoryGB >= s.MemoryGB-capacityTolerance && s.CPUs > 0 {
+			left.cpus -= s.CPUs
+			left.memoryGB -= s.MemoryGB
+			fits[left.zone]++
+		}
+	}
+	return fits
+}
--- /dev/null
+++ b/internal/emulator/heartbeat_copies.go
@@ -0,0 +1,105 @@
+package emulator
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/wire"
+)
+
+// maxRetainedHeartbeats bounds the copies of heartbeats that are retained for the next leader.
+const maxRetainedHeartbeats = 500
+
+// copyTimeout is how long a copy of a heartbeat waits for its answer.
+const copyTimeout = 4 * time.Second
+
+// heartbeatCopier is a network that delivers heartbeats once more, late, or to another controller.
+type heartbeatCopier struct {
+	ctx         context.Context // of the environment
+	networkOf   networkFunc
+	controllers *controllerGroup
+	random      *randomSource
+
+	mu                sync.Mutex
+	duplicateChance   float64 // that a heartbeat is sent again
+	maxDuplicateDelay time.Duration
+	retainChance      float64 // that a copy of a heartbeat is retained for the next leader
+	retained          []*wire.Heartbeat
+}
+
+// DuplicateHeartbeats sets the probability that a copy of a heartbeat comes to the controller that it was sent to, and
+// by how much it may be late.
+func (c *heartbeatCopier) DuplicateHeartbeats(probability float64, maxDelay time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.duplicateChance, c.maxDuplicateDelay = probability, maxDelay
+}
+
+// maybeDuplicate sends a heartbeat once more, perhaps. Nobody is there for the answer.
+func (c *heartbeatCopier) maybeDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
+	duplicate, delay := c.drawCopies(heartbeat)
+	if !duplicate {
+		return
+	}
+	go func() {
+		select {
+		case <-c.ctx.Done():
+		case <-time.After(delay):
+			c.SendDuplicate(controllerAddr, heartbeat)
+		}
+	}()
+}
+
+// drawCopies decides whether a heartbeat is retained, and whether and when it is sent again.
+func (c *heartbeatCopier) drawCopies(heartbeat *wire.Heartbeat) (duplicate bool, delay time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.random.chanceIfSet(c.retainChance) {
+		surplus := max(0, len(c.retained)-maxRetainedHeartbeats)
+		c.retained = append(c.retained[surplus:], heartbeat)
+	}
+	if c.duplicateChance > 0 {
+		duplicate = c.random.chance(c.duplicateChance)
+		delay = c.random.delay(c.maxDuplicateDelay)
+	}
+	return duplicate, delay
+}
+
+// SendDuplicate sends a heartbeat as a network might that retained a copy of it.
+func (c *heartbeatCopier) SendDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
+	client := msgpackhttp.New(c.networkOf("copies"), 1, 1, time.Second)
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(c.ctx, copyTimeout)
+	defer cancel()
+	var response wire.HeartbeatResponse
+	_ = client.Do(ctx, "POST", controllerAddr, wire.PathHeartbeat, heartbeat, &response, wire.MaxBody)
+}
+
+// RetainHeartbeats sets the probability that a copy of a heartbeat is retained for the next leader.
+func (c *heartbeatCopier) RetainHeartbeats(probability float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.retainChance = probability
+}
+
+// ReplayRetained sends retained copies to every controller, all at once, and counts them: of each machine the oldest,
+// one in the middle and the newest.
+func (c *heartbeatCopier) ReplayRetained() (sent int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	byMachine := map[string][]*wire.Heartbeat{}
+	for _, heartbeat := range c.retained {
+		byMachine[heartbeat.Machine] = append(byMachine[heartbeat.Machine], heartbeat)
+	}
+	for _, copies := range byMachine {
+		for _, k := range []int{0, len(copies) / 2, len(copies) - 1} {
+			for _, controller := range c.controllers.processes {
+				sent++
+				go c.SendDuplicate(controller.userAddr, copies[k])
+			}
+		}
+	}
+	return sent
+}
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -10,71 +11,80 @@
 	"fieldhill/wire"
 )
 
-// InvariantChecker sees every task that is on a machine and every answer to a user, and
-// notes each broken rule.
+// InvariantChecker sees every task that is on a machine and every answer to a user, and records each violation of the
+// protocol's rules.
 type InvariantChecker struct {
 	mu          sync.Mutex
-	limits      map[string][2]float64 // team: CPUs, GPUs at most
-	cancelBound time.Duration
+	limits      map[string][2]float64 // by team: CPUs and GPUs at most, 0 for no limit
+	cancelBound time.Duration         // within which a confirmed cancellation must take effect
 	jobs        map[uint64]*jobRecord
-	placements  map[string]map[string]bool // task: machines where it has its image and is not gone
-	usage       map[string][2]float64      // team: CPUs and GPUs of what is in on
+	placements  map[string]map[string]bool // by task: machines that have its image and run it
+	usage       map[string][2]float64      // by team: CPUs and GPUs of the tasks in placements
 	violations  []string
 	starts      int
-	// answers to questions that came within a moment after a job was accepted, ended or cancelled
+	// racingReads counts the answers to questions that came within a moment after a job was accepted, ended or
+	// cancelled.
 	racingReads       int
 	startsAfterCancel int  // starts of jobs whose cancellation was confirmed
-	faultsOver        bool // all troubles are over
+	faultsOver        bool // no fault is injected any more
 }
 
-// forgottenAfter is for how long all questions about an accepted job may stay unanswered once all troubles are over.
+// forgottenAfter is for how long all questions about an accepted job may stay unanswered once all faults are over.
 const forgottenAfter = 75 * time.Second
 
-// MarkFaultsOver tells the referee that all troubles are over.
-func (f *InvariantChecker) MarkFaultsOver() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.faultsOver = true
+// setLimits replaces the teams' limits.
+func (c *InvariantChecker) setLimits(limits map[string][2]float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.limits = limits
 }
 
-// RecordUnanswered notes a question about a job that got no answer: none at all, or a refusal, which is none.
-func (f *InvariantChecker) RecordUnanswered(id string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// MarkFaultsOver has the checker demand progress: no fault is injected any more.
+func (c *InvariantChecker) MarkFaultsOver() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultsOver = true
+}
+
+// RecordUnanswered records a question about a job that got no answer: none at all, or a refusal, which is none.
+func (c *InvariantChecker) RecordUnanswered(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	t := f.jobs[n]
+	t := c.jobs[n]
 	switch {
-	case t == nil || !f.faultsOver || !t.accepted || t.cancelRequested:
+	case t == nil || !c.faultsOver || !t.accepted || t.cancelRequested:
 	case t.unansweredSince.IsZero():
 		t.unansweredSince = time.Now()
 	case time.Since(t.unansweredSince) > forgottenAfter:
-		f.violate("forgotten", "no question about %s was answered for %v", id, time.Since(t.unansweredSince))
+		c.violate("forgotten", "no question about %s was answered for %v", id, time.Since(t.unansweredSince))
 		t.unansweredSince = time.Now()
 	}
 }
 
+// jobRecord is what users were answered about a job, and what its tasks did.
 type jobRecord struct {
 	spec            *wire.JobSpec
 	starts          int
-	accepted        bool
-	done            map[int]bool
-	finalState      string
-	cancelRequested bool // its user asked to cancel it
-	cancelledAt     time.Time
-	taskZones       map[int]string // where each task is
-	stateChangedAt  time.Time      // when it was told to be accepted, done or cancelled
-	submittedAt     time.Time      // when its user began to submit it
-	startedAt       time.Time      // when its first task started, of a gang all at once; zero: not yet
-	// since when no question about it was answered, all troubles over; zero: the last one was
+	accepted        bool         // as a user was answered
+	done            map[int]bool // tasks
+	finalState      string       // as a user was answered; "" for none
+	cancelRequested bool         // its user asked to cancel it
+	cancelledAt     time.Time    // when that was confirmed
+	taskZones       map[int]string
+	stateChangedAt  time.Time // when a user was answered first that it is accepted, done or cancelled
+	submittedAt     time.Time // when its user began to submit it
+	startedAt       time.Time // when its first task started, of a gang all at once; zero: not yet
+	// unansweredSince is since when no question about it was answered, all faults over; zero: the last one was.
 	unansweredSince time.Time
-	// since when a task of it waits, all troubles over, though a machine that fits has room and its team is under its
-	// limit
+	// placeableSince is since when a task of it waits, all faults over, though a machine that fits has room and its
+	// team is under its limit.
 	placeableSince       time.Time
 	replicaUpSeconds     float64 // replicas' seconds, from replicaStartupGrace on
 	replicaWantedSeconds float64
 }
 
-// NewInvariantChecker makes a referee for teams' limits.
+// NewInvariantChecker makes a checker for teams' limits and a bound of cancellations.
 func NewInvariantChecker(limits map[string][2]float64, cancelBound time.Duration) *InvariantChecker {
 	return &InvariantChecker{
 		limits:      limits,
@@ -85,28 +95,29 @@
 	}
 }
 
-func (f *InvariantChecker) violate(rule, format string, args ...any) {
-	f.violations = append(f.violations, time.Now().Format("15:04:05.000 ")+rule+": "+fmt.Sprintf(format, args...))
+// violate records a violation of a rule.
+func (c *InvariantChecker) violate(rule, format string, args ...any) {
+	c.violations = append(c.violations, time.Now().Format("15:04:05.000 ")+rule+": "+fmt.Sprintf(format, args...))
 }
 
-// RegisterJob tells the referee of a job that a user begins to submit.
-func (f *InvariantChecker) RegisterJob(s *wire.JobSpec) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// RegisterJob records that a user begins to submit a job.
+func (c *InvariantChecker) RegisterJob(s *wire.JobSpec) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
-	if t := f.jobs[n]; t != nil { // a repeat, or a new try after a refusal
+	if t := c.jobs[n]; t != nil { // a repeat, or a new try after a refusal
 		if !t.accepted && t.starts == 0 {
 			t.spec = s
 		}
 		return
 	}
-	f.jobs[n] = &jobRecord{spec: s, done: map[int]bool{}, taskZones: map[int]string{}, submittedAt: time.Now()}
+	c.jobs[n] = &jobRecord{spec: s, done: map[int]bool{}, taskZones: map[int]string{}, submittedAt: time.Now()}
 }
 
-// RegisterFinishedJob tells the referee of a job that was done long ago.
-func (f *InvariantChecker) RegisterFinishedJob(s *wire.JobSpec) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// RegisterFinishedJob records a job that was done long ago.
+func (c *InvariantChecker) RegisterFinishedJob(s *wire.JobSpec) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
 	t := &jobRecord{
 		spec:        s,
@@ -119,128 +130,131 @@
 	for k := range s.Tasks {
 		t.done[k] = true
 	}
-	f.jobs[n] = t
+	c.jobs[n] = t
 }
 
-// Spec finds a job, as workers do.
-func (f *InvariantChecker) Spec(n uint64) *wire.JobSpec {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if t := f.jobs[n]; t != nil {
+// Spec is a job as it was submitted, for the workers; nil if nobody submitted it.
+func (c *InvariantChecker) Spec(n uint64) *wire.JobSpec {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.jobs[n]; t != nil {
 		return t.spec
 	}
 	return nil
 }
 
-// RecordStart notes that a task has its image on a machine.
-func (f *InvariantChecker) RecordStart(task string, worker *Worker) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.starts++
+// RecordStart records that a task has its image on a machine, and checks whether it may run there.
+func (c *InvariantChecker) RecordStart(task string, worker *Worker) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.starts++
 	n, k, _ := wire.ParseTaskID(task)
-	t := f.jobs[n]
+	t := c.jobs[n]
 	if t == nil {
-		f.violate("invented", "%s starts, nobody submitted it", task)
+		c.violate("invented", "%s starts, nobody submitted it", task)
 		return
 	}
-	if len(f.placements[task]) > 0 {
-		f.violate("ran_twice", "%s starts on %s and is on %v", task, worker.Name, f.placements[task])
+	if len(c.placements[task]) > 0 {
+		c.violate("ran_twice", "%s starts on %s and is on %v", task, worker.Name, c.placements[task])
 	}
-	if f.placements[task] == nil {
-		f.placements[task] = map[string]bool{}
+	if c.placements[task] == nil {
+		c.placements[task] = map[string]bool{}
 	}
-	s := t.spec
-	okType := s.Types == nil
-	for _, x := range s.Types {
-		okType = okType || x == worker.Type
-	}
-	sameZone, otherZones := 0, 0
-	for i, z := range t.taskZones {
-		if i == k {
-			continue
-		}
-		if z == worker.Zone {
-			sameZone++
-		} else {
-			otherZones++
-		}
-	}
-	if !okType || s.Zone != nil && *s.Zone != worker.Zone || worker.Spot && !s.Spot || s.SameZone && otherZones > 0 ||
-		s.Spread && sameZone+1 > (s.Tasks+1)/2 {
-		f.violate(
-			"wrong_place",
-			"%s on %s (%s, %s, spot %v) with %d there and %d elsewhere",
-			task,
-			worker.Name,
-			worker.Type,
-			worker.Zone,
-			worker.Spot,
-			sameZone,
-			otherZones,
-		)
-	}
-	if !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > f.cancelBound {
-		f.violate("ran_cancelled", "%s starts %v after its cancellation", task, time.Since(t.cancelledAt))
+	c.checkPlacement(t, task, k, worker)
+	if !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > c.cancelBound {
+		c.violate("ran_cancelled", "%s starts %v after its cancellation", task, time.Since(t.cancelledAt))
 	}
 	if !t.cancelledAt.IsZero() {
-		f.startsAfterCancel++
+		c.startsAfterCancel++
 	}
 	t.starts++
 	t.placeableSince = time.Time{}
-	if !f.placements[task][worker.Name] {
-		f.placements[task][worker.Name] = true
-		f.adjustUsage(s, 1)
+	if !c.placements[task][worker.Name] {
+		c.placements[task][worker.Name] = true
+		c.adjustUsage(t.spec, 1)
 	}
 	t.taskZones[k] = worker.Zone
-	if t.startedAt.IsZero() && (s.Shape != wire.Gang || len(t.taskZones) == s.Tasks) {
+	if t.startedAt.IsZero() && (t.spec.Shape != wire.Gang || len(t.taskZones) == t.spec.Tasks) {
 		t.startedAt = time.Now()
 	}
-	f.checkQuota(s.Team)
+	c.checkQuota(t.spec.Team)
+}
+
+// checkPlacement checks whether a machine is one that a task's job may use, beside the job's other tasks.
+func (c *InvariantChecker) checkPlacement(t *jobRecord, task string, index int, worker *Worker) {
+	sameZone, otherZones := 0, 0
+	for other, zone := range t.taskZones {
+		switch {
+		case other == index:
+		case zone == worker.Zone:
+			sameZone++
+		default:
+			otherZones++
+		}
+	}
+	s := t.spec
+	if !allowsMachine(s, worker.Type, worker.Zone, worker.Spot) || s.SameZone && otherZones > 0 ||
+		s.Spread && sameZone+1 > maxTasksPerZone(s) {
+		c.violate("wrong_place", "%s on %s (%s, %s, spot %v) with %d there and %d elsewhere",
+			task, worker.Name, worker.Type, worker.Zone, worker.Spot, sameZone, otherZones)
+	}
 }
 
-// adjustUsage notes that so many tasks more of a job are on machines.
-func (f *InvariantChecker) adjustUsage(s *wire.JobSpec, tasks float64) {
-	u := f.usage[s.Team]
-	f.usage[s.Team] = [2]float64{u[0] + tasks*s.CPUs, u[1] + tasks*s.GPUs}
+// allowsMachine reports whether a job may use machines of a type, zone and kind.
+func allowsMachine(s *wire.JobSpec, machineType, zone string, spot bool) bool {
+	return (s.Types == nil || slices.Contains(s.Types, machineType)) &&
+		(s.Zone == nil || *s.Zone == zone) &&
+		(!spot || s.Spot)
+}
+
+// maxTasksPerZone is how many tasks of a spread job one zone may have.
+func maxTasksPerZone(s *wire.JobSpec) int { return (s.Tasks + 1) / 2 }
+
+// adjustUsage adds the resources of so many tasks of a job to its team's.
+func (c *InvariantChecker) adjustUsage(s *wire.JobSpec, tasks float64) {
+	u := c.usage[s.Team]
+	c.usage[s.Team] = [2]float64{u[0] + tasks*s.CPUs, u[1] + tasks*s.GPUs}
 }
 
-// roundingTolerance is by how much a sum that was kept through many changes may be off.
+// roundingTolerance is by how much a sum may be off after many changes.
 const roundingTolerance = 1e-6
 
-func (f *InvariantChecker) checkQuota(team string) {
-	u := f.usage[team]
-	if l := f.limits[team]; u[0] > l[0]+roundingTolerance && l[0] > 0 || u[1] > l[1]+roundingTolerance && l[1] > 0 {
-		f.violate("quota", "%s uses %g CPUs and %g GPUs", team, u[0], u[1])
+// checkQuota checks whether a team uses more than its limit.
+func (c *InvariantChecker) checkQuota(team string) {
+	u := c.usage[team]
+	limit := c.limits[team]
+	if limit[0] > 0 && u[0] > limit[0]+roundingTolerance || limit[1] > 0 && u[1] > limit[1]+roundingTolerance {
+		c.violate("quota", "%s uses %g CPUs and %g GPUs", team, u[0], u[1])
 	}
 }
 
-// recomputeUsage adds up plainly what the teams use, which the sums that are kept must agree with.
-func (f *InvariantChecker) recomputeUsage() map[string][2]float64 {
+// recomputeUsage adds up plainly what the teams use, with which the sums in usage must agree.
+func (c *InvariantChecker) recomputeUsage() map[string][2]float64 {
 	sum := map[string][2]float64{}
-	for task, machines := range f.placements {
+	for task, machines := range c.placements {
 		n, _, _ := wire.ParseTaskID(task)
-		s := f.jobs[n].spec
+		s := c.jobs[n].spec
 		u, k := sum[s.Team], float64(len(machines))
 		sum[s.Team] = [2]float64{u[0] + k*s.CPUs, u[1] + k*s.GPUs}
 	}
 	return sum
 }
 
-// RecordExit notes that a task is off a machine.
-func (f *InvariantChecker) RecordExit(task string, worker *Worker, done bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// RecordExit records that a task is off a machine.
+func (c *InvariantChecker) RecordExit(task string, worker *Worker, done bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := f.jobs[n]
+	t := c.jobs[n]
 	if t == nil {
 		return
 	}
-	if f.placements[task][worker.Name] {
-		f.adjustUsage(t.spec, -1)
+	if c.placements[task][worker.Name] {
+		c.adjustUsage(t.spec, -1)
 	}
-	delete(f.placements[task], worker.Name)
-	if len(f.placements[task]) == 0 {
-		delete(f.placements, task)
+	delete(c.placements[task], worker.Name)
+	if len(c.placements[task]) == 0 {
+		delete(c.placements, task)
 		delete(t.taskZones, k)
 	}
 	if done {
@@ -248,116 +262,119 @@
 	}
 }
 
-// Check looks for tasks of cancelled jobs that are still there, and counts the time of replicas. It is called
-// every checkInterval.
-func (f *InvariantChecker) Check() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, t := range f.jobs {
+// Check checks what can only be seen over time: tasks of cancelled jobs that are still there, and the checker's own
+// sums. It counts the time of replicas, and is called every checkInterval.
+func (c *InvariantChecker) Check() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, t := range c.jobs {
 		if t.spec.Shape == wire.Service && t.accepted && !t.cancelRequested &&
 			time.Since(t.submittedAt) > replicaStartupGrace {
 			t.replicaWantedSeconds += checkInterval.Seconds() * float64(t.spec.Tasks)
 			t.replicaUpSeconds += checkInterval.Seconds() * float64(len(t.taskZones))
 		}
 	}
-	recomputed := f.recomputeUsage()
-	for team, u := range f.usage {
+	recomputed := c.recomputeUsage()
+	for team, u := range c.usage {
 		if p := recomputed[team]; math.Abs(u[0]-p[0]) > roundingTolerance || math.Abs(u[1]-p[1]) > roundingTolerance {
-			f.violate("miscounted", "%s uses %v, counted as %v", team, p, u)
+			c.violate("miscounted", "%s uses %v, counted as %v", team, p, u)
 		}
-		f.usage[team] = recomputed[team]
+		c.usage[team] = recomputed[team]
 	}
-	for task, machines := range f.placements {
+	for task, machines := range c.placements {
 		n, _, _ := wire.ParseTaskID(task)
-		if t := f.jobs[n]; !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > f.cancelBound {
-			f.violate(
-				"ran_cancelled",
-				"%s is on %v %v after its cancellation",
-				task,
-				machines,
-				time.Since(t.cancelledAt),
-			)
+		t := c.jobs[n]
+		if late := time.Since(t.cancelledAt); !t.cancelledAt.IsZero() && late > c.cancelBound {
+			c.violate("ran_cancelled", "%s is on %v %v after its cancellation", task, machines, late)
 			t.cancelledAt = time.Now() // once is enough
 		}
 	}
 }
 
-// RecordCancelRequest notes that a user begins to ask for a cancellation.
-func (f *InvariantChecker) RecordCancelRequest(id string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// RecordCancelRequest records that a user begins to ask for a cancellation.
+func (c *InvariantChecker) RecordCancelRequest(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := f.jobs[n]; t != nil {
+	if t := c.jobs[n]; t != nil {
 		t.cancelRequested = true
 	}
 }
 
-// ClientView is what users had been told of a job when a request began. Only against
-// that may its answer be held: what another user is told meanwhile may be newer.
+// ClientView is what users had been answered about a job when a request began. Its answer may be compared with that
+// alone: what another user is answered meanwhile may be newer.
 type ClientView struct {
 	accepted    bool
 	finalState  string
-	justChanged bool // that had just been told
+	justChanged bool // within racingReadWindow
 }
 
-// racingReadWindow is within which time after that a question counts as a close look.
+// racingReadWindow is within which time after a change a question counts as a racing read.
 const racingReadWindow = 100 * time.Millisecond
 
-// ClientViewOf returns what users know of a job now.
-func (f *InvariantChecker) ClientViewOf(id string) ClientView {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// ClientViewOf is what users have been answered about a job by now.
+func (c *InvariantChecker) ClientViewOf(id string) ClientView {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := f.jobs[n]; t != nil {
-		return ClientView{
-			t.accepted,
-			t.finalState,
-			!t.stateChangedAt.IsZero() && time.Since(t.stateChangedAt) < racingReadWindow,
-		}
+	t := c.jobs[n]
+	if t == nil {
+		return ClientView{}
+	}
+	return ClientView{
+		accepted:    t.accepted,
+		finalState:  t.finalState,
+		justChanged: !t.stateChangedAt.IsZero() && time.Since(t.stateChangedAt) < racingReadWindow,
 	}
-	return ClientView{}
 }
 
-// RecordResponse notes an answer that a user got: of a submission, a poll or a cancellation.
-func (f *InvariantChecker) RecordResponse(
-	id string,
-	operation string,
-	before ClientView,
-	code int,
-	status *wire.JobStatus,
-) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// RecordResponse records an answer that a user got to a submission, a poll or a cancellation, and checks whether it
+// agrees with what users had been answered before and with what the tasks did.
+func (c *InvariantChecker) RecordResponse(id, operation string, before ClientView, code int, status *wire.JobStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	t := f.jobs[n]
-	switch {
-	case t == nil:
-		if code == 200 || code == 201 {
-			f.violate("invented", "%s of %s got %d", operation, id, code)
+	t := c.jobs[n]
+	ok := code == http.StatusOK || code == http.StatusCreated
+	if t == nil {
+		if ok {
+			c.violate("invented", "%s of %s got %d", operation, id, code)
 		}
 		return
-	case before.accepted && (code == 404 || operation == "submit" && (code == 400 || code == 422)):
-		f.violate("forgotten", "%s of %s got %d", operation, id, code)
-	case code != 200 && code != 201:
+	}
+	if forgets := isForgetful(operation, code); before.accepted && forgets {
+		c.violate("forgotten", "%s of %s got %d", operation, id, code)
+	} else if !ok {
 		return
 	}
 	if before.justChanged {
-		f.racingReads++
+		c.racingReads++
 	}
 	t.unansweredSince = time.Time{}
-	if wasAccepted := t.accepted; operation == "submit" || operation == "poll" {
-		if t.accepted = true; !wasAccepted {
-			t.stateChangedAt = time.Now()
-		}
+	if !t.accepted && (operation == operationSubmit || operation == operationPoll) {
+		t.accepted = true
+		t.stateChangedAt = time.Now()
 	}
+	c.recordState(t, operation, before, status)
+}
+
+// isForgetful reports whether an answer denies that a job exists that was accepted.
+func isForgetful(operation string, code int) bool {
+	malformed := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
+	return code == http.StatusNotFound || operation == operationSubmit && malformed
+}
+
+// recordState checks and records the state of a job in an answer.
+func (c *InvariantChecker) recordState(t *jobRecord, operation string, before ClientView, status *wire.JobStatus) {
+	id := t.spec.ID
 	if status.State == wire.JobDone && len(t.done) < t.spec.Tasks {
-		f.violate("not_done", "%s of %s says done, %d of %d are", operation, id, len(t.done), t.spec.Tasks)
+		c.violate("not_done", "%s of %s says done, %d of %d are", operation, id, len(t.done), t.spec.Tasks)
 	}
 	if before.finalState != "" && status.State != before.finalState {
-		f.violate("went_back", "%s was called %s and now %s", id, before.finalState, status.State)
+		c.violate("went_back", "%s was called %s and now %s", id, before.finalState, status.State)
 	}
 	if status.State == wire.JobCancelled && !t.cancelRequested {
-		f.violate("went_back", "%s is called cancelled, its user did not cancel it", id)
+		c.violate("went_back", "%s is called cancelled, its user did not cancel it", id)
 	}
 	if status.State == wire.JobDone || status.State == wire.JobCancelled {
 		if t.finalState == "" {
@@ -370,35 +387,35 @@
 	}
 }
 
-// Violations lists the broken rules.
-func (f *InvariantChecker) Violations() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]string(nil), f.violations...)
+// Violations lists the violations so far, each with its time and rule.
+func (c *InvariantChecker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
 }
 
-// isLastTask tells whether a task is the only one of its job that is not done.
-func (f *InvariantChecker) isLastTask(task string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// isLastTask reports whether a task is the only one of its job that is not done.
+func (c *InvariantChecker) isLastTask(task string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := f.jobs[n]
+	t := c.jobs[n]
 	return t != nil && t.accepted && !t.cancelRequested && !t.done[k] && len(t.done) == t.spec.Tasks-1
 }
 
-// RacingReads counts the answers to questions that came within a moment after a job was told to be accepted, done or
-// cancelled.
-func (f *InvariantChecker) RacingReads() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.racingReads
+// RacingReads counts the answers to questions that came within a moment after a user was answered that a job is
+// accepted, done or cancelled.
+func (c *InvariantChecker) RacingReads() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.racingReads
 }
 
 // OpenJobs lists some jobs that have tasks on machines, and that nobody has asked to cancel.
-func (f *InvariantChecker) OpenJobs(limit int) (ids []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, t := range f.jobs {
+func (c *InvariantChecker) OpenJobs(limit int) (ids []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, t := range c.jobs {
 		if t.accepted && !t.cancelRequested && t.finalState == "" && len(t.taskZones) > 0 {
 			ids = append(ids, t.spec.ID)
 		}
@@ -407,46 +424,46 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// isDone tells whether a task completed: its result is kept, and if it is started again it is done at once.
-func (f *InvariantChecker) isDone(task string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// isDone reports whether a task completed: its result is stored, and if it is started again it is done at once.
+func (c *InvariantChecker) isDone(task string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := f.jobs[n]
+	t := c.jobs[n]
 	return t != nil && t.done[k]
 }
 
 // StartsAfterCancel counts the tasks that were started after the cancellation of their job was confirmed, within the
 // time that the protocol leaves.
-func (f *InvariantChecker) StartsAfterCancel() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.startsAfterCancel
+func (c *InvariantChecker) StartsAfterCancel() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.startsAfterCancel
 }
 
 // Starts counts the tasks that were started.
-func (f *InvariantChecker) Starts() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.starts
+func (c *InvariantChecker) Starts() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starts
 }
 
 // StartsOf counts the tasks of a job that were started.
-func (f *InvariantChecker) StartsOf(id string) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *InvariantChecker) StartsOf(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := f.jobs[n]; t != nil {
+	if t := c.jobs[n]; t != nil {
 		return t.starts
 	}
 	return 0
 }
 
-// Finished counts the jobs that were told to be over, and all that were accepted.
-func (f *InvariantChecker) Finished() (finished, accepted int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, t := range f.jobs {
+// Finished counts the jobs of which a user was answered that they are over, and all that were accepted.
+func (c *InvariantChecker) Finished() (finished, accepted int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, t := range c.jobs {
 		if t.accepted {
 			accepted++
 		}
@@ -454,39 +471,39 @@
 			finished++
 		}
 	}
-	return
+	return finished, accepted
 }
 
 // Running counts the tasks of a job that are on machines.
-func (f *InvariantChecker) Running(id string) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *InvariantChecker) Running(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := f.jobs[n]; t != nil {
+	if t := c.jobs[n]; t != nil {
 		return len(t.taskZones)
 	}
 	return 0
 }
 
 // UsedCPUs is how many CPUs a team's tasks use.
-func (f *InvariantChecker) UsedCPUs(team string) (cpus float64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.usage[team][0]
+func (c *InvariantChecker) UsedCPUs(team string) (cpus float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.usage[team][0]
 }
 
 // Tasks counts all tasks that are on machines.
-func (f *InvariantChecker) Tasks() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.placements)
+func (c *InvariantChecker) Tasks() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.placements)
 }
 
-// HasTasks tells whether any task is on a machine.
-func (f *InvariantChecker) HasTasks(machine string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, machines := range f.placements {
+// HasTasks reports whether any task is on a machine.
+func (c *InvariantChecker) HasTasks(machine string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, machines := range c.placements {
 		if machines[machine] {
 			return true
 		}
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -11,29 +11,29 @@
 // TestInvariantCheckerFindsPlantedViolations: a task that starts on two machines, and a team that uses more than its
 // limit, also after many tasks came and went.
 func TestInvariantCheckerFindsPlantedViolations(t *testing.T) {
-	f := NewInvariantChecker(map[string][2]float64{"red": {10, 0}}, time.Minute)
-	f.RegisterJob(&wire.JobSpec{ID: wire.JobID(1), Team: "red", Shape: wire.Array, Tasks: 200, CPUs: 0.1})
-	f.RegisterJob(&wire.JobSpec{ID: wire.JobID(2), Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 0.2})
+	checker := NewInvariantChecker(map[string][2]float64{"red": {10, 0}}, time.Minute)
+	checker.RegisterJob(&wire.JobSpec{ID: wire.JobID(1), Team: "red", Shape: wire.Array, Tasks: 200, CPUs: 0.1})
+	checker.RegisterJob(&wire.JobSpec{ID: wire.JobID(2), Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 0.2})
 	a, b := &Worker{Name: "a"}, &Worker{Name: "b"}
 	for i := range 200 {
-		f.RecordStart(wire.TaskID(1, i), a)
+		checker.RecordStart(wire.TaskID(1, i), a)
 		if i >= 99 {
-			f.RecordExit(wire.TaskID(1, i-99), a, true)
+			checker.RecordExit(wire.TaskID(1, i-99), a, true)
 		}
 	}
-	f.Check()
-	if violations := f.Violations(); len(violations) != 0 {
+	checker.Check()
+	if violations := checker.Violations(); len(violations) != 0 {
 		t.Fatal(violations)
 	}
-	f.RecordStart(wire.TaskID(2, 0), a) // 9.9 + 0.2
-	f.RecordStart(wire.TaskID(1, 199), b)
-	violations := strings.Join(f.Violations(), "\n")
+	checker.RecordStart(wire.TaskID(2, 0), a) // 9.9 + 0.2
+	checker.RecordStart(wire.TaskID(1, 199), b)
+	violations := strings.Join(checker.Violations(), "\n")
 	if !strings.Contains(violations, "quota") || !strings.Contains(violations, "ran_twice") {
 		t.Errorf("found: %s", violations)
 	}
-	f.usage["red"] = [2]float64{}
-	f.Check()
-	if violations := strings.Join(f.Violations(), "\n"); !strings.Contains(violations, "miscounted") {
+	checker.usage["red"] = [2]float64{}
+	checker.Check()
+	if violations := strings.Join(checker.Violations(), "\n"); !strings.Contains(violations, "miscounted") {
 		t.Error("a wrong sum is not found")
 	}
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -1,14 +1,10 @@
 package emulator
 
 import (
-	"context"
-	"io"
 	"maps"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"sort"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -16,43 +12,61 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
-	"fieldhill/internal/platform/host"
 	"fieldhill/wire"
 )
 
-// KVStore plays the state service.
+const (
+	// maxHistory is how many changes the store remembers for watches; those that need older ones get 410.
+	maxHistory = 10000
+	// expiryInterval is how often leases are checked for their expiry.
+	expiryInterval = 50 * time.Millisecond
+	// maxListPage is how many keys a page has at most: few, to have paging tested.
+	maxListPage = 50
+	// minDelayedTxn is by how much a transaction is late at least that DelayTxns chose.
+	minDelayedTxn = 2 * time.Second
+)
+
+// KVStore emulates the consensus-backed key-value store: keys with versions, transactions, leases and watches. Its
+// HTTP interface is in kvstore_http.go.
 type KVStore struct {
-	mu           sync.Mutex
-	rng          *rand.Rand
-	revision     uint64
-	keys         map[string]*entry
-	leases       map[uint64]*leaseGrant
-	nextID       uint64
-	history      []change
-	changed      chan struct{}
+	mu       sync.Mutex
+	rng      *rand.Rand
+	revision uint64
+	keys     map[string]*entry
+	leases   map[uint64]*leaseGrant
+	nextID   uint64 // of a lease
+	history  []change
+	changed  chan struct{} // closed at the next change
+
 	writes       int
-	requests     int // requests
+	requests     int
 	requestBytes int // of their bodies
 	peakKeys     int // most keys held at once
 
 	outage       bool
 	refusedHosts map[string]bool // hosts that alone get what all get in an outage
-	latency      time.Duration   // that an answer takes
-	// chances that a transaction is applied, but not answered; that it is neither
-	dropResponseChance, dropRequestChance float64
-	maxExtraTxnDelay                      time.Duration  // by how much an unanswered transaction may be applied late
-	minTxnDelay                           time.Duration  // and by how much at least
-	delayedTxns                           map[string]int // what was carried out late, by the kind of its first write
-	// chance that a transaction is carried out at once and its answer alone is lost
-	dropAfterCommitChance         float64
-	droppedResponses              map[string]int // of how many that was so, by the kind of their first write
-	requestLimiter, changeLimiter *rate.Limiter  // nil: any number
+	latency      time.Duration   // of every answer
+	txnFaults    txnFaults
+	delayedTxns  map[string]int // what was carried out late, by the kind of its first write
+	// droppedResponses counts the transactions that dropAfterCommitChance chose, by the kind of their first write.
+	droppedResponses              map[string]int
+	requestLimiter, changeLimiter *rate.Limiter // nil: any number
+}
+
+// txnFaults are the probabilities of what may become of a transaction other than an answer.
+type txnFaults struct {
+	dropResponseChance float64 // it is applied late and not answered
+	dropRequestChance  float64 // it is neither applied nor answered
+	minDelay, maxExtra time.Duration
+	// dropAfterCommitChance is that it is applied at once and its answer alone is lost.
+	dropAfterCommitChance float64
 }
 
+// entry is a key's value.
 type entry struct {
 	value   msgpack.RawMessage
 	version uint64
-	lease   uint64
+	lease   uint64 // 0 for none
 }
 
 type leaseGrant struct {
@@ -60,13 +74,14 @@
 	expiresAt time.Time
 }
 
+// change is one event of a watch.
 type change struct {
 	key     string
 	value   msgpack.RawMessage // nil: deleted
 	version uint64
 }
 
-// NewKVStore makes an empty service.
+// NewKVStore makes an empty store.
 func NewKVStore(seed uint64) *KVStore {
 	return &KVStore{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -91,9 +106,18 @@
 // DelayTxns has a share of the transactions get no answer, and carries each of them out later, after newer ones: from
 // two seconds on, up to so much more.
 func (s *KVStore) DelayTxns(share float64, maxExtraDelay time.Duration) {
+	s.setTxnFaults(share, 0, minDelayedTxn, maxExtraDelay)
+}
+
+// setTxnFaults sets how often an answer or a whole request is lost, and by how much a transaction without an answer is
+// late.
+func (s *KVStore) setTxnFaults(dropResponse, dropRequest float64, minDelay, maxExtraDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropResponseChance, s.dropRequestChance, s.minTxnDelay, s.maxExtraTxnDelay = share, 0, 2*time.Second, maxExtraDelay
+	s.txnFaults.dropResponseChance = dropResponse
+	s.txnFaults.dropRequestChance = dropRequest
+	s.txnFaults.minDelay = minDelay
+	s.txnFaults.maxExtra = maxExtraDelay
 }
 
 // DropResponses has a share of the transactions carried out at once while their answers are lost: their sender waits
@@ -101,23 +125,25 @@
 func (s *KVStore) DropResponses(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropAfterCommitChance = share
+	s.txnFaults.dropAfterCommitChance = share
 }
 
-// DroppedResponses counts the answers that were lost so, by kind as Lates does.
+// DroppedResponses counts the answers that DropResponses lost, by kind as DelayedTxns does.
 func (s *KVStore) DroppedResponses() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.droppedResponses)
 }
 
-// DelayedTxns counts what was carried out late, by kind: the start of the key that it wrote or deleted first.
+// DelayedTxns counts what was carried out late, by kind: the operation and the start of the key that it wrote or
+// deleted first.
 func (s *KVStore) DelayedTxns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.delayedTxns)
 }
 
+// txnKind is the kind of a transaction by its first write.
 func txnKind(put, del string) string {
 	key, operation := put, "put "
 	if put == "" {
@@ -145,23 +171,32 @@
 	s.latency = latency
 }
 
-// Load tells how many changes were asked for, and the most keys held at once.
+// SetRateLimits bounds requests and changes a second, for all controllers together, with bursts of a second's worth.
+func (s *KVStore) SetRateLimits(rps, changes float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
+	s.changeLimiter = rate.NewLimiter(rate.Limit(changes), int(changes))
+}
+
+// Load counts the changes that were asked for, and the most keys held at once.
 func (s *KVStore) Load() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes, s.peakKeys
 }
 
-// StoreTraffic is what the state service was asked for so far.
+// StoreTraffic is what the store was asked for so far, and how many keys it holds.
 type StoreTraffic struct{ Requests, Changes, Bytes, Keys int }
 
-// Traffic tells what was asked for so far, and how many keys there are.
+// Traffic counts what was asked for so far.
 func (s *KVStore) Traffic() StoreTraffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return StoreTraffic{s.requests, s.writes, s.requestBytes, len(s.keys)}
 }
 
+// expire revokes the leases that have expired; in an outage none does.
 func (s *KVStore) expire() {
 	if s.outage {
 		return
@@ -174,6 +209,7 @@
 	}
 }
 
+// revokeLease ends a lease and deletes the keys attached to it, all at one revision.
 func (s *KVStore) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var attachedKeys []string
@@ -191,6 +227,7 @@
 	}
 }
 
+// recordChange sets or, with a nil value, deletes a key at the present revision, and wakes the watches.
 func (s *KVStore) recordChange(key string, value msgpack.RawMessage, lease uint64) {
 	if value == nil {
 		delete(s.keys, key)
@@ -199,115 +236,14 @@
 	}
 	s.peakKeys = max(s.peakKeys, len(s.keys))
 	s.history = append(s.history, change{key, value, s.revision})
-	if len(s.history) > 10000 {
+	if len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Serve runs it until the context ends.
-func (s *KVStore) Serve(ctx context.Context, h host.Net, a string) error {
-	ln, err := h.Listen(a)
-	if err != nil {
-		return err
-	}
-	go func() {
-		t := time.NewTicker(50 * time.Millisecond)
-		defer t.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-t.C:
-				s.mu.Lock()
-				s.expire()
-				s.mu.Unlock()
-			}
-		}
-	}()
-	serve(ctx, ln, http.HandlerFunc(s.handle))
-	return nil
-}
-
-// serve answers on a listener until the context ends.
-func serve(ctx context.Context, ln net.Listener, h http.Handler) {
-	srv := &http.Server{Handler: h}
-	go func() { _ = srv.Serve(ln) }()
-	go func() { <-ctx.Done(); srv.Close() }()
-}
-
-// remoteHost is the host that a request came from, where the network knows it.
-func remoteHost(r *http.Request) string { return r.RemoteAddr }
-
-func respond(w http.ResponseWriter, code int, v any) {
-	b, err := wire.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	w.WriteHeader(code)
-	_, _ = w.Write(b)
-}
-
-type payload = map[string]any
-
-// SetRateLimits bounds requests and changes a second, for all nodes together, with bursts of a second's worth.
-func (s *KVStore) SetRateLimits(rps, changes float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.requestLimiter, s.changeLimiter = rate.NewLimiter(
-		rate.Limit(rps),
-		int(rps),
-	), rate.NewLimiter(
-		rate.Limit(changes),
-		int(changes),
-	)
-}
-
-func (s *KVStore) handle(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body)
-	s.mu.Lock()
-	s.requests++
-	s.requestBytes += len(body)
-	latency := s.latency
-	s.mu.Unlock()
-	time.Sleep(latency)
-	s.mu.Lock()
-	if s.requestLimiter != nil && !s.requestLimiter.Allow() {
-		s.mu.Unlock()
-		respond(w, 429, payload{})
-		return
-	}
-	if (s.outage || s.refusedHosts[remoteHost(r)]) && r.URL.Path != wire.PathWatch {
-		s.mu.Unlock()
-		respond(w, 503, payload{"error": "trouble"})
-		return
-	}
-	s.mu.Unlock()
-	q := r.URL.Query()
-	switch {
-	case r.URL.Path == wire.PathKeys:
-		limit, _ := strconv.Atoi(q.Get("most"))
-		respond(w, 200, s.list(q.Get("starts"), q.Get("after"), limit))
-	case strings.HasPrefix(r.URL.Path, wire.PathKeys+"/"):
-		s.mu.Lock()
-		e := s.keys[strings.TrimPrefix(r.URL.Path, wire.PathKeys+"/")]
-		revision := s.revision
-		s.mu.Unlock()
-		if e == nil {
-			respond(w, 404, payload{"ledger": revision})
-			return
-		}
-		respond(w, 200, payload{"key": "k", "value": e.value, "stamp": e.version, "permit": e.lease})
-	case r.URL.Path == wire.PathTxn:
-		s.txn(w, body, r.Context().Done())
-	case r.URL.Path == wire.PathWatch:
-		s.watch(w, r)
-	default:
-		s.lease(w, r, body)
-	}
-}
-
+// list is a page of the keys with a prefix.
 func (s *KVStore) list(prefix, after string, limit int) payload {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,103 +255,32 @@
 	}
 	sort.Strings(names)
 	items := []payload{}
-	for _, k := range names[:min(len(names), min(limit, 50))] { // small pages, to have them tested
-		items = append(items, payload{"key": k, "value": s.keys[k].value, "stamp": s.keys[k].version})
+	for _, k := range names[:min(len(names), limit, maxListPage)] {
+		e := s.keys[k]
+		items = append(items, payload{"key": k, "value": e.value, "stamp": e.version})
 	}
 	return payload{"items": items, "truncated": len(items) < len(names), "ledger": s.revision}
 }
 
-type rawTxn struct {
-	Guards []wire.Condition `msgpack:"guards"`
-	Writes []struct {
-		Put    string             `msgpack:"put"`
-		Value  msgpack.RawMessage `msgpack:"value"`
-		Lease  uint64             `msgpack:"permit"`
-		Delete string             `msgpack:"delete"`
-	} `msgpack:"writes"`
-}
-
-func (s *KVStore) txn(w http.ResponseWriter, body []byte, clientGone <-chan struct{}) {
-	var t rawTxn
-	if err := wire.Unmarshal(body, &t); err != nil {
-		respond(w, 400, payload{"error": err.Error()})
-		return
-	}
-	s.mu.Lock()
-	dropResponse, dropRequest, delay := s.rng.Float64() < s.dropResponseChance, s.rng.Float64() < s.dropRequestChance, s.minTxnDelay+time.Duration(
-		s.rng.Float64()*float64(s.maxExtraTxnDelay),
-	)
-	s.mu.Unlock()
-	if dropRequest {
-		panic(http.ErrAbortHandler)
-	}
-	s.mu.Lock()
-	dropAfterCommit, disconnect := s.rng.Float64() < s.dropAfterCommitChance, s.rng.IntN(2) == 0
-	s.mu.Unlock()
-	if dropAfterCommit {
-		if code, _ := s.apply(&t); code == 200 && len(t.Writes) > 0 {
-			s.mu.Lock()
-			if s.droppedResponses == nil {
-				s.droppedResponses = map[string]int{}
-			}
-			s.droppedResponses[txnKind(t.Writes[0].Put, t.Writes[0].Delete)]++
-			s.mu.Unlock()
-		}
-		if !disconnect {
-			select {
-			case <-clientGone:
-			case <-time.After(5 * time.Second):
-			}
-		}
-		panic(http.ErrAbortHandler)
-	}
-	if dropResponse {
-		go func() {
-			time.Sleep(delay)
-			s.apply(&t)
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if len(t.Writes) > 0 {
-				if s.delayedTxns == nil {
-					s.delayedTxns = map[string]int{}
-				}
-				s.delayedTxns[txnKind(t.Writes[0].Put, t.Writes[0].Delete)]++
-			}
-		}()
-		panic(http.ErrAbortHandler)
-	}
-	code, v := s.apply(&t)
-	respond(w, code, v)
-}
-
+// apply carries a transaction out, if its conditions hold, and returns its answer.
 func (s *KVStore) apply(t *rawTxn) (int, payload) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage {
-		return 503, payload{"error": "trouble"}
+		return http.StatusServiceUnavailable, payload{"error": "trouble"}
 	}
 	s.expire()
 	if s.changeLimiter != nil && !s.changeLimiter.AllowN(time.Now(), len(t.Writes)) {
-		return 429, payload{}
+		return http.StatusTooManyRequests, payload{}
 	}
 	s.writes += len(t.Writes)
 	for _, p := range t.Writes {
 		if p.Lease != 0 && s.leases[p.Lease] == nil {
-			return 400, payload{"error": "no such lease"}
-		}
-	}
-	failed := []string{}
-	for _, g := range t.Guards {
-		var version uint64
-		if e := s.keys[g.Key]; e != nil {
-			version = e.version
-		}
-		if version != g.Version {
-			failed = append(failed, g.Key)
+			return http.StatusBadRequest, payload{"error": "no such lease"}
 		}
 	}
-	if len(failed) > 0 {
-		return 409, payload{"failed": failed, "ledger": s.revision}
+	if failed := s.checkGuards(t.Guards); len(failed) > 0 {
+		return http.StatusConflict, payload{"failed": failed, "ledger": s.revision}
 	}
 	if len(t.Writes) > 0 {
 		s.revision++
@@ -427,85 +292,20 @@
 			s.recordChange(p.Delete, nil, 0)
 		}
 	}
-	return 200, payload{"ledger": s.revision}
+	return http.StatusOK, payload{"ledger": s.revision}
 }
 
-func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	holdMillis, _ := strconv.Atoi(q.Get("hold_ms"))
-	deadline := time.NewTimer(time.Duration(holdMillis) * time.Millisecond)
-	defer deadline.Stop()
-	for {
-		s.mu.Lock()
-		if len(s.history) > 0 && s.history[0].version > after+1 {
-			s.mu.Unlock()
-			respond(w, 410, payload{})
-			return
-		}
-		updates := []payload{}
-		for _, c := range s.history {
-			if c.version <= after || !strings.HasPrefix(c.key, q.Get("starts")) {
-				continue
-			}
-			if c.value == nil {
-				updates = append(updates, payload{"delete": c.key, "stamp": c.version})
-			} else {
-				updates = append(updates, payload{"put": c.key, "value": c.value, "stamp": c.version})
-			}
-		}
-		revision, changed, outage := s.revision, s.changed, s.outage || s.refusedHosts[remoteHost(r)]
-		s.mu.Unlock()
-		if len(updates) > 0 && !outage {
-			respond(w, 200, payload{"ledger": revision, "news": updates})
-			return
-		}
-		if outage {
-			changed = nil // it is looked again a moment later
-			deadline.Reset(100 * time.Millisecond)
-		}
-		select {
-		case <-changed:
-		case <-deadline.C:
-			if outage {
-				continue
-			}
-			respond(w, 200, payload{"ledger": revision, "news": updates})
-			return
-		case <-r.Context().Done():
-			return
+// checkGuards lists the keys that are not at the version that a transaction demands.
+func (s *KVStore) checkGuards(guards []wire.Condition) (failed []string) {
+	failed = []string{}
+	for _, guard := range guards {
+		var version uint64
+		if e := s.keys[guard.Key]; e != nil {
+			version = e.version
 		}
-	}
-}
-
-func (s *KVStore) lease(w http.ResponseWriter, r *http.Request, body []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expire()
-	rest := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, wire.PathLeases), "/")
-	if rest == "" {
-		var a wire.LeaseRequest
-		if wire.Unmarshal(body, &a) != nil || a.TTLMillis < 100 {
-			respond(w, 400, payload{})
-			return
+		if version != guard.Version {
+			failed = append(failed, guard.Key)
 		}
-		s.nextID++
-		ttl := time.Duration(a.TTLMillis) * time.Millisecond
-		s.leases[s.nextID] = &leaseGrant{ttl, time.Now().Add(ttl)}
-		respond(w, 200, payload{"permit": s.nextID})
-		return
-	}
-	idText, _, _ := strings.Cut(rest, "/")
-	id, _ := strconv.ParseUint(idText, 10, 64)
-	g := s.leases[id]
-	if g == nil {
-		respond(w, 404, payload{})
-		return
-	}
-	if r.Method == "DELETE" {
-		s.revokeLease(id)
-	} else {
-		g.expiresAt = time.Now().Add(g.ttl)
 	}
-	respond(w, 200, payload{})
+	return failed
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,8 +1,7 @@
-// Package standin plays the outside world, for tests and for trying the service out: a
-// network in memory, the state service, the cloud, workers and users. Tests run it in
-// virtual time; it delays, loses, reorders and refuses as the protocol allows. A referee watches
-// every task and keeps a list of broken rules; it is a slow, plain reading of
-// the protocol and shares no logic with the service.
+// Package emulator emulates the outside world, for tests and for trying the service out: a network in memory, the
+// key-value store, the cloud, the agents of machines, and users. Tests run it in virtual time; it delays, loses,
+// reorders and refuses as the protocol allows. An invariant checker sees every task and records violations; it is a
+// slow, plain reading of the protocol and shares no logic with the service.
 package emulator
 
 import (
@@ -24,18 +23,16 @@
 type Network struct {
 	mu             sync.Mutex
 	ports          map[string]*listener
-	unpowered      map[string]bool // addresses whose host is without power: nothing answers
-	partitions     map[[2]string]bool
-	routes         map[net.Conn]string
+	partitions     map[[2]string]bool   // host and address that it can't reach
+	routes         map[net.Conn]string  // host and address, of open connections
 	pendingDialers map[net.Conn]string  // who dialled, of connections that are not accepted yet
-	frozenUntil    map[string]time.Time // hosts that stand still, and until when
+	frozenUntil    map[string]time.Time // hosts that neither send nor receive
 }
 
 // NewNetwork makes an empty network.
 func NewNetwork() *Network {
 	return &Network{
 		ports:          map[string]*listener{},
-		unpowered:      map[string]bool{},
 		partitions:     map[[2]string]bool{},
 		routes:         map[net.Conn]string{},
 		pendingDialers: map[net.Conn]string{},
@@ -43,15 +40,15 @@
 	}
 }
 
-// Freeze has a host stand still: it neither sends nor receives nor connects until
-// then, while its clocks run on. What it was sent waits.
+// Freeze has a host neither send nor receive nor connect for a while, during which its clocks run on. What it was sent
+// waits.
 func (n *Network) Freeze(host string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozenUntil[host] = time.Now().Add(d)
 }
 
-// waitUntilThawed waits while a host stands still.
+// waitUntilThawed waits while a host is frozen.
 func (n *Network) waitUntilThawed(host string) {
 	for {
 		n.mu.Lock()
@@ -69,23 +66,26 @@
 	net.Conn
 	network *Network
 	host    string
-	peer    string // the other host, as who was dialled sees it
+	peer    string // the other host, as the listener sees it
 }
 
-// RemoteAddr tells who dialled.
+// RemoteAddr is the name of the host that dialled.
 func (c *hostConn) RemoteAddr() net.Addr { return memAddr(c.peer) }
 
+// Read holds back what arrives while the host is frozen.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.network.waitUntilThawed(c.host)
 	return n, err
 }
 
+// Write waits while the host is frozen.
 func (c *hostConn) Write(b []byte) (int, error) {
 	c.network.waitUntilThawed(c.host)
 	return c.Conn.Write(b)
 }
 
+// listener accepts the connections to an address.
 type listener struct {
 	host    string
 	network *Network
@@ -95,6 +95,7 @@
 	once    sync.Once
 }
 
+// memAddr is an address in memory: a host's name, or a host and port as the deployment spells it.
 type memAddr string
 
 func (memAddr) Network() string  { return "mem" }
@@ -120,7 +121,7 @@
 		for {
 			select {
 			case c := <-l.conns: // never accepted
-				c.Close()
+				_ = c.Close()
 				continue
 			default:
 			}
@@ -144,10 +145,10 @@
 	ended   atomic.Bool
 }
 
-// Host returns the view of a host.
+// Host returns the network as a host sees it, for a new process on it.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// errProcessEnded is what a process would see that has ended already.
+// errProcessEnded is the error of everything that a terminated process still tries.
 var errProcessEnded = errors.New("this process has ended")
 
 // Terminate ends a process: its connections are reset, its listeners are gone, and nothing more that it does is seen by
@@ -171,11 +172,9 @@
 	}
 	h.network.mu.Unlock()
 	for _, l := range listeners {
-		l.Close()
-	}
-	for _, c := range resetConns {
-		c.Close()
+		_ = l.Close()
 	}
+	resetAll(resetConns)
 }
 
 // Listen listens on an address.
@@ -193,8 +192,7 @@
 	return l, nil
 }
 
-// Dial connects to an address. Behind a cut, or to a host without power, it
-// hangs until the timeout.
+// Dial connects to an address. Behind a partition it hangs until the timeout.
 func (h *Host) Dial(ctx context.Context, a string, timeout time.Duration) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	h.network.waitUntilThawed(h.name)
@@ -203,7 +201,7 @@
 	}
 	h.network.mu.Lock()
 	l := h.network.ports[a]
-	unreachable := h.network.unpowered[a] || h.network.partitions[[2]string{h.name, a}]
+	unreachable := h.network.partitions[[2]string{h.name, a}]
 	h.network.mu.Unlock()
 	if unreachable {
 		t := time.NewTimer(timeout)
@@ -233,8 +231,8 @@
 	}
 }
 
-// SetPartition parts a host from an address, or joins them; open connections between
-// them are reset when they part.
+// SetPartition partitions a host from an address, or ends that; open connections from the host to the address are reset
+// when the partition begins.
 func (n *Network) SetPartition(host, a string, partitioned bool) {
 	n.mu.Lock()
 	n.partitions[[2]string{host, a}] = partitioned
@@ -246,15 +244,24 @@
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range resetConns {
-		c.Close()
+	resetAll(resetConns)
+}
+
+// resetAll closes connections in memory, which can't fail.
+func resetAll(conns []net.Conn) {
+	for _, c := range conns {
+		_ = c.Close()
 	}
 }
 
+// dialTimeout is how long users and the load balancer wait for a connection.
+const dialTimeout = 500 * time.Millisecond
+
 func dialFunc(h host.Net) func(context.Context, string, string) (net.Conn, error) {
-	return func(ctx context.Context, _, a string) (net.Conn, error) { return h.Dial(ctx, a, 500*time.Millisecond) }
+	return func(ctx context.Context, _, a string) (net.Conn, error) { return h.Dial(ctx, a, dialTimeout) }
 }
 
+// bodyReader is nil for no body, which an empty reader would not be.
 func bodyReader(b []byte) io.Reader {
 	if b == nil {
 		return nil
--- a/internal/emulator/served.go
+++ b/internal/emulator/served.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	checkInterval       = 500 * time.Millisecond
-	replicaStartupGrace = 15 * time.Second // from a submission on until then no replica need be up
+	// checkInterval is how often the environment has Check called.
+	checkInterval = 500 * time.Millisecond
+	// replicaStartupGrace is for how long after a submission no replica need be up.
+	replicaStartupGrace = 15 * time.Second
 )
 
-// ServedCount is what became of the jobs of a class or a team, of those that could end: accepted or not, but for those
-// whose users cancelled them. Services don't end; what counts is the time that their replicas were up.
+// ServedCount is what became of the jobs of a class or a team, of those that could end: accepted or not, except those
+// whose users cancelled them. Services don't end; of them the time counts that their replicas were up.
 type ServedCount struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
 	ReplicaWantedSeconds, ReplicaUpSeconds float64 // replicas' seconds
 }
 
-// Shares are what was served, in each reading: of jobs done, of tasks done, and of replicas' time; 1 where there
-// are none.
+// Shares are what was served, from 0 to 1: of the jobs, of the tasks, and of the replicas' time; 1 where there are
+// none.
 func (c *ServedCount) Shares() (jobs, tasks, up float64) {
 	jobs, tasks, up = 1, 1, 1
 	if c.Jobs > 0 {
@@ -35,6 +37,7 @@
 	return jobs, tasks, up
 }
 
+// String formats the count for a test's log.
 func (c *ServedCount) String() string {
 	s := ""
 	if c.Jobs > 0 {
@@ -46,34 +49,41 @@
 	return s
 }
 
+// add counts a job.
+func (c *ServedCount) add(t *jobRecord) {
+	if t.spec.Shape == wire.Service {
+		c.ReplicaWantedSeconds += t.replicaWantedSeconds
+		c.ReplicaUpSeconds += t.replicaUpSeconds
+		return
+	}
+	if t.cancelRequested {
+		return
+	}
+	c.Jobs++
+	c.Tasks += t.spec.Tasks
+	c.TasksDone += len(t.done)
+	if t.starts > 0 {
+		c.Started++
+	}
+	if len(t.done) == t.spec.Tasks {
+		c.Done++
+	}
+}
+
 // ServedCounts counts by class and by team.
-func (f *InvariantChecker) ServedCounts() (classes, teams map[string]*ServedCount) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *InvariantChecker) ServedCounts() (classes, teams map[string]*ServedCount) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	classes, teams = map[string]*ServedCount{}, map[string]*ServedCount{}
-	at := func(m map[string]*ServedCount, name string) *ServedCount {
-		if m[name] == nil {
-			m[name] = &ServedCount{}
+	countOf := func(counts map[string]*ServedCount, name string) *ServedCount {
+		if counts[name] == nil {
+			counts[name] = &ServedCount{}
 		}
-		return m[name]
+		return counts[name]
 	}
-	for _, t := range f.jobs {
-		for _, c := range []*ServedCount{at(classes, t.spec.Class), at(teams, t.spec.Team)} {
-			if t.spec.Shape == wire.Service {
-				c.ReplicaWantedSeconds, c.ReplicaUpSeconds = c.ReplicaWantedSeconds+t.replicaWantedSeconds, c.ReplicaUpSeconds+t.replicaUpSeconds
-				continue
-			}
-			if t.cancelRequested {
-				continue
-			}
-			c.Jobs, c.Tasks, c.TasksDone = c.Jobs+1, c.Tasks+t.spec.Tasks, c.TasksDone+len(t.done)
-			if t.starts > 0 {
-				c.Started++
-			}
-			if len(t.done) == t.spec.Tasks {
-				c.Done++
-			}
-		}
+	for _, t := range c.jobs {
+		countOf(classes, t.spec.Class).add(t)
+		countOf(teams, t.spec.Team).add(t)
 	}
 	return classes, teams
 }
@@ -81,47 +91,60 @@
 // largestStartBound is how soon also the largest jobs are to begin.
 const largestStartBound = 4 * time.Minute
 
-// LargestJobs is how the largest jobs of a class were served: those of the most tasks, and the tenth that takes most.
+// LargestJobs is how the largest jobs of a class were served: those of the most tasks, and the tenth that needs most.
 type LargestJobs struct {
 	Jobs, Started int
-	Late          int           // begun after more than four minutes, or waiting for longer
-	WorstWait     time.Duration // wait for the beginning, so far
+	Late          int           // started after largestStartBound, or waiting for longer
+	WorstWait     time.Duration // for the start, so far
+}
+
+// gpuWeight is how many CPUs a GPU counts for when jobs are compared by size.
+const gpuWeight = 8
+
+// resourceDemand is the size of a job.
+func (t *jobRecord) resourceDemand() float64 {
+	return float64(t.spec.Tasks) * (t.spec.CPUs + gpuWeight*t.spec.GPUs)
 }
 
 // LargestByClass counts them by class, of jobs that were not cancelled and came at least a while ago.
-func (f *InvariantChecker) LargestByClass(since time.Duration) map[string]*LargestJobs {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *InvariantChecker) LargestByClass(since time.Duration) map[string]*LargestJobs {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	byClass := map[string][]*jobRecord{}
-	for _, t := range f.jobs {
+	for _, t := range c.jobs {
 		if t.accepted && !t.cancelRequested && time.Since(t.submittedAt) >= since {
 			byClass[t.spec.Class] = append(byClass[t.spec.Class], t)
 		}
 	}
-	resourceDemand := func(t *jobRecord) float64 { return float64(t.spec.Tasks) * (t.spec.CPUs + 8*t.spec.GPUs) }
 	out := map[string]*LargestJobs{}
-	for class, list := range byClass {
-		slices.SortFunc(list, func(a, b *jobRecord) int { return cmp.Compare(resourceDemand(b), resourceDemand(a)) })
-		maxTasks := slices.MaxFunc(
-			list,
-			func(a, b *jobRecord) int { return cmp.Compare(a.spec.Tasks, b.spec.Tasks) },
-		).spec.Tasks
-		l := &LargestJobs{}
-		for i, t := range list {
-			if i >= (len(list)+9)/10 && t.spec.Tasks < maxTasks {
-				continue
-			}
-			wait := time.Since(t.submittedAt)
-			l.Jobs++
-			if !t.startedAt.IsZero() {
-				l.Started++
-				wait = t.startedAt.Sub(t.submittedAt)
-			}
-			if l.WorstWait = max(l.WorstWait, wait); wait > largestStartBound {
-				l.Late++
-			}
-		}
-		out[class] = l
+	for class, jobs := range byClass {
+		out[class] = countLargest(jobs)
 	}
 	return out
 }
+
+// countLargest counts the largest of some jobs.
+func countLargest(jobs []*jobRecord) *LargestJobs {
+	slices.SortFunc(jobs, func(a, b *jobRecord) int { return cmp.Compare(b.resourceDemand(), a.resourceDemand()) })
+	maxTasks := 0
+	for _, t := range jobs {
+		maxTasks = max(maxTasks, t.spec.Tasks)
+	}
+	count := &LargestJobs{}
+	for i, t := range jobs {
+		if i >= (len(jobs)+9)/10 && t.spec.Tasks < maxTasks {
+			continue
+		}
+		wait := time.Since(t.submittedAt)
+		count.Jobs++
+		if !t.startedAt.IsZero() {
+			count.Started++
+			wait = t.startedAt.Sub(t.submittedAt)
+		}
+		count.WorstWait = max(count.WorstWait, wait)
+		if wait > largestStartBound {
+			count.Late++
+		}
+	}
+	return count
+}
