--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale runs real controllers among thousands of hollow workers on loopback and measures what each role
-// costs. It is no deployment: its machines run nothing.
+// Command scale runs real controllers among thousands of hollow workers, which send heartbeats and run nothing, on
+// loopback, and measures what each role of a controller costs. It is no deployment.
 package main
 
 import (
@@ -18,18 +18,23 @@
 	"fieldhill/internal/scale"
 )
 
+// cli has a field for each command.
 type cli struct {
 	Run    runCmd    `cmd:"" help:"Carry out a profile and print what it measured."`
 	Sweep  sweepCmd  `cmd:"" help:"Carry out a profile at several sizes, one thing changed at a time."`
 	Report reportCmd `cmd:"" help:"Print the tables of docs/CAPACITY.md from stored measurements."`
 }
 
+// commonFlags are the flags of all commands that run something.
+//
+//nolint:lll // a struct tag cannot be broken over lines
 type commonFlags struct {
 	Program string `default:"target/fieldhill" type:"path" help:"The controller's program."`
 	Dir     string `type:"path" help:"Where the controllers' settings and logs are written; a new directory by default."`
 	Net     int    `default:"10" help:"Second byte of the loopback addresses of the first region; two runs at a time need different ones."`
 }
 
+// options checks the flags, and makes a directory if none is given.
 func (c *commonFlags) options() (scale.Options, error) {
 	if _, err := os.Stat(c.Program); errors.Is(err, fs.ErrNotExist) {
 		return scale.Options{}, fmt.Errorf("program: %s is not built yet, see README.md", c.Program)
@@ -52,6 +57,7 @@
 	}, nil
 }
 
+// runCmd carries out one profile.
 type runCmd struct {
 	commonFlags
 	Profile string `arg:"" type:"existingfile" help:"What to run, see deploy/scale."`
@@ -72,7 +78,9 @@
 	if err != nil {
 		return err
 	}
-	report.Print(os.Stdout)
+	if err := report.Print(os.Stdout); err != nil {
+		return err
+	}
 	if c.JSON != "" {
 		if err := writeJSON(c.JSON, report); err != nil {
 			return err
@@ -97,18 +105,15 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(
-		&c,
-		kong.Description(
-			"Run fieldhill's controllers among hollow workers on loopback, and measure what each role costs.",
-		),
-	)
+	description := "Run fieldhill's controllers among hollow workers on loopback, and measure what each role costs."
+	k := kong.Parse(&c, kong.Description(description))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
 	k.FatalIfErrorf(k.Run())
 }
 
+// sweepCmd carries out a profile at several sizes.
 type sweepCmd struct {
 	commonFlags
 	Sweep string `arg:"" type:"existingfile" help:"What to vary, see deploy/scale/sweep.toml."`
@@ -116,8 +121,8 @@
 	Out   string `required:"" type:"path" help:"Where one line of JSON is added for each run."`
 }
 
-// Run carries out the command.
-func (c *sweepCmd) Run(ctx context.Context) error {
+// Run carries out the command. What was measured before an error is in the file.
+func (c *sweepCmd) Run(ctx context.Context) (err error) {
 	sweep, err := scale.LoadSweep(c.Sweep)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Sweep, err)
@@ -131,22 +136,18 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { err = errors.Join(err, f.Close()) }()
 	encoder := json.NewEncoder(f)
 	return sweep.Run(ctx, options, c.Only, func(measurement scale.Measurement, report *scale.Report) error {
-		fmt.Printf(
-			"%s: leader %.3f of a core, others %.3f, %.0f starts/s, %d rules broken %s\n",
-			measurement.Run,
-			report.Regions[0].Leader.CPU,
-			report.Regions[0].Others.CPU,
-			report.Regions[0].StartsPerS,
-			measurement.Violations,
-			measurement.MachineLimit,
-		)
+		region := &report.Regions[0]
+		fmt.Printf("%s: leader %.3f of a core, others %.3f, %.0f starts/s, %d rules broken %s\n",
+			measurement.Run, region.Leader.CPU, region.Others.CPU, region.StartsPerS,
+			measurement.Violations, measurement.MachineLimit)
 		return encoder.Encode(measurement)
 	})
 }
 
+// reportCmd prints the tables of docs/CAPACITY.md.
 type reportCmd struct {
 	Dir   string `default:"docs/scale" type:"existingdir" help:"Where measurements are stored."`
 	Sweep string `default:"deploy/scale/sweep.toml" type:"existingfile" help:"The sweep that they are of."`
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -20,7 +20,7 @@
 	teams, finishedADay      float64
 }{4, 4700, 26_000, 2200, 55, 21_000}
 
-// plannedControllers is how many of the sixteen machines set aside a region has.
+// plannedControllers is how many controllers a region has, of the sixteen machines that are reserved for them.
 const plannedControllers = 4
 
 // plannedRegion is a region of the plan, with its part of the peak of starts or all of it.
@@ -36,7 +36,7 @@
 	}
 }
 
-// profileSize is how large the profile of a sweep is.
+// profileSize is the size of a sweep's profile.
 func profileSize(p *Profile) regionSize {
 	return regionSize{
 		"workers":         float64(p.Workers),
@@ -48,7 +48,7 @@
 	}
 }
 
-// variedSizes are the things that are varied, in the order of the tables.
+// variedSizes are the fields that are varied, in the order of the tables.
 var variedSizes = []string{"workers", "tasks_running", "starts_per_s", "finished_before", "teams", "controllers"}
 
 // guessRangeFactor is from how many times the measured range on a figure is called a guess.
@@ -78,6 +78,7 @@
 	return out, nil
 }
 
+// fitFigure fits a line to a figure over the runs in which one field was varied.
 func fitFigure(measurements []Measurement, vary, figure string) (Line, error) {
 	var points []Point
 	for _, m := range measurements {
@@ -98,16 +99,16 @@
 	rangeFactor   float64 // the largest of the sizes, in times of what was measured, of those that matter
 }
 
-// isMemory tells whether a figure is of what is kept, not of what is done a second.
+// isMemory reports whether a figure is of what is stored, not of what is done a second.
 func isMemory(figure string) bool {
 	return strings.HasSuffix(figure, " MB") || strings.HasSuffix(figure, " keys")
 }
 
-// estimateFigure reckons a figure at a size: that at the size of the sweep, and what each slope adds.
+// estimateFigure estimates a figure at a size: that at the size of the sweep, and what each slope adds.
 //
-// A slope that is not shown to be above zero is left out, so that nothing is reckoned to become cheaper with size. So
+// A slope that is not shown to be above zero is left out, so that nothing is estimated to become cheaper with size. So
 // are the rates by finished jobs: these end just before the measurement, and cleaning up after them falls into it,
-// which is no cost of knowing them.
+// which is no cost of remembering them.
 func estimateFigure(stored map[string][]Measurement, target, base regionSize, figure string) (estimate, error) {
 	var result estimate
 	lines := map[string]Line{}
@@ -136,6 +137,7 @@
 	return result, nil
 }
 
+// confidence says how an estimate is known, by how far its size lies beyond the measured ones.
 func (e estimate) confidence() string {
 	switch {
 	case e.rangeFactor <= 1:
@@ -160,7 +162,7 @@
 	"worker KB/s",
 }
 
-// planFigures are the figures that are reckoned at the plan's size.
+// planFigures are the figures that are estimated at the plan's size.
 var planFigures = []string{
 	"leader cpu",
 	"leader resident MB",
@@ -205,42 +207,31 @@
 	return b.String(), nil
 }
 
+// slopeTables are the files of measurements whose slopes are printed, and the fields that they vary.
+var slopeTables = []struct {
+	file, note string
+	varied     []string
+}{
+	{"sweep", "", variedSizes},
+	{"alone", ", without relays", []string{"workers"}},
+	{"gangs", "", []string{"gang_size"}},
+}
+
 func writeSlopes(b *strings.Builder, stored map[string][]Measurement) error {
-	b.WriteString(
-		"| cost | by | a | b | error of b | R² | range | bend | runs |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-	)
-	for _, from := range []struct{ file, note string }{{"sweep", ""}, {"alone", ", without relays"}, {"gangs", ""}} {
-		varies := variedSizes
-		switch from.file {
-		case "alone":
-			varies = []string{"workers"}
-		case "gangs":
-			varies = []string{"gang_size"}
-		}
-		for _, vary := range varies {
+	writeTableHeader(b, "cost", "by", "a", "b", "error of b", "R²", "range", "bend", "runs")
+	for _, table := range slopeTables {
+		for _, varied := range table.varied {
 			for _, figure := range slopeFigures {
-				l, err := fitFigure(stored[from.file], vary, figure)
+				l, err := fitFigure(stored[table.file], varied, figure)
 				if err != nil {
 					return err
 				}
 				if math.Abs(l.Slope) < 2*l.SlopeErr {
 					continue
 				}
-				fmt.Fprintf(
-					b,
-					"| %s | %s%s | %.4g | %.4g | %.2g | %.2f | %g to %g | %+.0f%% | %d |\n",
-					figure,
-					vary,
-					from.note,
-					l.Intercept,
-					l.Slope,
-					l.SlopeErr,
-					l.RSquared,
-					l.MinSize,
-					l.MaxSize,
-					100*l.Bend,
-					l.PointCount,
-				)
+				fmt.Fprintf(b, "| %s | %s%s | %.4g | %.4g | %.2g | %.2f | %g to %g | %+.0f%% | %d |\n",
+					figure, varied, table.note, l.Intercept, l.Slope, l.SlopeErr, l.RSquared,
+					l.MinSize, l.MaxSize, 100*l.Bend, l.PointCount)
 			}
 		}
 	}
@@ -248,11 +239,17 @@
 	return nil
 }
 
+// writeTableHeader writes the header of a table in Markdown.
+func writeTableHeader(b *strings.Builder, columns ...string) {
+	b.WriteString("| " + strings.Join(columns, " | ") + " |\n|" + strings.Repeat(" --- |", len(columns)) + "\n")
+}
+
 func writePlan(b *strings.Builder, stored map[string][]Measurement, base regionSize) error {
-	mean, peak := plannedRegion(capacityPlan.starts/float64(capacityPlan.regions)), plannedRegion(capacityPlan.starts)
-	b.WriteString(
-		"\n| a region of the plan | 550 starts a second | how it is known | 2,200 starts a second, all in this region | how it is known |\n| --- | --- | --- | --- | --- |\n",
-	)
+	mean := plannedRegion(capacityPlan.starts / float64(capacityPlan.regions))
+	peak := plannedRegion(capacityPlan.starts)
+	b.WriteString("\n")
+	writeTableHeader(b, "a region of the plan", "550 starts a second", "how it is known",
+		"2,200 starts a second, all in this region", "how it is known")
 	for _, figure := range planFigures {
 		m, err := estimateFigure(stored, mean, base, figure)
 		if err != nil {
@@ -262,17 +259,8 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(
-			b,
-			"| %s | %.3g ± %.2g | %s | %.3g ± %.2g | %s |\n",
-			figure,
-			m.value,
-			m.stdErr,
-			m.confidence(),
-			p.value,
-			p.stdErr,
-			p.confidence(),
-		)
+		fmt.Fprintf(b, "| %s | %.3g ± %.2g | %s | %.3g ± %.2g | %s |\n",
+			figure, m.value, m.stdErr, m.confidence(), p.value, p.stdErr, p.confidence())
 	}
 	return nil
 }
--- a/internal/scale/linefit.go
+++ b/internal/scale/linefit.go
@@ -7,30 +7,30 @@
 	"slices"
 )
 
-// Line is cost = A + B·x, fitted by least squares, with the standard errors of both.
+// Line is cost = Intercept + Slope·size, fitted by least squares, with the standard errors of both.
 type Line struct {
 	Intercept    float64 `json:"a"`
 	Slope        float64 `json:"b"`
 	InterceptErr float64 `json:"err_a"`
 	SlopeErr     float64 `json:"err_b"`
-	// RSquared is the share of the variance that the line explains, N how many points there were, and From and To
-	// their range.
+	// RSquared is the share of the variance that the line explains, PointCount how many points there were, and MinSize
+	// and MaxSize their range.
 	RSquared   float64 `json:"r2"`
 	PointCount int     `json:"n"`
 	MinSize    float64 `json:"from"`
 	MaxSize    float64 `json:"to"`
 	// Bend is by how much the slope of the upper half of the range differs from that of the lower half, as a share of
-	// B.
+	// Slope.
 	Bend float64 `json:"bend"`
 }
 
-// ErrTooFewSizes says that a line can't be fitted: a slope needs three sizes at least.
+// ErrTooFewSizes is returned by FitLine: a slope with an error needs three sizes at least.
 var ErrTooFewSizes = errors.New("scale: fewer than three sizes")
 
 // Point is a measured cost at a size.
 type Point struct{ Size, Cost float64 }
 
-// FitLine fits a line.
+// FitLine fits a line to points of at least three sizes.
 func FitLine(points []Point) (Line, error) {
 	sizes := map[float64]bool{}
 	for _, p := range points {
@@ -70,13 +70,16 @@
 	return len(sizes)
 }
 
+// leastSquares fits a line without its bend.
 func leastSquares(points []Point) Line {
 	n := float64(len(points))
 	l := Line{PointCount: len(points), MinSize: math.Inf(1), MaxSize: math.Inf(-1)}
 	var meanSize, meanCost float64
 	for _, p := range points {
-		meanSize, meanCost = meanSize+p.Size/n, meanCost+p.Cost/n
-		l.MinSize, l.MaxSize = min(l.MinSize, p.Size), max(l.MaxSize, p.Size)
+		meanSize += p.Size / n
+		meanCost += p.Cost / n
+		l.MinSize = min(l.MinSize, p.Size)
+		l.MaxSize = max(l.MaxSize, p.Size)
 	}
 	var sxx, sxy, syy float64
 	for _, p := range points {
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -17,12 +17,12 @@
 	"fieldhill/internal/emulator"
 )
 
-// metricValues are a controller's, by their names on the operators' page.
+// metricValues are a controller's metrics, by the names on its page.
 type metricValues map[string]float64
 
 var scraper = http.Client{Timeout: 5 * time.Second}
 
-// scrapeMetrics reads a controller's counters; nil if it does not answer.
+// scrapeMetrics reads a controller's metrics; nil if it does not answer.
 func scrapeMetrics(ctx context.Context, addr string) metricValues {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the values that were read count
 	if resp.StatusCode != http.StatusOK {
 		return nil
 	}
@@ -56,19 +56,23 @@
 }
 
 func (r *region) takeSnapshot(ctx context.Context) snapshot {
-	s := snapshot{at: time.Now(), store: r.environment.Store.Traffic(), starts: r.environment.Checker.Starts(),
-		workerBytes: [2]int64{r.network.workers.in.Load(), r.network.workers.out.Load()}}
+	s := snapshot{
+		at:          time.Now(),
+		store:       r.environment.Store.Traffic(),
+		starts:      r.environment.Checker.Starts(),
+		workerBytes: [2]int64{r.network.workers.in.Load(), r.network.workers.out.Load()},
+	}
 	for i := range r.profile.ControllersPerRegion {
 		s.controllers = append(s.controllers, scrapeMetrics(ctx, metricsAddr(r.netByte, i)))
 	}
 	return s
 }
 
-// countLostLeases counts the leases of workers that are there that ran out.
+// countLostLeases counts the lease expiries of the workers that exist: each began a new epoch.
 func (r *region) countLostLeases() (expired int) {
 	for _, w := range r.environment.Cloud.Workers() {
-		if s := w.LastHeartbeat(); s != nil {
-			expired += int(s.AgentEpoch) - 1
+		if heartbeat := w.LastHeartbeat(); heartbeat != nil {
+			expired += int(heartbeat.AgentEpoch) - 1
 		}
 	}
 	return expired
@@ -83,7 +87,7 @@
 	return cpuS, float64(statusKB("/proc/self/status", "VmRSS:")) / 1024
 }
 
-// statusKB reads a line of a file in the manner of /proc, in KB.
+// statusKB reads a line of a file of /proc, in KB; 0 if there is none.
 func statusKB(path, name string) int {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -122,6 +126,7 @@
 	return times
 }
 
+// lagInterval is how long the timers run whose lag is measured.
 const lagInterval = 20 * time.Millisecond
 
 // timerLag measures how late this process's own timers fire, which is how late hollow workers are.
@@ -157,7 +162,7 @@
 	return float64(l.histogram.ValueAtQuantile(99)) / 1000
 }
 
-// checkMemoryShare tells whether the run may go on: it takes less than half of the machine's memory.
+// checkMemoryShare is an error if a run takes more than half of the machine's memory.
 func checkMemoryShare(residentMB float64) error {
 	if total := float64(statusKB("/proc/meminfo", "MemTotal:")) / 1024; total > 0 && residentMB > total/2 {
 		return fmt.Errorf("the run takes %.0f MB, more than half of the machine's %.0f MB", residentMB, total)
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -20,7 +20,7 @@
 	usersPort   = 8080
 	peersPort   = 8081
 	metricsPort = 8082
-	// defaultNetByte is the second byte of the first region's loopback addresses, unless a run is told another one.
+	// defaultNetByte is the second byte of the first region's loopback addresses, unless the options have another.
 	defaultNetByte = 10
 	// workersPerSubnet is how many workers share the third byte of an address.
 	workersPerSubnet = 250
@@ -39,13 +39,15 @@
 	}
 }
 
-func metricsAddr(netByte, node int) string {
-	return fmt.Sprintf("127.%d.254.%d:%d", netByte, node+1, metricsPort)
+// metricsAddr is where a controller has its metrics page.
+func metricsAddr(netByte, controller int) string {
+	return fmt.Sprintf("127.%d.254.%d:%d", netByte, controller+1, metricsPort)
 }
 
 // traffic counts the bytes of one kind of connection, headers included, and the connections that are open.
 type traffic struct{ in, out, open atomic.Int64 }
 
+// countedConn counts its bytes and itself.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -57,24 +59,27 @@
 	return &countedConn{Conn: c, traffic: t}
 }
 
+// Read counts what is received.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.in.Add(int64(n))
 	return n, err
 }
 
+// Write counts what is sent.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.out.Add(int64(n))
 	return n, err
 }
 
+// Close counts the connection as closed, once.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.traffic.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// network is a region's part of the loopback network as the stand-ins see it. Workers listen at addresses of their
+// network is a region's part of the loopback network as the emulators see it. Workers listen at addresses of their
 // own behind one socket, because thousands of listeners would use up this process's files.
 type network struct {
 	workers, others traffic
@@ -89,11 +94,12 @@
 		return nil, err
 	}
 	created := &network{listeners: map[string]*workerListener{}, shared: shared}
-	context.AfterFunc(ctx, func() { shared.Close() })
+	context.AfterFunc(ctx, func() { _ = shared.Close() })
 	go created.accept()
 	return created, nil
 }
 
+// accept hands each connection to the worker at whose address it was made.
 func (n *network) accept() {
 	for {
 		c, err := n.shared.Accept()
@@ -104,7 +110,7 @@
 		l := n.listeners[c.LocalAddr().String()]
 		n.mu.Unlock()
 		if l == nil || !l.enqueue(countConn(c, &n.workers)) {
-			c.Close()
+			_ = c.Close() // nobody listens: the dialler sees it closed
 		}
 	}
 }
@@ -114,6 +120,7 @@
 	return &hostNet{network: n, worker: strings.HasPrefix(name, "host-")}
 }
 
+// hostNet is the network as a host sees it.
 type hostNet struct {
 	network *network
 	worker  bool
@@ -147,6 +154,7 @@
 	return countConn(c, h.traffic()), nil
 }
 
+// workerListener gets the connections to one worker's address from the shared socket.
 type workerListener struct {
 	network *network
 	addr    string
@@ -155,6 +163,7 @@
 	once    sync.Once
 }
 
+// enqueue hands a connection to the worker, and reports false if it does not keep up.
 func (l *workerListener) enqueue(c net.Conn) bool {
 	select {
 	case l.conns <- c:
@@ -188,6 +197,7 @@
 // Addr is where it listens.
 func (l *workerListener) Addr() net.Addr { return workerAddr(l.addr) }
 
+// workerAddr is an address behind the shared socket.
 type workerAddr string
 
 func (workerAddr) Network() string  { return "tcp" }
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -1,6 +1,6 @@
-// Package scale runs real controllers among thousands of hollow workers on loopback, and measures what each role
-// costs. Hollow workers speak the workers' protocol over real connections, many to a process, and their tasks compute
-// nothing.
+// Package scale runs real controllers among thousands of hollow workers on loopback, and measures what each role of a
+// controller costs. Hollow workers speak the agents' protocol over real connections, many to a process, and their tasks
+// compute nothing.
 package scale
 
 import (
@@ -26,7 +26,7 @@
 	Accelerators         int `toml:"accelerators" json:"accelerators"`
 	Teams                int `toml:"teams" json:"teams"`
 	TasksRunning         int `toml:"tasks_running" json:"tasks_running"`
-	// short jobs, all done before the measurement begins
+	// FinishedBefore is how many short jobs are done before the measurement begins.
 	FinishedBefore int `toml:"finished_before" json:"finished_before"`
 
 	Starts   Starts   `toml:"starts" json:"starts"`
@@ -39,12 +39,19 @@
 // Starts is the rate of task starts that is asked for, over time.
 type Starts struct {
 	PerS float64 `toml:"per_s" json:"per_s"`
-	// steady; ramp: from nothing to the rate; burst: the rate in the middle third, a fifth of it else
+	// Shape is shapeSteady, shapeRamp or shapeBurst.
 	Shape string `toml:"shape" json:"shape"`
-	// share of the rate that goes to the first region; 0: even
+	// FirstRegionShare is the share of the rate that goes to the first region; 0: all have the same.
 	FirstRegionShare float64 `toml:"one_share" json:"one_share"`
 }
 
+// Shapes of the rate over time.
+const (
+	shapeSteady = "steady"
+	shapeRamp   = "ramp"  // from nothing to the rate
+	shapeBurst  = "burst" // the rate in the middle third, a fifth of it else
+)
+
 // Gangs are the gangs that run on the machines with accelerators.
 type Gangs struct {
 	Sizes []int   `toml:"sizes" json:"sizes"`
@@ -61,7 +68,7 @@
 	RackSize       int     `toml:"rack_size" json:"rack_size"`
 }
 
-// Workload is what the jobs are like.
+// Workload describes the jobs.
 type Workload struct {
 	TasksPerJob int     `toml:"tasks_per_job" json:"tasks_per_job"`
 	UrgentPerS  float64 `toml:"urgent_per_s" json:"urgent_per_s"` // jobs of one task and high priority
@@ -78,7 +85,7 @@
 	WriteRPS       float64 `toml:"write_rps" json:"write_rps"`
 	ValueKB        float64 `toml:"value_kb" json:"value_kb"`
 	TxnOps         int     `toml:"txn_ops" json:"txn_ops"`
-	StateLatencyMS float64 `toml:"state_ms" json:"state_ms"` // how long the state service takes for an answer
+	StateLatencyMS float64 `toml:"state_ms" json:"state_ms"` // the latency of the key-value store
 	CloudRPS       float64 `toml:"cloud_rps" json:"cloud_rps"`
 }
 
@@ -89,7 +96,7 @@
 	maxGangSize  = 64
 )
 
-// DefaultProfile is what a profile's file leaves out.
+// DefaultProfile has the values of what a profile's file leaves out.
 func DefaultProfile() Profile {
 	return Profile{
 		Seed:                 1,
@@ -101,12 +108,9 @@
 		Workers:              40,
 		Teams:                4,
 		TasksRunning:         80,
-		Starts: Starts{
-			PerS:  10,
-			Shape: "steady",
-		},
-		Gangs:    Gangs{RunS: 30},
-		Workload: Workload{TasksPerJob: 20, UrgentPerS: 1},
+		Starts:               Starts{PerS: 10, Shape: shapeSteady},
+		Gangs:                Gangs{RunS: 30},
+		Workload:             Workload{TasksPerJob: 20, UrgentPerS: 1},
 		Limits: Limits{
 			ReportS:        3,
 			LeaseS:         24,
@@ -122,7 +126,7 @@
 	}
 }
 
-// LoadProfile reads a file.
+// LoadProfile reads a profile's file and checks it.
 func LoadProfile(path string) (Profile, error) {
 	p := DefaultProfile()
 	b, err := os.ReadFile(path)
@@ -141,43 +145,61 @@
 	return p, p.Check()
 }
 
-// Check tells what is wrong with a profile, by the name of the field.
-func (p *Profile) Check() error {
-	for _, f := range []struct {
-		name        string
-		v           float64
-		least, most float64
-	}{
-		{"warm_s", p.WarmupS, 1, 3600}, {"run_s", p.RunS, 1, 86_400},
-		{"regions", float64(p.Regions), 1, 16}, {"zones_each", float64(p.ZonesPerRegion), 1, 16}, {"controllers_each", float64(p.ControllersPerRegion), 1, 16},
-		{"workers", float64(p.Workers), float64(p.Regions), maxWorkers}, {"accelerators", float64(p.Accelerators), 0, 8 * float64(p.Workers)},
-		{"teams", float64(p.Teams), 1, 1000}, {"tasks_running", float64(p.TasksRunning), float64(p.Workers), 64 * float64(p.Workers)},
+// fieldRange is the range of a field of a profile.
+type fieldRange struct {
+	name            string
+	value, min, max float64
+}
+
+// ranges are the ranges of all fields that have one.
+func (p *Profile) ranges() []fieldRange {
+	workers := float64(p.Workers)
+	failures := &p.Failures
+	return []fieldRange{
+		{"warm_s", p.WarmupS, 1, 3600},
+		{"run_s", p.RunS, 1, 86_400},
+		{"regions", float64(p.Regions), 1, 16},
+		{"zones_each", float64(p.ZonesPerRegion), 1, 16},
+		{"controllers_each", float64(p.ControllersPerRegion), 1, 16},
+		{"workers", workers, float64(p.Regions), maxWorkers},
+		{"accelerators", float64(p.Accelerators), 0, 8 * workers},
+		{"teams", float64(p.Teams), 1, 1000},
+		{"tasks_running", float64(p.TasksRunning), workers, 64 * workers},
 		{"finished_before", float64(p.FinishedBefore), 0, 1e6},
-		{"starts.per_s", p.Starts.PerS, 0, 1e5}, {"starts.one_share", p.Starts.FirstRegionShare, 0, 1}, {"gangs.run_s", p.Gangs.RunS, 1, 86_400},
-		{"failures_per_minute.worker_stops", p.Failures.WorkerStops, 0, 6000}, {"failures_per_minute.worker_restarts", p.Failures.WorkerRestarts, 0, 6000},
-		{"failures_per_minute.racks", p.Failures.Racks, 0, 60}, {"failures_per_minute.zones", p.Failures.Zones, 0, 60},
-		{"failures_per_minute.controllers", p.Failures.Controllers, 0, 60}, {"failures_per_minute.rack_size", float64(p.Failures.RackSize), 0, 1000},
-		{"workload.tasks_per_job", float64(p.Workload.TasksPerJob), 1, 10_000}, {"workload.urgent_per_s", p.Workload.UrgentPerS, 0, 1000},
-		{"workload.cold_share", p.Workload.ColdShare, 0, 1}, {"limits.state_ms", p.Limits.StateLatencyMS, 0, 1000},
-	} {
-		if math.IsNaN(f.v) || f.v < f.least || f.v > f.most {
-			return fmt.Errorf("%s: %v is not from %v to %v", f.name, f.v, f.least, f.most)
+		{"starts.per_s", p.Starts.PerS, 0, 1e5},
+		{"starts.one_share", p.Starts.FirstRegionShare, 0, 1},
+		{"gangs.run_s", p.Gangs.RunS, 1, 86_400},
+		{"failures_per_minute.worker_stops", failures.WorkerStops, 0, 6000},
+		{"failures_per_minute.worker_restarts", failures.WorkerRestarts, 0, 6000},
+		{"failures_per_minute.racks", failures.Racks, 0, 60},
+		{"failures_per_minute.zones", failures.Zones, 0, 60},
+		{"failures_per_minute.controllers", failures.Controllers, 0, 60},
+		{"failures_per_minute.rack_size", float64(failures.RackSize), 0, 1000},
+		{"workload.tasks_per_job", float64(p.Workload.TasksPerJob), 1, 10_000},
+		{"workload.urgent_per_s", p.Workload.UrgentPerS, 0, 1000},
+		{"workload.cold_share", p.Workload.ColdShare, 0, 1},
+		{"limits.state_ms", p.Limits.StateLatencyMS, 0, 1000},
+	}
+}
+
+// Check returns an error that begins with the name of the first field that is wrong.
+func (p *Profile) Check() error {
+	for _, field := range p.ranges() {
+		if math.IsNaN(field.value) || field.value < field.min || field.value > field.max {
+			return fmt.Errorf("%s: %v is not from %v to %v", field.name, field.value, field.min, field.max)
 		}
 	}
 	switch p.Starts.Shape {
-	case "steady", "ramp", "burst":
+	case shapeSteady, shapeRamp, shapeBurst:
 	default:
 		return fmt.Errorf("starts.shape: %q is not steady, ramp or burst", p.Starts.Shape)
 	}
-	for i, g := range p.Gangs.Sizes {
-		if g < 1 || g > maxGangSize || g > p.gpuMachines()/p.Regions {
+	gpuMachines := p.gpuMachines() / p.Regions
+	for i, size := range p.Gangs.Sizes {
+		if size < 1 || size > maxGangSize || size > gpuMachines {
 			return fmt.Errorf(
 				"gangs.sizes[%d]: %d is not from 1 to %d and the %d machines with accelerators of a region",
-				i,
-				g,
-				maxGangSize,
-				p.gpuMachines()/p.Regions,
-			)
+				i, size, maxGangSize, gpuMachines)
 		}
 	}
 	if n := p.Regions*p.ControllersPerRegion + 1; n > maxProcesses {
@@ -200,7 +222,7 @@
 	return n
 }
 
-// rate is how many starts a second a region is asked for at a time since the run began.
+// rate is how many starts a second a region is asked for, so many seconds after the run began.
 func (p *Profile) rate(region int, sinceStart float64) float64 {
 	regionRate := p.Starts.PerS / float64(p.Regions)
 	if firstShare := p.Starts.FirstRegionShare; firstShare > 0 && p.Regions > 1 {
@@ -212,9 +234,9 @@
 	}
 	end := p.WarmupS + p.RunS
 	switch p.Starts.Shape {
-	case "ramp":
+	case shapeRamp:
 		return regionRate * min(1, sinceStart/end)
-	case "burst":
+	case shapeBurst:
 		if measuredFor := sinceStart - p.WarmupS; measuredFor < p.RunS/3 || measuredFor > 2*p.RunS/3 {
 			return regionRate / 5
 		}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"path/filepath"
 	"sync"
@@ -22,7 +23,7 @@
 const (
 	machineCPUs  = 8.0
 	machineGB    = 64.0
-	baseTaskCPUs = 4.1 // of a task that keeps a machine rented: two do not fit
+	baseTaskCPUs = 4.1 // of a task that keeps a machine from being released: two do not fit
 	cpuType      = "cpu"
 	gpuType      = "gpu"
 	baseTeam     = "base"
@@ -33,15 +34,16 @@
 	shortClass   = "short"
 	// outlivesRunS is how long a task runs that outlives the run.
 	outlivesRunS = 100_000
-	// churnShare is how much of what the base leaves of the machines the asked-for load takes.
+	// churnShare is how much of what the base leaves of the machines the short tasks take.
 	churnShare = 0.85
-	// runtimeFactor is by how much the stand-in's tasks run longer than their owners say, on average.
+	// runtimeFactor is how many times as long as their owners say the emulator's tasks run on average.
 	runtimeFactor = 1.2
-	warmImages    = 20
-	restartDelay  = 3 * time.Second
+	// warmImages is how many images the jobs share that are not cold.
+	warmImages   = 20
+	restartDelay = 3 * time.Second
 )
 
-// latencyRecorder is a histogram in milliseconds, up to an hour.
+// latencyRecorder is a histogram of latencies in milliseconds, up to an hour.
 type latencyRecorder struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -54,10 +56,10 @@
 func (l *latencyRecorder) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // a longer one than an hour is not possible within a run
+	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // it refuses more than an hour, which no run has
 }
 
-// region is a region that runs: its controllers, stand-ins and hollow workers.
+// region is a region that runs: its controllers, emulators and hollow workers.
 type region struct {
 	profile           *Profile
 	index             int
@@ -67,7 +69,7 @@
 	supervisor        *supervisor.Supervisor
 	rng               *rand.Rand
 	rngMu             sync.Mutex
-	lastJobNumber     atomic.Int64 // job numbers
+	lastJobNumber     atomic.Int64
 	measuring         atomic.Bool
 	submittedAt       sync.Map // job id: when its user began to submit it
 	startLatencies    map[string]*latencyRecorder
@@ -75,7 +77,8 @@
 	accepted, refused atomic.Int64
 }
 
-// startRegion starts a region's controllers and stand-ins; nothing is submitted yet.
+// startRegion starts a region's controllers and emulators; nothing is submitted yet. With an error the region is not
+// nil if some of it runs.
 func startRegion(ctx context.Context, profile *Profile, index, netByte int, program, dir string) (*region, error) {
 	regionNetwork, err := newNetwork(ctx, netByte)
 	if err != nil {
@@ -85,52 +88,53 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	started := &region{
-		profile:        profile,
-		index:          index,
-		netByte:        netByte,
-		network:        regionNetwork,
-		rng:            rand.New(rand.NewPCG(profile.Seed, uint64(index))),
-		supervisor:     &supervisor.Supervisor{Executable: program, Dir: dir, RestartDelay: restartDelay},
-		startLatencies: map[string]*latencyRecorder{},
-		submitLatency:  newLatencyRecorder(),
-	}
-	for _, class := range []string{baseClass, gangClass, churnClass, urgentClass, shortClass} {
-		started.startLatencies[class] = newLatencyRecorder()
-	}
+	r := newRegion(profile, index, regionNetwork, netByte)
+	r.supervisor = &supervisor.Supervisor{Executable: program, Dir: dir, RestartDelay: restartDelay}
 	failed, fail := context.WithCancelCause(ctx)
 	runController := func(_ context.Context, _ host.Net, s *config.Settings) error {
-		if err := started.supervisor.Run(
-			ctx,
-			s,
-			"--metrics",
-			metricsAddr(netByte, started.nodeIndex(s.Node)),
-		); err != nil {
+		if err := r.supervisor.Run(ctx, s, "--metrics", metricsAddr(netByte, r.controllerIndex(s.Node))); err != nil {
 			fail(err)
 		}
 		return nil
 	}
-	started.environment, err = emulator.NewDeployment(
+	r.environment, err = emulator.NewDeployment(
 		ctx,
 		regionNetwork.hostNetwork,
 		regionAddresses(netByte),
 		profile.ControllersPerRegion,
 		profile.Seed+uint64(index),
 		runController,
-		started.deployment(),
+		r.deployment(),
 	)
 	if err != nil {
 		return nil, err
 	}
-	started.environment.Store.SetRateLimits(profile.Limits.StateRPS, profile.Limits.WriteRPS)
-	started.environment.Store.SetLatency(time.Duration(profile.Limits.StateLatencyMS * float64(time.Millisecond)))
+	r.environment.Store.SetRateLimits(profile.Limits.StateRPS, profile.Limits.WriteRPS)
+	r.environment.Store.SetLatency(time.Duration(profile.Limits.StateLatencyMS * float64(time.Millisecond)))
 	for i := range profile.ControllersPerRegion {
-		started.environment.Start(i)
+		r.environment.Start(i) //nolint:contextcheck // the environment has the context
 	}
-	return started, context.Cause(failed)
+	return r, context.Cause(failed)
 }
 
-func (r *region) nodeIndex(name string) int {
+func newRegion(profile *Profile, index int, regionNetwork *network, netByte int) *region {
+	r := &region{
+		profile:        profile,
+		index:          index,
+		netByte:        netByte,
+		network:        regionNetwork,
+		rng:            rand.New(rand.NewPCG(profile.Seed, uint64(index))),
+		startLatencies: map[string]*latencyRecorder{},
+		submitLatency:  newLatencyRecorder(),
+	}
+	for _, class := range []string{baseClass, gangClass, churnClass, urgentClass, shortClass} {
+		r.startLatencies[class] = newLatencyRecorder()
+	}
+	return r
+}
+
+// controllerIndex is the index of a controller by its name.
+func (r *region) controllerIndex(name string) int {
 	for i := range r.profile.ControllersPerRegion {
 		if emulator.ControllerName(i) == name {
 			return i
@@ -142,40 +146,13 @@
 func (r *region) cpuMachines() int {
 	return r.profile.share(r.profile.Workers-r.profile.gpuMachines(), r.index)
 }
+
 func (r *region) gpuMachines() int { return r.profile.share(r.profile.gpuMachines(), r.index) }
 
-// deployment is the deployment: as many machines of each type as the profile has, spread over the zones, and teams of
-// equal shares.
+// deployment has as many machines of each type as the profile, spread over the zones, and teams of equal shares.
 func (r *region) deployment() emulator.Deployment {
 	profile := r.profile
-	params := emulator.DefaultParams()
-	params.Zones = nil
-	for z := range profile.ZonesPerRegion {
-		params.Zones = append(params.Zones, fmt.Sprintf("zone-%d-%d", r.index, z))
-	}
-	cpus := machineCPUs * float64(r.cpuMachines()+r.gpuMachines())
-	params.Teams = []config.Team{{Name: baseTeam}}
-	for t := range profile.Teams {
-		params.Teams = append(
-			params.Teams,
-			config.Team{
-				Name:    teamName(t),
-				CPUs:    cpus / float64(4*profile.Teams),
-				CPUsMax: max(8, 2*cpus/float64(profile.Teams)),
-			},
-		)
-	}
-	params.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: 6.8, Share: 0.99}}
-	workers, limits := &params.Workers, profile.Limits
-	workers.HeartbeatS, workers.LeaseS, workers.CancelS = limits.ReportS, limits.LeaseS, limits.CancelS
-	params.KVStore = config.KVStore{
-		RPS:      limits.StateRPS,
-		WriteRPS: limits.WriteRPS,
-		ValueKB:  limits.ValueKB,
-		TxnOps:   limits.TxnOps,
-	}
-	params.Cloud.RPS = limits.CloudRPS
-	params.Limits = config.Limits{CPUShare: 1, MemoryMB: 1024, MaxSockets: limits.MaxSockets}
+	params := r.params()
 	machine := func(name string, gpus float64) wire.MachineType {
 		return wire.MachineType{
 			Name:        name,
@@ -195,7 +172,7 @@
 	return emulator.Deployment{
 		Params:   params,
 		Types:    []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpusPerMachine)},
-		PageSize: 500,
+		PageSize: wire.MaxList,
 		MaxMachines: func(typ string, spot bool) int {
 			if spot {
 				return 0
@@ -206,21 +183,56 @@
 	}
 }
 
+// params are the controllers' settings. Each team is guaranteed its part of a quarter of the machines, and may use
+// twice its part of all.
+func (r *region) params() config.Params {
+	profile, limits := r.profile, r.profile.Limits
+	params := emulator.DefaultParams()
+	params.Zones = nil
+	for z := range profile.ZonesPerRegion {
+		params.Zones = append(params.Zones, fmt.Sprintf("zone-%d-%d", r.index, z))
+	}
+	cpus := machineCPUs * float64(r.cpuMachines()+r.gpuMachines())
+	params.Teams = []config.Team{{Name: baseTeam}}
+	for t := range profile.Teams {
+		params.Teams = append(params.Teams, config.Team{
+			Name:    teamName(t),
+			CPUs:    cpus / float64(4*profile.Teams),
+			CPUsMax: max(8, 2*cpus/float64(profile.Teams)),
+		})
+	}
+	params.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: 6.8, Share: 0.99}}
+	params.Workers.HeartbeatS = limits.ReportS
+	params.Workers.LeaseS = limits.LeaseS
+	params.Workers.CancelS = limits.CancelS
+	params.KVStore = config.KVStore{
+		RPS:      limits.StateRPS,
+		WriteRPS: limits.WriteRPS,
+		ValueKB:  limits.ValueKB,
+		TxnOps:   limits.TxnOps,
+	}
+	params.Cloud.RPS = limits.CloudRPS
+	params.Limits = config.Limits{CPUShare: 1, MemoryMB: 1024, MaxSockets: limits.MaxSockets}
+	return params
+}
+
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// onTaskStart notes that a worker begins a task, when that is measured.
+// onTaskStart records the start latency of a job whose user is there, during the measurement.
 func (r *region) onTaskStart(s *wire.JobSpec) {
 	if submittedAt, ok := r.submittedAt.Load(s.ID); ok && r.measuring.Load() {
 		r.startLatencies[s.Class].add(time.Since(submittedAt.(time.Time)))
 	}
 }
 
+// randomFloat draws from 0 to 1.
 func (r *region) randomFloat() float64 {
 	r.rngMu.Lock()
 	defer r.rngMu.Unlock()
 	return r.rng.Float64()
 }
 
+// newJob is a job array with a number of its own; runS is how long its owner says that a task runs.
 func (r *region) newJob(class, priority, team string, tasks int, cpus, runS float64) *wire.JobSpec {
 	n := r.lastJobNumber.Add(1)
 	return &wire.JobSpec{
@@ -239,14 +251,15 @@
 }
 
 const (
-	// pollInterval is how long users wait between two questions about a job, and between two tries to submit it.
+	// pollInterval is how long users wait between two questions about a job, retryDelay between two attempts to submit
+	// it, and submitTimeout is after how long they give up.
 	pollInterval  = 5 * time.Second
 	retryDelay    = time.Second
 	submitTimeout = time.Minute
 )
 
 // runUser submits a job, insisting as users do, and asks about it until it is over.
-func (r *region) runUser(ctx context.Context, s *wire.JobSpec, onFinished func()) {
+func (r *region) runUser(ctx context.Context, s *wire.JobSpec) {
 	startedAt := time.Now()
 	r.submittedAt.Store(s.ID, startedAt)
 	defer r.submittedAt.Delete(s.ID)
@@ -256,8 +269,9 @@
 		return
 	}
 	for {
+		//nolint:contextcheck // a request that was sent is answered or times out, as a user's
 		code, _ := r.environment.Request("submit", s.ID, body)
-		if code == 200 || code == 201 {
+		if code == http.StatusOK || code == http.StatusCreated {
 			break
 		}
 		if ctx.Err() != nil || time.Since(startedAt) > submitTimeout {
@@ -272,20 +286,14 @@
 	r.accepted.Add(1)
 	for ctx.Err() == nil {
 		wait(ctx, pollInterval)
-		if code, status := r.environment.Request(
-			"poll",
-			s.ID,
-			nil,
-		); code == 200 &&
-			(status.State == wire.JobDone || status.State == wire.JobCancelled) {
-			if onFinished != nil {
-				onFinished()
-			}
+		code, status := r.environment.Request("poll", s.ID, nil) //nolint:contextcheck // as the submission
+		if code == http.StatusOK && (status.State == wire.JobDone || status.State == wire.JobCancelled) {
 			return
 		}
 	}
 }
 
+// wait pauses until the context ends at the latest.
 func wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -38,7 +38,7 @@
 	region.Workers.Up = 101
 	region.Workers.BytesS = 10_240
 	region.Workers.Sockets = 1.5
-	region.Workers.LostLeas = 102
+	region.Workers.LostLeases = 102
 	report := &Report{
 		MeasuredS: 20,
 		Regions:   []Region{region, {}},
@@ -48,7 +48,10 @@
 	}
 	var b strings.Builder
 	print := func() {
-		report.Print(&b)
+		t.Helper()
+		if err := report.Print(&b); err != nil {
+			t.Error(err)
+		}
 	}
 	print()
 	report.MachineLimit, report.Violations = "its processors", nil
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,15 +11,15 @@
 	Program      string // the controllers' program
 	Dir          string // for their settings and logs
 	FirstNetByte int    // second byte of the first region's loopback addresses; 0: the usual
-	// OnProgress, if not nil, is told how the run goes.
+	// OnProgress, if not nil, is called with a line for people every progressInterval.
 	OnProgress func(string)
 }
 
 const (
 	progressInterval    = 5 * time.Second
 	memoryCheckInterval = 2 * time.Second
-	// maxLagMillis is how late hollow workers may be, and minIdleShare how much of the machine must be idle, for the
-	// figures to be the service's.
+	// For the figures to be the service's, hollow workers may be at most so late, so much of the machine must be idle,
+	// and so much of it may be taken by others.
 	maxLagMillis  = 50.0
 	minIdleShare  = 0.05
 	maxStealShare = 0.1
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	var regions []*region
+	regions, err := startRegions(ctx, &p, o)
 	defer func() {
 		cancel(nil)
 		for _, r := range regions {
@@ -40,17 +40,8 @@
 			}
 		}
 	}()
-	if o.FirstNetByte == 0 {
-		o.FirstNetByte = defaultNetByte
-	}
-	for i := range p.Regions {
-		r, err := startRegion(ctx, &p, i, o.FirstNetByte+i, o.Program, o.Dir)
-		if r != nil && r.environment != nil {
-			regions = append(regions, r)
-		}
-		if err != nil {
-			return nil, err
-		}
+	if err != nil {
+		return nil, err
 	}
 	lag := measureTimerLag(ctx)
 	startedAt := time.Now()
@@ -58,45 +49,84 @@
 		go r.generateLoad(ctx, startedAt)
 	}
 	go watchMemory(ctx, cancel, regions)
-	if err := waitReporting(ctx, regions, time.Duration(p.WarmupS*float64(time.Second)), o.OnProgress); err != nil {
+	if err := waitReporting(ctx, regions, seconds(p.WarmupS), o.OnProgress); err != nil {
 		return nil, err
 	}
 	for _, r := range regions {
 		r.measuring.Store(true)
 	}
 	lag.reset()
-	before, cpuTimesBefore := takeSnapshots(ctx, regions), readCPUTimes()
-	cpuBefore, _ := ownUsage()
-	measuredFrom := time.Now()
-	if err := waitReporting(ctx, regions, time.Duration(p.RunS*float64(time.Second)), o.OnProgress); err != nil {
+	before := readUsage(ctx, regions)
+	if err := waitReporting(ctx, regions, seconds(p.RunS), o.OnProgress); err != nil {
 		return nil, err
 	}
-	after, cpuTimesAfter := takeSnapshots(ctx, regions), readCPUTimes()
-	cpuAfter, resident := ownUsage()
-	seconds := time.Since(measuredFrom).Seconds()
-	report := &Report{Profile: p, MeasuredS: seconds}
+	after := readUsage(ctx, regions)
+	return newReport(p, regions, before, after, lag), nil
+}
+
+// startRegions starts all regions. With an error it returns those that run already.
+func startRegions(ctx context.Context, p *Profile, o Options) (regions []*region, err error) {
+	if o.FirstNetByte == 0 {
+		o.FirstNetByte = defaultNetByte
+	}
+	for i := range p.Regions {
+		r, err := startRegion(ctx, p, i, o.FirstNetByte+i, o.Program, o.Dir)
+		if r != nil && r.environment != nil {
+			regions = append(regions, r)
+		}
+		if err != nil {
+			return regions, err
+		}
+	}
+	return regions, nil
+}
+
+// usage is what all counters say at one moment: the regions' and the machine's.
+type usage struct {
+	at         time.Time
+	regions    []snapshot
+	machine    cpuTimes
+	hollowCPU  float64 // seconds
+	residentMB float64 // of this process
+}
+
+func readUsage(ctx context.Context, regions []*region) usage {
+	u := usage{regions: takeSnapshots(ctx, regions), machine: readCPUTimes()}
+	u.hollowCPU, u.residentMB = ownUsage()
+	u.at = time.Now()
+	return u
+}
+
+// newReport makes the report of what was counted before and after the measurement.
+func newReport(p Profile, regions []*region, before, after usage, lag *timerLag) *Report {
+	measuredS := after.at.Sub(before.at).Seconds()
+	report := &Report{Profile: p, MeasuredS: measuredS}
 	workers := 0
 	for i, r := range regions {
-		summary := r.summarize(before[i], after[i])
+		summary := r.summarize(before.regions[i], after.regions[i])
 		workers += summary.Workers.Up
 		report.Regions = append(report.Regions, summary)
-		for _, b := range r.environment.Checker.Violations() {
-			report.Violations = append(report.Violations, fmt.Sprintf("region %d: %s", i, b))
+		for _, violation := range r.environment.Checker.Violations() {
+			report.Violations = append(report.Violations, fmt.Sprintf("region %d: %s", i, violation))
 		}
 	}
-	total := max(1, cpuTimesAfter.total-cpuTimesBefore.total)
+	total := max(1, after.machine.total-before.machine.total)
+	hollowCPU := (after.hollowCPU - before.hollowCPU) / measuredS
 	report.Machine = Machine{
-		HollowCPU:    (cpuAfter - cpuBefore) / seconds,
-		HollowMB:     resident,
+		HollowCPU:    hollowCPU,
+		HollowMB:     after.residentMB,
 		HollowLagP99: lag.p99Millis(),
-		Idle:         (cpuTimesAfter.idle - cpuTimesBefore.idle) / total,
-		Steal:        (cpuTimesAfter.steal - cpuTimesBefore.steal) / total,
-		CPUPerWorker: (cpuAfter - cpuBefore) / seconds / float64(max(1, workers)),
+		Idle:         (after.machine.idle - before.machine.idle) / total,
+		Steal:        (after.machine.steal - before.machine.steal) / total,
+		CPUPerWorker: hollowCPU / float64(max(1, workers)),
 	}
 	report.MachineLimit = limitingCause(report.Machine)
-	return report, nil
+	return report
 }
 
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// limitingCause says why the figures are the machine's and not the service's, "" if they are the service's.
 func limitingCause(m Machine) string {
 	switch {
 	case m.HollowLagP99 > maxLagMillis:
@@ -116,7 +146,7 @@
 	return all
 }
 
-// watchMemory ends a run that takes too much of the machine.
+// watchMemory cancels a run that takes too much of the machine's memory.
 func watchMemory(ctx context.Context, cancel context.CancelCauseFunc, regions []*region) {
 	for ctx.Err() == nil {
 		wait(ctx, memoryCheckInterval)
@@ -133,7 +163,7 @@
 	}
 }
 
-// waitReporting waits for a while, and says how it goes meanwhile.
+// waitReporting waits for a while, and reports progress meanwhile.
 func waitReporting(ctx context.Context, regions []*region, duration time.Duration, onProgress func(string)) error {
 	deadline := time.Now().Add(duration)
 	for time.Now().Before(deadline) {
@@ -151,15 +181,8 @@
 			starts += r.environment.Checker.Starts()
 			violations += len(r.environment.Checker.Violations())
 		}
-		onProgress(
-			fmt.Sprintf(
-				"%d workers, %d tasks on them, %d starts so far, %d rules broken",
-				workers,
-				running,
-				starts,
-				violations,
-			),
-		)
+		onProgress(fmt.Sprintf("%d workers, %d tasks on them, %d starts so far, %d rules broken",
+			workers, running, starts, violations))
 	}
 	return nil
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -22,10 +22,7 @@
 	}
 	l, err := FitLine(points)
 	if err != nil || math.Abs(l.Slope-0.02) > 4*l.SlopeErr || math.Abs(l.Intercept-5) > 4*l.InterceptErr ||
-		l.SlopeErr > 0.002 ||
-		l.MinSize != 100 ||
-		l.MaxSize != 1000 ||
-		l.PointCount != 30 {
+		l.SlopeErr > 0.002 || l.MinSize != 100 || l.MaxSize != 1000 || l.PointCount != 30 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if l, err := FitLine(bent); err != nil || l.Bend < 0.5 {
@@ -52,7 +49,7 @@
 	}
 }
 
-// TestDeployedProfilesLoad: the profiles and sweeps that are there can be run.
+// TestDeployedProfilesLoad: the profiles and sweeps in deploy/scale are valid.
 func TestDeployedProfilesLoad(t *testing.T) {
 	files, err := os.ReadDir("../../deploy/scale")
 	if err != nil || len(files) < 5 {
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -9,14 +9,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Sweep is a profile and what is varied of it, one thing at a time.
+// Sweep is a profile and what is varied of it, one field at a time.
 type Sweep struct {
 	Profile Profile  `toml:"profile"`
 	Repeat  int      `toml:"repeat"`
 	Series  []Series `toml:"series"`
 }
 
-// Series is one thing that is varied.
+// Series is one field that is varied, and its values.
 type Series struct {
 	Varied string    `toml:"vary"`
 	Values []float64 `toml:"values"`
@@ -25,6 +25,7 @@
 // workerStartsPerS is how many workers a second come up at least, so that all are there when the measurement begins.
 const workerStartsPerS = 40
 
+// A series has at least so many sizes, each run at least so often, for slopes with an error that can be trusted.
 const (
 	minSizes   = 4
 	minRepeats = 3
@@ -32,7 +33,8 @@
 
 // variations are the fields that a series may vary.
 var variations = map[string]func(p *Profile, v float64){
-	"workers": func(p *Profile, v float64) { // a long task on each; the starts and the short tasks stay, sockets grow with the workers
+	// A long task runs on each worker; the starts and the short tasks stay, and sockets grow with the workers.
+	"workers": func(p *Profile, v float64) {
 		p.Limits.MaxSockets = int(float64(p.Limits.MaxSockets) * v / float64(p.Workers))
 		p.WarmupS += v / workerStartsPerS
 		p.TasksRunning += int(v) - p.Workers
@@ -42,9 +44,8 @@
 	"starts_per_s":    func(p *Profile, v float64) { p.Starts.PerS = v },
 	"finished_before": func(p *Profile, v float64) { p.FinishedBefore = int(v); p.WarmupS += v / finishedJobsPerS },
 	"teams":           func(p *Profile, v float64) { p.Teams = int(v) },
-	"gang_size": func(p *Profile, v float64) { // as many machines for gangs, in gangs of another size
-		p.Gangs.Sizes = []int{int(v)}
-	},
+	// As many machines run gangs, of another size.
+	"gang_size":   func(p *Profile, v float64) { p.Gangs.Sizes = []int{int(v)} },
 	"controllers": func(p *Profile, v float64) { p.ControllersPerRegion = int(v) },
 }
 
@@ -93,7 +94,7 @@
 	return points
 }
 
-// Measurement is what a sweep keeps of one run: the figures that slopes are fitted to.
+// Measurement is what a sweep stores of one run: the figures that slopes are fitted to.
 type Measurement struct {
 	Varied       string             `json:"vary"`
 	Value        float64            `json:"x"`
@@ -103,6 +104,9 @@
 	Figures      map[string]float64 `json:"figures"`
 }
 
+// figureDigits is to what fraction figures are rounded.
+const figureDigits = 1e5
+
 // figures are what slopes are fitted to, of a run of one region.
 func figures(r *Report) map[string]float64 {
 	g := r.Regions[0]
@@ -112,57 +116,50 @@
 		"leader heap MB":     g.Leader.HeapMB,
 		"leader sockets":     g.Leader.Sockets,
 		"leader reports/s":   g.Leader.HeartbeatsPerS,
-		"leader peer KB/s":   g.Leader.PeerBytesPerS / 1024,
-		"leader log KB/s":    g.Leader.LogBytesPerS / 1024,
+		"leader peer KB/s":   g.Leader.PeerBytesPerS / bytesPerKB,
+		"leader log KB/s":    g.Leader.LogBytesPerS / bytesPerKB,
 		"leader batches/s":   g.Leader.BatchesPerS,
 		"other cpu":          g.Others.CPU,
 		"other resident MB":  g.Others.ResidentMB,
 		"other sockets":      g.Others.Sockets,
-		"other peer KB/s":    g.Others.PeerBytesPerS / 1024,
+		"other peer KB/s":    g.Others.PeerBytesPerS / bytesPerKB,
 		"state requests/s":   g.Store.RequestsPerS,
 		"state changes/s":    g.Store.ChangesPerS,
-		"state KB/s":         g.Store.BytesPerS / 1024,
+		"state KB/s":         g.Store.BytesPerS / bytesPerKB,
 		"state keys":         float64(g.Store.Keys),
-		"worker KB/s":        g.Workers.BytesS / 1024,
+		"worker KB/s":        g.Workers.BytesS / bytesPerKB,
 		"worker sockets":     g.Workers.Sockets,
 		"hollow cpu":         r.Machine.HollowCPU,
 		"hollow MB":          r.Machine.HollowMB,
 		"starts/s":           g.StartsPerS,
 		"urgent p99 s":       float64(g.StartLatency[urgentClass].P99) / 1000,
 		"submit p99 s":       float64(g.SubmitLatency.P99) / 1000,
-		"leases lost":        float64(g.Workers.LostLeas),
+		"leases lost":        float64(g.Workers.LostLeases),
 	}
 	for k, v := range out {
-		out[k] = math.Round(v*1e5) / 1e5
+		out[k] = math.Round(v*figureDigits) / figureDigits
 	}
 	return out
 }
 
-// Run carries the sweep out, one run after the other, and hands on what each measured.
+// Run carries the sweep out, one run after the other, and calls onMeasurement after each.
 func (s *Sweep) Run(
 	ctx context.Context,
 	o Options,
 	onlyVaried string,
 	onMeasurement func(Measurement, *Report) error,
 ) error {
-	for _, x := range s.Series {
-		if onlyVaried != "" && x.Varied != onlyVaried {
+	for _, series := range s.Series {
+		if onlyVaried != "" && series.Varied != onlyVaried {
 			continue
 		}
 		for repeat := range s.Repeat {
-			for _, v := range x.Values {
-				p := s.Profile
-				p.Seed += uint64(repeat)
-				p.Name = fmt.Sprintf("%s-%g-%d", x.Varied, v, repeat+1)
-				variations[x.Varied](&p, v)
-				r, err := Run(ctx, p, o)
+			for _, value := range series.Values {
+				measurement, report, err := s.measure(ctx, o, series.Varied, value, repeat)
 				if err != nil {
-					return fmt.Errorf("%s: %w", p.Name, err)
+					return err
 				}
-				if err := onMeasurement(
-					Measurement{x.Varied, v, p.Name, r.MachineLimit, len(r.Violations), figures(r)},
-					r,
-				); err != nil {
+				if err := onMeasurement(measurement, report); err != nil {
 					return err
 				}
 			}
@@ -170,3 +167,25 @@
 	}
 	return nil
 }
+
+// measure carries out one run of a sweep.
+func (s *Sweep) measure(
+	ctx context.Context, o Options, varied string, value float64, repeat int,
+) (Measurement, *Report, error) {
+	p := s.Profile
+	p.Seed += uint64(repeat)
+	p.Name = fmt.Sprintf("%s-%g-%d", varied, value, repeat+1)
+	variations[varied](&p, value)
+	report, err := Run(ctx, p, o)
+	if err != nil {
+		return Measurement{}, nil, fmt.Errorf("%s: %w", p.Name, err)
+	}
+	return Measurement{
+		Varied:       varied,
+		Value:        value,
+		Run:          p.Name,
+		MachineLimit: report.MachineLimit,
+		Violations:   len(report.Violations),
+		Figures:      figures(report),
+	}, report, nil
+}
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -18,18 +18,18 @@
 	r.submitShortTasks(ctx, startedAt)
 }
 
-// submitBaseLoad keeps every machine rented: a long task on each, or gangs on those with accelerators.
+// submitBaseLoad keeps every machine from being released: a long task on each, or gangs on those with accelerators.
 func (r *region) submitBaseLoad(ctx context.Context) {
 	if n := r.cpuMachines(); n > 0 {
 		s := r.newJob(baseClass, wire.High, baseTeam, n, baseTaskCPUs, outlivesRunS)
 		s.Types = []string{cpuType}
-		go r.runUser(ctx, s, nil)
+		go r.runUser(ctx, s)
 	}
 	left := r.gpuMachines()
 	if len(r.profile.Gangs.Sizes) == 0 && left > 0 {
 		s := r.newJob(baseClass, wire.High, baseTeam, left, baseTaskCPUs, outlivesRunS)
 		s.Types = []string{gpuType}
-		go r.runUser(ctx, s, nil)
+		go r.runUser(ctx, s)
 		return
 	}
 	for k := 0; left > 0; k++ {
@@ -43,11 +43,18 @@
 func (r *region) submitGangs(ctx context.Context, size int) {
 	for ctx.Err() == nil {
 		s := r.newJob(gangClass, wire.High, baseTeam, size, baseTaskCPUs, r.profile.Gangs.RunS/runtimeFactor)
-		s.Shape, s.Types, s.GPUs, s.CheckpointIntervalS, s.CheckpointWriteS = wire.Gang, []string{gpuType}, 4, 10, 1
-		r.runUser(ctx, s, nil)
+		s.Shape = wire.Gang
+		s.Types = []string{gpuType}
+		s.GPUs = 4
+		s.CheckpointIntervalS = 10
+		s.CheckpointWriteS = 1
+		r.runUser(ctx, s)
 	}
 }
 
+// submitInterval is how often the short tasks that are due are submitted.
+const submitInterval = 50 * time.Millisecond
+
 // submitShortTasks submits arrays of short tasks at the rate that is asked for.
 func (r *region) submitShortTasks(ctx context.Context, startedAt time.Time) {
 	p := r.profile
@@ -62,24 +69,18 @@
 	dueTasks := 0.0
 	last := time.Now()
 	for k := 0; ctx.Err() == nil; {
-		wait(ctx, 50*time.Millisecond)
+		wait(ctx, submitInterval)
 		now := time.Now()
 		dueTasks += p.rate(r.index, now.Sub(startedAt).Seconds()) * now.Sub(last).Seconds()
 		last = now
 		for tasksPerJob := float64(p.Workload.TasksPerJob); dueTasks >= tasksPerJob; dueTasks -= tasksPerJob {
-			s := r.newJob(
-				churnClass,
-				wire.Normal,
-				teamName(k%p.Teams),
-				p.Workload.TasksPerJob,
-				cpus,
-				runS/runtimeFactor,
-			)
+			team := teamName(k % p.Teams)
+			s := r.newJob(churnClass, wire.Normal, team, p.Workload.TasksPerJob, cpus, runS/runtimeFactor)
 			if r.randomFloat() < p.Workload.ColdShare {
 				s.Image = "cold-" + s.ID
 			}
 			k++
-			go r.runUser(ctx, s, nil)
+			go r.runUser(ctx, s)
 		}
 	}
 }
@@ -92,7 +93,7 @@
 	}
 	for k := 0; ctx.Err() == nil; k++ {
 		wait(ctx, time.Duration(float64(time.Second)/rate))
-		go r.runUser(ctx, r.newJob(urgentClass, wire.High, teamName(k%r.profile.Teams), 1, 0.05, 5), nil)
+		go r.runUser(ctx, r.newJob(urgentClass, wire.High, teamName(k%r.profile.Teams), 1, 0.05, 5))
 	}
 }
 
@@ -103,11 +104,11 @@
 func (r *region) submitFinishedBefore(ctx context.Context) {
 	for range r.profile.share(r.profile.FinishedBefore, r.index) {
 		wait(ctx, time.Second/finishedJobsPerS)
-		go r.runUser(ctx, r.newJob(shortClass, wire.Low, teamName(0), 1, 0.01, 0.1), nil)
+		go r.runUser(ctx, r.newJob(shortClass, wire.Low, teamName(0), 1, 0.01, 0.1))
 	}
 }
 
-// injectFailures brings about the failures that the profile asks for.
+// injectFailures injects the failures that the profile asks for, each kind at random moments.
 func (r *region) injectFailures(ctx context.Context) {
 	f, regions := r.profile.Failures, float64(r.profile.Regions)
 	for _, kind := range []struct {
@@ -123,14 +124,15 @@
 		{f.Racks, func() { r.reclaim(r.sampleWorkers(f.RackSize, r.randomZone())) }},
 		{f.Zones, func() { r.reclaim(r.sampleWorkers(r.profile.Workers, r.randomZone())) }},
 		{f.Controllers, func() {
-			r.supervisor.Kill(emulator.ControllerName(int(r.randomFloat() * float64(r.profile.ControllersPerRegion))))
+			controller := int(r.randomFloat() * float64(r.profile.ControllersPerRegion))
+			r.supervisor.Kill(emulator.ControllerName(controller))
 		}},
 	} {
 		if kind.perMinute <= 0 {
 			continue
 		}
 		go func() {
-			wait(ctx, time.Duration(r.profile.WarmupS*float64(time.Second)))
+			wait(ctx, seconds(r.profile.WarmupS))
 			for ctx.Err() == nil {
 				wait(ctx, time.Duration(float64(time.Minute)*regions/kind.perMinute*2*r.randomFloat()))
 				if ctx.Err() == nil {
