--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -97,6 +97,17 @@
 // String reads a length and text.
 func (r *Reader) String() string { return string(r.Bytes()) }
 
+// Byte reads one byte.
+func (r *Reader) Byte() byte {
+	if len(r.Data) < 1 {
+		r.fail()
+		return 0
+	}
+	v := r.Data[0]
+	r.Data = r.Data[1:]
+	return v
+}
+
 // Bool reads one byte.
 func (r *Reader) Bool() bool {
 	if len(r.Data) < 1 || r.Data[0] > 1 {
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -7,112 +7,118 @@
 
 // Clone copies what scheduling reads and changes: jobs, runs, machines, teams and names. Nothing that the copy's
 // owner does reaches the model, and the copy may be read while the model goes on; what never changes (jobs'
-// descriptions, machines' details) is shared. What only matters between a leader and its workers (commands under way,
-// judgements) is left out, and so are the final states, which grow with history; machines are not found by name. It
-// takes some milliseconds for ten thousand runs.
+// descriptions, machines' details) is shared. What only matters between a leader and its agents (commands under way,
+// failures to attribute) is left out, and so are the final states, which grow with history; machines are not found by
+// name. It takes some milliseconds for ten thousand runs.
 func (m *Model) Clone() *Model {
 	c := &Model{
-		Images:    m.Images.Clone(),
-		Classes:   m.Classes.Clone(),
-		Zones:     m.Zones.Clone(),
-		TypeNames: m.TypeNames.Clone(),
-		Jobs: make(
-			map[JobID]*Job,
-			len(m.Jobs),
-		),
-		Finals:      map[JobID]Final{},
-		Machines:    make(map[MachineID]*Machine, len(m.Machines)),
-		ByName:      map[string]*Machine{},
-		teamByName:  map[string]*Team{},
-		Types:       slices.Clone(m.Types),
-		Tombstones:  map[string]bool{},
-		NextMachine: m.NextMachine,
-		jobOrder:    m.jobOrder,
-		LiveTasks:   m.LiveTasks,
-		finalSeqs:   map[JobID]uint64{},
-		classBias: slices.Clone(
-			m.classBias,
-		),
-		ByClass:  slices.Clone(m.ByClass),
-		ByTeam:   slices.Clone(m.ByTeam),
-		TermBase: m.TermBase,
-		GangWait: m.GangWait,
+		catalog:         m.catalog.clone(),
+		machineTable:    m.machineTable.clone(),
+		teamTable:       m.teamTable.clone(),
+		completionTable: m.completionTable.clone(),
+		durationStats:   durationStats{classBias: slices.Clone(m.classBias)},
+		leaderTerm:      m.leaderTerm,
+		GangWait:        m.GangWait,
 	}
-	for i := range c.Types {
-		c.Types[i].ZoneIDs = slices.Clone(c.Types[i].ZoneIDs)
+	c.jobTable = m.jobTable.clone(c.Teams)
+	c.cloneRuns(m)
+	return c
+}
+
+func (c *catalog) clone() catalog {
+	copied := catalog{
+		Images: c.Images.Clone(), Classes: c.Classes.Clone(), Zones: c.Zones.Clone(), TypeNames: c.TypeNames.Clone(),
+		Types: slices.Clone(c.Types),
+	}
+	for i := range copied.Types {
+		copied.Types[i].ZoneIDs = slices.Clone(copied.Types[i].ZoneIDs)
 	}
-	for _, t := range m.Teams {
-		t := *t
-		c.Teams = append(c.Teams, &t)
-		c.teamByName[t.Name] = &t
+	return copied
+}
+
+func (t *teamTable) clone() teamTable {
+	copied := teamTable{teamByName: make(map[string]*Team, len(t.Teams))}
+	for _, team := range t.Teams {
+		o := *team
+		copied.insertTeam(&o)
 	}
-	// One piece of memory for each kind: thousands of small ones take ten times as long.
-	machines, imageCount, fetchCount, runCount := make([]Machine, len(m.Order)), 0, 0, 0
-	for _, machine := range m.Order {
-		imageCount, fetchCount, runCount = imageCount+len(
-			machine.cache,
-		), fetchCount+len(
-			machine.fetches,
-		), runCount+len(
-			machine.Runs,
-		)
+	return copied
+}
+
+func (t *completionTable) clone() completionTable {
+	return completionTable{ByClass: slices.Clone(t.ByClass), ByTeam: slices.Clone(t.ByTeam)}
+}
+
+// clone copies the machines, whose runs are still those of the original. One piece of memory serves for all things of
+// a kind: thousands of small ones take ten times as long.
+func (t *machineTable) clone() machineTable {
+	copied := newMachineTable()
+	copied.Machines = make(map[MachineID]*Machine, len(t.Machines))
+	copied.NextMachine = t.NextMachine
+	copied.Order = make([]*Machine, len(t.Order))
+	imageCount, fetchCount := 0, 0
+	for _, machine := range t.Order {
+		imageCount += len(machine.cache)
+		fetchCount += len(machine.fetches)
 	}
-	c.Order = make([]*Machine, len(m.Order))
-	cacheSlab, fetchSlab, runSlab, runPtrs := make(
-		[]cachedImage,
-		0,
-		imageCount,
-	), make(
-		[]pendingFetch,
-		0,
-		fetchCount,
-	), make(
-		[]Run,
-		runCount,
-	), make(
-		[]*Run,
-		runCount,
-	)
-	for i, machine := range m.Order {
+	machines := make([]Machine, len(t.Order))
+	cacheSlab := make([]cachedImage, 0, imageCount)
+	fetchSlab := make([]pendingFetch, 0, fetchCount)
+	for i, machine := range t.Order {
 		o := &machines[i]
 		*o = *machine
 		o.cache, cacheSlab = appendPiece(cacheSlab, machine.cache)
 		o.fetches, fetchSlab = appendPiece(fetchSlab, machine.fetches)
 		o.Health.FailedJobs, o.Contact.unresolvedStarts, o.Contact.reapable = nil, nil, nil
-		c.Order[i] = o
-		c.Machines[o.ID] = o
+		copied.Order[i] = o
+		copied.Machines[o.ID] = o
 	}
-	live, taskCount := m.JobsInOrder(), 0
+	return copied
+}
+
+// clone copies the live jobs, whose runs are still those of the original, for a copy of the teams.
+func (t *jobTable) clone(teams []*Team) jobTable {
+	live, taskCount := t.JobsInOrder(), 0
 	for _, j := range live {
 		taskCount += len(j.Tasks)
 	}
+	copied := newJobTable()
+	copied.Jobs = make(map[JobID]*Job, len(live))
+	copied.LiveTasks, copied.jobOrder = t.LiveTasks, t.jobOrder
+	copied.jobsInOrder = make([]*Job, len(live))
 	jobs, taskSlab := make([]Job, len(live)), make([]Task, 0, taskCount)
-	c.jobsInOrder = make([]*Job, len(live))
 	for i, j := range live {
 		o := &jobs[i]
 		*o = *j
 		o.Tasks, taskSlab = appendPiece(taskSlab, j.Tasks)
 		o.retryTasks, o.Observed.FailedOn = slices.Clone(j.retryTasks), maps.Clone(j.Observed.FailedOn)
 		if j.Team != nil {
-			o.Team = c.Teams[j.Team.Index]
+			o.Team = teams[j.Team.Index]
 		}
-		c.Jobs[o.ID], c.jobsInOrder[i] = o, o
+		copied.Jobs[o.ID], copied.jobsInOrder[i] = o, o
 	}
-	k := 0
-	for i, machine := range m.Order { // runs keep their order on a machine: decisions may follow it
-		o := c.Order[i]
-		from := k
+	return copied
+}
+
+// cloneRuns copies the runs of the original between the model's own jobs and machines, which are copies. They keep
+// their order on a machine: decisions may follow it.
+func (m *Model) cloneRuns(original *Model) {
+	runCount := 0
+	for _, machine := range original.Order {
+		runCount += len(machine.Runs)
+	}
+	runs, runPtrs := make([]Run, runCount), make([]*Run, 0, runCount)
+	for i, machine := range original.Order {
+		from := len(runPtrs)
 		for _, r := range machine.Runs {
-			n := &runSlab[k]
-			*n = *r
-			n.Job, n.Machine = c.Jobs[r.Job.ID], o
-			n.Job.Tasks[r.Task].Run = n
-			runPtrs[k] = n
-			k++
+			o := &runs[len(runPtrs)]
+			*o = *r
+			o.Job, o.Machine = m.Jobs[r.Job.ID], m.Order[i]
+			o.Job.Tasks[r.Task].Run = o
+			runPtrs = append(runPtrs, o)
 		}
-		o.Runs = runPtrs[from:k:k]
+		m.Order[i].Runs = runPtrs[from:len(runPtrs):len(runPtrs)]
 	}
-	return c
 }
 
 // appendPiece copies a list to the end of a slab, and gives the copy, which can't grow into what follows.
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -6,9 +6,9 @@
 // happens there decides:
 //
 //   - a job none of whose tasks ever completed, and that failed on two machines, is
-//     faulty: its failures speak against no machine;
+//     faulty: its failures are held against no machine;
 //   - a machine on which two jobs failed that are not faulty, with nothing completed
-//     in between, is in doubt: it gets nothing new. It is distrusted for good once
+//     in between, is in doubt: it gets nothing new. It is quarantined for good once
 //     both jobs completed something elsewhere, or when a while has passed and they
 //     are still not faulty.
 //
@@ -20,51 +20,70 @@
 	avoidPeriod = Time(60e9)
 	// doubtPeriod is how long jobs that failed on a machine have to fail elsewhere.
 	doubtPeriod = Time(10e9)
+	// faultyPause is how long a faulty job is paused, the first time twice as long and so on, up to maxPauseDoublings.
+	faultyPause       = Time(2e9)
+	maxPauseDoublings = 5
+	// minFaultyMachines is on how many machines a job fails that is faulty.
+	minFaultyMachines = 2
+	// minAccusers is how many jobs that are not faulty fail on a machine that is in doubt.
+	minAccusers = 2
 )
 
 // attributeFailure counts a failure against machine and job. It tells whether it shows the job
 // to be faulty.
-func (m *Model) attributeFailure(machine *Machine, j *Job, now Time) (becameFaulty bool) {
-	machine.Health.Failures++
-	if machine.Health.FailedJobs == nil {
-		machine.Health.FailedJobs = map[JobID]*Job{}
-	}
-	machine.Health.FailedJobs[j.ID] = j
-	if j.Observed.FailedOn == nil {
-		j.Observed.FailedOn = map[MachineID]Time{}
-	}
-	j.Observed.FailedOn[machine.ID] = now
-	j.Observed.Errors++
-	if !j.Observed.Faulty && j.Done == 0 && len(j.Observed.FailedOn) >= 2 {
-		j.Observed.Faulty, becameFaulty = true, true
-	}
-	if j.Observed.Faulty && now >= j.Scheduling.NotBefore {
+func attributeFailure(machine *Machine, j *Job, now Time) (becameFaulty bool) {
+	machine.Health.addFailure(j)
+	if becameFaulty = j.addFailure(machine.ID, now); j.Observed.Faulty && now >= j.Scheduling.NotBefore {
 		// One failure a pause counts: tasks that were under way fail together.
 		j.Observed.pauses++
-		j.Scheduling.NotBefore = now + Time(2e9)<<min(j.Observed.pauses, 5)
+		j.Scheduling.NotBefore = now + faultyPause<<min(j.Observed.pauses, maxPauseDoublings)
 	}
-	m.UpdateQuarantine(machine, now)
+	machine.Health.updateQuarantine(now)
 	return becameFaulty
 }
 
-// clearFailures notes that a task of a job completed on a machine: neither fails everything.
-func (machine *Machine) clearFailures(j *Job) {
-	machine.Health.Failures, machine.Health.FailedJobs, machine.Health.DoubtSince = 0, nil, 0
+// addFailure counts a failure of a job on a machine. It tells whether it shows the job to be faulty.
+func (j *Job) addFailure(machine MachineID, now Time) (becameFaulty bool) {
+	observed := &j.Observed
+	if observed.FailedOn == nil {
+		observed.FailedOn = map[MachineID]Time{}
+	}
+	observed.FailedOn[machine] = now
+	observed.Errors++
+	if observed.Faulty || j.Done > 0 || len(observed.FailedOn) < minFaultyMachines {
+		return false
+	}
+	observed.Faulty = true
+	return true
+}
+
+// clearFailures notes that a task of a job completed: it does not fail everywhere.
+func (j *Job) clearFailures() {
 	if j.Observed.Faulty {
 		j.Observed.Faulty, j.Observed.pauses, j.Scheduling.NotBefore = false, 0, 0
 	}
 }
 
-// Avoids tells whether a job failed on a machine so lately that it goes elsewhere.
-func (j *Job) Avoids(machine *Machine, now Time) bool {
-	at, failed := j.Observed.FailedOn[machine.ID]
-	return failed && now-at < avoidPeriod
+// addFailure counts a failure of a job on the machine.
+func (h *MachineHealth) addFailure(j *Job) {
+	h.Failures++
+	if h.FailedJobs == nil {
+		h.FailedJobs = map[JobID]*Job{}
+	}
+	h.FailedJobs[j.ID] = j
+}
+
+// clearFailures notes that a task completed on the machine: it does not fail everything.
+func (h *MachineHealth) clearFailures() {
+	h.Failures, h.FailedJobs, h.DoubtSince = 0, nil, 0
 }
 
-// UpdateQuarantine judges a machine by the jobs that failed on it.
-func (m *Model) UpdateQuarantine(machine *Machine, now Time) {
+// UpdateQuarantine judges a machine by the jobs that failed on it, which may since have completed or failed elsewhere.
+func (m *Model) UpdateQuarantine(machine *Machine, now Time) { machine.Health.updateQuarantine(now) }
+
+func (h *MachineHealth) updateQuarantine(now Time) {
 	accusers, provenJobs := 0, 0
-	for _, j := range machine.Health.FailedJobs {
+	for _, j := range h.FailedJobs {
 		if j.Done > 0 {
 			provenJobs++
 		}
@@ -73,17 +92,12 @@
 		}
 	}
 	switch {
-	case machine.Health.Quarantined:
-	case accusers < 2:
-		machine.Health.DoubtSince = 0
-	case provenJobs >= 2 || machine.Health.DoubtSince != 0 && now-machine.Health.DoubtSince > doubtPeriod:
-		machine.Health.Quarantined = true
-	case machine.Health.DoubtSince == 0:
-		machine.Health.DoubtSince = max(now, 1)
+	case h.Quarantined:
+	case accusers < minAccusers:
+		h.DoubtSince = 0
+	case provenJobs >= minAccusers || h.DoubtSince != 0 && now-h.DoubtSince > doubtPeriod:
+		h.Quarantined = true
+	case h.DoubtSince == 0:
+		h.DoubtSince = max(now, 1)
 	}
 }
-
-// IsLeaving tells whether what is on a machine is to move to others.
-func (machine *Machine) IsLeaving() bool {
-	return machine.Lifecycle.Draining || machine.Health.Quarantined || machine.Lifecycle.PreemptionAt != 0
-}
--- a/internal/model/gang_start.go
+++ b/internal/model/gang_start.go
@@ -1,14 +1,14 @@
 package model
 
-// This file has the members of a gang meet. Each waits for the others once it has its image, for the platform's time
-// at most (GangWait), and then exits. Where an image takes longer to fetch than that, a member that has it would exit
-// before one that fetches is there, the gang would be stopped, the fetch given up, and the next attempt would go the
-// same way: one gang of four with images of two members went through five attempts, 35 s each. So a member that is
-// there at once is told to start when those that fetch for long are there; and a gang that failed to meet is not
-// stopped before its fetches have ended.
+// This file has the members of a gang start together. Each waits for the others once it has its image, for the
+// platform's time at most (GangWait), and then exits. Where an image takes longer to fetch than that, a member that has
+// it would exit before one that fetches is there, the gang would be stopped, the fetch abandoned, and the next attempt
+// would go the same way: one gang of four with images of two members went through five attempts, 35 s each. So a member
+// that is there at once is started when those that fetch for long are there; and a gang that failed to start together
+// is not stopped before its fetches have ended.
 
 // IsLongFetch tells whether a machine takes so long to fetch a job's image that members of a gang who fetch it, and
-// who don't, may not meet: as rates differ by a third, from half of the wait on.
+// who don't, may not start together: as rates differ by a third, from half of the wait on.
 func (m *Model) IsLongFetch(j *Job, machine *Machine) bool {
 	if m.GangWait <= 0 || machine.HasImage(j.Image) {
 		return false
--- a/internal/model/reason_history.go
+++ b/internal/model/reason_history.go
@@ -8,10 +8,10 @@
 	Since Time
 }
 
-// maxReasonHistory is how many a job keeps.
+// maxReasonHistory is how many reasons are kept of a job.
 const maxReasonHistory = 8
 
-// RecordReason keeps when the reason for which a job waits began. It is called once a round, when
+// RecordReason notes since when the reason for which a job waits holds. It is called once a round, when
 // that round's reason is known, and costs nothing while it stays the same.
 func (j *Job) RecordReason(now Time) {
 	if j.Scheduling.reasonHistory[0].Code == j.Scheduling.PendingReason.Code {
@@ -22,7 +22,7 @@
 }
 
 // ReasonHistory lists the reasons for which the job has waited, the present one first, as far as it is
-// kept and this leader has seen it. Nothing in the way (why.None) is among them.
+// kept and this leader has observed it. Nothing in the way (pending.None) is among them.
 func (j *Job) ReasonHistory() (history []ReasonSince) {
 	for _, p := range j.Scheduling.reasonHistory {
 		if p.Since == 0 {
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -1,42 +1,90 @@
 package model
 
 import (
+	"errors"
 	"fmt"
-	"sort"
+	"slices"
 
 	"fieldhill/internal/codec"
+	"fieldhill/internal/intern"
 	"fieldhill/wire"
 )
 
-// The versions of snapshots. 1: without suspects; 2: without machines that are being returned; 3: without
-// rentals under way. The last is written only if there are any, so that nodes that don't know them, beside
+// The versions of snapshots. 1: without suspects; 2: without machines that are being released; 3: without
+// intents. The last is written only if there are any, so that nodes that don't know them, beside
 // which none are logged, read what is written.
 const (
 	snapshotVersion = 4
 	withoutIntents  = 3
+	withSuspects    = 2 // the first version that has them
+	withReleases    = 3 // the first version that has them
 )
 
+// The sections of a snapshot, in their order, as CorruptSnapshotError names them.
+const (
+	sectionVersion    = "version"
+	sectionTypes      = "machine types"
+	sectionMachines   = "machines"
+	sectionTombstones = "tombstones"
+	sectionFinals     = "final states"
+	sectionJobs       = "jobs"
+	sectionIntents    = "intents"
+	sectionEnd        = "end"
+)
+
+// ErrUnknownVersion is that a snapshot is of a version that this program does not read.
+var ErrUnknownVersion = errors.New("unknown version")
+
+// CorruptSnapshotError is that a snapshot can't be read, and in which of its sections that shows.
+type CorruptSnapshotError struct {
+	Section string
+	Err     error
+}
+
+func (e *CorruptSnapshotError) Error() string {
+	return fmt.Sprintf("model: snapshot: %s: %v", e.Section, e.Err)
+}
+
+// Unwrap returns what is wrong in the section.
+func (e *CorruptSnapshotError) Unwrap() error { return e.Err }
+
 // Snapshot writes the replicated part, in an order that depends on it alone.
 func (m *Model) Snapshot() []byte {
 	b := []byte{withoutIntents}
 	if len(m.Intents) > 0 {
 		b[0] = snapshotVersion
 	}
-	knownTypes := 0
-	for i := range m.Types {
-		if m.Types[i].Known {
-			knownTypes++
+	b = m.appendTypes(b)
+	b = m.appendMachines(b, &m.Images)
+	b = m.appendTombstones(b)
+	b = m.appendFinals(b)
+	b = m.appendJobs(b)
+	if len(m.Intents) > 0 {
+		b = m.appendIntents(b)
+	}
+	return b
+}
+
+func (c *catalog) appendTypes(b []byte) []byte {
+	known := 0
+	for i := range c.Types {
+		if c.Types[i].Known {
+			known++
 		}
 	}
-	b = codec.Uint(b, uint64(knownTypes))
-	for i := range m.Types {
-		if m.Types[i].Known {
-			b = appendType(b, &m.Types[i].MachineType)
+	b = codec.Uint(b, uint64(known))
+	for i := range c.Types {
+		if c.Types[i].Known {
+			b = appendType(b, &c.Types[i].MachineType)
 		}
 	}
-	b = codec.Uint(b, uint64(m.NextMachine))
-	b = codec.Uint(b, uint64(len(m.Order)))
-	for _, machine := range m.Order {
+	return b
+}
+
+func (t *machineTable) appendMachines(b []byte, images *intern.Table) []byte {
+	b = codec.Uint(b, uint64(t.NextMachine))
+	b = codec.Uint(b, uint64(len(t.Order)))
+	for _, machine := range t.Order {
 		b = codec.Uint(b, uint64(machine.ID))
 		b = codec.Uint(b, uint64(machine.At))
 		b = appendInfo(b, &machine.Info)
@@ -44,22 +92,25 @@
 		b = codec.Bool(b, machine.Releasing)
 		b = codec.Uint(b, uint64(len(machine.cache)))
 		for _, c := range machine.cache {
-			b = codec.String(b, m.Images.Name(c.image))
+			b = codec.String(b, images.Name(c.image))
 			b = codec.Float(b, c.sizeGB)
 		}
 	}
-	b = codec.Uint(b, uint64(len(m.tombstoneRing)))
-	for _, n := range m.tombstoneRing {
-		b = codec.String(b, n)
-	}
-	for _, wantedFinal := range []Final{FinalDone, FinalCancelled} {
-		ids := make([]JobID, 0, len(m.Finals))
-		for id, final := range m.Finals {
-			if final == wantedFinal {
+	return b
+}
+
+func (t *machineTable) appendTombstones(b []byte) []byte { return appendStrings(b, t.tombstoneRing) }
+
+// appendFinals writes the final states, each by its difference to the job before it: most are one byte.
+func (t *jobTable) appendFinals(b []byte) []byte {
+	for _, wanted := range []Final{FinalDone, FinalCancelled} {
+		ids := make([]JobID, 0, len(t.Finals))
+		for id, final := range t.Finals {
+			if final == wanted {
 				ids = append(ids, id)
 			}
 		}
-		sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
+		slices.Sort(ids)
 		b = codec.Uint(b, uint64(len(ids)))
 		last := JobID(0)
 		for _, id := range ids {
@@ -67,31 +118,27 @@
 			last = id
 		}
 	}
-	jobs := m.JobsInOrder()
+	return b
+}
+
+func (t *jobTable) appendJobs(b []byte) []byte {
+	jobs := t.JobsInOrder()
 	b = codec.Uint(b, uint64(len(jobs)))
 	for _, j := range jobs {
 		b = codec.Uint(b, uint64(j.At))
 		b = appendSpec(b, j.Spec)
 		b = codec.Bool(b, j.Cancelled)
-		b = appendTasks(b, j)
-	}
-	if len(m.Intents) > 0 {
-		b = codec.Uint(b, uint64(len(m.Intents)))
-		for _, i := range m.Intents {
-			b = (&Entry{Kind: EntryIntent, Info: &MachineInfo{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot}, Count: i.Count}).Append(
-				b,
-			)
-		}
+		b = appendTasks(b, j.Tasks)
 	}
 	return b
 }
 
 // appendTasks writes runs of equal tasks as one, and placed tasks in full.
-func appendTasks(b []byte, j *Job) []byte {
-	for i := 0; i < len(j.Tasks); {
-		t := &j.Tasks[i]
+func appendTasks(b []byte, tasks []Task) []byte {
+	for i := 0; i < len(tasks); {
+		t := &tasks[i]
 		n := 1
-		for t.Run == nil && i+n < len(j.Tasks) && j.Tasks[i+n].Run == nil && j.Tasks[i+n].State == t.State && j.Tasks[i+n].Attempt == t.Attempt {
+		for i+n < len(tasks) && t.Run == nil && tasks[i+n] == *t {
 			n++
 		}
 		b = append(b, byte(t.State))
@@ -106,105 +153,152 @@
 	return b
 }
 
-// Restore fills an empty model from a snapshot taken at a log number.
+func (t *machineTable) appendIntents(b []byte) []byte {
+	b = codec.Uint(b, uint64(len(t.Intents)))
+	for _, i := range t.Intents {
+		b = NewIntent(&MachineInfo{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot}, i.Count).Append(b)
+	}
+	return b
+}
+
+// Restore fills an empty model from a snapshot that was taken at a log number. If it fails the model is of no use.
 func (m *Model) Restore(b []byte, seq uint64, now Time) error {
 	if len(b) == 0 || b[0] < 1 || b[0] > snapshotVersion {
-		return fmt.Errorf("model: snapshot of an unknown version")
+		return &CorruptSnapshotError{sectionVersion, ErrUnknownVersion}
 	}
-	r := &codec.Reader{Data: b[1:]}
-	for range r.Max(uint64(len(b))) {
-		if err := m.Apply(&Entry{Kind: EntryType, Type: readType(r)}, seq, now); err != nil || r.Err != nil {
-			return codec.ErrShort
+	r := &restorer{
+		Reader: codec.Reader{Data: b[1:]}, model: m, version: b[0], limit: uint64(len(b)), seq: seq, now: now,
+	}
+	for _, section := range []struct {
+		name string
+		read func() error
+	}{
+		{sectionTypes, r.readTypes},
+		{sectionMachines, r.readMachines},
+		{sectionTombstones, r.readTombstones},
+		{sectionFinals, r.readFinals},
+		{sectionJobs, r.readJobs},
+		{sectionIntents, r.readIntents},
+	} {
+		err := section.read()
+		if err == nil {
+			err = r.Err
+		}
+		if err != nil {
+			return &CorruptSnapshotError{section.name, err}
 		}
 	}
-	next := MachineID(r.Max(1 << 31))
-	for range r.Max(uint64(len(b))) {
-		e := &Entry{Kind: EntryMachine, Machine: MachineID(r.Max(1 << 31)), At: int64(r.Uint())}
-		e.Info = readInfo(r)
-		suspect := b[0] >= 2 && r.Bool()
-		releasing := b[0] >= 3 && r.Bool()
+	if !r.Done() {
+		return &CorruptSnapshotError{sectionEnd, codec.ErrShort}
+	}
+	return nil
+}
+
+// restorer reads the sections of a snapshot into a model.
+type restorer struct {
+	codec.Reader
+	model   *Model
+	version byte
+	limit   uint64 // of any count: the length of the snapshot
+	seq     uint64 // the log's number at which it was taken
+	now     Time
+}
+
+// count reads how many records follow.
+func (r *restorer) count() int { return r.Max(r.limit) }
+
+func (r *restorer) readTypes() error {
+	for range r.count() {
+		t := readType(&r.Reader)
 		if r.Err != nil {
 			return r.Err
 		}
-		m.addMachine(e, now)
+		r.model.setType(t)
+	}
+	return nil
+}
+
+func (r *restorer) readMachines() error {
+	m := r.model
+	next := MachineID(r.Max(maxID))
+	for range r.count() {
+		e := NewMachine(MachineID(r.Max(maxID)), int64(r.Uint()), readInfo(&r.Reader))
+		suspect := r.version >= withSuspects && r.Bool()
+		releasing := r.version >= withReleases && r.Bool()
+		if r.Err != nil {
+			return r.Err
+		}
+		m.addMachine(e, r.now)
 		machine := m.Machines[e.Machine]
-		machine.Suspect, machine.Releasing, machine.ReleaseSeq = suspect, releasing, seq
-		for range r.Max(uint64(len(b))) {
-			machine.cache = append(machine.cache, cachedImage{m.Images.ID(r.String()), r.Float(), now})
+		machine.Suspect, machine.Releasing, machine.ReleaseSeq = suspect, releasing, r.seq
+		for range r.count() {
+			machine.cache = append(machine.cache, cachedImage{m.Images.ID(r.String()), r.Float(), r.now})
 		}
 	}
 	m.NextMachine = max(m.NextMachine, next)
-	tombstones := r.Max(uint64(len(b)))
-	m.maxFleetSize = max(m.maxFleetSize, (tombstones+1)/2) // who wrote this knew of as many
-	for range tombstones {
+	return nil
+}
+
+func (r *restorer) readTombstones() error {
+	m := r.model
+	n := r.count()
+	m.maxFleetSize = max(m.maxFleetSize, (n+1)/2) // who wrote this knew of as many
+	for range n {
 		m.addTombstone(r.String())
 	}
+	return nil
+}
+
+func (r *restorer) readFinals() error {
 	for _, final := range []Final{FinalDone, FinalCancelled} {
 		id := JobID(0)
-		for range r.Max(uint64(len(b))) {
+		for range r.count() {
 			id += JobID(r.Uint())
-			m.Finals[id] = final
+			r.model.Finals[id] = final
 		}
 	}
-	for range r.Max(uint64(len(b))) {
+	return nil
+}
+
+func (r *restorer) readJobs() error {
+	for range r.count() {
 		at := int64(r.Uint())
-		s := readSpec(r)
+		spec := readSpec(&r.Reader)
 		cancelled := r.Bool()
-		n, ok := wire.JobNumber(s.ID)
-		if r.Err != nil || !ok || s.Tasks < 1 {
+		if r.Err != nil {
+			return r.Err
+		}
+		if _, ok := wire.JobNumber(spec.ID); !ok {
+			return &JobIDError{spec.ID}
+		}
+		if spec.Tasks < 1 {
 			return codec.ErrShort
 		}
-		j := m.newJob(JobID(n), s, at, now)
-		j.AcceptSeq = seq
-		if err := m.restoreTasks(r, j, seq, now); err != nil {
+		j := r.model.addJob(Accepted(spec, at), r.seq, r.now)
+		if err := r.readTasks(j); err != nil {
 			return err
 		}
 		if cancelled {
-			j.Cancelled, j.FinalSeq = true, seq
+			j.Cancelled, j.FinalSeq = true, r.seq
 		}
 	}
-	if b[0] > withoutIntents {
-		for range r.Max(uint64(len(b))) {
-			e, err := ReadEntry(r)
-			if err != nil || e.Kind != EntryIntent {
-				return codec.ErrShort
-			}
-			if err := m.Apply(e, seq, now); err != nil {
-				return err
-			}
-		}
-	}
-	if !r.Done() {
-		return codec.ErrShort
-	}
 	return nil
 }
 
-func (m *Model) restoreTasks(r *codec.Reader, j *Job, seq uint64, now Time) error {
+func (r *restorer) readTasks(j *Job) error {
 	for i := 0; i < len(j.Tasks); {
-		if len(r.Data) == 0 {
-			return codec.ErrShort
-		}
-		state := TaskState(r.Data[0])
-		r.Data = r.Data[1:]
-		attempt := uint32(r.Max(1 << 31))
+		state := TaskState(r.Byte())
+		attempt := uint32(r.Max(maxID))
 		n := r.Max(uint64(len(j.Tasks) - i))
-		if r.Err != nil || n == 0 || state > Done {
+		if r.Err != nil || n == 0 || state > Done || state == Placed && n != 1 {
 			return codec.ErrShort
 		}
 		if state == Placed {
-			e := &Entry{
-				Kind:    EntryPlace,
-				Job:     j.ID,
-				Task:    int32(i),
-				Attempt: attempt,
-				Machine: MachineID(r.Max(1 << 31)),
-				Session: r.Uint(),
+			e := NewPlacement(j.ID, int32(i), attempt, MachineID(r.Max(maxID)), r.Uint())
+			if r.Err != nil {
+				return r.Err
 			}
-			if r.Err != nil || n != 1 {
-				return codec.ErrShort
-			}
-			if err := m.placeTask(e, seq, now); err != nil {
+			if err := r.model.placeTask(e, r.seq, r.now); err != nil {
 				return err
 			}
 		}
@@ -213,10 +307,29 @@
 			t.Attempt = attempt
 			if state == Done {
 				t.State = Done
-				m.taskCompleted(j)
+				r.model.countCompletion(j)
 			}
 		}
 		i += n
 	}
 	return nil
 }
+
+func (r *restorer) readIntents() error {
+	if r.version <= withoutIntents {
+		return nil
+	}
+	for range r.count() {
+		e, err := ReadEntry(&r.Reader)
+		if err != nil {
+			return err
+		}
+		if e.Kind != EntryIntent {
+			return codec.ErrShort
+		}
+		if err := r.model.Apply(e, r.seq, r.now); err != nil {
+			return err
+		}
+	}
+	return nil
+}
