--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -10,17 +10,29 @@
 // This file learns how long machines take to come up. What the cloud says of a type is
 // the usual time: some take several times as long, some never come up and are charged
 // until they are deleted, and at times a whole zone or type is slow, or all are up at
-// once. One that is late while others that were rented no earlier are up is on its own,
-// and is covered and given up early; where nothing has come up, everything may be slow,
-// and giving up would only begin the wait anew.
+// once. One that is late while others that were provisioned no earlier are up is a failure of its own,
+// and is replaced and abandoned early; where nothing has come up, everything may be slow,
+// and abandoning would only begin the wait anew.
 
 // Multiples of the usual time to come up.
 const (
-	lateWhenOthersUp    = 1.7 // late, others that were rented no earlier came up
+	lateWhenOthersUp    = 1.7 // late, others that were provisioned no earlier came up
 	lateAlways          = 2.5 // late, as far as can be told
 	abandonWhenOthersUp = 2.5 // won't come, others came up
 	abandonAlways       = 3.5 // won't come, or not soon enough
-	minOvertakers       = 2   // how many others tell
+)
+
+const (
+	// minOvertakers is how many others have to be up for one to count as late on its own.
+	minOvertakers = 2
+	// bootSamples is how many of the last boots the average is over, and minBootSamples from how many on it counts.
+	bootSamples, minBootSamples = 6, 4
+	// An average between these is the usual time.
+	usualRatioMin, usualRatioMax = 0.6, 1.5
+	// latePenaltyStep is by how much each late machine makes an offer count as more expensive, up to maxLatePenalized.
+	latePenaltyStep, maxLatePenalized = 0.5, 6
+	// sameTimeMS is how much earlier, in ms, another one may have been provisioned to count as no earlier.
+	sameTimeMS = 500
 )
 
 // bootStats is what was learnt of a type in a zone.
@@ -29,70 +41,80 @@
 	samples int
 }
 
+// typeZone is a machine type in a zone.
 type typeZone struct{ machineType, zone int32 }
 
 // OnBooted notes how long a machine took, as a multiple of its type's usual time.
 func (a *Autoscaler) OnBooted(typ, zone int32, ratio float64) {
 	b := a.bootTimes[typeZone{typ, zone}]
 	b.samples++
-	b.ratio += (ratio - b.ratio) / float64(min(b.samples, 6))
+	b.ratio += (ratio - b.ratio) / float64(min(b.samples, bootSamples))
 	a.bootTimes[typeZone{typ, zone}] = b
 }
 
 // bootSeconds is how long a machine of a type takes to come up, as learnt: what the cloud
 // says, unless some that came up lately say something clearly different.
 func (a *Autoscaler) bootSeconds(m *model.Model, typ, zone int32) float64 {
-	s := m.Types[typ].BootS
-	if b := a.bootTimes[typeZone{typ, zone}]; b.samples >= 4 && (b.ratio < 0.6 || b.ratio > 1.5) {
-		return s * b.ratio
+	usual := m.Types[typ].BootS
+	b := a.bootTimes[typeZone{typ, zone}]
+	if b.samples >= minBootSamples && (b.ratio < usualRatioMin || b.ratio > usualRatioMax) {
+		return usual * b.ratio
 	}
-	return s
+	return usual
 }
 
 // CheckBoots marks the machines that are late, so that demand is covered anew, and
-// tells which won't come up; at is the time of day in ms, and settled how long a new
+// returns those that won't come up; at is the time of day in ms, and settleTime how long a new
 // leader gives machines that are up to report to it.
 func (a *Autoscaler) CheckBoots(m *model.Model, at int64, now, settleTime model.Time) (abandoned []*model.Machine) {
-	var rentalTimes map[int32][]int64 // when what is up was rented, by type
+	var provisionTimes map[int32][]int64 // made when the first late machine is found
 	clear(a.lateMachines)
-	for _, mc := range m.Order {
-		mc.Lifecycle.BootOverdue = false
-		boot := max(m.TypeOf(mc).BootS, 10)
-		age := float64(at-mc.At) / 1000
-		if mc.Contact.Reported || len(mc.Runs) > 0 || mc.Suspect || mc.Releasing || age < lateWhenOthersUp*boot+3 ||
-			now-mc.Contact.KnownSince < settleTime {
+	for _, machine := range m.Order {
+		machine.Lifecycle.BootOverdue = false
+		boot := max(m.TypeOf(machine).BootS, 10)
+		age := float64(at-machine.At) / 1000
+		if machine.Contact.Reported || len(machine.Runs) > 0 || machine.Suspect || machine.Releasing ||
+			age < lateWhenOthersUp*boot+3 || now-machine.Contact.KnownSince < settleTime {
 			continue
 		}
-		if rentalTimes == nil {
-			rentalTimes = map[int32][]int64{}
-			for _, o := range m.Order {
-				if o.Contact.Reported {
-					rentalTimes[o.Type] = append(rentalTimes[o.Type], o.At)
-				}
-			}
-			for _, list := range rentalTimes {
-				slices.Sort(list)
-			}
+		if provisionTimes == nil {
+			provisionTimes = provisionTimesOfReporting(m)
 		}
-		first, _ := slices.BinarySearch(rentalTimes[mc.Type], mc.At-500)
-		alone := len(rentalTimes[mc.Type])-first >= minOvertakers
-		mc.Lifecycle.BootOverdue = alone || age > lateAlways*boot+5
-		if mc.Lifecycle.BootOverdue {
-			a.lateMachines[typeZone{mc.Type, mc.Zone}]++
+		times := provisionTimes[machine.Type]
+		first, _ := slices.BinarySearch(times, machine.At-sameTimeMS)
+		alone := len(times)-first >= minOvertakers
+		machine.Lifecycle.BootOverdue = alone || age > lateAlways*boot+5
+		if machine.Lifecycle.BootOverdue {
+			a.lateMachines[typeZone{machine.Type, machine.Zone}]++
 		}
 		if alone && age > abandonWhenOthersUp*boot+5 || age > abandonAlways*boot+10 {
-			abandoned = append(abandoned, mc)
+			abandoned = append(abandoned, machine)
 		}
 	}
 	return abandoned
 }
 
-// latePenalty is by how much an offer counts as dearer because machines there are late.
+// provisionTimesOfReporting lists, for each type, when the machines that are up were provisioned, the earliest first.
+func provisionTimesOfReporting(m *model.Model) map[int32][]int64 {
+	times := map[int32][]int64{}
+	for _, machine := range m.Order {
+		if machine.Contact.Reported {
+			times[machine.Type] = append(times[machine.Type], machine.At)
+		}
+	}
+	for _, list := range times {
+		slices.Sort(list)
+	}
+	return times
+}
+
+// latePenalty is by how much an offer counts as more expensive because machines there are late.
 func (a *Autoscaler) latePenalty(o InstanceOffer) float64 {
-	return 1 + 0.5*float64(min(a.lateMachines[typeZone{o.Type, o.Zone}], 6))
+	return 1 + latePenaltyStep*float64(min(a.lateMachines[typeZone{o.Type, o.Zone}], maxLatePenalized))
 }
 
-// BootRatio tells how long a machine took to come up, as a multiple of the usual time.
-func BootRatio(m *model.Model, mc *model.Machine, now model.Time) float64 {
-	return float64(now-mc.Lifecycle.ProvisionedAt) / float64(config.Seconds(max(m.TypeOf(mc).BootS, 1)))
+// BootRatio is how long a machine took to come up, as a multiple of the usual time.
+func BootRatio(m *model.Model, machine *model.Machine, now model.Time) float64 {
+	usual := config.Seconds(max(m.TypeOf(machine).BootS, 1))
+	return float64(now-machine.Lifecycle.ProvisionedAt) / float64(usual)
 }
