--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -1,106 +1,142 @@
 package controller
 
 import (
+	"slices"
 	"time"
 
 	"fieldhill/internal/model"
 	"fieldhill/internal/replication/oplog"
 )
 
-// commitPipeline proposes entries, groups them into batches, and tells who waits once a batch is committed.
+// commitPipeline proposes entries, groups them into batches, and tells who waits once a batch is committed. The loop
+// owns it. It applies entries to the replica at once, so that later decisions build on them; whatever leaves this
+// controller waits for the commit.
 type commitPipeline struct {
 	*environment
-	dispatch *commandDispatcher
-	replica  *replica
-	roles    *singletonRoles
-	term     *termState
+	replica *replica
+	term    *termState
+	// afterCommit is told by each commit, after those that waited for it were.
+	afterCommit func(term *leaderTerm)
+	// compactsLog tells whether the leader compacts the log itself, which otherwise the holder of that role does.
+	compactsLog func() bool
 
-	snapshotInterval int // batches between two snapshots
+	snapshotInterval int // batches between two compactions; tests change it
 }
 
-// commitPipelineTerm is what commitPipeline keeps for one term of leadership.
+// newCommitPipeline makes a pipeline; whoever wires it sets its callbacks.
+func newCommitPipeline(env *environment, replica *replica, term *termState) *commitPipeline {
+	return &commitPipeline{
+		environment:      env,
+		replica:          replica,
+		term:             term,
+		snapshotInterval: defaultSnapshotInterval,
+	}
+}
+
+// commitPipelineTerm is the commit pipeline's state of one term of leadership. The loop owns it; the channels go to the
+// term's writer and compactor, which leadership runs.
 type commitPipelineTerm struct {
-	committedSeq         uint64
-	writeInFlight        bool
-	writeStarted         time.Time
-	queue                [][]byte // batches not yet handed to the writer; the last one grows
-	urgent               bool     // the queue holds what somebody waits for
-	queuedAt             time.Time
+	committedSeq         uint64    // last batch known to be committed
+	writeInFlight        bool      // the batch after it is with the writer
+	writeStarted         time.Time // when it was handed over
+	queue                [][]byte  // batches not yet handed to the writer; the last one grows
+	urgent               bool      // the queue holds an entry that somebody waits for
+	queuedAt             time.Time // since when the queue gathers
 	batches              chan oplog.Batch
 	commitWaiters        []commitWaiter
 	batchesSinceSnapshot int
 	snapshots            chan snapshot
 }
 
+// snapshot is the replica's state after the batch seq, for the compactor.
 type snapshot struct {
 	seq  uint64
 	data []byte
 }
 
+// commitWaiter is told whether the batch seq was committed; false says that this controller can't know any more.
 type commitWaiter struct {
 	seq      uint64
 	onResult func(ok bool)
 }
 
-// nextSeq is the log number that an entry appended now will get.
+const (
+	// defaultSnapshotInterval is after how many batches the log is compacted.
+	defaultSnapshotInterval = 500
+	// batchDelay is how long entries that are not urgent may wait for others.
+	batchDelay = 250 * time.Millisecond
+	// stalledWrite and stalledQueue are from when on the log counts as stalled: new jobs are refused and nothing is
+	// placed until it has caught up.
+	stalledWrite = 1200 * time.Millisecond
+	stalledQueue = 16
+)
+
+// nextSeq is the number of the batch that an entry proposed now would be part of.
 func (r *leaderTerm) nextSeq() uint64 {
-	s := r.commits.committedSeq
+	seq := r.commits.committedSeq
 	if r.commits.writeInFlight {
-		s++
+		seq++
 	}
-	return s + uint64(max(1, len(r.commits.queue)))
+	return seq + uint64(max(1, len(r.commits.queue)))
 }
 
-// propose appends an entry to the log and applies it; it returns its number.
+// stalled tells whether a write has been under way for suspiciously long, or too much waits behind it.
+func (r *leaderTerm) stalled() bool {
+	commits := &r.commits
+	return commits.writeInFlight && time.Since(commits.writeStarted) > stalledWrite || len(commits.queue) > stalledQueue
+}
+
+// propose appends an entry to the log and applies it; it returns the number of its batch.
 func (cp *commitPipeline) propose(entry *model.Entry) uint64 {
 	term := cp.term.ownTerm
+	commits := &term.commits
 	data := entry.Append(nil)
-	if len(term.commits.queue) == 0 {
-		term.commits.queuedAt = time.Now()
-	}
-	if k := len(term.commits.queue); k == 0 || len(term.commits.queue[k-1])+len(data) > cp.oplog.MaxData() {
-		term.commits.queue = append(term.commits.queue, nil)
-	}
-	k := len(term.commits.queue) - 1
-	if entry.Kind == model.EntryAccept {
-		// Its user waits, and nothing that is queued speaks of it: it goes ahead
-		// of bulk.
-		for i := range term.commits.queue {
-			if len(term.commits.queue[i])+len(data) <= cp.oplog.MaxData() {
-				k = i
-				break
-			}
-		}
-	}
-	term.commits.queue[k] = append(term.commits.queue[k], data...)
-	seq := term.nextSeq() - uint64(len(term.commits.queue)-1-k)
-	term.commits.urgent = term.commits.urgent || cp.isUrgent(entry)
+	index := commits.enqueue(data, cp.oplog.MaxData(), entry.Kind == model.EntryAccept)
+	seq := term.nextSeq() - uint64(len(commits.queue)-1-index)
+	commits.urgent = commits.urgent || cp.isUrgent(entry)
 	if err := cp.replica.model.Apply(entry, seq, cp.now()); err != nil {
 		cp.log.Error("log entry apply failed", "err", err)
 	}
 	return seq
 }
 
-// isUrgent tells whether somebody waits for an entry: a user for an answer, or
-// work of high priority for its start. The rest may gather for a while, so that
-// the few changes a second that the state service takes carry more, and are left
+// enqueue adds an entry to the last queued batch, or to a new one if it is full, and returns the batch's index in the
+// queue. With ahead it goes into the first batch that has space: the caller vouches that no queued entry refers to it.
+// That is so for a job's acceptance, for which a user waits; it need not wait behind bulk.
+func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, ahead bool) int {
+	if len(commits.queue) == 0 {
+		commits.queuedAt = time.Now()
+	}
+	hasSpace := func(batch []byte) bool { return len(batch)+len(data) <= maxData }
+	if k := len(commits.queue); k == 0 || !hasSpace(commits.queue[k-1]) {
+		commits.queue = append(commits.queue, nil)
+	}
+	index := len(commits.queue) - 1
+	if ahead {
+		if first := slices.IndexFunc(commits.queue, hasSpace); first >= 0 {
+			index = first
+		}
+	}
+	commits.queue[index] = append(commits.queue[index], data...)
+	return index
+}
+
+// isUrgent tells whether somebody waits for an entry: a user for a response, or work of high priority for its start. The
+// rest may gather for a while, so that the few writes a second that the key-value store takes carry more, and are left
 // for what is urgent.
 func (cp *commitPipeline) isUrgent(entry *model.Entry) bool {
 	switch entry.Kind {
 	case model.EntryAccept, model.EntryCancel:
 		return true
 	case model.EntryPlace:
-		j := cp.replica.model.Jobs[entry.Job]
-		return j != nil && j.Priority >= model.High
+		job := cp.replica.model.Jobs[entry.Job]
+		return job != nil && job.Priority >= model.High
 	}
 	return false
 }
 
-// batchDelay is how long entries that are not urgent may wait for others.
-const batchDelay = 250 * time.Millisecond
-
-// whenCommitted runs fn once a batch is in the log, or with false once it is
-// known that this node can't tell.
+// whenCommitted calls onResult with true once a batch is committed, or with false once it is known that this controller
+// can't tell.
 func (cp *commitPipeline) whenCommitted(seq uint64, onResult func(ok bool)) {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -114,31 +150,39 @@
 	term.commits.commitWaiters = append(term.commits.commitWaiters, commitWaiter{seq, onResult})
 }
 
-// flush hands the next batch to the writer when it is free.
+// flush hands the next batch to the writer when it is free, and when the batch is urgent, full or has gathered for long
+// enough.
 func (cp *commitPipeline) flush() {
 	term := cp.term.ownTerm
-	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
+	if term == nil {
 		return
 	}
-	if !term.commits.urgent && len(term.commits.queue) == 1 && time.Since(term.commits.queuedAt) < batchDelay {
+	commits := &term.commits
+	if commits.writeInFlight || len(commits.queue) == 0 {
 		return
 	}
-	batch := oplog.Batch{Seq: term.commits.committedSeq + 1, Term: term.leader.Term, Data: term.commits.queue[0]}
-	term.commits.queue = term.commits.queue[1:]
-	term.commits.writeInFlight, term.commits.writeStarted = true, time.Now()
+	if !commits.urgent && len(commits.queue) == 1 && time.Since(commits.queuedAt) < batchDelay {
+		return
+	}
+	batch := oplog.Batch{Seq: commits.committedSeq + 1, Term: term.leader.Term, Data: commits.queue[0]}
+	commits.queue = commits.queue[1:]
+	commits.writeInFlight, commits.writeStarted = true, time.Now()
 	cp.metrics.LogBytes.Add(len(batch.Data))
-	term.commits.queuedAt = term.commits.writeStarted
-	term.commits.urgent = term.commits.urgent && len(term.commits.queue) > 0 // more of it may be there
-	term.commits.batches <- batch
+	commits.queuedAt = commits.writeStarted
+	commits.urgent = commits.urgent && len(commits.queue) > 0 // more of it may be there
+	commits.batches <- batch
 }
 
-// stalled tells whether a write has been under way for suspiciously long.
-func (r *leaderTerm) stalled() bool {
-	return r.commits.writeInFlight && time.Since(r.commits.writeStarted) > 1200*time.Millisecond ||
-		len(r.commits.queue) > 16
+// gatherWait returns for how long the queued batch may still gather; gathering is false if none does.
+func (cp *commitPipeline) gatherWait() (wait time.Duration, gathering bool) {
+	term := cp.term.ownTerm
+	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
+		return 0, false
+	}
+	return max(0, batchDelay-time.Since(term.commits.queuedAt)), true
 }
 
-// onCommitted notes that a batch is in the log.
+// onCommitted notes that a batch is committed, tells who waits for it, and has the log compacted when that is due.
 func (cp *commitPipeline) onCommitted(term *leaderTerm, seq uint64) {
 	if cp.term.ownTerm != term {
 		return
@@ -148,36 +192,48 @@
 	cp.metrics.LogWrite.Update(time.Since(term.commits.writeStarted).Seconds())
 	cp.replica.appliedSeq = seq
 	cp.replica.model.ForgetCommitted(seq)
-	k := 0
+	for _, waiter := range term.commits.takeWaiters(seq) {
+		waiter.onResult(true)
+	}
+	cp.afterCommit(term)
+	cp.offerSnapshot(term, seq)
+}
+
+// takeWaiters removes those who wait for a batch up to seq, and returns them in the order in which they came.
+func (commits *commitPipelineTerm) takeWaiters(seq uint64) []commitWaiter {
 	var ready []commitWaiter
-	for _, w := range term.commits.commitWaiters {
-		if w.seq <= seq {
-			ready = append(ready, w)
+	kept := commits.commitWaiters[:0]
+	for _, waiter := range commits.commitWaiters {
+		if waiter.seq <= seq {
+			ready = append(ready, waiter)
 		} else {
-			term.commits.commitWaiters[k] = w
-			k++
+			kept = append(kept, waiter)
 		}
 	}
-	clear(term.commits.commitWaiters[k:])
-	term.commits.commitWaiters = term.commits.commitWaiters[:k]
-	for _, w := range ready {
-		w.onResult(true)
-	}
-	for machine := range term.dispatch.dirtyAfterCommit {
-		term.dispatch.dirtyMachines[machine] = true
-	}
-	clear(term.dispatch.dirtyAfterCommit)
-	for machine := range term.dispatch.dirtyMachines {
-		cp.dispatch.sendDirect(machine)
-	}
-	term.commits.batchesSinceSnapshot++
-	if term.commits.batchesSinceSnapshot > cp.snapshotInterval && len(term.commits.queue) == 0 &&
-		term.commits.snapshots != nil &&
-		!cp.roles.rolesDistributed() {
-		select {
-		case term.commits.snapshots <- snapshot{seq, cp.replica.model.Snapshot()}:
-			term.commits.batchesSinceSnapshot = 0
-		default:
-		}
+	clear(commits.commitWaiters[len(kept):])
+	commits.commitWaiters = kept
+	return ready
+}
+
+// offerSnapshot hands a snapshot to the compactor if enough batches came since the last one, nothing is applied that is
+// not committed, and the compactor is free.
+func (cp *commitPipeline) offerSnapshot(term *leaderTerm, seq uint64) {
+	commits := &term.commits
+	commits.batchesSinceSnapshot++
+	if commits.batchesSinceSnapshot <= cp.snapshotInterval || len(commits.queue) > 0 || !cp.compactsLog() {
+		return
+	}
+	select {
+	case commits.snapshots <- snapshot{seq, cp.replica.model.Snapshot()}:
+		commits.batchesSinceSnapshot = 0
+	default:
+	}
+}
+
+// failWaiters tells all who wait that this controller can't know what becomes of their batches.
+func (commits *commitPipelineTerm) failWaiters() {
+	for _, waiter := range commits.commitWaiters {
+		waiter.onResult(false)
 	}
+	commits.commitWaiters = nil
 }
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -1,28 +1,98 @@
 package controller
 
-// newComponents makes all components and connects each with those that it uses.
+import (
+	"time"
+
+	"fieldhill/internal/agents/lease"
+	"fieldhill/internal/replication/singleton"
+)
+
+// newComponents makes all components and connects each with those that it uses. Those of the core are made in the order
+// of their dependencies; the others use each other both ways, so they are made first and connected then.
 func newComponents(env *environment) *Controller {
 	c := &Controller{environment: env}
-	c.loop = &eventLoop{environment: env}
+	c.makeCore()
+	c.makeAgentSide()
+	c.makeUserSide()
+	c.connectCore()
+	c.connectLeases()
+	c.connectAssignments()
+	c.connectRelay()
+	c.connectProbes()
+	c.connectDispatch()
+	c.connectRounds()
+	c.connectProvisioning()
+	c.connectKeepalives()
+	c.connectHeartbeats()
+	c.connectHeartbeatRouter()
+	c.connectZones()
+	c.connectHealth()
+	c.connectIntake()
+	c.connectJobStatus()
+	c.connectSubmissions()
+	c.connectCancellations()
+	c.connectRoles()
+	c.connectExplanations()
+	c.connectReadiness()
+	c.connectTelemetry()
+	return c
+}
+
+// makeCore makes the loop, the state of the log, and leadership.
+func (c *Controller) makeCore() {
+	env := c.environment
+	c.loop = newEventLoop(env)
 	c.term = &termState{environment: env}
-	c.replica = &replica{environment: env}
-	c.forward = &forwarder{environment: env}
-	c.commits = &commitPipeline{environment: env}
-	c.leadership = &leadership{environment: env}
-	c.fence = &commitFence{environment: env}
-	c.leases = &leaseRenewal{environment: env}
-	c.assignments = &relayAssignments{environment: env}
-	c.relay = &relayAgent{environment: env}
-	c.probes = &probes{environment: env}
+	c.replica = newReplica(env, c.loop, c.term)
+	c.forward = newForwarder(env, c.replica, c.term)
+	c.commits = newCommitPipeline(env, c.replica, c.term)
+	c.fence = newCommitFence(env, c.loop, c.replica, c.term)
+	c.leadership = newLeadership(env, c.loop, c.term, c.replica, c.forward, c.commits)
+}
+
+// connectCore has the core call the components that depend on it, by callbacks and narrow interfaces.
+func (c *Controller) connectCore() {
+	c.loop.turns = c
+	c.replica.onReset = c.onReplicaReset
+	c.commits.afterCommit = c.sendCommitted
+	c.commits.compactsLog = c.compactsLog
+	c.leadership.duties = &termDuties{
+		rounds:       c.rounds,
+		provisioning: c.provisioning,
+		heartbeats:   c.heartbeats,
+		assignments:  c.assignments,
+		probes:       c.probes,
+		intake:       c.intake,
+	}
+}
+
+// makeAgentSide makes the components that deal with agents, machines and the cloud, unconnected.
+func (c *Controller) makeAgentSide() {
+	env := c.environment
+	sockets, maxConns := env.settings.Params.Limits.MaxSockets, env.connLimiter.MaxConns
+	c.leases = &leaseRenewal{environment: env, renewals: lease.NewRenewalTable(env.now())}
+	c.assignments = &relayAssignments{environment: env, spreadThreshold: maxConns * 3 / 4}
+	c.relay = &relayAgent{environment: env, state: newRelaying(maxConns, sockets)}
+	c.probes = &probes{
+		environment:       env,
+		maxZoneProbes:     zoneProbeLimit(sockets, len(env.settings.Params.Zones)),
+		maxFollowUpProbes: followUpProbeLimit(sockets),
+	}
 	c.dispatch = &commandDispatcher{environment: env}
 	c.rounds = &schedulingRounds{environment: env}
 	c.provisioning = &provisioning{environment: env}
-	c.keepalives = &followerKeepalives{environment: env}
+	c.keepalives = &followerKeepalives{environment: env, noRedirectUntil: map[string]time.Time{}}
 	c.heartbeats = &heartbeats{environment: env}
 	c.heartbeatRouter = &heartbeatRouter{environment: env}
 	c.zones = &zoneLiveness{environment: env}
 	c.health = &machineHealth{environment: env}
-	c.intake = &intake{environment: env}
+}
+
+// makeUserSide makes the components that deal with jobs, users and operators, unconnected.
+func (c *Controller) makeUserSide() {
+	env := c.environment
+	writeRPS := env.settings.Params.KVStore.WriteRPS
+	c.intake = &intake{environment: env, limiter: newIntakeLimiter(writeRPS, len(env.settings.Members)+1)}
 	c.jobStatus = &jobStatus{environment: env}
 	c.submissions = &submissions{environment: env}
 	c.cancellations = &cancellations{environment: env}
@@ -30,59 +100,38 @@
 	c.explanations = &explanations{environment: env}
 	c.readiness = &readiness{environment: env}
 	c.telemetry = &telemetry{environment: env}
+	if env.options.SingletonRoles {
+		c.roles.state = newRoleState(env.settings.Node)
+	}
+}
 
-	c.loop.commits = c.commits
-	c.loop.controller = c
-	c.loop.forward = c.forward
-	c.loop.rounds = c.rounds
-	c.loop.term = c.term
-
-	c.replica.keepalives = c.keepalives
-	c.replica.leadership = c.leadership
-	c.replica.loop = c.loop
-	c.replica.term = c.term
-
-	c.forward.replica = c.replica
-	c.forward.term = c.term
-
-	c.commits.dispatch = c.dispatch
-	c.commits.replica = c.replica
-	c.commits.roles = c.roles
-	c.commits.term = c.term
-
-	c.leadership.commits = c.commits
-	c.leadership.forward = c.forward
-	c.leadership.intake = c.intake
-	c.leadership.loop = c.loop
-	c.leadership.probes = c.probes
-	c.leadership.provisioning = c.provisioning
-	c.leadership.replica = c.replica
-	c.leadership.rounds = c.rounds
-	c.leadership.assignments = c.assignments
-	c.leadership.term = c.term
-
-	c.fence.loop = c.loop
-	c.fence.replica = c.replica
-	c.fence.term = c.term
-
+func (c *Controller) connectLeases() {
 	c.leases.fence = c.fence
 	c.leases.loop = c.loop
 	c.leases.replica = c.replica
 	c.leases.term = c.term
+}
 
+func (c *Controller) connectAssignments() {
 	c.assignments.loop = c.loop
 	c.assignments.replica = c.replica
 	c.assignments.term = c.term
+}
 
+func (c *Controller) connectRelay() {
 	c.relay.replica = c.replica
 	c.relay.term = c.term
+}
 
+func (c *Controller) connectProbes() {
 	c.probes.heartbeats = c.heartbeats
 	c.probes.loop = c.loop
 	c.probes.replica = c.replica
 	c.probes.assignments = c.assignments
 	c.probes.term = c.term
+}
 
+func (c *Controller) connectDispatch() {
 	c.dispatch.commits = c.commits
 	c.dispatch.heartbeats = c.heartbeats
 	c.dispatch.loop = c.loop
@@ -90,14 +139,18 @@
 	c.dispatch.replica = c.replica
 	c.dispatch.assignments = c.assignments
 	c.dispatch.term = c.term
+}
 
+func (c *Controller) connectRounds() {
 	c.rounds.commits = c.commits
 	c.rounds.dispatch = c.dispatch
 	c.rounds.loop = c.loop
 	c.rounds.probes = c.probes
 	c.rounds.replica = c.replica
 	c.rounds.term = c.term
+}
 
+func (c *Controller) connectProvisioning() {
 	c.provisioning.commits = c.commits
 	c.provisioning.health = c.health
 	c.provisioning.loop = c.loop
@@ -106,11 +159,15 @@
 	c.provisioning.rounds = c.rounds
 	c.provisioning.telemetry = c.telemetry
 	c.provisioning.term = c.term
+}
 
+func (c *Controller) connectKeepalives() {
 	c.keepalives.leases = c.leases
 	c.keepalives.replica = c.replica
 	c.keepalives.term = c.term
+}
 
+func (c *Controller) connectHeartbeats() {
 	c.heartbeats.commits = c.commits
 	c.heartbeats.dispatch = c.dispatch
 	c.heartbeats.keepalives = c.keepalives
@@ -122,7 +179,9 @@
 	c.heartbeats.replica = c.replica
 	c.heartbeats.assignments = c.assignments
 	c.heartbeats.term = c.term
+}
 
+func (c *Controller) connectHeartbeatRouter() {
 	c.heartbeatRouter.heartbeats = c.heartbeats
 	c.heartbeatRouter.keepalives = c.keepalives
 	c.heartbeatRouter.loop = c.loop
@@ -130,12 +189,16 @@
 	c.heartbeatRouter.replica = c.replica
 	c.heartbeatRouter.assignments = c.assignments
 	c.heartbeatRouter.term = c.term
+}
 
+func (c *Controller) connectZones() {
 	c.zones.keepalives = c.keepalives
 	c.zones.loop = c.loop
 	c.zones.replica = c.replica
 	c.zones.term = c.term
+}
 
+func (c *Controller) connectHealth() {
 	c.health.commits = c.commits
 	c.health.heartbeats = c.heartbeats
 	c.health.leases = c.leases
@@ -146,19 +209,25 @@
 	c.health.rounds = c.rounds
 	c.health.term = c.term
 	c.health.zones = c.zones
+}
 
+func (c *Controller) connectIntake() {
 	c.intake.commits = c.commits
 	c.intake.loop = c.loop
 	c.intake.replica = c.replica
 	c.intake.term = c.term
+}
 
+func (c *Controller) connectJobStatus() {
 	c.jobStatus.commits = c.commits
 	c.jobStatus.forward = c.forward
 	c.jobStatus.intake = c.intake
 	c.jobStatus.loop = c.loop
 	c.jobStatus.replica = c.replica
 	c.jobStatus.term = c.term
+}
 
+func (c *Controller) connectSubmissions() {
 	c.submissions.commits = c.commits
 	c.submissions.forward = c.forward
 	c.submissions.intake = c.intake
@@ -166,7 +235,9 @@
 	c.submissions.replica = c.replica
 	c.submissions.jobStatus = c.jobStatus
 	c.submissions.term = c.term
+}
 
+func (c *Controller) connectCancellations() {
 	c.cancellations.commits = c.commits
 	c.cancellations.dispatch = c.dispatch
 	c.cancellations.forward = c.forward
@@ -175,14 +246,18 @@
 	c.cancellations.replica = c.replica
 	c.cancellations.jobStatus = c.jobStatus
 	c.cancellations.term = c.term
+}
 
+func (c *Controller) connectRoles() {
 	c.roles.commits = c.commits
 	c.roles.forward = c.forward
 	c.roles.loop = c.loop
 	c.roles.provisioning = c.provisioning
 	c.roles.replica = c.replica
 	c.roles.term = c.term
+}
 
+func (c *Controller) connectExplanations() {
 	c.explanations.forward = c.forward
 	c.explanations.loop = c.loop
 	c.explanations.probes = c.probes
@@ -192,18 +267,41 @@
 	c.explanations.rounds = c.rounds
 	c.explanations.jobStatus = c.jobStatus
 	c.explanations.term = c.term
+}
 
+func (c *Controller) connectReadiness() {
 	c.readiness.forward = c.forward
 	c.readiness.leadership = c.leadership
 	c.readiness.replica = c.replica
 	c.readiness.term = c.term
+}
 
+func (c *Controller) connectTelemetry() {
 	c.telemetry.loop = c.loop
 	c.telemetry.replica = c.replica
 	c.telemetry.roles = c.roles
 	c.telemetry.rounds = c.rounds
 	c.telemetry.term = c.term
-	return c
+}
+
+// newRelaying bounds what a relay passes on at the same time.
+func newRelaying(connections, sockets int) *relaying {
+	limit := relayedLimit(connections)
+	return &relaying{
+		reports: make(slots, limit),
+		orders:  make(slots, limit),
+		probes:  make(slots, relayedProbeLimit(sockets)),
+	}
+}
+
+// newRoleState makes the state of a controller that takes part in holding the singleton roles and holds none yet.
+func newRoleState(node string) *roleState {
+	state := &roleState{participants: map[string]bool{}}
+	for i := range state.roles {
+		name := singleton.Name(i)
+		state.roles[i] = singleton.New(name, node, singleton.DefaultRules(name))
+	}
+	return state
 }
 
 // requestHandlers joins the components that answer users, agents and health checks (api.Service).
@@ -215,6 +313,7 @@
 	*readiness
 }
 
+// requestHandlers returns the handlers for the API's server.
 func (c *Controller) requestHandlers() requestHandlers {
 	return requestHandlers{c.submissions, c.jobStatus, c.cancellations, c.heartbeatRouter, c.readiness}
 }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -10,119 +10,160 @@
 	"fieldhill/internal/scheduling/admission"
 )
 
-// eventLoop runs all work on the controller's state one piece at a time, users' requests behind everything else, and
-// refuses when it is behind.
+// eventLoop is the one goroutine that owns the controller's state: every component's fields are read and written in its
+// turns alone, unless a field says otherwise. Other goroutines reach it through two queues:
+//
+//   - workQueue takes what keeps leases, ends of tasks and cancellations come by, and the short look-ups that a request
+//     needs before it is queued itself;
+//   - requestQueue takes what users submit and ask. It is served after all other waiting work, a few requests a turn, so
+//     that a flood of requests delays neither heartbeats nor cancellations.
+//
+// Both are bounded: beyond their length the caller is refused at once and told to come back.
+//
+// The queues may be used by any goroutine. The rest is the loop's own.
 type eventLoop struct {
 	*environment
-	commits    *commitPipeline
-	controller *Controller
-	forward    *forwarder
-	rounds     *schedulingRounds
-	term       *termState
-
-	workQueue chan func()
-	// requestQueue is what users want of the loop; it waits for all that is in work.
-	requestQueue   chan queuedRequest
-	loopDone       chan struct{}  // closed when the loop runs no more
-	admissionGate  admission.Gate // for new jobs
-	roundRequested bool
-	lastRound      time.Time
-	roundGap       time.Duration // between rounds that events wake
+	turns turnHandler
+
+	workQueue    chan func()
+	requestQueue chan queuedRequest
+	done         chan struct{} // closed when the loop has ended
+
+	admissionGate  admission.Gate // decides from requests' queueing delay whether new jobs are admitted
+	roundRequested bool           // an event calls for a scheduling round before the next regular one
+	lastRound      time.Time      // start of the last scheduling round; written by schedulingRounds
+	roundGap       time.Duration  // between rounds that events request; written by schedulingRounds
+}
+
+// turnHandler is what the loop calls besides the work that is queued. All calls come from the loop's goroutine.
+type turnHandler interface {
+	// runMaintenance runs the periodic maintenance, every maintenanceInterval.
+	runMaintenance()
+	// runRound runs the scheduler; regular tells a periodic round from one that an event requested.
+	runRound(regular bool)
+	// afterTurn ends a turn: it hands proposed entries to the log and publishes the state for other goroutines. If a
+	// batch still gathers entries, it returns for how long; the loop has another turn when that time is over.
+	afterTurn() (wait time.Duration, gathering bool)
 }
 
-// errBusy says that the loop is behind: the request is refused at once.
-var errBusy = errors.New("controller: busy")
+// newEventLoop returns a loop that is not yet running; whoever wires it sets turns before run.
+func newEventLoop(env *environment) *eventLoop {
+	return &eventLoop{
+		environment:  env,
+		workQueue:    make(chan func(), workQueueSize),
+		requestQueue: make(chan queuedRequest, maxQueuedRequests),
+		done:         make(chan struct{}),
+		roundGap:     minRoundGap,
+	}
+}
 
-// post hands work to the loop without waiting for it.
-func (el *eventLoop) post(f func()) {
+const (
+	// workQueueSize bounds the pieces of work that wait for the loop; while it is full heartbeats are refused.
+	workQueueSize = 512
+	// maintenanceInterval is the period of the maintenance.
+	maintenanceInterval = 250 * time.Millisecond
+	// idleTimer is the first period of timers that are armed by need; firing without need does no harm.
+	idleTimer = time.Hour
+)
+
+// errBusy reports that the loop is behind and the work was refused.
+var errBusy = errors.New("controller: event loop queue full")
+
+// post queues work without waiting for it to run. It blocks while the queue is full, and gives up when the controller
+// stops.
+func (el *eventLoop) post(work func()) {
 	select {
-	case el.workQueue <- f:
+	case el.workQueue <- work:
 	case <-el.ctx.Done():
 	}
 }
 
-// tryPost hands a user's or worker's work to the loop, unless it is far behind.
-func (el *eventLoop) tryPost(f func()) error {
+// tryPost queues work, or returns errBusy when the queue is full.
+func (el *eventLoop) tryPost(work func()) error {
 	select {
-	case el.workQueue <- f:
+	case el.workQueue <- work:
 		return nil
 	default:
 		return errBusy
 	}
 }
 
-// postAndWait runs work in the loop and waits for it. While the node stops, the work may not be
-// run; but it never runs after ask has returned, when the caller reads what it wrote.
-func (el *eventLoop) postAndWait(f func()) {
-	done := make(chan struct{})
-	el.post(func() { f(); close(done) })
+// postAndWait runs work in the loop and waits for it. While the controller stops, the work may not be run; but it never
+// runs after postAndWait has returned, when the caller reads what the work wrote.
+func (el *eventLoop) postAndWait(work func()) {
+	finished := make(chan struct{})
+	el.post(func() { work(); close(finished) })
 	select {
-	case <-done:
-	case <-el.loopDone:
+	case <-finished:
+	case <-el.done:
 	}
 }
 
+// requestRound asks for a scheduling round as soon as the gap after the last one allows.
+func (el *eventLoop) requestRound() { el.roundRequested = true }
+
+// run serves the queues and the timers until the context ends.
 func (el *eventLoop) run(ctx context.Context) {
+	defer close(el.done)
 	roundTicker := time.NewTicker(el.options.RoundInterval)
 	defer roundTicker.Stop()
 	maintenanceTicker := time.NewTicker(maintenanceInterval)
 	defer maintenanceTicker.Stop()
-	wakeTimer := time.NewTimer(time.Hour)
-	defer wakeTimer.Stop()
-	batchTimer := time.NewTimer(time.Hour)
+	roundTimer := time.NewTimer(idleTimer)
+	defer roundTimer.Stop()
+	batchTimer := time.NewTimer(idleTimer)
 	defer batchTimer.Stop()
-	wakeArmed := false
+	roundTimerArmed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-el.workQueue:
-			f()
+		case work := <-el.workQueue:
+			work()
 			el.drainWork() // whatever else is waiting goes into the same batch
-		case r := <-el.requestQueue:
+		case request := <-el.requestQueue:
 			el.drainWork()
-			el.drainRequests(r)
+			el.drainRequests(request)
 		case <-roundTicker.C:
-			el.rounds.runScheduler(true)
+			el.turns.runRound(true)
 		case <-maintenanceTicker.C:
-			el.controller.runMaintenance()
-		case <-wakeTimer.C:
-			wakeArmed = false
-			el.rounds.runScheduler(false)
+			el.turns.runMaintenance()
+		case <-roundTimer.C:
+			roundTimerArmed = false
+			el.turns.runRound(false)
 		case <-batchTimer.C:
 		}
-		if el.roundRequested && !wakeArmed {
-			wakeArmed = true
-			wakeTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
+		if el.roundRequested && !roundTimerArmed {
+			roundTimerArmed = true
+			roundTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
 		}
-		el.commits.flush()
-		el.forward.publish()
-		if r := el.term.ownTerm; r != nil && !r.commits.writeInFlight && len(r.commits.queue) > 0 {
-			batchTimer.Reset(max(0, batchDelay-time.Since(r.commits.queuedAt)))
+		if wait, gathering := el.turns.afterTurn(); gathering {
+			batchTimer.Reset(wait)
 		}
 	}
 }
 
 const (
-	// maxQueuedRequests bounds users' requests that wait for the loop; further ones are refused.
+	// maxQueuedRequests bounds the users' requests that wait for the loop; further ones are refused.
 	maxQueuedRequests = 256
-	// workPerTurn and requestsPerTurn are how many pieces of each queue go into the same batch.
+	// workPerTurn and requestsPerTurn are how many pieces of each queue are run in one turn, whose entries go into the
+	// same batch.
 	workPerTurn     = 64
 	requestsPerTurn = 16
 )
 
-// queuedRequest is a piece of a user's request that waits for the loop.
+// queuedRequest is the part of a user's request that runs in the loop, and since when it waits for its turn.
 type queuedRequest struct {
 	run      func()
 	queuedAt time.Time
 }
 
-// respond runs f in the loop; f must send exactly one reply, at once or later.
-func (el *eventLoop) respond(ctx context.Context, f func(send func(*rpc.Response))) *rpc.Response {
-	return el.awaitResponse(ctx, el.tryPost, f)
+// respond runs handle in the loop and returns its response; handle must send exactly one, at once or later.
+func (el *eventLoop) respond(ctx context.Context, handle func(send func(*rpc.Response))) *rpc.Response {
+	return el.awaitResponse(ctx, el.tryPost, handle)
 }
 
-// What is answered where the loop has not replied in time.
+// Responses for requests to which the loop has not responded in time.
 var (
 	loopBusyResponse = api.RetryLater("busy", 2)
 	loopSlowResponse = api.RetryLater("the state service is slow", 1)
@@ -130,36 +171,35 @@
 	stoppingResponse = api.RetryLater("stopping", 1)
 )
 
-// tryPostRequest hands a piece of a user's request to the loop, unless it is far behind.
-func (el *eventLoop) tryPostRequest(f func()) error {
+// tryPostRequest queues a user's request, or returns errBusy when the queue is full.
+func (el *eventLoop) tryPostRequest(work func()) error {
 	select {
-	case el.requestQueue <- queuedRequest{f, time.Now()}:
+	case el.requestQueue <- queuedRequest{run: work, queuedAt: time.Now()}:
 		return nil
 	default:
 		return errBusy
 	}
 }
 
-// respondInTurn runs f in the loop, after what is more urgent; f must send exactly one reply, at once or later.
-func (el *eventLoop) respondInTurn(ctx context.Context, f func(send func(*rpc.Response))) *rpc.Response {
-	return el.awaitResponse(ctx, el.tryPostRequest, f)
+// respondInTurn is respond for users' requests, which come after all other waiting work.
+func (el *eventLoop) respondInTurn(ctx context.Context, handle func(send func(*rpc.Response))) *rpc.Response {
+	return el.awaitResponse(ctx, el.tryPostRequest, handle)
 }
 
-// awaitResponse has the loop run f and waits for its reply.
+// awaitResponse queues handle by enqueue and waits for its response, for a bounded time.
 func (el *eventLoop) awaitResponse(
-	ctx context.Context,
-	enqueue func(func()) error,
-	f func(send func(*rpc.Response)),
+	ctx context.Context, enqueue func(func()) error, handle func(send func(*rpc.Response)),
 ) *rpc.Response {
 	responses := make(chan *rpc.Response, 1)
-	if enqueue(func() { f(func(r *rpc.Response) { responses <- r }) }) != nil {
+	send := func(response *rpc.Response) { responses <- response }
+	if enqueue(func() { handle(send) }) != nil {
 		return loopBusyResponse
 	}
 	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
-	case r := <-responses:
-		return r
+	case response := <-responses:
+		return response
 	case <-timer.C:
 		return loopSlowResponse
 	case <-ctx.Done():
@@ -169,19 +209,20 @@
 	}
 }
 
-// drainWork runs what waits in n.work, up to a turn.
+// drainWork runs what waits in workQueue, up to workPerTurn pieces.
 func (el *eventLoop) drainWork() {
 	for range workPerTurn {
 		select {
-		case f := <-el.workQueue:
-			f()
+		case work := <-el.workQueue:
+			work()
 		default:
 			return
 		}
 	}
 }
 
-// drainRequests runs a user's request and more of them, up to a turn.
+// drainRequests runs a user's request and those that wait behind it, up to requestsPerTurn, and reports the queueing
+// delay of each to the admission gate.
 func (el *eventLoop) drainRequests(request queuedRequest) {
 	for range requestsPerTurn {
 		el.admissionGate.ObserveWait(time.Since(request.queuedAt), el.now())
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder tells request goroutines whether this controller leads, and asks the leader or another controller on
-// their behalf.
+// forwarder tells requests' goroutines whether this controller leads, and asks the leader or another controller on their
+// behalf. The loop publishes routing; any goroutine reads it.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -19,30 +19,35 @@
 	routing atomic.Pointer[routingView]
 }
 
-// routingView is how a node stands, for goroutines that choose the way of a request by it. The loop publishes it;
-// whatever follows from it is looked at again in the loop.
+// newForwarder makes a forwarder; it may be used after the first publish.
+func newForwarder(env *environment, replica *replica, term *termState) *forwarder {
+	return &forwarder{environment: env, replica: replica, term: term}
+}
+
+// routingView is what the way of a request is chosen by. It may be out of date when it is read: whatever follows from it
+// is checked again in the loop.
 type routingView struct {
 	leads             bool
-	leader            string
-	trustedUntil      time.Time // of a leader: it is in touch until then
-	storeContactUntil time.Time // of another node
+	leader            string    // node of the leader; "": none is known
+	trustedUntil      time.Time // of a leader: it is in touch with the key-value store until then
+	storeContactUntil time.Time // the same of a follower
 }
 
-// followTimeout is how long a watch waits for news.
+// followTimeout is how long a watch of the log waits for news.
 const followTimeout = 2 * time.Second
 
-// forwardTimeout bounds how long the leader is waited for where there is another way
-// to an answer.
+// forwardTimeout bounds how long the leader's response is waited for where there is another way to an answer.
 const forwardTimeout = 350 * time.Millisecond
 
-func (s *routingView) storeReachable() bool {
-	if s.leads {
-		return time.Now().Before(s.trustedUntil)
+// storeReachable tells whether the controller is in touch with the key-value store.
+func (view *routingView) storeReachable() bool {
+	if view.leads {
+		return time.Now().Before(view.trustedUntil)
 	}
-	return time.Now().Before(s.storeContactUntil)
+	return time.Now().Before(view.storeContactUntil)
 }
 
-// publish tells the other goroutines how this node stands.
+// publish makes the loop's present state known to the other goroutines.
 func (fw *forwarder) publish() {
 	view := routingView{leads: fw.term.ownTerm != nil}
 	if fw.term.leader != nil {
@@ -58,40 +63,37 @@
 	}
 }
 
-// routingState tells whether this node leads or believes so, and whether it is in touch with the state service.
+// routingState tells whether this controller leads or believes so, and whether it is in touch with the key-value store.
 func (fw *forwarder) routingState() (leads, storeReachable bool) {
 	view := fw.routing.Load()
 	return view.leads, view.storeReachable()
 }
 
-// toLeader sends a request to the leader. ok is false if the leader can't be asked.
+// toLeader sends a request to the leader. ok is false if the leader can't be asked or does not respond in time.
 func (fw *forwarder) toLeader(
-	ctx context.Context,
-	request *rpc.Request,
-	timeout time.Duration,
+	ctx context.Context, request *rpc.Request, timeout time.Duration,
 ) (response *rpc.Response, ok bool) {
 	leader := fw.routing.Load().leader
 	link := fw.links[leader]
-	if link == nil || time.Since(link.LastResponse()) > linkFreshness {
+	if link == nil || !isReached(link) {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := link.Do(ctx, request)
+	response, err := link.Do(ctx, request)
 	if err != nil {
 		fw.log.Debug("leader unreachable", "leader", leader, "err", err)
 		return nil, false
 	}
-	return r, true
+	return response, true
 }
 
-// toOthers asks the other controllers, one after the other, for what this node
-// can't answer: it leads no more, as far as it can tell, or reads the log no more,
-// while others may do both.
+// toOthers asks the other controllers, one after the other, for what this one can't answer: as far as it can tell it no
+// longer leads, or it no longer reads the log, while others may do both.
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (*rpc.Response, bool) {
-	for _, m := range fw.settings.Members {
-		link := fw.links[m.Node]
-		if time.Since(link.LastResponse()) > linkFreshness {
+	for _, member := range fw.settings.Members {
+		link := fw.links[member.Node]
+		if !isReached(link) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, 2*forwardTimeout)
@@ -104,20 +106,14 @@
 	return nil, false
 }
 
-// toLeaderOrOthers asks the leader, if that is another node, and the rest if this one is out
-// of touch with the state service.
+// toLeaderOrOthers asks the leader, if that is another controller, and then the rest if this one is out of touch with
+// the key-value store.
 func (fw *forwarder) toLeaderOrOthers(
-	ctx context.Context,
-	request *rpc.Request,
-	leads, storeReachable bool,
+	ctx context.Context, request *rpc.Request, leads, storeReachable bool,
 ) (*rpc.Response, bool) {
 	if !leads {
-		if response, ok := fw.toLeader(
-			ctx,
-			request,
-			forwardTimeout,
-		); ok &&
-			response.Status != http.StatusServiceUnavailable {
+		response, ok := fw.toLeader(ctx, request, forwardTimeout)
+		if ok && response.Status != http.StatusServiceUnavailable {
 			return response, true
 		}
 	}
@@ -127,10 +123,10 @@
 	return nil, false
 }
 
-// isIsolated tells whether no other controller has been heard of for a while, though there are some.
+// isIsolated tells whether no other controller has responded for a while, though there are some.
 func (fw *forwarder) isIsolated() bool {
-	for _, l := range fw.links {
-		if time.Since(l.LastResponse()) < 2*linkFreshness {
+	for _, link := range fw.links {
+		if time.Since(link.LastResponse()) < 2*linkFreshness {
 			return false
 		}
 	}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -13,59 +13,75 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// replica keeps this controller's copy of the log up to date: loads, applies, follows, and reads up to the end for a
-// request.
+// replica keeps this controller's copy of the log up to date: it loads the log, applies what a watch of it shows, and
+// reads it to its end for a request.
+//
+// The loop owns all fields but the catch-up's. A leader's commitPipeline applies to model and advances appliedSeq as
+// well, since the leader applies entries before they are committed; leadership advances caughtUpAt with each renewal.
 type replica struct {
 	*environment
-	keepalives *followerKeepalives
-	leadership *leadership
-	loop       *eventLoop
-	term       *termState
+	loop    *eventLoop
+	term    *termState
+	onReset func() // told by each reset, for state of others that refers to the copy
 
-	// Owned by the loop.
 	model            *model.Model
 	loaded           bool
 	appliedSeq       uint64                 // last batch applied (follower) or committed (leader)
-	caughtUpAt       time.Time              // the replica was complete then
-	lastStoreContact time.Time              // the state service answered a watch, or the load, then
-	watermarks       commitfence.Watermarks // what this process has ever seen of the log
-	generation       int                    // how often the copy was thrown away
-	catchUpMu        sync.Mutex
-	catchUpRead      *catchUpRead
+	caughtUpAt       time.Time              // the copy was complete then
+	lastStoreContact time.Time              // the key-value store answered a watch, or the load, then
+	watermarks       commitfence.Watermarks // what this process has ever seen of the log; outlives resets
+	generation       int                    // counts resets, to recognize that the copy is another one
+
+	catchUpMu   sync.Mutex // guards catchUpRead, which the requests' goroutines use
+	catchUpRead *catchUpRead
+}
+
+// newReplica makes a replica without a copy; reset gives it an empty one.
+func newReplica(env *environment, loop *eventLoop, term *termState) *replica {
+	return &replica{environment: env, loop: loop, term: term, onReset: func() {}}
+}
+
+// sequenceGapError reports a batch that does not follow the last one applied: the copy has to be loaded anew.
+type sequenceGapError struct {
+	Seq, Applied uint64
 }
 
+func (e *sequenceGapError) Error() string {
+	return fmt.Sprintf("controller: log batch %d follows batch %d", e.Seq, e.Applied)
+}
+
+// reset throws the copy away, and with it an own term that was served on it.
 func (rp *replica) reset() {
 	rp.model = model.New(&rp.settings.Params)
-	rp.appliedSeq, rp.loaded, rp.term.ownTerm = 0, false, nil
-	// machines' numbers are the log's, but those that are gone need not be kept
-	rp.keepalives.clearedMachines = clearedMachines{}
+	rp.appliedSeq, rp.loaded = 0, false
+	rp.term.ownTerm = nil
+	rp.onReset()
 	rp.generation++
 }
 
-// isStoreReachable tells whether a follower is in touch with the state service. What its replica is surely complete
-// up to is no measure of that: where nothing happens it lags by two watches, the one that is under way and the one
-// before.
+// isStoreReachable tells whether a follower is in touch with the key-value store. caughtUpAt is no measure of that:
+// where nothing happens the copy lags by two watches, the one that is under way and the one before.
 func (rp *replica) isStoreReachable() bool {
 	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
 }
 
-// applyBatch applies a batch that others committed. One that is known already is
-// passed over.
+// applyBatch applies a batch that others committed. One that is applied already is passed over; one that does not follow
+// the last is a *sequenceGapError.
 func (rp *replica) applyBatch(batch oplog.Batch) error {
 	if batch.Seq <= rp.appliedSeq {
 		return nil
 	}
 	if batch.Seq != rp.appliedSeq+1 {
-		return fmt.Errorf("batch %d follows %d", batch.Seq, rp.appliedSeq)
+		return &sequenceGapError{Seq: batch.Seq, Applied: rp.appliedSeq}
 	}
 	reader := &codec.Reader{Data: batch.Data}
 	for len(reader.Data) > 0 {
 		entry, err := model.ReadEntry(reader)
 		if err != nil {
-			return err
+			return fmt.Errorf("controller: log batch %d: %w", batch.Seq, err)
 		}
-		if j := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && j != nil {
-			j.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // it was complete then, without this
+		if job := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && job != nil {
+			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // the copy was complete then, without this
 		}
 		if err := rp.model.Apply(entry, batch.Seq, rp.now()); err != nil {
 			rp.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
@@ -77,15 +93,23 @@
 	return nil
 }
 
-// applyUpdate takes in what a watch saw.
-func (rp *replica) applyUpdate(update *oplog.Update, sentAt time.Time) bool {
-	for _, b := range update.Batches {
-		if err := rp.applyBatch(b); err != nil {
-			rp.log.Warn("replica out of sync, reloading", "err", err)
-			rp.loaded = false
-			return false
+// applyBatches applies batches up to the first that can't be applied.
+func (rp *replica) applyBatches(batches []oplog.Batch) error {
+	for _, batch := range batches {
+		if err := rp.applyBatch(batch); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+// applyUpdate takes in what a watch that was sent at sentAt saw. It returns false if the copy has to be loaded anew.
+func (rp *replica) applyUpdate(update *oplog.Update, sentAt time.Time) bool {
+	if err := rp.applyBatches(update.Batches); err != nil {
+		rp.log.Warn("replica out of sync, reloading", "err", err)
+		rp.loaded = false
+		return false
+	}
 	if update.LeaderChanged {
 		rp.term.leader = update.Leader
 	}
@@ -93,47 +117,57 @@
 	return true
 }
 
-// load reads the log and replaces the replica.
-func (rp *replica) load(ctx context.Context) (revision uint64, err error) {
+// load reads the log and replaces the copy. revokeStale tells whether it ended the lease of the leader that the log
+// names; that leader is not one then. It returns the revision from which to watch the log.
+func (rp *replica) load(
+	ctx context.Context, revokeStale func(context.Context, *oplog.Leader) bool,
+) (revision uint64, err error) {
 	sentAt := time.Now()
 	loaded, err := rp.oplog.Load(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if rp.leadership.revokeOwnStaleLease(ctx, loaded.Leader) {
+	if revokeStale(ctx, loaded.Leader) {
 		loaded.Leader = nil
 	}
+	rp.loop.postAndWait(func() { err = rp.replaceCopy(loaded, sentAt) })
+	return loaded.Revision, err
+}
+
+// replaceCopy replaces the copy by what was read by a load that was sent at sentAt. After an error the copy counts as
+// not loaded.
+func (rp *replica) replaceCopy(loaded *oplog.Loaded, sentAt time.Time) error {
 	lastSeq := loaded.SnapshotSeq + uint64(len(loaded.Batches))
-	rp.loop.postAndWait(func() {
-		// A request may have read the log's end after this load did. The replica
-		// must not go back, or that request is given an older answer.
-		if rp.loaded && rp.appliedSeq >= lastSeq {
-			rp.term.leader, rp.lastStoreContact = loaded.Leader, time.Now()
-			return
-		}
-		rp.reset()
-		now := rp.now()
-		if loaded.SnapshotSeq > 0 {
-			if err = rp.model.Restore(loaded.Snapshot, loaded.SnapshotSeq, now); err != nil {
-				return
-			}
-		}
-		rp.appliedSeq = loaded.SnapshotSeq
-		rp.watermarks.Observe(loaded.SnapshotSeq)
-		for _, b := range loaded.Batches {
-			if err = rp.applyBatch(b); err != nil {
-				return
-			}
+	if rp.loaded && rp.appliedSeq >= lastSeq {
+		// A request has read the log's end after this load did. The copy must not go back, or that request is given an
+		// older answer.
+		rp.term.leader, rp.lastStoreContact = loaded.Leader, time.Now()
+		return nil
+	}
+	rp.reset()
+	if loaded.SnapshotSeq > 0 {
+		if err := rp.model.Restore(loaded.Snapshot, loaded.SnapshotSeq, rp.now()); err != nil {
+			return fmt.Errorf("controller: restore snapshot %d: %w", loaded.SnapshotSeq, err)
 		}
-		rp.term.leader, rp.caughtUpAt, rp.lastStoreContact, rp.loaded = loaded.Leader, sentAt, time.Now(), true
-		rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq,
-			"jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
-	})
-	return loaded.Revision, err
+	}
+	rp.appliedSeq = loaded.SnapshotSeq
+	rp.watermarks.Observe(loaded.SnapshotSeq)
+	if err := rp.applyBatches(loaded.Batches); err != nil {
+		return err
+	}
+	rp.term.leader = loaded.Leader
+	rp.caughtUpAt, rp.lastStoreContact = sentAt, time.Now()
+	rp.loaded = true
+	rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq,
+		"jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
+	return nil
 }
 
-// catchUp reads the log's end. Requests that come while a read is under way
-// share the next one, because that one begins after they came.
+// logEndTimeout bounds a read of the log's end.
+const logEndTimeout = 1500 * time.Millisecond
+
+// catchUp reads the log to its end, so that the copy holds all that was committed before the call. Requests that come
+// while a read is under way share the next one, because that one begins after they came.
 func (rp *replica) catchUp(ctx context.Context) error {
 	for turn := 0; ; turn++ {
 		rp.catchUpMu.Lock()
@@ -143,7 +177,8 @@
 			rp.catchUpRead = read
 			rp.catchUpMu.Unlock()
 			// Others wait for this read too, so it does not end with this request.
-			read.err = rp.store.ForUser(rp.ctx, responseTimeout, rp.readLogEnd)
+			shared := rp.ctx
+			read.err = rp.store.ForUser(shared, responseTimeout, rp.readLogEnd) //nolint:contextcheck // see above
 			rp.catchUpMu.Lock()
 			rp.catchUpRead = nil
 			rp.catchUpMu.Unlock()
@@ -162,21 +197,23 @@
 	}
 }
 
-// catchUpRead is a read of the log's end that is under way.
+// catchUpRead is a read of the log's end that is under way; err is set before done is closed.
 type catchUpRead struct {
 	done chan struct{}
 	err  error
 }
 
-var errNotLoaded = errors.New("controller: the log is not read yet")
+// errNotLoaded reports that there is no copy of the log to be caught up, or that it is the leader's own.
+var errNotLoaded = errors.New("controller: replica not loaded")
 
+// readLogEnd applies all batches after those that the copy has.
 func (rp *replica) readLogEnd(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, logEndTimeout)
 	defer cancel()
 	var appliedSeq uint64
-	var ok bool
-	rp.loop.postAndWait(func() { appliedSeq, ok = rp.appliedSeq, rp.loaded && rp.term.ownTerm == nil })
-	if !ok {
+	var follows bool
+	rp.loop.postAndWait(func() { appliedSeq, follows = rp.appliedSeq, rp.loaded && rp.term.ownTerm == nil })
+	if !follows {
 		return errNotLoaded
 	}
 	batches, err := rp.oplog.BatchesAfter(ctx, appliedSeq)
@@ -188,11 +225,7 @@
 			err = errNotLoaded
 			return
 		}
-		for _, b := range batches {
-			if err = rp.applyBatch(b); err != nil {
-				return
-			}
-		}
+		err = rp.applyBatches(batches)
 	})
 	return err
 }
