--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -129,3 +129,14 @@
 	cd.markForCommands(run.Machine)
 	cd.sendDirect(run.Machine)
 }
+
+// sendCommitted sends the commands that waited for a commit.
+func (cd *commandDispatcher) sendCommitted(term *leaderTerm) {
+	for machine := range term.dispatch.dirtyAfterCommit {
+		term.dispatch.dirtyMachines[machine] = true
+	}
+	clear(term.dispatch.dirtyAfterCommit)
+	for machine := range term.dispatch.dirtyMachines {
+		cd.sendDirect(machine)
+	}
+}
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -52,8 +52,8 @@
 }
 
 // runBarrierRound asks all other controllers whether anything may have been committed that this one does not know of,
-// while it can't read the log. If all can be asked and none has, agents' leases are renewed for longer: without this an
-// outage of the key-value store longer than the bound ends all work.
+// while it can't read the log. If all can be asked and none has, agents' leases are renewed for longer: without this
+// an outage of the key-value store longer than the bound ends all work.
 func (cf *commitFence) runBarrierRound() {
 	now := time.Now()
 	if !cf.barrierDue(now) {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// queryWatermark asks the controller with this index for its watermark and records the answer. Without one, or with one
-// from an older version or a busy controller, the bound stays as it was.
+// queryWatermark asks the controller with this index for its watermark and records the answer. Without one, or with
+// one from an older version or a busy controller, the bound stays as it was.
 func (cf *commitFence) queryWatermark(ctx context.Context, round *barrierRound, index int, link *rpc.Link) {
 	ctx, cancel := context.WithTimeout(ctx, barrierInterval)
 	defer cancel()
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// commitPipelineTerm is the commit pipeline's state of one term of leadership. The loop owns it; the channels go to the
-// term's writer and compactor, which leadership runs.
+// commitPipelineTerm is the commit pipeline's state of one term of leadership. The loop owns it; the channels go to
+// the term's writer and compactor, which leadership runs.
 type commitPipelineTerm struct {
 	committedSeq         uint64    // last batch known to be committed
 	writeInFlight        bool      // the batch after it is with the writer
@@ -121,9 +121,9 @@
 	return index
 }
 
-// isUrgent tells whether somebody waits for an entry: a user for a response, or work of high priority for its start. The
-// rest may gather for a while, so that the few writes a second that the key-value store takes carry more, and are left
-// for what is urgent.
+// isUrgent tells whether somebody waits for an entry: a user for a response, or work of high priority for its start.
+// The rest may gather for a while, so that the few writes a second that the key-value store takes carry more, and are
+// left for what is urgent.
 func (cp *commitPipeline) isUrgent(entry *model.Entry) bool {
 	switch entry.Kind {
 	case model.EntryAccept, model.EntryCancel:
@@ -135,8 +135,8 @@
 	return false
 }
 
-// whenCommitted calls onResult with true once a batch is committed, or with false once it is known that this controller
-// can't tell.
+// whenCommitted calls onResult with true once a batch is committed, or with false once it is known that this
+// controller can't tell.
 func (cp *commitPipeline) whenCommitted(seq uint64, onResult func(ok bool)) {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -150,8 +150,8 @@
 	term.commits.commitWaiters = append(term.commits.commitWaiters, commitWaiter{seq, onResult})
 }
 
-// flush hands the next batch to the writer when it is free, and when the batch is urgent, full or has gathered for long
-// enough.
+// flush hands the next batch to the writer when it is free, and when the batch is urgent, full or has gathered for
+// long enough.
 func (cp *commitPipeline) flush() {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -215,8 +215,8 @@
 	return ready
 }
 
-// offerSnapshot hands a snapshot to the compactor if enough batches came since the last one, nothing is applied that is
-// not committed, and the compactor is free.
+// offerSnapshot hands a snapshot to the compactor if enough batches came since the last one, nothing is applied that
+// is not committed, and the compactor is free.
 func (cp *commitPipeline) offerSnapshot(term *leaderTerm, seq uint64) {
 	commits := &term.commits
 	commits.batchesSinceSnapshot++
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -7,39 +7,40 @@
 	"fieldhill/internal/replication/singleton"
 )
 
-// newComponents makes all components and connects each with those that it uses. Those of the core are made in the order
-// of their dependencies; the others use each other both ways, so they are made first and connected then.
+// newComponents makes all components and connects each with those that it uses. Those of the core are made in the
+// order of their dependencies; the others use each other both ways, so they are made first and then connected, by one
+// function for each, which shows what it uses.
 func newComponents(env *environment) *Controller {
 	c := &Controller{environment: env}
-	c.makeCore()
-	c.makeAgentSide()
-	c.makeUserSide()
-	c.connectCore()
-	c.connectLeases()
-	c.connectAssignments()
-	c.connectRelay()
-	c.connectProbes()
-	c.connectDispatch()
-	c.connectRounds()
-	c.connectProvisioning()
-	c.connectKeepalives()
-	c.connectHeartbeats()
-	c.connectHeartbeatRouter()
-	c.connectZones()
-	c.connectHealth()
-	c.connectIntake()
-	c.connectJobStatus()
-	c.connectSubmissions()
-	c.connectCancellations()
-	c.connectRoles()
-	c.connectExplanations()
-	c.connectReadiness()
-	c.connectTelemetry()
+	makeCore(c)
+	makeAgentSide(c)
+	makeUserSide(c)
+	connectCore(c)
+	connectLeases(c)
+	connectAssignments(c)
+	connectRelay(c)
+	connectProbes(c)
+	connectDispatch(c)
+	connectRounds(c)
+	connectProvisioning(c)
+	connectKeepalives(c)
+	connectHeartbeats(c)
+	connectHeartbeatRouter(c)
+	connectZones(c)
+	connectHealth(c)
+	connectIntake(c)
+	connectJobStatus(c)
+	connectSubmissions(c)
+	connectCancellations(c)
+	connectRoles(c)
+	connectExplanations(c)
+	connectReadiness(c)
+	connectTelemetry(c)
 	return c
 }
 
 // makeCore makes the loop, the state of the log, and leadership.
-func (c *Controller) makeCore() {
+func makeCore(c *Controller) {
 	env := c.environment
 	c.loop = newEventLoop(env)
 	c.term = &termState{environment: env}
@@ -51,11 +52,14 @@
 }
 
 // connectCore has the core call the components that depend on it, by callbacks and narrow interfaces.
-func (c *Controller) connectCore() {
+func connectCore(c *Controller) {
 	c.loop.turns = c
-	c.replica.onReset = c.onReplicaReset
-	c.commits.afterCommit = c.sendCommitted
-	c.commits.compactsLog = c.compactsLog
+	c.replica.onReset = func() {
+		// They go by machines' numbers in the log, and those of machines that are gone need not be kept.
+		c.keepalives.clearedMachines = clearedMachines{}
+	}
+	c.commits.afterCommit = c.dispatch.sendCommitted
+	c.commits.compactsLog = func() bool { return !c.roles.rolesDistributed() }
 	c.leadership.duties = &termDuties{
 		rounds:       c.rounds,
 		provisioning: c.provisioning,
@@ -67,7 +71,7 @@
 }
 
 // makeAgentSide makes the components that deal with agents, machines and the cloud, unconnected.
-func (c *Controller) makeAgentSide() {
+func makeAgentSide(c *Controller) {
 	env := c.environment
 	sockets, maxConns := env.settings.Params.Limits.MaxSockets, env.connLimiter.MaxConns
 	c.leases = &leaseRenewal{environment: env, renewals: lease.NewRenewalTable(env.now())}
@@ -89,7 +93,7 @@
 }
 
 // makeUserSide makes the components that deal with jobs, users and operators, unconnected.
-func (c *Controller) makeUserSide() {
+func makeUserSide(c *Controller) {
 	env := c.environment
 	writeRPS := env.settings.Params.KVStore.WriteRPS
 	c.intake = &intake{environment: env, limiter: newIntakeLimiter(writeRPS, len(env.settings.Members)+1)}
@@ -105,25 +109,25 @@
 	}
 }
 
-func (c *Controller) connectLeases() {
+func connectLeases(c *Controller) {
 	c.leases.fence = c.fence
 	c.leases.loop = c.loop
 	c.leases.replica = c.replica
 	c.leases.term = c.term
 }
 
-func (c *Controller) connectAssignments() {
+func connectAssignments(c *Controller) {
 	c.assignments.loop = c.loop
 	c.assignments.replica = c.replica
 	c.assignments.term = c.term
 }
 
-func (c *Controller) connectRelay() {
+func connectRelay(c *Controller) {
 	c.relay.replica = c.replica
 	c.relay.term = c.term
 }
 
-func (c *Controller) connectProbes() {
+func connectProbes(c *Controller) {
 	c.probes.heartbeats = c.heartbeats
 	c.probes.loop = c.loop
 	c.probes.replica = c.replica
@@ -131,7 +135,7 @@
 	c.probes.term = c.term
 }
 
-func (c *Controller) connectDispatch() {
+func connectDispatch(c *Controller) {
 	c.dispatch.commits = c.commits
 	c.dispatch.heartbeats = c.heartbeats
 	c.dispatch.loop = c.loop
@@ -141,7 +145,7 @@
 	c.dispatch.term = c.term
 }
 
-func (c *Controller) connectRounds() {
+func connectRounds(c *Controller) {
 	c.rounds.commits = c.commits
 	c.rounds.dispatch = c.dispatch
 	c.rounds.loop = c.loop
@@ -150,7 +154,7 @@
 	c.rounds.term = c.term
 }
 
-func (c *Controller) connectProvisioning() {
+func connectProvisioning(c *Controller) {
 	c.provisioning.commits = c.commits
 	c.provisioning.health = c.health
 	c.provisioning.loop = c.loop
@@ -161,13 +165,13 @@
 	c.provisioning.term = c.term
 }
 
-func (c *Controller) connectKeepalives() {
+func connectKeepalives(c *Controller) {
 	c.keepalives.leases = c.leases
 	c.keepalives.replica = c.replica
 	c.keepalives.term = c.term
 }
 
-func (c *Controller) connectHeartbeats() {
+func connectHeartbeats(c *Controller) {
 	c.heartbeats.commits = c.commits
 	c.heartbeats.dispatch = c.dispatch
 	c.heartbeats.keepalives = c.keepalives
@@ -181,7 +185,7 @@
 	c.heartbeats.term = c.term
 }
 
-func (c *Controller) connectHeartbeatRouter() {
+func connectHeartbeatRouter(c *Controller) {
 	c.heartbeatRouter.heartbeats = c.heartbeats
 	c.heartbeatRouter.keepalives = c.keepalives
 	c.heartbeatRouter.loop = c.loop
@@ -191,14 +195,14 @@
 	c.heartbeatRouter.term = c.term
 }
 
-func (c *Controller) connectZones() {
+func connectZones(c *Controller) {
 	c.zones.keepalives = c.keepalives
 	c.zones.loop = c.loop
 	c.zones.replica = c.replica
 	c.zones.term = c.term
 }
 
-func (c *Controller) connectHealth() {
+func connectHealth(c *Controller) {
 	c.health.commits = c.commits
 	c.health.heartbeats = c.heartbeats
 	c.health.leases = c.leases
@@ -211,14 +215,14 @@
 	c.health.zones = c.zones
 }
 
-func (c *Controller) connectIntake() {
+func connectIntake(c *Controller) {
 	c.intake.commits = c.commits
 	c.intake.loop = c.loop
 	c.intake.replica = c.replica
 	c.intake.term = c.term
 }
 
-func (c *Controller) connectJobStatus() {
+func connectJobStatus(c *Controller) {
 	c.jobStatus.commits = c.commits
 	c.jobStatus.forward = c.forward
 	c.jobStatus.intake = c.intake
@@ -227,7 +231,7 @@
 	c.jobStatus.term = c.term
 }
 
-func (c *Controller) connectSubmissions() {
+func connectSubmissions(c *Controller) {
 	c.submissions.commits = c.commits
 	c.submissions.forward = c.forward
 	c.submissions.intake = c.intake
@@ -237,7 +241,7 @@
 	c.submissions.term = c.term
 }
 
-func (c *Controller) connectCancellations() {
+func connectCancellations(c *Controller) {
 	c.cancellations.commits = c.commits
 	c.cancellations.dispatch = c.dispatch
 	c.cancellations.forward = c.forward
@@ -248,7 +252,7 @@
 	c.cancellations.term = c.term
 }
 
-func (c *Controller) connectRoles() {
+func connectRoles(c *Controller) {
 	c.roles.commits = c.commits
 	c.roles.forward = c.forward
 	c.roles.loop = c.loop
@@ -257,7 +261,7 @@
 	c.roles.term = c.term
 }
 
-func (c *Controller) connectExplanations() {
+func connectExplanations(c *Controller) {
 	c.explanations.forward = c.forward
 	c.explanations.loop = c.loop
 	c.explanations.probes = c.probes
@@ -269,14 +273,14 @@
 	c.explanations.term = c.term
 }
 
-func (c *Controller) connectReadiness() {
+func connectReadiness(c *Controller) {
 	c.readiness.forward = c.forward
 	c.readiness.leadership = c.leadership
 	c.readiness.replica = c.replica
 	c.readiness.term = c.term
 }
 
-func (c *Controller) connectTelemetry() {
+func connectTelemetry(c *Controller) {
 	c.telemetry.loop = c.loop
 	c.telemetry.replica = c.replica
 	c.telemetry.roles = c.roles
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,13 +1,13 @@
-// Package controller is the cluster's controller: it accepts jobs, schedules their tasks onto machines, keeps the agents
-// on them alive, and scales the fleet. One of several controllers leads; the others follow the replicated log and stand
-// ready for failover.
+// Package controller is the cluster's controller: it accepts jobs, schedules their tasks onto machines, keeps the
+// agents on them alive, and scales the fleet. One of several controllers leads; the others follow the replicated log
+// and stand ready for failover.
 //
-// One goroutine, the event loop, owns the model and the state of all components. Users, agents, the log, the cloud and
-// the other controllers reach it by posting work to it.
+// One goroutine, the event loop, owns the model and the state of all components. Users, agents, the log, the cloud
+// and the other controllers reach it by posting work to it.
 //
 // Nothing is done and nothing is answered before it is in the log: entries are applied to the model at once, so that
-// later decisions build on them, but commands and responses that depend on them wait until their batch is committed. If
-// leadership is lost, the model is thrown away and read anew.
+// later decisions build on them, but commands and responses that depend on them wait until their batch is committed.
+// If leadership is lost, the model is thrown away and read anew.
 package controller
 
 import (
@@ -18,9 +18,10 @@
 	"net"
 	"net/http"
 	"os"
-	"sync"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"fieldhill/internal/adminapi"
 	"fieldhill/internal/api"
 	"fieldhill/internal/config"
@@ -30,8 +31,9 @@
 	"fieldhill/wire"
 )
 
-// Controller makes the components, wires them, runs their goroutines and the periodic maintenance, and dispatches other
-// controllers' requests. It has no state of its own: each component's is the component's, and the loop's to change.
+// Controller makes the components, wires them, runs their goroutines and the periodic maintenance, and dispatches
+// other controllers' requests. It has no state of its own: each component's is the component's, and the loop's to
+// change.
 type Controller struct {
 	*environment
 	loop            *eventLoop
@@ -125,28 +127,6 @@
 	return errors.Join(errs...)
 }
 
-// taskGroup runs a controller's goroutines; the first that fails stops the others, by their context, with its error as
-// the cause.
-type taskGroup struct {
-	sync.WaitGroup
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-}
-
-// start runs a task that may fail.
-func (g *taskGroup) start(name string, task func(ctx context.Context) error) {
-	g.Go(func() {
-		if err := task(g.ctx); err != nil && g.ctx.Err() == nil {
-			g.cancel(fmt.Errorf("%s: %w", name, err))
-		}
-	})
-}
-
-// startLoop runs a task that ends with the context alone.
-func (g *taskGroup) startLoop(task func(ctx context.Context)) {
-	g.Go(func() { task(g.ctx) })
-}
-
 // Run serves until the context ends or something that a controller can't do without fails, and returns which. All
 // goroutines have ended when it returns.
 func (c *Controller) Run(ctx context.Context) error {
@@ -154,38 +134,39 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
+	tasks, ctx := errgroup.WithContext(ctx)
 	c.ctx = ctx
-	tasks := &taskGroup{ctx: ctx, cancel: cancel}
-	defer tasks.Wait()
-	c.startCore(tasks, opened)
-	c.startServers(tasks, opened)
+	c.startCore(ctx, tasks, opened)
+	c.startServers(ctx, tasks, opened)
 	c.log.Info("controller started", "node", c.settings.Node, "zone", c.settings.Zone, "bind", c.settings.Bind,
 		"pid", os.Getpid())
 	<-ctx.Done()
 	if c.roles.state != nil {
 		<-c.loop.done
-		c.roles.revokeRoles() //nolint:contextcheck // the context has ended; the revocations have a timeout of their own
+		c.roles.revokeRoles() //nolint:contextcheck // the context has ended; this has a timeout of its own
 	}
 	c.close()
+	_ = tasks.Wait() // the error that ended the context is its cause
 	return context.Cause(ctx)
 }
 
 // startCore starts the loop, and what it has to do with the log and with the other controllers.
-func (c *Controller) startCore(tasks *taskGroup, opened *listeners) {
-	tasks.startLoop(c.loop.run)
-	tasks.startLoop(c.leadership.runReplication)
-	tasks.start("peers", func(ctx context.Context) error {
-		return rpc.Serve(ctx, opened.peers, c.handlePeerRequest, &c.traffic, c.log)
+func (c *Controller) startCore(ctx context.Context, tasks *errgroup.Group, opened *listeners) {
+	start := func(task func(context.Context)) {
+		tasks.Go(func() error { task(ctx); return nil })
+	}
+	start(c.loop.run)
+	start(c.leadership.runReplication)
+	tasks.Go(func() error {
+		return taskError("peers", rpc.Serve(ctx, opened.peers, c.handlePeerRequest, &c.traffic, c.log))
 	})
 	if c.roles.state != nil {
-		tasks.startLoop(c.roles.watchRoles)
+		start(c.roles.watchRoles)
 	} else {
-		tasks.startLoop(c.roles.withdrawFromRoles)
+		start(c.roles.withdrawFromRoles)
 	}
 	for _, link := range c.links {
-		tasks.startLoop(link.Run)
+		start(link.Run)
 	}
 }
 
@@ -193,26 +174,35 @@
 const maxMetricsConns = 4
 
 // startServers starts what answers users, agents and operators.
-func (c *Controller) startServers(tasks *taskGroup, opened *listeners) {
-	tasks.start("api", func(ctx context.Context) error {
+func (c *Controller) startServers(ctx context.Context, tasks *errgroup.Group, opened *listeners) {
+	tasks.Go(func() error {
 		handler := api.Handler(c.requestHandlers(), c.log, c.connLimiter, c.metrics.ObserveRequest)
-		return api.Serve(ctx, opened.api, c.connLimiter, handler, c.log)
+		return taskError("api", api.Serve(ctx, opened.api, c.connLimiter, handler, c.log))
 	})
 	if opened.metrics != nil {
-		tasks.start("metrics", func(ctx context.Context) error {
+		tasks.Go(func() error {
 			limiter := &api.ConnLimiter{MaxConns: maxMetricsConns}
-			return api.Serve(ctx, opened.metrics, limiter, c.metrics.Handler(c.telemetry.snapshot), c.log)
+			handler := c.metrics.Handler(c.telemetry.snapshot)
+			return taskError("metrics", api.Serve(ctx, opened.metrics, limiter, handler, c.log))
 		})
 	}
 	if opened.admin != nil {
-		tasks.start("operate", func(ctx context.Context) error {
-			return adminapi.Serve(ctx, opened.admin, c.explanations, c.log)
+		tasks.Go(func() error {
+			return taskError("operate", adminapi.Serve(ctx, opened.admin, c.explanations, c.log))
 		})
 	}
 }
 
-// handlePeerRequest answers another controller. Which component may answer depends on whether this one leads, and where
-// it does not, on whether it is in touch with the key-value store.
+// taskError names the part of the controller that failed.
+func taskError(name string, err error) error {
+	if err == nil {
+		return nil
+	}
+	return fmt.Errorf("%s: %w", name, err)
+}
+
+// handlePeerRequest answers another controller. Which component may answer depends on whether this one leads, and
+// where it does not, on whether it is in touch with the key-value store.
 func (c *Controller) handlePeerRequest(ctx context.Context, request *rpc.Request) *rpc.Response {
 	switch request.Op {
 	case rpc.OpPing:
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -11,9 +11,9 @@
 	"fieldhill/internal/rpc"
 )
 
-// eligibility decides whether this controller may stand for election, from what the other controllers say of themselves
-// in pings. The links' goroutines and the replication's use it, and it must answer pings also while the loop is late, so
-// it has a lock of its own, which guards watch. warm is written by the loop; the rest never changes.
+// eligibility decides whether this controller may stand for election, from what the other controllers say of
+// themselves in pings. The links' goroutines and the replication's use it, and it must answer pings also while the
+// loop is late, so it has a lock of its own, which guards watch. warm is written by the loop; the rest never changes.
 type eligibility struct {
 	node        string
 	nodeIndex   map[string]int // of the other controllers, by node: their index in the settings
@@ -45,8 +45,8 @@
 func (el *eligibility) attach(link *rpc.Link, index int) {
 	link.PingBody = func() []byte { return candidacy.AppendQuery(nil, el.node, el.incarnation) }
 	link.OnPong = func(payload []byte) {
-		// A controller of an older version sends nothing, which counts as not warm: then this process stands beside it,
-		// as all did before.
+		// A controller of an older version sends nothing, which counts as not warm: then this process stands beside
+		// it, as all did before.
 		status, _ := candidacy.ReadStatus(payload)
 		el.mu.Lock()
 		defer el.mu.Unlock()
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -36,8 +36,8 @@
 	connLimiter *api.ConnLimiter     // of connections from users and agents
 	metrics     *metrics.Registry
 
-	// ctx ends when the controller stops. Run sets it before it starts any goroutine. It bounds work that belongs to no
-	// single call: what the loop starts, and reads that several requests share.
+	// ctx ends when the controller stops. Run sets it before it starts any goroutine. It bounds work that belongs to
+	// no single call: what the loop starts, and reads that several requests share.
 	ctx context.Context
 }
 
@@ -94,8 +94,8 @@
 // now is the controller's clock: the time since its start.
 func (env *environment) now() model.Time { return time.Since(env.startTime) }
 
-// probeAfter is after how long without a heartbeat a machine is probed: the longest interval between two heartbeats, and
-// some time on the way.
+// probeAfter is after how long without a heartbeat a machine is probed: the longest interval between two heartbeats,
+// and some time on the way.
 func (env *environment) probeAfter() time.Duration {
 	return config.Seconds(env.settings.Params.Workers.HeartbeatS*1.25 + 0.75)
 }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -10,13 +10,13 @@
 	"fieldhill/internal/scheduling/admission"
 )
 
-// eventLoop is the one goroutine that owns the controller's state: every component's fields are read and written in its
-// turns alone, unless a field says otherwise. Other goroutines reach it through two queues:
+// eventLoop is the one goroutine that owns the controller's state: every component's fields are read and written in
+// its turns alone, unless a field says otherwise. Other goroutines reach it through two queues:
 //
-//   - workQueue takes what keeps leases, ends of tasks and cancellations come by, and the short look-ups that a request
-//     needs before it is queued itself;
-//   - requestQueue takes what users submit and ask. It is served after all other waiting work, a few requests a turn, so
-//     that a flood of requests delays neither heartbeats nor cancellations.
+//   - workQueue takes what keeps leases, ends of tasks and cancellations come by, and the short look-ups that a
+//     request needs before it is queued itself;
+//   - requestQueue takes what users submit and ask. It is served after all other waiting work, a few requests a turn,
+//     so that a flood of requests delays neither heartbeats nor cancellations.
 //
 // Both are bounded: beyond their length the caller is refused at once and told to come back.
 //
@@ -88,8 +88,8 @@
 	}
 }
 
-// postAndWait runs work in the loop and waits for it. While the controller stops, the work may not be run; but it never
-// runs after postAndWait has returned, when the caller reads what the work wrote.
+// postAndWait runs work in the loop and waits for it. While the controller stops, the work may not be run; but it
+// never runs after postAndWait has returned, when the caller reads what the work wrote.
 func (el *eventLoop) postAndWait(work func()) {
 	finished := make(chan struct{})
 	el.post(func() { work(); close(finished) })
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder tells requests' goroutines whether this controller leads, and asks the leader or another controller on their
-// behalf. The loop publishes routing; any goroutine reads it.
+// forwarder tells requests' goroutines whether this controller leads, and asks the leader or another controller on
+// their behalf. The loop publishes routing; any goroutine reads it.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -24,8 +24,8 @@
 	return &forwarder{environment: env, replica: replica, term: term}
 }
 
-// routingView is what the way of a request is chosen by. It may be out of date when it is read: whatever follows from it
-// is checked again in the loop.
+// routingView is what the way of a request is chosen by. It may be out of date when it is read: whatever follows from
+// it is checked again in the loop.
 type routingView struct {
 	leads             bool
 	leader            string    // node of the leader; "": none is known
@@ -63,7 +63,8 @@
 	}
 }
 
-// routingState tells whether this controller leads or believes so, and whether it is in touch with the key-value store.
+// routingState tells whether this controller leads or believes so, and whether it is in touch with the key-value
+// store.
 func (fw *forwarder) routingState() (leads, storeReachable bool) {
 	view := fw.routing.Load()
 	return view.leads, view.storeReachable()
@@ -88,8 +89,8 @@
 	return response, true
 }
 
-// toOthers asks the other controllers, one after the other, for what this one can't answer: as far as it can tell it no
-// longer leads, or it no longer reads the log, while others may do both.
+// toOthers asks the other controllers, one after the other, for what this one can't answer: as far as it can tell it
+// no longer leads, or it no longer reads the log, while others may do both.
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (*rpc.Response, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -17,8 +17,8 @@
 const termReadPause = 100 * time.Millisecond
 
 // serveTerm leads until leadership is lost or resigned, and returns why. Its phases are: renew the lease from now on;
-// read what the log and the intake have beyond the replica; begin the term in the loop; write batches and compact the log
-// until something ends the term. All goroutines that it starts have ended when it returns.
+// read what the log and the intake have beyond the replica; begin the term in the loop; write batches and compact the
+// log until something ends the term. All goroutines that it starts have ended when it returns.
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
 	term := ls.duties.newTerm(ctx, cancel, won.Leader)
@@ -55,8 +55,8 @@
 	return <-term.errs
 }
 
-// renewLease renews the leader's lease, and with each renewal the trust in it, until it is lost or the context ends; it
-// returns which.
+// renewLease renews the leader's lease, and with each renewal the trust in it, until it is lost or the context ends;
+// it returns which.
 func (ls *leadership) renewLease(ctx context.Context, term *leaderTerm, won *election.Leadership) error {
 	return election.RenewUntilLost(ctx, ls.store, won, func(until time.Time) {
 		ls.loop.post(func() {
@@ -163,8 +163,8 @@
 	}
 }
 
-// compactLog replaces the log's beginning by the term's snapshots. One that fails leaves the previous snapshot in force;
-// only being deposed ends the term.
+// compactLog replaces the log's beginning by the term's snapshots. One that fails leaves the previous snapshot in
+// force; only being deposed ends the term.
 func (ls *leadership) compactLog(ctx context.Context, term *leaderTerm) {
 	compactor := ls.oplog.NewCompactor(term.leader.Fence())
 	// What earlier terms left uncompacted counts too, or a log whose leaders change often would grow without bound.
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// followOrLead serves a term if this controller wins one, and else waits for news of the log after a revision. inSync is
-// false if the log has to be loaded anew; otherwise it returns the revision to go on from.
+// followOrLead serves a term if this controller wins one, and else waits for news of the log after a revision. inSync
+// is false if the log has to be loaded anew; otherwise it returns the revision to go on from.
 func (ls *leadership) followOrLead(ctx context.Context, revision uint64) (next uint64, inSync bool) {
 	hasLeader := ls.findLeader(ctx)
 	followDuration := followTimeout
@@ -157,8 +157,8 @@
 	return update.Revision, true
 }
 
-// errHeartbeatsMissing ends the term of a leader that agents don't reach, while other controllers do: one of them leads
-// better.
+// errHeartbeatsMissing ends the term of a leader that agents don't reach, while other controllers do: one of them
+// leads better.
 var errHeartbeatsMissing = errors.New("controller: heartbeats missing from most machines")
 
 // abstainDuration is how long a controller leaves leadership to others after that. If none of them takes it, this one
@@ -177,10 +177,10 @@
 	}
 }
 
-// revokeOwnStaleLease ends the lease of a leader that names this controller while this process does not lead, and tells
-// whether it did: an earlier process led and is dead, or the transaction by which it, or this one, stood for election was
-// carried out after nobody waited for it any more. The others would wait for three seconds. Only the replication's
-// goroutine calls it, which holds a term of this process from its election to its end.
+// revokeOwnStaleLease ends the lease of a leader that names this controller while this process does not lead, and
+// tells whether it did: an earlier process led and is dead, or the transaction by which it, or this one, stood for
+// election was carried out after nobody waited for it any more. The others would wait for three seconds. Only the
+// replication's goroutine calls it, which holds a term of this process from its election to its end.
 func (ls *leadership) revokeOwnStaleLease(ctx context.Context, leader *oplog.Leader) bool {
 	if leader == nil || leader.Node != ls.settings.Node {
 		return false
@@ -190,8 +190,8 @@
 	return ls.store.Revoke(ctx, leader.Lease) == nil
 }
 
-// logFailover logs once how long each phase of the failover took, when all have been reached or no more are waited for.
-// It runs in the loop.
+// logFailover logs once how long each phase of the failover took, when all have been reached or no more are waited
+// for. It runs in the loop.
 func (ls *leadership) logFailover(term *leaderTerm) {
 	if term.leadership.failoverLogged ||
 		!term.leadership.timeline.IsComplete() && time.Since(term.leadership.reportGraceEnd) < failoverLogTimeout {
@@ -208,13 +208,13 @@
 	ls.log.Info("failover complete", args...)
 }
 
-// failoverLogTimeout is how long after reportGraceEnd a failover is logged though phases of it were not reached: nothing
-// waited to be placed.
+// failoverLogTimeout is how long after reportGraceEnd a failover is logged though phases of it were not reached:
+// nothing waited to be placed.
 const failoverLogTimeout = 5 * time.Second
 
-// hasPossibleSuccessor tells, at a leader whose lease can't be renewed, whether another controller may lead in its place:
-// none responds, and they may be well all the same, or one says that it reads the log. Where it is the key-value store
-// that is down, all say that they don't. It runs in the loop.
+// hasPossibleSuccessor tells, at a leader whose lease can't be renewed, whether another controller may lead in its
+// place: none responds, and they may be well all the same, or one says that it reads the log. Where it is the
+// key-value store that is down, all say that they don't. It runs in the loop.
 func (ls *leadership) hasPossibleSuccessor() bool {
 	return ls.forward.isIsolated() || ls.eligibility.hasWarmPeer()
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -11,8 +11,8 @@
 	maxRoundGap    = 500 * time.Millisecond
 	roundGapFactor = 5 // a round is followed by so many times its own length without one that events request
 
-	// stallThreshold is for how long the loop may stand still before that is logged, and counts as a gap in all that it
-	// observes.
+	// stallThreshold is for how long the loop may stand still before that is logged, and counts as a gap in all that
+	// it observes.
 	stallThreshold = 4 * maintenanceInterval
 	// toleratedDelay is how late the maintenance may come before that time counts against no machine.
 	toleratedDelay = 100 * time.Millisecond
@@ -80,20 +80,3 @@
 	c.leadership.logFailover(term)
 	c.provisioning.runProvisioner(now)
 }
-
-// onReplicaReset drops what refers to machines by their numbers in the log: machines that are gone need not be kept.
-func (c *Controller) onReplicaReset() { c.keepalives.clearedMachines = clearedMachines{} }
-
-// sendCommitted sends the commands that waited for a commit.
-func (c *Controller) sendCommitted(term *leaderTerm) {
-	for machine := range term.dispatch.dirtyAfterCommit {
-		term.dispatch.dirtyMachines[machine] = true
-	}
-	clear(term.dispatch.dirtyAfterCommit)
-	for machine := range term.dispatch.dirtyMachines {
-		c.dispatch.sendDirect(machine)
-	}
-}
-
-// compactsLog tells whether the leader compacts the log itself: the singleton roles are not distributed.
-func (c *Controller) compactsLog() bool { return !c.roles.rolesDistributed() }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -65,8 +65,8 @@
 	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
 }
 
-// applyBatch applies a batch that others committed. One that is applied already is passed over; one that does not follow
-// the last is a *sequenceGapError.
+// applyBatch applies a batch that others committed. One that is applied already is passed over; one that does not
+// follow the last is a *sequenceGapError.
 func (rp *replica) applyBatch(batch oplog.Batch) error {
 	if batch.Seq <= rp.appliedSeq {
 		return nil
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -20,9 +20,9 @@
 	leader  *oplog.Leader // nil: none is known
 }
 
-// leaderTerm is one term in which this controller leads, with the state that each component has for that term alone and
-// that only this component writes. A component that works for a term holds on to it, and finds out that the term is over
-// by comparing it with termState.ownTerm.
+// leaderTerm is one term in which this controller leads, with the state that each component has for that term alone
+// and that only this component writes. A component that works for a term holds on to it, and finds out that the term
+// is over by comparing it with termState.ownTerm.
 //
 // The loop owns it, but for trustedUntilOffset, and for the channels and ctx, which any goroutine may use.
 type leaderTerm struct {
@@ -75,8 +75,8 @@
 	}
 }
 
-// machineTokenBits is how many low bits of a fencing token count a machine's own; the term is above them, so that every
-// token of a later term is greater.
+// machineTokenBits is how many low bits of a fencing token count a machine's own; the term is above them, so that
+// every token of a later term is greater.
 const machineTokenBits = 24
 
 // isActive tells whether this controller leads and may act on it: its lease surely lasts.
--- a/internal/controller/term_duties.go
+++ b/internal/controller/term_duties.go
@@ -88,9 +88,9 @@
 	paceThreshold  = 25 * time.Millisecond // of the maintenance's delay, beyond which it does not keep up
 )
 
-// nextLowLimit returns how many tasks of low priority may be placed in a round, given how late the maintenance came. A
-// start costs a placement, its part of the log, a command and two or three heartbeats: without a limit one huge array of
-// tiny tasks takes the whole processor of a small controller, and users wait.
+// nextLowLimit returns how many tasks of low priority may be placed in a round, given how late the maintenance came.
+// A start costs a placement, its part of the log, a command and two or three heartbeats: without a limit one huge
+// array of tiny tasks takes the whole processor of a small controller, and users wait.
 func nextLowLimit(limit int, delay time.Duration) int {
 	if delay > paceThreshold {
 		return max(minLowPerRound, limit/2)
