--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -8,14 +8,14 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// commitPipeline proposes entries, groups them into batches, and tells who waits once a batch is committed. The loop
+// commitPipeline proposes entries, groups them into batches, and notifies callers once a batch is committed. The loop
 // owns it. It applies entries to the replica at once, so that later decisions build on them; whatever leaves this
 // controller waits for the commit.
 type commitPipeline struct {
 	*environment
 	replica *replica
 	term    *termState
-	// afterCommit is told by each commit, after those that waited for it were.
+	// afterCommit is called by each commit, after the callbacks that waited for it.
 	afterCommit func(term *leaderTerm)
 	// compactsLog tells whether the leader compacts the log itself, which otherwise the holder of that role does.
 	compactsLog func() bool
@@ -54,7 +54,8 @@
 	data []byte
 }
 
-// commitWaiter is told whether the batch seq was committed; false says that this controller can't know any more.
+// commitWaiter is a callback that gets whether the batch seq was committed; false says that this controller can no
+// longer know.
 type commitWaiter struct {
 	seq      uint64
 	onResult func(ok bool)
@@ -230,7 +231,7 @@
 	}
 }
 
-// failWaiters tells all who wait that this controller can't know what becomes of their batches.
+// failWaiters tells all waiters that this controller can't know what becomes of their batches.
 func (commits *commitPipelineTerm) failWaiters() {
 	for _, waiter := range commits.commitWaiters {
 		waiter.onResult(false)
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -60,7 +60,7 @@
 	}
 	c.commits.afterCommit = c.dispatch.sendCommitted
 	c.commits.compactsLog = func() bool { return !c.roles.rolesDistributed() }
-	c.leadership.duties = &termDuties{
+	c.leadership.components = &leaderComponents{
 		rounds:       c.rounds,
 		provisioning: c.provisioning,
 		heartbeats:   c.heartbeats,
@@ -109,6 +109,8 @@
 	}
 }
 
+// Each of the functions below gives one component those that it uses.
+
 func connectLeases(c *Controller) {
 	c.leases.fence = c.fence
 	c.leases.loop = c.loop
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -21,7 +21,7 @@
 // log until something ends the term. All goroutines that it starts have ended when it returns.
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
-	term := ls.duties.newTerm(ctx, cancel, won.Leader)
+	term := ls.components.newTerm(ctx, cancel, won.Leader)
 	if since, vacant := ls.eligibility.vacantSince(); vacant {
 		term.leadership.timeline.Mark(candidacy.LeaderLost, since)
 	}
@@ -44,12 +44,12 @@
 			return
 		}
 		ls.beginTerm(term)
-		ls.duties.ingest(term, missing.intake)
+		ls.components.ingest(term, missing.intake)
 	})
 	if err != nil {
 		return err
 	}
-	tasks.Go(func() { ls.duties.watchIntake(term, missing.intakeRevision) })
+	tasks.Go(func() { ls.components.watchIntake(term, missing.intakeRevision) })
 	tasks.Go(func() { ls.writeBatches(ctx, term) })
 	tasks.Go(func() { ls.compactLog(ctx, term) })
 	return <-term.errs
@@ -125,12 +125,12 @@
 	term.commits.committedSeq = ls.replica.appliedSeq
 	term.commits.batchesSinceSnapshot = 0
 	ls.replica.model.BeginTerm(term.leader.Term<<machineTokenBits, ls.now())
-	ls.duties.prepare(term)
+	ls.components.prepare(term)
 	// Machines that worked for the last leader report within this time.
 	term.leadership.reportGraceEnd = time.Now().Add(config.Seconds(ls.settings.Params.Workers.HeartbeatS * 1.25))
 	term.leadership.timeline.Mark(candidacy.Leading, ls.now())
 	ls.loop.requestRound()
-	ls.duties.start(term)
+	ls.components.start(term)
 	ls.metrics.Terms.Inc()
 	ls.log.Info("leader elected", "term", term.leader.Term, "seq", ls.replica.appliedSeq,
 		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -24,14 +24,15 @@
 	replica     *replica
 	term        *termState
 	eligibility *eligibility
-	duties      leaderDuties
+	components  termComponents
 
 	abstainUntil time.Time // this controller does not stand for election until then
 	loadFailing  bool      // the last load failed, which is logged once for an outage
 }
 
-// leaderDuties is the work of the other components that begins with a term.
-type leaderDuties interface {
+// termComponents is the work of the other components that begins with a term. Leadership knows of them by this
+// interface alone, since they in turn depend on it.
+type termComponents interface {
 	// newTerm makes the state of a term that was just won.
 	newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm
 	// prepare makes what decisions need, before the term counts as begun. It runs in the loop.
@@ -44,7 +45,7 @@
 	watchIntake(term *leaderTerm, revision uint64)
 }
 
-// newLeadership makes it for a controller that follows; whoever wires it sets duties.
+// newLeadership makes it for a controller that follows; whoever wires it sets components.
 func newLeadership(
 	env *environment, loop *eventLoop, term *termState, replica *replica, forward *forwarder, commits *commitPipeline,
 ) *leadership {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -22,7 +22,7 @@
 	*environment
 	loop    *eventLoop
 	term    *termState
-	onReset func() // told by each reset, for state of others that refers to the copy
+	onReset func() // called by each reset, for state of others that refers to the copy
 
 	model            *model.Model
 	loaded           bool
--- a/internal/controller/term_duties.go
+++ b/internal/controller/term_components.go
@@ -12,9 +12,8 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// termDuties is what the components that only a leader needs do at the beginning of a term (leaderDuties). Leadership
-// knows of them by that interface alone, since they in turn depend on it.
-type termDuties struct {
+// leaderComponents are the components that only a leader needs, as leadership sees them (termComponents).
+type leaderComponents struct {
 	rounds       *schedulingRounds
 	provisioning *provisioning
 	heartbeats   *heartbeats
@@ -23,25 +22,34 @@
 	intake       *intake
 }
 
-func (td *termDuties) newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm {
-	return newLeaderTerm(ctx, cancel, leader, td.probes.maxZoneProbes)
+// newTerm sizes the term's probes by this controller's limits.
+func (lc *leaderComponents) newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm {
+	return newLeaderTerm(ctx, cancel, leader, lc.probes.maxZoneProbes)
 }
 
-func (td *termDuties) prepare(term *leaderTerm) {
-	td.rounds.prepareTerm()
-	td.provisioning.prepareTerm(term)
+// prepare makes the scheduler, the autoscaler and the provisioner.
+func (lc *leaderComponents) prepare(term *leaderTerm) {
+	lc.rounds.prepareTerm()
+	lc.provisioning.prepareTerm(term)
 }
 
-func (td *termDuties) start(term *leaderTerm) {
-	td.heartbeats.startTerm(term)
-	td.rounds.startTerm(term)
-	td.assignments.startTerm(term)
-	td.probes.probeAll()
+// start counts heartbeats, assigns relays and probes all machines with work.
+func (lc *leaderComponents) start(term *leaderTerm) {
+	lc.heartbeats.startTerm(term)
+	lc.rounds.startTerm(term)
+	lc.assignments.startTerm(term)
+	lc.probes.probeAll()
 }
 
-func (td *termDuties) ingest(term *leaderTerm, jobs []oplog.Intake) { td.intake.ingest(term, jobs) }
+// ingest passes the jobs on to the intake.
+func (lc *leaderComponents) ingest(term *leaderTerm, jobs []oplog.Intake) {
+	lc.intake.ingest(term, jobs)
+}
 
-func (td *termDuties) watchIntake(term *leaderTerm, revision uint64) { td.intake.watch(term, revision) }
+// watchIntake runs the intake's watch.
+func (lc *leaderComponents) watchIntake(term *leaderTerm, revision uint64) {
+	lc.intake.watch(term, revision)
+}
 
 // prepareTerm makes a scheduler that remembers nothing of an earlier term.
 func (sr *schedulingRounds) prepareTerm() {
