--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -11,7 +11,7 @@
 	"fieldhill/wire"
 )
 
-// Operations of users on jobs, as the invariant checker is told of them.
+// Operations of users on jobs, as the invariant checker records them.
 const (
 	operationSubmit = "submit"
 	operationPoll   = "poll"
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,7 +10,7 @@
 type Options struct {
 	Program      string // the controllers' program
 	Dir          string // for their settings and logs
-	FirstNetByte int    // second byte of the first region's loopback addresses; 0: the usual
+	FirstNetByte int    // second byte of the first region's loopback addresses; 0: defaultNetByte
 	// OnProgress, if not nil, is called with a line for people every progressInterval.
 	OnProgress func(string)
 }
