--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -119,7 +119,7 @@
 	}
 	eligibility.RecordLeader(false, now)
 	if ok, _ := eligibility.MayStand(now); !ok {
-		t.Error("it stands back though it is not fresh")
+		t.Error("it yields though it is not fresh")
 	}
 }
 
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -2,8 +2,8 @@
 //
 // The leader key is attached to the lease, so it is deleted when the lease ends; the node that creates it leads. The
 // lease can't end earlier than its time after the last renewal reached the store, which is not before the renewal was
-// sent; so a leader may trust its own monotonic clock until that long after sending, less the drift of two clocks, and
-// needs no answer of another node.
+// sent; so a leader may trust its own monotonic clock until that long after sending, less the drift of two clocks,
+// and needs no answer of another node.
 package election
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	// leaseTTL is the time of the lease. A failover waits for its end, so it is short; several renewals fit in, so that
-	// a slow answer does not cost the leadership.
+	// leaseTTL is the time of the lease. A failover waits for its end, so it is short; several renewals fit in, so
+	// that a slow answer does not cost the leadership.
 	leaseTTL      = 3000 * time.Millisecond
 	renewInterval = 600 * time.Millisecond
 	renewTimeout  = 1500 * time.Millisecond
@@ -35,9 +35,6 @@
 // TrustPeriod is how long after sending a renewal the lease surely lasts.
 const TrustPeriod = leaseTTL - leaseTTL/maxClockDriftDivisor - trustMargin
 
-// formatVersion is the version of the values of the leader key and the term key.
-const formatVersion = 1
-
 // ErrTaken says that another node holds the key.
 var ErrTaken = errors.New("the key is taken")
 
@@ -56,11 +53,11 @@
 	term++
 	sent := time.Now()
 	lease, version, err := AcquireKey(ctx, store, leaseTTL, oplog.KeyLeader, node, func(lease uint64) *wire.Txn {
-		leader := &wire.LogValue{Version: formatVersion, Term: term, Node: node, Lease: lease}
+		leader := &wire.LogValue{Version: oplog.FormatVersion, Term: term, Node: node, Lease: lease}
 		return &wire.Txn{
 			If: []wire.Condition{{Key: oplog.KeyLeader}, {Key: oplog.KeyTerm, Version: termVersion}},
 			Then: []wire.Write{
-				{Put: oplog.KeyTerm, Value: &wire.LogValue{Version: formatVersion, Term: term}},
+				{Put: oplog.KeyTerm, Value: &wire.LogValue{Version: oplog.FormatVersion, Term: term}},
 				{Put: oplog.KeyLeader, Lease: lease, Value: leader},
 			},
 		}
@@ -91,8 +88,9 @@
 }
 
 // AcquireKey tries once to make a key that hangs on a lease of its own: the leader's, or that of a singleton role.
-// makeTxn gives the transaction that makes it, whose value names the node and the lease. It returns the key's version.
-// The lease may be trusted for its time from before the call. The error is ErrTaken if another node holds the key.
+// makeTxn gives the transaction that makes it, whose value names the node and the lease. It returns the key's
+// version. The lease may be trusted for its time from before the call. The error is ErrTaken if another node holds
+// the key.
 func AcquireKey(
 	ctx context.Context,
 	store *kvstore.Client,
@@ -113,8 +111,8 @@
 		_ = store.Revoke(ctx, lease) // a courtesy: it ends by itself anyway
 		return 0, 0, fmt.Errorf("election: acquire %s: %w", key, ErrTaken)
 	}
-	// No answer, or one that says nothing: the transaction may have been applied, or may be later. The key says so; if
-	// it is not there, ending the lease makes sure that a late copy is refused.
+	// No answer, or one that says nothing: the transaction may have been applied, or may be later. The key says so;
+	// if it is not there, ending the lease makes sure that a late copy is refused.
 	logger.Debug("key acquisition outcome unknown", "key", key, "err", err)
 	if version, ok := heldVersion(ctx, store, key, node, lease); ok {
 		return lease, version, nil
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -113,8 +113,8 @@
 }
 
 // TestCompactionAfterFailover: a follower that becomes leader compacts a log that its predecessor has compacted since
-// it read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused, and
-// deleted the batches behind it all the same: until its next compaction no node that started could read the log.
+// it read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused,
+// and deleted the batches behind it all the same: until its next compaction no node that started could read the log.
 func TestCompactionAfterFailover(t *testing.T) {
 	withStore(t, func(s *store) {
 		a, b := s.open("a"), s.open("b")
@@ -205,9 +205,9 @@
 	return keys
 }
 
-// TestEndBehindCompaction: a reader that knows the log to a number that a compaction has passed learns, on reading its
-// end, that batches are missing. It used to read nothing, took that for the end, and a node that had been paused for
-// longer than a compaction called accepted jobs unknown.
+// TestEndBehindCompaction: a reader that knows the log to a number that a compaction has passed learns, on reading
+// its end, that batches are missing. It used to read nothing, took that for the end, and a node that had been paused
+// for longer than a compaction called accepted jobs unknown.
 func TestEndBehindCompaction(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -39,10 +39,10 @@
 	OnProgress func()    // if set, it is called whenever a write got through
 }
 
-// NewCompactor makes a compactor. Which snapshot is in force it reads itself: between the time at which this node read
-// the log and its election others may have compacted it. Two that compact under different fences do no harm to each
-// other: the manifest is written under a condition on its own version, and only the one whose manifest is in force then
-// deletes, and only what that manifest has replaced.
+// NewCompactor makes a compactor. Which snapshot is in force it reads itself: between the time at which this node
+// read the log and its election others may have compacted it. Two that compact under different fences do no harm to
+// each other: the manifest is written under a condition on its own version, and only the one whose manifest is in
+// force then deletes, and only what that manifest has replaced.
 func (l *Log) NewCompactor(fence Fence) *Compactor { return &Compactor{store: l.store, fence: fence} }
 
 // manifest is what the key of the snapshot in force says; all is 0 if there is none.
@@ -76,8 +76,8 @@
 
 // Compact writes a snapshot taken at a number and deletes what it replaces, a few keys at a time. Each step leaves a
 // log that loads: parts first, then the manifest that names them, then the deletions. Nothing is deleted before the
-// manifest surely names this snapshot: a leader that took its predecessor's snapshot for an older one once had its own
-// refused and went on to delete the batches behind the one in force.
+// manifest surely names this snapshot: a leader that took its predecessor's snapshot for an older one once had its
+// own refused and went on to delete the batches behind the one in force.
 func (c *Compactor) Compact(ctx context.Context, seq uint64, snapshot []byte) error {
 	if err := c.compact(ctx, seq, snapshot); err != nil {
 		return fmt.Errorf("oplog: compact to %d: %w", seq, err)
@@ -124,7 +124,7 @@
 		txn := &wire.Txn{
 			If: []wire.Condition{c.fence.condition(), {Key: key}},
 			Then: []wire.Write{{Put: key, Value: &wire.LogValue{
-				Version: formatVersion, Term: c.fence.Term, Data: encodeData(remaining[:n])}}},
+				Version: FormatVersion, Term: c.fence.Term, Data: encodeData(remaining[:n])}}},
 		}
 		if err := c.store.commitPaced(ctx, txn, c.fence.deposed); err != nil {
 			return 0, fmt.Errorf("write %s: %w", key, err)
@@ -140,7 +140,7 @@
 	err := c.store.commit(ctx, &wire.Txn{
 		If: []wire.Condition{c.fence.condition(), {Key: keyMeta, Version: previous.version}},
 		Then: []wire.Write{
-			{Put: keyMeta, Value: &wire.LogValue{Version: formatVersion, Term: c.fence.Term, Seq: seq, Count: parts}},
+			{Put: keyMeta, Value: &wire.LogValue{Version: FormatVersion, Term: c.fence.Term, Seq: seq, Count: parts}},
 		},
 	}, func(failed []string) error {
 		if err := c.fence.deposed(failed); err != nil {
@@ -164,9 +164,9 @@
 
 // replacedKeys lists what a snapshot replaces: the previous one, and the batches since.
 //
-// The last batch that the snapshot covers stays until the next one: a reader of the log's end that knows it to an older
-// number finds it there, and learns that what lies between is gone. A node that woke after a compaction found nothing
-// behind its own number, took that for the end, and called accepted jobs unknown.
+// The last batch that the snapshot covers stays until the next one: a reader of the log's end that knows it to an
+// older number finds it there, and learns that what lies between is gone. A node that woke after a compaction found
+// nothing behind its own number, took that for the end, and called accepted jobs unknown.
 func replacedKeys(previous manifest, seq uint64) (keys []string) {
 	for s := max(1, previous.seq); s < seq; s++ {
 		keys = append(keys, batchKey(s))
@@ -217,8 +217,8 @@
 	return c.sweptSince.IsZero() || c.sweptSince.Before(lastUnanswered.Add(lateWriteWindow))
 }
 
-// leftoverKeys lists what compactions that ended early have left: batches that the previous snapshot covered, and parts
-// of snapshots other than it and the one that replaced it.
+// leftoverKeys lists what compactions that ended early have left: batches that the previous snapshot covered, and
+// parts of snapshots other than it and the one that replaced it.
 func (c *Compactor) leftoverKeys(ctx context.Context, previousSeq, currentSeq uint64) ([]string, error) {
 	batches, err := c.keysBefore(ctx, prefixLog, batchKey(previousSeq+1))
 	if err != nil {
--- a/internal/replication/oplog/errors.go
+++ b/internal/replication/oplog/errors.go
@@ -7,7 +7,8 @@
 
 // Errors that callers tell apart. All come wrapped with the operation and the key or batch.
 var (
-	// ErrDeposed says that the key that fences a write has changed: another node leads or holds the role, or none does.
+	// ErrDeposed says that the key that fences a write has changed: another node leads or holds the role, or none
+	// does.
 	ErrDeposed = errors.New("no longer the leader")
 	// ErrSnapshotReplaced says that another snapshot came into force than the one that was being written, which only
 	// another leader can bring about.
@@ -18,8 +19,8 @@
 	ErrWriteRejected = errors.New("write rejected as malformed")
 )
 
-// MissingKeyError says that a key was not there that the others imply: the log changed under a reader, which must begin
-// again.
+// MissingKeyError says that a key was not there that the others imply: the log changed under a reader, which must
+// begin again.
 type MissingKeyError struct {
 	Key         string
 	SnapshotSeq uint64 // to which number the snapshot was that the reader saw
--- a/internal/replication/oplog/errors_test.go
+++ b/internal/replication/oplog/errors_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestErrorsNameTheKey: what can't be read, is missing or is refused comes as an error of its own type, which names the
-// batch or the key.
+// TestErrorsNameTheKey: what can't be read, is missing or is refused comes as an error of its own type, which names
+// the batch or the key.
 func TestErrorsNameTheKey(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -17,8 +17,8 @@
 // its key exists.
 //
 // So whoever is about to say that a job is unknown must look for its key first and at the log afterwards: the key is
-// deleted only when the log has the job, so one of the two looks finds it. A key that is written late, or again, names
-// a job that the log knows by then, and is deleted.
+// deleted only when the log has the job, so one of the two looks finds it. A key that is written late, or again,
+// names a job that the log knows by then, and is deleted.
 
 const prefixIntake = prefix + "in/"
 
@@ -38,7 +38,7 @@
 	key := intakeKey(in.Job)
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
 		If:   []wire.Condition{{Key: key}},
-		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: formatVersion, Data: encodeData(in.Data)}}},
+		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Data: encodeData(in.Data)}}},
 	})
 	if err == nil || msgpackhttp.StatusCode(err) == http.StatusConflict { // in a conflict it is there already
 		return nil
@@ -46,8 +46,8 @@
 	return fmt.Errorf("oplog: write %s: %w", key, err)
 }
 
-// TryIntake writes a job beside the log, if the leader's budget has room for it and for the deletion, and some is left
-// for the log; else the error is ErrBudgetExhausted.
+// TryIntake writes a job beside the log, if the leader's budget has room for it and for the deletion, and some is
+// left for the log; else the error is ErrBudgetExhausted.
 func (r intakeRecords) TryIntake(ctx context.Context, in Intake) error {
 	writes := r.store.writes
 	if writes.Tokens() < 2+float64(writes.Burst())/3 || !writes.AllowN(time.Now(), 1) {
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -1,5 +1,5 @@
-// Package oplog is the durable log in the key-value store: numbered batches of entries, snapshots that let old batches
-// go, and the leader key that fences every write.
+// Package oplog is the durable log in the key-value store: numbered batches of entries, snapshots that let old
+// batches go, and the leader key that fences every write.
 //
 // Why an unanswered or late write is harmless. Every batch is written in one transaction that requires (a) the leader
 // key at the version under which its writer was elected, and (b) that the batch's own key does not exist. The writer
@@ -13,8 +13,9 @@
 // of the next minutes delete it again (lateWriteWindow). The key that names the snapshot is written under a condition
 // on its own version, so it never goes back.
 //
-// The files: log.go appends, loads and follows; compaction.go replaces batches by snapshots; intake.go, partitioned.go
-// and roles.go are the records beside the log; store.go has the keys and values under all of them, txn.go the writes.
+// The files: log.go appends, loads and follows; compaction.go replaces batches by snapshots; intake.go,
+// partitioned.go and roles.go are the records beside the log; store.go has the keys and values under all of them,
+// txn.go the writes.
 package oplog
 
 import (
@@ -207,8 +208,8 @@
 	Leader        *Leader
 }
 
-// Follow waits for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the log must be loaded
-// again.
+// Follow waits for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the log must be
+// loaded again.
 func (l *Log) Follow(ctx context.Context, after uint64, hold time.Duration) (*Update, error) {
 	changes, err := l.store.client.Follow(ctx, prefix, after, hold)
 	if err != nil {
@@ -242,8 +243,8 @@
 	return nil
 }
 
-// BatchesAfter reads the batches behind a number: all of them that were committed before the call. If they don't begin
-// with the next number, what lies between is in the snapshot, and the log must be loaded anew.
+// BatchesAfter reads the batches behind a number: all of them that were committed before the call. If they don't
+// begin with the next number, what lies between is in the snapshot, and the log must be loaded anew.
 func (l *Log) BatchesAfter(ctx context.Context, seq uint64) ([]Batch, error) {
 	var batches []Batch
 	_, err := l.store.rangeAll(ctx, prefixLog, batchKey(seq), func(item *wire.Item) error {
@@ -257,14 +258,14 @@
 	return batches, nil
 }
 
-// Append writes a batch and returns when it is committed. It repeats the same transaction until its fate is known. The
-// error is ErrDeposed once the leader key has changed.
+// Append writes a batch and returns when it is committed. It repeats the same transaction until its fate is known.
+// The error is ErrDeposed once the leader key has changed.
 func (l *Log) Append(ctx context.Context, leader *Leader, b Batch) error {
 	key := batchKey(b.Seq)
 	err := l.store.commit(ctx, &wire.Txn{
 		If: []wire.Condition{{Key: KeyLeader, Version: leader.Version}, {Key: key}},
 		Then: []wire.Write{{Put: key, Value: &wire.LogValue{
-			Version: formatVersion, Term: b.Term, Data: encodeData(b.Data)}}},
+			Version: FormatVersion, Term: b.Term, Data: encodeData(b.Data)}}},
 	}, func(failed []string) error {
 		if slices.Contains(failed, KeyLeader) {
 			return ErrDeposed
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -49,15 +49,15 @@
 	return max(1, min(p.store.maxTxnOps, maxTxnBytes/partBytes))
 }
 
-// PutPartitionedNode writes for the leader that this node does not reach it. Further parts of an earlier, longer record
-// stay and count for nothing.
+// PutPartitionedNode writes for the leader that this node does not reach it. Further parts of an earlier, longer
+// record stay and count for nothing.
 func (p partitionRecords) PutPartitionedNode(ctx context.Context, node PartitionedNode) error {
 	key := prefixPartitioned + node.Node
-	txn := &wire.Txn{Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: formatVersion, Node: node.Node,
+	txn := &wire.Txn{Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Node: node.Node,
 		Seq: node.Seq, Count: len(node.Parts), Data: encodeData(node.Data)}}}}
 	for i, part := range node.Parts {
 		txn.Then = append(txn.Then, wire.Write{Put: partitionedPartKey(node.Node, i+1), Value: &wire.LogValue{
-			Version: formatVersion, Node: node.Node, Data: encodeData(part)}})
+			Version: FormatVersion, Node: node.Node, Data: encodeData(part)}})
 	}
 	_, err := p.store.client.Txn(ctx, txn)
 	if msgpackhttp.StatusCode(err) == http.StatusBadRequest && len(node.Parts) > 0 {
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -12,8 +12,8 @@
 )
 
 // The keys of singleton roles. Who holds one: held/ROLE, on a lease. How many holders in a row made no progress:
-// stuck/ROLE. Which nodes know of roles and take part: part/NODE, for good; a node without one is an older one, or was
-// started without.
+// stuck/ROLE. Which nodes know of roles and take part: part/NODE, for good; a node without one is an older one, or
+// was started without.
 const (
 	prefixRole        = prefix + "duty/"
 	prefixHolder      = prefixRole + "held/"
@@ -24,8 +24,8 @@
 // RoleKey is the key of the holder of a role; its version is the holder's term.
 func RoleKey(role string) string { return prefixHolder + role }
 
-// RoleUpdate is the state of one key of the roles, or that it was deleted. One of HeldRole, StalledRole and Participant
-// is set, and says what kind of key it is.
+// RoleUpdate is the state of one key of the roles, or that it was deleted. One of HeldRole, StalledRole and
+// Participant is set, and says what kind of key it is.
 type RoleUpdate struct {
 	HeldRole    string // a role that is held, or was
 	StalledRole string // a role whose holders made no progress
@@ -103,7 +103,7 @@
 	return &wire.Txn{
 		If: []wire.Condition{{Key: key}},
 		Then: []wire.Write{
-			{Put: key, Lease: lease, Value: &wire.LogValue{Version: formatVersion, Node: node, Lease: lease}},
+			{Put: key, Lease: lease, Value: &wire.LogValue{Version: FormatVersion, Node: node, Lease: lease}},
 		},
 	}
 }
@@ -113,7 +113,7 @@
 	key := prefixStalled + role
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
 		If:   []wire.Condition{{Key: RoleKey(role), Version: term}},
-		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: formatVersion, Count: holders}}},
+		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Count: holders}}},
 	})
 	if err != nil {
 		return fmt.Errorf("oplog: write %s: %w", key, err)
@@ -126,7 +126,7 @@
 	key := prefixParticipant + node
 	write := wire.Write{Delete: key}
 	if participates {
-		write = wire.Write{Put: key, Value: &wire.LogValue{Version: formatVersion, Node: node}}
+		write = wire.Write{Put: key, Value: &wire.LogValue{Version: FormatVersion, Node: node}}
 	}
 	if _, err := r.store.client.Txn(ctx, &wire.Txn{Then: []wire.Write{write}}); err != nil {
 		return fmt.Errorf("oplog: write %s: %w", key, err)
--- a/internal/replication/oplog/store.go
+++ b/internal/replication/oplog/store.go
@@ -30,8 +30,8 @@
 	prefixSnapshot = "f/snap/"
 )
 
-// formatVersion is the version of every value.
-const formatVersion = 1
+// FormatVersion is the version of every value under the prefix, those of the election too.
+const FormatVersion = 1
 
 func batchKey(seq uint64) string { return fmt.Sprintf("%s%015d", prefixLog, seq) }
 
@@ -110,7 +110,7 @@
 	if err := wire.Unmarshal(raw, &value); err != nil {
 		return nil, nil, &CorruptValueError{Key: key, Err: err}
 	}
-	if value.Version != formatVersion {
+	if value.Version != FormatVersion {
 		return nil, nil, &CorruptValueError{Key: key, Err: &FormatVersionError{Version: value.Version}}
 	}
 	data, err := base64.StdEncoding.DecodeString(value.Data)
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -89,8 +89,8 @@
 )
 
 // send sends a transaction, and again, unchanged, if the answer is long in coming: it may be lost, and everybody who
-// waits for the log would wait for two seconds. The first answer that decides the transaction's fate counts; the other
-// copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
+// waits for the log would wait for two seconds. The first answer that decides the transaction's fate counts; the
+// other copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
 //
 // The copies end with the context, and find room in the channel of results also when nobody reads it any more.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -45,7 +45,7 @@
 // String is what traces call it.
 func (k messageKind) String() string {
 	return [...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal",
-		"a rental", "the answer to the rental", "a write"}[k]
+		"a scale-out", "the answer to the scale-out", "a write"}[k]
 }
 
 // message is a request or an answer in flight. term is the holder's, or what the answer says; ok tells that it
@@ -63,7 +63,7 @@
 type node struct {
 	role           Role
 	awaitingAnswer bool   // an Acquire or Renew is in flight
-	pendingAction  string // looked at its trust, and is about to: "hire NAME", "write"
+	pendingAction  string // looked at its trust, and is about to: "provision NAME", "write"
 	actionTerm     uint64 // the term under which it looked
 	wrote          bool
 	provisioned    bool
@@ -176,18 +176,18 @@
 		return w.violation
 	}
 	if w.nodes[0].role.Trusted(w.now) && w.nodes[1].role.Trusted(w.now) {
-		return "both nodes trust that they hold the duty"
+		return "both nodes trust that they hold the role"
 	}
 	for i := range w.nodes {
 		n := &w.nodes[i]
 		holds := w.holder == i && n.role.Term() == w.term
 		heldFor := w.now - n.role.HeldSince()
 		if holds && !n.provisioned && !n.wrote && heldFor > modelRules.Patience+modelRules.TTL+2 {
-			return nodeName(i) + " holds the duty for long and gets nowhere"
+			return nodeName(i) + " holds the role for long without progress"
 		}
 	}
 	if len(w.provisioned) > wantedRequests {
-		return fmt.Sprintf("machines were rented %d times for %d wish: %v",
+		return fmt.Sprintf("machines were provisioned %d times for %d request: %v",
 			len(w.provisioned), wantedRequests, w.provisioned)
 	}
 	return ""
@@ -337,7 +337,7 @@
 		step(self+" sees the key", func(w *modelState) { w.nodes[i].role.Observe(observed, w.now) })
 	}
 	if n.awaitingAnswer {
-		step(self+" gives up waiting", func(w *modelState) { w.nodes[i].stopWaiting(w.now) })
+		step(self+" stops waiting", func(w *modelState) { w.nodes[i].stopWaiting(w.now) })
 	} else if len(w.messages) < 3 {
 		w.decisionSteps(i, step)
 	}
@@ -376,7 +376,7 @@
 		request := message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()}
 		sendSteps(step, !w.promptDelivery, self+" renews its lease", request, await)
 	case Release:
-		step(self+" lets go: "+next.ReleaseReason(), func(w *modelState) {
+		step(self+" releases the key: "+next.ReleaseReason(), func(w *modelState) {
 			if w.holder == i && w.lease == next.Lease() {
 				w.releaseKey()
 			}
@@ -411,21 +411,21 @@
 	n, self := &w.nodes[i], nodeName(i)
 	if n.pendingAction == "" && n.role.Trusted(w.now) && !n.provisioned && !w.noProvisioning {
 		if name := w.requestName(i); name != "" {
-			step(self+" is about to rent "+name, func(w *modelState) {
+			step(self+" is about to provision "+name, func(w *modelState) {
 				w.nodes[i].pendingAction, w.nodes[i].actionTerm = provisionAction+name, n.role.Term()
 			})
 		}
 	}
 	if name, ok := strings.CutPrefix(n.pendingAction, provisionAction); ok {
 		request := message{kind: provisionRequest, node: i, term: n.actionTerm, name: name}
-		sendSteps(step, !w.promptDelivery, self+" rents "+name, request, func(w *modelState) {
+		sendSteps(step, !w.promptDelivery, self+" provisions "+name, request, func(w *modelState) {
 			w.nodes[i].pendingAction = ""
 		})
 	}
 }
 
 // provisionAction is what a pending action that provisions begins with; the name of the request follows.
-const provisionAction = "hire "
+const provisionAction = "provision "
 
 // requestName is the name under which a node provisions next, "" if nothing is wanted.
 func (w modelState) requestName(i int) string {
@@ -450,21 +450,21 @@
 		finds string // in what is broken
 	}{
 		{"writes", modelState{noProvisioning: true}, 10, ""},
-		{"rentals", modelState{noWrites: true}, 10, ""},
+		{"provisioning", modelState{noWrites: true}, 10, ""},
 		{"the lease alone", modelState{noProvisioning: true, noWrites: true}, 12, ""},
 		{"nothing late", modelState{noProvisioning: true, noWrites: true, promptDelivery: true}, 60, ""},
 		{"no guard", modelState{fault: noGuard, noProvisioning: true}, 12, "is applied"},
 		{"trust from the answer", modelState{fault: trustFromAnswer, noProvisioning: true, noWrites: true},
 			12, "both nodes trust"},
-		{"the wish behind the act", modelState{fault: provisionBeforeLogging, noWrites: true, promptDelivery: true},
-			12, "rented 2 times"},
+		{"the log entry behind the request", modelState{fault: provisionBeforeLogging, noWrites: true, promptDelivery: true},
+			12, "provisioned 2 times"},
 		{"renewal without progress",
 			modelState{fault: falseProgress, noProvisioning: true, noWrites: true, promptDelivery: true},
-			60, "gets nowhere"},
+			60, "without progress"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := c.w
-			w.holder, w.openRequests = -1, []string{"wish"}
+			w.holder, w.openRequests = -1, []string{"request"}
 			for i := range w.nodes {
 				w.nodes[i].role = *New(Provisioning, nodeName(i), modelRules)
 				w.nodes[i].role.Observe(RoleHolder{}, 0)
