--- /dev/null
+++ b/internal/platform/kvstore/kvstore_test.go
@@ -0,0 +1,57 @@
+package kvstore_test
+
+import (
+	"context"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"fieldhill/internal/emulator"
+	"fieldhill/internal/platform/kvstore"
+	"fieldhill/internal/platform/msgpackhttp"
+	"fieldhill/internal/testing/virtualtime"
+	"fieldhill/wire"
+)
+
+func TestMain(m *testing.M) { virtualtime.Main(m) }
+
+// TestErrorsNameTheOperation: an error has the status of the response, and says what was asked of which key.
+func TestErrorsNameTheOperation(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		network := emulator.NewNetwork()
+		if err := emulator.NewKVStore(1).Serve(ctx, network.Host("state"), "state:1"); err != nil {
+			t.Fatal(err)
+		}
+		synctest.Wait()
+		client := kvstore.New(network.Host("node"), "state:1", 1000)
+		get := func() error { _, err := client.Get(ctx, "f/term"); return err }
+		txn := func() error {
+			_, err := client.Txn(ctx, &wire.Txn{
+				If:   []wire.Condition{{Key: "f/leader", Version: 7}},
+				Then: []wire.Write{{Put: "f/term", Value: &wire.LogValue{Version: 1}}},
+			})
+			return err
+		}
+		renew := func() error { return client.Renew(ctx, 99, time.Second) }
+		for _, c := range []struct {
+			call func() error
+			code int
+			says string
+		}{
+			{get, http.StatusNotFound, "get f/term"},
+			{txn, http.StatusConflict, "transaction"},
+			{renew, http.StatusNotFound, "renew lease 99"},
+		} {
+			err := c.call()
+			if msgpackhttp.StatusCode(err) != c.code || !strings.Contains(err.Error(), c.says) {
+				t.Errorf("%s: %v, should have status %d", c.says, err, c.code)
+			}
+		}
+		client.Close()
+		stop()
+		time.Sleep(time.Minute)
+	})
+}
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -87,9 +87,7 @@
 
 // SetWriteShare sets which part of the store's write rate the log and its compaction on this node may take.
 func (l *Log) SetWriteShare(writeRPS, share float64) {
-	limit := writeRPS * share
-	l.store.writes.SetLimit(writeLimit(limit))
-	l.store.writes.SetBurst(writeBurst(limit))
+	l.store.setWriteRate(writeRPS * share)
 }
 
 // WithWriteShare makes a log on the same store that takes a part of the write rate of its own, for a compactor that
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -19,12 +19,15 @@
 	writeBurstSeconds = 0.7
 )
 
-func writeLimit(writeRPS float64) rate.Limit { return rate.Limit(writeRPS) }
-
 func writeBurst(writeRPS float64) int { return max(minWriteBurst, int(writeRPS*writeBurstSeconds)) }
 
 func newWriteLimiter(writeRPS float64) *rate.Limiter {
-	return rate.NewLimiter(writeLimit(writeRPS), writeBurst(writeRPS))
+	return rate.NewLimiter(rate.Limit(writeRPS), writeBurst(writeRPS))
+}
+
+func (s *store) setWriteRate(writeRPS float64) {
+	s.writes.SetLimit(rate.Limit(writeRPS))
+	s.writes.SetBurst(writeBurst(writeRPS))
 }
 
 // The pauses between the repeats of a write whose outcome is unknown: they double from the first to the last.
