--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -19,12 +19,15 @@
 	writeBurstSeconds = 0.7
 )
 
-func writeLimit(writeRPS float64) rate.Limit { return rate.Limit(writeRPS) }
-
 func writeBurst(writeRPS float64) int { return max(minWriteBurst, int(writeRPS*writeBurstSeconds)) }
 
 func newWriteLimiter(writeRPS float64) *rate.Limiter {
-	return rate.NewLimiter(writeLimit(writeRPS), writeBurst(writeRPS))
+	return rate.NewLimiter(rate.Limit(writeRPS), writeBurst(writeRPS))
+}
+
+func (s *store) setWriteRate(writeRPS float64) {
+	s.writes.SetLimit(rate.Limit(writeRPS))
+	s.writes.SetBurst(writeBurst(writeRPS))
 }
 
 // The pauses between the repeats of a write whose outcome is unknown: they double from the first to the last.
@@ -89,8 +92,8 @@
 )
 
 // send sends a transaction, and again, unchanged, if the answer is long in coming: it may be lost, and everybody who
-// waits for the log would wait for two seconds. The first answer that decides the transaction's fate counts; the other
-// copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
+// waits for the log would wait for two seconds. The first answer that decides the transaction's fate counts; the
+// other copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
 //
 // The copies end with the context, and find room in the channel of results also when nobody reads it any more.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
