--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,7 +1,7 @@
 // Package codec holds the primitives of the hand-written binary formats: the
 // frames between controllers and the records in the log. Lengths and counts are
-// varints; a Reader keeps its first error, so that a record is read straight
-// through and checked once.
+// varints; a Reader keeps its first error and reads zero values from then on, so
+// that a record is read straight through and checked once.
 package codec
 
 import (
@@ -13,10 +13,10 @@
 // ErrShort says that a record ended early or holds an impossible length.
 var ErrShort = errors.New("codec: truncated or malformed")
 
-// Uint appends a varint.
+// Uint appends a number as a varint.
 func Uint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// Float appends a float.
+// Float appends a float, in eight bytes.
 func Float(b []byte, f float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(f))
 }
@@ -41,10 +41,11 @@
 
 // Reader reads what the functions above wrote.
 type Reader struct {
-	Data []byte
-	Err  error
+	Data []byte // what is not read yet
+	Err  error  // the first error; nil: all was read well so far
 }
 
+// fail ends the reading: nothing after a malformed field can be told apart.
 func (r *Reader) fail() {
 	r.Err = ErrShort
 	r.Data = nil
@@ -61,7 +62,7 @@
 	return v
 }
 
-// Max reads a varint that must not exceed a limit.
+// Max reads a varint that must not exceed a limit, such as a count that memory is made for.
 func (r *Reader) Max(limit uint64) int {
 	v := r.Uint()
 	if v > limit {
@@ -108,7 +109,7 @@
 	return v
 }
 
-// Bool reads one byte.
+// Bool reads one byte, which must be 0 or 1.
 func (r *Reader) Bool() bool {
 	if len(r.Data) < 1 || r.Data[0] > 1 {
 		r.fail()
@@ -119,5 +120,5 @@
 	return v
 }
 
-// Done tells whether everything was read, and well.
+// Done tells whether everything was read without an error.
 func (r *Reader) Done() bool { return r.Err == nil && len(r.Data) == 0 }
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,5 +1,6 @@
 // Package intern maps names to dense indices, so that everything behind the
-// door works with small integers.
+// edges of the program compares and stores small integers, and tables by name are
+// slices.
 package intern
 
 import (
@@ -7,10 +8,10 @@
 	"slices"
 )
 
-// Table gives each name an index, counted from 0 in order of first sight.
+// Table gives each name an index, counted from 0 in the order in which they were first seen. The zero value is empty.
 type Table struct {
 	ids   map[string]int32
-	names []string
+	names []string // by index
 }
 
 // ID returns the index of a name, giving it one if it is new.
@@ -39,5 +40,5 @@
 // Len tells how many names there are.
 func (t *Table) Len() int { return len(t.names) }
 
-// Clone copies a table.
+// Clone copies a table: names that either gets later are not in the other.
 func (t *Table) Clone() Table { return Table{maps.Clone(t.ids), slices.Clone(t.names)} }
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -72,12 +72,10 @@
 func (w exploredState) clone() exploredState {
 	m := w.model.Clone()
 	for i, machine := range w.model.Order {
-		m.Order[i].Contact.unresolvedStarts, m.Order[i].Contact.reapable = maps.Clone(
-			machine.Contact.unresolvedStarts,
-		), slices.Clone(
-			machine.Contact.reapable,
-		)
-		m.ByName[machine.Info.Name] = m.Order[i]
+		copied := m.Order[i]
+		copied.Contact.unresolvedStarts = maps.Clone(machine.Contact.unresolvedStarts)
+		copied.Contact.reapable = slices.Clone(machine.Contact.reapable)
+		m.ByName[machine.Info.Name] = copied
 	}
 	w.model, w.reports, w.inFlight = m, slices.Clone(w.reports), slices.Clone(w.inFlight)
 	return w
@@ -85,44 +83,23 @@
 
 func (w exploredState) Key() string {
 	machine := w.model.Order[0]
-	b := fmt.Appendf(
-		nil,
-		"%+v %v %v %v %v",
-		machine.Contact.Reports,
-		machine.Contact.Session,
-		machine.Contact.TokenBump,
-		machine.Contact.unresolvedStarts,
-		machine.Contact.reapable,
-	)
+	contact := &machine.Contact
+	b := fmt.Appendf(nil, "%+v %v %v %v %v",
+		contact.Reports, contact.Session, contact.TokenBump, contact.unresolvedStarts, contact.reapable)
 	for _, r := range machine.Runs {
-		b = fmt.Appendf(
-			b,
-			" %v/%v/%v/%v/%v/%v/%v",
-			r.Attempt,
-			r.Session,
-			r.Phase,
-			r.Inherited,
-			r.answeredReportSeq,
-			r.Stop,
-			r.goneFromToken,
-		)
-	}
-	for _, x := range []uint64{w.incarnation, w.session, w.seq, w.token, w.heldAttempt, w.earlyReaped, uint64(w.awaitedReport), uint64(w.terms), uint64(w.lapses), w.model.TermBase} {
+		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v",
+			r.Attempt, r.Session, r.Phase, r.Inherited, r.answeredReportSeq, r.Stop, r.goneFromToken)
+	}
+	for _, x := range []uint64{
+		w.incarnation, w.session, w.seq, w.token, w.heldAttempt, w.earlyReaped, uint64(w.awaitedReport),
+		uint64(w.terms), uint64(w.lapses), w.model.TermBase,
+	} {
 		b = binary.AppendUvarint(b, x)
 	}
 	b = fmt.Appendf(b, "%v %v %v %v %+v", w.elsewhere, w.exited, w.broken, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
-		b = fmt.Appendf(
-			b,
-			"%v %v %v %v %v %v %+v",
-			u.incarnation,
-			u.token,
-			u.session,
-			u.answer,
-			u.awaited,
-			u.term,
-			u.question,
-		)
+		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v",
+			u.incarnation, u.token, u.session, u.answer, u.awaited, u.term, u.question)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
@@ -209,178 +186,223 @@
 	return commands
 }
 
+// NextSteps lists what may happen next. Their order is that in which they are explored.
 func (w exploredState) NextSteps() (list []modelcheck.Step) {
-	step := func(name string, f func(w *exploredState)) {
-		n := w.clone()
-		f(&n)
-		list = append(list, modelcheck.Step{Name: name, To: n})
-	}
-	machine, job := w.model.Order[0], w.model.Jobs[7]
-	if w.awaitedReport == 0 && len(w.reports) < 3 {
-		step("the worker reports", func(w *exploredState) {
+	s := &stepList{from: w}
+	s.addReports()
+	s.addAnswers()
+	s.addProbe()
+	s.addCommandsInFlight()
+	s.addDirectCommand()
+	s.addScheduling()
+	s.addAgentEvents()
+	s.addFailover()
+	return s.list
+}
+
+// stepList gathers the steps from a state.
+type stepList struct {
+	from exploredState
+	list []modelcheck.Step
+}
+
+func (s *stepList) add(name string, change func(w *exploredState)) {
+	n := s.from.clone()
+	change(&n)
+	s.list = append(s.list, modelcheck.Step{Name: name, To: n})
+}
+
+// machine is the one that all is about.
+func (w *exploredState) machine() *Machine { return w.model.Order[0] }
+
+// addReports: a report is made, and each that was made arrives, or a copy of it.
+func (s *stepList) addReports() {
+	if s.from.awaitedReport == 0 && len(s.from.reports) < 3 {
+		s.add("the worker reports", func(w *exploredState) {
 			w.reports = append(w.reports, *w.report())
 			w.awaitedReport = len(w.reports)
 		})
 	}
-	for i := range w.reports {
-		r := w.reports[i]
-		if w.awaitedReport == i+1 {
-			step(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) {
-				machine := w.model.Order[0]
-				v := w.observe(&r, nil)
-				u := inFlightMessage{
-					incarnation: w.incarnation,
-					session:     r.AgentEpoch,
-					answer:      true,
-					token:       w.model.Token(machine),
-					term:        w.model.TermBase,
-				}
-				if !v.IsStale() {
-					machine.Contact.Reports.RecordAnswer(w.model.Token(machine))
-					u.commands = w.commands(true)
-					for _, run := range machine.Runs {
-						if w.mutation == answerNotAwaited && run.answeredReportSeq != 0 {
-							run.answeredReportSeq = 0
-							run.setPhase(Fetching)
-						}
-					}
-				}
-				w.inFlight = append(w.inFlight, u)
-				w.awaitedReport = -1 // answered, and the answer is under way
-			})
-			step("the worker gives its report up", func(w *exploredState) { w.awaitedReport = 0 })
-			if w.relay && w.relayedReport == 0 {
-				step(
-					fmt.Sprint("a relay answers report ", i, " by itself"),
-					func(w *exploredState) { w.awaitedReport, w.relayedReport = 0, i+1 },
-				)
-			}
-		} else {
-			step(fmt.Sprint("a copy of report ", i, " comes"), func(w *exploredState) {
-				var q *staleness.Question
-				if w.mutation == copyPassesForAnswer {
-					q = w.model.BeginProbe(w.model.Order[0])
-					r.FencingToken = w.model.TermBase + 1<<20
-				}
-				w.observe(&r, q)
+	for i := range s.from.reports {
+		if s.from.awaitedReport != i+1 {
+			s.add(fmt.Sprint("a copy of report ", i, " comes"), func(w *exploredState) { w.observeCopy(w.reports[i]) })
+			continue
+		}
+		s.add(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) { w.answerReport(&w.reports[i]) })
+		s.add("the worker gives its report up", func(w *exploredState) { w.awaitedReport = 0 })
+		if s.from.relay && s.from.relayedReport == 0 {
+			s.add(fmt.Sprint("a relay answers report ", i, " by itself"), func(w *exploredState) {
+				w.awaitedReport, w.relayedReport = 0, i+1
 			})
 		}
 	}
-	if w.relayedReport != 0 {
-		step(fmt.Sprint("report ", w.relayedReport-1, " comes from the relay"), func(w *exploredState) {
-			r := w.reports[w.relayedReport-1]
-			w.relayedReport = 0
-			if v := w.observe(&r, nil); v.IsStale() {
-				return
-			}
-			machine := w.model.Order[0]
-			machine.Contact.Reports.RecordAnswer(w.model.Token(machine))
-			u := inFlightMessage{
-				incarnation: w.incarnation,
-				session:     r.AgentEpoch,
-				answer:      true,
-				token:       w.model.Token(machine),
-				term:        w.model.TermBase,
-				commands:    w.commands(true),
+}
+
+// observeCopy has the leader take in a report that it may have had before.
+func (w *exploredState) observeCopy(r wire.Heartbeat) {
+	var q *staleness.Question
+	if w.mutation == copyPassesForAnswer {
+		q = w.model.BeginProbe(w.machine())
+		r.FencingToken = w.model.TermBase + 1<<20
+	}
+	w.observe(&r, q)
+}
+
+// newAnswer is an answer to a report as the leader sends it, without commands yet.
+func (w *exploredState) newAnswer(r *wire.Heartbeat) inFlightMessage {
+	return inFlightMessage{
+		incarnation: w.incarnation,
+		session:     r.AgentEpoch,
+		answer:      true,
+		token:       w.model.Token(w.machine()),
+		term:        w.model.TermBase,
+	}
+}
+
+// answerReport has the leader take in the report that waits for its answer, and send that.
+func (w *exploredState) answerReport(r *wire.Heartbeat) {
+	v := w.observe(r, nil)
+	u := w.newAnswer(r)
+	if !v.IsStale() {
+		w.machine().Contact.Reports.RecordAnswer(u.token)
+		u.commands = w.commands(true)
+		for _, run := range w.machine().Runs {
+			if w.mutation == answerNotAwaited && run.answeredReportSeq != 0 {
+				run.answeredReportSeq = 0
+				run.setPhase(Fetching)
 			}
-			if w.mutation == relayForwardsLate {
-				w.inFlight = append(w.inFlight, u)
-			} // else the relay has no connection any more on which the worker waits for it
-		})
+		}
 	}
-	if w.awaitedReport == -1 {
-		step("the answer is lost", func(w *exploredState) {
+	w.inFlight = append(w.inFlight, u)
+	w.awaitedReport = -1 // answered, and the answer is under way
+}
+
+// addAnswers: a report that a relay answered comes from it, and an answer is lost.
+func (s *stepList) addAnswers() {
+	if s.from.relayedReport != 0 {
+		s.add(fmt.Sprint("report ", s.from.relayedReport-1, " comes from the relay"), (*exploredState).observeRelayed)
+	}
+	if s.from.awaitedReport == -1 {
+		s.add("the answer is lost", func(w *exploredState) {
 			w.inFlight = slices.DeleteFunc(w.inFlight, func(u inFlightMessage) bool { return u.answer })
 			w.awaitedReport = 0
 		})
 	}
-	if w.question == nil {
-		step("the leader asks", func(w *exploredState) { w.question = w.model.BeginProbe(w.model.Order[0]) })
-	} else {
-		step("the worker answers the question", func(w *exploredState) {
-			q := w.question
-			w.question = nil
-			w.observe(w.report(), q)
-		})
+}
+
+// observeRelayed has the leader take in the report that a relay has answered.
+func (w *exploredState) observeRelayed() {
+	r := w.reports[w.relayedReport-1]
+	w.relayedReport = 0
+	if v := w.observe(&r, nil); v.IsStale() {
+		return
+	}
+	u := w.newAnswer(&r)
+	w.machine().Contact.Reports.RecordAnswer(u.token)
+	u.commands = w.commands(true)
+	if w.mutation == relayForwardsLate {
+		w.inFlight = append(w.inFlight, u)
+	} // else the relay has no connection any more on which the worker waits for it
+}
+
+// addProbe: the leader asks a question, and it is answered.
+func (s *stepList) addProbe() {
+	if s.from.question == nil {
+		s.add("the leader asks", func(w *exploredState) { w.question = w.model.BeginProbe(w.machine()) })
+		return
 	}
-	for i, u := range w.inFlight {
+	s.add("the worker answers the question", func(w *exploredState) {
+		q := w.question
+		w.question = nil
+		w.observe(w.report(), q)
+	})
+}
+
+// addCommandsInFlight: what is on its way to the worker arrives, or its sender waits for it no longer.
+func (s *stepList) addCommandsInFlight() {
+	for i, u := range s.from.inFlight {
 		what := "the command"
 		if u.answer {
 			what = "the answer"
 		}
-		step(fmt.Sprintf("%s of term %d arrives", what, u.term>>24), func(w *exploredState) {
-			w.inFlight = slices.Delete(w.inFlight, i, i+1)
-			if u.answer {
-				w.awaitedReport = 0
-			}
-			if u.incarnation != w.incarnation {
-				return
-			}
-			taken := u.session == w.session && u.token >= w.token
-			if taken {
-				w.token = u.token
-				w.execute(u.commands)
-			}
-			if machine := w.model.Order[0]; u.awaited && u.term == w.model.TermBase {
-				w.model.StartsAnswered(machine, u.commands, u.token, taken)
-				w.observe(w.report(), u.question)
-			}
-		})
+		s.add(fmt.Sprintf("%s of term %d arrives", what, u.term>>24), func(w *exploredState) { w.deliver(i) })
 		if u.awaited {
-			step("the leader gives a command up", func(w *exploredState) {
-				w.inFlight[i].awaited = false
-				if u.term != w.model.TermBase {
-					return
-				}
-				if machine := w.model.Order[0]; w.mutation == lostStartIgnored {
-					w.model.StartsAnswered(machine, u.commands, u.token, false)
-				} else {
-					w.model.StartsLost(machine, u.commands, u.token)
-				}
-			})
+			s.add("the leader gives a command up", func(w *exploredState) { w.abandon(i) })
 		}
 	}
-	// There is one command to a machine at a time.
-	if machine.Contact.Reported && len(w.inFlight) < 2 &&
-		!slices.ContainsFunc(
-			w.inFlight,
-			func(u inFlightMessage) bool { return u.awaited && u.term == w.model.TermBase },
-		) {
-		step("the leader sends a command", func(w *exploredState) {
-			machine := w.model.Order[0]
-			commands := w.commands(false)
-			u := inFlightMessage{
-				incarnation: w.incarnation,
-				session:     machine.Contact.Session,
-				token:       w.model.Token(machine),
-				commands:    commands,
-				awaited:     true,
-				question:    w.model.BeginProbe(machine),
-				term:        w.model.TermBase,
-			}
-			w.model.StartsSent(machine, commands, u.token)
-			w.inFlight = append(w.inFlight, u)
-		})
+}
+
+// deliver has the worker take in a message, and its sender the answer to it.
+func (w *exploredState) deliver(i int) {
+	u := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+	if u.answer {
+		w.awaitedReport = 0
+	}
+	if u.incarnation != w.incarnation {
+		return
+	}
+	taken := u.session == w.session && u.token >= w.token
+	if taken {
+		w.token = u.token
+		w.execute(u.commands)
 	}
-	if machine.Contact.Reported && job.Tasks[0].State == Waiting && job.Tasks[0].Attempt < 2 && !w.elsewhere {
-		step("the task is placed here", func(w *exploredState) {
-			machine := w.model.Order[0]
-			_ = w.model.Apply(
-				&Entry{
-					Kind:    EntryPlace,
-					Job:     7,
-					Task:    0,
-					Attempt: w.model.Jobs[7].Tasks[0].Attempt + 1,
-					Machine: machine.ID,
-					Session: machine.Contact.Session,
-				},
-				1,
-				1,
-			)
+	if u.awaited && u.term == w.model.TermBase {
+		w.model.StartsAnswered(w.machine(), u.commands, u.token, taken)
+		w.observe(w.report(), u.question)
+	}
+}
+
+// abandon has the leader wait no longer for the answer to a command.
+func (w *exploredState) abandon(i int) {
+	u := &w.inFlight[i]
+	u.awaited = false
+	switch {
+	case u.term != w.model.TermBase:
+	case w.mutation == lostStartIgnored:
+		w.model.StartsAnswered(w.machine(), u.commands, u.token, false)
+	default:
+		w.model.StartsLost(w.machine(), u.commands, u.token)
+	}
+}
+
+// addDirectCommand: the leader sends a command. There is one to a machine at a time.
+func (s *stepList) addDirectCommand() {
+	term := s.from.model.TermBase
+	isAwaited := func(u inFlightMessage) bool { return u.awaited && u.term == term }
+	if !s.from.machine().Contact.Reported || len(s.from.inFlight) >= 2 ||
+		slices.ContainsFunc(s.from.inFlight, isAwaited) {
+		return
+	}
+	s.add("the leader sends a command", func(w *exploredState) {
+		machine := w.machine()
+		commands := w.commands(false)
+		u := inFlightMessage{
+			incarnation: w.incarnation,
+			session:     machine.Contact.Session,
+			token:       w.model.Token(machine),
+			commands:    commands,
+			awaited:     true,
+			question:    w.model.BeginProbe(machine),
+			term:        w.model.TermBase,
+		}
+		w.model.StartsSent(machine, commands, u.token)
+		w.inFlight = append(w.inFlight, u)
+	})
+}
+
+// addScheduling: the task is placed, here or elsewhere, and its run is stopped.
+func (s *stepList) addScheduling() {
+	machine, task := s.from.machine(), s.from.model.Jobs[7].Tasks[0]
+	if machine.Contact.Reported && task.State == Waiting && task.Attempt < 2 && !s.from.elsewhere {
+		s.add("the task is placed here", func(w *exploredState) {
+			machine := w.machine()
+			e := NewPlacement(7, 0, w.model.Jobs[7].Tasks[0].Attempt+1, machine.ID, machine.Contact.Session)
+			_ = w.model.Apply(e, 1, 1)
 		})
 	}
-	if job.Tasks[0].State == Waiting && job.Tasks[0].Attempt > 0 && !w.elsewhere {
-		step("the task is placed elsewhere", func(w *exploredState) {
+	if task.State == Waiting && task.Attempt > 0 && !s.from.elsewhere {
+		s.add("the task is placed elsewhere", func(w *exploredState) {
 			if w.elsewhere = true; w.heldAttempt != 0 && !w.exited {
 				w.broken = fmt.Sprintf("the task is started elsewhere while attempt %d is here", w.heldAttempt)
 			}
@@ -388,15 +410,19 @@
 	}
 	for _, run := range machine.Runs {
 		if !run.Stop {
-			step("the run is no longer wanted", func(w *exploredState) { w.model.Order[0].Runs[0].Stop = true })
+			s.add("the run is no longer wanted", func(w *exploredState) { w.machine().Runs[0].Stop = true })
 		}
 	}
-	if w.heldAttempt != 0 && !w.exited {
-		step("the task ends by itself", func(w *exploredState) { w.exited = true })
+}
+
+// addAgentEvents: the task ends, the worker begins anew, and its lease runs out.
+func (s *stepList) addAgentEvents() {
+	if s.from.heldAttempt != 0 && !s.from.exited {
+		s.add("the task ends by itself", func(w *exploredState) { w.exited = true })
 	}
-	if w.incarnation < 2 {
+	if s.from.incarnation < 2 {
 		for _, afresh := range []bool{false, true} {
-			step(fmt.Sprint("the worker begins anew, afresh ", afresh), func(w *exploredState) {
+			s.add(fmt.Sprint("the worker begins anew, afresh ", afresh), func(w *exploredState) {
 				w.incarnation, w.heldAttempt, w.exited, w.awaitedReport = w.incarnation+1, 0, false, 0
 				if w.session++; afresh {
 					w.session, w.seq, w.token = 1, 0, 0
@@ -404,37 +430,32 @@
 			})
 		}
 	}
-	if w.lapses == 0 {
-		step("the worker's lease runs out", func(w *exploredState) {
+	if s.from.lapses == 0 {
+		s.add("the worker's lease runs out", func(w *exploredState) {
 			w.lapses, w.session, w.heldAttempt, w.exited = 1, w.session+1, 0, false
 		})
 	}
-	if w.terms == 0 {
-		step("another node leads", func(w *exploredState) {
+}
+
+// addFailover: another node is elected.
+func (s *stepList) addFailover() {
+	if s.from.terms == 0 {
+		s.add("another node leads", func(w *exploredState) {
 			w.terms++
 			w.question = nil
 			w.model.BeginTerm(w.model.TermBase+1<<24, 1)
 		})
 	}
-	return list
 }
 
 func newExploredState(t *testing.T, injected mutation) exploredState {
 	t.Helper()
 	m := New(params())
-	for i, e := range []*Entry{
-		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}},
-		{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")},
-		{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 1)},
-	} {
-		if err := m.Apply(e, uint64(i+1), 0); err != nil {
-			t.Fatal(err)
-		}
-	}
+	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), Accepted(testSpec(7, 1), 0))
 	m.BeginTerm(3<<24, 0)
 	w := exploredState{mutation: injected, model: m, session: 1, incarnation: 1, token: 3 << 24}
 	w.observe(w.report(), m.BeginProbe(m.Order[0]))
-	if err := m.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, 4, 0); err != nil {
+	if err := m.Apply(NewPlacement(7, 0, 1, 1, 1), 4, 0); err != nil {
 		t.Fatal(err)
 	}
 	return w
@@ -473,9 +494,16 @@
 		depth, most int
 		relay       bool
 	}{
-		{noMutation, nil, 20, 20_000, false}, {noMutation, held, 20, 20_000, false}, {copyPassesForAnswer, nil, 12, 60_000, false}, {answerNotAwaited, nil, 12, 60_000, false}, {lostStartIgnored, nil, 12, 60_000, false},
-		{anySessionProves, nil, 14, 150_000, false}, {reapsEarly, held, 14, 60_000, false},
-		{noMutation, nil, 20, 30_000, true}, {noMutation, held, 20, 30_000, true}, {relayForwardsLate, nil, 16, 60_000, true},
+		{noMutation, nil, 20, 20_000, false},
+		{noMutation, held, 20, 20_000, false},
+		{copyPassesForAnswer, nil, 12, 60_000, false},
+		{answerNotAwaited, nil, 12, 60_000, false},
+		{lostStartIgnored, nil, 12, 60_000, false},
+		{anySessionProves, nil, 14, 150_000, false},
+		{reapsEarly, held, 14, 60_000, false},
+		{noMutation, nil, 20, 30_000, true},
+		{noMutation, held, 20, 30_000, true},
+		{relayForwardsLate, nil, 16, 60_000, true},
 	} {
 		w := followSteps(t, newExploredState(t, c.slip), c.from...)
 		w.relay = c.relay
--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -20,16 +20,16 @@
 		m := New(p)
 		s := testSpec(7, 2)
 		s.Shape, s.ImageGB, s.Team = wire.Gang, c.gb, "blue"
-		for i, e := range []*Entry{
-			{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 50, FetchGBPerS: 1, Zones: []string{"a"}}},
-			{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, {Kind: EntryMachine, Machine: 2, Info: testInfo("host-2")},
-			{Kind: EntryAccept, Job: 7, Spec: s},
-			{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, {Kind: EntryPlace, Job: 7, Task: 1, Attempt: 1, Machine: 2, Session: 1},
-		} {
-			if err := m.Apply(e, uint64(i+1), 0); err != nil {
-				t.Fatal(err)
-			}
-		}
+		machineType := testType()
+		machineType.CacheGB, machineType.FetchGBPerS = 50, 1
+		applyAll(t, m,
+			NewMachineType(machineType),
+			NewMachine(1, 0, testInfo("host-1")),
+			NewMachine(2, 0, testInfo("host-2")),
+			Accepted(s, 0),
+			NewPlacement(7, 0, 1, 1, 1),
+			NewPlacement(7, 1, 1, 2, 1),
+		)
 		j, has, fetches := m.Jobs[7], m.Machines[1], m.Machines[2]
 		m.TermBase = 3 << 24
 		m.Observe(has, testReport(1, 1, 3<<24), nil, 0)
@@ -42,12 +42,8 @@
 			t.Errorf("%g GB: the member that fetches got %d commands", c.gb, k)
 		}
 		state := func(seq uint64, state string) ReportVerdict {
-			return m.Observe(
-				fetches,
-				testReport(1, seq, 3<<24, wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}),
-				nil,
-				1,
-			)
+			status := wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}
+			return m.Observe(fetches, testReport(1, seq, 3<<24, status), nil, 1)
 		}
 		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
 			t.Errorf("%g GB: told to meet while it fetches", c.gb)
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -19,28 +19,10 @@
 // everyEntry is a batch with each kind of entry in the order of their numbers, some more than once.
 func everyEntry() []*Entry {
 	full := &wire.JobSpec{
-		ID:       wire.JobID(300),
-		Class:    "train",
-		Team:     "red",
-		Shape:    wire.Gang,
-		Priority: wire.Production,
-		Tasks:    wire.MaxTasks,
-		CPUs:     0.5,
-		GPUs:     1,
-		MemoryGB: 1e-9,
-		Image:    "img",
-		ImageGB:  2.5,
-		Types:    []string{"t", "u"},
-		Zone: ptr(
-			"b",
-		),
-		SameZone:            true,
-		Spread:              true,
-		Spot:                true,
-		EstimateS:           60,
-		CheckpointIntervalS: 0.1,
-		CheckpointWriteS:    7,
-		DeadlineS:           ptr(0.0),
+		ID: wire.JobID(300), Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.Production,
+		Tasks: wire.MaxTasks, CPUs: 0.5, GPUs: 1, MemoryGB: 1e-9, Image: "img", ImageGB: 2.5,
+		Types: []string{"t", "u"}, Zone: ptr("b"), SameZone: true, Spread: true, Spot: true,
+		EstimateS: 60, CheckpointIntervalS: 0.1, CheckpointWriteS: 7, DeadlineS: ptr(0.0),
 	}
 	bare := &wire.JobSpec{ID: wire.JobID(7), Shape: wire.Service, Priority: wire.Low, Tasks: 1, Types: []string{}}
 	machine := &MachineInfo{Name: "host-1", Addr: "10.1.0.1:1", Type: "t", Zone: "a", Spot: true}
@@ -98,6 +80,7 @@
 	}
 }
 
+// applyAll applies entries with the numbers from 1 on, each a moment after the one before.
 func applyAll(t *testing.T, m *Model, entries ...*Entry) {
 	t.Helper()
 	for i, e := range entries {
@@ -120,9 +103,7 @@
 	}
 	u := &wire.MachineType{Name: "u", CPUs: 0.1, GPUs: 8, BootS: 1e-9, Zones: []string{"b", "a"}}
 	m := New(params())
-	applyAll(
-		t,
-		m,
+	applyAll(t, m,
 		&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 8, CacheGB: 10, Zones: []string{"a"}}},
 		&Entry{Kind: EntryType, Type: u},
 		&Entry{Kind: EntryMachine, Machine: 1, At: 1_700_000_000_123, Info: testInfo("host-1")},
@@ -134,10 +115,7 @@
 		&Entry{Kind: EntryGone, Machine: 4},
 		&Entry{Kind: EntrySuspect, Machine: 2},
 		&Entry{Kind: EntryRelease, Machine: 3},
-		Accepted(
-			testSpec(1, 1),
-			5,
-		),
+		Accepted(testSpec(1, 1), 5),
 		Accepted(testSpec(300, 1), 6),
 		Accepted(testSpec(301, 2), 7),
 		Accepted(testSpec(2, 1), 8),
@@ -215,25 +193,37 @@
 	}
 }
 
+// describeFleet lists the machines with what the log says of them, and the intents.
+func describeFleet(m *Model) (list []string) {
+	for _, machine := range m.Order {
+		described := machine.Info.Name
+		if machine.Suspect {
+			described += " suspect"
+		}
+		if machine.Releasing {
+			described += " releasing"
+		}
+		list = append(list, described)
+	}
+	for _, i := range m.Intents {
+		list = append(list, i.Name)
+	}
+	return list
+}
+
 // TestGoldenRestored: the stored snapshots are read as what they stood for, in each version.
 func TestGoldenRestored(t *testing.T) {
 	for version, want := range map[int][]string{
-		1: {"host-1", "host-2", "host-3"}, 2: {"host-1", "host-2 suspect", "host-3"},
-		3: {"host-1", "host-2 suspect", "host-3 releasing"}, 4: {"host-1", "host-2 suspect", "host-3 releasing", "x", "y"},
+		1: {"host-1", "host-2", "host-3"},
+		2: {"host-1", "host-2 suspect", "host-3"},
+		3: {"host-1", "host-2 suspect", "host-3 releasing"},
+		4: {"host-1", "host-2 suspect", "host-3 releasing", "x", "y"},
 	} {
 		m := New(params())
 		if err := m.Restore(golden.Read(t, fmt.Sprintf("snapshot-v%d.hex", version)), 50, 0); err != nil {
 			t.Fatal(err)
 		}
-		var actual []string
-		for _, machine := range m.Order {
-			flags := map[bool]string{true: " suspect"}[machine.Suspect] + map[bool]string{true: " releasing"}[machine.Releasing]
-			actual = append(actual, machine.Info.Name+flags)
-		}
-		for _, i := range m.Intents {
-			actual = append(actual, i.Name)
-		}
-		if diff := cmp.Diff(want, actual); diff != "" {
+		if diff := cmp.Diff(want, describeFleet(m)); diff != "" {
 			t.Errorf("version %d: %s", version, diff)
 		}
 		finals := map[JobID]Final{1: FinalDone, 300: FinalDone, 2: FinalCancelled, 301: FinalCancelled}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -35,6 +35,11 @@
 	}
 }
 
+// testType is the machine type of the tests.
+func testType() *wire.MachineType {
+	return &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}
+}
+
 func testInfo(n string) *MachineInfo { return &MachineInfo{Name: n, Addr: "x:1", Type: "t", Zone: "a"} }
 
 // newPlacedModel makes a model with a job of two tasks, of which the first is placed on a
@@ -42,19 +47,11 @@
 func newPlacedModel(t *testing.T) (*Model, *Machine, *Run) {
 	t.Helper()
 	m := New(params())
-	for i, e := range []*Entry{
-		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}},
-		{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")},
-		{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 2)},
-	} {
-		if err := m.Apply(e, uint64(i+1), 0); err != nil {
-			t.Fatal(err)
-		}
-	}
+	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), Accepted(testSpec(7, 2), 0))
 	m.BeginTerm(3<<24, 0)
 	machine := m.Machines[1]
 	m.Observe(machine, testReport(1, 1, 3<<24), nil, 0)
-	if err := m.Apply(&Entry{Kind: EntryPlace, Job: 7, Task: 0, Attempt: 1, Machine: 1, Session: 1}, 4, 0); err != nil {
+	if err := m.Apply(NewPlacement(7, 0, 1, 1, 1), 4, 0); err != nil {
 		t.Fatal(err)
 	}
 	return m, machine, m.Jobs[7].Tasks[0].Run
@@ -73,6 +70,11 @@
 	}
 }
 
+// testStatus is what a report lists of the first attempt of the task that newPlacedModel places.
+func testStatus(state, cause string) wire.TaskStatus {
+	return wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: state, Cause: cause}
+}
+
 func verbs(cmds []wire.Command) (v []string) {
 	for _, c := range cmds {
 		v = append(v, c.Verb+" "+c.Task)
@@ -125,24 +127,15 @@
 // TestTwoLostCopiesOfAStart: the answer to the second copy of a start says nothing about
 // the first one, if both carry the same token.
 func TestTwoLostCopiesOfAStart(t *testing.T) {
-	m, machine, run := newPlacedModel(t)
+	m, machine, _ := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
 	token := m.Token(machine)
 	m.StartsSent(machine, cmds, token)
 	m.StartsLost(machine, cmds, token)
 	m.StartsSent(machine, cmds, token)
 	m.StartsAnswered(machine, cmds, token, true)
-	v := m.Observe(
-		machine,
-		testReport(
-			1,
-			2,
-			token,
-			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError},
-		),
-		m.BeginProbe(machine),
-		1,
-	)
+	failed := testStatus(wire.TaskExited, wire.CauseError)
+	v := m.Observe(machine, testReport(1, 2, token, failed), m.BeginProbe(machine), 1)
 	for _, e := range v.Entries {
 		_ = m.Apply(e, 5, 1)
 	}
@@ -152,22 +145,11 @@
 			t.Error("the attempt is forgotten while a copy of its start is under way: it would run again")
 		}
 	}
-	m.Observe(
-		machine,
-		testReport(
-			1,
-			3,
-			m.Token(machine),
-			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseError},
-		),
-		nil,
-		2,
-	)
+	m.Observe(machine, testReport(1, 3, m.Token(machine), failed), nil, 2)
 	m.SealReapable(machine, 5)
 	if d := cmp.Diff([]string{"reap req-000007/0"}, verbs(m.Commands(machine, 9, true))); d != "" {
 		t.Error(d)
 	}
-	_ = run
 }
 
 // TestInheritedStart: after a change of leaders a start of the old one may be
@@ -213,13 +195,8 @@
 		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
-		if v := m.Observe(
-			machine,
-			testReport(session, 9, 3<<24),
-			m.BeginProbe(machine),
-			1,
-		); len(v.Entries) != 1 ||
-			v.Entries[0].Kind != EntryEnded {
+		v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1)
+		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
 			t.Errorf("the answer to a question, session %d: %v", session, v.Entries)
 		}
 	}
@@ -230,17 +207,7 @@
 func TestLateResultStillCounts(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
-	v := m.Observe(
-		machine,
-		testReport(
-			1,
-			2,
-			3<<24,
-			wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone},
-		),
-		nil,
-		1,
-	)
+	v := m.Observe(machine, testReport(1, 2, 3<<24, testStatus(wire.TaskExited, wire.CauseDone)), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryDone {
 		t.Errorf("got %v", v.Entries)
 	}
@@ -291,40 +258,15 @@
 func requireAgreement(t *rapid.T, m *Model, p *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range p.tasks {
-		j, over := m.Jobs[id], p.finals[id]
 		live := 0
 		for i, s := range ts {
 			if s != "wait" && s != "done" {
 				live++
-				cpus++
-				if j == nil || j.Tasks[i].Run == nil || string(rune('A'+j.Tasks[i].Run.Machine.ID)) != s {
-					t.Fatalf("job %d task %d should be on %s", id, i, s)
-				}
-			} else if j != nil && j.Tasks[i].Run != nil {
-				t.Fatalf("job %d task %d should not be placed", id, i)
-			}
-			if j != nil && (j.Tasks[i].State == Done) != (s == "done") {
-				t.Fatalf("job %d task %d is %v, plainly %s", id, i, j.Tasks[i].State, s)
-			}
-		}
-		final := map[Final]string{0: "", FinalDone: "done", FinalCancelled: "cancelled"}[m.Finals[id]]
-		if want := over; live > 0 && final != "" || live == 0 && final != want {
-			t.Fatalf("job %d is %q, plainly %q with %d placed", id, final, over, live)
-		}
-		if j != nil && j.Live != live {
-			t.Fatalf("job %d counts %d placed, plainly %d", id, j.Live, live)
-		}
-		if j != nil && over == "" {
-			want := 0
-			for _, s := range ts {
-				if s == "wait" {
-					want++
-				}
-			}
-			if j.Waiting() != want || (want > 0) != (j.NextWaiting() >= 0) {
-				t.Fatalf("job %d: %d wait and the next is %d, plainly %d", id, j.Waiting(), j.NextWaiting(), want)
 			}
+			requireTaskAgreement(t, m, id, i, s)
 		}
+		cpus += float64(live)
+		requireJobAgreement(t, m, id, ts, p.finals[id], live)
 	}
 	if m.Teams[0].UsedCPUs != cpus {
 		t.Fatalf("team uses %g, plainly %g", m.Teams[0].UsedCPUs, cpus)
@@ -334,95 +276,152 @@
 	}
 }
 
+// requireTaskAgreement compares a task with what it plainly is: "wait", "done" or the machine.
+func requireTaskAgreement(t *rapid.T, m *Model, id JobID, i int, plainly string) {
+	j := m.Jobs[id]
+	if plainly != "wait" && plainly != "done" {
+		if j == nil || j.Tasks[i].Run == nil || string(rune('A'+j.Tasks[i].Run.Machine.ID)) != plainly {
+			t.Fatalf("job %d task %d should be on %s", id, i, plainly)
+		}
+	} else if j != nil && j.Tasks[i].Run != nil {
+		t.Fatalf("job %d task %d should not be placed", id, i)
+	}
+	if j != nil && (j.Tasks[i].State == Done) != (plainly == "done") {
+		t.Fatalf("job %d task %d is %v, plainly %s", id, i, j.Tasks[i].State, plainly)
+	}
+}
+
+// requireJobAgreement compares a job's end and its counts.
+func requireJobAgreement(t *rapid.T, m *Model, id JobID, tasks []string, over string, live int) {
+	j := m.Jobs[id]
+	final := map[Final]string{0: "", FinalDone: "done", FinalCancelled: "cancelled"}[m.Finals[id]]
+	if want := over; live > 0 && final != "" || live == 0 && final != want {
+		t.Fatalf("job %d is %q, plainly %q with %d placed", id, final, over, live)
+	}
+	if j == nil {
+		return
+	}
+	if j.Live != live {
+		t.Fatalf("job %d counts %d placed, plainly %d", id, j.Live, live)
+	}
+	if over != "" {
+		return
+	}
+	want := 0
+	for _, s := range tasks {
+		if s == "wait" {
+			want++
+		}
+	}
+	if j.Waiting() != want || (want > 0) != (j.NextWaiting() >= 0) {
+		t.Fatalf("job %d: %d wait and the next is %d, plainly %d", id, j.Waiting(), j.NextWaiting(), want)
+	}
+}
+
+// history draws entries that fit a model.
+type history struct {
+	test     *rapid.T
+	model    *Model
+	machines map[MachineID]bool
+	attempt  uint32
+}
+
+// draw makes the next entry, nil if what was drawn does not fit the model.
+func (h *history) draw() *Entry {
+	id := JobID(rapid.IntRange(1, 5).Draw(h.test, "job"))
+	machineID := MachineID(rapid.IntRange(1, 4).Draw(h.test, "machine"))
+	j := h.model.Jobs[id]
+	var task int32
+	if j != nil {
+		task = int32(rapid.IntRange(0, len(j.Tasks)-1).Draw(h.test, "task"))
+	}
+	kind := rapid.IntRange(0, 9).Draw(h.test, "kind")
+	switch {
+	case kind <= 1 && j == nil && h.model.Finals[id] == 0:
+		return Accepted(testSpec(uint64(id), rapid.IntRange(1, 4).Draw(h.test, "tasks")), 5)
+	case kind == 2 || kind == 3:
+		return h.drawMachine(kind, machineID)
+	case j != nil && kind >= 4:
+		return h.drawChange(kind, j, task, machineID)
+	}
+	return nil
+}
+
+// drawMachine has a machine come or go.
+func (h *history) drawMachine(kind int, id MachineID) *Entry {
+	switch {
+	case kind == 2 && !h.machines[id] && id >= h.model.NextMachine:
+		h.machines[id] = true
+		return NewMachine(id, 0, testInfo(string(rune('A'+id))))
+	case kind == 3 && rapid.IntRange(0, 3).Draw(h.test, "rarely") == 0:
+		delete(h.machines, id)
+		return NewMachineGone(id)
+	}
+	return nil
+}
+
+// drawChange changes a job: it is cancelled, or one of its tasks is placed, ends or completes.
+func (h *history) drawChange(kind int, j *Job, task int32, machine MachineID) *Entry {
+	t := &j.Tasks[task]
+	switch {
+	case kind == 4 && rapid.IntRange(0, 2).Draw(h.test, "rarely") == 0:
+		return NewCancellation(j.ID)
+	case kind >= 5 && kind <= 7 && !j.Cancelled && t.State == Waiting && h.machines[machine]:
+		h.attempt++
+		return NewPlacement(j.ID, task, h.attempt, machine, 1)
+	case kind >= 8 && t.Run != nil && rapid.Bool().Draw(h.test, "done"):
+		return NewCompletion(j.ID, task, t.Attempt)
+	case kind >= 8 && t.Run != nil:
+		return NewAttemptEnd(j.ID, task, t.Attempt)
+	}
+	return nil
+}
+
+// throughLog is an entry as the log gives it back.
+func throughLog(t *rapid.T, e *Entry) *Entry {
+	r := &codec.Reader{Data: e.Append(nil)}
+	decoded, err := ReadEntry(r)
+	if err != nil || !r.Done() {
+		t.Fatalf("%+v does not survive the log: %v", e, err)
+	}
+	return decoded
+}
+
+// throughSnapshot is a model as its snapshot gives it back.
+func throughSnapshot(t *rapid.T, m *Model, seq uint64) *Model {
+	snapshot := m.Snapshot()
+	restored := New(params())
+	if err := restored.Restore(snapshot, seq, 0); err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(snapshot, restored.Snapshot()); d != "" {
+		t.Fatalf("a snapshot does not survive itself: %s", d)
+	}
+	return restored
+}
+
 // TestAgainstReferenceModel drives random histories through the model and the plain
 // one, by way of the log's encoding, and through snapshots now and then.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(params())
+		h := &history{test: t, model: New(params()), machines: map[MachineID]bool{}}
 		reference := &referenceModel{tasks: map[JobID][]string{}, finals: map[JobID]string{}}
-		machines := map[MachineID]bool{}
-		_ = m.Apply(
-			&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}},
-			1,
-			0,
+		_ = h.model.Apply(
+			NewMachineType(&wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}), 1, 0,
 		)
-		attempt := uint32(0)
 		for seq := uint64(2); seq < 80; seq++ {
-			var e *Entry
-			id := JobID(rapid.IntRange(1, 5).Draw(t, "job"))
-			machineID := MachineID(rapid.IntRange(1, 4).Draw(t, "machine"))
-			j := m.Jobs[id]
-			var taskIndex int32
-			if j != nil {
-				taskIndex = int32(rapid.IntRange(0, len(j.Tasks)-1).Draw(t, "task"))
-			}
-			switch rapid.IntRange(0, 9).Draw(t, "kind") {
-			case 0, 1:
-				if j == nil && m.Finals[id] == 0 {
-					e = &Entry{
-						Kind: EntryAccept,
-						Job:  id,
-						Spec: testSpec(uint64(id), rapid.IntRange(1, 4).Draw(t, "tasks")),
-						At:   5,
-					}
-				}
-			case 2:
-				if !machines[machineID] && machineID >= m.NextMachine {
-					e = &Entry{Kind: EntryMachine, Machine: machineID, Info: testInfo(string(rune('A' + machineID)))}
-					machines[machineID] = true
-				}
-			case 3:
-				if rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
-					e = &Entry{Kind: EntryGone, Machine: machineID}
-					delete(machines, machineID)
-				}
-			case 4:
-				if j != nil && rapid.IntRange(0, 2).Draw(t, "rarely") == 0 {
-					e = &Entry{Kind: EntryCancel, Job: id}
-				}
-			case 5, 6, 7:
-				if j != nil && !j.Cancelled && j.Tasks[taskIndex].State == Waiting && machines[machineID] {
-					attempt++
-					e = &Entry{
-						Kind:    EntryPlace,
-						Job:     id,
-						Task:    taskIndex,
-						Attempt: attempt,
-						Machine: machineID,
-						Session: 1,
-					}
-				}
-			case 8, 9:
-				if j != nil && j.Tasks[taskIndex].Run != nil {
-					e = &Entry{Kind: EntryEnded, Job: id, Task: taskIndex, Attempt: j.Tasks[taskIndex].Attempt}
-					if rapid.Bool().Draw(t, "done") {
-						e.Kind = EntryDone
-					}
-				}
-			}
+			e := h.draw()
 			if e == nil {
 				continue
 			}
-			r := &codec.Reader{Data: e.Append(nil)}
-			decoded, err := ReadEntry(r)
-			if err != nil || !r.Done() {
-				t.Fatalf("%+v does not survive the log: %v", e, err)
-			}
-			if err := m.Apply(decoded, seq, Time(seq)); err != nil {
+			if err := h.model.Apply(throughLog(t, e), seq, Time(seq)); err != nil {
 				t.Fatal(err)
 			}
 			reference.apply(e)
-			requireAgreement(t, m, reference, machines)
+			requireAgreement(t, h.model, reference, h.machines)
 			if seq%16 == 0 {
-				snapshot := m.Snapshot()
-				m = New(params())
-				if err := m.Restore(snapshot, seq, 0); err != nil {
-					t.Fatal(err)
-				}
-				if d := cmp.Diff(snapshot, m.Snapshot()); d != "" {
-					t.Fatalf("a snapshot does not survive itself: %s", d)
-				}
-				requireAgreement(t, m, reference, machines)
+				h.model = throughSnapshot(t, h.model, seq)
+				requireAgreement(t, h.model, reference, h.machines)
 			}
 		}
 	})
@@ -448,13 +447,8 @@
 		t.Fatal(err)
 	}
 	if len(restored.Finals) != n || len(restored.Jobs) != 0 || m.LiveTasks != 0 {
-		t.Errorf(
-			"%d final states, %d jobs, %d tasks after %v",
-			len(restored.Finals),
-			len(restored.Jobs),
-			m.LiveTasks,
-			time.Since(began),
-		)
+		t.Errorf("%d final states, %d jobs, %d tasks after %v",
+			len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began))
 	}
 }
 
@@ -493,13 +487,8 @@
 	if m.Observe(machine, testReport(1, 2, token), m.BeginProbe(machine), 1); machine.ServicesOnly(1) {
 		t.Error("one that answers in its session counts as mute")
 	}
-	if m.Observe(
-		machine,
-		testReport(2, 5, token),
-		m.BeginProbe(machine),
-		2,
-	); !machine.ServicesOnly(2) ||
-		!machine.IsUsable() {
+	m.Observe(machine, testReport(2, 5, token), m.BeginProbe(machine), 2)
+	if !machine.ServicesOnly(2) || !machine.IsUsable() {
 		t.Error("its lease ran out under our questions, and it gets all work, or none")
 	}
 	if m.Observe(machine, testReport(1, 3, token), nil, 3); !machine.ServicesOnly(3) {
@@ -600,13 +589,8 @@
 	machine := x.model.Machines[machineID]
 	sendReport := func(state, cause string) {
 		x.reportSeq++
-		r := testReport(
-			1,
-			x.reportSeq,
-			3<<24,
-			wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause},
-		)
-		v := x.model.Observe(machine, r, nil, x.now)
+		status := wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause}
+		v := x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, status), nil, x.now)
 		slow = slow || v.Slow
 		for _, e := range v.Entries {
 			x.apply(e)
@@ -622,14 +606,11 @@
 	return slow
 }
 
+// newTiming makes a leader with three machines that have reported, and thirty jobs whose owners give an estimate.
 func newTiming(t *testing.T, estimate float64) *timing {
+	t.Helper()
 	x := &timing{test: t, model: New(params()), now: 1}
-	x.apply(
-		&Entry{
-			Kind: EntryType,
-			Type: &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}},
-		},
-	)
+	x.apply(NewMachineType(testType()))
 	for n := MachineID(1); n <= 3; n++ {
 		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
 	}
@@ -738,11 +719,8 @@
 				now = x.now - began
 			}
 			if c.good && x.now == began+config.Seconds(3) {
-				x.model.recordDuration(
-					machine,
-					&Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now},
-					x.now+config.Seconds(20),
-				)
+				later := &Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now}
+				x.model.recordDuration(machine, later, x.now+config.Seconds(20))
 			}
 			x.now += config.Seconds(3)
 		}
@@ -797,66 +775,69 @@
 	if v := m.Observe(machine, testReport(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.IsStale() {
 		t.Errorf("a copy of session 2 proves %d ends", len(v.Entries))
 	}
-	v := m.Observe(
-		machine,
-		testReport(1, 7, 3<<24, wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: wire.TaskRunning}),
-		m.BeginProbe(machine),
-		2,
-	)
+	running := testStatus(wire.TaskRunning, "")
+	v := m.Observe(machine, testReport(1, 7, 3<<24, running), m.BeginProbe(machine), 2)
 	if len(v.Entries) != 0 || run.Phase != Running {
 		t.Errorf("an answer that lists the run proves %d ends, phase %d", len(v.Entries), run.Phase)
 	}
 }
 
+// fleetHistory has machines come and go.
+type fleetHistory struct {
+	test  *testing.T
+	model *Model
+}
+
+func (h *fleetHistory) name(i int) string { return fmt.Sprintf("host-%06d", i) }
+
+func (h *fleetHistory) provision(from, to int) {
+	h.test.Helper()
+	for i := from; i < to; i++ {
+		applyAll(h.test, h.model, NewMachine(MachineID(i+1), 0, testInfo(h.name(i))))
+	}
+}
+
+func (h *fleetHistory) lose(from, to int) {
+	h.test.Helper()
+	for i := from; i < to; i++ {
+		applyAll(h.test, h.model, NewMachineGone(MachineID(i+1)))
+	}
+}
+
+// requireRemembered checks that none of the first n machines is forgotten.
+func (h *fleetHistory) requireRemembered(when string, n int) {
+	h.test.Helper()
+	for i := range n {
+		if !h.model.Tombstones[h.name(i)] {
+			h.test.Fatalf("%s: machine %d of %d is forgotten", when, i, n)
+		}
+	}
+}
+
 // TestGoneZoneIsRemembered: as many machines as a fleet ever had may be lost twice over, and none of their names is
 // forgotten, also not by a node that begins from a snapshot: a late report or a lagging list would bring it back.
 func TestGoneZoneIsRemembered(t *testing.T) {
 	for _, fleet := range []int{512, 1024, 4000, 10_000} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
-			m := New(params())
-			apply := func(e *Entry) {
-				t.Helper()
-				if err := m.Apply(e, 1, 0); err != nil {
-					t.Fatal(err)
-				}
-			}
-			name := func(i int) string { return fmt.Sprintf("host-%06d", i) }
-			rent := func(from, to int) {
-				for i := from; i < to; i++ {
-					apply(&Entry{Kind: EntryMachine, Machine: MachineID(i + 1), Info: testInfo(name(i))})
-				}
-			}
-			remembered := func(when string, from, to int) {
-				t.Helper()
-				for i := from; i < to; i++ {
-					if !m.Tombstones[name(i)] {
-						t.Fatalf("%s: machine %d of %d is forgotten", when, i, to)
-					}
-				}
-			}
-			lose := func(from, to int) {
-				for i := from; i < to; i++ {
-					apply(&Entry{Kind: EntryGone, Machine: MachineID(i + 1)})
-				}
-			}
-			rent(0, fleet)
-			lose(0, fleet/2)
-			remembered("half is lost", 0, fleet/2)
-			lose(fleet/2, fleet)
-			remembered("all are lost", 0, fleet)
+			h := &fleetHistory{test: t, model: New(params())}
+			h.provision(0, fleet)
+			h.lose(0, fleet/2)
+			h.requireRemembered("half is lost", fleet/2)
+			h.lose(fleet/2, fleet)
+			h.requireRemembered("all are lost", fleet)
 			restored := New(params())
-			if err := restored.Restore(m.Snapshot(), 1, 0); err != nil {
+			if err := restored.Restore(h.model.Snapshot(), 1, 0); err != nil {
 				t.Fatal(err)
 			}
-			m = restored
-			remembered("from a snapshot", 0, fleet)
-			rent(fleet, 2*fleet)
-			lose(fleet, 2*fleet)
-			remembered("all are lost again", 0, 2*fleet)
-			rent(2*fleet, 3*fleet)
-			lose(2*fleet, 3*fleet)
-			if kept := max(minTombstones, 2*fleet); len(m.Tombstones) != kept {
-				t.Errorf("%d names are kept, not %d", len(m.Tombstones), kept)
+			h.model = restored
+			h.requireRemembered("from a snapshot", fleet)
+			h.provision(fleet, 2*fleet)
+			h.lose(fleet, 2*fleet)
+			h.requireRemembered("all are lost again", 2*fleet)
+			h.provision(2*fleet, 3*fleet)
+			h.lose(2*fleet, 3*fleet)
+			if kept := max(minTombstones, 2*fleet); len(h.model.Tombstones) != kept {
+				t.Errorf("%d names are kept, not %d", len(h.model.Tombstones), kept)
 			}
 		})
 	}
--- a/internal/model/reason_history_test.go
+++ b/internal/model/reason_history_test.go
@@ -12,7 +12,9 @@
 // one first; while a reason stays, with other figures, nothing is noted, and noting takes no memory.
 func TestReasonHistory(t *testing.T) {
 	j := &Job{}
-	for i, c := range []pending.Code{pending.None, pending.NoCapacity, pending.NoCapacity, pending.TeamLimit, pending.NoCapacity, pending.None} {
+	for i, c := range []pending.Code{
+		pending.None, pending.NoCapacity, pending.NoCapacity, pending.TeamLimit, pending.NoCapacity, pending.None,
+	} {
 		j.Scheduling.PendingReason = pending.Reason{Code: c, Count: i}
 		j.RecordReason(Time(i+1) * 1e9)
 	}
