--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -28,7 +28,7 @@
 	// bootSamples is how many of the last boots the average is over, and minBootSamples from how many on it counts.
 	bootSamples, minBootSamples = 6, 4
 	// An average between these is the usual time.
-	usualRatioMin, usualRatioMax = 0.6, 1.5
+	nominalRatioMin, nominalRatioMax = 0.6, 1.5
 	// latePenaltyStep is by how much each late machine makes an offer count as more expensive, up to maxLatePenalized.
 	latePenaltyStep, maxLatePenalized = 0.5, 6
 	// sameTimeMS is how much earlier, in ms, another one may have been provisioned to count as no earlier.
@@ -55,12 +55,12 @@
 // bootSeconds is how long a machine of a type takes to come up, as learnt: what the cloud
 // says, unless some that came up lately say something clearly different.
 func (a *Autoscaler) bootSeconds(m *model.Model, typ, zone int32) float64 {
-	usual := m.Types[typ].BootS
+	nominal := m.Types[typ].BootS
 	b := a.bootTimes[typeZone{typ, zone}]
-	if b.samples >= minBootSamples && (b.ratio < usualRatioMin || b.ratio > usualRatioMax) {
-		return usual * b.ratio
+	if b.samples >= minBootSamples && (b.ratio < nominalRatioMin || b.ratio > nominalRatioMax) {
+		return nominal * b.ratio
 	}
-	return usual
+	return nominal
 }
 
 // CheckBoots marks the machines that are late, so that demand is covered anew, and
@@ -115,6 +115,6 @@
 
 // BootRatio is how long a machine took to come up, as a multiple of the usual time.
 func BootRatio(m *model.Model, machine *model.Machine, now model.Time) float64 {
-	usual := config.Seconds(max(m.TypeOf(machine).BootS, 1))
-	return float64(now-machine.Lifecycle.ProvisionedAt) / float64(usual)
+	nominal := config.Seconds(max(m.TypeOf(machine).BootS, 1))
+	return float64(now-machine.Lifecycle.ProvisionedAt) / float64(nominal)
 }
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -12,123 +12,154 @@
 
 // This file places gangs, all members or none.
 
-// placeGang places all tasks of a gang or none. A gang that lost a member is stopped
+// holderWaitShare is the part of its time to start that a gang waits for machines that have its image.
+const holderWaitShare = 0.15
+
+// anyZone is in the place of a zone where a gang may span them.
+const anyZone = -1
+
+// gangPlacement is a gang whose turn it is.
+type gangPlacement struct {
+	round   *round
+	turn    *placementTurn
+	job     *model.Job
+	need    Resources // of a member
+	members int       // that wait
+	// withinQuota says that its team's limit holds all members; if not, shortfall is what is in the way.
+	withinQuota bool
+	shortfall   teamShortfall
+}
+
+// placeGang places all tasks of a gang or none. A gang that lost a member is preempted
 // as a whole first; its next attempt begins when nothing of the old one is left.
-func (s *Scheduler) placeGang(m *model.Model, t *placementTurn, now model.Time, binder Binder) {
+func (r *round) placeGang(t *placementTurn) {
 	j := t.job
 	if j.Live > 0 {
-		j.Scheduling.PendingReason = pending.Reason{Code: pending.AttemptEnding, Count: j.Live}
-		for i := range j.Tasks {
-			if r := j.Tasks[i].Run; r != nil && !r.Stop {
-				if r.Phase == model.Fetching && m.IsLongFetch(j, r.Machine) {
-					continue // its fetch would be given up, and begin anew with the next attempt
-				}
-				binder.Preempt(r, false, "gang member lost")
-			}
-		}
+		r.endAttempt(j)
 		return
 	}
-	memberCount := j.Waiting()
-	var shortfall teamShortfall
-	allowed := s.teamLimitAllows(j, memberCount)
-	if !allowed {
-		j.Scheduling.PendingReason = s.TeamReason(j, memberCount)
-		feasible := false
-		if shortfall, feasible = s.teamPreemption(m, j, memberCount); !feasible {
-			return
-		}
+	g := gangPlacement{round: r, turn: t, job: j, need: t.need, members: j.Waiting()}
+	if !g.checkQuota() || g.placeOnFree() {
+		return
+	}
+	willFit := false
+	if g.members == 1 {
+		willFit = r.preemptForTask(t)
 	} else {
-		j.Scheduling.PendingReason = pending.Reason{Code: pending.NoGangCapacity, Count: memberCount}
+		willFit = g.claimRoom()
 	}
-	attempt := uint32(0)
-	for i := range j.Tasks {
-		attempt = max(attempt, j.Tasks[i].Attempt)
+	if willFit && !g.withinQuota {
+		r.preemptInTeam(j, g.members, g.shortfall)
 	}
-	kind := kindOf(j)
-	if j.Observed.FailedOn != nil || !coveredBy(s.unplaceable, kind, t.need) { // else not even one member finds room
-		plan := s.planGang(m, t, memberCount)
-		if s.AwaitingHeartbeats &&
-			slices.ContainsFunc(
-				plan,
-				func(view *machineView) bool { return locality(m, j, view.machine)*s.Params.Beta >= s.Params.Threshold },
-			) {
-			j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
-			return
+}
+
+// endAttempt preempts what is left of a gang that lost a member.
+func (r *round) endAttempt(j *model.Job) {
+	j.Scheduling.PendingReason = pending.Reason{Code: pending.AttemptEnding, Count: j.Live}
+	for i := range j.Tasks {
+		run := j.Tasks[i].Run
+		if run == nil || run.Stop {
+			continue
 		}
-		if plan != nil {
-			if !allowed { // the machines are there: now its team's less urgent work leaves
-				for _, view := range plan {
-					view.claimed = view.claimed.Plus(t.need)
-				}
-				s.preemptInTeam(j, memberCount, shortfall, now, binder)
-				return
-			}
-			if s.preemptAtImageHolders(m, t, memberCount, plan, now, binder) {
-				j.Scheduling.PendingReason = pending.Reason{Code: pending.Preempting}
-				return
-			}
-			for _, view := range plan {
-				s.bind(
-					m,
-					j,
-					view,
-					j.NextWaiting(),
-					attempt+1,
-					s.score(locality(m, j, view.machine), load(m, view.machine)),
-					binder,
-				)
-			}
-			return
+		if run.Phase == model.Fetching && r.model.IsLongFetch(j, run.Machine) {
+			continue // its fetch would be aborted, and begin anew with the next attempt
 		}
-		if len(t.candidates) == 0 && !t.zoneLimited && j.Observed.FailedOn == nil {
-			s.unplaceable = append(s.unplaceable, demandShape{kind, t.need})
+		r.binder.Preempt(run, false, "gang member lost")
+	}
+}
+
+// checkQuota tells whether the gang's team may have it, at once or when less urgent work of the team has left.
+func (g *gangPlacement) checkQuota() bool {
+	r, j := g.round, g.job
+	g.withinQuota = r.quota.allows(j, g.members)
+	if g.withinQuota {
+		j.Scheduling.PendingReason = pending.Reason{Code: pending.NoGangCapacity, Count: g.members}
+		return true
+	}
+	j.Scheduling.PendingReason = r.quota.reason(j, g.members)
+	feasible := false
+	g.shortfall, feasible = r.teamPreemption(j, g.members)
+	return feasible
+}
+
+// placeOnFree places the gang on free machines. It tells whether its turn is over: it is placed, or there are machines
+// and it waits for something else.
+func (g *gangPlacement) placeOnFree() bool {
+	r, t, j := g.round, g.turn, g.job
+	kind, failedBefore := kindOf(j), j.Observed.FailedOn != nil
+	if !failedBefore && coveredBy(r.infeasible.unplaceable, kind, g.need) {
+		return false // not even one member finds room
+	}
+	plan := g.plan()
+	switch {
+	case plan == nil:
+		if len(t.candidates) == 0 && !t.zoneLimited && !failedBefore {
+			r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{kind, g.need})
+		}
+		return false
+	case r.directives.AwaitingHeartbeats && slices.ContainsFunc(plan, g.isRemote):
+		j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
+	case !g.withinQuota: // the machines are there: now its team's less urgent work leaves
+		for _, view := range plan {
+			view.claim(g.need)
 		}
+		r.preemptInTeam(j, g.members, g.shortfall)
+	case g.preemptAtImageHolders(plan):
+		j.Scheduling.PendingReason = pending.Reason{Code: pending.Preempting}
+	default:
+		g.bind(plan)
 	}
-	found := false
-	if memberCount == 1 {
-		found = s.preemptForTask(m, t, now, binder)
-	} else {
-		found = s.preemptForGang(m, t, memberCount, now, binder)
+	return true
+}
+
+func (g *gangPlacement) isRemote(view *machineView) bool {
+	return g.round.isRemote(locality(g.round.model, g.job, view.machine))
+}
+
+// bind places the members, all with the attempt after the latest of any of them.
+func (g *gangPlacement) bind(plan []*machineView) {
+	attempt := uint32(0)
+	for i := range g.job.Tasks {
+		attempt = max(attempt, g.job.Tasks[i].Attempt)
 	}
-	if found && !allowed {
-		s.preemptInTeam(j, memberCount, shortfall, now, binder)
+	for _, view := range plan {
+		g.round.bind(g.job, view, g.job.NextWaiting(), attempt+1, g.round.scoreOn(g.job, view.machine))
 	}
 }
 
-// planGang finds a machine for every member, or nil. Each zone is tried by
+// plan finds a machine for every member, or nil. Each zone is tried by
 // itself when the job must stay in one.
-func (s *Scheduler) planGang(m *model.Model, t *placementTurn, n int) []*machineView {
-	s.buildCandidates(m, t)
-	if !t.job.Spec.SameZone {
-		plan, _ := s.planInZone(m, t, n, -1)
+func (g *gangPlacement) plan() []*machineView {
+	t := g.turn
+	g.round.buildCandidates(t)
+	if !g.job.Spec.SameZone {
+		plan, _ := g.planInZone(anyZone)
 		return plan
 	}
 	var best []*machineView
 	var bestSum float64
 	tried := map[int32]bool{}
 	for i := range t.candidates {
-		z := t.candidates[i].view.machine.Zone
-		if tried[z] {
+		zone := t.candidates[i].view.machine.Zone
+		if tried[zone] {
 			continue
 		}
-		tried[z] = true
-		if plan, planSum := s.planInZone(m, t, n, z); plan != nil && (best == nil || planSum < bestSum) {
+		tried[zone] = true
+		if plan, planSum := g.planInZone(zone); plan != nil && (best == nil || planSum < bestSum) {
 			best, bestSum = plan, planSum
 		}
 	}
 	return best
 }
 
-// planInZone finds room for n members in a zone, or in all (-1), and the sum of the
-// scores.
-func (s *Scheduler) planInZone(m *model.Model, t *placementTurn, n int, zone int32) (plan []*machineView, sum float64) {
-	need := t.need
-	limit := len(t.job.Tasks)
-	if t.job.Spec.Spread {
-		limit = (len(t.job.Tasks) + 1) / 2
+// planInZone finds room for the members in a zone, or in all, and the sum of the scores.
+func (g *gangPlacement) planInZone(zone int32) (plan []*machineView, sum float64) {
+	maxPerZone := len(g.job.Tasks)
+	if g.job.Spec.Spread {
+		maxPerZone = (len(g.job.Tasks) + 1) / 2
 	}
 	perZone := map[int32]int{}
-	order := slices.Clone(t.candidates)
+	order := slices.Clone(g.turn.candidates)
 	slices.SortFunc(order, func(a, b candidate) int {
 		if c := cmp.Compare(a.score, b.score); c != 0 {
 			return c
@@ -139,193 +170,176 @@
 	// placed in one round, as the round began.
 	for i := range order {
 		c := &order[i]
-		if zone >= 0 && c.view.machine.Zone != zone {
+		candidateZone := c.view.machine.Zone
+		if zone >= 0 && candidateZone != zone {
 			continue
 		}
-		for k := 1.0; len(plan) < n && perZone[c.view.machine.Zone] < limit; k++ {
-			s.Examined++
-			if !s.hasResources(m, t.job, c.view, Resources{need.CPUs * k, need.GPUs * k, need.MemoryGB * k}) {
+		for k := 1.0; len(plan) < g.members && perZone[candidateZone] < maxPerZone; k++ {
+			g.round.examined++
+			if !g.round.hasResources(g.job, c.view, g.need.times(k)) {
 				break
 			}
-			perZone[c.view.machine.Zone]++
+			perZone[candidateZone]++
 			plan = append(plan, c.view)
 			sum += c.score
 		}
-		if len(plan) == n {
+		if len(plan) == g.members {
 			return plan, sum
 		}
 	}
 	return nil, 0
 }
 
-// gangDemand is a gang that found no room in this round, also by stopping others.
-type gangDemand struct {
-	demandShape
-	members  int
-	sameZone bool
-}
-
-// gangKnownUnplaceable tells whether a gang needs at least what one that was served before it did not find: it stands
-// behind it, so it may stop no more, and what was kept since only grew. With a hundred gangs waiting each of them
-// looked through all machines in each round.
-func (s *Scheduler) gangKnownUnplaceable(need demandShape, members int, oneZone bool) bool {
-	for i := range s.unplaceableGangs {
-		g := &s.unplaceableGangs[i]
-		if g.kind == need.kind && need.need.Contains(g.need) && members >= g.members && (oneZone || !g.sameZone) {
-			return true
-		}
-	}
-	return false
-}
-
-// preemptForGang keeps room for all members of a gang, in one zone if it must be:
-// where stopping others does the least harm. If there is not enough anywhere,
-// the first gang in the queue keeps what it finds in the best zone: without
+// claimRoom claims room for all members, in one zone if it must be:
+// where preempting others costs least. If there is not enough anywhere,
+// the first gang in the queue claims what it finds in the best zone: without
 // that, gangs of several machines would wait for as long as smaller ones come. It
 // tells whether there will be room for all.
-func (s *Scheduler) preemptForGang(m *model.Model, t *placementTurn, n int, now model.Time, binder Binder) bool {
-	j := t.job
+func (g *gangPlacement) claimRoom() bool {
+	r, j := g.round, g.job
 	if j.Spec.Spread || j.Observed.Faulty {
 		return false
 	}
-	kind := preemptionKindOf(j)
-	demand := demandShape{kind, t.need}
-	if s.partialGangHeld && !s.searchEveryGang && j.Observed.FailedOn == nil &&
-		s.gangKnownUnplaceable(demand, n, j.Spec.SameZone) {
+	failedBefore := j.Observed.FailedOn != nil
+	demand := gangDemand{demandShape{preemptionKindOf(j), g.need}, g.members, j.Spec.SameZone}
+	if r.partialGangHeld && !r.searchEveryGang && !failedBefore && r.infeasible.coversGang(demand) {
 		return false
 	}
-	best, _ := s.cheapestGangRoom(m, t, n, now)
-	complete := len(best) == n
+	best, _ := g.cheapestRoom()
+	complete := len(best) == g.members
 	if !complete {
-		if j.Observed.FailedOn == nil {
-			s.unplaceableGangs = append(s.unplaceableGangs, gangDemand{demand, n, j.Spec.SameZone})
+		if !failedBefore {
+			r.infeasible.gangs = append(r.infeasible.gangs, demand)
 		}
-		if s.partialGangHeld {
+		if r.partialGangHeld {
 			return false
 		}
-		s.partialGangHeld = true
+		r.partialGangHeld = true
 	}
-	patient := s.AwaitingHeartbeats || now-j.Observed.KnownSince < s.preemptAfter(j)
-	for _, o := range best {
-		o.view.claimed = o.view.claimed.Plus(t.need)
-		if complete && !patient { // nothing is stopped for a part of a gang
-			for _, r := range o.runs {
-				binder.Preempt(r, false, "capacity for job "+j.Spec.ID)
-			}
-			o.view.stoppingKnown = false
+	mayPreempt := complete && !r.isPatient(j) // nothing is preempted for a part of a gang
+	for i := range best {
+		best[i].view.claim(g.need)
+		if mayPreempt {
+			r.preemptAll(&best[i], "capacity for job "+j.Spec.ID)
 		}
 	}
 	return complete
 }
 
-// cheapestGangRoom finds the room for a gang, or for as many members as possible, that costs least: what is undone by
-// stopping others, and what the members lose while the image is fetched.
-func (s *Scheduler) cheapestGangRoom(
-	m *model.Model,
-	t *placementTurn,
-	n int,
-	now model.Time,
-) (best []preemptionChoice, bestCost float64) {
-	j := t.job
-	// room for one more member each; runs are those of the earlier ones there too
-	zones := map[int32][]preemptionChoice{}
-	possibleMembers := map[int32]int{} // members that find room when other gangs end
-	for i := range s.machines {
-		view := &s.machines[i]
-		if !s.mayUse(m, j, view, t.need) || !s.serviceAllowed(j, view) {
+// gangRoom is the room for members of a gang in a zone.
+type gangRoom struct {
+	choices         []preemptionChoice // room for one member each; runs are those of the earlier ones there too
+	possibleMembers int                // members that find room when other gangs end
+}
+
+// cheapestRoom finds the room for the gang, or for as many members as possible, that costs least: what is undone by
+// preempting others, and what the members lose while the image is fetched.
+func (g *gangPlacement) cheapestRoom() (best []preemptionChoice, bestCost float64) {
+	for _, room := range g.roomByZone() {
+		if room.possibleMembers < g.members || len(room.choices) == 0 {
+			continue
+		}
+		sort.Stable(choiceHeap(room.choices))
+		list := room.choices[:min(g.members, len(room.choices))]
+		cost := 0.0
+		for i := range list {
+			cost += list[i].cost
+		}
+		if len(list) > len(best) ||
+			len(list) == len(best) && (cost < bestCost || cost == bestCost && list[0].index < best[0].index) {
+			best, bestCost = list, cost
+		}
+	}
+	return best, bestCost
+}
+
+// roomByZone lists the room for members in each zone, or in all together if the gang may span them.
+func (g *gangPlacement) roomByZone() map[int32]*gangRoom {
+	r, j := g.round, g.job
+	rooms := map[int32]*gangRoom{}
+	for i := range r.machines {
+		view := &r.machines[i]
+		if !r.mayUse(j, view, g.need) || !r.serviceAllowed(j, view) {
 			continue
 		}
 		zone := view.machine.Zone
 		if !j.Spec.SameZone {
-			zone = -1
+			zone = anyZone
 		}
-		for r := view.capacity.Minus(Reserved(view.machine)); possibleMembers[zone] < n && r.Contains(t.need); r = r.Minus(t.need) {
-			possibleMembers[zone]++
+		room := rooms[zone]
+		if room == nil {
+			room = &gangRoom{}
+			rooms[zone] = room
 		}
-		previousCost := 0.0
-		for k := 1.0; int(k) <= n; k++ {
-			need := Resources{t.need.CPUs * k, t.need.GPUs * k, t.need.MemoryGB * k}
-			if !view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed).Contains(need) {
-				break
-			}
-			runs, cost, ok := s.victims(j, view, need, model.Production, now)
-			if !ok {
-				break
-			}
-			zones[zone] = append(
-				zones[zone],
-				preemptionChoice{view, cost - previousCost + fetchIdleCost(m, j, view.machine), runs, i},
-			)
-			previousCost = cost
+		free := view.capacity.Minus(Reserved(view.machine))
+		for room.possibleMembers < g.members && free.Contains(g.need) {
+			room.possibleMembers++
+			free = free.Minus(g.need)
 		}
+		room.choices = g.appendChoices(room.choices, view, i)
 	}
-	for zone, list := range zones {
-		if possibleMembers[zone] < n {
-			continue
-		}
-		sort.Stable(choiceHeap(list))
-		list = list[:min(n, len(list))]
-		cost := 0.0
-		for _, o := range list {
-			cost += o.cost
+	return rooms
+}
+
+// appendChoices adds the room for members on a machine: each choice costs what it adds to those before it.
+func (g *gangPlacement) appendChoices(choices []preemptionChoice, view *machineView, index int) []preemptionChoice {
+	r, j := g.round, g.job
+	previousCost := 0.0
+	for k := 1.0; int(k) <= g.members; k++ {
+		need := g.need.times(k)
+		if !view.unclaimedWithoutServices().Contains(need) {
+			break
 		}
-		if len(list) > len(best) ||
-			len(list) == len(best) && (cost < bestCost || cost == bestCost && list[0].index < best[0].index) {
-			best, bestCost = list, cost
+		runs, cost, ok := r.victims(j, view, need, model.Production)
+		if !ok {
+			break
 		}
+		added := cost - previousCost + fetchIdleCost(r.model, j, view.machine)
+		choices = append(choices, preemptionChoice{view, added, runs, index})
+		previousCost = cost
 	}
-	return best, bestCost
+	return choices
 }
 
 // preemptAtImageHolders makes room for a gang on machines that have its image, though there are free ones that have
 // not, if less is undone by that than its members would lose while they fetch. That is DAD's wait for a busy holder
-// as far as a gang can use it: where an image takes ten times as long as the two rounds, low work leaves a holder
-// within a moment, and members that fetch for very different times would not meet before the first of them gives up.
-// It tells whether the gang waits for that, which it does for a part of its time only.
-func (s *Scheduler) preemptAtImageHolders(
-	m *model.Model,
-	t *placementTurn,
-	n int,
-	plan []*machineView,
-	now model.Time,
-	binder Binder,
-) bool {
-	j := t.job
-	if s.AwaitingHeartbeats || j.Spec.Spread || j.Observed.Faulty {
+// as far as a gang can use it: where an image takes ten times as long as the two rounds, low-priority work leaves a
+// holder within a moment, and members that fetch for very different times would not meet before the first of them times
+// out. It tells whether the gang waits for that, which it does for a part of its time only.
+func (g *gangPlacement) preemptAtImageHolders(plan []*machineView) bool {
+	r, j := g.round, g.job
+	if r.directives.AwaitingHeartbeats || j.Spec.Spread || j.Observed.Faulty {
 		return false
 	}
 	slowest := 0.0
 	for _, view := range plan {
-		slowest = max(slowest, fetchSeconds(m, j, view.machine))
+		slowest = max(slowest, fetchSeconds(r.model, j, view.machine))
 	}
-	within, ok := s.startWithin(j)
-	if !ok || slowest == 0 ||
-		j.Scheduling.LocalRoomSince != 0 && now-j.Scheduling.LocalRoomSince > config.Seconds(within*0.15) {
+	within, ok := r.params.startWithin(j)
+	roomSince := j.Scheduling.LocalRoomSince
+	if !ok || slowest == 0 || roomSince != 0 && r.now-roomSince > config.Seconds(within*holderWaitShare) {
 		return false
 	}
-	best, cost := s.cheapestGangRoom(m, t, n, now)
-	if len(best) < n || cost >= slowest*max(j.Spec.CPUs, 0.1)*float64(n) {
+	best, cost := g.cheapestRoom()
+	if len(best) < g.members || cost >= slowest*max(j.Spec.CPUs, minCostCPUs)*float64(g.members) {
 		return false
 	}
 	waits := false
-	for _, o := range best {
-		if fetchSeconds(m, j, o.view.machine) >= slowest {
+	for _, c := range best {
+		if fetchSeconds(r.model, j, c.view.machine) >= slowest {
 			return false // its last member would start no sooner
 		}
-		waits = waits || len(o.runs) > 0 || !s.hasResources(m, j, o.view, t.need)
+		waits = waits || len(c.runs) > 0 || !r.hasResources(j, c.view, g.need)
 	}
 	if !waits {
 		return false
 	}
-	if j.Scheduling.LocalRoomSince == 0 {
-		j.Scheduling.LocalRoomSince = now
+	if roomSince == 0 {
+		j.Scheduling.LocalRoomSince = r.now
 	}
-	for _, o := range best {
-		o.view.claimed = o.view.claimed.Plus(t.need)
-		for _, r := range o.runs {
-			binder.Preempt(r, false, "image locality, for job "+j.Spec.ID)
-		}
-		o.view.stoppingKnown = false
+	for i := range best {
+		best[i].view.claim(g.need)
+		r.preemptAll(&best[i], "image locality, for job "+j.Spec.ID)
 	}
 	return true
 }
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -71,48 +72,43 @@
 				s.Shape = rapid.SampledFrom([]string{wire.Array, wire.Gang, wire.Service}).Draw(rt, "shape")
 				s.Priority = rapid.SampledFrom([]string{wire.Low, wire.Normal, wire.High, wire.Production}).
 					Draw(rt, "priority")
-				s.Tasks, s.CPUs, s.EstimateS = rapid.IntRange(1, 4).
-					Draw(rt, "tasks"),
-					float64(
-						rapid.IntRange(1, 3).Draw(rt, "cpus"),
-					), 20
+				s.Tasks = rapid.IntRange(1, 4).Draw(rt, "tasks")
+				s.CPUs = float64(rapid.IntRange(1, 3).Draw(rt, "cpus"))
+				s.EstimateS = 20
 			})
 			j.Observed.KnownSince = model.Time(rapid.IntRange(0, 30).Draw(rt, "began")) * 1e9
 		}
 		jobs := w.model.JobsInOrder()
 		MarkGuarantees(w.model, jobs, now, nil)
 		for _, team := range w.model.Teams {
-			all, given := 0.0, 0.0
-			for _, j := range jobs {
-				if j.Team != team {
-					continue
-				}
-				cpus := j.Spec.CPUs * float64(len(j.Tasks))
-				if all += cpus; j.Scheduling.Guaranteed {
-					given += cpus
-				}
-				if j.Scheduling.WithinGuarantee != (all <= team.CPUs) {
-					rt.Errorf(
-						"job %d is within %v, the team's jobs up to it want %g of %g",
-						j.ID,
-						j.Scheduling.WithinGuarantee,
-						all,
-						team.CPUs,
-					)
-				}
-				if j.Scheduling.WithinGuarantee && !j.Scheduling.Guaranteed &&
-					(j.Kind != model.Array || j.Priority > model.Low || now-j.Observed.KnownSince <= 10e9) {
-					rt.Errorf("job %d fits beside the earlier ones and is not served so", j.ID)
-				}
-			}
-			if given > team.CPUs {
-				rt.Errorf("%s: %g CPUs are guaranteed of %g", team.Name, given, team.CPUs)
-			}
-			for _, j := range jobs {
-				if j.Team == team && all <= team.CPUs && !j.Scheduling.Guaranteed {
-					rt.Errorf("all of %s fits, job %d is not guaranteed", team.Name, j.ID)
-				}
-			}
+			ofTeam := slices.DeleteFunc(slices.Clone(jobs), func(j *model.Job) bool { return j.Team != team })
+			checkGuarantees(rt, team, ofTeam, now)
 		}
 	})
 }
+
+// checkGuarantees checks the marks of a team's jobs.
+func checkGuarantees(rt *rapid.T, team *model.Team, jobs []*model.Job, now model.Time) {
+	all, guaranteed := 0.0, 0.0
+	for _, j := range jobs {
+		cpus := j.Spec.CPUs * float64(len(j.Tasks))
+		if all += cpus; j.Scheduling.Guaranteed {
+			guaranteed += cpus
+		}
+		if within := j.Scheduling.WithinGuarantee; within != (all <= team.CPUs) {
+			rt.Errorf("job %d is within %v, the team's jobs up to it want %g of %g", j.ID, within, all, team.CPUs)
+		}
+		if j.Scheduling.WithinGuarantee && !j.Scheduling.Guaranteed &&
+			(j.Kind != model.Array || j.Priority > model.Low || now-j.Observed.KnownSince <= 10e9) {
+			rt.Errorf("job %d fits beside the earlier ones and is not served so", j.ID)
+		}
+	}
+	if guaranteed > team.CPUs {
+		rt.Errorf("%s: %g CPUs are guaranteed of %g", team.Name, guaranteed, team.CPUs)
+	}
+	for _, j := range jobs {
+		if all <= team.CPUs && !j.Scheduling.Guaranteed {
+			rt.Errorf("all of %s fits, job %d is not guaranteed", team.Name, j.ID)
+		}
+	}
+}
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -13,7 +12,7 @@
 	"fieldhill/wire"
 )
 
-// searchFairShare finds the fair part by trying: the most that a team may have while all get what they
+// searchFairShare finds the fair share by trying: the most that a team may have while all get what they
 // want of up to so much.
 func searchFairShare(wants []float64, cpus float64) float64 {
 	share := 0.0
@@ -30,7 +29,7 @@
 	return 1000
 }
 
-// TestFairShare compares the fair part with that of a plain search.
+// TestFairShare compares the fair share with that of a plain search.
 func TestFairShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cpus := float64(rapid.IntRange(0, 100).Draw(rt, "cpus"))
@@ -42,7 +41,7 @@
 		}
 		actual, want := min(1000, fairShare(teams, cpus)), searchFairShare(wants, cpus)
 		if actual < want-1e-9 || actual > want+0.25 {
-			rt.Errorf("%v of %g CPUs: the fair part is %g, plainly it is %g", wants, cpus, actual, want)
+			rt.Errorf("%v of %g CPUs: the fair share is %g, plainly it is %g", wants, cpus, actual, want)
 		}
 	})
 }
@@ -62,9 +61,7 @@
 	large := w.submit(900, func(s *wire.JobSpec) { s.Tasks, s.EstimateS, s.Team, s.Class = 30, 10, "red", "large" })
 	end := func() {
 		for _, machine := range w.model.Order {
-			for _, r := range append([]*model.Run(nil), machine.Runs...) {
-				w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
-			}
+			w.finishSome(machine, func() bool { return true })
 		}
 	}
 	for round := range 12 { // twelve CPUs in a round, and as much work of the small ones
@@ -80,9 +77,9 @@
 	}
 }
 
-// TestMinimumSharePreemptsNothing: what is owed goes first, but neither it nor a part of a guarantee that its
-// team has outgrown stops other low work: two teams once stopped each other's tasks by the thousand, each
-// for what the other had just been stopped for.
+// TestMinimumSharePreemptsNothing: what is under-served goes first, but neither it nor a part of a guarantee that its
+// team has outgrown preempts other low-priority work: two teams once preempted each other's tasks by the thousand, each
+// for what the other had just been preempted for.
 func TestMinimumSharePreemptsNothing(t *testing.T) {
 	w := newEnvironment(t, 6)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
@@ -113,8 +110,8 @@
 	}
 }
 
-// TestUnderServedIsNotPreempted: work of a class that is well served does not stop what is owed, though it is more
-// urgent; while both are owed it does.
+// TestUnderServedIsNotPreempted: work of a class that is well served does not preempt what is under-served, though it
+// is more urgent; while both are under-served it does.
 func TestUnderServedIsNotPreempted(t *testing.T) {
 	for _, wellServed := range []bool{true, false} {
 		w := newEnvironment(t, 3) // m0, m2 in zone a, m1 in b, 12 CPUs
@@ -141,37 +138,32 @@
 			s.Round(w.model, model.Time(60+round)*1e9, true, w)
 		}
 		if _, underServed := s.ClassStanding(gang.Class); underServed == wellServed {
-			t.Fatalf("the gangs' class is owed %v", underServed)
+			t.Fatalf("the gangs' class is under-served %v", underServed)
 		}
 		if (len(w.stopped) == 0) != wellServed {
-			t.Errorf(
-				"the gangs' class served well %v: %d low tasks were stopped; %d and %d members run",
-				wellServed,
-				len(w.stopped),
-				gang.Live,
-				other.Live,
-			)
+			t.Errorf("the gangs' class served well %v: %d low tasks were stopped; %d and %d members run",
+				wellServed, len(w.stopped), gang.Live, other.Live)
 		}
 	}
 }
 
 // TestUnderServedGangsSmallestFirst: of a team whose gangs want more than there is, large early ones kept many small
 // late ones from starting, by being first for the guarantee and first of all after a minute's waiting, and less than
-// half of the class was done. While the class is owed the small ones pass; who has waited for very long passes them
-// in turn.
+// half of the class was done. While the class is under-served the small ones pass; who has waited for very long passes
+// them in turn.
 func TestUnderServedGangsSmallestFirst(t *testing.T) {
 	w := newEnvironment(t, 4)
 	w.model.Teams[0].CPUs, w.model.Teams[0].CPUsMax = 32, 0
 	// red wants more than its guarantee
 	w.submit(100, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Types = "red", 40, []string{"none"} })
-	s := New(
-		Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5, Share: 0.9}}},
-	)
+	guarantee := config.Objective{Kind: "guarantee", WithinS: 5, Share: 0.9}
+	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{guarantee}})
 	n := uint64(0)
 	gang := func(tasks int) *model.Job {
 		n++
 		return w.submit(n, func(s *wire.JobSpec) {
-			s.Shape, s.Team, s.Class, s.Priority, s.CPUs, s.Tasks, s.EstimateS, s.Spot = wire.Gang, "red", "sim", wire.High, 4, tasks, 100, true
+			s.Shape, s.Team, s.Class, s.Priority = wire.Gang, "red", "sim", wire.High
+			s.CPUs, s.Tasks, s.EstimateS, s.Spot = 4, tasks, 100, true
 		})
 	}
 	end := func(j *model.Job) {
@@ -188,7 +180,7 @@
 	for range 6 {
 		small = append(small, gang(1))
 	}
-	s.Round(w.model, 90e9, true, w) // now the class is owed
+	s.Round(w.model, 90e9, true, w) // now the class is under-served
 	if first.Live != 4 || len(w.stopped) != 0 {
 		t.Fatalf("the first gang has %d tasks, %v were stopped", first.Live, w.stopped)
 	}
@@ -213,54 +205,48 @@
 // TestGangPruningChangesNothing: gangs that don't look for room, since one before them found none, decide as if they
 // had looked.
 func TestGangPruningChangesNothing(t *testing.T) {
-	examined := [2]int{}
+	pruned, plain := 0, 0
 	for seed := range uint64(40) {
-		var environments [2]*environment
-		for k := range environments {
-			rng := rand.New(rand.NewPCG(seed, 5))
-			w := newEnvironment(t, 10)
-			environments[k] = w
-			s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
-			s.searchEveryGang = k == 1
-			n := uint64(0)
-			for round := range 50 {
-				for range rng.IntN(4) {
-					n++
-					w.submit(n, func(s *wire.JobSpec) {
-						s.Team = []string{"red", "blue"}[rng.IntN(2)]
-						s.Tasks, s.CPUs, s.Spot = 1+rng.IntN(4), float64(1+rng.IntN(4)), rng.IntN(2) == 0
-						if rng.IntN(4) > 0 {
-							s.Shape, s.SameZone, s.Priority = wire.Gang, rng.IntN(
-								2,
-							) == 0, []string{wire.Normal, wire.High}[rng.IntN(2)]
-						}
-					})
-				}
-				s.Round(w.model, model.Time(round)*10e9, true, w)
-				examined[k] += s.Examined
-				for _, machine := range w.model.Order {
-					w.endStopping(machine)
-					for _, r := range slices.Clone(machine.Runs) {
-						if rng.IntN(5) == 0 {
-							w.apply(
-								&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt},
-							)
-						}
-					}
-				}
-			}
-		}
-		if d := cmp.Diff(
-			environments[1].placed,
-			environments[0].placed,
-		) + cmp.Diff(
-			environments[1].stopped,
-			environments[0].stopped,
-		); d != "" {
+		asIs, examined := playGangs(t, seed, false)
+		pruned += examined
+		reference, examined := playGangs(t, seed, true)
+		plain += examined
+		d := cmp.Diff(reference.placed, asIs.placed) + cmp.Diff(reference.stopped, asIs.stopped)
+		if d != "" {
 			t.Fatalf("seed %d: decided otherwise (-plain +as it is): %s", seed, d)
 		}
 	}
-	if t.Logf("looked at %d machines, plainly at %d", examined[0], examined[1]); examined[0] >= examined[1] {
-		t.Errorf("looked at %d machines, plainly at %d", examined[0], examined[1])
+	if t.Logf("looked at %d machines, plainly at %d", pruned, plain); pruned >= plain {
+		t.Errorf("looked at %d machines, plainly at %d", pruned, plain)
+	}
+}
+
+// playGangs plays rounds of random work, most of it gangs, and counts the machines that were looked at.
+func playGangs(t *testing.T, seed uint64, searchEveryGang bool) (w *environment, examined int) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 5))
+	w = newEnvironment(t, 10)
+	s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
+	s.round.searchEveryGang = searchEveryGang
+	n := uint64(0)
+	for round := range 50 {
+		for range rng.IntN(4) {
+			n++
+			w.submit(n, func(s *wire.JobSpec) {
+				s.Team = []string{"red", "blue"}[rng.IntN(2)]
+				s.Tasks, s.CPUs, s.Spot = 1+rng.IntN(4), float64(1+rng.IntN(4)), rng.IntN(2) == 0
+				if rng.IntN(4) > 0 {
+					s.Shape, s.SameZone = wire.Gang, rng.IntN(2) == 0
+					s.Priority = []string{wire.Normal, wire.High}[rng.IntN(2)]
+				}
+			})
+		}
+		s.Round(w.model, model.Time(round)*10e9, true, w)
+		examined += s.Examined
+		for _, machine := range w.model.Order {
+			w.endStopping(machine)
+			w.finishSome(machine, func() bool { return rng.IntN(5) == 0 })
+		}
 	}
+	return w, examined
 }
--- a/internal/scheduling/scheduler/placement.go
+++ b/internal/scheduling/scheduler/placement.go
@@ -10,8 +10,20 @@
 
 // This file places the tasks of arrays and services, by turns.
 
-// placeByTurns lets the jobs of a tier take turns, a task each, until none can go on.
-func (s *Scheduler) placeByTurns(m *model.Model, jobs []queuedJob, now model.Time, tick bool, binder Binder) {
+// placeAll places the jobs of a queue: those of a rank by turns, but what is served shortest first one by one.
+func (r *round) placeAll(queue []queuedJob) {
+	for len(queue) > 0 {
+		n := 1
+		for n < len(queue) && queue[n].rank == queue[0].rank && !queue[n].shortestFirst && !queue[0].shortestFirst {
+			n++
+		}
+		r.placeByTurns(queue[:n])
+		queue = queue[n:]
+	}
+}
+
+// placeByTurns lets the jobs of a rank take turns, a task each, until none can go on.
+func (r *round) placeByTurns(jobs []queuedJob) {
 	active := make([]*placementTurn, 0, len(jobs))
 	for i := range jobs {
 		active = append(active, &placementTurn{job: jobs[i].job, need: TaskDemand(jobs[i].job)})
@@ -19,7 +31,7 @@
 	for len(active) > 0 {
 		rest := active[:0]
 		for _, t := range active {
-			if s.placeNext(m, t, now, tick, binder) {
+			if r.placeNext(t) {
 				rest = append(rest, t)
 			}
 		}
@@ -33,25 +45,29 @@
 type placementTurn struct {
 	job         *model.Job
 	need        Resources
-	built       bool
+	built       bool // candidates are listed
 	candidates  []candidate
 	zoneLimited bool // some machine was passed over for its zone
 	awaitLocal  bool // a busy machine is local
 }
 
+// candidate is a machine that has room for a task of a job.
 type candidate struct {
 	view     *machineView
 	locality float64
 	score    float64
-	index    int
+	index    int // among the machines of the round: of equal scores the first one is taken
 }
 
+// Len is for heap.Interface.
 func (t *placementTurn) Len() int { return len(t.candidates) }
 
+// Swap is for heap.Interface.
 func (t *placementTurn) Swap(i, k int) {
 	t.candidates[i], t.candidates[k] = t.candidates[k], t.candidates[i]
 }
 
+// Less is for heap.Interface.
 func (t *placementTurn) Less(i, k int) bool {
 	a, b := &t.candidates[i], &t.candidates[k]
 	return a.score < b.score || a.score == b.score && a.index < b.index
@@ -90,206 +106,197 @@
 }
 
 // buildCandidates finds the machines for a turn.
-func (s *Scheduler) buildCandidates(m *model.Model, t *placementTurn) {
+func (r *round) buildCandidates(t *placementTurn) {
 	t.built = true
 	j := t.job
-	z := zoneCache{job: j}
-	for i := range s.machines {
-		view := &s.machines[i]
-		if !s.mayUse(m, j, view, t.need) {
+	zones := zoneCache{job: j}
+	for i := range r.machines {
+		view := &r.machines[i]
+		if !r.mayUse(j, view, t.need) {
 			continue
 		}
-		if !z.allow(view.machine.Zone) {
+		if !zones.allow(view.machine.Zone) {
 			t.zoneLimited = true
 			continue
 		}
-		if !s.hasResources(m, j, view, t.need) {
-			if !t.awaitLocal && s.mayWait(j) {
-				t.awaitLocal = s.score(locality(m, j, view.machine), load(m, view.machine)) < s.Params.Threshold
+		if !r.hasResources(j, view, t.need) {
+			if !t.awaitLocal && r.mayWait(j) {
+				t.awaitLocal = r.scoreOn(j, view.machine) < r.params.Threshold
 			}
 			continue
 		}
-		localityScore := locality(m, j, view.machine)
-		t.candidates = append(
-			t.candidates,
-			candidate{
-				view,
-				localityScore,
-				s.score(localityScore, load(m, view.machine)) + s.gpuMismatchPenalty(m, j, view),
-				i,
-			},
-		)
+		c := candidate{view: view, locality: locality(r.model, j, view.machine), index: i}
+		c.score = r.params.score(c.locality, load(r.model, view.machine)) + r.gpuMismatchPenalty(j, view)
+		t.candidates = append(t.candidates, c)
 	}
 	heap.Init(t)
 }
 
 // placeNext tries to place the job's next task, or a whole gang. It tells whether the
 // job may go on this round.
-func (s *Scheduler) placeNext(m *model.Model, t *placementTurn, now model.Time, tick bool, binder Binder) bool {
+func (r *round) placeNext(t *placementTurn) bool {
 	j := t.job
 	if j.Kind == model.Gang {
-		s.placeGang(m, t, now, binder)
+		r.placeGang(t)
 		return false
 	}
 	task := j.NextWaiting()
-	if task < 0 {
+	if task < 0 || !r.withinLowPriorityLimit(j) {
 		return false
 	}
-	if s.LowPriorityLimit > 0 && j.Priority == model.Low {
-		if s.lowPriorityPlaced >= s.LowPriorityLimit {
-			s.LowPriorityDeferred, j.Scheduling.PendingReason = true, pending.Reason{
-				Code:  pending.Throttled,
-				Count: s.LowPriorityLimit,
-			}
-			return false
-		}
-		s.lowPriorityPlaced++
-	}
-	if !s.teamLimitAllows(j, 1) {
-		j.Scheduling.PendingReason = s.TeamReason(j, 1)
-		if shortfall, feasible := s.teamPreemption(m, j, 1); feasible {
-			s.preemptInTeam(j, 1, shortfall, now, binder)
+	if !r.quota.allows(j, 1) {
+		j.Scheduling.PendingReason = r.quota.reason(j, 1)
+		if shortfall, feasible := r.teamPreemption(j, 1); feasible {
+			r.preemptInTeam(j, 1, shortfall)
 		}
 		return false
 	}
-	kind := kindOf(j)
 	j.Scheduling.PendingReason = pending.Reason{Code: pending.NoCapacity, Unit: "CPUs", Need: t.need.CPUs}
-	if j.Observed.FailedOn == nil && !t.built && coveredBy(s.unplaceable, kind, t.need) {
-		s.preemptForTask(m, t, now, binder)
+	best := r.chooseFeasible(t)
+	if best == nil {
+		r.preemptForTask(t)
 		return false
 	}
-	best := s.choose(m, t)
-	if best == nil {
-		if j.Observed.FailedOn == nil && !t.zoneLimited {
-			s.unplaceable = append(s.unplaceable, demandShape{kind, t.need})
-		}
-		s.preemptForTask(m, t, now, binder)
+	if r.shouldWait(t, best) {
 		return false
 	}
-	if s.AwaitingHeartbeats && best.locality*s.Params.Beta >= s.Params.Threshold {
-		j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
+	startsOverdue := mustBegin(j, r.now)
+	r.bind(j, best.view, task, j.Tasks[task].Attempt+1, best.score)
+	if startsOverdue {
+		r.lowPriorityDeferred = true // the rest of it has its turn in the next round
 		return false
 	}
-	if best.score >= s.Params.Threshold && t.awaitLocal && s.mayWait(j) {
-		if tick {
+	best.locality = locality(r.model, j, best.view.machine)
+	best.score = r.params.score(best.locality, load(r.model, best.view.machine)) + r.gpuMismatchPenalty(j, best.view)
+	heap.Fix(t, 0)
+	return !j.Observed.Faulty
+}
+
+// withinLowPriorityLimit counts a low-priority task against the limit of a round, and tells whether it holds it.
+func (r *round) withinLowPriorityLimit(j *model.Job) bool {
+	limit := r.directives.LowPriorityLimit
+	if limit == 0 || j.Priority != model.Low {
+		return true
+	}
+	if r.lowPriorityPlaced >= limit {
+		r.lowPriorityDeferred = true
+		j.Scheduling.PendingReason = pending.Reason{Code: pending.Throttled, Count: limit}
+		return false
+	}
+	r.lowPriorityPlaced++
+	return true
+}
+
+// chooseFeasible chooses a machine unless the same shape found none already, and remembers a shape that finds none.
+func (r *round) chooseFeasible(t *placementTurn) *candidate {
+	kind, failedBefore := kindOf(t.job), t.job.Observed.FailedOn != nil
+	if !failedBefore && !t.built && coveredBy(r.infeasible.unplaceable, kind, t.need) {
+		return nil
+	}
+	best := r.choose(t)
+	if best == nil && !failedBefore && !t.zoneLimited {
+		r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{kind, t.need})
+	}
+	return best
+}
+
+// shouldWait tells whether a task should not go to the best of the free machines, but wait for a better one.
+func (r *round) shouldWait(t *placementTurn, best *candidate) bool {
+	j := t.job
+	switch {
+	case r.directives.AwaitingHeartbeats && r.isRemote(best.locality):
+		j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
+	case best.score >= r.params.Threshold && t.awaitLocal && r.mayWait(j):
+		if r.tick {
 			j.Scheduling.WaitedRounds++
 		}
 		j.Scheduling.PendingReason = pending.Reason{
 			Code:  pending.ImageBusy,
-			Count: s.Params.WaitRounds - j.Scheduling.WaitedRounds,
+			Count: r.params.WaitRounds - j.Scheduling.WaitedRounds,
 		}
-		return false
-	}
-	if best.locality*s.Params.Beta >= s.Params.Threshold && s.preemptAtImage(m, t, best, now, binder) {
+	case r.isRemote(best.locality) && r.preemptAtImage(t, best):
 		j.Scheduling.PendingReason = pending.Reason{Code: pending.Preempting}
+	default:
 		return false
 	}
-	startsOverdue := mustBegin(j, now)
-	s.bind(m, j, best.view, task, j.Tasks[task].Attempt+1, best.score, binder)
-	if startsOverdue {
-		s.LowPriorityDeferred = true // the rest of it has its turn in the next round
-		return false
-	}
-	best.locality = locality(m, j, best.view.machine)
-	best.score = s.score(best.locality, load(m, best.view.machine)) + s.gpuMismatchPenalty(m, j, best.view)
-	heap.Fix(t, 0)
-	return !j.Observed.Faulty
+	return true
 }
 
-// preemptAtImage lets low work make room for a service where its image is, when the
+// localRetryAfter is after how long a service may wait anew for room where its image is.
+const localRetryAfter = model.Time(60e9)
+
+// localWaitShare is the part of its time to start that a service waits for room where its image is.
+const localWaitShare = 0.6
+
+// preemptAtImage has low-priority work make room for a service where its image is, when the
 // free machines would have to fetch it for longer than the service may take to
-// start. Low work that stops has left within a moment. It tells whether the
+// start. Low-priority work that is preempted has left within a moment. It tells whether the
 // service should wait for that; it does so for a part of its time only.
-func (s *Scheduler) preemptAtImage(
-	m *model.Model,
-	t *placementTurn,
-	free *candidate,
-	now model.Time,
-	binder Binder,
-) bool {
+func (r *round) preemptAtImage(t *placementTurn, free *candidate) bool {
 	j := t.job
-	if j.Kind != model.Service {
+	if j.Kind != model.Service || !r.fetchTooLate(j, free.view.machine) {
 		return false
 	}
-	if !s.fetchTooLate(m, j, free.view.machine) {
-		return false
-	}
-	within, _ := s.startWithin(j)
-	if since := now - j.Scheduling.LocalRoomSince; j.Scheduling.LocalRoomSince != 0 && since < localRetryAfter &&
-		since > config.Seconds(within*0.6) {
+	within, _ := r.params.startWithin(j)
+	roomSince := j.Scheduling.LocalRoomSince
+	if since := r.now - roomSince; roomSince != 0 && since < localRetryAfter &&
+		since > config.Seconds(within*localWaitShare) {
 		return false // once for all its tasks, not for each
 	}
-	z := zoneCache{job: j}
+	zones := zoneCache{job: j}
 	var choices choiceHeap
-	for i := range s.machines {
-		view := &s.machines[i]
-		if !s.mayUse(m, j, view, t.need) || !view.machine.HasImage(j.Image) || !s.serviceAllowed(j, view) ||
-			!z.allow(view.machine.Zone) ||
-			!view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed).Contains(t.need) {
+	for i := range r.machines {
+		view := &r.machines[i]
+		if !r.mayUse(j, view, t.need) || !view.machine.HasImage(j.Image) || !r.serviceAllowed(j, view) ||
+			!zones.allow(view.machine.Zone) || !view.unclaimedWithoutServices().Contains(t.need) {
 			continue
 		}
-		if runs, cost, ok := s.victims(j, view, t.need, model.Normal, now); ok {
+		if runs, cost, ok := r.victims(j, view, t.need, model.Normal); ok {
 			choices = append(choices, preemptionChoice{view, cost, runs, i})
 		}
 	}
 	found := len(choices) > 0
-	s.claimBest(m, j, t.need, choices, model.Normal, true, "room where its image is, for "+j.Spec.ID, now, binder)
-	if found && (j.Scheduling.LocalRoomSince == 0 || now-j.Scheduling.LocalRoomSince >= localRetryAfter) {
-		j.Scheduling.LocalRoomSince = now
+	r.claimBest(claim{
+		job:         j,
+		need:        t.need,
+		maxPriority: model.Normal,
+		preempt:     true,
+		reason:      "room where its image is, for " + j.Spec.ID,
+	}, choices)
+	if found && (roomSince == 0 || r.now-roomSince >= localRetryAfter) {
+		j.Scheduling.LocalRoomSince = r.now
 	}
 	return found
 }
 
-// localRetryAfter is after how long a service may wait anew for room where its image is.
-const localRetryAfter = model.Time(60e9)
-
 // mayWait tells whether a job may wait another round for a busy local machine.
-func (s *Scheduler) mayWait(j *model.Job) bool {
-	return j.Kind != model.Service && j.Scheduling.WaitedRounds < s.Params.WaitRounds
-}
-
-func (s *Scheduler) bind(
-	m *model.Model,
-	j *model.Job,
-	view *machineView,
-	task int32,
-	attempt uint32,
-	score float64,
-	binder Binder,
-) {
-	j.Scheduling.PendingReason = pending.Reason{}
-	binder.Bind(j, task, attempt, view.machine, score)
-	if view.capacity.GPUs > 0 && j.Kind == model.Service && s.ServiceSlots[view.machine] > 0 {
-		s.ServiceSlots[view.machine]--
-	}
-	if view.capacity.GPUs == 0 && !view.machine.Spot {
-		s.freeServiceCPUs -= j.Spec.CPUs
-	}
+func (r *round) mayWait(j *model.Job) bool {
+	return j.Kind != model.Service && j.Scheduling.WaitedRounds < r.params.WaitRounds
 }
 
 // choose finds the free machine with the lowest score, which is then the first
 // candidate, or nil.
-func (s *Scheduler) choose(m *model.Model, t *placementTurn) *candidate {
+func (r *round) choose(t *placementTurn) *candidate {
 	if !t.built {
-		s.buildCandidates(m, t)
+		r.buildCandidates(t)
 	}
 	j := t.job
-	z := zoneCache{job: j}
+	zones := zoneCache{job: j}
 	for len(t.candidates) > 0 {
 		c := &t.candidates[0]
-		if !z.allow(c.view.machine.Zone) {
+		if !zones.allow(c.view.machine.Zone) {
 			t.zoneLimited = true
 			heap.Pop(t)
 			continue
 		}
-		s.Examined++
-		score := s.score(c.locality, load(m, c.view.machine))
-		if !s.hasResources(m, j, c.view, t.need) {
-			t.awaitLocal = t.awaitLocal || score < s.Params.Threshold
+		r.examined++
+		score := r.params.score(c.locality, load(r.model, c.view.machine))
+		if !r.hasResources(j, c.view, t.need) {
+			t.awaitLocal = t.awaitLocal || score < r.params.Threshold
 			heap.Pop(t)
 			continue
 		}
-		if score += s.gpuMismatchPenalty(m, j, c.view); score > c.score {
+		if score += r.gpuMismatchPenalty(j, c.view); score > c.score {
 			c.score = score
 			heap.Fix(t, 0)
 			continue
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -11,21 +11,33 @@
 
 // This file is the order in which jobs are served.
 
-// preemptAfter is how long a job may wait for room before others are stopped for it.
-func (s *Scheduler) preemptAfter(j *model.Job) model.Time {
-	best := 30.0
-	if within, ok := s.startWithin(j); ok {
+const (
+	// maxStartSeconds is the time to start that counts for preemption where no objective sets a tighter one.
+	maxStartSeconds = 30.0
+	// The part of its time to start that a job waits before others are preempted for it.
+	preemptAfterShare, preemptAfterShareProduction = 0.15, 0.05
+)
+
+// startWithin is how soon a job's tasks are to start by the objectives.
+func (p *Params) startWithin(j *model.Job) (float64, bool) {
+	return config.StartWithin(p.Objectives, j.Spec.Class)
+}
+
+// preemptAfter is how long a job may wait for room before others are preempted for it.
+func (p *Params) preemptAfter(j *model.Job) model.Time {
+	best := maxStartSeconds
+	if within, ok := p.startWithin(j); ok {
 		best = min(best, within)
 	}
-	for _, o := range s.Params.Objectives {
+	for _, o := range p.Objectives {
 		if o.Kind == "guarantee" && j.Scheduling.Guaranteed {
 			best = min(best, o.WithinS)
 		}
 	}
 	if j.Priority == model.Production {
-		return config.Seconds(best * 0.05)
+		return config.Seconds(best * preemptAfterShareProduction)
 	}
-	return config.Seconds(best * 0.15)
+	return config.Seconds(best * preemptAfterShare)
 }
 
 // tier orders jobs: replicas of production services first, then work within a
@@ -40,7 +52,8 @@
 	return t
 }
 
-// isLowArray tells whether a job is a low array, which keeps its team's guarantee for being early only while it is new.
+// isLowArray tells whether a job is a low-priority array, which keeps its team's guarantee for being early only while
+// it is new.
 func isLowArray(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority == model.Low
 }
@@ -52,20 +65,20 @@
 }
 
 // remainingWork is the work of a job that still wants room, in CPU seconds as expected.
-// What has its place already takes none from others.
+// What is placed already takes none from others.
 func remainingWork(m *model.Model, j *model.Job) float64 {
 	return float64(j.Waiting()) * max(1, m.ExpectedSeconds(j)) * max(0.01, j.Spec.CPUs)
 }
 
-// missedObjectives tells which of the times that the objectives set a job it can't keep any more, if it were placed
-// now and took as long as is expected: 0, none; 1, the first; and so on. A job that can't keep the last one is served
-// after all that can keep more.
-func (s *Scheduler) missedObjectives(m *model.Model, j *model.Job, now model.Time) (missed int) {
+// missedObjectives counts the times that the objectives set a job which it can't keep any more, if it were placed
+// now and took as long as is expected. A job that can't keep the last one is served
+// after all that can keep more; one that must begin is served before all.
+func (p *Params) missedObjectives(m *model.Model, j *model.Job, now model.Time) (missed int) {
 	if mustBegin(j, now) {
 		return -1
 	}
 	expectedEnd := (now - j.Observed.KnownSince).Seconds() + m.ExpectedSeconds(j)
-	for _, o := range s.Params.Objectives {
+	for _, o := range p.Objectives {
 		switch {
 		case o.Class != j.Spec.Class:
 		case o.Kind == "finished" && expectedEnd > o.WithinS,
@@ -86,7 +99,7 @@
 	return j.Live+j.Done == 0 && now-j.Observed.KnownSince > beginDeadline && servedShortestFirst(j)
 }
 
-// queuedJob is a job that wants room, with what its place in the queue follows from.
+// queuedJob is a job that wants room, with what its position in the queue follows from.
 type queuedJob struct {
 	job              *model.Job
 	rank             int
@@ -96,7 +109,7 @@
 	workLeft         float64 // CPU seconds of work, where the smallest goes first
 }
 
-// markOrder marks what a job's place in the queue follows from.
+// markOrder marks what a job's position in the queue follows from.
 func (s *Scheduler) markOrder(m *model.Model, jobs []*model.Job, now model.Time) {
 	MarkGuarantees(m, jobs, now, s.Params.Objectives)
 	cpus := 0.0
@@ -134,9 +147,9 @@
 			continue
 		}
 		e := queuedJob{job: j, rank: j.Scheduling.Rank, shortestFirst: servedShortestFirst(j)}
-		e.urgency, e.workLeft = s.urgencyOf(m, j, now)
+		e.urgency, e.workLeft = s.Params.urgencyOf(m, j, now)
 		if e.shortestFirst {
-			e.missedObjectives, e.workLeft = s.missedObjectives(m, j, now), remainingWork(m, j)
+			e.missedObjectives, e.workLeft = s.Params.missedObjectives(m, j, now), remainingWork(m, j)
 		}
 		queue = append(queue, e)
 	}
@@ -154,11 +167,6 @@
 	return queue
 }
 
-// startWithin is how soon a job's tasks are to start by the objectives.
-func (s *Scheduler) startWithin(j *model.Job) (float64, bool) {
-	return config.StartWithin(s.Params.Objectives, j.Spec.Class)
-}
-
 // Waiting lists the jobs with waiting tasks: those that take part in a round, in the order in which
 // they are served, and the rest (paused, or one task at a time after failures).
 func (s *Scheduler) Waiting(m *model.Model, now model.Time) (active, rest []*model.Job) {
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -2,10 +2,10 @@
 
 import (
 	"fieldhill/internal/model"
-	"fieldhill/internal/scheduling/pending"
 )
 
-// This file is what fits where: rooms, limits, and what is left to others.
+// epsilon is the least difference of amounts that counts.
+const epsilon = 1e-6
 
 // Resources is what a task takes, or what a machine has.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
@@ -20,9 +20,13 @@
 	return Resources{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
+// times is so many of them.
+func (a Resources) times(n float64) Resources {
+	return Resources{a.CPUs * n, a.GPUs * n, a.MemoryGB * n}
+}
+
 // Contains tells whether b fits into a.
 func (a Resources) Contains(b Resources) bool {
-	const epsilon = 1e-6
 	return a.CPUs+epsilon >= b.CPUs && a.GPUs+epsilon >= b.GPUs && a.MemoryGB+epsilon >= b.MemoryGB
 }
 
@@ -60,11 +64,17 @@
 	return TypeCapacity(m.TypeOf(machine))
 }
 
+// used is what the tasks on a machine take.
 func used(machine *model.Machine) Resources {
 	return Resources{machine.CPUs, machine.GPUs, machine.Mem}
 }
 
-// MovableWork tells of what on a machine may run in another zone once it is gone: whether any of it is urgent, so
+// Reserved is what services without GPUs take of a machine.
+func Reserved(machine *model.Machine) Resources {
+	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
+}
+
+// MovableWork looks at what on a machine may run in another zone once it is gone: whether any of it is urgent, so
 // that room is made for it, and how much the rest needs.
 func MovableWork(machine *model.Machine) (urgent bool, low Resources) {
 	for _, r := range machine.Runs {
@@ -79,7 +89,7 @@
 	return urgent, low
 }
 
-// FreeOutsideZone is the room that machines outside a zone have for new work.
+// FreeOutsideZone is what machines outside a zone have free for new work.
 func FreeOutsideZone(m *model.Model, zone int32) (free Resources) {
 	for _, machine := range m.Order {
 		if machine.Zone != zone && machine.IsUsable() {
@@ -88,143 +98,3 @@
 	}
 	return free
 }
-
-// demandShape is what a job asks of a machine: jobs of the same kind of shape that
-// need more than one which found nothing find nothing either, since room only
-// shrinks in a round. It keeps a round's work from growing with what waits.
-type demandShape struct {
-	kind shapeKind
-	need Resources
-}
-
-type shapeKind struct {
-	types                                             string
-	zone                                              int32
-	spot, service, needsGPUs, production, lowPriority bool
-	priority                                          model.Priority // these three only where others are stopped
-	guaranteed                                        bool
-	team                                              *model.Team
-}
-
-func kindOf(j *model.Job) shapeKind {
-	return shapeKind{
-		types:       j.TypesKey,
-		zone:        j.Zone,
-		spot:        j.Spec.Spot,
-		service:     j.Kind == model.Service,
-		needsGPUs:   j.Spec.GPUs > 0,
-		production:  j.Priority == model.Production,
-		lowPriority: j.Priority == model.Low,
-	}
-}
-
-// preemptionKindOf is the kind where others are stopped: whom a job may stop is part of it.
-func preemptionKindOf(j *model.Job) shapeKind {
-	k := kindOf(j)
-	k.priority, k.guaranteed, k.team = j.Priority, j.Scheduling.Guaranteed, j.Team
-	return k
-}
-
-// coveredBy tells whether a need is at least one that found nothing.
-func coveredBy(list []demandShape, k shapeKind, need Resources) bool {
-	for i := range list {
-		if list[i].kind == k && need.Contains(list[i].need) {
-			return true
-		}
-	}
-	return false
-}
-
-// blocksGPUWork tells whether a gang that uses GPUs would not fit beside the services
-// of a machine, with the job's task or without it.
-func (s *Scheduler) blocksGPUWork(j *model.Job, view *machineView, with bool) bool {
-	reserved := Reserved(view.machine)
-	if with {
-		reserved = reserved.Plus(TaskDemand(j))
-	}
-	return s.gpuDemand.BlockedBy(view.capacity, reserved)
-}
-
-// hasResources tells whether a task may take room on a machine now: free, not claimed
-// for more urgent work, and not what services are to find free.
-func (s *Scheduler) hasResources(m *model.Model, j *model.Job, view *machineView, need Resources) bool {
-	machine, total := view.machine, view.capacity
-	free := total.Minus(used(machine))
-	if !free.Contains(need) {
-		return false
-	}
-	if view.claimed != (Resources{}) && !free.Plus(view.stoppingResources()).Minus(view.claimed).Contains(need) {
-		return false
-	}
-	if j.Priority < model.Production && view.reservedForServices != (Resources{}) &&
-		!free.Minus(view.reservedForServices).Contains(need) {
-		return false
-	}
-	if total.GPUs == 0 {
-		return machine.Spot || j.Priority >= model.Production || s.freeServiceCPUs-need.CPUs >= s.ServiceHeadroom
-	}
-	if j.Spec.GPUs == 0 && j.Priority == model.Low && !s.LowPriorityAllowed[machine] {
-		return false
-	}
-	if k := s.ServiceSlots[machine]; k > 0 && j.Kind != model.Service && j.Spec.GPUs == 0 {
-		// Where services are expected, other work leaves some of their room free.
-		if total.CPUs-machine.CPUs-need.CPUs < float64(min(k, 3))*s.maxServiceCPUs {
-			return false
-		}
-	}
-	return s.serviceAllowed(j, view)
-}
-
-// serviceAllowed tells whether a service may go to a machine. A service stays for
-// long: it would take what a gang needs, and keep a dear machine from being
-// returned. It goes to a machine that gangs use only as far as the fleet found
-// no other room for services.
-func (s *Scheduler) serviceAllowed(j *model.Job, view *machineView) bool {
-	return j.Kind != model.Service || j.Spec.GPUs > 0 || view.capacity.GPUs == 0 || s.ServiceSlots[view.machine] > 0 ||
-		!s.gpuDemand.FitsAny(view.capacity)
-}
-
-// Reserved is the room that services without GPUs have taken of a machine.
-func Reserved(machine *model.Machine) Resources {
-	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
-}
-
-// teamLimitAllows tells whether n more tasks keep the team's limit, and what of it is
-// kept for the team's more urgent work.
-func (s *Scheduler) teamLimitAllows(j *model.Job, n int) bool {
-	t := j.Team
-	if t == nil || !j.TeamLimitAllows(n) {
-		return false
-	}
-	reserved, c := s.reservedQuota[t.Index], j.Spec
-	return (t.CPUsMax == 0 || reserved.CPUs == 0 || t.UsedCPUs+reserved.CPUs+c.CPUs*float64(n) <= t.CPUsMax+1e-6) &&
-		(t.GPUsMax == 0 || reserved.GPUs == 0 || t.UsedGPUs+reserved.GPUs+c.GPUs*float64(n) <= t.GPUsMax+1e-6)
-}
-
-// TeamReason tells how n more tasks of a job stand against their team's limit.
-func (s *Scheduler) TeamReason(j *model.Job, n int) pending.Reason {
-	t, reserved := j.Team, Resources{}
-	if t == nil {
-		return pending.Reason{Code: pending.TeamLimit}
-	}
-	if t.Index < len(s.reservedQuota) {
-		reserved = s.reservedQuota[t.Index]
-	}
-	r := pending.Reason{
-		Code:  pending.TeamLimit,
-		Unit:  "CPUs",
-		Need:  j.Spec.CPUs * float64(n),
-		Used:  t.UsedCPUs + reserved.CPUs,
-		Limit: t.CPUsMax,
-	}
-	if g := j.Spec.GPUs * float64(n); t.GPUsMax > 0 && t.UsedGPUs+reserved.GPUs+g > t.GPUsMax+1e-6 {
-		r.Unit, r.Need, r.Used, r.Limit = "GPUs", g, t.UsedGPUs+reserved.GPUs, t.GPUsMax
-	}
-	return r
-}
-
-// ServiceAllowedOn tells whether a service may go to a machine as far as work that uses GPUs is
-// concerned; everything else may.
-func (s *Scheduler) ServiceAllowedOn(m *model.Model, j *model.Job, machine *model.Machine) bool {
-	return s.serviceAllowed(j, &machineView{machine: machine, capacity: MachineCapacity(m, machine)})
-}
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -27,7 +27,7 @@
 			paper := locality/(size+1)/2 + 0.5
 			for _, load := range []float64{0, 0.3, 1} {
 				want := paper*0.8 + load*0.2
-				if actual := s.score(fileLocality(present, size), load); math.Abs(actual-want) > 1e-12 {
+				if actual := s.Params.score(fileLocality(present, size), load); math.Abs(actual-want) > 1e-12 {
 					t.Errorf("size %g, there %v, load %g: %g, the paper says %g", size, on, load, actual, want)
 				}
 			}
@@ -52,18 +52,21 @@
 	}
 }
 
-func (w *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
-	w.apply(
-		&model.Entry{
-			Kind:    model.EntryPlace,
-			Job:     j.ID,
-			Task:    task,
-			Attempt: attempt,
-			Machine: machine.ID,
-			Session: machine.Contact.Session,
-		},
-	)
+// place has a task run on a machine, whatever the scheduler would say.
+func (w *environment) place(job model.JobID, task int32, machine *model.Machine) {
+	w.apply(&model.Entry{Kind: model.EntryPlace, Job: job, Task: task, Attempt: 1, Machine: machine.ID,
+		Session: machine.Contact.Session})
+}
+
+func (w *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
+	w.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID,
+		Session: machine.Contact.Session})
 	w.placed = append(w.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
+	w.checkPlacement(j, machine)
+}
+
+// checkPlacement checks that a machine and a team hold what they have, and that the job allows where its tasks are.
+func (w *environment) checkPlacement(j *model.Job, machine *model.Machine) {
 	t := w.model.TypeOf(machine)
 	var cpus, mem, team float64
 	zones := map[string]int{}
@@ -80,23 +83,16 @@
 			}
 		}
 	}
+	zone := machine.Info.Zone
 	switch {
 	case cpus > t.CPUs || mem > t.MemoryGB:
 		w.test.Fatalf("%s holds %g CPUs and %g GB", machine.Info.Name, cpus, mem)
 	case j.Team.CPUsMax > 0 && team > j.Team.CPUsMax:
 		w.test.Fatalf("team %s uses %g CPUs", j.Team.Name, team)
-	case machine.Spot && !j.Spec.Spot,
-		j.Spec.Zone != nil && *j.Spec.Zone != machine.Info.Zone,
-		j.Spec.SameZone && len(zones) > 1:
+	case machine.Spot && !j.Spec.Spot, j.Spec.Zone != nil && *j.Spec.Zone != zone, j.Spec.SameZone && len(zones) > 1:
 		w.test.Fatalf("job %d does not allow %s", j.ID, machine.Info.Name)
-	case j.Spec.Spread && zones[machine.Info.Zone] > (len(j.Tasks)+1)/2:
-		w.test.Fatalf(
-			"job %d has %d of %d tasks in zone %s",
-			j.ID,
-			zones[machine.Info.Zone],
-			len(j.Tasks),
-			machine.Info.Zone,
-		)
+	case j.Spec.Spread && zones[zone] > (len(j.Tasks)+1)/2:
+		w.test.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[zone], len(j.Tasks), zone)
 	}
 }
 
@@ -105,67 +101,53 @@
 	w.stopped = append(w.stopped, wire.TaskID(uint64(r.Job.ID), int(r.Task)))
 }
 
-// endStopping ends what is told to stop on a machine.
+// endStopping ends what is preempted on a machine.
 func (w *environment) endStopping(machine *model.Machine) {
-	for _, r := range append([]*model.Run(nil), machine.Runs...) {
+	for _, r := range slices.Clone(machine.Runs) {
 		if r.Stop {
 			w.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 		}
 	}
 }
 
+// finish ends a run as done.
+func (w *environment) finish(r *model.Run) {
+	w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+}
+
+// finishSome ends those runs of a machine as done for which it is asked whether to and the answer is yes.
+func (w *environment) finishSome(machine *model.Machine, isDone func() bool) {
+	for _, r := range slices.Clone(machine.Runs) {
+		if isDone() {
+			w.finish(r)
+		}
+	}
+}
+
 func newEnvironment(t *testing.T, machines int) *environment {
-	w := &environment{
-		test: t,
-		model: model.New(
-			&config.Params{
-				Zones: []string{"a", "b"},
-				Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}},
-			},
-		),
-	}
-	w.apply(
-		&model.Entry{
-			Kind: model.EntryType,
-			Type: &wire.MachineType{
-				Name:        "t",
-				CPUs:        4,
-				MemoryGB:    8,
-				CacheGB:     10,
-				FetchGBPerS: 1,
-				Zones:       []string{"a", "b"},
-			},
-		},
-	)
+	t.Helper()
+	w := &environment{test: t, model: model.New(&config.Params{
+		Zones: []string{"a", "b"},
+		Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}},
+	})}
+	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
+		Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a", "b"},
+	}})
 	for i := range machines {
-		w.apply(&model.Entry{
-			Kind:    model.EntryMachine,
-			Machine: model.MachineID(i + 1),
-			Info: &model.MachineInfo{
-				Name: fmt.Sprint("m", i),
-				Type: "t",
-				Zone: string(rune('a' + i%2)),
-				Spot: i%4 == 3,
-			},
-		})
-		machine := w.model.Machines[model.MachineID(i+1)]
+		id, zone := model.MachineID(i+1), string(rune('a'+i%2))
+		info := &model.MachineInfo{Name: fmt.Sprint("m", i), Type: "t", Zone: zone, Spot: i%4 == 3}
+		w.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
+		machine := w.model.Machines[id]
 		machine.Contact.Reported, machine.Contact.Session = true, 1
 	}
 	return w
 }
 
+// submit submits a small low-priority array, as changed.
 func (w *environment) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
 	s := &wire.JobSpec{
-		ID:       wire.JobID(n),
-		Class:    "c",
-		Team:     "blue",
-		Shape:    wire.Array,
-		Priority: wire.Low,
-		Tasks:    1,
-		CPUs:     1,
-		MemoryGB: 1,
-		Image:    "i",
-		ImageGB:  1,
+		ID: wire.JobID(n), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Low,
+		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1,
 	}
 	if change != nil {
 		change(s)
@@ -199,28 +181,15 @@
 		for round := range 60 {
 			for range rng.IntN(3) {
 				n++
-				w.submit(n, func(s *wire.JobSpec) {
-					s.Shape = []string{wire.Array, wire.Gang, wire.Service}[rng.IntN(3)]
-					s.Priority = []string{wire.Low, wire.Normal, wire.High, wire.Production}[rng.IntN(4)]
-					s.Tasks, s.CPUs, s.Image = 1+rng.IntN(5), float64(1+rng.IntN(3)), fmt.Sprint(rng.IntN(3))
-					s.Spread, s.SameZone, s.Spot = rng.IntN(3) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
-					if s.Spread {
-						s.SameZone = false
-					}
-					if rng.IntN(2) == 0 {
-						s.Team = "red"
-					}
-				})
+				w.submit(n, func(s *wire.JobSpec) { randomizeJob(rng, s) })
 			}
 			s.Round(w.model, model.Time(round)*2e9, true, w)
 			for _, machine := range w.model.Order {
-				for _, r := range append([]*model.Run(nil), machine.Runs...) {
-					if r.Stop || rng.IntN(4) == 0 {
-						kind := model.EntryDone
-						if r.Stop {
-							kind = model.EntryEnded
-						}
-						w.apply(&model.Entry{Kind: kind, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+				for _, r := range slices.Clone(machine.Runs) {
+					if r.Stop {
+						w.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+					} else if rng.IntN(4) == 0 {
+						w.finish(r)
 					}
 				}
 			}
@@ -231,6 +200,20 @@
 	}
 }
 
+// randomizeJob makes a job of any shape, priority, size and constraints.
+func randomizeJob(rng *rand.Rand, s *wire.JobSpec) {
+	s.Shape = []string{wire.Array, wire.Gang, wire.Service}[rng.IntN(3)]
+	s.Priority = []string{wire.Low, wire.Normal, wire.High, wire.Production}[rng.IntN(4)]
+	s.Tasks, s.CPUs, s.Image = 1+rng.IntN(5), float64(1+rng.IntN(3)), fmt.Sprint(rng.IntN(3))
+	s.Spread, s.SameZone, s.Spot = rng.IntN(3) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
+	if s.Spread {
+		s.SameZone = false
+	}
+	if rng.IntN(2) == 0 {
+		s.Team = "red"
+	}
+}
+
 // TestWaitForABusyHolder: a task waits the given rounds for a busy machine that
 // has its image, and no longer; a job waits once and not for each task.
 func TestWaitForABusyHolder(t *testing.T) {
@@ -250,21 +233,14 @@
 				t.Fatal("a round that an event woke counted as waiting")
 			}
 		}
-		if s.Round(w.model, 0, true, w); second.Live != 0 || second.Scheduling.PendingReason.Code != pending.ImageBusy {
-			t.Fatalf(
-				"round %d: %d tasks were placed, it waits for %q",
-				round,
-				second.Live,
-				second.Scheduling.PendingReason,
-			)
+		s.Round(w.model, 0, true, w)
+		if reason := second.Scheduling.PendingReason; second.Live != 0 || reason.Code != pending.ImageBusy {
+			t.Fatalf("round %d: %d tasks were placed, it waits for %q", round, second.Live, reason)
 		}
 	}
-	if s.Round(w.model, 0, true, w); second.Live != 3 || second.Scheduling.PendingReason.IsSet() {
-		t.Errorf(
-			"after the wait %d of 3 tasks are placed, it waits for %q",
-			second.Live,
-			second.Scheduling.PendingReason,
-		)
+	s.Round(w.model, 0, true, w)
+	if reason := second.Scheduling.PendingReason; second.Live != 3 || reason.IsSet() {
+		t.Errorf("after the wait %d of 3 tasks are placed, it waits for %q", second.Live, reason)
 	}
 }
 
@@ -283,8 +259,8 @@
 	}
 }
 
-// TestPreemptionForUrgentWork: low work gives way to a service, as little of it as will
-// do, and what is freed is not given to low work again.
+// TestPreemptionForUrgentWork: low-priority work gives way to a service, as little of it as will
+// do, and what is freed is not given to low-priority work again.
 func TestPreemptionForUrgentWork(t *testing.T) {
 	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
@@ -302,28 +278,18 @@
 			s.Round(w.model, 102e9, false, w)
 		}
 	}
-	if web.Live != 1 || low.Live != 2 || low.Scheduling.PendingReason.Code != pending.NoCapacity {
-		t.Errorf(
-			"%d replicas and %d low tasks are placed, the rest waits for %q",
-			web.Live,
-			low.Live,
-			low.Scheduling.PendingReason,
-		)
+	if reason := low.Scheduling.PendingReason; web.Live != 1 || low.Live != 2 || reason.Code != pending.NoCapacity {
+		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, reason)
 	}
 }
 
-// TestShortArraysFirst: when room is short, low arrays are served shortest first,
-// and what is late for good comes last, but for one task of it: it begins. Arrays of normal rank are served
+// TestShortArraysFirst: when room is short, low-priority arrays are served shortest first,
+// and what is late for good comes last, but for one task of it: it begins. Arrays of normal priority are served
 // so as well; by turns all of them were late together.
 func TestShortArraysFirst(t *testing.T) {
 	w := newEnvironment(t, 1)
-	s := New(
-		Params{
-			Beta:       0.8,
-			Threshold:  0.5,
-			Objectives: []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}},
-		},
-	)
+	finished := config.Objective{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}
+	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{finished}})
 	late := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 }) // more than its team is guaranteed
 	late.Observed.KnownSince = -200e9
 	long := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
@@ -339,37 +305,26 @@
 	}
 }
 
-// TestNormalArraysInTime: of arrays of normal rank with deadlines those that can keep theirs go first, the smallest
+// TestNormalArraysInTime: of arrays of normal priority with deadlines those that can keep theirs go first, the smallest
 // first.
 func TestNormalArraysInTime(t *testing.T) {
 	w := newEnvironment(t, 1)
-	s := New(
-		Params{
-			Beta:      0.8,
-			Threshold: 0.5,
-			Objectives: []config.Objective{
-				{Kind: "deadline", Class: "c", Share: 0.9},
-				{Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9},
-			},
-		},
-	)
+	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
+		{Kind: "deadline", Class: "c", Share: 0.9},
+		{Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9},
+	}})
 	submitArray := func(n uint64, tasks int, due float64) *model.Job {
-		j := w.submit(
-			n,
-			func(s *wire.JobSpec) { s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due },
-		)
+		j := w.submit(n, func(s *wire.JobSpec) {
+			s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due
+		})
 		j.Scheduling.Guaranteed = false
 		return j
 	}
 	late, large, small := submitArray(1, 9, 20), submitArray(2, 20, 70), submitArray(3, 3, 70)
 	s.Round(w.model, 5e9, true, w)
 	if small.Live != 3 || large.Live != 1 || late.Live != 0 {
-		t.Errorf(
-			"placed %d of the small, %d of the large, %d of the job that is late anyway",
-			small.Live,
-			large.Live,
-			late.Live,
-		)
+		t.Errorf("placed %d of the small, %d of the large, %d of the job that is late anyway",
+			small.Live, large.Live, late.Live)
 	}
 }
 
@@ -379,11 +334,7 @@
 func TestGangsInTimeFirst(t *testing.T) {
 	w := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
-		{
-			Kind:    "wait",
-			Class:   "g",
-			WithinS: 40,
-		},
+		{Kind: "wait", Class: "g", WithinS: 40},
 		{Kind: "wait", Class: "g", WithinS: 60},
 		{Kind: "wait", Class: "g", WithinS: 180},
 	}})
@@ -437,32 +388,28 @@
 	machine *model.Machine,
 	reportedScore float64,
 ) {
-	score := func(o *model.Machine) float64 { return p.scheduler.score(locality(p.model, j, o), load(p.model, o)) }
-	if d := reportedScore - score(machine); d > 1e-9 || d < -1e-9 {
-		p.test.Fatalf(
-			"job %d is said to go to %s with score %g, not %g",
-			j.ID,
-			machine.Info.Name,
-			reportedScore,
-			score(machine),
-		)
+	score := func(o *model.Machine) float64 {
+		return p.scheduler.Params.score(locality(p.model, j, o), load(p.model, o))
+	}
+	best := score(machine)
+	if d := reportedScore - best; d > 1e-9 || d < -1e-9 {
+		p.test.Fatalf("job %d is said to go to %s with score %g, not %g", j.ID, machine.Info.Name, reportedScore, best)
 	}
 	for _, o := range p.model.Order {
-		if o.IsUsable() && j.AllowsMachine(o.Type, o.Zone, o.Spot) && p.model.Fits(j, o) && j.ZoneAllows(o.Zone) &&
-			score(o) < score(machine)-1e-9 {
-			p.test.Fatalf(
-				"job %d went to %s with score %g, %s has %g",
-				j.ID,
-				machine.Info.Name,
-				score(machine),
-				o.Info.Name,
-				score(o),
-			)
+		if o.IsUsable() && p.hasRoom(j, o) && score(o) < best-1e-9 {
+			p.test.Fatalf("job %d went to %s with score %g, %s has %g",
+				j.ID, machine.Info.Name, best, o.Info.Name, score(o))
 		}
 	}
 	p.environment.Bind(j, task, attempt, machine, reportedScore)
 }
 
+// hasRoom tells whether a task of a job may go to a machine and fits there, by the model's plain rules.
+func (w *environment) hasRoom(j *model.Job, machine *model.Machine) bool {
+	return j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) &&
+		j.ZoneAllows(machine.Zone)
+}
+
 // TestChoiceMatchesDAD compares the ordered candidates with a full scan at each
 // placement, and what is left waiting with whether anything fits.
 func TestChoiceMatchesDAD(t *testing.T) {
@@ -483,26 +430,29 @@
 				})
 			}
 			s.Round(w.model, model.Time(round)*2e9, true, &referenceEnvironment{w, s})
-			for _, j := range w.model.JobsInOrder() {
-				if j.Waiting() == 0 || !j.TeamLimitAllows(1) {
-					continue
-				}
-				for _, machine := range w.model.Order {
-					if j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) &&
-						j.ZoneAllows(machine.Zone) {
-						t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, machine.Info.Name)
-					}
-				}
+			if j, machine := w.waitsThoughItFits(); j != nil {
+				t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, machine.Info.Name)
 			}
 			for _, machine := range w.model.Order {
-				for _, r := range append([]*model.Run(nil), machine.Runs...) {
-					if rng.IntN(3) == 0 {
-						w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
-					}
-				}
+				w.finishSome(machine, func() bool { return rng.IntN(3) == 0 })
+			}
+		}
+	}
+}
+
+// waitsThoughItFits finds a job that waits though its team's limit allows a task and a machine has room for it.
+func (w *environment) waitsThoughItFits() (*model.Job, *model.Machine) {
+	for _, j := range w.model.JobsInOrder() {
+		if j.Waiting() == 0 || !j.TeamLimitAllows(1) {
+			continue
+		}
+		for _, machine := range w.model.Order {
+			if w.hasRoom(j, machine) {
+				return j, machine
 			}
 		}
 	}
+	return nil, nil
 }
 
 // TestRoundCostsWhatChanged: on a large full site a round looks at the machines a
@@ -538,8 +488,8 @@
 }
 
 // TestHigherRankedIsNotPreempted: a job of high priority beyond its team's guarantee
-// does not stop low work within one, which is served before it: that was placed
-// again and stopped again many times a second.
+// does not preempt low-priority work within one, which is served before it: that was placed
+// again and preempted again many times a second.
 func TestHigherRankedIsNotPreempted(t *testing.T) {
 	w := newEnvironment(t, 1)
 	w.model.Teams[0].CPUs = 3 // red's guarantee is for neither of its gangs
@@ -557,7 +507,7 @@
 	}
 }
 
-// TestGangOfSeveralGetsRoom: low work gives way to a gang that needs several
+// TestGangOfSeveralGetsRoom: low-priority work gives way to a gang that needs several
 // machines, and gangs of one machine do not take, one after the other, what the
 // first in the queue has waited for for long.
 func TestGangOfSeveralGetsRoom(t *testing.T) {
@@ -597,7 +547,7 @@
 	}
 }
 
-// TestDrainMakesRoom: replicas leave a machine that is to be returned although low
+// TestDrainMakesRoom: replicas leave a machine that is to be released although low-priority
 // work fills every other one.
 func TestDrainMakesRoom(t *testing.T) {
 	w := newEnvironment(t, 2)
@@ -638,7 +588,7 @@
 }
 
 // TestMovesArePacedByNumber: the more replicas there are, the sooner one of them may move. At one
-// in 0.3 s a fleet of five thousand took four minutes to leave the dear machines that gangs waited for.
+// in 0.3 s a fleet of five thousand took four minutes to leave the expensive machines that gangs waited for.
 func TestMovesArePacedByNumber(t *testing.T) {
 	w := newEnvironment(t, 700)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
@@ -660,7 +610,7 @@
 }
 
 // TestLowWorkLeavesWhereTheImageIs: a service that must start sooner than an image is
-// fetched gets the place of a low task on a machine that has it, and if that
+// fetched gets the place of a low-priority task on a machine that has it, and if that
 // takes too long any other place.
 func TestLowWorkLeavesWhereTheImageIs(t *testing.T) {
 	w := newEnvironment(t, 3)
@@ -686,21 +636,16 @@
 	if s.Round(w.model, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
-	if s.Round(
-		w.model,
-		20.7e9,
-		false,
-		w,
-	); second.Live != 2 || second.Tasks[0].Run.Machine == full ||
-		len(w.stopped) != 3 {
+	s.Round(w.model, 20.7e9, false, w)
+	if second.Live != 2 || second.Tasks[0].Run.Machine == full || len(w.stopped) != 3 {
 		t.Errorf("after waiting in vain: placed %v, stopped %v", w.placed, w.stopped)
 	}
 }
 
 // TestTeamLimitIsReserved: a gang with its team's limit in the way has the team's less
-// urgent work stopped once, the limit is kept for it, and it starts. Before, others of
+// urgent work preempted once, the limit is reserved for it, and it starts. Before, others of
 // the team took what was freed within the same round, for as long as there were any; and
-// work that is served before the gang was stopped for it and placed again before it.
+// work that is served before the gang was preempted for it and placed again before it.
 func TestTeamLimitIsReserved(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
 		w := newEnvironment(t, 16)
@@ -714,12 +659,9 @@
 			w.model.Teams[0].CPUs = 60
 		}
 		s.Round(w.model, 0, true, w) // the team is at its limit of 12
-		if w.model.Teams[0].UsedCPUs != 12 || low.Live != 8 || low.Scheduling.PendingReason.Code != pending.TeamLimit {
-			t.Fatalf(
-				"the team uses %g CPUs, the rest waits for %q",
-				w.model.Teams[0].UsedCPUs,
-				low.Scheduling.PendingReason,
-			)
+		cpus, reason := w.model.Teams[0].UsedCPUs, low.Scheduling.PendingReason
+		if cpus != 12 || low.Live != 8 || reason.Code != pending.TeamLimit {
+			t.Fatalf("the team uses %g CPUs, the rest waits for %q", cpus, reason)
 		}
 		gang := w.submit(3, func(s *wire.JobSpec) {
 			s.Team, s.Shape, s.Tasks, s.CPUs, s.Priority = "red", wire.Gang, 1, 4, wire.High
@@ -746,27 +688,15 @@
 }
 
 // TestServiceTakesSpareGPUs: a service that would be late after a fetch goes to a machine
-// whose GPUs no work needs, if its image is there. Low work used to be stopped there for
+// whose GPUs no work needs, if its image is there. Low-priority work used to be preempted there for
 // it, and then the service went to where it had to fetch.
 func TestServiceTakesSpareGPUs(t *testing.T) {
 	w := newEnvironment(t, 2)
-	w.apply(
-		&model.Entry{
-			Kind: model.EntryType,
-			Type: &wire.MachineType{
-				Name:        "g",
-				CPUs:        4,
-				GPUs:        2,
-				MemoryGB:    8,
-				CacheGB:     10,
-				FetchGBPerS: 1,
-				Zones:       []string{"a"},
-			},
-		},
-	)
-	w.apply(
-		&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}},
-	)
+	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
+		Name: "g", CPUs: 4, GPUs: 2, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a"},
+	}})
+	info := &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}
+	w.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: info})
 	spare := w.model.Machines[9]
 	spare.Contact.Reported, spare.Contact.Session = true, 1
 	s := New(webStartsSoon)
@@ -785,8 +715,8 @@
 	}
 }
 
-// TestLowWorkIsPaced: a bound on the low tasks of a round leaves the rest for the next one,
-// and holds up nothing else. Starts of tiny tasks used to take a small node's processor.
+// TestLowWorkIsPaced: a bound on the low-priority tasks of a round leaves the rest for the next one,
+// and holds up nothing else. Starts of tiny tasks used to take a small controller's processor.
 func TestLowWorkIsPaced(t *testing.T) {
 	w := newEnvironment(t, 8)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
@@ -794,13 +724,8 @@
 	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 20, 0.5, 0.1 })
 	web := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
 	for round := range 4 {
-		if s.Round(
-			w.model,
-			model.Time(round)*1e9,
-			true,
-			w,
-		); low.Live != 5*(round+1) || web.Live != 6 ||
-			s.LowPriorityDeferred != (round < 3) {
+		s.Round(w.model, model.Time(round)*1e9, true, w)
+		if low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
 			t.Fatalf("round %d: %d low tasks, %d replicas, left %v", round, low.Live, web.Live, s.LowPriorityDeferred)
 		}
 	}
@@ -822,23 +747,19 @@
 	}
 }
 
-// TestGangPreemptsAtImageHolders: low work makes room for a gang where its image is, if less is undone by that than
-// the gang would lose while free machines fetch the image; it does not where the fetch is short.
+// TestGangPreemptsAtImageHolders: low-priority work makes room for a gang where its image is, if less is undone by that
+// than the gang would lose while free machines fetch the image; it does not where the fetch is short.
 func TestGangPreemptsAtImageHolders(t *testing.T) {
 	for _, c := range []struct {
 		gb   float64
 		stop bool
 	}{{40, true}, {2, false}} {
 		w := newEnvironment(t, 6)
-		s := New(
-			Params{
-				Beta:       0.8,
-				Threshold:  0.5,
-				Objectives: []config.Objective{{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}},
-			},
-		)
+		wait := config.Objective{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}
+		s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{wait}})
 		gang := w.submit(9, func(s *wire.JobSpec) {
-			s.Class, s.Shape, s.Priority, s.Tasks, s.CPUs, s.Image, s.ImageGB = "g", wire.Gang, wire.High, 2, 4, "big", c.gb
+			s.Class, s.Shape, s.Priority, s.Tasks, s.CPUs = "g", wire.Gang, wire.High, 2, 4
+			s.Image, s.ImageGB = "big", c.gb
 		})
 		low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 8 })
 		for i, id := range []model.MachineID{1, 2} { // both have the gang's image, and are full of low work
@@ -852,13 +773,8 @@
 		}
 		s.Round(w.model, 3e9, true, w)
 		if stopped := len(w.stopped) > 0; stopped != c.stop || c.stop != (gang.Live == 0) {
-			t.Errorf(
-				"image of %g GB: %d stopped, %d members placed, waits for %q",
-				c.gb,
-				len(w.stopped),
-				gang.Live,
-				gang.Scheduling.PendingReason,
-			)
+			t.Errorf("image of %g GB: %d stopped, %d members placed, waits for %q",
+				c.gb, len(w.stopped), gang.Live, gang.Scheduling.PendingReason)
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -0,0 +1,150 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"fieldhill/internal/model"
+	"fieldhill/internal/scheduling/pending"
+)
+
+// teamQuota is what of each team's limit is reserved, in this round, for its waiting urgent work.
+type teamQuota struct {
+	reserved []Resources // by the team's index
+}
+
+func (q *teamQuota) begin(teams int) {
+	q.reserved = append(q.reserved[:0], make([]Resources, teams)...)
+}
+
+// allows tells whether n more tasks keep the team's limit, and what of it is
+// reserved for the team's more urgent work.
+func (q *teamQuota) allows(j *model.Job, n int) bool {
+	t := j.Team
+	if t == nil || !j.TeamLimitAllows(n) {
+		return false
+	}
+	reserved, spec := q.reserved[t.Index], j.Spec
+	return (t.CPUsMax == 0 || reserved.CPUs == 0 ||
+		t.UsedCPUs+reserved.CPUs+spec.CPUs*float64(n) <= t.CPUsMax+epsilon) &&
+		(t.GPUsMax == 0 || reserved.GPUs == 0 ||
+			t.UsedGPUs+reserved.GPUs+spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
+}
+
+// reserve reserves the part of the limit that n tasks of a job take.
+func (q *teamQuota) reserve(j *model.Job, n int) {
+	reserved := &q.reserved[j.Team.Index]
+	*reserved = reserved.Plus(Resources{CPUs: j.Spec.CPUs * float64(n), GPUs: j.Spec.GPUs * float64(n)})
+}
+
+// shortfall is by how much n tasks of a job are over their team's limit, beside what is
+// reserved for more urgent work.
+func (q *teamQuota) shortfall(j *model.Job, n int) (cpus, gpus float64) {
+	t, reserved := j.Team, q.reserved[j.Team.Index]
+	if t.CPUsMax > 0 {
+		cpus = t.UsedCPUs + reserved.CPUs + j.Spec.CPUs*float64(n) - t.CPUsMax
+	}
+	if t.GPUsMax > 0 {
+		gpus = t.UsedGPUs + reserved.GPUs + j.Spec.GPUs*float64(n) - t.GPUsMax
+	}
+	return cpus, gpus
+}
+
+// reason says how n more tasks of a job compare with their team's limit.
+func (q *teamQuota) reason(j *model.Job, n int) pending.Reason {
+	t, reserved := j.Team, Resources{}
+	if t == nil {
+		return pending.Reason{Code: pending.TeamLimit}
+	}
+	if t.Index < len(q.reserved) {
+		reserved = q.reserved[t.Index]
+	}
+	reason := pending.Reason{
+		Code:  pending.TeamLimit,
+		Unit:  "CPUs",
+		Need:  j.Spec.CPUs * float64(n),
+		Used:  t.UsedCPUs + reserved.CPUs,
+		Limit: t.CPUsMax,
+	}
+	if g := j.Spec.GPUs * float64(n); t.GPUsMax > 0 && t.UsedGPUs+reserved.GPUs+g > t.GPUsMax+epsilon {
+		reason.Unit, reason.Need, reason.Used, reason.Limit = "GPUs", g, t.UsedGPUs+reserved.GPUs, t.GPUsMax
+	}
+	return reason
+}
+
+// mayPreemptInTeam tells whether a run may be preempted for a job of its own team that finds
+// their limit in the way. What is served before the job would be placed again before
+// it, and preempted again, round after round: a gang that was behind its team's
+// guaranteed arrays once had 147,000 tasks preempted and never started.
+func mayPreemptInTeam(run *model.Run, j *model.Job) bool {
+	return run.Job.Priority < j.Priority && run.Job.Kind != model.Service &&
+		run.Job.Scheduling.Rank < j.Scheduling.Rank
+}
+
+// teamShortfall is what is in the way of a job at its team's limit: by how much the team
+// is over it once all that is being preempted has left, and the runs that may be preempted.
+type teamShortfall struct {
+	cpus, gpus float64
+	pool       []victim
+}
+
+// without is the shortfall once a task of a job has left.
+func (t *teamShortfall) without(j *model.Job) {
+	t.cpus, t.gpus = t.cpus-j.Spec.CPUs, t.gpus-j.Spec.GPUs
+}
+
+// teamPreemption looks through the runs of a job's team, and tells whether its limit would hold
+// n tasks of the job once its less urgent work has left.
+func (r *round) teamPreemption(j *model.Job, n int) (shortfall teamShortfall, feasible bool) {
+	if j.Team == nil || j.Priority == model.Low || j.Observed.Faulty {
+		return shortfall, false
+	}
+	shortfall.cpus, shortfall.gpus = r.quota.shortfall(j, n)
+	cpus, gpus := shortfall.cpus, shortfall.gpus
+	shortfall.pool = r.teamVictimPool[:0]
+	for _, machine := range r.model.Order {
+		for _, run := range machine.Runs {
+			if run.Job.Team != j.Team {
+				continue
+			}
+			switch {
+			case !run.IsWanted():
+				shortfall.without(run.Job)
+			case mayPreemptInTeam(run, j):
+				shortfall.pool = append(shortfall.pool, victim{run, preemptionCost(run, r.now)})
+			default:
+				continue
+			}
+			cpus, gpus = cpus-run.Job.Spec.CPUs, gpus-run.Job.Spec.GPUs
+		}
+	}
+	r.teamVictimPool = shortfall.pool
+	return shortfall, cpus <= epsilon && gpus <= epsilon
+}
+
+// preemptInTeam preempts less urgent work of the job's own team when the team's limit
+// is in the way, and reserves what that leaves of the limit for the job.
+func (r *round) preemptInTeam(j *model.Job, n int, shortfall teamShortfall) {
+	r.quota.reserve(j, n)
+	if r.isPatient(j) {
+		return
+	}
+	for _, v := range shortfall.pool {
+		if !v.run.IsWanted() { // preempted since, for room on its machine
+			shortfall.without(v.run.Job)
+		}
+	}
+	slices.SortStableFunc(shortfall.pool, func(a, b victim) int { return cmp.Compare(a.cost, b.cost) })
+	for _, v := range shortfall.pool {
+		if shortfall.cpus <= epsilon && shortfall.gpus <= epsilon {
+			return
+		}
+		spec := v.run.Job.Spec
+		if !v.run.IsWanted() || shortfall.cpus > epsilon && spec.CPUs == 0 ||
+			shortfall.cpus <= epsilon && spec.GPUs == 0 {
+			continue
+		}
+		shortfall.without(v.run.Job)
+		r.binder.Preempt(v.run, false, "team quota, for job "+j.Spec.ID)
+	}
+}
