--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,26 +1,23 @@
 // Package config reads the settings file that the platform hands over.
-// Fields it does not know are ignored; a missing or invalid one is an error
-// that names it.
+// Fields that it does not know are ignored, so that a newer platform can add some; a missing or invalid one is a
+// FieldError that names it.
 package config
 
 import (
 	"errors"
 	"fmt"
-	"math"
-	"net/netip"
 	"os"
-	"slices"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the whole file.
+// Settings is the whole file. Its keys are the platform's; the fields have the terms of the code.
 type Settings struct {
-	Node       string    `toml:"node"`
-	Zone       string    `toml:"zone"`
-	Bind       string    `toml:"bind"`
-	PeerListen string    `toml:"peer_listen"`
+	Node       string    `toml:"node"`        // this controller's name
+	Zone       string    `toml:"zone"`        // where this controller is
+	Bind       string    `toml:"bind"`        // address for users and agents
+	PeerListen string    `toml:"peer_listen"` // address for the other controllers
 	Members    []Member  `toml:"members"`
 	Endpoints  Endpoints `toml:"endpoints"`
 	Params     Params    `toml:"params"`
@@ -41,9 +38,9 @@
 
 // Params is what the deployment sets.
 type Params struct {
-	InitialSize int         `toml:"initial_size"`
+	InitialSize int         `toml:"initial_size"` // machines at the start
 	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"`
+	TimeBoundMS float64     `toml:"time_bound_ms"` // by how much the time of day may differ from true time
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     Workers     `toml:"workers"`
@@ -61,16 +58,16 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one aim on starting or finishing.
+// Objective is a service-level objective on starting or finishing.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Times   float64 `toml:"times"`
-	Share   float64 `toml:"share"`
+	Kind    string  `toml:"kind"`     // wait, finished, deadline or guarantee
+	Class   string  `toml:"class"`    // the class of jobs that it is for
+	WithinS float64 `toml:"within_s"` // the time to keep, in seconds
+	Times   float64 `toml:"times"`    // the time to keep, as a multiple of the job's deadline
+	Share   float64 `toml:"share"`    // the part of the jobs that is to keep it
 }
 
-// StartWithin is the tightest time that objectives give the tasks of a class to start.
+// StartWithin is the tightest time that objectives give the tasks of a class to start; false: they give none.
 func StartWithin(all []Objective, class string) (seconds float64, ok bool) {
 	for _, o := range all {
 		if o.Kind == "wait" && o.Class == class && (!ok || o.WithinS < seconds) {
@@ -80,27 +77,27 @@
 	return seconds, ok
 }
 
-// Workers are the workers' timings in seconds.
+// Workers are the agents' times in seconds.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`
-	LeaseS     float64 `toml:"lease_s"`
-	GangWaitS  float64 `toml:"gang_wait_s"`
-	GangPeerS  float64 `toml:"gang_peer_s"`
-	CancelS    float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`    // between two heartbeats
+	LeaseS     float64 `toml:"lease_s"`     // after the last renewal an agent stops its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a member of a gang waits for the others to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // within which a running gang notices that a member is gone
+	CancelS    float64 `toml:"cancel_s"`    // by when a cancelled job's tasks must have ended
 }
 
-// KVStore is what the state service allows.
+// KVStore is what the key-value store allows.
 type KVStore struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests a second
+	WriteRPS float64 `toml:"write_rps"` // writes a second
+	ValueKB  float64 `toml:"value_kb"`  // the largest value
+	TxnOps   int     `toml:"txn_ops"`   // conditions and writes of one compare-and-swap
 }
 
 // Cloud is what the cloud allows.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests a second
+	ListLagS float64 `toml:"list_lag_s"` // by how much its list of machines is usually behind
 }
 
 // Limits are the limits of the controller's machine.
@@ -137,115 +134,21 @@
 	return &s, s.validate()
 }
 
-func (s *Settings) validate() error {
-	for _, f := range []struct{ name, v string }{{"node", s.Node}, {"zone", s.Zone}} {
-		if f.v == "" {
-			return fmt.Errorf("%s: missing", f.name)
-		}
-	}
-	addrs := []struct{ name, v string }{{"bind", s.Bind}, {"peer_listen", s.PeerListen},
-		{"endpoints.cloud", s.Endpoints.Cloud}, {"endpoints.state", s.Endpoints.KVStore}}
-	names := map[string]bool{s.Node: true}
-	for i, m := range s.Members {
-		if m.Node == "" || names[m.Node] {
-			return fmt.Errorf("members[%d].node: missing or given twice", i)
-		}
-		names[m.Node] = true
-		addrs = append(addrs, struct{ name, v string }{fmt.Sprintf("members[%d].endpoint", i), m.Addr})
-	}
-	for _, f := range addrs {
-		if f.v == "" {
-			return fmt.Errorf("%s: missing", f.name)
-		}
-		if _, err := netip.ParseAddrPort(f.v); err != nil {
-			return fmt.Errorf("%s: %q is not an address with a port", f.name, f.v)
-		}
-	}
-	p := &s.Params
-	if len(p.Teams) == 0 {
-		return fmt.Errorf("params.teams: missing")
-	}
-	if len(p.Zones) == 0 {
-		return fmt.Errorf("params.zones: missing")
-	}
-	for i, z := range p.Zones {
-		if z == "" || slices.Contains(p.Zones[:i], z) {
-			return fmt.Errorf("params.zones[%d]: empty or given twice", i)
-		}
-	}
-	teams := map[string]bool{}
-	for i, t := range p.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("params.teams[%d].name: missing or given twice", i)
-		}
-		teams[t.Name] = true
-		for _, f := range []struct {
-			name string
-			v    float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if f.v < 0 || notFinite(f.v) {
-				return fmt.Errorf("params.teams[%d].%s: %v is not an amount", i, f.name, f.v)
-			}
-		}
-	}
-	for i, o := range p.Objectives {
-		if o.WithinS < 0 || notFinite(o.WithinS) || o.Share < 0 || o.Share > 1 || notFinite(o.Share) ||
-			notFinite(o.Times) {
-			return fmt.Errorf("params.objectives[%d]: invalid", i)
-		}
-	}
-	w := &p.Workers
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{
-		{"workers.report_s", w.HeartbeatS}, {"workers.lease_s", w.LeaseS}, {"workers.gang_wait_s", w.GangWaitS},
-		{"workers.gang_peer_s", w.GangPeerS}, {"workers.cancel_s", w.CancelS},
-		{"state.rps", p.KVStore.RPS}, {"state.write_rps", p.KVStore.WriteRPS}, {"state.value_kb", p.KVStore.ValueKB},
-		{"state.txn_ops", float64(p.KVStore.TxnOps)}, {"cloud.rps", p.Cloud.RPS},
-		{"machine_limits.cpu_share", p.Limits.CPUShare}, {"machine_limits.memory_mb", p.Limits.MemoryMB},
-		{"machine_limits.max_sockets", float64(p.Limits.MaxSockets)},
-	} {
-		if !(f.v > 0) || notFinite(f.v) {
-			return fmt.Errorf("params.%s: missing or not above 0", f.name)
-		}
-	}
-	if p.Cloud.ListLagS < 0 || notFinite(p.Cloud.ListLagS) || p.TimeBoundMS < 0 || notFinite(p.TimeBoundMS) {
-		return fmt.Errorf("params.cloud.list_lag_s or params.time_bound_ms: invalid")
-	}
-	if w.LeaseS <= w.HeartbeatS {
-		return fmt.Errorf("params.workers.lease_s: must be above report_s")
-	}
-	if w.CancelS <= w.LeaseS {
-		return fmt.Errorf("params.workers.cancel_s: must be above lease_s")
-	}
-	if s.StaleRenewalLimit() <= 0 {
-		return fmt.Errorf(
-			"params.workers.cancel_s: %v leaves no room over lease_s of %v: what clocks may differ by takes it up",
-			w.CancelS,
-			w.LeaseS,
-		)
-	}
-	if p.KVStore.ValueKB < 1 || p.KVStore.TxnOps < 3 {
-		return fmt.Errorf("params.state: value_kb under 1 or txn_ops under 3")
-	}
-	return nil
-}
-
-func notFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) }
-
 // Seconds turns a setting into a duration.
 func Seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-// StaleRenewalLimit is how long a node that is cut off from the log may keep workers'
-// leases alive: a cancellation it can't know of must still take effect in time.
+// clockDriftShare is how much of cancel_s is left for clocks: twice what the platform allows two of them to differ by.
+const clockDriftShare = 0.001
+
+// maxUnmeasuredSeconds bounds what is left of cancel_s for what nobody measures.
+const maxUnmeasuredSeconds = 2
+
+// StaleRenewalLimit is how long a controller that is partitioned from the log may keep renewing agents'
+// leases: a cancellation that it can't know of must still take effect in time.
 // docs/DESIGN.md has the sum. What is left of cancel_s is for what nobody measures, at most two seconds,
-// and for the drift of this node's clock and the worker's.
+// and for the drift of this controller's clock and the agent's.
 func (s *Settings) StaleRenewalLimit() time.Duration {
 	w := &s.Params.Workers
 	slack := w.CancelS - w.LeaseS
-	return Seconds(slack - min(2, slack/3) - clockDriftShare*w.CancelS)
+	return Seconds(slack - min(maxUnmeasuredSeconds, slack/3) - clockDriftShare*w.CancelS)
 }
-
-// clockDriftShare is how much of cancel_s is left for clocks: twice what the platform allows two of them to differ by.
-const clockDriftShare = 0.001
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 	if s.Members[0].Addr != "10.0.0.2:81" || s.Params.Workers.CancelS != 49 || s.Params.Teams[0].CPUsMax != 0 {
 		t.Errorf("read %+v", s)
 	}
-	// Workers cut off for the whole bound still end in time for a cancellation.
+	// Agents that are partitioned for the whole limit still end in time for a cancellation.
 	if limit := s.StaleRenewalLimit(); limit <= 0 ||
 		limit+Seconds(s.Params.Workers.LeaseS) >= Seconds(s.Params.Workers.CancelS) {
 		t.Errorf("leases are kept for %v", time.Duration(limit))
@@ -96,9 +96,9 @@
 }
 
 // TestLeasesEndInTime adds up, for settings drawn at random, the longest that a task of a job can live that was
-// cancelled just after a node last knew of all that was confirmed: the node looks at its bound by its own clock when
-// it reads a report, which was sent before; the worker counts the lease by its own from the sending. Both clocks are
-// as slow as the platform allows. The sum is in docs/DESIGN.md.
+// cancelled just after a controller last knew of all that was confirmed: the controller looks at its limit by its own
+// clock when it reads a heartbeat, which was sent before; the agent counts the lease by its own from the sending. Both
+// clocks are as slow as the platform allows. The sum is in docs/DESIGN.md.
 func TestLeasesEndInTime(t *testing.T) {
 	refused, narrow := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
