--- a/internal/scheduling/provisioner/golden_test.go
+++ b/internal/scheduling/provisioner/golden_test.go
@@ -10,19 +10,12 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenOutcomes: the outcomes between controllers are written and read as they always were, each kind by
+// TestGoldenOutcomes: the results between controllers are written and read as they always were, each kind by
 // its number.
 func TestGoldenOutcomes(t *testing.T) {
 	rows := []wire.ListedMachine{
-		{
-			Name:  "host-1",
-			Addr:  "10.1.0.1:1",
-			Type:  "small",
-			Zone:  "a",
-			Spot:  true,
-			State: wire.MachineRunning,
-			AgeS:  61.5,
-		},
+		{Name: "host-1", Addr: "10.1.0.1:1", Type: "small", Zone: "a", Spot: true, State: wire.MachineRunning,
+			AgeS: 61.5},
 		{Name: "host-2", Zone: "b", State: wire.MachineBooting},
 	}
 	offers := []wire.MachineType{
@@ -35,9 +28,11 @@
 		number byte
 		want   Result
 	}{
-		{"hired.hex", 1, Result{Kind: ScaledOut, Machines: []string{"host-1", "host-2"}, Elapsed: 1500 * time.Millisecond,
-			ScaleOut: ScaleOut{Name: "fh-3-1", Type: "small", Zone: "a", Spot: true, Count: 12}}},
-		{"hired-none.hex", 1, Result{Kind: ScaledOut, ScaleOut: ScaleOut{Name: "fh-3-2", Count: 50}, Machines: []string{}}},
+		{"hired.hex", 1, Result{Kind: ScaledOut, Machines: []string{"host-1", "host-2"},
+			ScaleOut: ScaleOut{Name: "fh-3-1", Type: "small", Zone: "a", Spot: true, Count: 12},
+			Elapsed:  1500 * time.Millisecond}},
+		{"hired-none.hex", 1, Result{Kind: ScaledOut, Machines: []string{},
+			ScaleOut: ScaleOut{Name: "fh-3-2", Count: 50}}},
 		{"returned.hex", 2, Result{Kind: Released, Machines: []string{"host-1", "host-300"}}},
 		{"listed.hex", 3, Result{Kind: MachinesListed, Listing: rows}},
 		{"listed-none.hex", 3, Result{Kind: MachinesListed}},
@@ -52,12 +47,12 @@
 	}
 	for _, number := range []byte{0, 6} {
 		if _, err := ReadResult([]byte{number}); err == nil {
-			t.Errorf("an outcome of kind %d is read", number)
+			t.Errorf("a result of kind %d is read", number)
 		}
 	}
 }
 
-// TestGoldenRows: as many rows as an outcome may always carry are read.
+// TestGoldenRows: as many rows as a result may always carry are read.
 func TestGoldenRows(t *testing.T) {
 	b := codec.Uint([]byte{3}, 300)
 	for i := range 300 {
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// MaxListedMachines is how many rows of the machine list an outcome may carry between controllers.
+// MaxListedMachines is how many rows of the machine list a result may carry between controllers.
 const MaxListedMachines = 300
 
-// Append encodes an outcome for another controller.
+// Append encodes a result for another controller.
 func (result *Result) Append(b []byte) []byte {
 	b = append(b, byte(result.Kind))
 	switch result.Kind {
@@ -32,17 +32,36 @@
 	case TypesListed:
 		b = codec.Uint(b, uint64(len(result.MachineTypes)))
 		for i := range result.MachineTypes {
-			machineType := &result.MachineTypes[i]
-			b = codec.String(b, machineType.Name)
-			for _, f := range []float64{machineType.CPUs, machineType.GPUs, machineType.MemoryGB, machineType.CacheGB, machineType.FetchGBPerS, machineType.Price, machineType.SpotPrice, machineType.BootS} {
-				b = codec.Float(b, f)
-			}
-			b = appendNames(b, machineType.Zones)
+			b = appendType(b, &result.MachineTypes[i])
 		}
 	}
 	return b
 }
 
+// typeNumbers are the numbers of a machine type, in the order of the format.
+func typeNumbers(t *wire.MachineType) []*float64 {
+	return []*float64{
+		&t.CPUs, &t.GPUs, &t.MemoryGB, &t.CacheGB, &t.FetchGBPerS, &t.Price, &t.SpotPrice, &t.BootS,
+	}
+}
+
+func appendType(b []byte, t *wire.MachineType) []byte {
+	b = codec.String(b, t.Name)
+	for _, f := range typeNumbers(t) {
+		b = codec.Float(b, *f)
+	}
+	return appendNames(b, t.Zones)
+}
+
+func readType(r *codec.Reader) wire.MachineType {
+	t := wire.MachineType{Name: r.String()}
+	for _, f := range typeNumbers(&t) {
+		*f = r.Float()
+	}
+	t.Zones = readNames(r)
+	return t
+}
+
 func appendRow(b []byte, r *wire.ListedMachine) []byte {
 	for _, s := range []string{r.Name, r.Addr, r.Type, r.Zone, r.State} {
 		b = codec.String(b, s)
@@ -50,8 +69,20 @@
 	return codec.Float(codec.Bool(b, r.Spot), r.AgeS)
 }
 
-// SplitListed makes outcomes of a machine list, each of MaxListedMachines rows and about so many bytes at most. An
-// empty list is one outcome too: it says that the cloud answers.
+func readRow(r *codec.Reader) wire.ListedMachine {
+	return wire.ListedMachine{
+		Name:  r.String(),
+		Addr:  r.String(),
+		Type:  r.String(),
+		Zone:  r.String(),
+		State: r.String(),
+		Spot:  r.Bool(),
+		AgeS:  r.Float(),
+	}
+}
+
+// SplitListed makes results of a machine list, each of MaxListedMachines rows and about so many bytes at most. An
+// empty list is one result too: it says that the cloud answers.
 func SplitListed(rows []wire.ListedMachine, maxBytes int) (parts []*Result) {
 	from, size := 0, 0
 	var row []byte
@@ -83,12 +114,13 @@
 	return list
 }
 
-// ReadResult decodes an outcome. What is cut short or goes on is an error.
+// ReadResult decodes a result. What is truncated or goes on is an error.
 func ReadResult(b []byte) (*Result, error) {
 	if len(b) == 0 {
 		return nil, codec.ErrShort
 	}
-	result, r := &Result{Kind: ResultKind(b[0])}, &codec.Reader{Data: b[1:]}
+	result := &Result{Kind: ResultKind(b[0])}
+	r := &codec.Reader{Data: b[1:]}
 	switch result.Kind {
 	case ScaledOut:
 		result.ScaleOut = ScaleOut{
@@ -104,27 +136,11 @@
 		result.Machines = readNames(r)
 	case MachinesListed:
 		for range r.Max(MaxListedMachines) {
-			result.Listing = append(
-				result.Listing,
-				wire.ListedMachine{
-					Name:  r.String(),
-					Addr:  r.String(),
-					Type:  r.String(),
-					Zone:  r.String(),
-					State: r.String(),
-					Spot:  r.Bool(),
-					AgeS:  r.Float(),
-				},
-			)
+			result.Listing = append(result.Listing, readRow(r))
 		}
 	case TypesListed:
 		for range r.Max(uint64(len(r.Data))) {
-			machineType := wire.MachineType{Name: r.String()}
-			for _, f := range []*float64{&machineType.CPUs, &machineType.GPUs, &machineType.MemoryGB, &machineType.CacheGB, &machineType.FetchGBPerS, &machineType.Price, &machineType.SpotPrice, &machineType.BootS} {
-				*f = r.Float()
-			}
-			machineType.Zones = readNames(r)
-			result.MachineTypes = append(result.MachineTypes, machineType)
+			result.MachineTypes = append(result.MachineTypes, readType(r))
 		}
 	case CloudUnavailable:
 	default:
--- a/internal/scheduling/provisioner/result_test.go
+++ b/internal/scheduling/provisioner/result_test.go
@@ -17,14 +17,17 @@
 	"fieldhill/wire"
 )
 
-// TestResultRoundTrip: what is written is read, and what is cut short anywhere, or goes on, is refused.
+// TestResultRoundTrip: what is written is read, and what is truncated anywhere, or goes on, is refused.
 func TestResultRoundTrip(t *testing.T) {
 	for _, result := range []Result{
-		{Kind: ScaledOut, ScaleOut: ScaleOut{"fh-3-1", "small", "a", true, 12}, Machines: []string{"host-1", "host-2"}, Elapsed: 1500 * time.Millisecond},
+		{Kind: ScaledOut, ScaleOut: ScaleOut{"fh-3-1", "small", "a", true, 12}, Machines: []string{"host-1", "host-2"},
+			Elapsed: 1500 * time.Millisecond},
 		{Kind: ScaledOut, ScaleOut: ScaleOut{Name: "fh-3-2", Count: 50}, Machines: []string{}},
 		{Kind: Released, Machines: []string{"host-1"}},
-		{Kind: MachinesListed, Listing: []wire.ListedMachine{{Name: "host-1", Addr: "10.1.0.1:1", Type: "small", Zone: "a", Spot: true, State: wire.MachineRunning, AgeS: 61.5}}},
-		{Kind: TypesListed, MachineTypes: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.18, BootS: 25, Zones: []string{"a", "b"}}}},
+		{Kind: MachinesListed, Listing: []wire.ListedMachine{{Name: "host-1", Addr: "10.1.0.1:1", Type: "small",
+			Zone: "a", Spot: true, State: wire.MachineRunning, AgeS: 61.5}}},
+		{Kind: TypesListed, MachineTypes: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.18,
+			BootS: 25, Zones: []string{"a", "b"}}}},
 		{Kind: CloudUnavailable},
 	} {
 		encoded := result.Append(nil)
@@ -46,8 +49,8 @@
 	}
 }
 
-// TestListInParts: a list of any length is told whole, each part is one that other controllers read, and an empty one
-// is told.
+// TestListInParts: a list of any length is reported whole, each part is one that other controllers read, and an empty
+// one is reported.
 func TestListInParts(t *testing.T) {
 	const most = 64 << 10
 	for _, c := range []struct{ rows, letters, parts int }{
@@ -77,7 +80,7 @@
 	}
 }
 
-// TestListIsTimed: an outcome tells how long the whole list took to read, page after page.
+// TestListIsTimed: a result says how long the whole list took to read, page after page.
 func TestListIsTimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pages, each = 20, 1500 * time.Millisecond // 10,000 machines
@@ -87,26 +90,28 @@
 			t.Fatal(err)
 		}
 		read := 0
-		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(each)
 			read++
 			rows := []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", read)}}
 			b, _ := wire.Marshal(&wire.MachineList{More: read < pages, Machines: rows})
 			_, _ = w.Write(b)
 		})}
-		go func() { _ = srv.Serve(ln) }()
+		go func() { _ = server.Serve(ln) }()
 		ctx, stop := context.WithCancel(t.Context())
 		client := cloud.New(network.Host("node"), "cloud:1", 100)
-		told := make(chan Result, 1)
-		d := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() },
-			func(o Result) { told <- o }, slog.New(slog.DiscardHandler))
-		d.fetchListing()
-		if o := <-told; o.Kind != MachinesListed || len(o.Listing) != pages || o.Elapsed < pages*each {
+		results := make(chan Result, 1)
+		p := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() },
+			func(r Result) { results <- r }, slog.New(slog.DiscardHandler))
+		p.fetchListing()
+		if o := <-results; o.Kind != MachinesListed || len(o.Listing) != pages || o.Elapsed < pages*each {
 			t.Errorf("kind %d, %d rows, read in %v; it took %v and more", o.Kind, len(o.Listing), o.Elapsed, pages*each)
 		}
 		stop()
 		client.Close()
-		srv.Close()
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
 		time.Sleep(time.Minute)
 	})
 }
