--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,5 +1,5 @@
-// Package operate is the operators' face of a controller: read-only questions about jobs, in
-// JSON, on an address of its own. It bounds and routes; a Service answers.
+// Package adminapi is the operators' interface of a controller: read-only questions about jobs and roles, in JSON, on
+// an address of its own. It bounds and routes requests and spells results; a Service answers.
 package adminapi
 
 import (
@@ -18,27 +18,37 @@
 	"fieldhill/wire"
 )
 
-// Filter picks jobs of the queue; empty fields pick all.
+// Filter picks jobs of the queue; empty fields pick all. It is part of the frames between controllers as well.
 type Filter struct {
 	Team   string `json:"team,omitempty"`
 	Class  string `json:"class,omitempty"`
 	Reason string `json:"reason,omitempty"` // a code's name
-	Limit  int    `json:"most"`             // how many jobs to list, 1 to wire.MostQueued
+	Limit  int    `json:"most"`             // how many jobs to list, 1 to wire.MaxQueued
 }
 
-// Service answers. Bodies of replies are JSON.
+// Service answers questions. Its methods are called by many goroutines.
 type Service interface {
+	// Explain says why a job is pending.
 	Explain(ctx context.Context, id string) result.Result
-	Queue(ctx context.Context, f Filter) result.Result
+	// Queue lists the pending jobs that a filter picks.
+	Queue(ctx context.Context, filter Filter) result.Result
+	// Roles lists the singleton roles and their holders.
 	Roles(ctx context.Context) result.Result
 }
 
 // MaxConns bounds the connections to the operators' address, and with them the questions at once.
 const MaxConns = 8
 
+const (
+	// defaultLimit is how many jobs of the queue are listed where the query does not say.
+	defaultLimit = 50
+	// maxQueryValue bounds the length of a value of a query.
+	maxQueryValue = 200
+)
+
 // Serve answers on a listener until the context ends.
-func Serve(ctx context.Context, ln net.Listener, s Service, logger *slog.Logger) error {
-	return api.Serve(ctx, ln, &api.ConnLimiter{MaxConns: MaxConns}, Handler(s), logger)
+func Serve(ctx context.Context, listener net.Listener, service Service, logger *slog.Logger) error {
+	return api.Serve(ctx, listener, &api.ConnLimiter{MaxConns: MaxConns}, Handler(service), logger)
 }
 
 // encoding is that of operators, and of the calls between controllers that are made for them.
@@ -51,65 +61,74 @@
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
 // Handler routes questions to a service.
-func Handler(s Service) http.Handler {
+func Handler(service Service) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+wire.PathAdminJobs+"/{id}"+wire.WhySuffix, func(w http.ResponseWriter, r *http.Request) {
+	handle := func(pattern string, answer func(r *http.Request) result.Result) {
+		mux.HandleFunc("GET "+pattern, func(w http.ResponseWriter, r *http.Request) {
+			writeResponse(w, Respond(answer(r)))
+		})
+	}
+	handle(wire.PathAdminJobs+"/{id}"+wire.WhySuffix, func(r *http.Request) result.Result {
 		id := r.PathValue("id")
 		if _, ok := wire.JobNumber(id); !ok {
-			writeResult(w, result.Invalid{Reason: fmt.Sprintf("id: %q is not a job's id, such as req-000412", id)})
-			return
+			return result.Invalid{Reason: fmt.Sprintf("id: %q is not a job's id, such as req-000412", id)}
 		}
-		writeResult(w, s.Explain(r.Context(), id))
+		return service.Explain(r.Context(), id)
 	})
-	mux.HandleFunc("GET "+wire.PathAdminQueue, func(w http.ResponseWriter, r *http.Request) {
-		f, err := readFilter(r)
+	handle(wire.PathAdminQueue, func(r *http.Request) result.Result {
+		filter, err := readFilter(r)
 		if err != nil {
-			writeResult(w, result.Invalid{Reason: err.Error()})
-			return
+			return result.Invalid{Reason: err.Error()}
 		}
-		writeResult(w, s.Queue(r.Context(), f))
-	})
-	mux.HandleFunc("GET "+wire.PathAdminRoles, func(w http.ResponseWriter, r *http.Request) {
-		writeResult(w, s.Roles(r.Context()))
+		return service.Queue(r.Context(), filter)
 	})
+	handle(wire.PathAdminRoles, func(r *http.Request) result.Result { return service.Roles(r.Context()) })
 	return mux
 }
 
+// queryError says what is wrong with a field of a query; its text is part of the answer.
+type queryError struct{ field, problem string }
+
+// Error names the field first.
+func (e *queryError) Error() string { return e.field + ": " + e.problem }
+
 // readFilter reads a query; what it does not know is an error, or a misspelt filter would list all.
-func readFilter(r *http.Request) (f Filter, err error) {
-	f.Limit = 50
-	for k, v := range r.URL.Query() {
-		if len(v) != 1 || len(v[0]) > 200 {
-			return f, fmt.Errorf("%s: given more than once, or too long", k)
+func readFilter(r *http.Request) (filter Filter, err error) {
+	filter.Limit = defaultLimit
+	for field, values := range r.URL.Query() {
+		if len(values) != 1 || len(values[0]) > maxQueryValue {
+			return filter, &queryError{field, "given more than once, or too long"}
 		}
-		switch k {
+		value := values[0]
+		switch field {
 		case "team":
-			f.Team = v[0]
+			filter.Team = value
 		case "class":
-			f.Class = v[0]
+			filter.Class = value
 		case "reason":
-			if f.Reason = v[0]; f.Reason != "" {
-				if _, ok := pending.ParseCode(f.Reason); !ok {
-					return f, fmt.Errorf("reason: %q is no code of docs/WHY.md", v[0])
-				}
+			filter.Reason = value
+			if _, ok := pending.ParseCode(value); value != "" && !ok {
+				return filter, &queryError{field, fmt.Sprintf("%q is no code of docs/WHY.md", value)}
 			}
 		case "most":
-			if f.Limit, err = strconv.Atoi(v[0]); err != nil || f.Limit < 1 || f.Limit > wire.MaxQueued {
-				return f, fmt.Errorf("most: %q is not a number from 1 to %d", v[0], wire.MaxQueued)
+			filter.Limit, err = strconv.Atoi(value)
+			if err != nil || filter.Limit < 1 || filter.Limit > wire.MaxQueued {
+				problem := fmt.Sprintf("%q is not a number from 1 to %d", value, wire.MaxQueued)
+				return filter, &queryError{field, problem}
 			}
 		default:
-			return f, fmt.Errorf("%s: unknown; team, class, reason and most are known", k)
+			return filter, &queryError{field, "unknown; team, class, reason and most are known"}
 		}
 	}
-	return f, nil
+	return filter, nil
 }
 
-func writeResult(w http.ResponseWriter, r result.Result) {
-	response := Respond(r)
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
+// writeResponse writes a response, and ends its line for whoever reads it in a terminal.
+func writeResponse(w http.ResponseWriter, response *rpc.Response) {
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
 	if response.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(response.RetryAfter))
+		header.Set("Retry-After", strconv.Itoa(response.RetryAfter))
 	}
 	w.WriteHeader(response.Status)
 	_, _ = w.Write(append(response.Body, '\n'))
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -67,30 +67,33 @@
 	return t.Name()
 }
 
-// TestPublishedSchemas: the schemas in docs/schema are those of the messages, answers are valid by
-// them, and an answer with a field that is missing or of another kind is not.
-func TestPublishedSchemas(t *testing.T) {
-	s := &stubService{
+// answering is a service with an answer to each question.
+func answering() *stubService {
+	reason := wire.Reason{
+		Code:    "team-limit",
+		Text:    "its team's limit",
+		Binding: true,
+		Unit:    "CPUs",
+		Need:    4,
+		Used:    24,
+		Limit:   24,
+	}
+	return &stubService{
 		explanation: &wire.Explanation{
-			ID:    "req-000412",
-			State: "pending",
-			Node:  "n",
-			Reasons: []wire.Reason{
-				{
-					Code:    "team-limit",
-					Text:    "its team's limit",
-					Binding: true,
-					Unit:    "CPUs",
-					Need:    4,
-					Used:    24,
-					Limit:   24,
-				},
-			},
+			ID:      "req-000412",
+			State:   "pending",
+			Node:    "n",
+			Reasons: []wire.Reason{reason},
 			Pairs:   [][2]string{{"queue", "no-room"}},
 			History: []wire.ReasonPeriod{{Code: "team-limit", SinceS: 3}},
 		},
 		queue: &wire.Queue{Node: "n", Jobs: []wire.QueuedJob{{Position: 1, ID: "req-000412", Reason: "no-room"}}},
 	}
+}
+
+// TestPublishedSchemas: the schemas in docs/schema are those of the messages, answers are valid by
+// them, and an answer with a field that is missing or of another kind is not.
+func TestPublishedSchemas(t *testing.T) {
 	for _, c := range []struct {
 		file, path string
 		of         any
@@ -99,49 +102,55 @@
 		{"queue.json", wire.PathAdminQueue, &wire.Queue{}},
 		{"duties.json", wire.PathAdminRoles, &wire.RoleList{}},
 	} {
-		// Newer versions may add fields, which clients ignore.
-		b, err := json.MarshalIndent(
-			(&generate.Reflector{AllowAdditionalProperties: true, Anonymous: true, Namer: publishedName}).Reflect(c.of),
-			"",
-			"  ",
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		schemaPath := filepath.Join("..", "..", "docs", "schema", c.file)
-		if golden.Updating() {
-			if err := os.WriteFile(schemaPath, append(b, '\n'), 0o644); err != nil {
-				t.Fatal(err)
+		t.Run(c.file, func(t *testing.T) {
+			schema := publishedSchema(t, c.file, c.of)
+			w := get(answering(), c.path)
+			doc, err := validate.UnmarshalJSON(w.Body)
+			if err != nil || w.Code != 200 {
+				t.Fatal(w.Code, err)
 			}
-		}
-		published, err := os.ReadFile(schemaPath)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(bytes.TrimSpace(published), b) {
-			t.Errorf("%s is not the schema of %T: run go test ./internal/operate -update", schemaPath, c.of)
-		}
-		schema, err := validate.NewCompiler().Compile(schemaPath)
-		if err != nil {
+			if err := schema.Validate(doc); err != nil {
+				t.Errorf("the answer at %s is not valid: %v", c.path, err)
+			}
+			m := doc.(map[string]any)
+			m["node"] = 7
+			if schema.Validate(m) == nil {
+				t.Errorf("%s allows a node that is a number", c.file)
+			}
+			if delete(m, "node"); schema.Validate(m) == nil {
+				t.Errorf("%s allows an answer without a node", c.file)
+			}
+		})
+	}
+}
+
+// publishedSchema is the schema in a file of docs/schema, which must be that of a message.
+func publishedSchema(t *testing.T, file string, of any) *validate.Schema {
+	t.Helper()
+	// Newer versions may add fields, which clients ignore.
+	reflector := generate.Reflector{AllowAdditionalProperties: true, Anonymous: true, Namer: publishedName}
+	generated, err := json.MarshalIndent(reflector.Reflect(of), "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	schemaPath := filepath.Join("..", "..", "docs", "schema", file)
+	if golden.Updating() {
+		if err := os.WriteFile(schemaPath, append(generated, '\n'), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		w := get(s, c.path)
-		doc, err := validate.UnmarshalJSON(w.Body)
-		if err != nil || w.Code != 200 {
-			t.Fatal(w.Code, err)
-		}
-		if err := schema.Validate(doc); err != nil {
-			t.Errorf("the answer at %s is not valid: %v", c.path, err)
-		}
-		m := doc.(map[string]any)
-		m["node"] = 7
-		if schema.Validate(m) == nil {
-			t.Errorf("%s allows a node that is a number", c.file)
-		}
-		if delete(m, "node"); schema.Validate(m) == nil {
-			t.Errorf("%s allows an answer without a node", c.file)
-		}
 	}
+	published, err := os.ReadFile(schemaPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(bytes.TrimSpace(published), generated) {
+		t.Errorf("%s is not the schema of %T: run go test ./internal/adminapi -update", schemaPath, of)
+	}
+	schema, err := validate.NewCompiler().Compile(schemaPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return schema
 }
 
 // TestMalformedQueries: what is malformed is refused with the field's name before anybody is asked.
@@ -166,11 +175,8 @@
 	if len(s.requests) != 0 {
 		t.Errorf("somebody was asked: %v", s.requests)
 	}
-	if get(
-		s,
-		"/v1/queue?team=red&reason=paced&most=500",
-	); len(s.requests) != 1 ||
-		s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
+	get(s, "/v1/queue?team=red&reason=paced&most=500")
+	if len(s.requests) != 1 || s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
 		t.Errorf("asked %+v", s.requests)
 	}
 	if w := get(s, "/api/jobs"); w.Code != 404 {
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -88,7 +88,8 @@
 		}
 	}
 	golden.Check(t, "filter-empty.json", encoding.Message(http.StatusOK, &Filter{}).Body)
-	golden.Check(t, "why-empty.json", encoding.Message(http.StatusOK, &wire.Explanation{Reasons: []wire.Reason{{}}}).Body)
+	emptyReason := &wire.Explanation{Reasons: []wire.Reason{{}}}
+	golden.Check(t, "why-empty.json", encoding.Message(http.StatusOK, emptyReason).Body)
 }
 
 // scripted gives one answer to everything, and notes what it was asked.
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP face of a controller, for users, workers and health
-// checks. It decodes, bounds and answers; what the answer is, a Service decides.
+// Package api is the HTTP interface of a controller for users, agents and health checks. It decodes and bounds requests
+// and spells results; a Service decides what comes of them.
 package api
 
 import (
@@ -21,17 +21,30 @@
 	"fieldhill/wire"
 )
 
-// Service decides the answers.
+// Service decides what comes of requests. Its methods are called by many goroutines.
 type Service interface {
+	// Submit accepts the job that the body has, each job once.
 	Submit(ctx context.Context, body []byte) result.Result
+	// Status returns the state of a job.
 	Status(ctx context.Context, id string) result.Result
+	// Cancel cancels a job and returns its state.
 	Cancel(ctx context.Context, id string) result.Result
-	Heartbeat(ctx context.Context, r *wire.Heartbeat) result.Result
+	// Heartbeat takes in an agent's heartbeat and renews its lease.
+	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) result.Result
+	// Ready tells whether the load balancer may send requests here.
 	Ready() bool
 }
 
-// RequestKinds name the requests that Handler tells of.
-var RequestKinds = []string{"submit", "status", "cancel", "report"}
+// The kinds of requests, as metrics name them.
+const (
+	kindSubmit    = "submit"
+	kindStatus    = "status"
+	kindCancel    = "cancel"
+	kindHeartbeat = "report"
+)
+
+// RequestKinds are the kinds of requests that Handler reports to its observer.
+var RequestKinds = []string{kindSubmit, kindStatus, kindCancel, kindHeartbeat}
 
 // ConnLimiter bounds and counts a server's open connections.
 type ConnLimiter struct {
@@ -39,14 +52,14 @@
 	open     atomic.Int64
 }
 
-// NearLimit tells whether so many connections are open that workers are to give theirs back: they
-// come every few seconds, while users and health checks need to get in at any time. A leader of
-// more workers than connections used to accept nobody for as long as they held on to theirs.
+// NearLimit tells whether so many connections are open that agents are to close theirs: they come every few seconds,
+// while users and health checks need to get in at any time. A leader with more agents than connections used to accept
+// nobody for as long as they kept theirs.
 func (c *ConnLimiter) NearLimit() bool { return c.open.Load()*8 > int64(c.MaxConns)*7 }
 
 // onConnState is for http.Server.ConnState.
-func (c *ConnLimiter) onConnState(_ net.Conn, s http.ConnState) {
-	switch s {
+func (c *ConnLimiter) onConnState(_ net.Conn, state http.ConnState) {
+	switch state {
 	case http.StateNew:
 		c.open.Add(1)
 	case http.StateClosed, http.StateHijacked:
@@ -54,109 +67,134 @@
 	}
 }
 
-// Handler routes requests to a service, and tells of each answer and how long it took. The
-// crowd is that of the server that it will serve.
+// Handler routes requests to a service, and reports each answer with the time that it took. The limiter is that of the
+// server that it will serve.
 func Handler(
-	s Service,
+	service Service,
 	logger *slog.Logger,
 	limiter *ConnLimiter,
 	onResponse func(kind string, status int, took time.Duration),
 ) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(kind, pattern string, f func(w http.ResponseWriter, r *http.Request) result.Result) {
+	handle := func(kind, pattern string, answer func(w http.ResponseWriter, r *http.Request) result.Result) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			start := time.Now()
-			response := Respond(f(w, r))
+			response := Respond(answer(w, r))
 			onResponse(kind, response.Status, time.Since(start))
 			writeResponse(w, response)
 		})
 	}
-	handle("submit", "POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) result.Result {
+	handle(kindSubmit, "POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) result.Result {
 		body, err := readBody(w, r)
 		if err != nil {
 			return result.Invalid{Reason: err.Error()}
 		}
-		return s.Submit(r.Context(), body)
+		return service.Submit(r.Context(), body)
 	})
-	handle("status", "GET "+wire.PathJobs+"/{id}", func(w http.ResponseWriter, r *http.Request) result.Result {
-		return s.Status(r.Context(), r.PathValue("id"))
+	jobPath := wire.PathJobs + "/{id}"
+	handle(kindStatus, "GET "+jobPath, func(_ http.ResponseWriter, r *http.Request) result.Result {
+		return service.Status(r.Context(), r.PathValue("id"))
 	})
-	handle(
-		"cancel",
-		"POST "+wire.PathJobs+"/{id}"+wire.CancelSuffix,
-		func(w http.ResponseWriter, r *http.Request) result.Result {
-			return s.Cancel(r.Context(), r.PathValue("id"))
-		},
-	)
-	mux.HandleFunc("GET "+wire.PathReady, func(w http.ResponseWriter, r *http.Request) {
-		if s.Ready() {
-			w.WriteHeader(http.StatusOK)
-		} else {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
+	handle(kindCancel, "POST "+jobPath+wire.CancelSuffix, func(_ http.ResponseWriter, r *http.Request) result.Result {
+		return service.Cancel(r.Context(), r.PathValue("id"))
 	})
-	handle("report", "POST "+wire.PathHeartbeat, func(w http.ResponseWriter, r *http.Request) result.Result {
+	handle(kindHeartbeat, "POST "+wire.PathHeartbeat, func(w http.ResponseWriter, r *http.Request) result.Result {
 		if limiter.NearLimit() {
 			w.Header().Set("Connection", "close")
 		}
-		body, err := readBody(w, r)
-		var heartbeat wire.Heartbeat
-		if err == nil {
-			err = wire.Unmarshal(body, &heartbeat)
-		}
-		if err == nil && (heartbeat.Machine == "" || heartbeat.AgentEpoch == 0) {
-			err = errors.New("no machine or session")
-		}
+		heartbeat, err := readHeartbeat(w, r)
 		if err != nil {
 			logger.Warn("malformed heartbeat", "remote_addr", r.RemoteAddr, "err", err)
 			return result.Invalid{Reason: err.Error()}
 		}
-		return s.Heartbeat(r.Context(), &heartbeat)
+		return service.Heartbeat(r.Context(), heartbeat)
+	})
+	mux.HandleFunc("GET "+wire.PathReady, func(w http.ResponseWriter, _ *http.Request) {
+		if service.Ready() {
+			w.WriteHeader(http.StatusOK)
+		} else {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
 	})
 	return mux
 }
 
+// What is wrong with a body; the texts are part of the answer.
+var (
+	errBodyTooLarge = errors.New("body too large")
+	errNoSender     = errors.New("no machine or session")
+)
+
+// readBody reads the body of a request, of no more than wire.MaxBody bytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > wire.MaxBody {
-		return nil, errors.New("body too large")
+		return nil, errBodyTooLarge
 	}
-	if n := r.ContentLength; n >= 0 {
-		b := make([]byte, n)
-		_, err := io.ReadFull(r.Body, b)
-		return b, err
+	if length := r.ContentLength; length >= 0 {
+		body := make([]byte, length)
+		_, err := io.ReadFull(r.Body, body)
+		return body, err
 	}
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 }
 
+// readHeartbeat reads a heartbeat that says whose it is.
+func readHeartbeat(w http.ResponseWriter, r *http.Request) (*wire.Heartbeat, error) {
+	body, err := readBody(w, r)
+	if err != nil {
+		return nil, err
+	}
+	heartbeat := &wire.Heartbeat{}
+	if err := wire.Unmarshal(body, heartbeat); err != nil {
+		return nil, err
+	}
+	if heartbeat.Machine == "" || heartbeat.AgentEpoch == 0 {
+		return nil, errNoSender
+	}
+	return heartbeat, nil
+}
+
+var contentType = []string{wire.ContentType}
+
+// writeResponse writes a response. Header values are set without canonicalization: heartbeats make it the busiest
+// function of a server.
 func writeResponse(w http.ResponseWriter, response *rpc.Response) {
-	h := w.Header()
-	h["Content-Type"] = contentType
-	h["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
+	header := w.Header()
+	header["Content-Type"] = contentType
+	header["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
 	if response.RetryAfter > 0 {
-		h["Retry-After"] = []string{strconv.Itoa(response.RetryAfter)}
+		header["Retry-After"] = []string{strconv.Itoa(response.RetryAfter)}
 	}
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body)
+	_, _ = w.Write(response.Body) // who does not take the answer asks again
 }
 
-var contentType = []string{wire.ContentType}
+// Time and size limits of a server. Requests are small, and answers come within seconds.
+const (
+	readHeaderTimeout = 10 * time.Second
+	readTimeout       = 15 * time.Second
+	writeTimeout      = 15 * time.Second
+	idleTimeout       = 90 * time.Second
+	maxHeaderBytes    = 8 << 10
+)
 
-// Serve answers on a listener until the context ends, with a bounded number of
-// connections.
-func Serve(ctx context.Context, ln net.Listener, limiter *ConnLimiter, h http.Handler, logger *slog.Logger) error {
+// Serve answers on a listener until the context ends, with a bounded number of connections.
+func Serve(
+	ctx context.Context, listener net.Listener, limiter *ConnLimiter, handler http.Handler, logger *slog.Logger,
+) error {
 	server := &http.Server{
-		Handler:           h,
+		Handler:           handler,
 		ConnState:         limiter.onConnState,
-		ReadHeaderTimeout: 10 * time.Second,
-		ReadTimeout:       15 * time.Second,
-		WriteTimeout:      15 * time.Second,
-		IdleTimeout:       90 * time.Second,
-		MaxHeaderBytes:    8 << 10,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(trimmingHandler{logger.Handler()}, slog.LevelDebug),
 	}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the listener's error ends Serve below
 	defer stop()
-	err := server.Serve(netutil.LimitListener(ln, limiter.MaxConns))
+	err := server.Serve(netutil.LimitListener(listener, limiter.MaxConns))
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return ctx.Err()
 	}
@@ -167,7 +205,7 @@
 type trimmingHandler struct{ slog.Handler }
 
 // Handle passes a record on.
-func (q trimmingHandler) Handle(ctx context.Context, r slog.Record) error {
-	r.Message = strings.TrimSpace(r.Message)
-	return q.Handler.Handle(ctx, r)
+func (h trimmingHandler) Handle(ctx context.Context, record slog.Record) error {
+	record.Message = strings.TrimSpace(record.Message)
+	return h.Handler.Handle(ctx, record)
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -30,8 +31,8 @@
 }
 func (stubService) Ready() bool { return true }
 
-// TestAgentsReleaseConnections: three times as many workers as the server takes connections
-// are all answered, and so are health checks and users, who come in between. Workers used to
+// TestAgentsReleaseConnections: three times as many agents as the server takes connections
+// are all answered, and so are health checks and users, who come in between. Agents used to
 // keep their connections from one report to the next, and nobody else got in.
 func TestAgentsReleaseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -43,25 +44,23 @@
 			t.Fatal(err)
 		}
 		limiter := &ConnLimiter{MaxConns: maxConns}
-		go Serve(ctx, ln, limiter, Handler(stubService{}, log, limiter, func(string, int, time.Duration) {}), log)
 		failed := make(chan error, 1000)
+		handler := Handler(stubService{}, log, limiter, func(string, int, time.Duration) {})
+		go func() {
+			if err := Serve(ctx, ln, limiter, handler, log); !errors.Is(err, context.Canceled) {
+				failed <- fmt.Errorf("the server ended: %w", err)
+			}
+		}()
 		for i := range agents {
 			go func() {
 				c := msgpackhttp.New(net.Host(fmt.Sprint("w", i)), 1, 1, 2*time.Second)
 				time.Sleep(time.Duration(i) * every / agents)
 				for ctx.Err() == nil {
 					cctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-					err := c.Do(
-						cctx,
-						"POST",
-						"node:80",
-						wire.PathHeartbeat,
-						&wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1},
-						nil,
-						wire.MaxBody,
-					)
+					heartbeat := &wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1}
+					err := c.Do(cctx, "POST", "node:80", wire.PathHeartbeat, heartbeat, nil, wire.MaxBody)
 					if cancel(); err != nil && ctx.Err() == nil {
-						failed <- fmt.Errorf("worker %d: %w", i, err)
+						failed <- fmt.Errorf("agent %d: %w", i, err)
 					}
 					time.Sleep(every)
 				}
@@ -89,12 +88,8 @@
 
 // TestBodies: what is too long or malformed is refused with its reason, and not read on.
 func TestBodies(t *testing.T) {
-	h := Handler(
-		stubService{},
-		slog.New(slog.DiscardHandler),
-		&ConnLimiter{MaxConns: 10},
-		func(string, int, time.Duration) {},
-	)
+	limiter, onResponse := &ConnLimiter{MaxConns: 10}, func(string, int, time.Duration) {}
+	h := Handler(stubService{}, slog.New(slog.DiscardHandler), limiter, onResponse)
 	for _, c := range []struct {
 		path string
 		body []byte
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -48,34 +49,28 @@
 
 func (s *scripted) Ready() bool { return s.ready }
 
-// TestGoldenHTTP: routes, statuses, headers and bodies are those of the stored file, for each kind of answer and for
-// what is refused before anybody is asked.
-func TestGoldenHTTP(t *testing.T) {
-	report, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
-		AgentEpoch: 1 << 40, Seq: 3,
-		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskRunning}}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	nobody, _ := wire.Marshal(&wire.Heartbeat{Machine: "m-7"})
-	status := wire.JobStatus{ID: "req-000412", State: wire.JobPending}
-	ok := result.JobState{Status: status}
-	taken := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.Start,
-		Task: "req-000412/3", Attempt: 2}}}
+// exchange is a request, and the answer of the service that it may reach.
+type exchange struct {
+	method, path string
+	body         io.Reader
+	answer       result.Result // nil: the service is not ready
+	open         int           // connections
+}
+
+// goldenStatus is the state of a job that the service answers with.
+var goldenStatus = wire.JobStatus{ID: "req-000412", State: wire.JobPending}
+
+// jobExchanges has each kind of answer to users, and what is refused before the service is asked.
+func jobExchanges() []exchange {
+	ok := result.JobState{Status: goldenStatus}
 	slow := result.Overloaded{Reason: "not now", RetryAfter: 2 * time.Second}
 	noLeader := result.Unavailable{Reason: "no leader", RetryAfter: time.Second}
 	unwritable := result.Forwarded{Response: encoding.Message(http.StatusOK, func() {})}
 	unsupported := result.Forwarded{Response: &rpc.Response{Status: http.StatusNotImplemented}}
 	job := wire.PathJobs + "/req-000412"
 	long := make([]byte, wire.MaxBody+1)
-	var b strings.Builder
-	for _, c := range []struct {
-		method, path string
-		body         io.Reader
-		answer       result.Result
-		open         int
-	}{
-		{"POST", wire.PathJobs, strings.NewReader("body"), result.Accepted{Status: status}, 0},
+	return []exchange{
+		{"POST", wire.PathJobs, strings.NewReader("body"), result.Accepted{Status: goldenStatus}, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), ok, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), result.Invalid{Reason: "pieces: out of range"}, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), result.Unschedulable{Reason: "can never run"}, 0},
@@ -99,6 +94,25 @@
 		{"GET", wire.PathReady, nil, ok, 0},
 		{"GET", wire.PathReady, nil, nil, 0},
 		{"POST", wire.PathReady, nil, nil, 0},
+	}
+}
+
+// heartbeatExchanges has each kind of answer to agents, and what is refused before the service is asked.
+func heartbeatExchanges(t *testing.T) []exchange {
+	t.Helper()
+	report, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
+		AgentEpoch: 1 << 40, Seq: 3,
+		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskRunning}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	nobody, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	taken := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.Start,
+		Task: "req-000412/3", Attempt: 2}}}
+	return []exchange{
 		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 0},
 		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 7},
 		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 8},
@@ -109,9 +123,18 @@
 		{"POST", wire.PathHeartbeat, bytes.NewReader(nobody), taken, 0},
 		{"POST", wire.PathHeartbeat, strings.NewReader("?"), taken, 0},
 		{"GET", wire.PathHeartbeat, nil, taken, 0},
-		{"GET", "/", nil, ok, 0},
-		{"GET", wire.PathAdminQueue, nil, ok, 0},
-	} {
+	}
+}
+
+// TestGoldenHTTP: routes, statuses, headers and bodies are those of the stored file, for each kind of answer and for
+// what is refused before anybody is asked.
+func TestGoldenHTTP(t *testing.T) {
+	elsewhere := []exchange{
+		{"GET", "/", nil, result.JobState{Status: goldenStatus}, 0},
+		{"GET", wire.PathAdminQueue, nil, result.JobState{Status: goldenStatus}, 0},
+	}
+	var b strings.Builder
+	for _, c := range slices.Concat(jobExchanges(), heartbeatExchanges(t), elsewhere) {
 		s, limiter := &scripted{answer: c.answer, ready: c.answer != nil}, &ConnLimiter{MaxConns: 8}
 		for range c.open {
 			limiter.onConnState(nil, http.StateNew)
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -117,6 +117,17 @@
 	return false
 }
 
+// IsDone tells whether the controller that was asked did what it was asked for.
+func IsDone(r Result) bool {
+	switch r := r.(type) {
+	case Done:
+		return true
+	case Forwarded:
+		return r.Status == http.StatusOK
+	}
+	return false
+}
+
 // IsRejection tells whether a result is a final refusal of a job that is not known: it is never given for a job that
 // was accepted.
 func IsRejection(r Result) bool {
--- /dev/null
+++ b/internal/result/result_test.go
@@ -0,0 +1,36 @@
+package result
+
+import (
+	"testing"
+
+	"fieldhill/internal/rpc"
+)
+
+// TestForwardedPredicates: the answer of another controller counts as what it stands for, whatever its type.
+func TestForwardedPredicates(t *testing.T) {
+	for _, c := range []struct {
+		result                                   Result
+		unavailable, done, rejected, unsupported bool
+	}{
+		{nil, false, false, false, false},
+		{Accepted{}, false, false, false, false},
+		{NoLeader{}, true, false, false, false},
+		{Unavailable{}, true, false, false, false},
+		{NotHandled{}, true, false, false, false},
+		{Overloaded{}, false, false, false, false},
+		{Done{}, false, true, false, false},
+		{Invalid{}, false, false, true, false},
+		{Unschedulable{}, false, false, true, false},
+		{Unsupported{}, false, false, false, true},
+		{Forwarded{&rpc.Response{Status: 200}}, false, true, false, false},
+		{Forwarded{&rpc.Response{Status: 400}}, false, false, false, false}, // of what was known there
+		{Forwarded{&rpc.Response{Status: 429}}, false, false, false, false},
+		{Forwarded{&rpc.Response{Status: 501}}, false, false, false, true},
+		{Forwarded{&rpc.Response{Status: 503}}, true, false, false, false},
+	} {
+		got := [4]bool{IsUnavailable(c.result), IsDone(c.result), IsRejection(c.result), IsUnsupported(c.result)}
+		if got != [4]bool{c.unavailable, c.done, c.rejected, c.unsupported} {
+			t.Errorf("%T%+v is unavailable, done, rejected, unsupported: %v", c.result, c.result, got)
+		}
+	}
+}
