--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"strings"
 	"time"
 
 	"fieldhill/internal/config"
@@ -13,7 +12,9 @@
 	"fieldhill/wire"
 )
 
-// provisioning scales the fleet out and in: plans, rents, releases, and takes in the cloud's answers.
+// provisioning is the leader's side of scaling out and in: what it wants of the provisioner, and what it takes from the
+// results. Machines and their release are in the log; this component writes those entries. The autoscaler is the
+// leader's alone, begins anew with each term and is used in the loop alone.
 type provisioning struct {
 	*environment
 	commits   *commitPipeline
@@ -28,16 +29,16 @@
 	autoscaler *autoscaler.Autoscaler
 }
 
-// provisioningTerm is what provisioning keeps for one term of leadership.
+// provisioningTerm is what provisioning has for one term of leadership. The loop owns it.
 type provisioningTerm struct {
-	scaleOutCount    int
-	orders           map[string]provisioner.ScaleOut // rentals that are asked for, by name
-	provisioner      *provisioner.Provisioner
+	scaleOutCount    int                             // scale-out requests of this term; their names count on
+	orders           map[string]provisioner.ScaleOut // requests without a result, by name, that are not in the log
+	provisioner      *provisioner.Provisioner        // the leader's own, while singleton roles are not distributed
 	lastAutoscale    time.Time
-	cloudUnavailable bool // it did not list the machines when last asked
+	cloudUnavailable bool // the cloud did not list the machines when last asked
 }
 
-// recordAddr logs where a machine is, for the next leader to ask it.
+// recordAddr logs where a machine is reached, for the next leader to probe it.
 func (pv *provisioning) recordAddr(machine *model.Machine, addr string) {
 	if addr == "" || machine.Info.Addr == addr {
 		return
@@ -47,8 +48,7 @@
 	pv.commits.propose(&model.Entry{Kind: model.EntryMachine, Machine: machine.ID, At: machine.At, Info: &info})
 }
 
-// releaseMachine has a machine returned, once the log has it; its tasks are gone when the
-// cloud says so.
+// releaseMachine has a machine released once the log has it; its tasks are gone when the cloud says so.
 func (pv *provisioning) releaseMachine(machine *model.Machine, reason string) {
 	if machine.Releasing {
 		return
@@ -59,34 +59,24 @@
 		"zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
 }
 
-// runAutoscaler rents and returns.
+// runAutoscaler plans the fleet and requests what the plan has.
 func (pv *provisioning) runAutoscaler(term *leaderTerm) {
 	if !pv.replica.model.TypesKnown() {
 		return
 	}
 	pv.health.checkMachineHealth(term)
 	pv.telemetry.logMachineSummary(term)
-	now := pv.now()
 	pv.autoscaler.InFlight = pv.openScaleOuts()
-	plan := pv.autoscaler.Plan(pv.replica.model, now)
-	pv.rounds.scheduler.DrainTarget = plan.Vacate
-	pv.rounds.scheduler.ServiceHeadroom, pv.rounds.scheduler.ServiceSlots, pv.rounds.scheduler.LowPriorityAllowed = plan.Headroom, plan.ForServices, plan.LowPriorityAllowed
-	for _, machine := range pv.replica.model.Order {
-		if machine.Lifecycle.Draining != plan.Drain[machine] {
-			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
-				"draining", !machine.Lifecycle.Draining)
-			machine.Lifecycle.Draining = !machine.Lifecycle.Draining
-			pv.loop.roundRequested = true
-		}
-	}
+	plan := pv.autoscaler.Plan(pv.replica.model, pv.now())
+	pv.constrainScheduler(&plan)
 	for _, machine := range plan.ScaleIn {
 		if term.provisioning.cloudUnavailable {
-			break // it could not be returned, and not be used either
+			break // it could not be released, and not be used either
 		}
 		pv.releaseMachine(machine, "idle and not needed")
 	}
-	// The cloud's rate is small, so few requests are under way at once and none
-	// twice for the same offer: the answer to the first tells what is left.
+	// The cloud's rate is small, so few requests are under way at once and none twice for the same offer: the answer to
+	// the first tells what is left.
 	maxOpen := max(2, int(pv.settings.Params.Cloud.RPS))
 	for _, scaleOut := range plan.ScaleOuts {
 		if len(pv.autoscaler.InFlight) >= maxOpen {
@@ -99,27 +89,38 @@
 	}
 }
 
-// newProvisioner makes a desk that works until a context ends, while it is trusted.
+// constrainScheduler has the scheduler keep to the plan: which machines are drained, and for whom others are kept.
+func (pv *provisioning) constrainScheduler(plan *autoscaler.Plan) {
+	scheduler := pv.rounds.scheduler
+	scheduler.DrainTarget = plan.Vacate
+	scheduler.ServiceHeadroom = plan.Headroom
+	scheduler.ServiceSlots = plan.ForServices
+	scheduler.LowPriorityAllowed = plan.LowPriorityAllowed
+	for _, machine := range pv.replica.model.Order {
+		if machine.Lifecycle.Draining != plan.Drain[machine] {
+			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
+				"draining", !machine.Lifecycle.Draining)
+			machine.Lifecycle.Draining = !machine.Lifecycle.Draining
+			pv.loop.roundRequested = true
+		}
+	}
+}
+
+// newProvisioner makes a provisioner that works until a context ends, while it is trusted to be the only one. It
+// reports in the loop.
 func (pv *provisioning) newProvisioner(
 	ctx context.Context,
 	trusted func() bool,
 	onResult func(provisioner.Result),
 ) *provisioner.Provisioner {
 	rps := pv.settings.Params.Cloud.RPS
+	listInterval := max(2*time.Second, config.Seconds(8/rps))
 	return provisioner.New(
-		ctx,
-		pv.cloud,
-		max(2, int(rps)),
-		max(2*time.Second, config.Seconds(8/rps)),
-		trusted,
-		pv.loop.post,
-		onResult,
-		pv.log,
-	)
+		ctx, pv.cloud, max(2, int(rps)), listInterval, trusted, pv.loop.post, onResult, pv.log)
 }
 
-// runProvisioner has the leader's own desk do what is wanted. Where the duty is held by itself, that is only what was
-// begun before.
+// runProvisioner has the leader's own provisioner do what is wanted. While singleton roles are distributed, that is
+// only what was begun before.
 func (pv *provisioning) runProvisioner(now time.Time) {
 	term := pv.term.ownTerm
 	desired := pv.desiredCapacity()
@@ -129,24 +130,26 @@
 		}
 		desired = provisioner.Desired{}
 	}
-	for _, o := range term.provisioning.orders {
-		desired.ScaleOuts = append(desired.ScaleOuts, o)
+	for _, order := range term.provisioning.orders {
+		desired.ScaleOuts = append(desired.ScaleOuts, order)
 	}
 	term.provisioning.provisioner.Reconcile(now, desired)
 }
 
-// openScaleOuts counts what is asked for and not answered, by offer.
+// openScaleOuts counts the machines that are requested and not answered for, by offer.
 func (pv *provisioning) openScaleOuts() map[autoscaler.InstanceOffer]int {
 	counts := map[autoscaler.InstanceOffer]int{}
-	for _, o := range pv.term.ownTerm.provisioning.orders {
-		counts[pv.offerOf(&o)] += o.Count
+	for _, order := range pv.term.ownTerm.provisioning.orders {
+		counts[pv.offerOf(&order)] += order.Count
 	}
-	for _, i := range pv.replica.model.Intents {
-		counts[pv.offerOf(&provisioner.ScaleOut{Type: i.Type, Zone: i.Zone, Spot: i.Spot})] += i.Count
+	for _, intent := range pv.replica.model.Intents {
+		order := provisioner.ScaleOut{Type: intent.Type, Zone: intent.Zone, Spot: intent.Spot}
+		counts[pv.offerOf(&order)] += intent.Count
 	}
 	return counts
 }
 
+// offerOf is the offer of the cloud that a request is for.
 func (pv *provisioning) offerOf(order *provisioner.ScaleOut) autoscaler.InstanceOffer {
 	return autoscaler.InstanceOffer{
 		Type: pv.replica.model.TypeNames.ID(order.Type),
@@ -155,7 +158,7 @@
 	}
 }
 
-// scaleOut asks for machines.
+// scaleOut requests machines, under a name that is never used for another request.
 func (pv *provisioning) scaleOut(term *leaderTerm, request autoscaler.ScaleOut) {
 	term.provisioning.scaleOutCount++
 	order := provisioner.ScaleOut{
@@ -171,116 +174,133 @@
 		term.provisioning.orders[order.Name] = order
 		return
 	}
-	// Whoever deals with the cloud reads it in the log.
-	pv.commits.propose(
-		&model.Entry{
-			Kind:  model.EntryIntent,
-			Info:  &model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot},
-			Count: order.Count,
-		},
-	)
+	// The holder of the role reads it in the log.
+	pv.commits.propose(&model.Entry{
+		Kind:  model.EntryIntent,
+		Info:  &model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot},
+		Count: order.Count,
+	})
 }
 
-// onProvisionerResult takes in what came of a request to the cloud.
-func (pv *provisioning) onProvisionerResult(term *leaderTerm, result *provisioner.Result) {
-	switch result.Kind {
+// onProvisionerResult takes in what came of a request to the cloud. It is for the leader's loop.
+func (pv *provisioning) onProvisionerResult(term *leaderTerm, outcome *provisioner.Result) {
+	switch outcome.Kind {
 	case provisioner.ScaledOut:
-		pv.onScaledOut(term, result)
+		pv.onScaledOut(term, outcome)
 	case provisioner.Released:
-		replacements := map[autoscaler.InstanceOffer]int{}
-		for _, name := range result.Machines {
-			if machine := pv.replica.model.ByName[name]; machine != nil && machine.Releasing {
-				offer := autoscaler.InstanceOffer{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
-				pv.autoscaler.OnAvailable(offer)
-				if machine.Suspect {
-					replacements[offer]++
-				}
-				pv.commits.propose(&model.Entry{Kind: model.EntryGone, Machine: machine.ID})
-				pv.loop.roundRequested = true
-			}
-		}
-		pv.replaceReleased(term, replacements)
+		pv.onReleased(term, outcome.Machines)
 	case provisioner.MachinesListed:
 		term.provisioning.cloudUnavailable = false
-		for i := range result.Listing {
-			pv.onListed(&result.Listing[i])
+		for i := range outcome.Listing {
+			pv.onListed(&outcome.Listing[i])
 		}
-		pv.releaseUnlisted(result.Listing, result.Elapsed)
+		pv.releaseUnlisted(outcome.Listing, outcome.Elapsed)
 	case provisioner.TypesListed:
-		for i := range result.MachineTypes {
-			pv.recordType(&result.MachineTypes[i])
+		for i := range outcome.MachineTypes {
+			pv.recordType(&outcome.MachineTypes[i])
 		}
 	case provisioner.CloudUnavailable:
 		term.provisioning.cloudUnavailable = true
 	}
 }
 
-// replaceReleased rents machines in place of those that were returned in a cut zone, where the plan rents nothing: so
-// they are up, or nearly, when the cut ends. Until then they count for nothing. Without it a zone that came back
-// stood empty while its machines booted, and for as long as the cloud was down.
+// onReleased takes in that machines are gone.
+func (pv *provisioning) onReleased(term *leaderTerm, names []string) {
+	replacements := map[autoscaler.InstanceOffer]int{}
+	for _, name := range names {
+		machine := pv.replica.model.ByName[name]
+		if machine == nil || !machine.Releasing {
+			continue
+		}
+		offer := autoscaler.InstanceOffer{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+		pv.autoscaler.OnAvailable(offer)
+		if machine.Suspect {
+			replacements[offer]++
+		}
+		pv.commits.propose(&model.Entry{Kind: model.EntryGone, Machine: machine.ID})
+		pv.loop.roundRequested = true
+	}
+	pv.replaceReleased(term, replacements)
+}
+
+// replaceReleased requests machines in place of those that were released in a partitioned zone, where the plan requests
+// nothing: so they are up, or nearly, when the partition ends. Until then they count for nothing. Without it a zone
+// that came back was empty while its machines booted, and for as long as the cloud was unavailable.
 func (pv *provisioning) replaceReleased(term *leaderTerm, offers map[autoscaler.InstanceOffer]int) {
 	for offer, count := range offers {
 		for ; count > 0; count -= wire.MaxScaleOut {
-			pv.scaleOut(
-				term,
-				autoscaler.ScaleOut{
-					InstanceOffer: offer,
-					Count:         min(count, wire.MaxScaleOut),
-					Purpose:       "replacement in partitioned zone",
-				},
-			)
+			pv.scaleOut(term, autoscaler.ScaleOut{
+				InstanceOffer: offer,
+				Count:         min(count, wire.MaxScaleOut),
+				Purpose:       "replacement in partitioned zone",
+			})
 		}
 	}
 }
 
-func (pv *provisioning) onScaledOut(term *leaderTerm, result *provisioner.Result) {
-	order := &result.ScaleOut
+// onScaledOut takes in the machines that a request brought: fewer than requested where the cloud has no more.
+func (pv *provisioning) onScaledOut(term *leaderTerm, outcome *provisioner.Result) {
+	order := &outcome.ScaleOut
 	_, requested := term.provisioning.orders[order.Name]
 	intent := slices.ContainsFunc(pv.replica.model.Intents, func(i model.Intent) bool { return i.Name == order.Name })
 	if !requested && !intent {
-		return // told before
+		return // reported before
 	}
 	delete(term.provisioning.orders, order.Name)
 	offer := pv.offerOf(order)
-	pv.metrics.Provisioned.Add(len(result.Machines))
-	if len(result.Machines) < order.Count {
+	pv.metrics.Provisioned.Add(len(outcome.Machines))
+	if len(outcome.Machines) < order.Count {
 		pv.metrics.ProvisionRefused.Inc()
 		pv.autoscaler.OnRefused(offer, pv.now())
 		pv.log.Info("scale-out incomplete", "type", order.Type, "zone", order.Zone, "spot", order.Spot,
-			"requested", order.Count, "provisioned", len(result.Machines))
+			"requested", order.Count, "provisioned", len(outcome.Machines))
 	} else {
 		pv.autoscaler.OnAvailable(offer)
 	}
-	for _, name := range result.Machines {
+	for _, name := range outcome.Machines {
 		if pv.replica.model.ByName[name] != nil || pv.replica.model.Tombstones[name] {
 			continue
 		}
-		pv.commits.propose(
-			&model.Entry{Kind: model.EntryMachine, Machine: pv.replica.model.NextMachine, At: time.Now().UnixMilli(),
-				Info: &model.MachineInfo{Name: name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}},
-		)
-		pv.replica.model.ByName[name].Lifecycle.ProvisionedAt = pv.now() - result.Elapsed
+		pv.recordMachine(model.MachineInfo{Name: name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}, 0)
+		pv.replica.model.ByName[name].Lifecycle.ProvisionedAt = pv.now() - outcome.Elapsed
 	}
-	if intent { // behind its machines: a successor that finds it open asks again, and is told the same names
+	if intent {
+		// Behind its machines: a successor that finds it open requests it again, and is given the same names.
 		pv.commits.propose(&model.Entry{Kind: model.EntryIntentDone, Info: &model.MachineInfo{Name: order.Name}})
 	}
 }
 
-// releaseUnlisted gives up silent machines that the cloud does not list, though they were rented long enough ago:
-// they were taken, or have died. The list lags, one may be older than the one before, and reading it took a while, in
-// which machines came behind what was read; so absence counts only of machines that this leader has known for longer
-// than all that. It is a hint, not evidence: that is the answer to the return. Without it, machines of one zone that
-// are taken together look like a cut, in which they would be left alone, and what must run there waited for a minute
-// and a half.
-func (pv *provisioning) releaseUnlisted(rows []wire.ListedMachine, took time.Duration) {
+// recordMachine logs a machine that the log does not have, and that has been up for so long.
+func (pv *provisioning) recordMachine(info model.MachineInfo, ageMillis int64) {
+	pv.commits.propose(&model.Entry{
+		Kind:    model.EntryMachine,
+		Machine: pv.replica.model.NextMachine,
+		At:      time.Now().UnixMilli() - ageMillis,
+		Info:    &info,
+	})
+}
+
+// maxListDuration is more than it takes to read the whole list of machines, unless it is seen to take longer: it has a
+// page for each 500 machines, and its requests share the cloud's rate with scale-out and scale-in.
+const maxListDuration = 10 * time.Second
+
+// releaseUnlisted releases silent machines that the cloud does not list, though they were provisioned long enough ago:
+// they were preempted, or have died. The list lags, one may be older than the one before, and reading it took a while,
+// in which machines came behind what was read; so absence counts only of machines that this leader has known for longer
+// than all that. It is a hint, not evidence: that is the answer to the release. Without it, machines of one zone that
+// are preempted together look like a partition, in which they would be left alone, and what must run there waited for a
+// minute and a half.
+func (pv *provisioning) releaseUnlisted(rows []wire.ListedMachine, elapsed time.Duration) {
 	if pv.roles.rolesDistributed() {
-		return // whoever deals with the cloud passes on only what the log does not know
+		return // the holder of the role passes on only what the log does not have
 	}
 	listed := map[string]bool{}
 	for i := range rows {
 		listed[rows[i].Name] = true
 	}
-	now, minAge := pv.now(), config.Seconds(2*pv.settings.Params.Cloud.ListLagS)+max(maxListDuration, took+took/2)
+	now := pv.now()
+	listLag := config.Seconds(2 * pv.settings.Params.Cloud.ListLagS)
+	minAge := listLag + max(maxListDuration, elapsed+elapsed/2)
 	for _, machine := range pv.replica.model.Order {
 		if !listed[machine.Info.Name] && now-machine.Contact.KnownSince > minAge &&
 			machine.SilentFor(now) > pv.probeAfter() {
@@ -289,32 +309,26 @@
 	}
 }
 
-// maxListDuration is more than it takes to read the whole list of machines, unless it is seen to take longer: it has a
-// page for each 500 machines, and its requests share the cloud's rate with rentals and returns.
-const maxListDuration = 10 * time.Second
-
 // recordType logs a type that is new or has changed in more than its price.
-func (pv *provisioning) recordType(t *wire.MachineType) {
-	if id, ok := pv.replica.model.TypeNames.Find(
-		t.Name,
-	); ok && int(id) < len(pv.replica.model.Types) &&
-		pv.replica.model.Types[id].Known {
-		old := &pv.replica.model.Types[id].MachineType
-		a, b := *old, *t
-		a.Price, a.SpotPrice, a.Zones = 0, 0, nil
-		b.Price, b.SpotPrice, b.Zones = 0, 0, nil
-		if a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB && a.CacheGB == b.CacheGB &&
-			a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS && strings.Join(old.Zones, " ") == strings.Join(t.Zones, " ") {
-			old.Price, old.SpotPrice = t.Price, t.SpotPrice
-			return
-		}
+func (pv *provisioning) recordType(offered *wire.MachineType) {
+	types := pv.replica.model.Types
+	id, ok := pv.replica.model.TypeNames.Find(offered.Name)
+	if ok && int(id) < len(types) && types[id].Known && sameResources(&types[id].MachineType, offered) {
+		types[id].Price, types[id].SpotPrice = offered.Price, offered.SpotPrice
+		return
 	}
-	pv.commits.propose(&model.Entry{Kind: model.EntryType, Type: t})
+	pv.commits.propose(&model.Entry{Kind: model.EntryType, Type: offered})
 	pv.loop.roundRequested = true
 }
 
-// onListed takes in a row of the machine list. The list lags, so only three things
-// are taken from it: machines nobody knew, machines that failed, and addresses.
+// sameResources tells whether two descriptions of a type differ in nothing but its price.
+func sameResources(a, b *wire.MachineType) bool {
+	return a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB && a.CacheGB == b.CacheGB &&
+		a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
+}
+
+// onListed takes in a row of the cloud's list of machines. The list lags, so only three things are taken from it:
+// machines that nobody knew, machines that failed, and addresses.
 func (pv *provisioning) onListed(row *wire.ListedMachine) {
 	if pv.replica.model.Tombstones[row.Name] {
 		return
@@ -322,20 +336,8 @@
 	machine := pv.replica.model.ByName[row.Name]
 	if machine == nil {
 		pv.log.Info("machine discovered", "machine", row.Name, "type", row.Type, "zone", row.Zone, "state", row.State)
-		pv.commits.propose(
-			&model.Entry{
-				Kind:    model.EntryMachine,
-				Machine: pv.replica.model.NextMachine,
-				At:      time.Now().UnixMilli() - int64(row.AgeS*1000),
-				Info: &model.MachineInfo{
-					Name: row.Name,
-					Addr: row.Addr,
-					Type: row.Type,
-					Zone: row.Zone,
-					Spot: row.Spot,
-				},
-			},
-		)
+		info := model.MachineInfo{Name: row.Name, Addr: row.Addr, Type: row.Type, Zone: row.Zone, Spot: row.Spot}
+		pv.recordMachine(info, int64(row.AgeS*1000))
 		machine = pv.replica.model.ByName[row.Name]
 	}
 	if machine.Info.Addr == "" {
@@ -346,19 +348,18 @@
 	}
 }
 
-// desiredCapacity is what the log says is to be done at the cloud, as far as this node has it for sure.
+// desiredCapacity is what the log says is to be done at the cloud, as far as this controller has it for sure.
 func (pv *provisioning) desiredCapacity() provisioner.Desired {
 	committed := pv.replica.appliedSeq
 	if pv.term.ownTerm != nil {
 		committed = pv.term.ownTerm.commits.committedSeq
 	}
 	desired := provisioner.Desired{TypesUnknown: !pv.replica.model.TypesKnown()}
-	for _, i := range pv.replica.model.Intents {
-		if i.Seq <= committed {
-			desired.ScaleOuts = append(
-				desired.ScaleOuts,
-				provisioner.ScaleOut{Name: i.Name, Type: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count},
-			)
+	for _, intent := range pv.replica.model.Intents {
+		if intent.Seq <= committed {
+			desired.ScaleOuts = append(desired.ScaleOuts, provisioner.ScaleOut{
+				Name: intent.Name, Type: intent.Type, Zone: intent.Zone, Spot: intent.Spot, Count: intent.Count,
+			})
 		}
 	}
 	for _, machine := range pv.replica.model.Order {
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -9,7 +9,9 @@
 	"fieldhill/wire"
 )
 
-// schedulingRounds runs the scheduler when something changed, and carries its decisions out (sched.Doer).
+// schedulingRounds runs the scheduler regularly and when something changed, and carries out what it decides: it is the
+// scheduler.Binder that writes placements into the log. The scheduler is the leader's alone, begins anew with each term
+// and is used in the loop alone; what it remembers from round to round is lost with the term.
 type schedulingRounds struct {
 	*environment
 	commits  *commitPipeline
@@ -22,32 +24,30 @@
 	scheduler *scheduler.Scheduler
 }
 
-// schedulingRoundsTerm is what schedulingRounds keeps for one term of leadership.
+// schedulingRoundsTerm is what schedulingRounds has for one term of leadership.
 type schedulingRoundsTerm struct {
-	lowPriorityLimit int // low tasks to be placed in a round
+	lowPriorityLimit int // tasks of low priority that a round may place; the maintenance sets it
 }
 
-// Bind logs and applies a placement (sched.Doer).
-func (sr *schedulingRounds) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
-	sr.log.Debug("task placed", "job", j.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name,
-		"image_cached", machine.HasImage(j.Image), "score", score)
+// Bind logs and applies a placement (scheduler.Binder).
+func (sr *schedulingRounds) Bind(job *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
+	sr.log.Debug("task placed", "job", job.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name,
+		"image_cached", machine.HasImage(job.Image), "score", score)
 	sr.metrics.Placed.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
-	sr.commits.propose(
-		&model.Entry{
-			Kind:    model.EntryPlace,
-			Job:     j.ID,
-			Task:    task,
-			Attempt: attempt,
-			Machine: machine.ID,
-			Session: machine.Contact.Session,
-		},
-	)
+	sr.commits.propose(&model.Entry{
+		Kind:    model.EntryPlace,
+		Job:     job.ID,
+		Task:    task,
+		Attempt: attempt,
+		Machine: machine.ID,
+		Session: machine.Contact.Session,
+	})
 	sr.dispatch.markForCommands(machine)
 }
 
-// Preempt marks a run to be stopped (sched.Doer). It needs no log: a stop that is
-// lost with its leader is decided again.
+// Preempt has a run stopped (scheduler.Binder). It needs no entry of the log: a stop that is lost with its leader is
+// decided again.
 func (sr *schedulingRounds) Preempt(run *model.Run, hard bool, reason string) {
 	if run.Stop {
 		return
@@ -59,26 +59,26 @@
 	sr.dispatch.stopRun(run)
 }
 
-// runScheduler runs the scheduler.
-func (sr *schedulingRounds) runScheduler(tick bool) {
+// runScheduler runs a round as the leader, unless the log is behind. regular tells a periodic round from one that an
+// event requested.
+func (sr *schedulingRounds) runScheduler(regular bool) {
 	term := sr.term.ownTerm
 	sr.loop.roundRequested = false
 	if term == nil || !sr.term.isActive() || term.stalled() {
 		return
 	}
 	sr.loop.lastRound = time.Now()
-	// Before all machines with work are heard of, only what is urgent and finds its image where it may go at once is
-	// placed, and nothing is stopped: what is decided knows a part of the fleet only.
+	// Before all machines with work have reported, only what is urgent and finds its image where it may go at once is
+	// placed, and nothing is preempted: the decisions would be made of a part of the fleet only.
 	sr.scheduler.AwaitingHeartbeats = sr.loop.lastRound.Before(term.leadership.reportGraceEnd) &&
 		!sr.probes.allMachinesReported()
 	if !sr.scheduler.AwaitingHeartbeats {
 		term.leadership.timeline.Mark(candidacy.AgentsAccounted, sr.now())
 	}
 	sr.scheduler.LowPriorityLimit = term.rounds.lowPriorityLimit
-	sr.scheduler.Round(sr.replica.model, sr.now(), tick, sr)
+	sr.scheduler.Round(sr.replica.model, sr.now(), regular, sr)
 	sr.loop.roundRequested = sr.loop.roundRequested || sr.scheduler.LowPriorityDeferred
-	// Rounds share a processor with users and workers: the dearer they are, the
-	// further apart events may wake them.
+	// Rounds share a processor with users and agents: the more they cost, the further apart events may request them.
 	elapsed := time.Since(sr.loop.lastRound)
 	sr.metrics.SchedulingRound.Update(elapsed.Seconds())
 	sr.loop.roundGap = min(maxRoundGap, max(minRoundGap, roundGapFactor*elapsed))
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -8,20 +8,21 @@
 	"sync/atomic"
 	"time"
 
-	"fieldhill/internal/codec"
 	"fieldhill/internal/config"
 	"fieldhill/internal/platform/msgpackhttp"
 	"fieldhill/internal/replication/election"
 	"fieldhill/internal/replication/oplog"
 	"fieldhill/internal/replication/singleton"
-	"fieldhill/internal/result"
-	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/provisioner"
 	"fieldhill/wire"
 )
 
-// singletonRoles holds the singleton roles (provisioner, compactor) one by one and does the work of those that this
-// controller holds.
+// singletonRoles carries out what the singleton roles' holders ask for, and does the roles that this controller holds:
+// it deals with the cloud by a provisioner, and compacts the log. Each role is held under a lease of its own by one
+// controller at a time. What either needs of the model is in every replica; what comes of it goes to the leader, under
+// the role's term, and the leader alone writes the log.
+//
+// The decisions are package singleton's. All of it belongs to the loop, but for holding.trustedUntil.
 type singletonRoles struct {
 	*environment
 	commits      *commitPipeline
@@ -31,57 +32,55 @@
 	replica      *replica
 	term         *termState
 
-	state *roleState // nil: the leader does all of it
+	state *roleState // nil: the option is off, and the leader does all of it
 }
 
-// roleState are this node's parts in them; the loop owns them.
+// roleState is this controller's part in the singleton roles. What it knows of the others is read from the key-value
+// store; its own holds are there as well, and end with their leases.
 type roleState struct {
 	roles           [singleton.NameCount]*singleton.Role
-	loaded          bool            // the keys were read
-	participants    map[string]bool // nodes that take part
-	holdings        [singleton.NameCount]holding
-	provisioner     *provisioner.Provisioner
-	compactor       *logCompactor
-	writeRateShared bool // the write rate is shared with who cleans up
-	loggedAt        time.Time
+	loaded          bool                         // the keys were read
+	participants    map[string]bool              // controllers that take part
+	holdings        [singleton.NameCount]holding // what is done of each role here
+	provisioner     *provisioner.Provisioner     // of the provisioning role, while it is held here
+	compactor       *logCompactor                // of the compaction role, while it is held here
+	writeRateShared bool                         // the log leaves a part of the write rate to the compactor
+	loggedAt        time.Time                    // when the roles held here were last logged
 }
 
-// holding is a duty that this node has begun.
+// holding is the work of a role that was begun here.
 type holding struct {
-	term         uint64
+	term         uint64 // 0: none
 	cancel       context.CancelFunc
-	trustedUntil atomic.Int64 // trusted until, for others than the loop
+	trustedUntil atomic.Int64 // since the start; written by the loop, read by whoever is about to act for the role
 }
 
-// logCompactor compacts the log while this node has the duty.
-type logCompactor struct {
-	ctx         context.Context
-	compactor   *oplog.Compactor
-	snapshotSeq uint64
-	seqKnown    bool // snapshotSeq is
-	busy        bool
-}
-
-// compactionShare is the part of the write rate that who cleans up takes, and logShare what the log has then.
 const (
-	compactionShare = 0.3
-	logShare        = 0.55
-	// compactionTermBase sets the terms of who cleans up apart from leaders'.
-	compactionTermBase = 1 << 40
+	// roleWatchTimeout is how long a watch of the roles' keys waits for a change.
+	roleWatchTimeout = 10 * time.Second
+	// roleRetryDelay is the pause after a failure to read them.
+	roleRetryDelay = 500 * time.Millisecond
+	// roleRenewTimeout bounds a renewal of a role's lease.
+	roleRenewTimeout = 1500 * time.Millisecond
+	// roleWriteTimeout bounds what is written when a role is resigned or gets on.
+	roleWriteTimeout = 3 * time.Second
+	// roleRevokeTimeout bounds how long the end of the process waits for the end of its roles' leases.
+	roleRevokeTimeout = time.Second
+	// roleLogInterval is how often the roles held here are logged.
+	roleLogInterval = 20 * time.Second
 )
 
-// rolesDistributed tells whether duties are held one by one. Where a node does not take part the leader does all of it.
+// rolesDistributed tells whether the roles are held one by one: all controllers take part. Where one does not the
+// leader does all of it.
 func (rs *singletonRoles) rolesDistributed() bool {
 	if rs.state == nil || !rs.state.loaded || !rs.state.participants[rs.settings.Node] {
 		return false
 	}
-	return !slices.ContainsFunc(
-		rs.settings.Members,
-		func(m config.Member) bool { return !rs.state.participants[m.Node] },
-	)
+	absent := func(member config.Member) bool { return !rs.state.participants[member.Node] }
+	return !slices.ContainsFunc(rs.settings.Members, absent)
 }
 
-// watchRoles reads the keys of duties and follows them, until the context ends.
+// watchRoles takes part in the roles: it reads their keys and follows them, until the context ends.
 func (rs *singletonRoles) watchRoles(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := rs.oplog.SetParticipation(ctx, rs.settings.Node, true); err == nil {
@@ -91,32 +90,32 @@
 	}
 	for ctx.Err() == nil {
 		changes, revision, err := rs.oplog.Roles(ctx)
-		if err != nil {
-			sleep(ctx, 500*time.Millisecond)
-			continue
+		if err == nil {
+			rs.loop.postAndWait(func() { rs.onRoleChanges(changes, revision, true) })
+			rs.followRoles(ctx, revision)
 		}
-		rs.loop.postAndWait(func() { rs.onRoleChanges(changes, revision, true) })
-		for ctx.Err() == nil {
-			changes, next, err := rs.oplog.FollowRoles(ctx, revision, roleWatchTimeout)
-			if err != nil {
-				rs.log.Debug("singleton role watch failed", "err", err)
-				sleep(ctx, 500*time.Millisecond)
-				break
-			}
-			revision = next
-			rs.loop.postAndWait(func() { rs.onRoleChanges(changes, revision, false) })
+		sleep(ctx, roleRetryDelay)
+	}
+}
+
+// followRoles takes in changes of the roles' keys until that fails.
+func (rs *singletonRoles) followRoles(ctx context.Context, revision uint64) {
+	for ctx.Err() == nil {
+		changes, next, err := rs.oplog.FollowRoles(ctx, revision, roleWatchTimeout)
+		if err != nil {
+			rs.log.Debug("singleton role watch failed", "err", err)
+			return
 		}
+		revision = next
+		rs.loop.postAndWait(func() { rs.onRoleChanges(changes, revision, false) })
 	}
 }
 
-// withdrawFromRoles says that this node takes no part, if an earlier process of it did.
+// withdrawFromRoles records that this controller takes no part, if an earlier process of it did.
 func (rs *singletonRoles) withdrawFromRoles(ctx context.Context) {
 	changes, _, err := rs.oplog.Roles(ctx)
-	if err == nil &&
-		slices.ContainsFunc(
-			changes,
-			func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node },
-		) {
+	ownRow := func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node }
+	if err == nil && slices.ContainsFunc(changes, ownRow) {
 		err = rs.oplog.SetParticipation(ctx, rs.settings.Node, false)
 	}
 	if err != nil && ctx.Err() == nil {
@@ -124,32 +123,28 @@
 	}
 }
 
-// roleWatchTimeout is how long a watch of duties waits for news.
-const roleWatchTimeout = 10 * time.Second
-
-// onRoleChanges takes in what the keys say; all: these are all there are.
+// onRoleChanges takes in what the keys say; complete: these are all the keys there are.
 func (rs *singletonRoles) onRoleChanges(changes []oplog.RoleUpdate, revision uint64, complete bool) {
-	roles, now := rs.state, rs.now()
+	state, now := rs.state, rs.now()
 	if complete {
-		clear(roles.participants)
-		for _, role := range roles.roles {
-			if !slices.ContainsFunc(
-				changes,
-				func(change oplog.RoleUpdate) bool { return change.HeldRole == role.Name.String() },
-			) {
+		clear(state.participants)
+		for _, role := range state.roles {
+			held := func(change oplog.RoleUpdate) bool { return change.HeldRole == role.Name.String() }
+			if !slices.ContainsFunc(changes, held) {
 				role.Observe(singleton.RoleHolder{Term: revision}, now)
 			}
 		}
 	}
-	for _, change := range changes {
+	for i := range changes {
+		change := &changes[i]
 		if change.Participant != "" {
-			roles.participants[change.Participant] = !change.Deleted
+			state.participants[change.Participant] = !change.Deleted
 		}
-		for _, role := range roles.roles {
+		for _, role := range state.roles {
 			switch role.Name.String() {
 			case change.HeldRole:
-				if !roles.loaded && change.Node == rs.settings.Node {
-					// An earlier process of this node held it; that is dead, so its lease may end now.
+				if !state.loaded && change.Node == rs.settings.Node {
+					// An earlier process of this controller held it; that is dead, so its lease may end now.
 					go func() { _ = rs.store.Revoke(rs.ctx, change.Lease) }()
 				}
 				role.Observe(singleton.RoleHolder{Node: change.Node, Term: change.Term}, now)
@@ -158,15 +153,15 @@
 			}
 		}
 	}
-	roles.loaded = true
+	state.loaded = true
 }
 
-// roleView is what this node knows of the others.
+// roleView is what this controller knows of the others.
 func (rs *singletonRoles) roleView() *singleton.View {
 	view := &singleton.View{Ready: rs.rolesDistributed(), Live: []string{rs.settings.Node}}
-	for _, l := range rs.links {
-		if time.Since(l.LastResponse()) < linkFreshness {
-			view.Live = append(view.Live, l.Node)
+	for _, link := range rs.links {
+		if time.Since(link.LastResponse()) < linkFreshness {
+			view.Live = append(view.Live, link.Node)
 		}
 	}
 	slices.Sort(view.Live)
@@ -176,24 +171,16 @@
 	return view
 }
 
-// maintainRoles has the keepers look at the time, and the duties that are held done.
+// maintainRoles has each role decided on as time passes, and does the work of those that are held here.
 func (rs *singletonRoles) maintainRoles() {
-	roles := rs.state
-	if roles == nil || !roles.loaded {
+	state := rs.state
+	if state == nil || !state.loaded {
 		return
 	}
 	view := rs.roleView()
-	if view.Ready != roles.writeRateShared {
-		roles.writeRateShared = view.Ready
-		share := oplog.DefaultWriteShare
-		if view.Ready {
-			share = logShare // the rest is for who cleans up
-		}
-		rs.oplog.SetWriteShare(rs.settings.Params.KVStore.WriteRPS, share)
-		rs.log.Info("singleton role distribution changed", "distributed", view.Ready)
-	}
-	for _, role := range roles.roles {
-		switch now := rs.now(); role.Decide(now, view) {
+	rs.shareWriteRate(view.Ready)
+	for _, role := range state.roles {
+		switch role.Decide(rs.now(), view) {
 		case singleton.Acquire:
 			rs.acquireRole(role)
 		case singleton.Renew:
@@ -204,86 +191,102 @@
 		rs.syncRole(role)
 	}
 	now := rs.now()
-	if role := roles.roles[singleton.Provisioning]; role.Trusted(now) && roles.provisioner != nil &&
+	if role := state.roles[singleton.Provisioning]; role.Trusted(now) && state.provisioner != nil &&
 		(rs.replica.loaded || rs.term.ownTerm != nil) {
-		roles.provisioner.Reconcile(time.Now(), rs.provisioning.desiredCapacity())
+		state.provisioner.Reconcile(time.Now(), rs.provisioning.desiredCapacity())
 	}
-	if role := roles.roles[singleton.Compaction]; role.Trusted(now) && roles.compactor != nil {
-		rs.compactLog(role, roles.compactor)
+	if role := state.roles[singleton.Compaction]; role.Trusted(now) && state.compactor != nil {
+		rs.compactLog(role, state.compactor)
 	}
-	if time.Since(roles.loggedAt) > 20*time.Second {
-		roles.loggedAt = time.Now()
-		for _, role := range roles.roles {
-			if role.Term() != 0 {
-				rs.log.Info("singleton role held", "role", role.Name.String(), "term", role.Term(),
-					"held_duration", now-role.HeldSince(), "since_progress", now-role.LastProgress(),
-					"open_scale_outs", len(rs.replica.model.Intents))
-			}
+	if time.Since(state.loggedAt) > roleLogInterval {
+		state.loggedAt = time.Now()
+		rs.logRoles(now)
+	}
+}
+
+// shareWriteRate leaves the compactor its part of the write rate while the roles are distributed.
+func (rs *singletonRoles) shareWriteRate(distributed bool) {
+	if distributed == rs.state.writeRateShared {
+		return
+	}
+	rs.state.writeRateShared = distributed
+	share := oplog.DefaultWriteShare
+	if distributed {
+		share = logShare
+	}
+	rs.oplog.SetWriteShare(rs.settings.Params.KVStore.WriteRPS, share)
+	rs.log.Info("singleton role distribution changed", "distributed", distributed)
+}
+
+// logRoles logs the roles that are held here.
+func (rs *singletonRoles) logRoles(now singleton.Time) {
+	for _, role := range rs.state.roles {
+		if role.Term() != 0 {
+			rs.log.Info("singleton role held", "role", role.Name.String(), "term", role.Term(),
+				"held_duration", now-role.HeldSince(), "since_progress", now-role.LastProgress(),
+				"open_scale_outs", len(rs.replica.model.Intents))
 		}
 	}
 }
 
+// acquireRole tries to become the holder of a role, which another controller may be at the same time.
 func (rs *singletonRoles) acquireRole(role *singleton.Role) {
+	name := role.Name.String()
+	txn := func(lease uint64) *wire.Txn { return oplog.AcquireRoleTxn(name, rs.settings.Node, lease) }
 	go func() {
 		sent := rs.now()
 		lease, term, err := election.AcquireKey(
-			rs.ctx,
-			rs.store,
-			role.Rules.TTL,
-			oplog.RoleKey(role.Name.String()),
-			rs.settings.Node,
-			func(lease uint64) *wire.Txn {
-				return oplog.AcquireRoleTxn(role.Name.String(), rs.settings.Node, lease)
-			},
-			rs.log,
-		)
+			rs.ctx, rs.store, role.Rules.TTL, oplog.RoleKey(name), rs.settings.Node, txn, rs.log)
 		rs.loop.post(func() {
 			role.Acquired(sent, rs.now(), lease, term)
 			if err != nil && !errors.Is(err, election.ErrTaken) {
-				rs.log.Debug("singleton role acquisition failed", "role", role.Name.String(), "err", err)
+				rs.log.Debug("singleton role acquisition failed", "role", name, "err", err)
 			}
 			rs.syncRole(role)
 		})
 	}()
 }
 
+// renewRole renews the lease of a role that is held here.
 func (rs *singletonRoles) renewRole(role *singleton.Role) {
 	lease := role.Lease()
 	go func() {
 		sent := rs.now()
-		err := rs.store.Renew(rs.ctx, lease, 1500*time.Millisecond)
+		err := rs.store.Renew(rs.ctx, lease, roleRenewTimeout)
 		rs.loop.post(func() {
-			// Also if the hold has ended meanwhile: until it has its answer the keeper asks for nothing else.
+			// Also if the hold has ended meanwhile: until the role has its answer it asks for nothing else.
 			role.Renewed(sent, err == nil, msgpackhttp.StatusCode(err) == http.StatusNotFound)
 			rs.syncRole(role)
 		})
 	}()
 }
 
-// resignRole gives a duty up: what is under way is ended first, then the row of those that got nowhere is written, if
-// this is one of them, then the lease is ended and the key goes with it. Whatever of that is late or lost only delays
-// the next holder.
+// resignRole ends the hold of a role: what is under way is ended first, then the count of holders that made no progress
+// is written, if this is one of them, then the lease is revoked and the key goes with it. Whatever of that is late or
+// lost only delays the next holder.
 func (rs *singletonRoles) resignRole(role *singleton.Role) {
 	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(),
 		"reason", role.ReleaseReason())
-	lease, term, name, stuck, noProgress := role.Lease(), role.Term(), role.Name.String(), role.StalledHolders(), role.NoProgress()
+	name, lease, term := role.Name.String(), role.Lease(), role.Term()
+	noProgress, stalledHolders := role.NoProgress(), role.StalledHolders()
 	role.Released()
 	rs.syncRole(role)
 	go func() {
-		ctx, cancel := context.WithTimeout(rs.ctx, 3*time.Second)
+		ctx, cancel := context.WithTimeout(rs.ctx, roleWriteTimeout)
 		defer cancel()
 		if noProgress {
-			if err := rs.oplog.PutStalledHolders(ctx, name, term, stuck); err != nil {
+			if err := rs.oplog.PutStalledHolders(ctx, name, term, stalledHolders); err != nil {
 				rs.log.Debug("stalled holder record failed", "role", name, "err", err)
 			}
 		}
-		_ = rs.store.Revoke(ctx, lease) // it ends by itself otherwise
+		_ = rs.store.Revoke(ctx, lease) // it expires by itself otherwise
 	}()
 }
 
-// revokeRoles ends the leases of what this node holds, so that the next holders need not wait for them.
+// revokeRoles ends the leases of what this controller holds, so that the next holders need not wait for their expiry.
+// It runs after the loop.
 func (rs *singletonRoles) revokeRoles() {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(rs.ctx), time.Second)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(rs.ctx), roleRevokeTimeout)
 	defer cancel()
 	for _, role := range rs.state.roles {
 		if role.Term() != 0 {
@@ -292,7 +295,7 @@
 	}
 }
 
-// syncRole has the work of a duty follow the hold of it.
+// syncRole begins and ends the work of a role with the hold of it.
 func (rs *singletonRoles) syncRole(role *singleton.Role) {
 	current := &rs.state.holdings[role.Name]
 	current.trustedUntil.Store(int64(role.TrustedUntil()))
@@ -311,7 +314,8 @@
 	case singleton.Compaction:
 		rs.state.compactor = nil
 	}
-	if current.term = role.Term(); current.term == 0 {
+	current.term = role.Term()
+	if current.term == 0 {
 		return
 	}
 	rs.log.Info("singleton role acquired", "role", role.Name.String(), "term", current.term, "node", rs.settings.Node)
@@ -319,160 +323,27 @@
 	current.cancel = cancel
 	switch role.Name {
 	case singleton.Provisioning:
-		term := current.term
-		rs.state.provisioner = rs.provisioning.newProvisioner(
-			ctx,
-			func() bool { return int64(rs.now()) < current.trustedUntil.Load() },
-			func(o provisioner.Result) {
-				if role.Term() == term {
-					rs.publishResult(ctx, role, term, &o)
-				}
-			},
-		)
+		rs.state.provisioner = rs.newRoleProvisioner(ctx, role, current)
 	case singleton.Compaction:
 		rs.state.compactor = rs.newCompactor(ctx, role, current.term)
 	}
 }
 
-// onRoleProgress notes that a duty got on, and writes so where those before it did not.
+// onRoleProgress notes that the work of a role got on, and records so where that of the holders before did not: the
+// controllers would have long patience with the next holders otherwise.
 func (rs *singletonRoles) onRoleProgress(role *singleton.Role) {
-	if term := role.Term(); role.RecordProgress(rs.now()) {
-		go func() {
-			ctx, cancel := context.WithTimeout(rs.ctx, 3*time.Second)
-			defer cancel()
-			_ = rs.oplog.PutStalledHolders(ctx, role.Name.String(), term, 0) // else patience stays long for a while
-		}()
-	}
-}
-
-// publishResult tells the leader what came of a request to the cloud. If it is not heard, the desk tells it again for
-// as long as the log shows it as open.
-func (rs *singletonRoles) publishResult(
-	ctx context.Context,
-	role *singleton.Role,
-	term uint64,
-	result *provisioner.Result,
-) {
-	if result.Kind != provisioner.CloudUnavailable {
-		rs.onRoleProgress(role)
-	}
-	if rs.term.ownTerm != nil {
-		if rs.term.isActive() {
-			rs.provisioning.onProvisionerResult(rs.term.ownTerm, result)
-		}
+	term := role.Term()
+	if !role.RecordProgress(rs.now()) {
 		return
 	}
-	parts := []*provisioner.Result{result}
-	if result.Kind == provisioner.MachinesListed { // only what the leader does not know from the log
-		result.Listing = slices.DeleteFunc(result.Listing, func(row wire.ListedMachine) bool {
-			machine := rs.replica.model.ByName[row.Name]
-			return rs.replica.model.Tombstones[row.Name] ||
-				machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
-		})
-		parts = provisioner.SplitListed(result.Listing, maxListedBytes)
-	}
-	name := role.Name.String()
-	go func() {
-		ctx, cancel := context.WithTimeout(ctx, resultTimeout)
+	go func() { // under the process's context: the record is as true when the hold has ended
+		ctx, cancel := context.WithTimeout(rs.ctx, roleWriteTimeout)
 		defer cancel()
-		for _, part := range parts { // what the leader has no time for is in the next list as well
-			call := &rpc.Request{Op: rpc.OpRoleResult, ID: name, Body: part.Append(codec.Uint(nil, term))}
-			if reply, ok := rs.forward.toLeader(ctx, call, time.Second); !ok || reply.Status != http.StatusOK {
-				rs.log.Debug("provisioner result not delivered", "kind", part.Kind)
-				return
-			}
-		}
-	}()
-}
-
-// maxListedBytes is how many bytes of rows a part of a list has, with room for what else is in the frame, and
-// resultTimeout is how long the leader may take for all that is told at once: then the next list is due.
-const (
-	maxListedBytes = rpc.MaxBody - 1<<10
-	resultTimeout  = 3 * time.Second
-)
-
-// onRoleReport takes in what the holder of a duty says. Only the present one is believed.
-func (rs *singletonRoles) onRoleReport(ctx context.Context, request *rpc.Request) result.Result {
-	reader := &codec.Reader{Data: request.Body}
-	term := reader.Uint()
-	if reader.Err != nil {
-		return result.Invalid{Reason: "malformed"}
-	}
-	outcome, err := provisioner.ReadResult(reader.Data)
-	if err != nil || request.ID != singleton.Provisioning.String() {
-		return result.Invalid{Reason: "malformed"}
-	}
-	return rs.loop.answer(ctx, func(send func(result.Result)) {
-		switch {
-		case rs.state == nil:
-			send(result.Unsupported{Reason: "duties are not held one by one here"})
-		case !rs.term.isActive():
-			send(result.Unavailable{Reason: "no leader here", RetryAfter: time.Second})
-		case !rs.state.roles[singleton.Provisioning].IsCurrent(term):
-			send(result.Superseded{Reason: "another holds the duty"})
-		default:
-			rs.provisioning.onProvisionerResult(rs.term.ownTerm, outcome)
-			send(result.Done{})
-		}
-	})
-}
-
-// newCompactor begins to clean up under a term.
-func (rs *singletonRoles) newCompactor(ctx context.Context, role *singleton.Role, term uint64) *logCompactor {
-	compactor := &logCompactor{ctx: ctx, busy: true}
-	compactor.compactor = rs.oplog.WithWriteShare(rs.settings.Params.KVStore.WriteRPS, compactionShare, rs.log).
-		NewCompactor(oplog.Fence{Key: oplog.RoleKey(role.Name.String()), Version: term, Term: compactionTermBase + term})
-	compactor.compactor.OnProgress = func() {
-		rs.loop.post(func() {
-			if role.Term() == term {
-				rs.onRoleProgress(role)
-			}
-		})
-	}
-	go func() {
-		seq, err := compactor.compactor.SnapshotSeq(ctx)
-		rs.loop.post(func() {
-			compactor.busy = false
-			if compactor.seqKnown = err == nil; compactor.seqKnown {
-				compactor.snapshotSeq = seq
-			}
-		})
-	}()
-	return compactor
-}
-
-// compactLog compacts the log once enough of it has come, at a moment at which the model is what the log has.
-func (rs *singletonRoles) compactLog(role *singleton.Role, compactor *logCompactor) {
-	switch term := rs.term.ownTerm; {
-	case compactor.busy:
-		return
-	case !compactor.seqKnown || !rs.replica.loaded && term == nil || rs.replica.appliedSeq < compactor.snapshotSeq+uint64(rs.commits.snapshotInterval):
-		role.RecordIdle(rs.now())
-		return
-	case term != nil && (term.commits.writeInFlight || len(term.commits.queue) > 0 || term.commits.committedSeq != rs.replica.appliedSeq):
-		return
-	}
-	compactor.busy = true
-	seq, snap, ctx := rs.replica.appliedSeq, rs.replica.model.Snapshot(), compactor.ctx
-	go func() {
-		err := compactor.compactor.Compact(ctx, seq, snap)
-		rs.loop.post(func() {
-			compactor.busy = false
-			if err == nil {
-				compactor.snapshotSeq = seq
-				rs.log.Debug("log compacted", "seq", seq, "bytes", len(snap))
-			} else if ctx.Err() == nil {
-				rs.log.Warn("log compaction failed, previous snapshot kept", "seq", seq, "bytes", len(snap), "err", err)
-				if errors.Is(err, oplog.ErrDeposed) {
-					compactor.seqKnown = false // the watch tells who holds it now
-				}
-			}
-		})
+		_ = rs.oplog.PutStalledHolders(ctx, role.Name.String(), term, 0)
 	}()
 }
 
-// roleStatus is how the duties stand, for operators.
+// roleStatus is how the roles are, for operators. It is for the loop.
 func (rs *singletonRoles) roleStatus() *wire.RoleList {
 	status := &wire.RoleList{
 		Node:                  rs.settings.Node,
@@ -483,8 +354,8 @@
 	if rs.term.leader != nil {
 		status.Leader = rs.term.leader.Node
 	}
-	for _, i := range rs.replica.model.Intents {
-		status.UncertainProvisioning = append(status.UncertainProvisioning, i.Name)
+	for _, intent := range rs.replica.model.Intents {
+		status.UncertainProvisioning = append(status.UncertainProvisioning, intent.Name)
 	}
 	if rs.state == nil {
 		return status
@@ -492,7 +363,7 @@
 	now := rs.now()
 	for _, role := range rs.state.roles {
 		holder := role.Holder()
-		d := wire.RoleStatus{
+		row := wire.RoleStatus{
 			Role:              role.Name.String(),
 			Holder:            holder.Node,
 			Term:              holder.Term,
@@ -501,9 +372,9 @@
 			ReleaseReason:     role.ReleaseReason(),
 		}
 		if role.Term() != 0 {
-			d.LastProgressS = (now - role.LastProgress()).Seconds()
+			row.LastProgressS = (now - role.LastProgress()).Seconds()
 		}
-		status.Roles = append(status.Roles, d)
+		status.Roles = append(status.Roles, row)
 	}
 	return status
 }
