--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -54,7 +54,7 @@
 
 // NearLimit tells whether so many connections are open that agents are to close theirs: they come every few seconds,
 // while users and health checks need to get in at any time. A leader with more agents than connections used to accept
-// nobody for as long as they kept theirs.
+// nobody else until they closed theirs.
 func (c *ConnLimiter) NearLimit() bool { return c.open.Load()*8 > int64(c.MaxConns)*7 }
 
 // onConnState is for http.Server.ConnState.
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -25,7 +25,7 @@
 // Respond spells a result for users, agents and other controllers.
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
-// noLeaderReason and noLeaderRetry are what everybody is told who would need the leader.
+// noLeaderReason and noLeaderRetry are the answer to all requests that need the leader.
 const (
 	noLeaderReason = "no leader at the moment"
 	noLeaderRetry  = time.Second
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -7,7 +7,7 @@
 )
 
 // responseTimeout bounds how long the answer to a user may wait for the log. A write that takes longer is still
-// repeated, but its user is told at once to ask again.
+// repeated, but its user is asked at once to come back.
 const responseTimeout = 2500 * time.Millisecond
 
 // noSuchJob is the answer where the name is no job's, or no job is known by it.
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -210,7 +210,7 @@
 		send(result.NoLeader{})
 		return
 	}
-	// A known job is recognised before anything is checked: a repeated request must never be told that it is invalid.
+	// A known job is recognised before anything is checked: a repeated request must never be answered as invalid.
 	if sb.jobStatus.respondIfKnown(id, send) {
 		return
 	}
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,5 +1,5 @@
-// Package result has the types of what comes of a request to a controller, so that the components of the program tell
-// each other what happened instead of how it will be spelled. The HTTP statuses, headers and bodies that stand for
+// Package result has the types of what comes of a request to a controller, so that the components of the program
+// return what happened instead of how it will be spelled. The HTTP statuses, headers and bodies that stand for
 // them begin at the edge, in packages api and adminapi.
 package result
 
