--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -3,12 +3,18 @@
 import (
 	"time"
 
+	"fieldhill/internal/agents/health"
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// machineHealth judges silent, faulty, slow and cut-off machines, and the leader's own reach.
+// machineHealth is what the leader judges and does regularly about machines that are silent, quarantined, slow or in a
+// partitioned zone, and about its own isolation. It gathers what is observed of them, has package health decide, and
+// carries the actions out: probes, suspicions and releases go through the components that own them.
+//
+// It owns no state beyond its part of a term (machineHealthTerm). Of what the model keeps it writes when a heartbeat
+// counts as received after a stall (resetFailureDetectors), that a machine is inbound partitioned, and its token.
 type machineHealth struct {
 	*environment
 	commits      *commitPipeline
@@ -23,18 +29,16 @@
 	zones        *zoneLiveness
 }
 
-// machineHealthTerm is what machineHealth keeps for one term of leadership.
+// machineHealthTerm is what machineHealth keeps for one term of leadership; it alone writes it, in the loop.
 type machineHealthTerm struct {
-	lastLatenessLog        time.Time
-	zonePartitionedUntil   map[int32]model.Time // zones that are cut off, or were until recently
-	heartbeatsMissingSince time.Time            // since when hardly any machine is heard of; zero: some are
+	detector health.Detector
 }
 
-// resetFailureDetectors begins all detectors of silence anew by as much as this node did not
-// listen itself: a process that was stopped, or starved, sees everybody silent at once,
-// and what they said meanwhile still waits to be read. One that is late again and again, never for a second,
-// hears of a part of the fleet only: four hundred machines that were well were once returned as silent
-// within three seconds, when the cloud was back and a third of the fleet was to be replaced.
+// resetFailureDetectors begins the detection of silence anew by as much as this controller did not listen itself: a
+// process that was stopped, or starved, finds everybody silent at once, and what they sent meanwhile is still to be
+// read. One that is late again and again, never for a second, receives the heartbeats of a part of the fleet only: four
+// hundred machines that were well were once released as silent within three seconds, when the cloud was back and a third
+// of the fleet was to be replaced.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
 	for _, machine := range mh.replica.model.Order {
@@ -45,246 +49,200 @@
 	}
 	mh.log.Info("event loop stalled", "duration", delay+maintenanceInterval)
 	if term := mh.term.ownTerm; term != nil {
-		term.health.heartbeatsMissingSince, term.heartbeats.lastHeartbeat = time.Time{}, now
+		term.health.detector.OnStall()
+		term.heartbeats.lastHeartbeat = now
 	}
 }
 
-// slowCheckInterval paces the look for machines that are slow, which reads all runs.
-const slowCheckInterval = 5 * time.Second
+// healthRules are the bounds by which machines are judged, from the settings.
+func (mh *machineHealth) healthRules() *health.Rules {
+	return &health.Rules{
+		HeartbeatS:     mh.settings.Params.Workers.HeartbeatS,
+		ProbeAfter:     mh.probeAfter(),
+		SilentAfter:    mh.silentAfter(),
+		CancelPatience: mh.cancelPatience(),
+		Zones:          len(mh.settings.Params.Zones),
+	}
+}
 
-// checkMachineHealth gives up machines that are silent, faulty or never came up, and
-// returns those in a zone that is cut off whose work is over and wanted elsewhere.
+// cancelPatience is for how long a cancelled job may keep tasks on a machine of a partitioned zone before the machine is
+// released: its agent ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has is
+// for the cloud.
+func (mh *machineHealth) cancelPatience() model.Time {
+	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
+}
+
+// checkMachineHealth judges all machines and does what follows from it: it releases those that are silent, quarantined
+// or never came up, and those of a partitioned zone whose work is needed elsewhere.
 func (mh *machineHealth) checkMachineHealth(term *leaderTerm) {
-	now := mh.now()
-	silentLimit := mh.silentAfter()
-	upByZone, silentByZone, partitionedByZone := map[int32]int{}, map[int32]int{}, map[int32]int{}
-	isSilent := func(machine *model.Machine) bool {
-		limit := silentLimit
-		if !machine.Contact.Reported && (len(machine.Runs) == 0 || machine.Info.Addr == "") {
-			// Its worker may still be looking for the leader. One with work is asked
-			// as soon as a node leads, and says nothing only if it hangs or is gone.
-			limit += 6 * time.Second
-		}
-		return machine.SilentFor(now) > limit
-	}
-	// A suspect machine was up too, though a new leader finds nothing on it: a
-	// whole zone was returned as never having come up, just as its cut ended.
-	wasUp := func(machine *model.Machine) bool {
-		return machine.Contact.Reported || len(machine.Runs) > 0 || machine.Suspect
-	}
+	now, rules := mh.now(), mh.healthRules()
+	census := &health.Census{}
 	for _, machine := range mh.replica.model.Order {
-		if wasUp(machine) {
-			upByZone[machine.Zone]++
-			// When the first machine of a cut zone is given up, every other one
-			// has missed a report too; outside a cut few have.
-			if machine.Contact.InboundPartitionSince != 0 ||
-				now-machine.Contact.LastReport > config.Seconds(mh.settings.Params.Workers.HeartbeatS*1.25) {
-				silentByZone[machine.Zone]++
-			}
-			if machine.Contact.InboundPartitionSince != 0 {
-				partitionedByZone[machine.Zone]++
-			}
-		}
+		observed := observeMachine(machine, now)
+		census.Add(rules, &observed)
 	}
-	mh.checkSelfIsolation(term, upByZone, silentByZone)
+	mh.checkSelfIsolation(term, rules, census)
 	mh.leases.queryRenewals(term)
-	checkPartition, freeByZone := false, map[int32]*scheduler.Resources{}
-	checkSlow := time.Since(term.health.lastLatenessLog) > slowCheckInterval
-	if checkSlow {
-		term.health.lastLatenessLog = time.Now()
-	}
+	round := term.health.detector.Begin(rules, census, now, term.provisioning.cloudUnavailable)
+	evidence := &healthEvidence{machineHealth: mh, ownTerm: term, now: now}
 	for _, machine := range mh.replica.model.Order {
-		if checkSlow && partitionedByZone[machine.Zone] >= minInboundPartitioned && machine.Contact.Reported {
-			mh.replica.model.RaiseToken(machine) // the others of its zone hear as little, most likely
-		}
-		if checkSlow && mh.replica.model.DetectSlow(machine, now) {
-			mh.heartbeats.logSlow(machine)
-		}
-		if doubtSince := machine.Health.DoubtSince; doubtSince != 0 && !machine.Health.Quarantined {
-			mh.replica.model.UpdateQuarantine(machine, now)
-			switch {
-			case machine.Health.Quarantined:
-				mh.heartbeats.logQuarantined(machine)
-			case machine.Health.DoubtSince == 0:
-				mh.loop.roundRequested = true // of use again: its jobs fail elsewhere too
-			}
-		}
-		if !machine.Releasing && wasUp(machine) && machine.SilentFor(now) > mh.probeAfter() {
-			mh.probes.probeSilent(machine, false)
-		}
-		// Many machines of a zone silent at once look like a cut, in which they
-		// go on working; one or two look dead or hung. After a cut the workers
-		// need some time to find the leader again.
-		zoneCut := silentByZone[machine.Zone] >= 3 && silentByZone[machine.Zone]*2 > upByZone[machine.Zone]
-		if zoneCut {
-			term.health.zonePartitionedUntil[machine.Zone] = now + 15*time.Second
-		}
-		zoneCut = zoneCut || now < term.health.zonePartitionedUntil[machine.Zone]
-		switch {
-		case machine.Releasing:
-		case mh.releaseInCutZone(term, machine, wasUp(machine) && isSilent(machine), freeByZone):
-		case machine.Health.Quarantined && len(machine.Runs) == 0:
-			mh.provisioning.releaseMachine(machine, "quarantined")
-		case wasUp(machine) && isSilent(machine):
-			if !zoneCut || machine.SilentFor(now) >= zoneCutPatience {
-				mh.provisioning.releaseMachine(machine, "heartbeats missing")
-				continue
-			}
-			// Idle ones, too: what was placed on them would wait for the end of the cut.
-			machine.MarkInboundPartition(now)
-			mh.replica.model.RaiseToken(machine)
-			if !machine.Suspect && len(machine.Runs) > 0 {
-				checkPartition = true
-				if !mh.zones.mayBeAlive(term, mh.replica.model.Zones.Name(machine.Zone)) {
-					mh.markSuspect(machine)
-				}
-			}
+		mh.judgeTasks(machine, round.ChecksLateness(), now)
+		evidence.machine = machine
+		observed := observeMachine(machine, now)
+		for _, action := range round.Judge(&observed, evidence) {
+			mh.carryOut(machine, action, now)
 		}
 	}
-	for _, machine := range mh.provisioning.autoscaler.CheckBoots(mh.replica.model, time.Now().UnixMilli(), now, silentLimit+10*time.Second) {
-		if now >= term.health.zonePartitionedUntil[machine.Zone] {
-			mh.provisioning.releaseMachine(machine, "boot timed out")
+	settleTime := mh.silentAfter() + bootSettleTime
+	for _, machine := range mh.provisioning.autoscaler.CheckBoots(
+		mh.replica.model, time.Now().UnixMilli(), now, settleTime,
+	) {
+		if round.ReleasesUnbooted(machine.Zone) {
+			mh.provisioning.releaseMachine(machine, string(health.BootTimedOut))
 		}
 	}
-	if checkPartition && !term.zones.partitionQueryInFlight &&
-		time.Since(term.zones.lastPartitionQuery) > partitionReportInterval/2 {
-		mh.zones.queryPartitionedNodes(term)
+	if round.QueriesPartitions() {
+		mh.zones.queryIfDue(term)
 	}
 }
 
-// minInboundPartitioned is how many machines of a zone that do not hear have the others tried.
-const minInboundPartitioned = 2
+// bootSettleTime is what machines that are up get beyond the limit of silence to report to a new leader, before they
+// count as not booted.
+const bootSettleTime = 10 * time.Second
+
+// observeMachine is what package health is told of a machine.
+func observeMachine(machine *model.Machine, now model.Time) health.Machine {
+	return health.Machine{
+		Zone:               machine.Zone,
+		Reported:           machine.Contact.Reported,
+		Occupied:           len(machine.Runs) > 0,
+		HasAddr:            machine.Info.Addr != "",
+		Suspect:            machine.Suspect,
+		Releasing:          machine.Releasing,
+		Quarantined:        machine.Health.Quarantined,
+		InboundPartitioned: machine.Contact.InboundPartitionSince != 0,
+		SinceHeartbeat:     now - machine.Contact.LastReport,
+		SilentFor:          machine.SilentFor(now),
+	}
+}
 
-// isolationGrace is how long hardly any machine may be heard of, though some are asked,
-// before the lead is handed over: longer than they have to answer.
-const isolationGrace = 1500 * time.Millisecond
+// judgeTasks has the model judge a machine by the tasks on it: whether it is slow, and whether it is to be quarantined
+// for those that failed.
+func (mh *machineHealth) judgeTasks(machine *model.Machine, checkSlow bool, now model.Time) {
+	if checkSlow && mh.replica.model.DetectSlow(machine, now) {
+		mh.heartbeats.logSlow(machine)
+	}
+	if machine.Health.DoubtSince == 0 || machine.Health.Quarantined {
+		return
+	}
+	mh.replica.model.UpdateQuarantine(machine, now)
+	switch {
+	case machine.Health.Quarantined:
+		mh.heartbeats.logQuarantined(machine)
+	case machine.Health.DoubtSince == 0:
+		mh.loop.roundRequested = true // of use again: its jobs fail elsewhere too
+	}
+}
 
-// isolationSilence is how long nothing at all may come from so many machines before that is
-// no accident: a dozen reports are missing.
-func (mh *machineHealth) isolationSilence(machines int) time.Duration {
-	return max(time.Second, config.Seconds(12*mh.settings.Params.Workers.HeartbeatS/float64(machines)))
+// carryOut does what was decided about a machine.
+func (mh *machineHealth) carryOut(machine *model.Machine, action health.Action, now model.Time) {
+	switch action.Kind {
+	case health.RaiseToken:
+		mh.replica.model.RaiseToken(machine)
+	case health.Probe:
+		mh.probes.probeSilent(machine, false)
+	case health.MarkPartitioned:
+		machine.MarkInboundPartition(now)
+	case health.MarkSuspect:
+		mh.markSuspect(machine)
+	case health.Release:
+		mh.provisioning.releaseMachine(machine, string(action.Reason))
+	}
 }
 
-// checkSelfIsolation hands the lead over when the machines of all zones are silent at once
-// and don't answer when asked, while another controller is there: then it is this
-// node that has lost them, and their leases would run out under it.
-func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, upByZone, silentByZone map[int32]int) {
-	total, silent, zones := 0, 0, 0
-	for z, k := range upByZone {
-		total, silent = total+k, silent+silentByZone[z]
-		if silentByZone[z] > 0 {
-			zones++
+// markSuspect makes a machine suspect: its lease expires. After that it is released if its work may run elsewhere;
+// otherwise it is left where it is, and of use again when the partition ends.
+func (mh *machineHealth) markSuspect(machine *model.Machine) {
+	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone,
+		"tasks", len(machine.Runs))
+	seq := mh.commits.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
+	mh.commits.whenCommitted(seq, func(ok bool) {
+		if ok {
+			machine.SuspicionCommitted(seq, mh.now())
 		}
+	})
+}
+
+// checkSelfIsolation resigns, for another controller to lead, when it is this one that the machines don't reach.
+func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
+	now := mh.now()
+	reach := health.Reach{
+		SinceHeartbeat: now - term.heartbeats.lastHeartbeat,
+		SinceGrace:     time.Since(term.leadership.reportGraceEnd),
 	}
-	peerReachable := false
-	for _, l := range mh.links {
-		peerReachable = peerReachable || time.Since(l.LastResponse()) < linkFreshness
-	}
-	now := time.Now()
-	minZones := min(2, len(mh.settings.Params.Zones)) // where there is only one zone a cut of it looks the same
-	nothingReceived := total >= 3 && len(upByZone) >= minZones &&
-		mh.now()-term.heartbeats.lastHeartbeat > mh.isolationSilence(total)
-	mostSilent := silent >= 3 && silent*10 >= total*9 && zones >= minZones
-	// A new leader is looked for first.
-	if !peerReachable || !nothingReceived && !mostSilent ||
-		now.Sub(term.leadership.reportGraceEnd) < 2*config.Seconds(mh.settings.Params.Workers.HeartbeatS) {
-		term.health.heartbeatsMissingSince = time.Time{}
-		return
+	for _, link := range mh.links {
+		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkFreshness
 	}
-	if term.health.heartbeatsMissingSince.IsZero() {
-		term.health.heartbeatsMissingSince = now
+	switch term.health.detector.CheckIsolation(rules, census, reach, now) {
+	case health.ProbeMachines:
+		stride := health.ProbeStride(len(mh.replica.model.Order))
 		for i, machine := range mh.replica.model.Order {
-			if i%max(1, len(mh.replica.model.Order)/isolationProbes) == 0 {
+			if i%stride == 0 {
 				mh.probes.probeSilent(machine, false)
 			}
 		}
+	case health.Resign:
+		mh.resign(term, census)
 	}
-	if now.Sub(term.health.heartbeatsMissingSince) < isolationGrace {
-		return
-	}
+}
+
+// resign ends the term with errHeartbeatsMissing. From here on nothing is decided in it.
+func (mh *machineHealth) resign(term *leaderTerm, census *health.Census) {
+	total, silent := census.Totals()
 	mh.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
 	term.handingOver = true
-	mh.term.extendTrust(term, time.Time{}) // from here on it decides nothing
+	mh.term.extendTrust(term, time.Time{})
 	select {
 	case term.errs <- errHeartbeatsMissing:
 	default:
 	}
 }
 
-// isolationProbes is about how many machines are asked when nothing is heard of any.
-const isolationProbes = 12
+// healthEvidence answers what package health asks about one machine in the course of a round (health.Evidence).
+type healthEvidence struct {
+	*machineHealth
+	ownTerm *leaderTerm
+	now     model.Time
+	machine *model.Machine
+}
 
-// zoneCutPatience is after how long a silent machine is returned although its zone
-// looks cut off.
-const zoneCutPatience = 100 * time.Second
+// CancelledFor is for how long a job with a task on the machine has been cancelled.
+func (e *healthEvidence) CancelledFor() model.Time {
+	return e.replica.model.CancelledFor(e.machine, e.now)
+}
 
-// releaseInCutZone returns a machine of a cut zone if that is due, and tells whether it did. That its lease is over
-// does not prove its tasks gone: one that hangs ends them only when it wakes, and they count until then (ran_twice,
-// and ran_cancelled). The cloud's answer proves it, hung or not, and the cloud belongs to no zone. Before the lease
-// is over the machine is left alone, since work in a cut zone goes on; afterwards it is returned if it holds urgent
-// work that may run elsewhere, or low work that finds free room there. Of the other machines nothing would be gained,
-// and they are there when the cut ends: when all of a zone were returned, half of them for low work that then waited
-// elsewhere, a third of the fleet had to boot anew. What a cancelled job has there its worker ends in time by itself,
-// unless it hangs: such a machine is returned before the time is over, also if its zone is only parted from this
-// node, unless the controller there has just heard that nothing of the kind is left. While the cloud is down nothing
-// is proven, and nothing is marked either: the end of the cut may come first.
-func (mh *machineHealth) releaseInCutZone(
-	term *leaderTerm,
-	machine *model.Machine,
-	silent bool,
-	freeByZone map[int32]*scheduler.Resources,
-) bool {
-	if len(machine.Runs) == 0 || term.provisioning.cloudUnavailable {
-		return false
-	}
-	switch now := mh.now(); {
-	case (silent || machine.Suspect) && mh.replica.model.CancelledFor(machine, now) > mh.cancelPatience() && !term.isCleared(machine.ID):
-		mh.provisioning.releaseMachine(machine, "zone partitioned, cancelled tasks overdue")
-	case machine.Suspect && machine.LeaseExpired(mh.settings.StaleRenewalLimit(), mh.leaseDuration(), mh.leases.latestOwnRenewal(machine), now, len(mh.settings.Members)) && mh.wantedElsewhere(machine, freeByZone):
-		mh.provisioning.releaseMachine(machine, "zone partitioned, lease expired, tasks needed elsewhere")
-	default:
-		return false
-	}
-	return true
+// Cleared tells whether a controller on the machine's side of a partition found no task of a cancelled job there.
+func (e *healthEvidence) Cleared() bool { return e.ownTerm.isCleared(e.machine.ID) }
+
+// LeaseExpired tells whether the machine's lease has surely expired.
+func (e *healthEvidence) LeaseExpired() bool {
+	return e.machine.LeaseExpired(e.settings.StaleRenewalLimit(), e.leaseDuration(),
+		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// wantedElsewhere tells whether what is on a machine is to go on in another zone now. free is what was found to be
-// free outside of each zone, and is not given to others yet.
-func (mh *machineHealth) wantedElsewhere(machine *model.Machine, freeByZone map[int32]*scheduler.Resources) bool {
-	urgent, low := scheduler.MovableWork(machine)
-	if urgent || low.CPUs == 0 && low.GPUs == 0 {
-		return urgent
-	}
-	available := freeByZone[machine.Zone]
-	if available == nil {
-		outside := scheduler.FreeOutsideZone(mh.replica.model, machine.Zone)
-		outside.CPUs -= mh.rounds.scheduler.ServiceHeadroom // that is not for low work
-		available = &outside
-		freeByZone[machine.Zone] = available
-	}
-	if low.CPUs > available.CPUs || low.GPUs > available.GPUs {
-		return false
-	}
-	*available = available.Minus(low)
-	return true
+// MovableWork is what on the machine may run in another zone.
+func (e *healthEvidence) MovableWork() (urgent bool, low health.Room) {
+	urgent, resources := scheduler.MovableWork(e.machine)
+	return urgent, health.Room{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
-// cancelPatience is for how long a cancelled job may keep tasks on a machine of a cut zone before the machine is
-// returned: its worker ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has
-// is for the cloud.
-func (mh *machineHealth) cancelPatience() model.Time {
-	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
+// FreeOutsideZone is the room for low-priority work in the other zones: without what is kept free for services.
+func (e *healthEvidence) FreeOutsideZone() health.Room {
+	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
+	return health.Room{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
 }
 
-// markSuspect makes a machine suspect: its lease runs out. When that is over it is returned if its work may run
-// elsewhere; otherwise it is left where it is, and of use again when the cut is over.
-func (mh *machineHealth) markSuspect(machine *model.Machine) {
-	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone,
-		"tasks", len(machine.Runs))
-	seq := mh.commits.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
-	mh.commits.whenCommitted(seq, func(ok bool) {
-		if ok {
-			machine.SuspicionCommitted(seq, mh.now())
-		}
-	})
+// ZoneMayBeAlive tells whether work in the machine's zone may go on without this controller.
+func (e *healthEvidence) ZoneMayBeAlive() bool {
+	return e.zones.mayBeAlive(e.ownTerm, e.replica.model.Zones.Name(e.machine.Zone))
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -53,7 +53,6 @@
 			dirtyMachines:    map[*model.Machine]bool{},
 			dirtyAfterCommit: map[*model.Machine]bool{},
 		},
-		health: machineHealthTerm{zonePartitionedUntil: map[int32]model.Time{}},
 		zones:  zoneLivenessTerm{nodes: map[string]*partitionedNode{}},
 		intake: intakeTerm{dropping: map[uint64]bool{}},
 		probes: probesTerm{
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -10,7 +10,11 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// zoneLiveness finds out whether work in a zone that is cut off goes on under a controller there.
+// zoneLiveness finds out whether work in a partitioned zone goes on under a controller there: what a controller that
+// reads the log but does not reach the leader reports through the key-value store, and what the leader makes of that.
+//
+// It owns when this controller last reported, and in a term what was read of the others' reports. Both are written in
+// the loop alone; the store is read and written by goroutines that post their results to it.
 type zoneLiveness struct {
 	*environment
 	keepalives *followerKeepalives
@@ -18,27 +22,37 @@
 	replica    *replica
 	term       *termState
 
-	lastPartitionReport time.Time // when this node last told the leader that it does not reach it
+	lastPartitionReport time.Time // when this controller last reported that it does not reach the leader
 }
 
 // zoneLivenessTerm is what zoneLiveness keeps for one term of leadership.
 type zoneLivenessTerm struct {
-	nodes                  map[string]*partitionedNode // what was seen of nodes that this one does not reach
-	partitionQueryInFlight bool                        // which nodes are apart
-	lastPartitionQuery     time.Time
+	nodes                  map[string]*partitionedNode // by name: controllers that reported not to reach this one
+	partitionQueryInFlight bool                        // their reports are being read
+	lastPartitionQuery     time.Time                   // when they were last read
 }
 
-// partitionReportInterval is how often a node that does not reach the leader says so.
-const partitionReportInterval = 5 * time.Second
+const (
+	// partitionReportInterval is how often a controller that does not reach the leader reports so.
+	partitionReportInterval = 5 * time.Second
+	// partitionReportTTL is for how long such a report counts.
+	partitionReportTTL = 2 * partitionReportInterval
+	// maxPartitionReportLag is how many batches of the log a report that is read for the first time may lack.
+	maxPartitionReportLag = 100
+)
 
-// partitionedNode is what the leader has seen of a node that does not reach it.
+// partitionedNode is what the leader has read of a controller that does not reach it.
 type partitionedNode struct {
-	version         uint64
-	updatedAt       time.Time                // when its record was last seen to be new
-	clearedMachines map[model.MachineID]bool // machines that came to it and held nothing of a cancelled job
+	version         uint64                   // of its record in the store
+	updatedAt       time.Time                // when its record was last found to be new
+	clearedMachines map[model.MachineID]bool // machines that reported to it, with no task of a cancelled job
 }
 
-// splitVarints cuts such a list between its numbers into parts of most bytes, one at least.
+// isFresh tells whether the controller has reported lately.
+func (n *partitionedNode) isFresh() bool { return time.Since(n.updatedAt) < partitionReportTTL }
+
+// splitVarints splits a list of variable-length numbers, between two of them, into parts of at most so many bytes; there
+// is at least one part.
 func splitVarints(b []byte, maxBytes int) (parts [][]byte) {
 	const continuation = 0x80 // in each byte of a number but the last
 	for len(b) > maxBytes {
@@ -51,37 +65,37 @@
 	return append(parts, b)
 }
 
-// decodeCleared reads such a list, from all parts of a record; what a malformed one says does not count.
-func decodeCleared(a *oplog.PartitionedNode) map[model.MachineID]bool {
-	out := map[model.MachineID]bool{}
-	for _, part := range append([][]byte{a.Data}, a.Parts...) {
+// decodeCleared reads the machines of clearedMachines.encode from all parts of a record. What is malformed does not
+// count.
+func decodeCleared(record *oplog.PartitionedNode) map[model.MachineID]bool {
+	cleared := map[model.MachineID]bool{}
+	for _, part := range append([][]byte{record.Data}, record.Parts...) {
 		for r := (&codec.Reader{Data: part}); len(r.Data) > 0; {
 			if id := model.MachineID(r.Uint()); r.Err == nil {
-				out[id] = true
+				cleared[id] = true
 			}
 		}
 	}
-	return out
+	return cleared
 }
 
-// isCleared tells whether a node that does not reach this one has just heard from a machine, and nothing of a
+// isCleared tells whether a controller that does not reach this one has just heard from a machine, and no task of a
 // cancelled job was left there.
 func (r *leaderTerm) isCleared(id model.MachineID) bool {
-	for _, a := range r.zones.nodes {
-		if a.clearedMachines[id] && time.Since(a.updatedAt) < 2*partitionReportInterval {
+	for _, node := range r.zones.nodes {
+		if node.clearedMachines[id] && node.isFresh() {
 			return true
 		}
 	}
 	return false
 }
 
-// mayBeAlive tells whether work in a zone may go on without this node: a controller
-// there is reached, or reads the log and so keeps the zone's workers. Then the
-// zone is not cut off from everything, but only parted from the leader. As long
+// mayBeAlive tells whether work in a zone may go on without this controller: one there is reached, or reads the log and
+// so keeps the zone's agents alive. Then the zone is not partitioned from everything, but from the leader alone. As long
 // as that is not known, it may be so.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
-		time.Since(term.zones.lastPartitionQuery) > 2*partitionReportInterval {
+		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
 		return true
 	}
 	for _, m := range zl.settings.Members {
@@ -91,47 +105,53 @@
 		if time.Since(zl.links[m.Node].LastResponse()) < 2*linkFreshness {
 			return true
 		}
-		if a := term.zones.nodes[m.Node]; a != nil && time.Since(a.updatedAt) < 2*partitionReportInterval {
+		if node := term.zones.nodes[m.Node]; node != nil && node.isFresh() {
 			return true
 		}
 	}
 	return false
 }
 
-// queryPartitionedNodes reads which nodes don't reach the leader.
-func (zl *zoneLiveness) queryPartitionedNodes(term *leaderTerm) {
+// queryIfDue reads which controllers don't reach the leader, unless that was done a moment ago or is under way.
+func (zl *zoneLiveness) queryIfDue(term *leaderTerm) {
+	if term.zones.partitionQueryInFlight || time.Since(term.zones.lastPartitionQuery) <= partitionReportInterval/2 {
+		return
+	}
 	term.zones.partitionQueryInFlight = true
 	go func() {
-		list, err := zl.oplog.PartitionedNodes(term.ctx)
-		zl.loop.post(func() {
-			term.zones.partitionQueryInFlight = false
-			if zl.term.ownTerm != term || err != nil {
-				return
-			}
-			term.zones.lastPartitionQuery = time.Now()
-			for _, a := range list {
-				old := term.zones.nodes[a.Node]
-				switch {
-				case old == nil:
-					term.zones.nodes[a.Node] = &partitionedNode{version: a.Version, clearedMachines: decodeCleared(&a)}
-					// A record seen for the first time may be old: only one that
-					// knows the log to nearly its end counts at once.
-					if a.Seq+maxPartitionReportLag > term.commits.committedSeq {
-						term.zones.nodes[a.Node].updatedAt = time.Now()
-					}
-				case old.version != a.Version:
-					old.version, old.updatedAt, old.clearedMachines = a.Version, time.Now(), decodeCleared(&a)
-				}
-			}
-		})
+		records, err := zl.oplog.PartitionedNodes(term.ctx)
+		zl.loop.post(func() { zl.onPartitionedNodes(term, records, err) })
 	}()
 }
 
-// maxPartitionReportLag is how many batches the record of a node may lag behind the log.
-const maxPartitionReportLag = 100
+// onPartitionedNodes takes in the records of the controllers that reported not to reach the leader.
+func (zl *zoneLiveness) onPartitionedNodes(term *leaderTerm, records []oplog.PartitionedNode, err error) {
+	term.zones.partitionQueryInFlight = false
+	if zl.term.ownTerm != term || err != nil {
+		return
+	}
+	now := time.Now()
+	term.zones.lastPartitionQuery = now
+	for i := range records {
+		record := &records[i]
+		node := term.zones.nodes[record.Node]
+		switch {
+		case node == nil:
+			node = &partitionedNode{version: record.Version, clearedMachines: decodeCleared(record)}
+			term.zones.nodes[record.Node] = node
+			// A record read for the first time may be old: it counts at once only if its controller had read the log
+			// to nearly its end.
+			if record.Seq+maxPartitionReportLag > term.commits.committedSeq {
+				node.updatedAt = now
+			}
+		case node.version != record.Version:
+			node.version, node.updatedAt, node.clearedMachines = record.Version, now, decodeCleared(record)
+		}
+	}
+}
 
-// reportPartition tells the leader, by way of the state service, that this node reads the
-// log but does not reach it.
+// reportPartition reports to the leader, by way of the key-value store, that this controller reads the log but does not
+// reach it.
 func (zl *zoneLiveness) reportPartition() {
 	now := time.Now()
 	if zl.term.ownTerm != nil || !zl.replica.loaded || zl.term.leader == nil ||
@@ -152,11 +172,14 @@
 		Data:  parts[0],
 		Parts: parts[1:],
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(zl.ctx, partitionReportInterval)
-		defer cancel()
-		if err := zl.oplog.PutPartitionedNode(ctx, record); err != nil {
-			zl.log.Debug("partition report failed", "err", err)
-		}
-	}()
+	go zl.putReport(zl.ctx, record)
+}
+
+// putReport writes this controller's record to the store. One that fails is written again after the interval.
+func (zl *zoneLiveness) putReport(ctx context.Context, record oplog.PartitionedNode) {
+	ctx, cancel := context.WithTimeout(ctx, partitionReportInterval)
+	defer cancel()
+	if err := zl.oplog.PutPartitionedNode(ctx, record); err != nil {
+		zl.log.Debug("partition report failed", "err", err)
+	}
 }
