--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -149,7 +149,10 @@
 			},
 			func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
 			func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, hired) },
-			func() { c.leases.queryZoneRenewals(&leaderTerm{ctx: ctx}, c.to, 0, 0, "a", 300) },
+			func() {
+				query := renewalQuery{link: c.to, zoneName: "a", suspectSeq: 300}
+				c.leases.queryZoneRenewals(ctx, &leaderTerm{}, query)
+			},
 			func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
 			func() { c.loop.postAndWait(c.relay.maintainRelay) },
 			func() {
