--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -11,26 +11,29 @@
 	"fieldhill/internal/rpc"
 )
 
-// relayAgent is this follower's part as a relay: it offers itself, and passes commands and questions on to agents.
+// relayAgent is a follower's part in relaying (relayAssignments has the leader's): it offers itself to the leader, and
+// passes the leader's direct commands and probes on to agents. Heartbeats are passed on by heartbeatRouter, by what is
+// agreed here.
 type relayAgent struct {
 	*environment
 	replica *replica
 	term    *termState
 
-	// state is this node's part in ending workers' connections for the leader.
 	state *relaying
 }
 
-// relaying is this node as a relay. The loop writes it; the goroutines of workers' connections read it.
+// relaying is what a controller has agreed with the leader as its relay, and what it has under way for it. maintainRelay
+// alone writes it, in the loop, and the answer to its offer the flag enabled; the goroutines of agents' connections and
+// of the leader's calls read the atomic fields and take slots.
 type relaying struct {
-	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil: this node leads, or does not reach one
-	enabled    atomic.Bool              // the leader wants reports passed on
-	reports    slots                    // reports under way
+	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil: this controller leads, or does not reach one
+	enabled    atomic.Bool              // the leader wants heartbeats passed on
+	reports    slots                    // heartbeats under way
 	orders     slots                    // direct commands under way
-	probes     slots                    // questions under way
+	probes     slots                    // probes under way
 	offeredAt  time.Time
 	offeredTo  *rpc.Link
-	// neverOffers is for tests: the node behaves as one of a version without relays.
+	// neverOffers is for tests: the controller behaves as one of a version without relays.
 	neverOffers bool
 }
 
@@ -47,39 +50,46 @@
 	}
 }
 
+// release gives a slot back.
 func (s slots) release() { <-s }
 
-// maintainRelay keeps the way to the leader up to date and offers this node as a relay.
-func (ry *relayAgent) maintainRelay() {
-	state := ry.state
-	var target *rpc.Link
-	if ry.term.ownTerm == nil && ry.replica.loaded && ry.term.leader != nil {
-		if link := ry.links[ry.term.leader.Node]; link != nil && time.Since(link.LastResponse()) < linkFreshness {
-			target = link
-		}
+// reachableLeader is the link to the leader, if it may be relayed for; nil: this controller leads, or does not reach it.
+func (ry *relayAgent) reachableLeader() *rpc.Link {
+	if ry.state.neverOffers || ry.term.ownTerm != nil || !ry.replica.loaded || ry.term.leader == nil {
+		return nil
 	}
-	if state.neverOffers {
-		target = nil
+	link := ry.links[ry.term.leader.Node]
+	if link == nil || time.Since(link.LastResponse()) >= linkFreshness {
+		return nil
 	}
+	return link
+}
+
+// maintainRelay keeps the link to the leader up to date and offers this controller as a relay.
+func (ry *relayAgent) maintainRelay() {
+	state := ry.state
+	target := ry.reachableLeader()
 	state.leaderLink.Store(target)
 	if target == nil || target == state.offeredTo && time.Since(state.offeredAt) < offerInterval {
 		return
 	}
 	state.offeredTo, state.offeredAt = target, time.Now()
-	offer := relay.Offer{Node: ry.settings.Node, HasCapacity: !ry.connLimiter.NearLimit()}
-	go func() {
-		ctx, cancel := context.WithTimeout(ry.ctx, offerInterval)
-		defer cancel()
-		reply, err := target.Do(ctx, &rpc.Request{Op: rpc.OpRelayOffer, Body: offer.Append(nil)})
-		if err != nil {
-			return // what was agreed stands until the leader can be asked
-		}
-		enabled, err := relay.ReadOfferAnswer(reply.Body)
-		state.enabled.Store(reply.Status == http.StatusOK && err == nil && enabled)
-	}()
+	go state.offer(ry.ctx, target, relay.Offer{Node: ry.settings.Node, HasCapacity: !ry.connLimiter.NearLimit()})
 }
 
-// forwardQuery asks a worker for the leader.
+// offer offers this controller to the leader and keeps its answer. What was agreed holds until the leader answers again.
+func (s *relaying) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
+	ctx, cancel := context.WithTimeout(ctx, offerInterval)
+	defer cancel()
+	reply, err := leader.Do(ctx, &rpc.Request{Op: rpc.OpRelayOffer, Body: offer.Append(nil)})
+	if err != nil {
+		return
+	}
+	enabled, err := relay.ReadOfferAnswer(reply.Body)
+	s.enabled.Store(reply.Status == http.StatusOK && err == nil && enabled)
+}
+
+// forwardQuery asks an agent for its status for the leader.
 func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) *rpc.Response {
 	if !ry.state.probes.tryAcquire() {
 		return &rpc.Response{Status: statusBusy}
@@ -103,8 +113,6 @@
 	}
 	defer ry.state.orders.release()
 	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
-	return &rpc.Response{
-		Status: http.StatusOK,
-		Body:   relay.CommandResult{Fate: uint8(fate), Report: report}.Append(nil),
-	}
+	result := relay.CommandResult{Fate: uint8(fate), Report: report}
+	return &rpc.Response{Status: http.StatusOK, Body: result.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -14,28 +14,35 @@
 	"fieldhill/wire"
 )
 
-// table is the leader's side of relaying: which relay each agent reports through, and the ways to reach an agent.
+// relayAssignments is the leader's side of relaying, which spreads the agents of a large cell over its controllers: a
+// relay ends agents' connections, passes each heartbeat on to the leader and the leader's answer back, and sends the
+// leader's direct commands. internal/agents/relay decides which agent reports where; docs/REGIONS.md has the argument
+// why nothing more is needed for the rules.
+//
+// It owns the assignments, which are forgotten with the term, and is written in the loop alone. What it sends, goroutines
+// send that have looked the way up before.
 type relayAssignments struct {
 	*environment
 	loop    *eventLoop
 	replica *replica
 	term    *termState
 
-	// spreadThreshold is with more than how many machines workers are spread over the nodes; tests change it.
+	// spreadThreshold is with more than how many machines agents are spread over the controllers; tests change it.
 	spreadThreshold int
 }
 
-// relayAssignmentsTerm is what table keeps for one term of leadership.
+// relayAssignmentsTerm is what relayAssignments keeps for one term of leadership.
 type relayAssignmentsTerm struct {
-	table               *relay.Table // through which node each machine reports
-	acceptingNodes      []bool       // nodes that take more workers, by their index in the table
+	table               *relay.Table // through which controller each machine reports
+	acceptingNodes      []bool       // controllers that take more agents, by their index in the table
 	lastRelayOffers     []model.Time // when they last offered to be relays; 0: never
 	lastAssignmentSweep model.Time   // when the table was last swept
 }
 
-var errNotSent = errors.New("controller: a relay did not send a command")
+// errNotSent is the failure of a command or a probe that a relay did not send: it has too many under way, or is stopping.
+var errNotSent = errors.New("controller: relay did not send the request")
 
-// onRelayOffer answers a node that offers itself as a relay.
+// onRelayOffer answers a controller that offers itself as a relay.
 func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) *rpc.Response {
 	offer, err := relay.ReadOffer(request.Body)
 	if err != nil {
@@ -48,17 +55,14 @@
 			return
 		}
 		term := ra.term.ownTerm
-		term.assignments.acceptingNodes[index], term.assignments.lastRelayOffers[index] = offer.HasCapacity, ra.now()
-		send(
-			&rpc.Response{
-				Status: http.StatusOK,
-				Body:   relay.AppendOfferAnswer(nil, term.assignments.table.Spreading()),
-			},
-		)
+		term.assignments.acceptingNodes[index] = offer.HasCapacity
+		term.assignments.lastRelayOffers[index] = ra.now()
+		answer := relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())
+		send(&rpc.Response{Status: http.StatusOK, Body: answer})
 	})
 }
 
-// memberIndex is a member's index in the table of seats; relay.Leader if there is no such member.
+// memberIndex is a controller's index in the relay table; relay.Leader if there is no such controller.
 func (ra *relayAssignments) memberIndex(node string) int {
 	for i, m := range ra.settings.Members {
 		if m.Node == node {
@@ -68,13 +72,13 @@
 	return relay.Leader
 }
 
-// redirectTarget tells whether a worker is to report through another node, and to which.
+// redirectTarget tells whether an agent is to report through another controller, and through which.
 func (ra *relayAssignments) redirectTarget(machine *model.Machine, node int) (to string, move bool) {
 	term := ra.term.ownTerm
 	now := ra.now()
 	term.assignments.table.RecordReport(machine.Info.Name, node, now)
 	if !machine.Contact.Reported || now-machine.Contact.LastReport > ra.leaseDuration()/4 {
-		return "", false // its lease is renewed first: to look for another node takes time
+		return "", false // its lease is renewed first: to find another controller takes time
 	}
 	open := func(index int) bool { return term.assignments.acceptingNodes[index] && ra.isRelay(index) }
 	index, move := term.assignments.table.Redirect(machine.Info.Name, node, open, now)
@@ -87,7 +91,7 @@
 	return ra.settings.Members[index-1].Node, true
 }
 
-// isRelay tells whether a node, by its index in the table of seats, offered itself as a relay a moment ago and is
+// isRelay tells whether a controller, by its index in the relay table, offered itself as a relay a moment ago and is
 // reached.
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
@@ -95,7 +99,7 @@
 		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
 }
 
-// maintainAssignments is the leader's part of the housekeeping.
+// maintainAssignments decides from the size of the fleet whether agents are spread, and forgets those that are silent.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
 	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
@@ -105,12 +109,9 @@
 }
 
 // sendOrders sends a direct command, through the relay by which the machine reports, if there is one. A command whose
-// relay is lost meanwhile may be executed at any later time, as one that a network holds.
+// relay is lost meanwhile may be executed at any later time, as one that a network delays.
 func (ra *relayAssignments) sendOrders(
-	ctx context.Context,
-	via *rpc.Link,
-	addr string,
-	orders *wire.Orders,
+	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
 ) (agent.CommandFate, *wire.Heartbeat, error) {
 	if via == nil {
 		return ra.agents.SendOrders(ctx, addr, orders)
@@ -126,14 +127,14 @@
 	case reply.Status != http.StatusOK:
 		return agent.Unsent, nil, errNotSent
 	}
-	outcome, err := relay.ReadCommandResult(reply.Body)
-	if err != nil || outcome.Fate > uint8(agent.Unknown) {
+	result, err := relay.ReadCommandResult(reply.Body)
+	if err != nil || result.Fate > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandFate(outcome.Fate), outcome.Report, nil
+	return agent.CommandFate(result.Fate), result.Report, nil
 }
 
-// relayFor is the link to the relay by which a machine reports; nil: it is commanded from here.
+// relayFor is the link to the relay by which a machine reports; nil: it is sent commands from here.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
 	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
@@ -142,8 +143,8 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo is how a machine may be asked: by the node through which it reports and, if that fails, by one other way;
-// nil stands for from here. A leader that is cut off from workers whose relays are not must not take them for silent.
+// routesTo is how a machine may be probed: through the controller by which it reports and, if that fails, one other way;
+// nil stands for directly. A leader that is partitioned from agents whose relays are not must not take them for silent.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
@@ -159,11 +160,9 @@
 	return []*rpc.Link{nil}
 }
 
-// queryMachine asks a worker how it is, by one way after the other until it answers.
+// queryMachine asks an agent for its status, by one route after the other until it answers.
 func (ra *relayAssignments) queryMachine(
-	ctx context.Context,
-	routes []*rpc.Link,
-	addr string,
+	ctx context.Context, routes []*rpc.Link, addr string,
 ) (report *wire.Heartbeat, err error) {
 	for _, via := range routes {
 		if via == nil {
@@ -178,6 +177,7 @@
 	return nil, err
 }
 
+// queryThrough asks an agent for its status through a relay, which has the time of a probe and some on the way.
 func queryThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
