--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -1,12 +1,5 @@
 package controller
 
-import (
-	"context"
-
-	"fieldhill/internal/result"
-	"fieldhill/wire"
-)
-
 // newComponents makes all components and connects each with those that it uses.
 func newComponents(env *environment) *Controller {
 	c := &Controller{environment: env}
@@ -222,11 +215,6 @@
 	*readiness
 }
 
-// Heartbeat answers an agent, until heartbeatRouter uses results itself.
-func (rh requestHandlers) Heartbeat(ctx context.Context, report *wire.Heartbeat) result.Result {
-	return result.Forwarded{Response: rh.heartbeatRouter.Heartbeat(ctx, report)}
-}
-
 func (c *Controller) requestHandlers() requestHandlers {
 	return requestHandlers{c.submissions, c.jobStatus, c.cancellations, c.heartbeatRouter, c.readiness}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -367,17 +367,17 @@
 	case rpc.OpRoleResult:
 		return api.Respond(c.roles.onRoleReport(ctx, request))
 	case rpc.OpRenewals:
-		return c.leases.replyRenewals(ctx, request)
+		return api.Respond(c.leases.replyRenewals(ctx, request))
 	case rpc.OpWatermark:
 		return c.fence.replyWatermarks(ctx)
 	case rpc.OpRelayOffer:
-		return c.assignments.onRelayOffer(ctx, request)
+		return api.Respond(c.assignments.onRelayOffer(ctx, request))
 	case rpc.OpRelayReport:
-		return c.heartbeatRouter.onRelayedReport(ctx, request)
+		return api.Respond(c.heartbeatRouter.onRelayedReport(ctx, request))
 	case rpc.OpRelayOrders:
-		return c.relay.forwardOrders(ctx, request)
+		return api.Respond(c.relay.forwardOrders(ctx, request))
 	case rpc.OpRelayProbe:
-		return c.relay.forwardQuery(ctx, request)
+		return api.Respond(c.relay.forwardQuery(ctx, request))
 	}
 	return api.Respond(result.Unsupported{Reason: "unknown operation"})
 }
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"fieldhill/internal/api"
 	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/kvstore"
 	"fieldhill/internal/replication/candidacy"
@@ -183,10 +184,8 @@
 		if loaded {
 			t.Error("the log was read already: the test is for before")
 		}
-		if a := node.heartbeatRouter.Heartbeat(
-			w.Context(),
-			&wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Seq: 1},
-		); a.Status != 421 {
+		report := &wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Seq: 1}
+		if a := api.Respond(node.heartbeatRouter.Heartbeat(w.Context(), report)); a.Status != 421 {
 			t.Errorf("a report got %d", a.Status)
 		}
 		for range 10 { // the job that there is, at any time from here on
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,18 +1,20 @@
 package controller
 
 import (
-	"net/http"
 	"time"
 
 	"fieldhill/internal/agents/staleness"
-	"fieldhill/internal/api"
 	"fieldhill/internal/model"
-	"fieldhill/internal/rpc"
+	"fieldhill/internal/result"
 	"fieldhill/internal/scheduling/autoscaler"
 	"fieldhill/wire"
 )
 
-// heartbeats takes agents' status in as the leader and reconciles it with the state.
+// heartbeats takes agents' status in as the leader, from heartbeats and from the answers to probes and direct commands,
+// and reconciles it with the state: the model tells what a status proves, and that is proposed to the log.
+//
+// It alone writes what the model has observed of an agent (model.MachineContact) from its status, in the loop. Of its own
+// it has only its part of a term.
 type heartbeats struct {
 	*environment
 	commits      *commitPipeline
@@ -28,159 +30,169 @@
 	term         *termState
 }
 
-// heartbeatsTerm is what heartbeats keeps for one term of leadership.
+// heartbeatsTerm is what heartbeats keeps for one term of leadership. After a stall machineHealth sets lastHeartbeat.
 type heartbeatsTerm struct {
-	lastHeartbeat   model.Time      // when any machine was last heard of
-	unknownMachines map[string]bool // machines that nobody knows, and that are being asked
+	lastHeartbeat   model.Time      // when a heartbeat of any machine was last received
+	unknownMachines map[string]bool // machines that are in no log, and that are being probed
 }
 
-// onReportAsLeader takes a report that came to this node, or through another one, by its index in the table of seats.
-func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(*rpc.Response)) {
+// What agents are told whose heartbeats are not taken in.
+var (
+	machineReleased   = result.Unavailable{Reason: "this machine was returned", RetryAfter: time.Second}
+	machineUnknown    = result.Unavailable{Reason: "this machine is not known", RetryAfter: time.Second}
+	machineNotReached = result.Unavailable{Reason: "this machine does not answer", RetryAfter: time.Second}
+	leaseToExpire     = result.Unavailable{Reason: "its lease is to run out", RetryAfter: time.Second}
+)
+
+// onReportAsLeader takes a heartbeat that came to this controller, or through another one, by its index in the relay
+// table.
+func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(result.Result)) {
 	machine := hb.replica.model.ByName[report.Machine]
-	switch {
-	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
-		// The worker obeys a later term than this node's.
-		send(api.Encode(http.StatusMisdirectedRequest, &wire.Redirect{}))
-		return
-	case !hb.leases.mayRenew():
-		// Nobody may keep leases alive for longer than a cancellation that this
-		// node can't know of leaves.
-		send(api.RetryLater("no leader at the moment", 1))
-		return
-	case !hb.term.isActive() && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsWorker(report.Machine, false):
-		// Another node may lead by now, or will soon.
-		send(api.Encode(http.StatusMisdirectedRequest, &wire.Redirect{}))
-		return
-	case hb.replica.model.Tombstones[report.Machine]:
-		send(api.RetryLater("this machine was returned", 1))
-		return
-	case machine == nil && !hb.term.isActive():
-		send(hb.keepalives.renewAsFollower(report))
+	if answer := hb.answerUntaken(machine, report); answer != nil {
+		send(answer)
 		return
+	}
+	switch {
 	case machine == nil:
 		hb.onUnknownMachine(report, send)
-		return
-	case machine.Suspect && !hb.term.isActive():
-		send(api.RetryLater("no leader at the moment", 1))
-		return
 	case machine.Suspect:
 		hb.onSuspectReport(machine, report, send)
-		return
+	default:
+		send(hb.takeIn(machine, report, node))
 	}
+}
+
+// answerUntaken is the answer to a heartbeat that proves nothing to this leader, or that it may not act on: nil if the
+// heartbeat is to be taken in. The machine is nil if it is in no log.
+func (hb *heartbeats) answerUntaken(machine *model.Machine, report *wire.Heartbeat) result.Result {
+	active := hb.term.isActive()
+	switch {
+	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
+		return result.Redirected{} // its agent obeys a later term than this one
+	case !hb.leases.mayRenew():
+		// Nobody may keep leases alive for longer than a cancellation that this controller can't know of leaves time.
+		return result.NoLeader{}
+	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsWorker(report.Machine, false):
+		return result.Redirected{} // another controller may lead by now, or will soon
+	case hb.replica.model.Tombstones[report.Machine]:
+		return machineReleased
+	case machine == nil && !active:
+		return hb.keepalives.renewAsFollower(report)
+	case machine != nil && machine.Suspect && !active:
+		return result.NoLeader{}
+	}
+	return nil
+}
+
+// takeIn takes in the heartbeat of a machine whose lease may be renewed, and answers it.
+func (hb *heartbeats) takeIn(machine *model.Machine, report *wire.Heartbeat, node int) result.Result {
 	if to, move := hb.assignments.redirectTarget(machine, node); move {
 		hb.metrics.Reassigned.Inc()
-		send(api.Encode(http.StatusMisdirectedRequest, &wire.Redirect{Node: to}))
-		return
+		return result.Redirected{Node: to}
 	}
 	firstReport := !machine.Contact.Reported
 	verdict := hb.observe(machine, report, nil)
 	if verdict.IsStale() {
-		// It may be a copy from the past, or the word of a worker that began anew. It is answered, which is nothing
-		// to whoever is not there, and asked. It is told nothing that it has to stop, though, so one whose answers to
-		// questions do not arrive is not kept for longer than by a node that knows nothing of cancellations.
-		hb.probes.probeMachine(machine, nil)
-		if hb.now()-machine.Contact.LastReport > hb.settings.StaleRenewalLimit() {
-			send(api.RetryLater("this machine does not answer", 1))
-			return
-		}
-		send(hb.leases.renew(report.Machine, hb.replica.model.Token(machine), []wire.Command{}))
-		return
+		return hb.replyToStale(machine)
 	}
 	if firstReport {
 		hb.loop.roundRequested = true
 	}
-	send(hb.replyToMachine(machine))
+	return hb.replyToMachine(machine)
+}
+
+// replyToStale answers a heartbeat that may be a copy from the past, or from an agent that restarted. It is answered,
+// which is nothing to an agent that is not there, and probed. It gets no stops, though, so one whose answers to probes do
+// not arrive is kept alive for no longer than by a controller that knows nothing of cancellations.
+func (hb *heartbeats) replyToStale(machine *model.Machine) result.Result {
+	hb.probes.probeMachine(machine, nil)
+	if hb.now()-machine.Contact.LastReport > hb.settings.StaleRenewalLimit() {
+		return machineNotReached
+	}
+	return hb.leases.renew(machine.Info.Name, hb.replica.model.Token(machine), []wire.Command{})
 }
 
-// replyToMachine is the answer to the report of a machine that was taken in.
-func (hb *heartbeats) replyToMachine(machine *model.Machine) *rpc.Response {
+// replyToMachine is the answer to a machine whose status was taken in: its lease is renewed, and it gets its commands.
+func (hb *heartbeats) replyToMachine(machine *model.Machine) result.Result {
 	if !hb.leases.mayRenew() {
-		return api.RetryLater("no leader at the moment", 1)
+		return result.NoLeader{}
 	}
-	machine.Contact.Reports.RecordAnswer(hb.replica.model.Token(machine))
-	return hb.leases.renew(
-		machine.Info.Name,
-		hb.replica.model.Token(machine),
-		hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true),
-	)
+	token := hb.replica.model.Token(machine)
+	machine.Contact.Reports.RecordAnswer(token)
+	commands := hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true)
+	return hb.leases.renew(machine.Info.Name, token, commands)
 }
 
-// onSuspectReport takes the report of a machine whose lease is to run out. Before it is answered, which renews the
-// lease, the suspicion is taken back by an entry; and that is done only if the machine answers now: a copy of a
-// report from before the cut, or the word of one that hears nothing, would begin the count anew, again and again.
-func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(*rpc.Response)) {
+// onSuspectReport takes the heartbeat of a machine whose lease is to expire. Before it is answered, which renews the
+// lease, the suspicion is cleared by an entry; and that is done only if the machine answers a probe now: a copy of a
+// heartbeat from before the partition, or one of an agent that receives nothing, would begin the wait for the expiry
+// anew, again and again.
+func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(result.Result)) {
 	if machine.Contact.Reported {
 		hb.observe(machine, report, nil) // what it proves by its numbers, it proves all the same
 	}
 	term := hb.term.ownTerm
-	if !hb.probes.probeMachine(machine, func() {
+	onProbed := func() {
 		if hb.term.ownTerm == term && hb.term.isActive() && hb.replica.model.Machines[machine.ID] == machine &&
 			!machine.Suspect {
 			send(hb.replyToMachine(machine))
 		} else {
-			send(api.RetryLater("its lease is to run out", 1))
+			send(leaseToExpire)
 		}
-	}) {
-		send(api.RetryLater("its lease is to run out", 1))
+	}
+	if !hb.probes.probeMachine(machine, onProbed) {
+		send(leaseToExpire)
 	}
 }
 
-// onUnknownMachine takes the report of a machine that nobody knows: a rental whose answer was lost, or a copy from
-// one that is long gone. It counts as a machine once it answers, or the cloud lists it.
-func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(*rpc.Response)) {
+// onUnknownMachine takes the heartbeat of a machine that is in no log: one whose provisioning was not answered, or a copy
+// from one that is long gone. It counts as a machine once it answers a probe, or the cloud lists it.
+func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(result.Result)) {
 	term := hb.term.ownTerm
-	refusal := api.RetryLater("this machine is not known", 1)
-	if len(term.heartbeats.unknownMachines) >= hb.probes.maxFollowUpProbes ||
-		term.heartbeats.unknownMachines[report.Machine] {
-		send(refusal)
+	unknown := term.heartbeats.unknownMachines
+	if len(unknown) >= hb.probes.maxFollowUpProbes || unknown[report.Machine] {
+		send(machineUnknown)
 		return
 	}
-	term.heartbeats.unknownMachines[report.Machine] = true
+	unknown[report.Machine] = true
 	go func() {
-		answer, err := hb.agents.Probe(term.ctx, report.Addr, probeTimeout)
+		status, err := hb.agents.Probe(term.ctx, report.Addr, probeTimeout)
 		hb.loop.post(func() {
-			delete(term.heartbeats.unknownMachines, report.Machine)
-			if hb.term.ownTerm != term || !hb.term.isActive() || err != nil || answer.Machine != report.Machine ||
+			delete(unknown, report.Machine)
+			if hb.term.ownTerm != term || !hb.term.isActive() || err != nil || status.Machine != report.Machine ||
 				hb.replica.model.Tombstones[report.Machine] {
-				send(refusal)
+				send(machineUnknown)
 				return
 			}
-			if hb.replica.model.ByName[report.Machine] == nil {
-				hb.log.Info("machine registered", "machine", report.Machine, "type", answer.Type,
-					"zone", answer.Zone, "spot", answer.Spot)
-				hb.commits.propose(
-					&model.Entry{
-						Kind:    model.EntryMachine,
-						Machine: hb.replica.model.NextMachine,
-						At:      time.Now().UnixMilli(),
-						Info: &model.MachineInfo{
-							Name: answer.Machine,
-							Addr: answer.Addr,
-							Type: answer.Type,
-							Zone: answer.Zone,
-							Spot: answer.Spot,
-						},
-					},
-				)
-			}
-			machine := hb.replica.model.ByName[report.Machine]
-			hb.observe(machine, answer, hb.replica.model.BeginProbe(machine))
-			hb.loop.roundRequested = true
-			send(hb.replyToMachine(machine))
+			send(hb.onUnknownAnswered(status))
 		})
 	}()
 }
 
-const (
-	// ordersTimeout is how long a worker has to answer a direct command.
-	ordersTimeout = 3 * time.Second
-	// probeTimeout is how long such a machine has to answer.
-	probeTimeout = 1200 * time.Millisecond
-	// probeInterval is how often one is asked at most, unless somebody waits for the answer.
-	probeInterval = time.Second
-)
+// onUnknownAnswered registers a machine that answered a probe, unless that was done meanwhile, and answers its heartbeat.
+func (hb *heartbeats) onUnknownAnswered(status *wire.Heartbeat) result.Result {
+	if hb.replica.model.ByName[status.Machine] == nil {
+		hb.register(status)
+	}
+	machine := hb.replica.model.ByName[status.Machine]
+	hb.observe(machine, status, hb.replica.model.BeginProbe(machine))
+	hb.loop.roundRequested = true
+	return hb.replyToMachine(machine)
+}
+
+// register logs a machine as its agent describes it.
+func (hb *heartbeats) register(status *wire.Heartbeat) {
+	hb.log.Info("machine registered", "machine", status.Machine, "type", status.Type, "zone", status.Zone,
+		"spot", status.Spot)
+	info := &model.MachineInfo{
+		Name: status.Machine, Addr: status.Addr, Type: status.Type, Zone: status.Zone, Spot: status.Spot,
+	}
+	hb.commits.propose(&model.Entry{
+		Kind: model.EntryMachine, Machine: hb.replica.model.NextMachine, At: time.Now().UnixMilli(), Info: info,
+	})
+}
 
-// onProbeAnswer takes the answer of a machine that was asked how it is.
+// onProbeAnswer takes the answer of a machine to a probe.
 func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
@@ -197,36 +209,35 @@
 	hb.loop.roundRequested = hb.loop.roundRequested || firstReport
 }
 
-// observe takes in a report, or the answer to a question, and logs what it proves.
+// observe takes in a status, from a heartbeat or in answer to a question, and proposes what it proves. A stale one is
+// nothing beyond that.
 func (hb *heartbeats) observe(
-	machine *model.Machine,
-	report *wire.Heartbeat,
-	question *staleness.Question,
+	machine *model.Machine, report *wire.Heartbeat, question *staleness.Question,
 ) model.ReportVerdict {
-	wasQuarantined, wasPartitioned, firstReport := machine.Health.Quarantined, machine.Contact.InboundPartitionSince != 0, !machine.Contact.Reported
+	wasQuarantined := machine.Health.Quarantined
+	wasPartitioned := machine.Contact.InboundPartitionSince != 0
+	firstReport := !machine.Contact.Reported
 	verdict := hb.replica.model.Observe(machine, report, question, hb.now())
-	for _, e := range verdict.Entries {
-		hb.commits.propose(e)
+	for _, entry := range verdict.Entries {
+		hb.commits.propose(entry)
 		hb.loop.roundRequested = true
 	}
 	if verdict.IsStale() {
 		return verdict
 	}
-	hb.term.ownTerm.heartbeats.lastHeartbeat = hb.now()
-	hb.term.ownTerm.recordProbe(hb.term.ownTerm.zoneProbe(machine.Zone), true)
+	term := hb.term.ownTerm
+	term.heartbeats.lastHeartbeat = hb.now()
+	term.recordProbe(term.zoneProbe(machine.Zone), true)
 	hb.provisioning.recordAddr(machine, report.Addr)
 	if firstReport && machine.Lifecycle.ProvisionedAt != 0 {
-		hb.provisioning.autoscaler.OnBooted(
-			machine.Type,
-			machine.Zone,
-			autoscaler.BootRatio(hb.replica.model, machine, hb.now()),
-		)
+		bootRatio := autoscaler.BootRatio(hb.replica.model, machine, hb.now())
+		hb.provisioning.autoscaler.OnBooted(machine.Type, machine.Zone, bootRatio)
 	}
 	switch {
 	case verdict.Freshness == staleness.Restarted:
 		hb.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch,
 			"seq", report.Seq, "tasks", len(machine.Runs))
-		hb.dispatch.markForCommands(machine) // a token that its earlier life can't have
+		hb.dispatch.markForCommands(machine) // a token that its earlier incarnation can't have
 	case verdict.Slow:
 		hb.logSlow(machine)
 	case machine.Health.Quarantined && !wasQuarantined:
@@ -238,27 +249,36 @@
 	if verdict.NeedsProbe {
 		hb.probes.probeMachine(machine, nil)
 	}
-	hb.replica.model.SealReapable(machine, hb.term.ownTerm.nextSeq())
+	hb.replica.model.SealReapable(machine, term.nextSeq())
+	hb.followUp(machine, &verdict, firstReport && question != nil)
+	return verdict
+}
+
+// followUp logs the jobs that a status shows to fail everywhere, and marks the machines that are to get commands for it;
+// firstByProbe tells that it is the first status of the machine in this term and answers a question.
+func (hb *heartbeats) followUp(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
 	for _, j := range verdict.Faulty {
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
 			"failures", j.Observed.Errors)
 	}
-	for _, o := range verdict.GangReady {
-		hb.dispatch.markForCommands(o)
+	for _, ready := range verdict.GangReady {
+		hb.dispatch.markForCommands(ready)
 	}
 	if len(verdict.Entries) > 0 {
-		hb.dispatch.markForCommands(machine) // the worker is told to forget what is logged
+		hb.dispatch.markForCommands(machine) // the agent is to forget what is logged
 	}
-	if firstReport && question != nil && machine.HasCancelledTask() {
-		hb.dispatch.markForCommands(machine) // its next report may be long in coming, while it looks for this leader
+	if firstByProbe && machine.HasCancelledTask() {
+		// Its next heartbeat may be long in coming, while it looks for this leader.
+		hb.dispatch.markForCommands(machine)
 	}
-	return verdict
 }
 
+// logQuarantined logs that a machine was quarantined for the tasks that failed on it.
 func (hb *heartbeats) logQuarantined(machine *model.Machine) {
 	hb.log.Info("machine quarantined", "machine", machine.Info.Name, "failures", machine.Health.Failures)
 }
 
+// logSlow logs that a machine was found to be slow, and for how long it gets only services.
 func (hb *heartbeats) logSlow(machine *model.Machine) {
 	hb.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs),
 		"duration", machine.Health.SlowUntil-hb.now())
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"fieldhill/internal/agents/lease"
-	"fieldhill/internal/api"
 	"fieldhill/internal/codec"
 	"fieldhill/internal/model"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
@@ -43,12 +43,12 @@
 }
 
 // renew is the answer that renews an agent's lease, or a refusal.
-func (lr *leaseRenewal) renew(machine string, token uint64, commands []wire.Command) *rpc.Response {
+func (lr *leaseRenewal) renew(machine string, token uint64, commands []wire.Command) result.Result {
 	if !lr.mayRenew() {
-		return api.RetryLater("no leader at the moment", 1)
+		return result.NoLeader{}
 	}
 	lr.renewals.Renewed(machine, lr.now())
-	return api.Encode(http.StatusOK, &wire.HeartbeatResponse{FencingToken: token, Commands: commands})
+	return result.Renewed{FencingToken: token, Commands: commands}
 }
 
 // delayedStartPossible tells whether a machine may yet receive, by a command that is delayed on its way, the start of a
@@ -96,15 +96,15 @@
 
 // replyRenewals answers the leader that asks when the leases of a zone's machines were last renewed here. Only a
 // controller that has applied the batch that made them suspect may answer: from then on it renews none of them.
-func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) *rpc.Response {
+func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
 	if !reader.Done() {
-		return api.Refuse(http.StatusBadRequest, "malformed question about renewals")
+		return result.Invalid{Reason: "malformed question about renewals"}
 	}
-	return lr.loop.respond(ctx, func(send func(*rpc.Response)) {
+	return lr.loop.answer(ctx, func(send func(result.Result)) {
 		if lr.term.ownTerm != nil || !lr.replica.loaded || lr.replica.appliedSeq < seq {
-			send(api.RetryLater("the log is not read so far", 1))
+			send(result.Unavailable{Reason: "the log is not read so far", RetryAfter: time.Second})
 			return
 		}
 		var suspects, others []string
@@ -118,7 +118,7 @@
 			}
 		}
 		report := lr.renewals.Report(suspects, others, lr.now(), lr.retention(), rpc.MaxBody)
-		send(&rpc.Response{Status: http.StatusOK, Body: report.Append(nil)})
+		send(result.Done{Body: report.Append(nil)})
 	})
 }
 
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -2,11 +2,18 @@
 
 import (
 	"sync/atomic"
+	"time"
 
+	"fieldhill/internal/agents/staleness"
 	"fieldhill/internal/model"
+	"fieldhill/wire"
 )
 
-// probes asks machines for their status and keeps what came of it by zone.
+// probes asks machines for their status when their heartbeats are missing or prove too little, and counts by zone what
+// came of it.
+//
+// It owns the counts of a term (probesTerm), and of the model's observations that a machine is being probed and when it
+// last was (Probing, ProbedAt). All of this is written in the loop; goroutines wait for the answers and post them to it.
 type probes struct {
 	*environment
 	heartbeats  *heartbeats
@@ -15,57 +22,66 @@
 	assignments *relayAssignments
 	term        *termState
 
-	maxZoneProbes     int // silent machines of a zone that are asked at once; tests change it
-	maxFollowUpProbes int // machines that are asked at once because of what they said
+	maxZoneProbes     int // silent machines of a zone that are probed at once; tests change it
+	maxFollowUpProbes int // machines that are probed at once because of what they reported
 }
 
-// probesTerm is what probes keeps for one term of leadership.
+// probesTerm is what probes keeps for one term of leadership. heartbeats counts the machines of a zone, too, when it
+// receives their status (recordProbe).
 type probesTerm struct {
-	maxZoneProbes  int                        // silent machines of a zone that are asked at once
-	unresponsive   map[*model.Machine]bool    // asked, without an answer, and not heard of in this term
-	zones          map[int32]*zoneProbeCounts // what came of asking, by zone
-	followUpProbes int                        // machines that are being asked because of what they said
-	heartbeatCount int                        // how often any machine was heard of in this term
+	maxZoneProbes  int                        // as in probes when the term began
+	unresponsive   map[*model.Machine]bool    // probed without an answer, and not heard of in this term
+	zones          map[int32]*zoneProbeCounts // what came of probes, by zone
+	followUpProbes int                        // machines that are being probed because of what they reported
+	heartbeatCount int                        // how often a status of any machine was received in this term
 }
 
-// allMachinesReported tells whether every machine with work has reported to this leader, or was asked
-// in vain: it hangs, is gone or can't be reached, gets nothing new, and what it holds counts
-// as placed all the same. Among a thousand machines there is always one, and for it a new
-// leader placed nothing for a whole report period.
+const (
+	// probeTimeout is how long an agent has to answer a probe.
+	probeTimeout = 1200 * time.Millisecond
+	// probeInterval is how often a machine is probed at most because of what it reported, unless somebody waits for the
+	// answer.
+	probeInterval = time.Second
+	// silentZoneThreshold is after how many machines of a zone that were probed in vain, while none was heard of, the
+	// rest of it is not waited for: it is partitioned, most likely, and a third of a large fleet took ten seconds to be
+	// probed, while answers of other zones waited behind it.
+	silentZoneThreshold = 5
+)
+
+// allMachinesReported tells whether every machine with tasks has reported to this leader, or was probed in vain: it
+// hangs, is gone or can't be reached, gets nothing new, and what it holds counts as placed all the same. Among a thousand
+// machines there is always one, and for it a new leader placed nothing for a whole heartbeat interval.
 func (pr *probes) allMachinesReported() bool {
+	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.Order {
 		if !machine.Contact.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
-			!pr.term.ownTerm.probes.unresponsive[machine] &&
-			!pr.term.ownTerm.zoneProbe(machine.Zone).silent.Load() {
+			!term.probes.unresponsive[machine] && !term.zoneProbe(machine.Zone).silent.Load() {
 			return false
 		}
 	}
 	return len(pr.replica.model.Order) > 0
 }
 
-// zoneProbeCounts is what came of asking the machines of a zone, and of their reports, in this term.
+// zoneProbeCounts is what came of probes to the machines of a zone, and of their heartbeats, in this term. The loop
+// writes it; goroutines that are about to probe read whether the zone is silent, and take slots.
 type zoneProbeCounts struct {
 	answered, unanswered int
-	silent               atomic.Bool // some were asked in vain, and none was heard of
-	slots                slots       // silent machines that are being asked
+	silent               atomic.Bool // some were probed in vain, and none was heard of
+	slots                slots       // silent machines that are being probed
 }
 
-// silentZoneThreshold is after how many machines of a zone that were asked in vain, while none was heard of, the rest
-// of it is not waited for: it is cut off, most likely, and a third of a large fleet took ten seconds to be asked,
-// while answers of other zones waited behind it.
-const silentZoneThreshold = 5
-
+// zoneProbe is the counts of a zone, which begin with the first question for them.
 func (r *leaderTerm) zoneProbe(zone int32) *zoneProbeCounts {
-	z := r.probes.zones[zone]
-	if z == nil {
-		z = &zoneProbeCounts{slots: make(slots, r.probes.maxZoneProbes)}
-		r.probes.zones[zone] = z
+	counts := r.probes.zones[zone]
+	if counts == nil {
+		counts = &zoneProbeCounts{slots: make(slots, r.probes.maxZoneProbes)}
+		r.probes.zones[zone] = counts
 	}
-	return z
+	return counts
 }
 
-// recordProbe counts a machine of a zone that was heard of, or asked in vain. Where nothing is heard of other zones
-// either, it may be this node that is late.
+// recordProbe counts a machine of a zone whose status was received, or that was probed in vain. Where nothing is received
+// from other zones either, it may be this controller that is late.
 func (r *leaderTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
@@ -73,15 +89,12 @@
 	} else {
 		counts.unanswered++
 	}
-	counts.silent.Store(
-		counts.answered == 0 && counts.unanswered >= silentZoneThreshold &&
-			r.probes.heartbeatCount >= silentZoneThreshold,
-	)
+	counts.silent.Store(counts.answered == 0 && counts.unanswered >= silentZoneThreshold &&
+		r.probes.heartbeatCount >= silentZoneThreshold)
 }
 
-// probeAll asks all machines with work how they are. A new leader places nothing
-// before it has heard of them, and many of their workers take a report period and
-// longer to find it.
+// probeAll probes all machines with tasks. A new leader places nothing before it has heard of them, and many of their
+// agents take a heartbeat interval and longer to find it.
 func (pr *probes) probeAll() {
 	for _, machine := range pr.replica.model.Order {
 		if len(machine.Runs) > 0 && !machine.Suspect {
@@ -90,8 +103,8 @@
 	}
 }
 
-// probeMachine asks a machine how it is now; then, if not nil, is called when it has answered or has not. It tells
-// whether it asks.
+// probeMachine probes a machine now, because of what it reported; onDone, if not nil, is called in the loop when it has
+// answered or has not. It tells whether the machine is probed.
 func (pr *probes) probeMachine(machine *model.Machine, onDone func()) bool {
 	term := pr.term.ownTerm
 	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes ||
@@ -100,7 +113,8 @@
 	}
 	term.probes.followUpProbes++
 	machine.Contact.ProbedAt = pr.now()
-	addr, routes, question := machine.Info.Addr, pr.assignments.routesTo(machine), pr.replica.model.BeginProbe(machine)
+	addr, routes := machine.Info.Addr, pr.assignments.routesTo(machine)
+	question := pr.replica.model.BeginProbe(machine)
 	go func() {
 		report, err := pr.assignments.queryMachine(term.ctx, routes, addr)
 		pr.loop.post(func() {
@@ -116,14 +130,15 @@
 	return true
 }
 
+// logInboundPartition logs that answers to a machine are known not to arrive, or arrive again.
 func (pr *probes) logInboundPartition(machine *model.Machine) {
 	pr.log.Info("machine inbound partition changed", "machine", machine.Info.Name, "zone", machine.Info.Zone,
 		"inbound_partition", machine.Contact.InboundPartitionSince != 0, "tasks", len(machine.Runs))
 }
 
-// probeSilent asks a silent machine how it is. A worker that lost its node may take
-// long to find the leader; one that is dead or hangs does not answer at all.
-// With first it is not asked any more once its zone is known to be mute.
+// probeSilent probes a silent machine. An agent that lost its controller may take long to find the leader; one that is
+// dead or hangs does not answer at all. With skipIfZoneSilent it is not probed any more once its zone is known to be
+// silent.
 func (pr *probes) probeSilent(machine *model.Machine, skipIfZoneSilent bool) {
 	term := pr.term.ownTerm
 	if machine.Contact.Probing || machine.Contact.DirectInFlight || machine.Info.Addr == "" {
@@ -144,16 +159,25 @@
 			return
 		}
 		report, err := pr.assignments.queryMachine(term.ctx, routes, addr)
-		pr.loop.post(func() {
-			machine.Contact.Probing = false
-			if pr.term.ownTerm == term && err != nil && !machine.Contact.Reported {
-				term.probes.unresponsive[machine] = true
-				term.recordProbe(zone, false)
-				pr.loop.roundRequested = true
-			}
-			if pr.term.ownTerm == term && err == nil {
-				pr.heartbeats.onProbeAnswer(machine, report, question)
-			}
-		})
+		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, question) })
 	}()
 }
+
+// onSilentProbed takes in the answer of a silent machine, or that there was none.
+func (pr *probes) onSilentProbed(
+	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.Question,
+) {
+	machine.Contact.Probing = false
+	if pr.term.ownTerm != term {
+		return
+	}
+	if err == nil {
+		pr.heartbeats.onProbeAnswer(machine, report, question)
+		return
+	}
+	if !machine.Contact.Reported {
+		term.probes.unresponsive[machine] = true
+		term.recordProbe(term.zoneProbe(machine.Zone), false)
+		pr.loop.roundRequested = true
+	}
+}
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fieldhill/internal/agents/relay"
-	"fieldhill/internal/api"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 )
 
@@ -90,29 +90,29 @@
 }
 
 // forwardQuery asks an agent for its status for the leader.
-func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) *rpc.Response {
+func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) result.Result {
 	if !ry.state.probes.tryAcquire() {
-		return &rpc.Response{Status: statusBusy}
+		return result.Overloaded{}
 	}
 	defer ry.state.probes.release()
 	report, err := ry.agents.Probe(ctx, request.ID, probeTimeout)
 	if err != nil {
-		return &rpc.Response{Status: http.StatusServiceUnavailable}
+		return result.Unavailable{}
 	}
-	return &rpc.Response{Status: http.StatusOK, Body: relay.AppendReport(nil, report)}
+	return result.Done{Body: relay.AppendReport(nil, report)}
 }
 
 // forwardOrders sends a direct command for the leader.
-func (ry *relayAgent) forwardOrders(ctx context.Context, request *rpc.Request) *rpc.Response {
+func (ry *relayAgent) forwardOrders(ctx context.Context, request *rpc.Request) result.Result {
 	orders, err := relay.ReadOrders(request.Body)
 	if err != nil {
-		return api.Refuse(http.StatusBadRequest, err.Error())
+		return result.Invalid{Reason: err.Error()}
 	}
 	if !ry.state.orders.tryAcquire() {
-		return &rpc.Response{Status: statusBusy}
+		return result.Overloaded{}
 	}
 	defer ry.state.orders.release()
 	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
-	result := relay.CommandResult{Fate: uint8(fate), Report: report}
-	return &rpc.Response{Status: http.StatusOK, Body: result.Append(nil)}
+	outcome := relay.CommandResult{Fate: uint8(fate), Report: report}
+	return result.Done{Body: outcome.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"fieldhill/internal/agents/relay"
-	"fieldhill/internal/api"
 	"fieldhill/internal/model"
 	"fieldhill/internal/platform/agent"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
@@ -43,22 +43,21 @@
 var errNotSent = errors.New("controller: relay did not send the request")
 
 // onRelayOffer answers a controller that offers itself as a relay.
-func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) *rpc.Response {
+func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) result.Result {
 	offer, err := relay.ReadOffer(request.Body)
 	if err != nil {
-		return api.Refuse(http.StatusBadRequest, err.Error())
+		return result.Invalid{Reason: err.Error()}
 	}
-	return ra.loop.respond(ctx, func(send func(*rpc.Response)) {
+	return ra.loop.answer(ctx, func(send func(result.Result)) {
 		index := ra.memberIndex(offer.Node)
 		if ra.term.ownTerm == nil || index == relay.Leader {
-			send(&rpc.Response{Status: statusNotLeader})
+			send(result.NotLeader{})
 			return
 		}
 		term := ra.term.ownTerm
 		term.assignments.acceptingNodes[index] = offer.HasCapacity
 		term.assignments.lastRelayOffers[index] = ra.now()
-		answer := relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())
-		send(&rpc.Response{Status: http.StatusOK, Body: answer})
+		send(result.Done{Body: relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())})
 	})
 }
 
@@ -127,11 +126,11 @@
 	case reply.Status != http.StatusOK:
 		return agent.Unsent, nil, errNotSent
 	}
-	result, err := relay.ReadCommandResult(reply.Body)
-	if err != nil || result.Fate > uint8(agent.Unknown) {
+	outcome, err := relay.ReadCommandResult(reply.Body)
+	if err != nil || outcome.Fate > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandFate(result.Fate), result.Report, nil
+	return agent.CommandFate(outcome.Fate), outcome.Report, nil
 }
 
 // relayFor is the link to the relay by which a machine reports; nil: it is sent commands from here.
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"fieldhill/internal/agents/relay"
+	"fieldhill/internal/api"
 	"fieldhill/internal/emulator"
 	"fieldhill/internal/platform/agent"
 	"fieldhill/internal/rpc"
@@ -159,7 +160,7 @@
 			ID:   emulator.ControllerName((leaderIndex + 2) % 3),
 			Body: relay.AppendReport(nil, report),
 		}
-		if reply := other.handlePeerRequest(context.Background(), request); reply.Status != statusNotLeader {
+		if reply := other.handlePeerRequest(context.Background(), request); reply.Status != http.StatusGone {
 			t.Errorf("a node that does not lead answers a relayed report with %d", reply.Status)
 		}
 		request.Body = request.Body[1:]
@@ -170,7 +171,8 @@
 		}
 		w.PartitionFromStoreAndPeers((leaderIndex+1)%3, true)
 		time.Sleep(other.settings.StaleRenewalLimit() + 2*time.Second)
-		if reply := other.heartbeatRouter.renewRelayed(context.Background(), report); reply.Status == http.StatusOK {
+		reply := api.Respond(other.heartbeatRouter.renewRelayed(context.Background(), report))
+		if reply.Status == http.StatusOK {
 			t.Error("a lease is renewed for longer than a cancellation leaves")
 		}
 		w.PartitionFromStoreAndPeers((leaderIndex+1)%3, false)
