--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -1,7 +1,9 @@
 package controller
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -12,7 +14,8 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// telemetry is the metrics page's view of the state and the leader's regular summaries in the log.
+// telemetry is the metrics page's view of the state, and the leader's regular summaries in the log. It reads what others
+// own and writes nothing but what it has logged in a term.
 type telemetry struct {
 	*environment
 	loop    *eventLoop
@@ -22,13 +25,24 @@
 	term    *termState
 }
 
-// telemetryTerm is what telemetry keeps for one term of leadership.
+// telemetryTerm is what telemetry keeps for one term of leadership; it is written in the loop.
 type telemetryTerm struct {
 	lastSummary   time.Time
-	loggedReasons map[model.JobID]pending.Code // why jobs wait, as logged
+	loggedReasons map[model.JobID]pending.Code // why jobs are pending, as logged
 }
 
-// snapshot tells how this node stands, for the operators' page, unless it is too busy.
+const (
+	// snapshotTimeout is how long the metrics page waits for the loop.
+	snapshotTimeout = time.Second
+	// summaryInterval is how often the leader logs its summaries.
+	summaryInterval = 20 * time.Second
+	// longWait is for how long a job is pending before it has a log line of its own, whenever its reason changes.
+	longWait = model.Time(20 * time.Second)
+	// maxLogLines is how many of those, and of the classes that are served worst, are logged at once.
+	maxLogLines = 10
+)
+
+// snapshot is the state of this controller for the metrics page; not ok if the loop is too busy to tell.
 func (tm *telemetry) snapshot() (view metrics.Snapshot, ok bool) {
 	views := make(chan metrics.Snapshot, 1)
 	if tm.loop.tryPost(func() { views <- tm.view() }) != nil {
@@ -37,48 +51,54 @@
 	select {
 	case view = <-views:
 		return view, true
-	case <-time.After(time.Second):
+	case <-time.After(snapshotTimeout):
 	case <-tm.ctx.Done():
 	}
 	return view, false
 }
 
+// view gathers a snapshot; it is for the loop.
 func (tm *telemetry) view() metrics.Snapshot {
 	view := metrics.Snapshot{
-		IsLeader: tm.term.isActive(),
-		Applied:  tm.replica.appliedSeq,
-		Jobs:     len(tm.replica.model.Jobs),
+		IsLeader:         tm.term.isActive(),
+		Applied:          tm.replica.appliedSeq,
+		Jobs:             len(tm.replica.model.Jobs),
+		OpenProvisioning: len(tm.replica.model.Intents),
+		PeerFrames:       tm.traffic.Frames.Load(),
+		PeerBytes:        tm.traffic.Bytes.Load(),
+		PeerWrites:       tm.traffic.Writes.Load(),
+		WorstClass:       1,
+		WorstTeam:        1,
 	}
 	if tm.term.leader != nil {
 		view.Term = tm.term.leader.Term
 	}
-	view.OpenProvisioning = len(tm.replica.model.Intents)
-	view.PeerFrames, view.PeerBytes, view.PeerWrites = tm.traffic.Frames.Load(), tm.traffic.Bytes.Load(), tm.traffic.Writes.Load()
-	if tm.term.ownTerm != nil {
-		view.AssignedAgents = tm.term.ownTerm.assignments.table.Counts()[relay.Leader]
+	if roles := tm.roles.state; roles != nil {
+		view.HoldsProvisioning = roles.roles[singleton.Provisioning].Trusted(tm.now())
+		view.HoldsCompaction = roles.roles[singleton.Compaction].Trusted(tm.now())
 	}
-	if singletons := tm.roles.state; singletons != nil {
-		view.HoldsProvisioning, view.HoldsCompaction = singletons.roles[singleton.Provisioning].Trusted(
-			tm.now(),
-		), singletons.roles[singleton.Compaction].Trusted(
-			tm.now(),
-		)
-	}
-	view.WorstClass, view.WorstTeam = 1, 1
 	if tm.term.ownTerm != nil {
+		view.AssignedAgents = tm.term.ownTerm.assignments.table.Counts()[relay.Leader]
 		view.WorstClass, view.UnderServedClasses = tm.rounds.scheduler.WorstClass()
 		view.WorstTeam, view.UnderServedTeams = tm.rounds.scheduler.WorstTeam()
 	}
 	for _, j := range tm.replica.model.Jobs {
-		view.Waiting, view.Running = view.Waiting+j.Waiting(), view.Running+j.Live
+		view.Waiting += j.Waiting()
+		view.Running += j.Live
 	}
+	tm.countMachines(&view)
+	return view
+}
+
+// countMachines counts the machines by what they are up to. Which are up only the leader knows.
+func (tm *telemetry) countMachines(view *metrics.Snapshot) {
 	for _, machine := range tm.replica.model.Order {
 		switch {
 		case machine.Releasing:
 			view.Releasing++
 		case machine.Suspect:
 			view.Suspect++
-		case tm.term.ownTerm == nil: // a replica does not know which are up
+		case tm.term.ownTerm == nil:
 		case !machine.Contact.Reported:
 			view.Booting++
 		default:
@@ -88,15 +108,9 @@
 			}
 		}
 	}
-	return view
 }
 
-const (
-	longWait    = model.Time(20e9) // a job that waits for longer has a line of its own, whenever its reason changes
-	maxLogLines = 10               // of those at once
-)
-
-// logPending logs how many tasks wait, by class and by reason, and which jobs do for long.
+// logPending logs how many tasks are pending, by class and by reason, and which jobs are for long.
 func (tm *telemetry) logPending(term *leaderTerm) {
 	classes, reasons, logged := map[string]int{}, map[string]int{}, map[model.JobID]pending.Code{}
 	var long []*model.Job
@@ -105,18 +119,22 @@
 		if waiting == 0 {
 			continue
 		}
+		reason := j.Scheduling.PendingReason
 		classes[j.Spec.Class] += waiting
-		reasons[j.Scheduling.PendingReason.Code.String()] += waiting
-		if j.Scheduling.PendingReason.IsSet() && term.telemetry.loggedReasons[j.ID] == j.Scheduling.PendingReason.Code {
-			logged[j.ID] = j.Scheduling.PendingReason.Code
-		} else if j.Scheduling.PendingReason.IsSet() && tm.now()-j.Observed.KnownSince > longWait && len(long) < maxLogLines {
+		reasons[reason.Code.String()] += waiting
+		switch {
+		case !reason.IsSet():
+		case term.telemetry.loggedReasons[j.ID] == reason.Code:
+			logged[j.ID] = reason.Code
+		case tm.now()-j.Observed.KnownSince > longWait && len(long) < maxLogLines:
 			long = append(long, j)
 		}
 	}
 	for _, j := range long {
-		logged[j.ID] = j.Scheduling.PendingReason.Code
+		reason := j.Scheduling.PendingReason
+		logged[j.ID] = reason.Code
 		tm.log.Info("job pending", "job", j.Spec.ID, "class", j.Spec.Class, "team", j.Spec.Team,
-			"tasks", j.Waiting(), "reason", j.Scheduling.PendingReason.Code, "explanation", j.Scheduling.PendingReason)
+			"tasks", j.Waiting(), "reason", reason.Code, "explanation", reason)
 	}
 	term.telemetry.loggedReasons = logged
 	tm.log.Info("workload summary", "jobs", len(tm.replica.model.Jobs), "pending_by_class", classes,
@@ -124,88 +142,88 @@
 	tm.logServed()
 }
 
-// logServed logs how each team is served, and those classes that are served worst: what a class is called
-// is its users' affair, and there may be any number of them.
+// servedLine is how a class or a team is served, to be logged.
+type servedLine struct {
+	kind, name  string
+	share       float64
+	underServed bool
+	stats       *model.CompletionStats
+}
+
+// logServed logs how each team is served, and those classes that are served worst: what a class is called is its users'
+// affair, and there may be any number of them.
 func (tm *telemetry) logServed() {
-	type line struct {
-		what, name string
-		share      float64
-		owed       bool
-		s          *model.CompletionStats
-	}
-	var lines []line
+	var lines []servedLine
 	for i := range tm.replica.model.ByClass {
 		share, underServed := tm.rounds.scheduler.ClassStanding(int32(i))
-		lines = append(
-			lines,
-			line{"class", tm.replica.model.Classes.Name(int32(i)), share, underServed, &tm.replica.model.ByClass[i]},
-		)
+		name := tm.replica.model.Classes.Name(int32(i))
+		lines = append(lines, servedLine{"class", name, share, underServed, &tm.replica.model.ByClass[i]})
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].share < lines[k].share })
 	lines = lines[:min(len(lines), maxLogLines)]
 	for i := range tm.replica.model.ByTeam {
 		share, underServed := tm.rounds.scheduler.TeamStanding(i)
-		lines = append(
-			lines,
-			line{"team", tm.replica.model.Teams[i].Name, share, underServed, &tm.replica.model.ByTeam[i]},
-		)
+		name := tm.replica.model.Teams[i].Name
+		lines = append(lines, servedLine{"team", name, share, underServed, &tm.replica.model.ByTeam[i]})
 	}
 	for _, l := range lines {
-		tm.log.Info("completion summary", l.what, l.name, "share", math.Round(l.share*1000)/1000,
-			"under_served", l.owed, "jobs", l.s.Jobs, "started", l.s.Started, "completed", l.s.Done,
-			"cancelled", l.s.Cancelled, "tasks", l.s.Tasks, "tasks_completed", l.s.TasksDone,
-			"availability", l.s.Availability())
+		tm.log.Info("completion summary", l.kind, l.name, "share", math.Round(l.share*1000)/1000,
+			"under_served", l.underServed, "jobs", l.stats.Jobs, "started", l.stats.Started, "completed", l.stats.Done,
+			"cancelled", l.stats.Cancelled, "tasks", l.stats.Tasks, "tasks_completed", l.stats.TasksDone,
+			"availability", l.stats.Availability())
+	}
+}
+
+// machineUsage is what the machines of a type are used for.
+type machineUsage struct {
+	up, booting, idle                      int
+	cpus, serviceCPUs, gangCPUs, arrayCPUs float64
+}
+
+// add counts a machine of the type, which has so many CPUs.
+func (u *machineUsage) add(machine *model.Machine, cpus float64) {
+	if !machine.Contact.Reported {
+		u.booting++
+		return
+	}
+	u.up++
+	if len(machine.Runs) == 0 {
+		u.idle++
+	}
+	u.cpus += cpus
+	for _, run := range machine.Runs {
+		switch run.Job.Kind {
+		case model.Service:
+			u.serviceCPUs += run.Job.Spec.CPUs
+		case model.Gang:
+			u.gangCPUs += run.Job.Spec.CPUs
+		default:
+			u.arrayCPUs += run.Job.Spec.CPUs
+		}
 	}
 }
 
-// logMachineSummary logs now and then what the machines are used for.
+// logMachineSummary logs now and then what the machines are used for, and what is pending.
 func (tm *telemetry) logMachineSummary(term *leaderTerm) {
-	if time.Since(term.telemetry.lastSummary) < 20*time.Second {
+	if time.Since(term.telemetry.lastSummary) < summaryInterval {
 		return
 	}
 	term.telemetry.lastSummary = time.Now()
-	type sum struct {
-		up, booting, idle              int
-		total, services, gangs, arrays float64
-	}
-	sums := map[string]*sum{}
-	var names []string
+	usages := map[string]*machineUsage{}
 	for _, machine := range tm.replica.model.Order {
 		name := machine.Info.Type
 		if machine.Spot {
 			name += "/spot"
 		}
-		s := sums[name]
-		if s == nil {
-			s = &sum{}
-			sums[name] = s
-			names = append(names, name)
-		}
-		if !machine.Contact.Reported {
-			s.booting++
-			continue
-		}
-		s.up++
-		if len(machine.Runs) == 0 {
-			s.idle++
-		}
-		s.total += tm.replica.model.TypeOf(machine).CPUs
-		for _, run := range machine.Runs {
-			switch run.Job.Kind {
-			case model.Service:
-				s.services += run.Job.Spec.CPUs
-			case model.Gang:
-				s.gangs += run.Job.Spec.CPUs
-			default:
-				s.arrays += run.Job.Spec.CPUs
-			}
+		if usages[name] == nil {
+			usages[name] = &machineUsage{}
 		}
+		usages[name].add(machine, tm.replica.model.TypeOf(machine).CPUs)
 	}
-	sort.Strings(names)
-	for _, name := range names {
-		s := sums[name]
-		tm.log.Info("machine usage", "type", name, "up", s.up, "booting", s.booting, "idle", s.idle, "cpus", s.total,
-			"service_cpus", s.services, "gang_cpus", s.gangs, "array_cpus", s.arrays)
+	for _, name := range slices.Sorted(maps.Keys(usages)) {
+		u := usages[name]
+		tm.log.Info("machine usage", "type", name, "up", u.up, "booting", u.booting, "idle", u.idle, "cpus", u.cpus,
+			"service_cpus", u.serviceCPUs, "gang_cpus", u.gangCPUs, "array_cpus", u.arrayCPUs)
 	}
 	tm.logPending(term)
 }
