--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -1,6 +1,6 @@
 // Package health decides what a leader does about machines whose agents are silent, partitioned or quarantined, and
-// whether it is the leader itself that is isolated. It is pure: observations go in, actions come out; the caller gathers
-// the observations, and carries out the actions for one machine before it has the next one judged.
+// whether it is the leader itself that is isolated. It is pure: observations go in, actions come out; the caller
+// gathers the observations, and carries out the actions for one machine before it has the next one judged.
 //
 // Many machines of a zone that fall silent at once look like a partition, in which they go on working; one or two look
 // dead or hung. So a round of decisions counts silent machines by zone first (Census) and judges each machine (Round)
@@ -8,13 +8,14 @@
 //
 // That a machine's lease has expired does not prove its tasks gone: an agent that hangs ends them only when it wakes,
 // and they count until then. The cloud's answer to a release proves it, hung or not, and the cloud belongs to no zone.
-// Before the lease has expired a machine of a partitioned zone is left alone, since work there goes on; afterwards it is
-// released if it holds urgent work that may run elsewhere, or low-priority work that finds free room there. Of the
+// Before the lease has expired a machine of a partitioned zone is left alone, since work there goes on; afterwards it
+// is released if it holds urgent work that may run elsewhere, or low-priority work that finds free room there. Of the
 // others nothing would be gained, and they are there when the partition ends: when all of a zone were released, half of
-// them for low-priority work that then waited elsewhere, a third of the fleet had to boot anew. Tasks of a cancelled job
-// are ended by the agent in time, unless it hangs: such a machine is released before that time is over, also if its
-// zone is partitioned from the leader alone, unless the controller there has just heard that no such task is left. While
-// the cloud is unavailable nothing is proven, and nothing is released for these reasons: the partition may end first.
+// them for low-priority work that then waited elsewhere, a third of the fleet had to boot anew. Tasks of a cancelled
+// job are ended by the agent in time, unless it hangs: such a machine is released before that time is over, also if its
+// zone is partitioned from the leader alone, unless the controller there has just heard that no such task is left.
+// While the cloud is unavailable nothing is proven, and nothing is released for these reasons: the partition may end
+// first.
 package health
 
 import (
@@ -143,7 +144,8 @@
 	missingSince      Time           // since when hardly any heartbeat arrives; 0: heartbeats arrive
 }
 
-// Round is one round of decisions. It holds what was counted before the first, and the room that earlier ones gave away.
+// Round is one round of decisions. It holds what was counted before the first, and the room that earlier ones gave
+// away.
 type Round struct {
 	rules              *Rules
 	detector           *Detector
@@ -223,8 +225,8 @@
 	return actions
 }
 
-// releaseInPartition tells whether a machine that is suspect or lost is released for what it holds, and why. The package
-// comment has the reasons.
+// releaseInPartition tells whether a machine that is suspect or lost is released for what it holds, and why. The
+// package comment has the reasons.
 func (r *Round) releaseInPartition(m *Machine, lost bool, evidence Evidence) (reason ReleaseReason, due bool) {
 	switch {
 	case !m.Occupied || r.cloudIsUnavailable:
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -13,9 +13,9 @@
 // commandDispatcher sends machines their commands at once, as soon as the log permits, instead of with the answer to
 // their next heartbeat, and takes in what became of them.
 //
-// It owns which machines have commands waiting (commandDispatcherTerm), and of the model's observations whether a direct
-// command to a machine is under way and whether the last one got no answer (DirectInFlight, DirectFailed). All of this is
-// written in the loop; goroutines wait for the agents' answers and post them to it.
+// It owns which machines have commands waiting (commandDispatcherTerm), and of the model's observations whether a
+// direct command to a machine is under way and whether the last one got no answer (DirectInFlight, DirectFailed). All
+// of this is written in the loop; goroutines wait for the agents' answers and post them to it.
 type commandDispatcher struct {
 	*environment
 	commits     *commitPipeline
@@ -51,8 +51,8 @@
 		machine.Contact.Reported && machine.Info.Addr != "" && !machine.Releasing
 }
 
-// sendDirect sends a machine its commands at once instead of with the answer to its next heartbeat. One command is under
-// way to a machine at a time.
+// sendDirect sends a machine its commands at once instead of with the answer to its next heartbeat. One command is
+// under way to a machine at a time.
 func (cd *commandDispatcher) sendDirect(machine *model.Machine) {
 	term := cd.term.ownTerm
 	if term == nil || machine.Contact.DirectInFlight {
@@ -63,8 +63,8 @@
 		return
 	}
 	commands := cd.replica.model.Commands(machine, term.commits.committedSeq, false)
-	// What waits for the log is sent once it is committed, not by trying again at once: that would be a loop of commands
-	// that say nothing new.
+	// What waits for the log is sent once it is committed, not by trying again at once: that would be a loop of
+	// commands that say nothing new.
 	delete(term.dispatch.dirtyMachines, machine)
 	if cd.hasUncommitted(machine) {
 		term.dispatch.dirtyAfterCommit[machine] = true
@@ -133,8 +133,8 @@
 	}
 }
 
-// onProbedAfterLoss marks a machine as inbound partitioned if it did not answer the probe either that followed a command
-// of unknown outcome. Heartbeats may go on to come from it.
+// onProbedAfterLoss marks a machine as inbound partitioned if it did not answer the probe either that followed a
+// command of unknown outcome. Heartbeats may go on to come from it.
 func (cd *commandDispatcher) onProbedAfterLoss(sent *directCommand) {
 	machine := sent.machine
 	if cd.term.ownTerm != sent.term || cd.replica.model.Machines[machine.ID] != machine ||
@@ -147,8 +147,8 @@
 	cd.probes.logInboundPartition(machine)
 }
 
-// hasUncommitted tells whether a machine will have commands once the log has what was proposed: a placement, the end of a
-// job, or the end of a task that its agent is to forget.
+// hasUncommitted tells whether a machine will have commands once the log has what was proposed: a placement, the end of
+// a job, or the end of a task that its agent is to forget.
 func (cd *commandDispatcher) hasUncommitted(machine *model.Machine) bool {
 	for _, run := range machine.Runs {
 		if run.PlacedSeq > cd.term.ownTerm.commits.committedSeq ||
@@ -159,12 +159,12 @@
 	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
-// stopRun ends a run that is to be stopped, or whose job is cancelled: at once if its start can't have been sent, or else
-// by a command to its machine.
+// stopRun ends a run that is to be stopped, or whose job is cancelled: at once if its start can't have been sent, or
+// else by a command to its machine.
 func (cd *commandDispatcher) stopRun(run *model.Run) {
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
-		// Its placement is on the way into the log and nothing else happened: the room need wait neither for the log nor
-		// for the agent's answer.
+		// Its placement is on the way into the log and nothing else happened: the room need wait neither for the log
+		// nor for the agent's answer.
 		cd.commits.propose(&model.Entry{Kind: model.EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt})
 		cd.loop.roundRequested = true
 		return
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -134,6 +134,7 @@
 			Seq:        2,
 			Tasks:      []wire.TaskStatus{},
 		}
+		suspects := renewalQuery{link: c.to, zoneName: "a", suspectSeq: 300}
 		hired := &provisioner.Result{
 			Kind:     provisioner.ScaledOut,
 			ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2},
@@ -149,10 +150,7 @@
 			},
 			func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
 			func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, hired) },
-			func() {
-				query := renewalQuery{link: c.to, zoneName: "a", suspectSeq: 300}
-				c.leases.queryZoneRenewals(ctx, &leaderTerm{}, query)
-			},
+			func() { c.leases.queryZoneRenewals(ctx, &leaderTerm{}, suspects) },
 			func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
 			func() { c.loop.postAndWait(c.relay.maintainRelay) },
 			func() {
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -31,8 +31,8 @@
 	offerTTL      = 3 * time.Second
 	// minRelayed is how many heartbeats, and how many direct commands, a relay of any size may have under way.
 	minRelayed = 256
-	// relayTimeout is how long a relay waits for the leader's answer to a heartbeat. The agent's own timeout is 4 s, and
-	// the relay still has to answer by itself.
+	// relayTimeout is how long a relay waits for the leader's answer to a heartbeat. The agent's own timeout is 4 s,
+	// and the relay still has to answer by itself.
 	relayTimeout = 2 * time.Second
 	// sweepInterval is how often the relay table, and what a follower keeps of agents, are swept.
 	sweepInterval = 5 * time.Second
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// renewRelayed renews the lease of an agent whose heartbeat the leader did not take in time, as any controller does that
-// does not reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
+// renewRelayed renews the lease of an agent whose heartbeat the leader did not take in time, as any controller does
+// that does not reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
 func (hr *heartbeatRouter) renewRelayed(ctx context.Context, report *wire.Heartbeat) result.Result {
 	hr.metrics.AnsweredLocally.Inc()
 	return hr.loop.answer(ctx, func(send func(result.Result)) {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -13,8 +13,8 @@
 // heartbeats takes agents' status in as the leader, from heartbeats and from the answers to probes and direct commands,
 // and reconciles it with the state: the model tells what a status proves, and that is proposed to the log.
 //
-// It alone writes what the model has observed of an agent (model.MachineContact) from its status, in the loop. Of its own
-// it has only its part of a term.
+// It alone writes what the model has observed of an agent (model.MachineContact) from its status, in the loop. Of its
+// own it has only its part of a term.
 type heartbeats struct {
 	*environment
 	commits      *commitPipeline
@@ -102,8 +102,8 @@
 }
 
 // replyToStale answers a heartbeat that may be a copy from the past, or from an agent that restarted. It is answered,
-// which is nothing to an agent that is not there, and probed. It gets no stops, though, so one whose answers to probes do
-// not arrive is kept alive for no longer than by a controller that knows nothing of cancellations.
+// which is nothing to an agent that is not there, and probed. It gets no stops, though, so one whose answers to probes
+// do not arrive is kept alive for no longer than by a controller that knows nothing of cancellations.
 func (hb *heartbeats) replyToStale(machine *model.Machine) result.Result {
 	hb.probes.probeMachine(machine, nil)
 	if hb.now()-machine.Contact.LastReport > hb.settings.StaleRenewalLimit() {
@@ -145,8 +145,8 @@
 	}
 }
 
-// onUnknownMachine takes the heartbeat of a machine that is in no log: one whose provisioning was not answered, or a copy
-// from one that is long gone. It counts as a machine once it answers a probe, or the cloud lists it.
+// onUnknownMachine takes the heartbeat of a machine that is in no log: one whose provisioning was not answered, or a
+// copy from one that is long gone. It counts as a machine once it answers a probe, or the cloud lists it.
 func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(result.Result)) {
 	term := hb.term.ownTerm
 	unknown := term.heartbeats.unknownMachines
@@ -169,7 +169,8 @@
 	}()
 }
 
-// onUnknownAnswered registers a machine that answered a probe, unless that was done meanwhile, and answers its heartbeat.
+// onUnknownAnswered registers a machine that answered a probe, unless that was done meanwhile, and answers its
+// heartbeat.
 func (hb *heartbeats) onUnknownAnswered(status *wire.Heartbeat) result.Result {
 	if hb.replica.model.ByName[status.Machine] == nil {
 		hb.register(status)
@@ -254,8 +255,8 @@
 	return verdict
 }
 
-// followUp logs the jobs that a status shows to fail everywhere, and marks the machines that are to get commands for it;
-// firstByProbe tells that it is the first status of the machine in this term and answers a question.
+// followUp logs the jobs that a status shows to fail everywhere, and marks the machines that are to get commands for
+// it; firstByProbe tells that it is the first status of the machine in this term and answers a question.
 func (hb *heartbeats) followUp(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
 	for _, j := range verdict.Faulty {
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -27,7 +27,8 @@
 	clearedMachines clearedMachines
 }
 
-// clearedMachines is when machines last reported to this controller, as a follower, and held no task of a cancelled job.
+// clearedMachines is when machines last reported to this controller, as a follower, and held no task of a cancelled
+// job.
 type clearedMachines map[model.MachineID]time.Time
 
 // firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this controller
@@ -65,8 +66,8 @@
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
 	if !known || now.Sub(until) > returnWindow {
-		// It comes for the first time, since the leader did not answer it, and its lease may be near its end: it is kept
-		// before it is sent to look for the leader again, which takes long when nothing answers.
+		// It comes for the first time, since the leader did not answer it, and its lease may be near its end: it is
+		// kept before it is sent to look for the leader again, which takes long when nothing answers.
 		until = now.Add(firstRetention)
 	} else if !leaderReached && now.After(until) {
 		until = now.Add(repeatRetention) // if it comes back, it is partitioned from the leader too
@@ -79,8 +80,9 @@
 }
 
 // renewAsFollower renews an agent's lease under the agent's own token while no leader can. Nothing is started. Tasks of
-// jobs that the log shows as cancelled are stopped, and what this controller can't know of any more is why it ends after
-// a bound: a job cancelled after the log was last read here still loses its tasks in time when the leases then expire.
+// jobs that the log shows as cancelled are stopped, and what this controller can't know of any more is why it ends
+// after a bound: a job cancelled after the log was last read here still loses its tasks in time when the leases then
+// expire.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) result.Result {
 	machine := fk.replica.model.ByName[report.Machine]
 	if machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -17,8 +17,9 @@
 // lease, and until when; every answer that does so goes through renew. And whose lease was renewed when: what a
 // controller keeps of it, tells the leader, and what the leader asks.
 //
-// It owns the table of renewals, which outlives a term. It is written in the loop alone: by renew, and by queryRenewals,
-// which forgets what proves nothing more. What the others report goes into the machine's proof of expiry in the model.
+// It owns the table of renewals, which outlives a term. It is written in the loop alone: by renew, and by
+// queryRenewals, which forgets what proves nothing more. What the others report goes into the machine's proof of expiry
+// in the model.
 type leaseRenewal struct {
 	*environment
 	fence   *commitFence
@@ -34,10 +35,10 @@
 	lastRenewalQuery time.Time // when the others were last asked whose lease they renewed
 }
 
-// mayRenew tells whether this controller may renew leases now. A leader may while its leadership is trusted. Nobody else
-// may for longer than a cancellation that this controller can't know of leaves time. It is checked when the heartbeat is
-// read, which was sent before: whatever happens between this check and the answer, the lease counts from the sending of
-// the heartbeat.
+// mayRenew tells whether this controller may renew leases now. A leader may while its leadership is trusted. Nobody
+// else may for longer than a cancellation that this controller can't know of leaves time. It is checked when the
+// heartbeat is read, which was sent before: whatever happens between this check and the answer, the lease counts from
+// the sending of the heartbeat.
 func (lr *leaseRenewal) mayRenew() bool {
 	return lr.term.isActive() || time.Since(lr.fence.knownCommittedAt()) <= lr.settings.StaleRenewalLimit()
 }
@@ -54,9 +55,9 @@
 // delayedStartPossible tells whether a machine may yet receive, by a command that is delayed on its way, the start of a
 // task whose job was cancelled too long ago. Only the leader can fence such a start, and the machine's agent does not
 // reach it. What the agent lists, in whatever state, is not started again, and is stopped by renewAsFollower; what it
-// does not list may be started. So the agent epoch to which the start was sent must end in time: its lease is renewed no
-// longer than by a controller that does not know of the cancellation. Starts delayed by seventy seconds in a partitioned
-// zone were once carried out when the partition ended.
+// does not list may be started. So the agent epoch to which the start was sent must end in time: its lease is renewed
+// no longer than by a controller that does not know of the cancellation. Starts delayed by seventy seconds in a
+// partitioned zone were once carried out when the partition ended.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -37,8 +37,8 @@
 // resetFailureDetectors begins the detection of silence anew by as much as this controller did not listen itself: a
 // process that was stopped, or starved, finds everybody silent at once, and what they sent meanwhile is still to be
 // read. One that is late again and again, never for a second, receives the heartbeats of a part of the fleet only: four
-// hundred machines that were well were once released as silent within three seconds, when the cloud was back and a third
-// of the fleet was to be replaced.
+// hundred machines that were well were once released as silent within three seconds, when the cloud was back and a
+// third of the fleet was to be replaced.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
 	for _, machine := range mh.replica.model.Order {
@@ -65,9 +65,9 @@
 	}
 }
 
-// cancelPatience is for how long a cancelled job may keep tasks on a machine of a partitioned zone before the machine is
-// released: its agent ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has is
-// for the cloud.
+// cancelPatience is for how long a cancelled job may keep tasks on a machine of a partitioned zone before the machine
+// is released: its agent ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has
+// is for the cloud.
 func (mh *machineHealth) cancelPatience() model.Time {
 	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
 }
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -13,7 +13,8 @@
 // came of it.
 //
 // It owns the counts of a term (probesTerm), and of the model's observations that a machine is being probed and when it
-// last was (Probing, ProbedAt). All of this is written in the loop; goroutines wait for the answers and post them to it.
+// last was (Probing, ProbedAt). All of this is written in the loop; goroutines wait for the answers and post them to
+// it.
 type probes struct {
 	*environment
 	heartbeats  *heartbeats
@@ -49,8 +50,8 @@
 )
 
 // allMachinesReported tells whether every machine with tasks has reported to this leader, or was probed in vain: it
-// hangs, is gone or can't be reached, gets nothing new, and what it holds counts as placed all the same. Among a thousand
-// machines there is always one, and for it a new leader placed nothing for a whole heartbeat interval.
+// hangs, is gone or can't be reached, gets nothing new, and what it holds counts as placed all the same. Among a
+// thousand machines there is always one, and for it a new leader placed nothing for a whole heartbeat interval.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.Order {
@@ -80,8 +81,8 @@
 	return counts
 }
 
-// recordProbe counts a machine of a zone whose status was received, or that was probed in vain. Where nothing is received
-// from other zones either, it may be this controller that is late.
+// recordProbe counts a machine of a zone whose status was received, or that was probed in vain. Where nothing is
+// received from other zones either, it may be this controller that is late.
 func (r *leaderTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -22,9 +22,9 @@
 	state *relaying
 }
 
-// relaying is what a controller has agreed with the leader as its relay, and what it has under way for it. maintainRelay
-// alone writes it, in the loop, and the answer to its offer the flag enabled; the goroutines of agents' connections and
-// of the leader's calls read the atomic fields and take slots.
+// relaying is what a controller has agreed with the leader as its relay, and what it has under way for it.
+// maintainRelay alone writes it, in the loop, and the answer to its offer the flag enabled; the goroutines of agents'
+// connections and of the leader's calls read the atomic fields and take slots.
 type relaying struct {
 	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil: this controller leads, or does not reach one
 	enabled    atomic.Bool              // the leader wants heartbeats passed on
@@ -53,7 +53,8 @@
 // release gives a slot back.
 func (s slots) release() { <-s }
 
-// reachableLeader is the link to the leader, if it may be relayed for; nil: this controller leads, or does not reach it.
+// reachableLeader is the link to the leader, if it may be relayed for; nil: this controller leads, or does not reach
+// it.
 func (ry *relayAgent) reachableLeader() *rpc.Link {
 	if ry.state.neverOffers || ry.term.ownTerm != nil || !ry.replica.loaded || ry.term.leader == nil {
 		return nil
@@ -77,7 +78,8 @@
 	go state.offer(ry.ctx, target, relay.Offer{Node: ry.settings.Node, HasCapacity: !ry.connLimiter.NearLimit()})
 }
 
-// offer offers this controller to the leader and keeps its answer. What was agreed holds until the leader answers again.
+// offer offers this controller to the leader and keeps its answer. What was agreed holds until the leader answers
+// again.
 func (s *relaying) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
 	ctx, cancel := context.WithTimeout(ctx, offerInterval)
 	defer cancel()
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -19,8 +19,8 @@
 // leader's direct commands. internal/agents/relay decides which agent reports where; docs/REGIONS.md has the argument
 // why nothing more is needed for the rules.
 //
-// It owns the assignments, which are forgotten with the term, and is written in the loop alone. What it sends, goroutines
-// send that have looked the way up before.
+// It owns the assignments, which are forgotten with the term, and is written in the loop alone. What it sends,
+// goroutines send that have looked the way up before.
 type relayAssignments struct {
 	*environment
 	loop    *eventLoop
@@ -39,7 +39,8 @@
 	lastAssignmentSweep model.Time   // when the table was last swept
 }
 
-// errNotSent is the failure of a command or a probe that a relay did not send: it has too many under way, or is stopping.
+// errNotSent is the failure of a command or a probe that a relay did not send: it has too many under way, or is
+// stopping.
 var errNotSent = errors.New("controller: relay did not send the request")
 
 // onRelayOffer answers a controller that offers itself as a relay.
@@ -142,8 +143,9 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo is how a machine may be probed: through the controller by which it reports and, if that fails, one other way;
-// nil stands for directly. A leader that is partitioned from agents whose relays are not must not take them for silent.
+// routesTo is how a machine may be probed: through the controller by which it reports and, if that fails, one other
+// way; nil stands for directly. A leader that is partitioned from agents whose relays are not must not take them for
+// silent.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -14,8 +14,8 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// telemetry is the metrics page's view of the state, and the leader's regular summaries in the log. It reads what others
-// own and writes nothing but what it has logged in a term.
+// telemetry is the metrics page's view of the state, and the leader's regular summaries in the log. It reads what
+// others own and writes nothing but what it has logged in a term.
 type telemetry struct {
 	*environment
 	loop    *eventLoop
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -51,8 +51,8 @@
 // isFresh tells whether the controller has reported lately.
 func (n *partitionedNode) isFresh() bool { return time.Since(n.updatedAt) < partitionReportTTL }
 
-// splitVarints splits a list of variable-length numbers, between two of them, into parts of at most so many bytes; there
-// is at least one part.
+// splitVarints splits a list of variable-length numbers, between two of them, into parts of at most so many bytes;
+// there is at least one part.
 func splitVarints(b []byte, maxBytes int) (parts [][]byte) {
 	const continuation = 0x80 // in each byte of a number but the last
 	for len(b) > maxBytes {
@@ -91,8 +91,8 @@
 }
 
 // mayBeAlive tells whether work in a zone may go on without this controller: one there is reached, or reads the log and
-// so keeps the zone's agents alive. Then the zone is not partitioned from everything, but from the leader alone. As long
-// as that is not known, it may be so.
+// so keeps the zone's agents alive. Then the zone is not partitioned from everything, but from the leader alone. As
+// long as that is not known, it may be so.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
 		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
