--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -5,126 +5,165 @@
 	"errors"
 	"time"
 
-	"fieldhill/internal/api"
 	"fieldhill/internal/result"
-	"fieldhill/internal/rpc"
 	"fieldhill/internal/scheduling/admission"
 )
 
-// eventLoop runs all work on the controller's state one piece at a time, users' requests behind everything else, and
-// refuses when it is behind.
+// eventLoop is the one goroutine that owns the controller's state: every component's fields are read and written in
+// its turns alone, unless a field says otherwise. Other goroutines reach it through two queues:
+//
+//   - workQueue takes what keeps leases, ends of tasks and cancellations come by, and the short look-ups that a
+//     request needs before it is queued itself;
+//   - requestQueue takes what users submit and ask. It is served after all other waiting work, a few requests a turn,
+//     so that a flood of requests delays neither heartbeats nor cancellations.
+//
+// Both are bounded: beyond their length the caller is refused at once and told to come back.
+//
+// The queues may be used by any goroutine. The rest is the loop's own.
 type eventLoop struct {
 	*environment
-	commits    *commitPipeline
-	controller *Controller
-	forward    *forwarder
-	rounds     *schedulingRounds
-	term       *termState
-
-	workQueue chan func()
-	// requestQueue is what users want of the loop; it waits for all that is in work.
-	requestQueue   chan queuedRequest
-	loopDone       chan struct{}  // closed when the loop runs no more
-	admissionGate  admission.Gate // for new jobs
-	roundRequested bool
-	lastRound      time.Time
-	roundGap       time.Duration // between rounds that events wake
+	turns turnHandler
+
+	workQueue    chan func()
+	requestQueue chan queuedRequest
+	done         chan struct{} // closed when the loop has ended
+
+	admissionGate  admission.Gate // decides from requests' queueing delay whether new jobs are admitted
+	roundRequested bool           // an event calls for a scheduling round before the next regular one
+	lastRound      time.Time      // start of the last scheduling round; written by schedulingRounds
+	roundGap       time.Duration  // between rounds that events request; written by schedulingRounds
 }
 
-// errBusy says that the loop is behind: the request is refused at once.
-var errBusy = errors.New("controller: busy")
+// turnHandler is what the loop calls besides the work that is queued. All calls come from the loop's goroutine.
+type turnHandler interface {
+	// runMaintenance runs the periodic maintenance, every maintenanceInterval.
+	runMaintenance()
+	// runRound runs the scheduler; regular tells a periodic round from one that an event requested.
+	runRound(regular bool)
+	// afterTurn ends a turn: it hands proposed entries to the log and publishes the state for other goroutines. If a
+	// batch still gathers entries, it returns for how long; the loop has another turn when that time is over.
+	afterTurn() (wait time.Duration, gathering bool)
+}
+
+// newEventLoop returns a loop that is not yet running; whoever wires it sets turns before run.
+func newEventLoop(env *environment) *eventLoop {
+	return &eventLoop{
+		environment:  env,
+		workQueue:    make(chan func(), workQueueSize),
+		requestQueue: make(chan queuedRequest, maxQueuedRequests),
+		done:         make(chan struct{}),
+		roundGap:     minRoundGap,
+	}
+}
+
+const (
+	// workQueueSize bounds the pieces of work that wait for the loop; while it is full heartbeats are refused.
+	workQueueSize = 512
+	// maintenanceInterval is the period of the maintenance.
+	maintenanceInterval = 250 * time.Millisecond
+	// idleTimer is the first period of timers that are armed by need; firing without need does no harm.
+	idleTimer = time.Hour
+)
 
-// post hands work to the loop without waiting for it.
-func (el *eventLoop) post(f func()) {
+// errBusy reports that the loop is behind and the work was refused.
+var errBusy = errors.New("controller: event loop queue full")
+
+// post queues work without waiting for it to run. It blocks while the queue is full, and gives up when the controller
+// stops.
+func (el *eventLoop) post(work func()) {
 	select {
-	case el.workQueue <- f:
+	case el.workQueue <- work:
 	case <-el.ctx.Done():
 	}
 }
 
-// tryPost hands a user's or worker's work to the loop, unless it is far behind.
-func (el *eventLoop) tryPost(f func()) error {
+// tryPost queues work, or returns errBusy when the queue is full.
+func (el *eventLoop) tryPost(work func()) error {
 	select {
-	case el.workQueue <- f:
+	case el.workQueue <- work:
 		return nil
 	default:
 		return errBusy
 	}
 }
 
-// postAndWait runs work in the loop and waits for it. While the node stops, the work may not be
-// run; but it never runs after ask has returned, when the caller reads what it wrote.
-func (el *eventLoop) postAndWait(f func()) {
-	done := make(chan struct{})
-	el.post(func() { f(); close(done) })
+// postAndWait runs work in the loop and waits for it. While the controller stops, the work may not be run; but it
+// never runs after postAndWait has returned, when the caller reads what the work wrote.
+func (el *eventLoop) postAndWait(work func()) {
+	finished := make(chan struct{})
+	el.post(func() { work(); close(finished) })
 	select {
-	case <-done:
-	case <-el.loopDone:
+	case <-finished:
+	case <-el.done:
 	}
 }
 
+// requestRound asks for a scheduling round as soon as the gap after the last one allows.
+func (el *eventLoop) requestRound() { el.roundRequested = true }
+
+// run serves the queues and the timers until the context ends.
 func (el *eventLoop) run(ctx context.Context) {
+	defer close(el.done)
 	roundTicker := time.NewTicker(el.options.RoundInterval)
 	defer roundTicker.Stop()
 	maintenanceTicker := time.NewTicker(maintenanceInterval)
 	defer maintenanceTicker.Stop()
-	wakeTimer := time.NewTimer(time.Hour)
-	defer wakeTimer.Stop()
-	batchTimer := time.NewTimer(time.Hour)
+	roundTimer := time.NewTimer(idleTimer)
+	defer roundTimer.Stop()
+	batchTimer := time.NewTimer(idleTimer)
 	defer batchTimer.Stop()
-	wakeArmed := false
+	roundTimerArmed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-el.workQueue:
-			f()
+		case work := <-el.workQueue:
+			work()
 			el.drainWork() // whatever else is waiting goes into the same batch
-		case r := <-el.requestQueue:
+		case request := <-el.requestQueue:
 			el.drainWork()
-			el.drainRequests(r)
+			el.drainRequests(request)
 		case <-roundTicker.C:
-			el.rounds.runScheduler(true)
+			el.turns.runRound(true)
 		case <-maintenanceTicker.C:
-			el.controller.runMaintenance()
-		case <-wakeTimer.C:
-			wakeArmed = false
-			el.rounds.runScheduler(false)
+			el.turns.runMaintenance()
+		case <-roundTimer.C:
+			roundTimerArmed = false
+			el.turns.runRound(false)
 		case <-batchTimer.C:
 		}
-		if el.roundRequested && !wakeArmed {
-			wakeArmed = true
-			wakeTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
+		if el.roundRequested && !roundTimerArmed {
+			roundTimerArmed = true
+			roundTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
 		}
-		el.commits.flush()
-		el.forward.publish()
-		if r := el.term.ownTerm; r != nil && !r.commits.writeInFlight && len(r.commits.queue) > 0 {
-			batchTimer.Reset(max(0, batchDelay-time.Since(r.commits.queuedAt)))
+		if wait, gathering := el.turns.afterTurn(); gathering {
+			batchTimer.Reset(wait)
 		}
 	}
 }
 
 const (
-	// maxQueuedRequests bounds users' requests that wait for the loop; further ones are refused.
+	// maxQueuedRequests bounds the users' requests that wait for the loop; further ones are refused.
 	maxQueuedRequests = 256
-	// workPerTurn and requestsPerTurn are how many pieces of each queue go into the same batch.
+	// workPerTurn and requestsPerTurn are how many pieces of each queue are run in one turn, whose entries go into the
+	// same batch.
 	workPerTurn     = 64
 	requestsPerTurn = 16
 )
 
-// queuedRequest is a piece of a user's request that waits for the loop.
+// queuedRequest is the part of a user's request that runs in the loop, and since when it waits for its turn.
 type queuedRequest struct {
 	run      func()
 	queuedAt time.Time
 }
 
-// answer runs f in the loop; f must send exactly one result, at once or later. What the loop does not get to, or not
-// through with in time, is result.NotHandled.
-func (el *eventLoop) answer(ctx context.Context, f func(send func(result.Result))) result.Result {
-	return el.awaitResult(ctx, el.tryPost, f)
+// answer runs handle in the loop and returns its result; handle must send exactly one, at once or later. What the loop
+// does not get to, or not through with in time, is result.NotHandled.
+func (el *eventLoop) answer(ctx context.Context, handle func(send func(result.Result))) result.Result {
+	return el.awaitResult(ctx, el.tryPost, handle)
 }
 
-// What is answered where the loop has not replied in time.
+// Results of requests to which the loop has not responded in time.
 var (
 	loopBusy = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
 	loopSlow = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
@@ -132,55 +171,28 @@
 	stopping = result.NotHandled{Reason: "stopping", RetryAfter: time.Second}
 )
 
-// respond is answer for what does not use results yet.
-func (el *eventLoop) respond(ctx context.Context, f func(send func(*rpc.Response))) *rpc.Response {
-	r := el.answer(ctx, func(send func(result.Result)) {
-		f(func(response *rpc.Response) { send(result.Forwarded{Response: response}) })
-	})
-	switch r {
-	case loopBusy:
-		return loopBusyResponse
-	case loopSlow:
-		return loopSlowResponse
-	case canceled:
-		return canceledResponse
-	case stopping:
-		return stoppingResponse
-	}
-	return api.Respond(r)
-}
-
-// The same as responses, which are told apart by their addresses.
-var (
-	loopBusyResponse = api.Respond(loopBusy)
-	loopSlowResponse = api.Respond(loopSlow)
-	canceledResponse = api.Respond(canceled)
-	stoppingResponse = api.Respond(stopping)
-)
-
-// tryPostRequest hands a piece of a user's request to the loop, unless it is far behind.
-func (el *eventLoop) tryPostRequest(f func()) error {
+// tryPostRequest queues a user's request, or returns errBusy when the queue is full.
+func (el *eventLoop) tryPostRequest(work func()) error {
 	select {
-	case el.requestQueue <- queuedRequest{f, time.Now()}:
+	case el.requestQueue <- queuedRequest{run: work, queuedAt: time.Now()}:
 		return nil
 	default:
 		return errBusy
 	}
 }
 
-// answerInTurn runs f in the loop, after what is more urgent; f must send exactly one result, at once or later.
-func (el *eventLoop) answerInTurn(ctx context.Context, f func(send func(result.Result))) result.Result {
-	return el.awaitResult(ctx, el.tryPostRequest, f)
+// answerInTurn is answer for users' requests, which come after all other waiting work.
+func (el *eventLoop) answerInTurn(ctx context.Context, handle func(send func(result.Result))) result.Result {
+	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
 
-// awaitResult has the loop run f and waits for what it sends.
+// awaitResult queues handle by enqueue and waits for its result, for a bounded time.
 func (el *eventLoop) awaitResult(
-	ctx context.Context,
-	enqueue func(func()) error,
-	f func(send func(result.Result)),
+	ctx context.Context, enqueue func(func()) error, handle func(send func(result.Result)),
 ) result.Result {
 	results := make(chan result.Result, 1)
-	if enqueue(func() { f(func(r result.Result) { results <- r }) }) != nil {
+	send := func(r result.Result) { results <- r }
+	if enqueue(func() { handle(send) }) != nil {
 		return loopBusy
 	}
 	timer := time.NewTimer(responseTimeout)
@@ -197,19 +209,20 @@
 	}
 }
 
-// drainWork runs what waits in n.work, up to a turn.
+// drainWork runs what waits in workQueue, up to workPerTurn pieces.
 func (el *eventLoop) drainWork() {
 	for range workPerTurn {
 		select {
-		case f := <-el.workQueue:
-			f()
+		case work := <-el.workQueue:
+			work()
 		default:
 			return
 		}
 	}
 }
 
-// drainRequests runs a user's request and more of them, up to a turn.
+// drainRequests runs a user's request and those that wait behind it, up to requestsPerTurn, and reports the queueing
+// delay of each to the admission gate.
 func (el *eventLoop) drainRequests(request queuedRequest) {
 	for range requestsPerTurn {
 		el.admissionGate.ObserveWait(time.Since(request.queuedAt), el.now())
