--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -139,7 +139,7 @@
 // Detector is what a leader remembers of machines' health from round to round of one term. The zero value is ready.
 // It belongs to one goroutine.
 type Detector struct {
-	nextLatenessCheck Time
+	nextLatenessCheck Time           // lateness is checked in the first round after it
 	partitionedUntil  map[int32]Time // zones that are partitioned, or were until recently
 	missingSince      Time           // since when hardly any heartbeat arrives; 0: heartbeats arrive
 }
@@ -147,14 +147,14 @@
 // Round is one round of decisions. It holds what was counted before the first, and the room that earlier ones gave
 // away.
 type Round struct {
-	rules              *Rules
-	detector           *Detector
-	census             *Census
-	now                Time
-	checksLateness     bool
-	queriesPartitions  bool
-	roomOutside        map[int32]*Room
-	cloudIsUnavailable bool
+	rules             *Rules
+	detector          *Detector
+	census            *Census
+	now               Time
+	cloudUnavailable  bool
+	checksLateness    bool
+	queriesPartitions bool
+	roomOutside       map[int32]*Room // by zone: what is free in the others and not given away in this round
 }
 
 // Begin begins a round with the count of all machines. While the cloud does not answer, nothing is released that a
@@ -162,7 +162,7 @@
 func (d *Detector) Begin(rules *Rules, census *Census, now Time, cloudUnavailable bool) *Round {
 	r := &Round{
 		rules: rules, detector: d, census: census, now: now, checksLateness: now > d.nextLatenessCheck,
-		roomOutside: map[int32]*Room{}, cloudIsUnavailable: cloudUnavailable,
+		roomOutside: map[int32]*Room{}, cloudUnavailable: cloudUnavailable,
 	}
 	if r.checksLateness {
 		d.nextLatenessCheck = now + latenessInterval
@@ -229,7 +229,7 @@
 // package comment has the reasons.
 func (r *Round) releaseInPartition(m *Machine, lost bool, evidence Evidence) (reason ReleaseReason, due bool) {
 	switch {
-	case !m.Occupied || r.cloudIsUnavailable:
+	case !m.Occupied || r.cloudUnavailable:
 		return "", false
 	case (lost || m.Suspect) && evidence.CancelledFor() > r.rules.CancelPatience && !evidence.Cleared():
 		return CancelOverdue, true
--- a/internal/agents/health/health_test.go
+++ b/internal/agents/health/health_test.go
@@ -233,7 +233,9 @@
 func randomFleet(rng *rand.Rand) ([]Machine, []known) {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	room := func() Room { return Room{float64(rng.IntN(4)), float64(rng.IntN(2))} }
-	silences := []Time{0, 5500 * time.Millisecond, 6 * time.Second, 10 * time.Second, 15 * time.Second, 100 * time.Second}
+	silences := []Time{
+		0, 5500 * time.Millisecond, 6 * time.Second, 10 * time.Second, 15 * time.Second, 100 * time.Second,
+	}
 	usual, free := silences[rng.IntN(len(silences))], []Room{room(), room(), room()}
 	machines, evidence := make([]Machine, 1+rng.IntN(12)), make([]known, 12)
 	for i := range machines {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -36,7 +36,7 @@
 	unknownMachines map[string]bool // machines that are in no log, and that are being probed
 }
 
-// What agents are told whose heartbeats are not taken in.
+// The answers to agents whose heartbeats are not taken in.
 var (
 	machineReleased   = result.Unavailable{Reason: "this machine was returned", RetryAfter: time.Second}
 	machineUnknown    = result.Unavailable{Reason: "this machine is not known", RetryAfter: time.Second}
@@ -72,7 +72,7 @@
 	case !hb.leases.mayRenew():
 		// Nobody may keep leases alive for longer than a cancellation that this controller can't know of leaves time.
 		return result.NoLeader{}
-	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsWorker(report.Machine, false):
+	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsAgent(report.Machine, false):
 		return result.Redirected{} // another controller may lead by now, or will soon
 	case hb.replica.model.Tombstones[report.Machine]:
 		return machineReleased
@@ -228,7 +228,7 @@
 	}
 	term := hb.term.ownTerm
 	term.heartbeats.lastHeartbeat = hb.now()
-	term.recordProbe(term.zoneProbe(machine.Zone), true)
+	term.probes.recordProbe(term.probes.zoneProbe(machine.Zone), true)
 	hb.provisioning.recordAddr(machine, report.Addr)
 	if firstReport && machine.Lifecycle.ProvisionedAt != 0 {
 		bootRatio := autoscaler.BootRatio(hb.replica.model, machine, hb.now())
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -31,9 +31,9 @@
 // job.
 type clearedMachines map[model.MachineID]time.Time
 
-// firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this controller
-// before it is sent to look for the leader: when it comes for the first time, and when it has come back.
 const (
+	// firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this controller
+	// before it is sent to look for the leader: when it comes for the first time, and when it has come back.
 	firstRetention  = 3 * time.Second
 	repeatRetention = 20 * time.Second
 	// returnWindow is for how long after that an agent counts as one that comes back.
@@ -53,16 +53,16 @@
 	if leader := fk.term.leader; leader != nil && leader.Node != fk.settings.Node {
 		link := fk.links[leader.Node]
 		leaderReached := link != nil && time.Since(link.LastResponse()) < linkFreshness
-		if !fk.retainsWorker(report.Machine, leaderReached) {
+		if !fk.retainsAgent(report.Machine, leaderReached) {
 			return result.Redirected{Node: leader.Node}
 		}
 	}
 	return fk.renewAsFollower(report)
 }
 
-// retainsWorker tells whether an agent is kept by this controller, which can't give it work, or sent to look for the
+// retainsAgent tells whether an agent is kept by this controller, which can't give it work, or sent to look for the
 // leader; leaderReached tells whether this controller reaches the leader.
-func (fk *followerKeepalives) retainsWorker(machine string, leaderReached bool) bool {
+func (fk *followerKeepalives) retainsAgent(machine string, leaderReached bool) bool {
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
 	if !known || now.Sub(until) > returnWindow {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -54,14 +54,14 @@
 			aloneWith(t, 2500, func(n *Controller) {
 				sent := func() (sent int) {
 					for i := range fleet {
-						if !n.keepalives.retainsWorker(fmt.Sprintf("host-%06d", i), false) {
+						if !n.keepalives.retainsAgent(fmt.Sprintf("host-%06d", i), false) {
 							sent++
 						}
 					}
 					return sent
 				}
 				for i := range fleet {
-					n.keepalives.retainsWorker(fmt.Sprintf("host-%06d", i), false)
+					n.keepalives.retainsAgent(fmt.Sprintf("host-%06d", i), false)
 				}
 				n.runMaintenance()
 				time.Sleep(firstRetention + time.Second)
@@ -83,7 +83,7 @@
 func TestMadeUpNamesAreBounded(t *testing.T) {
 	aloneWith(t, 2500, func(n *Controller) {
 		for i := range 200_000 {
-			n.keepalives.retainsWorker(fmt.Sprint("made-up-", i), false)
+			n.keepalives.retainsAgent(fmt.Sprint("made-up-", i), false)
 			if i%1000 == 0 {
 				n.runMaintenance()
 			}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -110,7 +110,7 @@
 // count as not booted.
 const bootSettleTime = 10 * time.Second
 
-// observeMachine is what package health is told of a machine.
+// observeMachine is what this controller has observed of a machine, for package health to judge.
 func observeMachine(machine *model.Machine, now model.Time) health.Machine {
 	return health.Machine{
 		Zone:               machine.Zone,
@@ -222,7 +222,7 @@
 }
 
 // Cleared tells whether a controller on the machine's side of a partition found no task of a cancelled job there.
-func (e *healthEvidence) Cleared() bool { return e.ownTerm.isCleared(e.machine.ID) }
+func (e *healthEvidence) Cleared() bool { return e.ownTerm.zones.isCleared(e.machine.ID) }
 
 // LeaseExpired tells whether the machine's lease has surely expired.
 func (e *healthEvidence) LeaseExpired() bool {
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -56,7 +56,7 @@
 	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.Order {
 		if !machine.Contact.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
-			!term.probes.unresponsive[machine] && !term.zoneProbe(machine.Zone).silent.Load() {
+			!term.probes.unresponsive[machine] && !term.probes.zoneProbe(machine.Zone).silent.Load() {
 			return false
 		}
 	}
@@ -72,26 +72,26 @@
 }
 
 // zoneProbe is the counts of a zone, which begin with the first question for them.
-func (r *leaderTerm) zoneProbe(zone int32) *zoneProbeCounts {
-	counts := r.probes.zones[zone]
+func (pt *probesTerm) zoneProbe(zone int32) *zoneProbeCounts {
+	counts := pt.zones[zone]
 	if counts == nil {
-		counts = &zoneProbeCounts{slots: make(slots, r.probes.maxZoneProbes)}
-		r.probes.zones[zone] = counts
+		counts = &zoneProbeCounts{slots: make(slots, pt.maxZoneProbes)}
+		pt.zones[zone] = counts
 	}
 	return counts
 }
 
 // recordProbe counts a machine of a zone whose status was received, or that was probed in vain. Where nothing is
 // received from other zones either, it may be this controller that is late.
-func (r *leaderTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
+func (pt *probesTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
-		r.probes.heartbeatCount++
+		pt.heartbeatCount++
 	} else {
 		counts.unanswered++
 	}
 	counts.silent.Store(counts.answered == 0 && counts.unanswered >= silentZoneThreshold &&
-		r.probes.heartbeatCount >= silentZoneThreshold)
+		pt.heartbeatCount >= silentZoneThreshold)
 }
 
 // probeAll probes all machines with tasks. A new leader places nothing before it has heard of them, and many of their
@@ -146,7 +146,7 @@
 		return
 	}
 	machine.Contact.Probing = true
-	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.zoneProbe(machine.Zone)
+	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.probes.zoneProbe(machine.Zone)
 	question := pr.replica.model.BeginProbe(machine)
 	go func() {
 		select {
@@ -178,7 +178,7 @@
 	}
 	if !machine.Contact.Reported {
 		term.probes.unresponsive[machine] = true
-		term.recordProbe(term.zoneProbe(machine.Zone), false)
+		term.probes.recordProbe(term.probes.zoneProbe(machine.Zone), false)
 		pr.loop.roundRequested = true
 	}
 }
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -81,8 +81,8 @@
 
 // isCleared tells whether a controller that does not reach this one has just heard from a machine, and no task of a
 // cancelled job was left there.
-func (r *leaderTerm) isCleared(id model.MachineID) bool {
-	for _, node := range r.zones.nodes {
+func (zt *zoneLivenessTerm) isCleared(id model.MachineID) bool {
+	for _, node := range zt.nodes {
 		if node.clearedMachines[id] && node.isFresh() {
 			return true
 		}
