--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -32,8 +32,8 @@
 type clearedMachines map[model.MachineID]time.Time
 
 const (
-	// firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this controller
-	// before it is sent to look for the leader: when it comes for the first time, and when it has come back.
+	// firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this
+	// controller before it is sent to look for the leader: when it comes for the first time, and when it has come back.
 	firstRetention  = 3 * time.Second
 	repeatRetention = 20 * time.Second
 	// returnWindow is for how long after that an agent counts as one that comes back.
