--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -34,14 +34,13 @@
 		return cn.cancelAsLeader(ctx, id)
 	}
 	if !leads {
-		if response, ok := cn.forward.toLeader(ctx, request, responseTimeout); ok {
-			if answer := (result.Forwarded{Response: response}); !result.IsUnavailable(answer) {
-				return answer
-			}
+		answer, ok := cn.forward.toLeader(ctx, request, responseTimeout)
+		if ok && !result.IsUnavailable(answer) {
+			return answer
 		}
 	}
-	if response, ok := cn.forward.toOthers(ctx, request); ok {
-		return result.Forwarded{Response: response}
+	if answer, ok := cn.forward.toOthers(ctx, request); ok {
+		return answer
 	}
 	if leads {
 		return cn.cancelAsLeader(ctx, id)
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -81,11 +81,11 @@
 // askLeader passes a question on to the leader. It returns nil if that can't be asked, or is of a version that does
 // not know the question.
 func (ex *explanations) askLeader(ctx context.Context, request *rpc.Request) result.Result {
-	response, ok := ex.forward.toLeader(ctx, request, responseTimeout)
-	if answer := (result.Forwarded{Response: response}); ok && !result.IsUnsupported(answer) {
-		return answer
+	answer, ok := ex.forward.toLeader(ctx, request, responseTimeout)
+	if !ok || result.IsUnsupported(answer) {
+		return nil
 	}
-	return nil
+	return answer
 }
 
 // handleAdminRequest answers a question that another controller passes on.
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"net/http"
 	"sync/atomic"
 	"time"
 
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 )
 
@@ -73,25 +73,25 @@
 // toLeader sends a request to the leader. ok is false if the leader can't be asked or does not respond in time.
 func (fw *forwarder) toLeader(
 	ctx context.Context, request *rpc.Request, timeout time.Duration,
-) (response *rpc.Response, ok bool) {
+) (answer result.Forwarded, ok bool) {
 	leader := fw.routing.Load().leader
 	link := fw.links[leader]
 	if link == nil || !isReached(link) {
-		return nil, false
+		return result.Forwarded{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := link.Do(ctx, request)
 	if err != nil {
 		fw.log.Debug("leader unreachable", "leader", leader, "err", err)
-		return nil, false
+		return result.Forwarded{}, false
 	}
-	return response, true
+	return result.Forwarded{Response: response}, true
 }
 
 // toOthers asks the other controllers, one after the other, for what this one can't answer: as far as it can tell it
 // no longer leads, or it no longer reads the log, while others may do both.
-func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (*rpc.Response, bool) {
+func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (result.Forwarded, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
 		if !isReached(link) {
@@ -100,28 +100,28 @@
 		ctx, cancel := context.WithTimeout(ctx, 2*forwardTimeout)
 		response, err := link.Do(ctx, request)
 		cancel()
-		if err == nil && response.Status != http.StatusServiceUnavailable {
-			return response, true
+		if answer := (result.Forwarded{Response: response}); err == nil && !result.IsUnavailable(answer) {
+			return answer, true
 		}
 	}
-	return nil, false
+	return result.Forwarded{}, false
 }
 
 // toLeaderOrOthers asks the leader, if that is another controller, and then the rest if this one is out of touch with
 // the key-value store.
 func (fw *forwarder) toLeaderOrOthers(
 	ctx context.Context, request *rpc.Request, leads, storeReachable bool,
-) (*rpc.Response, bool) {
+) (result.Forwarded, bool) {
 	if !leads {
-		response, ok := fw.toLeader(ctx, request, forwardTimeout)
-		if ok && response.Status != http.StatusServiceUnavailable {
-			return response, true
+		answer, ok := fw.toLeader(ctx, request, forwardTimeout)
+		if ok && !result.IsUnavailable(answer) {
+			return answer, true
 		}
 	}
 	if !storeReachable {
 		return fw.toOthers(ctx, request)
 	}
-	return nil, false
+	return result.Forwarded{}, false
 }
 
 // isIsolated tells whether no other controller has responded for a while, though there are some.
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -51,7 +51,7 @@
 			return
 		}
 		link := in.links[in.term.leader.Node]
-		if link != nil && time.Since(link.LastResponse()) > linkFreshness {
+		if link != nil && !isReached(link) {
 			share = leaderlessIntakeShare
 		}
 	})
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -40,8 +40,8 @@
 		return result.JobState{Status: *final}
 	}
 	request := &rpc.Request{Op: rpc.OpStatus, ID: id}
-	if response, ok := js.forward.toLeaderOrOthers(ctx, request, leads, storeReachable); ok {
-		return result.Forwarded{Response: response}
+	if answer, ok := js.forward.toLeaderOrOthers(ctx, request, leads, storeReachable); ok {
+		return answer
 	}
 	if leads {
 		return js.answerAsLeader(ctx, id)
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -43,7 +43,7 @@
 	}
 	if rd.term.ownTerm == nil && rd.term.leader != nil {
 		link := rd.links[rd.term.leader.Node]
-		if link != nil && time.Since(link.LastResponse()) > linkFreshness &&
+		if link != nil && !isReached(link) &&
 			time.Since(rd.replica.caughtUpAt) >= 2*linkFreshness+followTimeout {
 			return false // without the leader it can still accept jobs and answer, but by the log alone
 		}
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -60,8 +60,8 @@
 		defer cancel()
 		for _, part := range parts { // what the leader has no time for is in the next list as well
 			request := &rpc.Request{Op: rpc.OpRoleResult, ID: name, Body: part.Append(codec.Uint(nil, term))}
-			response, ok := rs.forward.toLeader(ctx, request, partTimeout)
-			if !ok || !result.IsDone(result.Forwarded{Response: response}) {
+			answer, ok := rs.forward.toLeader(ctx, request, partTimeout)
+			if !ok || !result.IsDone(answer) {
 				rs.log.Debug("provisioner result not delivered", "kind", part.Kind)
 				return
 			}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -43,7 +43,7 @@
 	}
 	request := &rpc.Request{Op: rpc.OpSubmit, Body: body}
 	if answer, ok := sb.forward.toLeaderOrOthers(ctx, request, leads, storeReachable); ok {
-		return result.Forwarded{Response: answer}
+		return answer
 	}
 	if leads {
 		return sb.submitAsLeader(ctx, body)
@@ -88,18 +88,18 @@
 	start := time.Now()
 	answers := make(chan result.Result, 1)
 	go func() {
-		response, ok := sb.forward.toLeader(ctx, &rpc.Request{Op: rpc.OpSubmit, Body: body}, forwardTimeout)
+		answer, ok := sb.forward.toLeader(ctx, &rpc.Request{Op: rpc.OpSubmit, Body: body}, forwardTimeout)
 		if !ok {
 			answers <- nil
 			return
 		}
 		latency := time.Since(start)
 		sb.forwardLatency.Store(int64(averageLatency + (latency-averageLatency)/forwardLatencyWeight))
-		if answer := (result.Forwarded{Response: response}); !result.IsUnavailable(answer) {
-			answers <- answer
+		if result.IsUnavailable(answer) {
+			answers <- nil
 			return
 		}
-		answers <- nil
+		answers <- answer
 	}()
 	return answers
 }
