--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -2,15 +2,15 @@
 
 import (
 	"context"
-	"net/http"
 
-	"fieldhill/internal/api"
 	"fieldhill/internal/model"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
 
-// cancellations cancels jobs and stops their tasks.
+// cancellations cancels jobs and stops their tasks. Only the leader does, by an entry of the log; other controllers
+// pass a cancellation on. It has no state of its own: that a job is cancelled is in the model.
 type cancellations struct {
 	*environment
 	commits   *commitPipeline
@@ -23,10 +23,10 @@
 	term      *termState
 }
 
-// Cancel cancels a job.
-func (cn *cancellations) Cancel(ctx context.Context, id string) *rpc.Response {
+// Cancel cancels a job and answers with its state.
+func (cn *cancellations) Cancel(ctx context.Context, id string) result.Result {
 	if _, ok := wire.JobNumber(id); !ok {
-		return api.Refuse(http.StatusNotFound, "no such job")
+		return noSuchJob
 	}
 	request := &rpc.Request{Op: rpc.OpCancel, ID: id}
 	leads, storeReachable := cn.forward.routingState()
@@ -34,45 +34,44 @@
 		return cn.cancelAsLeader(ctx, id)
 	}
 	if !leads {
-		if response, ok := cn.forward.toLeader(
-			ctx,
-			request,
-			responseTimeout,
-		); ok &&
-			response.Status != http.StatusServiceUnavailable {
-			return response
+		answer, ok := cn.forward.toLeader(ctx, request, responseTimeout)
+		if ok && !result.IsUnavailable(answer) {
+			return answer
 		}
 	}
-	if response, ok := cn.forward.toOthers(ctx, request); ok {
-		return response
+	if answer, ok := cn.forward.toOthers(ctx, request); ok {
+		return answer
 	}
 	if leads {
 		return cn.cancelAsLeader(ctx, id)
 	}
-	return noLeaderResponse
+	return result.NoLeader{}
 }
 
-func (cn *cancellations) cancelAsLeader(ctx context.Context, id string) *rpc.Response {
+// cancelAsLeader cancels a job once it is known whether the intake has it.
+func (cn *cancellations) cancelAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.JobNumber(id)
 	if !ok {
-		return api.Refuse(http.StatusNotFound, "no such job")
+		return noSuchJob
 	}
 	if !cn.intake.resolve(ctx, jobNumber) {
-		return noLeaderResponse
+		return result.NoLeader{}
 	}
-	return cn.loop.respond(ctx, func(send func(*rpc.Response)) { cn.cancelJob(model.JobID(jobNumber), send) })
+	return cn.loop.answer(ctx, func(send func(result.Result)) { cn.cancelJob(model.JobID(jobNumber), send) })
 }
 
-func (cn *cancellations) cancelJob(id model.JobID, send func(*rpc.Response)) {
+// cancelJob cancels a job in the loop, and sends its state once the log has the cancellation, or the end that came
+// before it.
+func (cn *cancellations) cancelJob(id model.JobID, send func(result.Result)) {
 	if !cn.term.isActive() {
-		send(noLeaderResponse)
+		send(result.NoLeader{})
 		return
 	}
 	job := cn.replica.model.Jobs[id]
 	var seq uint64
 	switch {
 	case job == nil && cn.replica.model.Finals[id] == 0:
-		send(api.Refuse(http.StatusNotFound, "no such job"))
+		send(noSuchJob)
 		return
 	case job == nil:
 		seq = cn.replica.model.FinalSeq(id)
@@ -87,22 +86,20 @@
 	cn.commits.whenCommitted(seq, func(ok bool) {
 		status := cn.jobStatus.committedStatus(id)
 		if !ok || status == nil {
-			send(noLeaderResponse)
+			send(result.NoLeader{})
 			return
 		}
-		send(api.Encode(http.StatusOK, status))
+		send(result.JobState{Status: *status})
 	})
 }
 
 // stopJobRuns stops what a cancelled job has on machines, before the log has the cancellation: a stop that is sent in
 // vain is decided again or made good by another start, and its user has no use for the job. So next to nothing of it
-// starts after the user is told, which is when the log has it.
+// starts after the user is answered, which is when the log has it.
 func (cn *cancellations) stopJobRuns(job *model.Job) {
 	for i := range job.Tasks {
-		if r := job.Tasks[i].Run; r != nil {
-			cn.dispatch.stopRun(r)
+		if run := job.Tasks[i].Run; run != nil {
+			cn.dispatch.stopRun(run)
 		}
 	}
 }
-
-var noLeaderResponse = api.RetryLater("no leader at the moment", 1)
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"fieldhill/internal/replication/commitfence"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 )
 
@@ -39,9 +39,9 @@
 const barrierInterval = 2 * time.Second
 
 // replyWatermarks answers a controller that is out of touch.
-func (cf *commitFence) replyWatermarks(ctx context.Context) *rpc.Response {
-	return cf.loop.respond(ctx, func(send func(*rpc.Response)) {
-		send(&rpc.Response{Status: http.StatusOK, Body: cf.replica.watermarks.Report(cf.now()).Append(nil)})
+func (cf *commitFence) replyWatermarks(ctx context.Context) result.Result {
+	return cf.loop.answer(ctx, func(send func(result.Result)) {
+		send(result.Done{Body: cf.replica.watermarks.Report(cf.now()).Append(nil)})
 	})
 }
 
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(ctx, barrierInterval)
 	defer cancel()
 	response, err := link.Do(ctx, &rpc.Request{Op: rpc.OpWatermark})
-	if err != nil || response.Status != http.StatusOK {
+	if err != nil || !result.IsDone(result.Forwarded{Response: response}) {
 		return
 	}
 	report, err := commitfence.ReadReport(response.Body)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,7 +16,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"os"
 	"time"
 
@@ -27,6 +26,7 @@
 	"fieldhill/internal/config"
 	"fieldhill/internal/model"
 	"fieldhill/internal/platform/host"
+	"fieldhill/internal/result"
 	"fieldhill/internal/rpc"
 	"fieldhill/wire"
 )
@@ -206,42 +206,42 @@
 func (c *Controller) handlePeerRequest(ctx context.Context, request *rpc.Request) *rpc.Response {
 	switch request.Op {
 	case rpc.OpPing:
-		return &rpc.Response{Status: http.StatusOK, Body: c.leadership.eligibility.respond(request.Body)}
+		return api.Respond(result.Done{Body: c.leadership.eligibility.respond(request.Body)})
 	case rpc.OpSubmit:
 		switch leads, storeReachable := c.forward.routingState(); {
 		case leads:
-			return c.submissions.submitAsLeader(ctx, request.Body)
+			return api.Respond(c.submissions.submitAsLeader(ctx, request.Body))
 		case storeReachable:
-			return c.submissions.submitToIntake(ctx, request.Body)
+			return api.Respond(c.submissions.submitToIntake(ctx, request.Body))
 		}
-		return noLeaderResponse
+		return api.Respond(result.NoLeader{})
 	case rpc.OpStatus:
 		jobNumber, ok := wire.JobNumber(request.ID)
 		if leads, storeReachable := c.forward.routingState(); ok && !leads {
 			if !storeReachable {
-				return noLeaderResponse
+				return api.Respond(result.NoLeader{})
 			}
-			return c.jobStatus.answerFromReplica(ctx, model.JobID(jobNumber))
+			return api.Respond(c.jobStatus.answerFromReplica(ctx, model.JobID(jobNumber)))
 		}
-		return c.jobStatus.answerAsLeader(ctx, request.ID)
+		return api.Respond(c.jobStatus.answerAsLeader(ctx, request.ID))
 	case rpc.OpPendingReasons, rpc.OpQueue:
-		return c.explanations.handleAdminRequest(ctx, request)
+		return adminapi.Respond(c.explanations.handleAdminRequest(ctx, request))
 	case rpc.OpCancel:
-		return c.cancellations.cancelAsLeader(ctx, request.ID)
+		return api.Respond(c.cancellations.cancelAsLeader(ctx, request.ID))
 	case rpc.OpRoleResult:
-		return c.roles.onRoleReport(ctx, request)
+		return api.Respond(c.roles.onRoleReport(ctx, request))
 	case rpc.OpRenewals:
-		return c.leases.replyRenewals(ctx, request)
+		return api.Respond(c.leases.replyRenewals(ctx, request))
 	case rpc.OpWatermark:
-		return c.fence.replyWatermarks(ctx)
+		return api.Respond(c.fence.replyWatermarks(ctx))
 	case rpc.OpRelayOffer:
-		return c.assignments.onRelayOffer(ctx, request)
+		return api.Respond(c.assignments.onRelayOffer(ctx, request))
 	case rpc.OpRelayReport:
-		return c.heartbeatRouter.onRelayedReport(ctx, request)
+		return api.Respond(c.heartbeatRouter.onRelayedReport(ctx, request))
 	case rpc.OpRelayOrders:
-		return c.relay.forwardOrders(ctx, request)
+		return api.Respond(c.relay.forwardOrders(ctx, request))
 	case rpc.OpRelayProbe:
-		return c.relay.forwardQuery(ctx, request)
+		return api.Respond(c.relay.forwardQuery(ctx, request))
 	}
-	return api.Refuse(http.StatusNotImplemented, "unknown operation")
+	return api.Respond(result.Unsupported{Reason: "unknown operation"})
 }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -5,8 +5,7 @@
 	"errors"
 	"time"
 
-	"fieldhill/internal/api"
-	"fieldhill/internal/rpc"
+	"fieldhill/internal/result"
 	"fieldhill/internal/scheduling/admission"
 )
 
@@ -158,17 +157,18 @@
 	queuedAt time.Time
 }
 
-// respond runs handle in the loop and returns its response; handle must send exactly one, at once or later.
-func (el *eventLoop) respond(ctx context.Context, handle func(send func(*rpc.Response))) *rpc.Response {
-	return el.awaitResponse(ctx, el.tryPost, handle)
+// answer runs handle in the loop and returns its result; handle must send exactly one, at once or later. What the loop
+// does not get to, or not through with in time, is result.NotHandled.
+func (el *eventLoop) answer(ctx context.Context, handle func(send func(result.Result))) result.Result {
+	return el.awaitResult(ctx, el.tryPost, handle)
 }
 
-// Responses for requests to which the loop has not responded in time.
+// Results of requests to which the loop has not responded in time.
 var (
-	loopBusyResponse = api.RetryLater("busy", 2)
-	loopSlowResponse = api.RetryLater("the state service is slow", 1)
-	canceledResponse = api.RetryLater("given up", 1)
-	stoppingResponse = api.RetryLater("stopping", 1)
+	loopBusy = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
+	loopSlow = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
+	canceled = result.NotHandled{Reason: "given up", RetryAfter: time.Second}
+	stopping = result.NotHandled{Reason: "stopping", RetryAfter: time.Second}
 )
 
 // tryPostRequest queues a user's request, or returns errBusy when the queue is full.
@@ -181,31 +181,31 @@
 	}
 }
 
-// respondInTurn is respond for users' requests, which come after all other waiting work.
-func (el *eventLoop) respondInTurn(ctx context.Context, handle func(send func(*rpc.Response))) *rpc.Response {
-	return el.awaitResponse(ctx, el.tryPostRequest, handle)
+// answerInTurn is answer for users' requests, which come after all other waiting work.
+func (el *eventLoop) answerInTurn(ctx context.Context, handle func(send func(result.Result))) result.Result {
+	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
 
-// awaitResponse queues handle by enqueue and waits for its response, for a bounded time.
-func (el *eventLoop) awaitResponse(
-	ctx context.Context, enqueue func(func()) error, handle func(send func(*rpc.Response)),
-) *rpc.Response {
-	responses := make(chan *rpc.Response, 1)
-	send := func(response *rpc.Response) { responses <- response }
+// awaitResult queues handle by enqueue and waits for its result, for a bounded time.
+func (el *eventLoop) awaitResult(
+	ctx context.Context, enqueue func(func()) error, handle func(send func(result.Result)),
+) result.Result {
+	results := make(chan result.Result, 1)
+	send := func(r result.Result) { results <- r }
 	if enqueue(func() { handle(send) }) != nil {
-		return loopBusyResponse
+		return loopBusy
 	}
 	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
-	case response := <-responses:
-		return response
+	case r := <-results:
+		return r
 	case <-timer.C:
-		return loopSlowResponse
+		return loopSlow
 	case <-ctx.Done():
-		return canceledResponse
+		return canceled
 	case <-el.ctx.Done():
-		return stoppingResponse
+		return stopping
 	}
 }
 
