--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -69,18 +69,6 @@
 	})
 }
 
-// seeds are those of a test of a meeting: so many in CI, and as many as asked for otherwise.
-func seeds(count uint64) func(yield func(uint64) bool) {
-	to := *firstSeed + count
-	if *seedCount != defaultSeeds {
-		to = *firstSeed + *seedCount
-	}
-	return func(yield func(uint64) bool) {
-		for seed := *firstSeed; seed < to && yield(seed); seed++ {
-		}
-	}
-}
-
 // runFaultCombination plays a meeting in a world of its own for each seed, with what the test draws; at sets the
 // test's draws apart from those of others.
 func runFaultCombination(
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -48,19 +48,6 @@
 	return perNode
 }
 
-// checkSessionsUnchanged demands that no worker's lease ran out and no task was started anew meanwhile.
-func checkSessionsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
-	t.Helper()
-	if k := w.Checker.Starts() - starts; k != 0 {
-		t.Errorf("%s: %d tasks were started anew", label, k)
-	}
-	for _, worker := range w.Cloud.Workers() {
-		if r := worker.LastHeartbeat(); r != nil && r.AgentEpoch != 1 {
-			t.Errorf("%s: the lease of %s ran out", label, r.Machine)
-		}
-	}
-}
-
 // TestRelayFaults: workers are spread evenly; nothing is started anew and no lease runs out while the leader ends, a
 // relay ends, any node loses the workers, a relay loses the leader or all of the others, or the leader stands still;
 // and work goes on to be started.
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -31,21 +31,6 @@
 	return -1
 }
 
-// checkMachinesKnown compares the machines that the cloud has with those that the leader knows, and demands that no
-// rental is open.
-func checkMachinesKnown(t *testing.T, w *emulator.Environment) {
-	t.Helper()
-	leader := nodeAt(findLeader())
-	leader.loop.postAndWait(func() {
-		if len(leader.replica.model.Intents) > 0 {
-			t.Errorf("rentals are still under way: %+v", leader.replica.model.Intents)
-		}
-		if up := len(w.Cloud.Workers()); up != len(leader.replica.model.Order) {
-			t.Errorf("%d machines are rented, %d are known", up, len(leader.replica.model.Order))
-		}
-	})
-}
-
 // TestProvisionerFailover: who deals with the cloud need not lead, and when it stands still another goes on within the
 // time of its lease; what it does when it wakes changes nothing.
 func TestProvisionerFailover(t *testing.T) {
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -11,23 +11,6 @@
 
 // These tests are of what a worker's word proves, and of machines that are heard and do not hear.
 
-// running counts the replicas of services 1 to n that are up.
-func servicesUp(w *emulator.Environment, services int) (up int) {
-	for k := 1; k <= services; k++ {
-		up += w.Checker.Running(wire.JobID(uint64(k)))
-	}
-	return up
-}
-
-// waitServicesUp waits until so many services of one replica run, and tells how long that took, at most a given time.
-func waitServicesUp(w *emulator.Environment, services int, limit time.Duration) time.Duration {
-	began := time.Now()
-	for servicesUp(w, services) < services && time.Since(began) < limit {
-		time.Sleep(100 * time.Millisecond)
-	}
-	return time.Since(began)
-}
-
 // TestAgentRestart: a machine whose worker is back within a moment under the same name holds nothing any more,
 // whether its numbers go on or begin at 1, also beside a takeover and when it is back again and again. One whose
 // numbers began at 1 used to be taken for a late copy of its own past: it was answered and given nothing, and its
@@ -321,13 +304,6 @@
 	return held
 }
 
-// partitionZoneWorkers parts the workers of zone b from all nodes.
-func partitionZoneWorkers(w *emulator.Environment, cut bool) {
-	for i := range 3 {
-		w.PartitionWorkers("b", i, cut)
-	}
-}
-
 // TestZoneWithoutController: all controllers stand in one zone and another one is cut off. Its leases were renewed by
 // nobody since, which all controllers know of each other; so its machines are returned, and its work starts
 // elsewhere, as soon as the leases are over, not after the time for which a controller that can't be asked might have
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -51,13 +51,6 @@
 	}
 }
 
-// partitionControllers has the controllers not reach each other, or ends that: each answers by the state service alone.
-func partitionControllers(w *emulator.Environment, cut bool) {
-	for k := range 3 {
-		w.PartitionControllers(k, (k+1)%3, cut)
-	}
-}
-
 // TestStatusConsistency: users ask at all nodes within milliseconds, and repeat the submission, right after a job was
 // accepted, ended or confirmed as cancelled, and some cancel at once; by every way in which a node answers. No node
 // may say anything older than what any said, which the referee sees. The last ones have transactions carried out at
