--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"log/slog"
 	"maps"
+	"math/rand/v2"
 	"net/http"
 	"slices"
 	"strings"
@@ -187,6 +188,7 @@
 	golden.Check(t, "calls.txt", []byte(all.String()))
 }
 
+// mustMarshal encodes a message as it is sent.
 func mustMarshal(t *testing.T, message any) []byte {
 	t.Helper()
 	b, err := wire.Marshal(message)
@@ -195,3 +197,44 @@
 	}
 	return b
 }
+
+// registerJob makes a job known to the invariant checker and returns its encoded submission, for tests that submit it
+// at a controller of their choice or that expect a refusal.
+func registerJob(t *testing.T, w *emulator.Environment, s *wire.JobSpec) []byte {
+	t.Helper()
+	w.Checker.RegisterJob(s)
+	return mustMarshal(t, s)
+}
+
+// pollEach polls each of several jobs without waiting for the answers, with a probability of one in so many.
+func pollEach(w *emulator.Environment, rng *rand.Rand, ids []string, oneIn int) {
+	for _, id := range ids {
+		if rng.IntN(oneIn) == 0 {
+			go w.Request("poll", id, nil)
+		}
+	}
+}
+
+// endedError returns an error unless the answer to a poll reports a final state.
+func endedError(id string, code int, status *wire.JobStatus) error {
+	if code != http.StatusOK || status.State != wire.JobDone && status.State != wire.JobCancelled {
+		return fmt.Errorf("%s: %d %+v", id, code, status)
+	}
+	return nil
+}
+
+// pollEnded returns an error unless a job is reported to be done or cancelled.
+func pollEnded(w *emulator.Environment, id string) error {
+	code, status := w.Request("poll", id, nil)
+	return endedError(id, code, status)
+}
+
+// pollEndedOrUnknown returns an error unless a job is reported to be done or cancelled, or was never accepted, which
+// the invariant checker verifies.
+func pollEndedOrUnknown(w *emulator.Environment, id string) error {
+	code, status := w.Request("poll", id, nil)
+	if code == http.StatusNotFound {
+		return nil
+	}
+	return endedError(id, code, status)
+}
