--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -8,15 +8,12 @@
 	"testing"
 	"time"
 
-	"fieldhill/internal/config"
 	"fieldhill/internal/emulator"
 	"fieldhill/wire"
 )
 
 // These tests bring about meetings with what machines do.
 
-type teamConfig = config.Team
-
 // TestImmediateBoot: machines are up within two seconds, or before the cloud has answered, and get work at once,
 // while transactions are carried out late and the leader ends. Machines that run tasks before anybody but their
 // leader knows them, whose rental has no answer yet: they are used or returned, and nothing starts twice.
