--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestSlowStateService: where a write to the store takes long, a submission does not wait for the batch under way and
+// TestSubmissionsWithSlowStore: where a write to the store takes long, a submission does not wait for the batch under way and
 // then for its own, and no job is lost or accepted twice.
-func TestSlowStateService(t *testing.T) {
+func TestSubmissionsWithSlowStore(t *testing.T) {
 	runCluster(t, 13, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newJobSpec(400, wire.Array, 40, 2)) // keeps the log busy
--- a/internal/controller/edge_test.go
+++ b/internal/controller/edge_test.go
@@ -15,9 +15,9 @@
 	"fieldhill/wire"
 )
 
-// TestBalancer: the load balancer between users and controllers of a local cluster passes over a controller that has
+// TestLoadBalancer: the load balancer between users and controllers of a local cluster passes over a controller that has
 // ended, and reports the answers to the invariant checker.
-func TestBalancer(t *testing.T) {
+func TestLoadBalancer(t *testing.T) {
 	runCluster(t, 26, func(w *emulator.Environment) {
 		const addr = "10.3.0.1:80"
 		if err := w.ServeBalancer(w.Context(), addr); err != nil {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -28,9 +28,9 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenCleared: the list of cleared machines that a node puts into the state service is written and read as it
-// always was.
-func TestGoldenCleared(t *testing.T) {
+// TestGoldenClearedMachines: the list of cleared machines that a controller puts into the store is written and read as
+// it always was.
+func TestGoldenClearedMachines(t *testing.T) {
 	now, settings := time.Now(), emulator.DefaultParams()
 	m, all := model.New(&settings), clearedMachines{}
 	want := map[model.MachineID]bool{1: true, 127: true, 128: true, 300_000: true}
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestGoldenFates: the fates of direct commands go between controllers by number.
-func TestGoldenFates(t *testing.T) {
+// TestGoldenCommandFates: the fates of direct commands go between controllers by number.
+func TestGoldenCommandFates(t *testing.T) {
 	for number, fate := range []agent.CommandFate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(fate) != number {
 			t.Errorf("fate %d has number %d", number, fate)
@@ -70,49 +70,40 @@
 	}
 }
 
-// calling is a node whose loop takes work, and the calls that the other one, which it takes for the leader, got.
-type calling struct {
+// recordingPeer is a controller whose loop takes work, with the requests that its only peer, which it takes for the
+// leader, got from it.
+type recordingPeer struct {
 	*Controller
-	to    *rpc.Link
-	calls chan *rpc.Request
+	link     *rpc.Link
+	requests chan *rpc.Request
 }
 
-// inCall runs f with such a node.
-func inCall(t *testing.T, f func(ctx context.Context, c *calling)) {
+// withRecordingPeer runs f with such a controller.
+func withRecordingPeer(t *testing.T, f func(ctx context.Context, c *recordingPeer)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network, quiet := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
 		set := &config.Settings{Params: emulator.DefaultParams(), Node: "n0",
 			Members: []config.Member{{Node: "n1", Addr: "10.0.0.2:81"}}}
 		ctx, stop := context.WithCancel(context.Background())
-		c := &calling{
+		c := &recordingPeer{
 			Controller: New(network.Host("n0"), set, Options{SingletonRoles: true}, quiet),
-			calls:      make(chan *rpc.Request, 100),
+			requests:   make(chan *rpc.Request, 100),
 		}
-		c.Controller.ctx, c.to = ctx, c.links["n1"]
+		c.ctx, c.link = ctx, c.links["n1"]
 		ln, err := network.Host("n1").Listen(set.Members[0].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer := func(_ context.Context, call *rpc.Request) *rpc.Response {
-			if call.Op != rpc.OpPing {
-				c.calls <- call
+		record := func(_ context.Context, request *rpc.Request) *rpc.Response {
+			if request.Op != rpc.OpPing {
+				c.requests <- request
 			}
 			return &rpc.Response{Status: http.StatusOK}
 		}
-		go func() { _ = rpc.Serve(ctx, ln, answer, &rpc.Traffic{}, quiet) }()
-		go c.to.Run(ctx)
-		go func() {
-			for {
-				select {
-				case work := <-c.loop.workQueue:
-					work()
-				case request := <-c.loop.requestQueue:
-					request.run()
-				case <-ctx.Done():
-					return
-				}
-			}
-		}()
+		go func() { _ = rpc.Serve(ctx, ln, record, &rpc.Traffic{}, quiet) }()
+		go c.link.Run(ctx)
+		go c.runQueues(ctx)
 		time.Sleep(time.Second)
 		c.term.leader, c.replica.loaded = &oplog.Leader{Node: "n1"}, true
 		c.forward.routing.Store(&routingView{leader: "n1"})
@@ -122,65 +113,85 @@
 	})
 }
 
-// TestGoldenCalls: each operation is asked of another controller in the same words as ever, and what was always asked
-// is understood: the file has, for each call, its number, ID and body, and the status by which this node, which has no
-// lead, answers it. A body that is cut short is answered as malformed.
-func TestGoldenCalls(t *testing.T) {
-	var all strings.Builder
-	inCall(t, func(ctx context.Context, c *calling) {
-		report := &wire.Heartbeat{
-			Machine:    "host-1",
-			Addr:       "10.1.0.1:9",
-			AgentEpoch: 1,
-			Seq:        2,
-			Tasks:      []wire.TaskStatus{},
-		}
-		hired := &provisioner.Result{
-			Kind:     provisioner.ScaledOut,
-			ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2},
-			Machines: []string{"host-1"},
+// runQueues runs what is posted to the event loop, and nothing that the loop does by itself.
+func (c *recordingPeer) runQueues(ctx context.Context) {
+	for {
+		select {
+		case work := <-c.loop.workQueue:
+			work()
+		case request := <-c.loop.requestQueue:
+			request.run()
+		case <-ctx.Done():
+			return
 		}
-		for _, ask := range []func(){
-			func() { c.submissions.Submit(ctx, mustMarshal(t, newJobSpec(7, wire.Array, 1, 1))) },
-			func() { c.jobStatus.Status(ctx, "req-000007") },
-			func() { c.cancellations.Cancel(ctx, "req-000007") },
-			func() { c.explanations.Explain(ctx, "req-000007") },
-			func() {
-				c.explanations.Queue(ctx, adminapi.Filter{Team: "red", Class: "web", Reason: "limit", Limit: 20})
-			},
-			func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
-			func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, hired) },
-			func() { c.leases.queryZoneRenewals(&leaderTerm{ctx: ctx}, c.to, 0, 0, "a", 300) },
-			func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
-			func() { c.loop.postAndWait(c.relay.maintainRelay) },
-			func() {
-				c.relay.state.leaderLink.Store(c.to)
-				c.relay.state.enabled.Store(true)
-				c.heartbeatRouter.forwardReport(ctx, report)
-			},
-			func() {
-				_, _, _ = c.assignments.sendOrders(ctx, c.to, "10.1.0.1:9", &wire.Orders{FencingToken: 1, AgentEpoch: 2,
-					Commands: []wire.Command{{Verb: wire.Start, Task: "req-000007.0", Attempt: 1}}})
-			},
-			func() { _, _ = queryThrough(ctx, c.to, "10.1.0.1:9") },
-		} {
-			ask()
+	}
+}
+
+// sendEach returns what sends each request that a controller sends to others, in the order of the golden file.
+func (c *recordingPeer) sendEach(ctx context.Context, t *testing.T) []func() {
+	t.Helper()
+	report := &wire.Heartbeat{
+		Machine:    "host-1",
+		Addr:       "10.1.0.1:9",
+		AgentEpoch: 1,
+		Seq:        2,
+		Tasks:      []wire.TaskStatus{},
+	}
+	scaledOut := &provisioner.Result{
+		Kind:     provisioner.ScaledOut,
+		ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2},
+		Machines: []string{"host-1"},
+	}
+	orders := &wire.Orders{FencingToken: 1, AgentEpoch: 2,
+		Commands: []wire.Command{{Verb: wire.Start, Task: "req-000007.0", Attempt: 1}}}
+	return []func(){
+		func() { c.submissions.Submit(ctx, mustMarshal(t, newJobSpec(7, wire.Array, 1, 1))) },
+		func() { c.jobStatus.Status(ctx, "req-000007") },
+		func() { c.cancellations.Cancel(ctx, "req-000007") },
+		func() { c.explanations.Explain(ctx, "req-000007") },
+		func() {
+			c.explanations.Queue(ctx, adminapi.Filter{Team: "red", Class: "web", Reason: "limit", Limit: 20})
+		},
+		func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
+		func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, scaledOut) },
+		func() { c.leases.queryZoneRenewals(&leaderTerm{ctx: ctx}, c.link, 0, 0, "a", 300) },
+		func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
+		func() { c.loop.postAndWait(c.relay.maintainRelay) },
+		func() {
+			c.relay.state.leaderLink.Store(c.link)
+			c.relay.state.enabled.Store(true)
+			c.heartbeatRouter.forwardReport(ctx, report)
+		},
+		func() { _, _, _ = c.assignments.sendOrders(ctx, c.link, "10.1.0.1:9", orders) },
+		func() { _, _ = queryThrough(ctx, c.link, "10.1.0.1:9") },
+	}
+}
+
+// TestGoldenPeerRequests: each operation is requested of another controller in the same bytes as ever, and what was
+// always requested is understood: the file has, for each request, its number, ID and body, and the status by which this
+// controller, which does not lead, answers it. A body that is cut short is answered as malformed.
+func TestGoldenPeerRequests(t *testing.T) {
+	var all strings.Builder
+	withRecordingPeer(t, func(ctx context.Context, c *recordingPeer) {
+		for _, send := range c.sendEach(ctx, t) {
+			send()
 			time.Sleep(200 * time.Millisecond)
-			if len(c.calls) == 0 {
-				t.Errorf("nothing was asked after\n%s", all.String())
+			if len(c.requests) == 0 {
+				t.Errorf("nothing was sent after\n%s", all.String())
 				continue
 			}
-			call := <-c.calls
-			for len(c.calls) > 0 {
-				<-c.calls
+			request := <-c.requests
+			for len(c.requests) > 0 {
+				<-c.requests
 			}
-			// only a leader reads the filter
-			c.forward.routing.Store(&routingView{leader: "n1", leads: call.Op == rpc.OpQueue})
-			fmt.Fprintf(&all, "%d %q %x -> %d\n", call.Op, call.ID, call.Body, c.handlePeerRequest(ctx, call).Status)
-			switch call.Op {
+			// Only a leader reads the filter.
+			c.forward.routing.Store(&routingView{leader: "n1", leads: request.Op == rpc.OpQueue})
+			status := c.handlePeerRequest(ctx, request).Status
+			fmt.Fprintf(&all, "%d %q %x -> %d\n", request.Op, request.ID, request.Body, status)
+			switch request.Op {
 			case rpc.OpQueue, rpc.OpRoleResult, rpc.OpRenewals, rpc.OpRelayOffer, rpc.OpRelayReport, rpc.OpRelayOrders:
-				call.Body = bytes.Clone(call.Body[:len(call.Body)-1])
-				fmt.Fprintf(&all, "  cut short -> %d\n", c.handlePeerRequest(ctx, call).Status)
+				request.Body = bytes.Clone(request.Body[:len(request.Body)-1])
+				fmt.Fprintf(&all, "  cut short -> %d\n", c.handlePeerRequest(ctx, request).Status)
 			}
 			c.forward.routing.Store(&routingView{leader: "n1"})
 		}
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -75,9 +75,9 @@
 	})
 }
 
-// TestStateOutage: running work stays alive during a store outage that lasts for most of an agent's lease, and no
+// TestStoreOutage: running work stays alive during a store outage that lasts for most of an agent's lease, and no
 // submission is held back meanwhile.
-func TestStateOutage(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	runCluster(t, 3, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newReplicatedService(1, 4))
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -80,9 +80,9 @@
 	})
 }
 
-// TestHolderWithoutCloud: a holder that alone does not reach the cloud gives the duty up, though it is well otherwise,
+// TestProvisionerWithoutCloud: a holder that alone does not reach the cloud gives the duty up, though it is well otherwise,
 // and stands back; another one takes it. When none of them reaches it they have longer patience, and go on trying.
-func TestHolderWithoutCloud(t *testing.T) {
+func TestProvisionerWithoutCloud(t *testing.T) {
 	runClusterWithRoles(t, 42, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second)
 		holder := findRoleHolder(singleton.Provisioning)
