--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestSubmissionsWithSlowStore: where a write to the store takes long, a submission does not wait for the batch under way and
-// then for its own, and no job is lost or accepted twice.
+// TestSubmissionsWithSlowStore: where a write to the store takes long, a submission does not wait for the batch under
+// way and then for its own, and no job is lost or accepted twice.
 func TestSubmissionsWithSlowStore(t *testing.T) {
 	runCluster(t, 13, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/edge_test.go
+++ b/internal/controller/edge_test.go
@@ -15,8 +15,8 @@
 	"fieldhill/wire"
 )
 
-// TestLoadBalancer: the load balancer between users and controllers of a local cluster passes over a controller that has
-// ended, and reports the answers to the invariant checker.
+// TestLoadBalancer: the load balancer between users and controllers of a local cluster passes over a controller that
+// has ended, and reports the answers to the invariant checker.
 func TestLoadBalancer(t *testing.T) {
 	runCluster(t, 26, func(w *emulator.Environment) {
 		const addr = "10.3.0.1:80"
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -216,8 +216,8 @@
 	})
 }
 
-// TestFailoverTimeline: one silent machine with work does not delay urgent work: it is placed while the machine is still
-// probed, which takes more than a second. Every phase of the failover is recorded, in order.
+// TestFailoverTimeline: one silent machine with work does not delay urgent work: it is placed while the machine is
+// still probed, which takes more than a second. Every phase of the failover is recorded, in order.
 func TestFailoverTimeline(t *testing.T) {
 	runCluster(t, 55, func(w *emulator.Environment) {
 		startServices(w, 5)
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -278,23 +278,14 @@
 func TestDelayedCommands(t *testing.T) {
 	runFaultCombination(t, 2, 45, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
-		delayed, n := 0, 100
+		delayed := 0
 		var ids []string
 		for range 8 {
 			all := w.Cloud.Workers()
 			for _, worker := range all {
 				worker.DelayCommands(randomMillis(rng, 500, 14000))
 			}
-			for range 4 {
-				j := newJobSpec(n, wire.Array, 1+rng.IntN(3), 1+8*rng.Float64())
-				if j.CPUs = 0.5; rng.IntN(3) == 0 {
-					toGang(j, j.Tasks)
-					j.Priority = wire.High
-				}
-				n++
-				w.Submit(j)
-				ids = append(ids, j.ID)
-			}
+			ids = append(ids, submitShortJobs(w, rng, 100+len(ids))...)
 			time.Sleep(randomMillis(rng, 0, 4000))
 			if rng.IntN(2) == 0 {
 				w.Cancel(ids[rng.IntN(len(ids))])
@@ -321,8 +312,31 @@
 	})
 }
 
-// TestFailoverWithUnreachableMachines: the leader ends while machines with long tasks hang or have an inbound partition.
-// Their tasks go on if that ends before such a machine is replaced, and nothing runs on two machines.
+// submitShortJobs submits four arrays or gangs that run for some seconds, and returns their IDs.
+func submitShortJobs(w *emulator.Environment, rng *rand.Rand, first int) (ids []string) {
+	for n := first; n < first+4; n++ {
+		j := newJobSpec(n, wire.Array, 1+rng.IntN(3), 1+8*rng.Float64())
+		j.CPUs = 0.5
+		if rng.IntN(3) == 0 {
+			toGang(j, j.Tasks)
+			j.Priority = wire.High
+		}
+		w.Submit(j)
+		ids = append(ids, j.ID)
+	}
+	return ids
+}
+
+// hangFault is what happens to the cloud while machines of a partitioned zone hang across the expiry of their leases.
+type hangFault struct {
+	name  string
+	begin func(w *emulator.Environment)
+	then  func(w *emulator.Environment)
+	waits bool // nothing may start elsewhere before then
+}
+
+// TestFailoverWithUnreachableMachines: the leader ends while machines with long tasks hang or have an inbound
+// partition. Their tasks go on if that ends before such a machine is replaced, and nothing runs on two machines.
 func TestFailoverWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -619,12 +633,7 @@
 // all during a cloud outage; and if the leader ends during the release, once the next one has the cloud's answer.
 func TestHangAcrossLeaseExpiry(t *testing.T) {
 	nothing := func(*emulator.Environment) {}
-	for _, c := range []struct {
-		name  string
-		begin func(w *emulator.Environment)
-		then  func(w *emulator.Environment)
-		waits bool
-	}{
+	for _, fault := range []hangFault{
 		{"cloud reachable", nothing, nothing, false},
 		{"cloud outage", func(w *emulator.Environment) { w.Cloud.SetOutage(true) }, nothing, true},
 		{
@@ -637,43 +646,47 @@
 			true,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			runCluster(t, 37, func(w *emulator.Environment) {
-				held := zoneWithoutController(w)
-				if len(held) < 3 {
-					t.Fatalf("%d machines hang: the fault combination did not occur", len(held))
-				}
-				zone, blocker := "a", newHighArray(100, 4, 3, 500) // its end leaves capacity in the other zone
-				blocker.Zone, blocker.Team = &zone, "blue"
-				w.Submit(blocker)
-				time.Sleep(20 * time.Second)
-				if k := w.Checker.Running(blocker.ID); k != 4 {
-					t.Fatalf("%d tasks hold capacity in the other zone", k)
-				}
-				partitionZoneWorkers(w, true)
-				time.Sleep(15 * time.Second)
-				starts := w.Checker.Starts()
-				c.begin(w)
-				w.Cancel(blocker.ID)
-				for _, worker := range held {
-					worker.Hang(30 * time.Second)
-				}
-				time.Sleep(28 * time.Second)
-				if k := w.Checker.Starts() - starts; c.waits != (k == 0) {
-					t.Errorf("%d tasks were started elsewhere, long after the leases", k)
-				}
-				c.then(w)
-				time.Sleep(12 * time.Second)
-				w.Cloud.SetOutage(false)
-				partitionZoneWorkers(w, false)
-				time.Sleep(45 * time.Second)
-				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services run at the end", k)
-				}
-				if other := otherTaskCounts(w, 6, 12, 2); len(other) > 0 {
-					t.Errorf("jobs with other than 2 running tasks at the end: %v", other)
-				}
-			})
+		t.Run(fault.name, func(t *testing.T) {
+			runCluster(t, 37, func(w *emulator.Environment) { hangAcrossLeaseExpiry(t, w, fault) })
 		})
 	}
 }
+
+// hangAcrossLeaseExpiry is TestHangAcrossLeaseExpiry for one fault of the cloud.
+func hangAcrossLeaseExpiry(t *testing.T, w *emulator.Environment, fault hangFault) {
+	t.Helper()
+	held := zoneWithoutController(w)
+	if len(held) < 3 {
+		t.Fatalf("%d machines hang: the fault combination did not occur", len(held))
+	}
+	zone, blocker := "a", newHighArray(100, 4, 3, 500) // its end leaves capacity in the other zone
+	blocker.Zone, blocker.Team = &zone, "blue"
+	w.Submit(blocker)
+	time.Sleep(20 * time.Second)
+	if k := w.Checker.Running(blocker.ID); k != 4 {
+		t.Fatalf("%d tasks hold capacity in the other zone", k)
+	}
+	partitionZoneWorkers(w, true)
+	time.Sleep(15 * time.Second)
+	starts := w.Checker.Starts()
+	fault.begin(w)
+	w.Cancel(blocker.ID)
+	for _, worker := range held {
+		worker.Hang(30 * time.Second)
+	}
+	time.Sleep(28 * time.Second)
+	if k := w.Checker.Starts() - starts; fault.waits != (k == 0) {
+		t.Errorf("%d tasks were started elsewhere, long after the leases", k)
+	}
+	fault.then(w)
+	time.Sleep(12 * time.Second)
+	w.Cloud.SetOutage(false)
+	partitionZoneWorkers(w, false)
+	time.Sleep(45 * time.Second)
+	if k := servicesUp(w, 5); k != 5 {
+		t.Errorf("%d of 5 services run at the end", k)
+	}
+	if other := otherTaskCounts(w, 6, 12, 2); len(other) > 0 {
+		t.Errorf("jobs with other than 2 running tasks at the end: %v", other)
+	}
+}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -249,7 +249,8 @@
 	})
 }
 
-// holdCancelled applies machines to a controller's replica of the log, each with a task of a job that is cancelled then.
+// holdCancelled applies machines to a controller's replica of the log, each with a task of a job that is cancelled
+// then.
 func holdCancelled(t *testing.T, n *Controller, first, machines int) {
 	t.Helper()
 	apply := func(e *model.Entry) {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -69,7 +69,8 @@
 			w.Crash(i)
 			ctx, stop := context.WithCancel(context.Background())
 			for k := range 300 { // users poll while there is no leader
-				go pollEverySecond(ctx, w, (i+1+k%2)%3, wire.JobID(uint64(300+k%40)), time.Duration(k)*3*time.Millisecond)
+				id, delay := wire.JobID(uint64(300+k%40)), time.Duration(k)*3*time.Millisecond
+				go pollEverySecond(ctx, w, (i+1+k%2)%3, id, delay)
 			}
 			began := time.Now()
 			for { // cancellations need the leader
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -237,7 +237,8 @@
 func TestRelaySlotsByMaxSockets(t *testing.T) {
 	for sockets, atLeast := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
 		withIdleController(t, sockets, func(n *Controller) {
-			for kind, free := range map[string]slots{"heartbeats": n.relay.state.reports, "commands": n.relay.state.orders} {
+			state := n.relay.state
+			for kind, free := range map[string]slots{"heartbeats": state.reports, "commands": state.orders} {
 				acquired := 0
 				for free.tryAcquire() {
 					acquired++
--- a/internal/controller/pending_test.go
+++ b/internal/controller/pending_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// checkTeamLimitReason requires that a controller names the team's limit, which a running job uses up, as the reason for
-// the pending task of another job, one of whose two tasks has found its place within the limit.
+// checkTeamLimitReason requires that a controller names the team's limit, which a running job uses up, as the reason
+// for the pending task of another job, one of whose two tasks has found its place within the limit.
 func checkTeamLimitReason(t *testing.T, w *emulator.Environment, node, leader int, running, pending string) {
 	t.Helper()
 	explanation, code := queryPending(w, node, pending)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -15,7 +15,7 @@
 var (
 	seedCount             = flag.Uint64("days", defaultSeeds, "how many seeds the random tests run")
 	firstSeed             = flag.Uint64("from", 0, "the first seed")
-	alwaysDistributeRoles = flag.Bool("duties", false, "distribute the singleton roles with every seed, not with half of them")
+	alwaysDistributeRoles = flag.Bool("duties", false, "distribute the singleton roles with every seed, not with half")
 )
 
 // defaultSeeds is how many seeds of TestRandomFaults run in CI.
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -185,7 +185,6 @@
 		for k := range 100 {
 			began := time.Now()
 			polls++
-			//nolint:contextcheck // the context ends the flood, not the polls
 			if code, _ := w.RequestAt((old+1+k%2)%3, "poll", wire.JobID(uint64(1+k%10)), nil); code == 200 {
 				answered++
 				slowest = max(slowest, time.Since(began))
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -53,30 +53,30 @@
 // and new work starts.
 func TestRelayFaults(t *testing.T) {
 	n := 100
-	for name, begin := range map[string]func(w *emulator.Environment, leader, relay int) (end func()){
+	for name, begin := range map[string]func(w *emulator.Environment, leader, follower int) (end func()){
 		"leader restarted": func(w *emulator.Environment, leader, _ int) func() {
 			w.Restart(leader, 300*time.Millisecond)
 			return func() {}
 		},
-		"relay restarted": func(w *emulator.Environment, _, relay int) func() {
-			w.Restart(relay, 2*time.Second)
+		"relay restarted": func(w *emulator.Environment, _, follower int) func() {
+			w.Restart(follower, 2*time.Second)
 			return func() {}
 		},
 		"leader partitioned from agents": func(w *emulator.Environment, leader, _ int) func() {
 			partitionWorkers(w, leader, true)
 			return func() { partitionWorkers(w, leader, false) }
 		},
-		"relay partitioned from agents": func(w *emulator.Environment, _, relay int) func() {
-			partitionWorkers(w, relay, true)
-			return func() { partitionWorkers(w, relay, false) }
+		"relay partitioned from agents": func(w *emulator.Environment, _, follower int) func() {
+			partitionWorkers(w, follower, true)
+			return func() { partitionWorkers(w, follower, false) }
 		},
-		"relay partitioned from leader": func(w *emulator.Environment, leader, relay int) func() {
-			w.PartitionControllers(leader, relay, true)
-			return func() { w.PartitionControllers(leader, relay, false) }
+		"relay partitioned from leader": func(w *emulator.Environment, leader, follower int) func() {
+			w.PartitionControllers(leader, follower, true)
+			return func() { w.PartitionControllers(leader, follower, false) }
 		},
-		"relay partitioned from store and peers": func(w *emulator.Environment, _, relay int) func() {
-			w.PartitionFromStoreAndPeers(relay, true)
-			return func() { w.PartitionFromStoreAndPeers(relay, false) }
+		"relay partitioned from store and peers": func(w *emulator.Environment, _, follower int) func() {
+			w.PartitionFromStoreAndPeers(follower, true)
+			return func() { w.PartitionFromStoreAndPeers(follower, false) }
 		},
 		"leader frozen": func(w *emulator.Environment, leader, _ int) func() {
 			freeze(w, leader, 10*time.Second)
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -80,9 +80,9 @@
 	return time.Since(began)
 }
 
-// TestProvisionerWithoutCloud: a provisioner that alone does not reach the cloud gives the role up, though it is healthy
-// otherwise, and does not compete for it; another one takes it. When none of them reaches the cloud they have more
-// patience, and go on trying.
+// TestProvisionerWithoutCloud: a provisioner that alone does not reach the cloud gives the role up, though it is
+// healthy otherwise, and does not compete for it; another one takes it. When none of them reaches the cloud they have
+// more patience, and go on trying.
 func TestProvisionerWithoutCloud(t *testing.T) {
 	runClusterWithRoles(t, 42, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second)
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -81,8 +81,8 @@
 }
 
 // TestStaleReportCopies: copies of the heartbeats that machines sent before they were gone, or partitioned, prove
-// nothing about now: neither for the leader that received the first of them, nor for the next one, to which all sequence
-// numbers are new.
+// nothing about now: neither for the leader that received the first of them, nor for the next one, to which all
+// sequence numbers are new.
 func TestStaleReportCopies(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		t.Run(fmt.Sprint("gone, failover ", failover), func(t *testing.T) {
@@ -157,23 +157,23 @@
 // elsewhere when its own lease has expired, or it was released; one machine, a zone, and beside a failover. Jobs
 // cancelled meanwhile end in time, which the invariant checker verifies.
 func TestInboundPartition(t *testing.T) {
+	oneMachine := func(w *emulator.Environment) []*emulator.Worker { return busyMachines(w)[:1] }
+	wholeZone := func(w *emulator.Environment) []*emulator.Worker { return zoneMachines(w, "b") }
 	for _, c := range []struct {
-		name           string
-		zone, failover bool
-		within         time.Duration
+		name     string
+		affected func(w *emulator.Environment) []*emulator.Worker
+		failover bool
+		within   time.Duration
 	}{
-		{"one", false, false, 35 * time.Second},
-		{"one and a failover", false, true, 40 * time.Second},
-		{"a zone", true, false, 45 * time.Second},
-		{"a zone and a failover", true, true, 45 * time.Second},
+		{"one", oneMachine, false, 35 * time.Second},
+		{"one and a failover", oneMachine, true, 40 * time.Second},
+		{"a zone", wholeZone, false, 45 * time.Second},
+		{"a zone and a failover", wholeZone, true, 45 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runCluster(t, 35, func(w *emulator.Environment) {
 				startServices(w, 5) // the other zone has four such machines
-				affected := zoneMachines(w, "b")
-				if !c.zone {
-					affected = busyMachines(w)[:1]
-				}
+				affected := c.affected(w)
 				for _, worker := range affected {
 					worker.SetInboundPartition(true)
 				}
@@ -183,8 +183,8 @@
 				}
 				time.Sleep(c.within)
 				if other := otherTaskCounts(w, 1, 4, 1); len(other) > 0 {
-					t.Errorf("%v after an inbound partition of %d machines there are services with other than 1 running "+
-						"replica: %v", c.within, len(affected), other)
+					t.Errorf("services with other than 1 running replica %v after %d machines were partitioned: %v",
+						c.within, len(affected), other)
 				}
 				checkNewServicesStart(t, w)
 				for _, worker := range affected {
@@ -325,16 +325,7 @@
 				if c.crashed {
 					w.Crash((findLeader() + 1) % 3)
 				}
-				partitionZoneWorkers(w, true)
-				began := time.Now()
-				partitioned := map[string]bool{}
-				for _, worker := range zoneMachines(w, "b") {
-					partitioned[worker.Name] = true
-				}
-				for tasksOn(partitioned) > 0 && time.Since(began) < 90*time.Second {
-					time.Sleep(200 * time.Millisecond)
-				}
-				if d := time.Since(began); d < c.from || d > c.to {
+				if d := partitionZoneUntilEvicted(w); d < c.from || d > c.to {
 					t.Errorf("the zone's tasks were known to have ended after %v", d)
 				}
 				partitionZoneWorkers(w, false)
@@ -347,6 +338,21 @@
 	}
 }
 
+// partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns how long it takes until
+// the leader has no tasks on their machines any more, at most 90 seconds. The partition stays.
+func partitionZoneUntilEvicted(w *emulator.Environment) time.Duration {
+	partitionZoneWorkers(w, true)
+	began := time.Now()
+	partitioned := map[string]bool{}
+	for _, worker := range zoneMachines(w, "b") {
+		partitioned[worker.Name] = true
+	}
+	for tasksOn(partitioned) > 0 && time.Since(began) < 90*time.Second {
+		time.Sleep(200 * time.Millisecond)
+	}
+	return time.Since(began)
+}
+
 // tasksOn returns how many tasks the leader takes to be on machines.
 func tasksOn(machines map[string]bool) (tasks int) {
 	leader := nodeAt(findLeader())
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -198,7 +198,7 @@
 			w.Store.DropResponses(0)
 			time.Sleep(3 * time.Second)
 			if !reported || agreed.Load() == 0 {
-				t.Errorf("%s: reported by another node %v, the leader agreed %d times: the fault combination did not occur",
+				t.Errorf("%s: another node reported it: %v, the leader agreed %d times: the combination did not occur",
 					c.event, reported, agreed.Load())
 			}
 			if w.Store.DroppedResponses()["put f/log"] == 0 {
@@ -243,8 +243,8 @@
 	return reported
 }
 
-// TestCancelAtCompletion: users cancel jobs at the moment of the completion of their last task, with no other fault; all
-// poll and repeat the submission then. A job is reported as done or cancelled, never both.
+// TestCancelAtCompletion: users cancel jobs at the moment of the completion of their last task, with no other fault;
+// all poll and repeat the submission then. A job is reported as done or cancelled, never both.
 func TestCancelAtCompletion(t *testing.T) {
 	runFaultCombination(t, 1, 62, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -337,8 +337,8 @@
 	})
 }
 
-// checkResubmission requires that a user who repeats the submission of an accepted job gets its status, whatever else is
-// in the body.
+// checkResubmission requires that a user who repeats the submission of an accepted job gets its status, whatever else
+// is in the body.
 func checkResubmission(t *testing.T, w *emulator.Environment, phase string, accepted *wire.JobSpec, node int) {
 	t.Helper()
 	for _, f := range invalidFields {
