--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkSessionsUnchanged requires that no agent's lease expired and no task was started again meanwhile.
-func checkSessionsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
+// checkEpochsUnchanged requires that no agent's lease expired and no task was started again meanwhile.
+func checkEpochsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
 	t.Helper()
 	if k := w.Checker.Starts() - starts; k != 0 {
 		t.Errorf("%s: %d tasks were started again", label, k)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -274,7 +274,7 @@
 		if held < silentZoneThreshold+2 {
 			t.Fatalf("zone b holds work on %d machines only", held)
 		}
-		partitionZoneWorkers(w, true)
+		partitionZoneAgents(w, true)
 		w.Restart(first, 200*time.Millisecond)
 		k, _ := waitForLeader(t, first, 3*time.Second)
 		time.Sleep(4 * time.Second)
@@ -287,7 +287,7 @@
 				t.Errorf("it had accounted for all reachable agents %v after it led (%v)", accounted-leads, reached)
 			}
 		})
-		partitionZoneWorkers(w, false)
+		partitionZoneAgents(w, false)
 		time.Sleep(20 * time.Second)
 		if d := w.Checker.Starts() - starts; d != 0 {
 			t.Errorf("%d tasks were started again", d)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -159,7 +159,7 @@
 			time.Sleep(randomMillis(rng, 5000, 8000))
 			disturbMachines(w, rng)
 			if rng.IntN(2) == 0 {
-				partitionZoneWorkers(w, true)
+				partitionZoneAgents(w, true)
 				time.Sleep(randomMillis(rng, 0, 15000))
 			}
 			old := leaderOrFirst()
@@ -167,7 +167,7 @@
 			sent += replayAtNextLeader(w, rng, old)
 			time.Sleep(randomMillis(rng, 0, 2000))
 			w.ReplayRetained()
-			partitionZoneWorkers(w, false)
+			partitionZoneAgents(w, false)
 			w.Start(old)
 		}
 		w.RetainHeartbeats(0)
@@ -295,7 +295,7 @@
 	w, rng := q.w, q.rng
 	duration := randomSeconds(rng, 10, 60)
 	if rng.IntN(2) == 0 {
-		partitionZoneWorkers(w, true)
+		partitionZoneAgents(w, true)
 		if rng.IntN(2) == 0 {
 			partitionZone(w, true)
 		}
@@ -318,7 +318,7 @@
 	time.Sleep(randomMillis(rng, 0, 3000))
 	w.Restart(leaderOrFirst(), randomMillis(rng, 20, 900))
 	time.Sleep(duration)
-	partitionZoneWorkers(w, false)
+	partitionZoneAgents(w, false)
 	partitionZone(w, false)
 	time.Sleep(randomMillis(rng, 0, 10000))
 	return running
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -147,7 +147,7 @@
 	oldLeader := nodeAt(old)
 	w.RefuseStore(old, true)
 	time.Sleep(randomMillis(rng, 0, 5000))
-	restrictWorkersTo(w, old, true)
+	restrictAgentsTo(w, old, true)
 	var cancelledAt time.Duration
 	for i, id := range ids {
 		if code := w.Cancel(id); code != 200 {
@@ -174,7 +174,7 @@
 		t.Errorf("the old leader renewed no lease after the cancellations: the fault combination did not occur")
 	}
 	w.Store.SetOutage(false)
-	restrictWorkersTo(w, old, false)
+	restrictAgentsTo(w, old, false)
 	time.Sleep(40 * time.Second)
 }
 
@@ -533,7 +533,7 @@
 	runFaultCombination(t, 2, 51, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 6)
 		old := findLeader()
-		restrictWorkersTo(w, old, true)
+		restrictAgentsTo(w, old, true)
 		w.PartitionFromStoreAndPeers(old, true)
 		oldLeader := nodeAt(old)
 		time.Sleep(randomMillis(rng, 4000, 4000))
@@ -558,7 +558,7 @@
 			t.Errorf("the old leader renewed no lease after the cancellations: the fault combination did not occur")
 		}
 		w.PartitionFromStoreAndPeers(old, false)
-		restrictWorkersTo(w, old, false)
+		restrictAgentsTo(w, old, false)
 		time.Sleep(60 * time.Second)
 		for k := 4; k <= 6; k++ {
 			if w.Checker.Running(wire.JobID(uint64(k))) != 1 {
@@ -666,7 +666,7 @@
 	if k := w.Checker.Running(blocker.ID); k != 4 {
 		t.Fatalf("%d tasks hold capacity in the other zone", k)
 	}
-	partitionZoneWorkers(w, true)
+	partitionZoneAgents(w, true)
 	time.Sleep(15 * time.Second)
 	starts := w.Checker.Starts()
 	fault.begin(w)
@@ -681,7 +681,7 @@
 	fault.then(w)
 	time.Sleep(12 * time.Second)
 	w.Cloud.SetOutage(false)
-	partitionZoneWorkers(w, false)
+	partitionZoneAgents(w, false)
 	time.Sleep(45 * time.Second)
 	if k := servicesUp(w, 5); k != 5 {
 		t.Errorf("%d of 5 services run at the end", k)
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -71,13 +71,13 @@
 	}},
 	{"leader partitioned from agents", func(w *emulator.Environment, _ *rand.Rand) func() {
 		i := leaderOrFirst()
-		partitionWorkers(w, i, true)
-		return func() { partitionWorkers(w, i, false) }
+		partitionAgents(w, i, true)
+		return func() { partitionAgents(w, i, false) }
 	}},
 	{"agents reach the leader only", func(w *emulator.Environment, _ *rand.Rand) func() {
 		i := leaderOrFirst()
-		restrictWorkersTo(w, i, true)
-		return func() { restrictWorkersTo(w, i, false) }
+		restrictAgentsTo(w, i, true)
+		return func() { restrictAgentsTo(w, i, false) }
 	}},
 	{"controllers partitioned from each other", func(w *emulator.Environment, _ *rand.Rand) func() {
 		partitionControllers(w, true)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -47,17 +47,17 @@
 	}
 }
 
-// restrictWorkersTo lets the agents reach one controller only, or ends that.
-func restrictWorkersTo(w *emulator.Environment, node int, on bool) {
+// restrictAgentsTo lets the agents reach one controller only, or ends that.
+func restrictAgentsTo(w *emulator.Environment, node int, on bool) {
 	for k := range 3 {
 		if k != node {
-			partitionWorkers(w, k, on)
+			partitionAgents(w, k, on)
 		}
 	}
 }
 
-// partitionWorkers partitions the agents of both zones from a controller, or ends that.
-func partitionWorkers(w *emulator.Environment, node int, on bool) {
+// partitionAgents partitions the agents of both zones from a controller, or ends that.
+func partitionAgents(w *emulator.Environment, node int, on bool) {
 	w.PartitionWorkers("a", node, on)
 	w.PartitionWorkers("b", node, on)
 }
@@ -78,8 +78,8 @@
 	}
 }
 
-// partitionZoneWorkers partitions the agents of zone b from all controllers, or ends that.
-func partitionZoneWorkers(w *emulator.Environment, on bool) {
+// partitionZoneAgents partitions the agents of zone b from all controllers, or ends that.
+func partitionZoneAgents(w *emulator.Environment, on bool) {
 	for i := range 3 {
 		w.PartitionWorkers("b", i, on)
 	}
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -184,7 +184,7 @@
 		starts := w.Checker.Starts()
 		for i := range 3 { // one of them leads
 			led := findLeader() == i
-			partitionWorkers(w, i, true)
+			partitionAgents(w, i, true)
 			began := time.Now()
 			for led && findLeader() == i && time.Since(began) < time.Minute {
 				time.Sleep(100 * time.Millisecond)
@@ -193,7 +193,7 @@
 				t.Errorf("node %d leads for %v more", i, d)
 			}
 			time.Sleep(time.Until(began.Add(40 * time.Second)))
-			partitionWorkers(w, i, false)
+			partitionAgents(w, i, false)
 			time.Sleep(10 * time.Second)
 		}
 		if other := otherTaskCounts(w, 1, 12, 1); len(other) > 0 {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// workersPerNode returns how many agents report through each controller, the leader first, as the leader sees it.
-func workersPerNode(leader *Controller) (perNode []int) {
+// agentsPerNode returns how many agents report through each controller, the leader first, as the leader sees it.
+func agentsPerNode(leader *Controller) (perNode []int) {
 	leader.loop.postAndWait(func() { perNode = append(perNode, leader.term.ownTerm.assignments.table.Counts()...) })
 	return perNode
 }
@@ -63,12 +63,12 @@
 			return func() {}
 		},
 		"leader partitioned from agents": func(w *emulator.Environment, leader, _ int) func() {
-			partitionWorkers(w, leader, true)
-			return func() { partitionWorkers(w, leader, false) }
+			partitionAgents(w, leader, true)
+			return func() { partitionAgents(w, leader, false) }
 		},
 		"relay partitioned from agents": func(w *emulator.Environment, _, follower int) func() {
-			partitionWorkers(w, follower, true)
-			return func() { partitionWorkers(w, follower, false) }
+			partitionAgents(w, follower, true)
+			return func() { partitionAgents(w, follower, false) }
 		},
 		"relay partitioned from leader": func(w *emulator.Environment, leader, follower int) func() {
 			w.PartitionControllers(leader, follower, true)
@@ -86,13 +86,13 @@
 		t.Run(name, func(t *testing.T) {
 			withRelays(t, 61, func(w *emulator.Environment) {
 				leader := findLeader()
-				if c := workersPerNode(nodeAt(leader)); slices.Min(c) < 3 || slices.Max(c) > 10 {
+				if c := agentsPerNode(nodeAt(leader)); slices.Min(c) < 3 || slices.Max(c) > 10 {
 					t.Errorf("agents by node: %v", c)
 				}
 				starts := w.Checker.Starts()
 				end := begin(w, leader, (leader+1)%3)
 				time.Sleep(15 * time.Second)
-				checkSessionsUnchanged(t, w, starts, name)
+				checkEpochsUnchanged(t, w, starts, name)
 				n++
 				job := newGuestArray(n, 4, 3)
 				job.CPUs = 0.25
@@ -101,7 +101,7 @@
 				end()
 				starts = w.Checker.Starts()
 				time.Sleep(30 * time.Second)
-				checkSessionsUnchanged(t, w, starts, name+", after its end")
+				checkEpochsUnchanged(t, w, starts, name+", after its end")
 			})
 		})
 	}
@@ -129,7 +129,7 @@
 			t.Errorf("relays answered %d heartbeats by themselves: nothing is tested", answered)
 		}
 		time.Sleep(20 * time.Second)
-		checkSessionsUnchanged(t, w, starts, "slow leader")
+		checkEpochsUnchanged(t, w, starts, "slow leader")
 	})
 }
 
@@ -171,11 +171,11 @@
 		older := nodeAt((leaderIndex + 1) % 3)
 		older.loop.postAndWait(func() { older.relay.state.neverOffers = true })
 		time.Sleep(40 * time.Second)
-		perNode := workersPerNode(nodeAt(leaderIndex))
+		perNode := agentsPerNode(nodeAt(leaderIndex))
 		if i := nodeAt(leaderIndex).assignments.memberIndex(older.settings.Node); perNode[i] != 0 {
 			t.Errorf("agents by node: %v, the older one is %d", perNode, i)
 		}
-		checkSessionsUnchanged(t, w, w.Checker.Starts(), fmt.Sprint("mixed ", perNode))
+		checkEpochsUnchanged(t, w, w.Checker.Starts(), fmt.Sprint("mixed ", perNode))
 	})
 }
 
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -328,7 +328,7 @@
 				if d := partitionZoneUntilEvicted(w); d < c.from || d > c.to {
 					t.Errorf("the zone's tasks were known to have ended after %v", d)
 				}
-				partitionZoneWorkers(w, false)
+				partitionZoneAgents(w, false)
 				time.Sleep(30 * time.Second)
 				if k := servicesUp(w, 5); k != 5 {
 					t.Errorf("%d of 5 services run at the end", k)
@@ -341,7 +341,7 @@
 // partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns how long it takes until
 // the leader has no tasks on their machines any more, at most 90 seconds. The partition stays.
 func partitionZoneUntilEvicted(w *emulator.Environment) time.Duration {
-	partitionZoneWorkers(w, true)
+	partitionZoneAgents(w, true)
 	began := time.Now()
 	partitioned := map[string]bool{}
 	for _, worker := range zoneMachines(w, "b") {
