--- /dev/null
+++ b/internal/controller/job_lifecycle_test.go
@@ -0,0 +1,172 @@
+package controller
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"fieldhill/internal/emulator"
+	"fieldhill/wire"
+)
+
+// TestJobLifecycle: an array, a gang and a service run and end as their specifications say, what can't run is refused,
+// and the machines are released when nothing needs them.
+func TestJobLifecycle(t *testing.T) {
+	runCluster(t, 1, func(w *emulator.Environment) {
+		time.Sleep(6 * time.Second)
+		if c := w.Submit(newJobSpec(1, wire.Array, 12, 5)); c != 201 {
+			t.Errorf("submission got %d", c)
+		}
+		g := newJobSpec(2, wire.Gang, 3, 8)
+		g.SameZone = true
+		w.Submit(g)
+		s := newReplicatedService(3, 3)
+		s.Spread = true
+		w.Submit(s)
+		invalid := newJobSpec(4, wire.Array, 1, 5)
+		invalid.Team = "green"
+		if c := w.Submit(invalid); c != 422 {
+			t.Errorf("a job of an unknown team got %d", c)
+		}
+		big := newJobSpec(5, wire.Gang, 30, 5)
+		if c := w.Submit(big); c != 422 {
+			t.Errorf("a gang over its team's limit got %d", c)
+		}
+		if c, _ := w.Request("poll", "req-777777", nil); c != 404 {
+			t.Errorf("an unknown job got %d", c)
+		}
+		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
+		waitState(t, w, "req-000002", wire.JobDone, time.Minute)
+		waitState(t, w, "req-000003", wire.JobRunning, time.Minute)
+		if n := w.Checker.Running("req-000003"); n != 3 {
+			t.Errorf("%d replicas run", n)
+		}
+		if c := w.Cancel("req-000003"); c != 200 {
+			t.Errorf("the cancellation got %d", c)
+		}
+		time.Sleep(5 * time.Second)
+		if n := w.Checker.Running("req-000003"); n != 0 {
+			t.Errorf("%d replicas run after the cancellation", n)
+		}
+		if c := w.Submit(newJobSpec(1, wire.Array, 12, 5)); c != 200 {
+			t.Errorf("a late repetition got %d", c)
+		}
+		time.Sleep(2 * time.Minute)
+		if up := len(w.Cloud.Workers()); up > 2 {
+			t.Errorf("%d idle machines are kept", up)
+		}
+	})
+}
+
+// TestAllControllersLost: a job that was accepted runs although every process that knew of it is gone, and a final
+// state is kept.
+func TestAllControllersLost(t *testing.T) {
+	runCluster(t, 2, func(w *emulator.Environment) {
+		time.Sleep(6 * time.Second)
+		w.Submit(newJobSpec(1, wire.Array, 6, 4))
+		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
+		w.Submit(newJobSpec(2, wire.Array, 20, 15))
+		time.Sleep(10 * time.Second)
+		crashAll(w)
+		time.Sleep(5 * time.Second)
+		startAll(w)
+		waitState(t, w, "req-000001", wire.JobDone, 30*time.Second)
+		waitState(t, w, "req-000002", wire.JobDone, 3*time.Minute)
+	})
+}
+
+// TestStoreOutage: running work stays alive during a store outage that lasts for most of an agent's lease, and no
+// submission is held back meanwhile.
+func TestStoreOutage(t *testing.T) {
+	runCluster(t, 3, func(w *emulator.Environment) {
+		time.Sleep(6 * time.Second)
+		w.Submit(newReplicatedService(1, 4))
+		waitState(t, w, "req-000001", wire.JobRunning, time.Minute)
+		time.Sleep(5 * time.Second)
+		w.Store.SetOutage(true)
+		time.Sleep(5 * time.Second)
+		starts := w.Checker.Starts()
+		j := newJobSpec(2, wire.Array, 1, 1)
+		body, began := registerJob(t, w, j), time.Now()
+		if code, _ := w.Request("submit", j.ID, body); code != 503 || time.Since(began) > 300*time.Millisecond {
+			t.Errorf("a submission during the outage got %d after %v", code, time.Since(began))
+		}
+		time.Sleep(17 * time.Second)
+		w.Store.SetOutage(false)
+		time.Sleep(30 * time.Second)
+		running, again := w.Checker.Running("req-000001"), w.Checker.Starts()-starts
+		if again != 0 || running != 4 {
+			t.Errorf("%d replicas run, %d tasks were started again", running, again)
+		}
+		if c := w.Submit(j); c != 201 && c != 200 {
+			t.Errorf("the submission got %d after the outage", c)
+		}
+	})
+}
+
+// newGuestArray is an array of the guest team, which has no guarantee.
+func newGuestArray(n, tasks int, run float64) *wire.JobSpec {
+	s := newJobSpec(n, wire.Array, tasks, run)
+	s.Team = "guest"
+	return s
+}
+
+// TestUnguaranteedTeamFlood: a team without a guarantee submits one huge array and a flood of tiny jobs: others'
+// submissions and services don't suffer, its work makes progress, and it alone can't use up the limit of unfinished
+// tasks.
+func TestUnguaranteedTeamFlood(t *testing.T) {
+	runCluster(t, 24, func(w *emulator.Environment) {
+		time.Sleep(6 * time.Second)
+		huge := newGuestArray(1, 60_000, 20)
+		huge.CPUs, huge.MemoryGB, huge.Spot = 0.5, 0.5, true
+		if c := w.Submit(huge); c != 201 {
+			t.Errorf("the huge array got %d", c)
+		}
+		time.Sleep(30 * time.Second)
+		second := newGuestArray(2, 100_000, 20)
+		if c, _ := w.Request("submit", second.ID, registerJob(t, w, second)); c != 201 {
+			t.Errorf("the second array got %d", c)
+		}
+		third := newGuestArray(3, 40_000, 20)
+		if c, _ := w.Request("submit", third.ID, registerJob(t, w, third)); c != 429 {
+			t.Errorf("the guest's third array got %d", c)
+		}
+		w.Cancel("req-000002")
+		var users sync.WaitGroup
+		for n := range 200 { // ten a second
+			users.Go(func() {
+				time.Sleep(time.Duration(n) * 100 * time.Millisecond)
+				s := newGuestArray(100+n, 1, 10)
+				s.CPUs, s.MemoryGB, s.Spot = 0.25, 0.2, true
+				if c := w.Submit(s); c != 201 {
+					t.Errorf("a tiny job got %d", c)
+				}
+			})
+		}
+		for n := 10; n < 20; n++ {
+			checkServiceStarts(t, w, newWebService(n, 1))
+		}
+		users.Wait()
+		for n := range 200 {
+			waitState(t, w, wire.JobID(uint64(100+n)), wire.JobDone, 3*time.Minute)
+		}
+		if k := w.Checker.StartsOf(huge.ID); k < 100 {
+			t.Errorf("%d tasks of the huge array were started", k)
+		}
+	})
+}
+
+// checkServiceStarts submits a service and requires that it is accepted and runs as fast as without other load. It
+// takes two seconds at least.
+func checkServiceStarts(t *testing.T, w *emulator.Environment, s *wire.JobSpec) {
+	t.Helper()
+	began := time.Now()
+	if c := w.Submit(s); c != 201 || time.Since(began) > 300*time.Millisecond {
+		t.Errorf("a service got %d after %v", c, time.Since(began))
+	}
+	waitRunning(w, s.ID, began)
+	if d := time.Since(began); d > 4*time.Second { // fetching the image takes 1.5 s
+		t.Errorf("a service ran after %v", d)
+	}
+	time.Sleep(time.Until(began.Add(2 * time.Second)))
+}
