--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestGangStartWaitsForLongFetch: of a gang whose image takes longer to fetch than its members wait for each other,
-// the member that has it is told to start once the one that fetches has it too. Where the fetch is short nothing
+// the member that has it is commanded to start once the one that fetches has it too. Where the fetch is short nothing
 // waits.
 func TestGangStartWaitsForLongFetch(t *testing.T) {
 	for _, c := range []struct {
@@ -46,10 +46,10 @@
 			return m.Observe(fetches, testReport(1, seq, 3<<24, status), nil, 1)
 		}
 		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
-			t.Errorf("%g GB: told to meet while it fetches", c.gb)
+			t.Errorf("%g GB: its gang is ready while it fetches", c.gb)
 		}
 		if v := state(3, wire.TaskWaiting); len(v.GangReady) != 1 || v.GangReady[0] != has {
-			t.Errorf("%g GB: nobody is told that the member is there", c.gb)
+			t.Errorf("%g GB: no machine is ready though the member is there", c.gb)
 		}
 		if k := len(m.Commands(has, 9, false)); k != 1 {
 			t.Errorf("%g GB: then it got %d commands", c.gb, k)
--- /dev/null
+++ b/internal/model/snapshot_test.go
@@ -0,0 +1,143 @@
+package model
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"fieldhill/internal/codec"
+)
+
+// TestLongHistory: what a finished job leaves behind is a few bytes, so a
+// recovery stays short after a very long life.
+func TestLongHistory(t *testing.T) {
+	m := New(params())
+	const n = 50_000
+	for i := range uint64(n) {
+		_ = m.Apply(&Entry{Kind: EntryAccept, Job: JobID(i), Spec: testSpec(i, 1)}, i, 0)
+		_ = m.Apply(&Entry{Kind: EntryCancel, Job: JobID(i)}, i, 0)
+	}
+	m.ForgetCommitted(n)
+	snapshot := m.Snapshot()
+	if len(snapshot) > 2*n {
+		t.Errorf("the snapshot has %d bytes for %d finished jobs", len(snapshot), n)
+	}
+	began := time.Now()
+	restored := New(params())
+	if err := restored.Restore(snapshot, 1, 0); err != nil {
+		t.Fatal(err)
+	}
+	if len(restored.Finals) != n || len(restored.Jobs) != 0 || m.LiveTasks != 0 {
+		t.Errorf("%d final states, %d jobs, %d tasks after %v",
+			len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began))
+	}
+}
+
+// FuzzDecode: whatever the log holds, reading it ends in an error, not a panic.
+func FuzzDecode(f *testing.F) {
+	m := New(params())
+	_ = m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, 1, 0)
+	_ = m.Apply(&Entry{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 3)}, 1, 0)
+	_ = m.Apply(&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}, 1, 0)
+	f.Add(m.Snapshot())
+	f.Add((&Entry{Kind: EntryAccept, Spec: testSpec(7, 3)}).Append(nil))
+	f.Add((&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}).Append(nil))
+	f.Add([]byte{snapshotVersion, 0xff, 0xff, 0xff, 0xff, 0x0f})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		if m := New(params()); m.Restore(b, 1, 0) == nil && len(m.Jobs) > 0 && m.LiveTasks == 0 && len(m.Finals) == 0 {
+			for _, j := range m.Jobs {
+				if j.Waiting() != 0 {
+					t.Error("a restored job waits for nothing")
+				}
+			}
+		}
+		r := &codec.Reader{Data: b}
+		for len(r.Data) > 0 {
+			if _, err := ReadEntry(r); err != nil {
+				return
+			}
+		}
+	})
+}
+
+// TestIntentsInSnapshots: rentals under way survive in snapshots, in the order of the log, and a snapshot without any
+// is of the version that nodes which don't know them read.
+func TestIntentsInSnapshots(t *testing.T) {
+	m := New(params())
+	apply := func(seq uint64, e *Entry) {
+		decoded, err := ReadEntry(&codec.Reader{Data: e.Append(nil)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := m.Apply(decoded, seq, 0); err != nil {
+			t.Fatal(err)
+		}
+	}
+	intent := func(name string, n int) *Entry {
+		return &Entry{Kind: EntryIntent, Info: &MachineInfo{Name: name, Type: "t", Zone: "a", Spot: n%2 == 0}, Count: n}
+	}
+	for i, name := range []string{"x", "y", "x", "z"} { // one is repeated
+		apply(uint64(i+1), intent(name, i+1))
+	}
+	apply(5, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: "y"}})
+	again := New(params())
+	if err := again.Restore(m.Snapshot(), 5, 0); err != nil {
+		t.Fatal(err)
+	}
+	want := []Intent{{"x", "t", "a", false, 1, 5}, {"z", "t", "a", true, 4, 5}}
+	if d := cmp.Diff(want, again.Intents); d != "" {
+		t.Error(d)
+	}
+	for _, name := range []string{"x", "z"} {
+		apply(6, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: name}})
+	}
+	if b := m.Snapshot(); b[0] != withoutIntents || len(m.Intents) != 0 {
+		t.Errorf("a snapshot without rentals is of version %d", b[0])
+	}
+}
+
+// TestCorruptSnapshot: the error tells the section in which a snapshot breaks off or does not fit.
+func TestCorruptSnapshot(t *testing.T) {
+	m, _, _ := newPlacedModel(t)
+	applyAll(t, m,
+		NewMachine(2, 0, testInfo("host-2")),
+		NewMachineGone(2),
+		Accepted(testSpec(8, 1), 0),
+		NewCancellation(8),
+		NewIntent(testInfo("x"), 1),
+	)
+	whole := m.Snapshot()
+	if err := New(params()).Restore(whole, 9, 0); err != nil {
+		t.Fatal(err)
+	}
+	// The sections in which snapshots of all lengths break off, each once.
+	var sections []string
+	for n := 1; n < len(whole); n++ {
+		var corrupt *CorruptSnapshotError
+		err := New(params()).Restore(whole[:n], 9, 0)
+		if !errors.As(err, &corrupt) || !errors.Is(err, codec.ErrShort) {
+			t.Fatalf("the first %d bytes: %v", n, err)
+		}
+		if len(sections) == 0 || sections[len(sections)-1] != corrupt.Section {
+			sections = append(sections, corrupt.Section)
+		}
+	}
+	want := []string{
+		sectionTypes, sectionMachines, sectionTombstones, sectionFinals, sectionJobs, sectionIntents,
+	}
+	if diff := cmp.Diff(want, sections); diff != "" {
+		t.Error(diff)
+	}
+	var corrupt *CorruptSnapshotError
+	for _, b := range [][]byte{nil, {0}, {snapshotVersion + 1}} {
+		if err := New(params()).Restore(b, 9, 0); !errors.Is(err, ErrUnknownVersion) {
+			t.Errorf("%v: %v", b, err)
+		}
+	}
+	err := New(params()).Restore(append(whole, 0), 9, 0)
+	if !errors.As(err, &corrupt) || corrupt.Section != sectionEnd {
+		t.Errorf("a byte after the end: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/model/task_speed_test.go
@@ -0,0 +1,174 @@
+package model
+
+import (
+	"fmt"
+	"testing"
+
+	"fieldhill/internal/config"
+	"fieldhill/wire"
+)
+
+// timing plays tasks that take given times, and an agent that reports every 3 s.
+type timing struct {
+	test      *testing.T
+	model     *Model
+	now       Time
+	logSeq    uint64
+	reportSeq uint64
+}
+
+func (x *timing) apply(e *Entry) {
+	x.test.Helper()
+	x.logSeq++
+	if err := x.model.Apply(e, x.logSeq, x.now); err != nil {
+		x.test.Fatal(err)
+	}
+}
+
+// run has a task run on a machine for so many seconds, in which it says nothing for
+// silent seconds. It tells whether the machine was found to be slow.
+func (x *timing) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
+	x.test.Helper()
+	machine := x.model.Machines[machineID]
+	sendReport := func(state, cause string) {
+		x.reportSeq++
+		status := wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause}
+		v := x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, status), nil, x.now)
+		slow = slow || v.Slow
+		for _, e := range v.Entries {
+			x.apply(e)
+		}
+	}
+	x.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, Session: 1})
+	for left := config.Seconds(tookS); left > 0; {
+		sendReport(wire.TaskRunning, "")
+		step := min(left, config.Seconds(max(3, silentS)))
+		x.now, left, silentS = x.now+step, left-step, 0
+	}
+	sendReport(wire.TaskExited, wire.CauseDone)
+	return slow
+}
+
+// newTiming makes a leader with three machines that have reported, and thirty jobs whose owners give an estimate.
+func newTiming(t *testing.T, estimate float64) *timing {
+	t.Helper()
+	x := &timing{test: t, model: New(params()), now: 1}
+	x.apply(NewMachineType(testType()))
+	for n := MachineID(1); n <= 3; n++ {
+		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
+	}
+	x.model.BeginTerm(3<<24, 0)
+	for n := MachineID(1); n <= 3; n++ {
+		x.model.Observe(x.model.Machines[n], testReport(1, 1, 3<<24), nil, x.now)
+	}
+	x.reportSeq = 1
+	for n := uint64(1); n <= 30; n++ {
+		s := testSpec(n, 20)
+		s.EstimateS = estimate
+		x.apply(&Entry{Kind: EntryAccept, Job: JobID(n), Spec: s})
+	}
+	return x
+}
+
+// TestEstimatesAreCorrected: owners whose estimates are wrong in one direction are
+// corrected after some jobs, and one job with many tasks does not count as many.
+func TestEstimatesAreCorrected(t *testing.T) {
+	x := newTiming(t, 20)
+	last := x.model.Jobs[30]
+	if actual := x.model.ExpectedSeconds(last); actual != 20 {
+		t.Errorf("at first a task is expected to take %g s", actual)
+	}
+	for task := range int32(20) {
+		x.run(1, task, 1, 60, 0)
+	}
+	if actual := x.model.ExpectedSeconds(last); actual > 28 {
+		t.Errorf("after one job a task is expected to take %g s", actual)
+	}
+	for n := uint64(2); n <= 28; n++ {
+		for task := range int32(20) {
+			x.run(n, task, 1, 60, 0)
+		}
+	}
+	if actual := x.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
+		t.Errorf("tasks of 20 s take 60 s, %g s are expected", actual)
+	}
+}
+
+// TestSlowMachine: a machine on which tasks take much longer than the same jobs' tasks
+// elsewhere is distrusted; one that is a little slower, that has the long tasks of one job
+// by chance, or that hung, is not.
+func TestSlowMachine(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		took, silent float64
+		jobs         uint64
+		want         bool
+	}{
+		{"three times as long", 60, 0, 3, true},
+		{"a tenth longer", 22, 0, 3, false},
+		{"one job only", 60, 0, 1, false},
+		{"hung", 60, 40, 3, false},
+	} {
+		x := newTiming(t, 10) // all take twice as long as their owners think
+		slow := false
+		for n := uint64(1); n <= c.jobs; n++ {
+			for task := range int32(8) {
+				if x.run(n, task, 1+MachineID(task%2), 20, 0) {
+					t.Fatalf("%s: a good machine is slow", c.name)
+				}
+			}
+			for task := int32(8); task < 12; task++ {
+				slow = x.run(n, task, 3, c.took, c.silent) || slow
+			}
+		}
+		if x.model.DetectSlow(x.model.Machines[3], x.now) {
+			t.Errorf("%s: nothing runs, and it is late", c.name)
+		}
+		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want ||
+			machine.IsSlow(x.now+2*slowPeriod) {
+			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(x.now))
+		}
+	}
+}
+
+// TestLateTasksShowSlowMachine: tasks of two jobs that run for much longer than their peers
+// did show their machine to be slow before they complete, unless one that began after them
+// completed in time.
+func TestLateTasksShowSlowMachine(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		jobs uint64
+		good bool
+		want bool
+	}{{"two jobs", 2, false, true}, {"one job", 1, false, false}, {"a later one in time", 2, true, false}} {
+		x := newTiming(t, 10)
+		for n := uint64(1); n <= 3; n++ {
+			for task := range int32(8) {
+				x.run(n, task, 1, 20, 0)
+			}
+		}
+		machine, now := x.model.Machines[3], Time(0)
+		var tasks []wire.TaskStatus
+		for k := range uint64(4) {
+			n := 1 + k%c.jobs
+			x.apply(&Entry{Kind: EntryPlace, Job: JobID(n), Task: int32(10 + k), Attempt: 1, Machine: 3, Session: 1})
+			tasks = append(tasks, wire.TaskStatus{Task: wire.TaskID(n, int(10+k)), Attempt: 1, State: wire.TaskRunning})
+		}
+		began := x.now
+		for x.now < began+config.Seconds(80) {
+			x.reportSeq++
+			x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, tasks...), nil, x.now)
+			if now == 0 && x.model.DetectSlow(machine, x.now) {
+				now = x.now - began
+			}
+			if c.good && x.now == began+config.Seconds(3) {
+				later := &Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now}
+				x.model.recordDuration(machine, later, x.now+config.Seconds(20))
+			}
+			x.now += config.Seconds(3)
+		}
+		if (now != 0) != c.want || c.want && now > config.Seconds(42) {
+			t.Errorf("%s: found after %v", c.name, now)
+		}
+	}
+}
