--- a/internal/agents/lease/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -9,26 +9,13 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenWord: the answer to OpRenewed is written and read as it always was.
-func TestGoldenWord(t *testing.T) {
-	write := func(w RenewalReport) []byte { return w.Append(nil) }
-	golden.RoundTrip(
-		t,
-		"word-none.hex",
-		RenewalReport{Age: time.Hour, RenewalAges: map[string]Time{}},
-		write,
-		ReadReport,
-	)
-	golden.RoundTrip(
-		t,
-		"word-one.hex",
-		RenewalReport{
-			Age:         2 * time.Second,
-			RenewalAges: map[string]Time{"host-1": 1500 * time.Millisecond},
-		},
-		write,
-		ReadReport,
-	)
+// TestGoldenReport: the answer to OpRenewed is written and read as it always was.
+func TestGoldenReport(t *testing.T) {
+	write := func(r RenewalReport) []byte { return r.Append(nil) }
+	none := RenewalReport{Age: time.Hour, RenewalAges: map[string]Time{}}
+	golden.RoundTrip(t, "word-none.hex", none, write, ReadReport)
+	one := RenewalReport{Age: 2 * time.Second, RenewalAges: map[string]Time{"host-1": 1500 * time.Millisecond}}
+	golden.RoundTrip(t, "word-one.hex", one, write, ReadReport)
 	// The order of several is not part of the format: the file stands for one that was received.
 	several := RenewalReport{Age: 3 * time.Second,
 		RenewalAges: map[string]Time{"host-1": 0, "host-22": time.Millisecond, "h3": time.Minute}}
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -1,10 +1,12 @@
-// Package renewal keeps who renewed whose lease when, and so when a worker's lease has surely run out. It is pure.
+// Package lease records who renewed which agent's lease when, and so when an agent's lease has surely expired. It is
+// pure.
 //
-// A worker's lease is renewed only by the answer of a controller, and counts from the sending of its report, which was
-// before any controller read it. So each controller keeps a book of whom it answered last. A leader that has made a
-// machine suspect by an entry asks the others: who has applied the entry renews that machine's lease no more, and tells
-// when it last did. Once all have said so, the lease ends no later than its length after the last of these times. Where
-// one of them can't be asked, only the bound that holds for any node does: what it keeps without the log, and a lease.
+// An agent's lease is renewed only by the answer of a controller, and counts from the sending of its heartbeat, which
+// was before any controller read it. So each controller has a table of whom it answered last. A leader that has made a
+// machine suspect by an entry asks the others: who has applied the entry renews that machine's lease no more, and
+// reports when it last did. Once all have reported, the lease ends no later than its length after the last of these
+// times. Where one of them can't be asked, only the bound that holds for any controller does: for how long it renews
+// without the log, and a lease.
 package lease
 
 import (
@@ -22,16 +24,25 @@
 // Time is steady time since the process began.
 type Time = time.Duration
 
-// maxEntries bounds a book. A fleet is smaller; beyond it the book begins anew, as that of a new process does.
+// maxEntries bounds a table. A fleet is smaller; beyond it the table begins anew, as that of a new process does.
 const maxEntries = 20_000
 
+// maxAgeMilliseconds bounds the ages that are read: a year.
+const maxAgeMilliseconds = 365 * 24 * 3600 * 1000
+
+// What Expired allows for, beside the lease: a part of it for the drift of clocks, and a margin.
+const (
+	driftDivisor = 500
+	expiryMargin = time.Second
+)
+
 // RenewalTable is when this process last renewed each machine's lease.
 type RenewalTable struct {
 	knownSince Time // what was before is not known: everything may have been renewed until then
 	renewedAt  map[string]Time
 }
 
-// NewRenewalTable begins a book: the process begins, and what an earlier one did is not known.
+// NewRenewalTable makes an empty table: the process begins, and what an earlier one did is not known.
 func NewRenewalTable(now Time) *RenewalTable {
 	return &RenewalTable{knownSince: now, renewedAt: map[string]Time{}}
 }
@@ -45,8 +56,8 @@
 	r.renewedAt[machine] = now
 }
 
-// LastRenewal tells when a machine's lease was last renewed by this node, at the latest; kept is since when nothing
-// was dropped.
+// LastRenewal is when a machine's lease was last renewed by this controller, at the latest; retainedSince is since when
+// nothing was dropped.
 func (r *RenewalTable) LastRenewal(machine string, retainedSince Time) Time {
 	return max(r.knownSince, r.renewedAt[machine], retainedSince)
 }
@@ -60,23 +71,26 @@
 	}
 }
 
-// RenewalReport is what a node says of a zone's machines.
+// RenewalReport is what a controller reports of a zone's machines.
 type RenewalReport struct {
-	Age Time // since it began; what was before it does not know
-	// since it last renewed a machine's lease; missing: not since it began, or longer ago than it keeps
+	// Age is since when it has a table; what was before it does not know.
+	Age Time
+	// RenewalAges are how long ago it last renewed each machine's lease; missing: not since its table began, or longer
+	// ago than it retains.
 	RenewalAges map[string]Time
 }
 
-// reportEntry is a machine's place in a word that may be too large.
+// reportEntry is a machine in a report that may be too large.
 type reportEntry struct {
 	machine string
 	age     Time
 	suspect bool
-	renewed bool // by this node, as far as it knows
+	renewed bool // by this controller, as far as it knows
 }
 
-// Report makes what a node says now of the machines of a zone, in most bytes. Exact ages matter for those that are
-// suspect, so these come first, then those renewed last. Kept is for how long the node keeps what it did.
+// Report makes what a controller reports now of the machines of a zone, in at most maxBytes. Exact ages matter for
+// those that are suspect, so these come first, then those renewed last. Retention is for how long the controller
+// retains what it did.
 func (r *RenewalTable) Report(suspects, others []string, now, retention Time, maxBytes int) RenewalReport {
 	age := now - r.knownSince
 	list := make([]reportEntry, 0, len(suspects)+len(others))
@@ -107,7 +121,7 @@
 	return report
 }
 
-// size is how many bytes a machine takes in a word.
+// size is how many bytes a machine takes in a report.
 func (s *reportEntry) size() int {
 	return varintLen(uint64(len(s.machine))) + len(s.machine) + varintLen(uint64(s.age/time.Millisecond))
 }
@@ -118,11 +132,11 @@
 	return (bits.Len64(v|1) + bitsEach - 1) / bitsEach
 }
 
-// truncate fills a word anew with as many machines as go into most bytes. Who reads it takes one that is missing for
-// renewed when the process began, or longer ago, so the word then says that it began when the youngest of those left
-// out was renewed: later than true, never earlier. The suspect ones that this node never renewed are named, so that
-// this does not hold for them.
-func (w *RenewalReport) truncate(list []reportEntry, maxBytes int) {
+// truncate fills a report anew with as many machines as go into maxBytes. Who reads it takes one that is missing for
+// renewed when the table began, or longer ago, so the report then says that it began when the youngest of those left
+// out was renewed: later than true, never earlier. The suspect ones that this controller never renewed are named, so
+// that this does not hold for them.
+func (r *RenewalReport) truncate(list []reportEntry, maxBytes int) {
 	rank := func(s reportEntry) int {
 		switch {
 		case s.suspect && s.renewed:
@@ -135,19 +149,19 @@
 	slices.SortFunc(list, func(a, b reportEntry) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.age, b.age), cmp.Compare(a.machine, b.machine))
 	})
-	clear(w.RenewalAges)
+	clear(r.RenewalAges)
 	size := 2 * binary.MaxVarintLen64
 	for _, s := range list {
 		if size += s.size(); size <= maxBytes {
-			w.RenewalAges[s.machine] = s.age
+			r.RenewalAges[s.machine] = s.age
 		} else if s.renewed {
-			w.Age = min(w.Age, s.age)
+			r.Age = min(r.Age, s.age)
 		}
 	}
 }
 
-// LastRenewal tells when a machine's lease was last renewed by the node whose word this is, at the latest, if the
-// word came at a time. Kept is for how long that node keeps what it did.
+// LastRenewal is when a machine's lease was last renewed by the controller whose report this is, at the latest, if the
+// report was received at a time. Retention is for how long that controller retains what it did.
 func (r RenewalReport) LastRenewal(machine string, receivedAt, retention Time) Time {
 	if age, ok := r.RenewalAges[machine]; ok {
 		return receivedAt - age
@@ -155,11 +169,11 @@
 	return receivedAt - min(r.Age, retention) // so long ago, or longer
 }
 
-// ErrMalformed says that a word is malformed.
-var ErrMalformed = errors.New("renewal: malformed word")
+// ErrMalformed says that a report can't be read.
+var ErrMalformed = errors.New("lease: malformed renewal report")
 
-// Append encodes a word: its age and each machine's, in milliseconds, rounded so that nothing seems longer ago than it
-// is, by name, so that a word is always the same bytes.
+// Append encodes a report: its age and each machine's, in milliseconds, rounded so that nothing seems longer ago than
+// it is, by name, so that a report is always the same bytes.
 func (r RenewalReport) Append(b []byte) []byte {
 	b = codec.Uint(codec.Uint(b, uint64(r.Age/time.Millisecond)), uint64(len(r.RenewalAges)))
 	for _, m := range slices.Sorted(maps.Keys(r.RenewalAges)) {
@@ -168,7 +182,7 @@
 	return b
 }
 
-// ReadReport decodes a word.
+// ReadReport decodes a report.
 func ReadReport(b []byte) (RenewalReport, error) {
 	r := codec.Reader{Data: b}
 	report := RenewalReport{Age: milliseconds(r.Uint()), RenewalAges: map[string]Time{}}
@@ -186,12 +200,15 @@
 }
 
 // milliseconds is so many milliseconds, a year at most.
-func milliseconds(v uint64) Time { return time.Duration(min(v, 365*24*3600*1000)) * time.Millisecond }
+func milliseconds(v uint64) Time { return time.Duration(min(v, maxAgeMilliseconds)) * time.Millisecond }
 
-// ExpiryProof gathers what the others said of a suspect machine. The zero value has heard of none.
-type ExpiryProof struct{ lastRenewals []Time }
+// ExpiryProof gathers what the other controllers reported of a suspect machine. The zero value has no report yet.
+type ExpiryProof struct {
+	lastRenewals []Time // by the other controller; -1: it has not reported
+}
 
-// Record notes that a node, one of so many others, has applied the suspicion and renewed the lease last at a time.
+// Record notes that a controller, one of so many others, has applied the suspicion and renewed the lease last at a
+// time.
 func (p *ExpiryProof) Record(node, others int, last Time) {
 	if len(p.lastRenewals) != others {
 		p.lastRenewals = make([]Time, others)
@@ -204,8 +221,8 @@
 	}
 }
 
-// CountsFrom tells from when the lease counts at the latest, given when this node renewed it last, if all others have
-// said when they did.
+// CountsFrom is from when the lease counts at the latest, given when this controller renewed it last, if all others
+// have reported when they did.
 func (p *ExpiryProof) CountsFrom(others int, own Time) (from Time, complete bool) {
 	if len(p.lastRenewals) != others {
 		return 0, others == 0
@@ -220,14 +237,13 @@
 	return from, true
 }
 
-// IsMissing tells whether a node has not said yet.
+// IsMissing tells whether a controller has not reported yet.
 func (p *ExpiryProof) IsMissing(node, others int) bool {
 	return len(p.lastRenewals) != others || p.lastRenewals[node] < 0
 }
 
-// Expired tells whether a lease that counts from a time has surely run out: clocks differ by up to a twentieth of a
+// Expired tells whether a lease that counts from a time has surely expired: clocks differ by up to a twentieth of a
 // per cent, and four times that is allowed for.
 func Expired(from, lease, now Time) bool {
-	const drift = 500
-	return now-from > lease+lease/drift+time.Second
+	return now-from > lease+lease/driftDivisor+expiryMargin
 }
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -3,133 +3,157 @@
 import (
 	"bytes"
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// TestLeaseNeverExpiresEarly holds the proof against a plain world: controllers that renew a lease at drawn times,
-// end and begin anew, and are asked at drawn times, whose word is under way for a while. Never is the lease taken for
-// over before it is.
+// drawMilliseconds draws a time between two.
+func drawMilliseconds(rt *rapid.T, name string, from, to time.Duration) time.Duration {
+	return from + time.Duration(rapid.IntRange(0, int((to-from)/time.Millisecond)).Draw(rt, name))*time.Millisecond
+}
+
+// TestLeaseNeverExpiresEarly holds the proof against a plain model: controllers that renew a lease at drawn times,
+// end and begin anew, and are asked at drawn times, whose reports are under way for a while. Never does the lease count
+// as expired before it is.
 func TestLeaseNeverExpiresEarly(t *testing.T) {
 	const lease, retention = 24 * time.Second, 48 * time.Second
+	const others = 2
 	proven := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		const others = 2
-		at := func(name string, from, to time.Duration) time.Duration {
-			return from + time.Duration(
-				rapid.IntRange(0, int((to-from)/time.Millisecond)).Draw(rt, name),
-			)*time.Millisecond
-		}
 		last := time.Duration(0) // when the lease was last renewed by anybody
 		var proof ExpiryProof
-		// the suspicion is known to all by then, and nobody renews any more
-		from := at("asked", 60*time.Second, 100*time.Second)
+		// The suspicion is known to all by then, and nobody renews any more.
+		from := drawMilliseconds(rt, "asked", 60*time.Second, 100*time.Second)
 		for i := range others {
-			began := at("began", 0, 60*time.Second)
-			processStarts := []time.Duration{0, began} // an earlier process, and this one
-			var table *RenewalTable
-			for k, processTime := range processStarts {
-				table = NewRenewalTable(processTime)
-				end := from
-				if k == 0 {
-					end = began
-				}
-				for range rapid.IntRange(0, 3).Draw(rt, "renewals") {
-					if processTime < end {
-						processTime = at("renewed", processTime, end)
-						table.Renewed("m", processTime)
-						last = max(last, processTime)
-					}
-				}
-			}
+			table, renewed := drawTable(rt, from)
+			last = max(last, renewed)
 			table.Forget(from - retention)
-			report, err := ReadReport(
-				table.Report([]string{"m"}, []string{"other"}, from, retention, 1<<20).Append(nil),
-			)
+			body := table.Report([]string{"m"}, []string{"other"}, from, retention, 1<<20).Append(nil)
+			report, err := ReadReport(body)
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if rapid.IntRange(0, 9).Draw(rt, "heard") > 0 {
-				proof.Record(i, others, report.LastRenewal("m", at("came", from, from+time.Second), retention))
+			if rapid.IntRange(0, 9).Draw(rt, "received") > 0 {
+				at := drawMilliseconds(rt, "received at", from, from+time.Second)
+				proof.Record(i, others, report.LastRenewal("m", at, retention))
 			}
 		}
-		now := at("now", from+time.Second, from+time.Minute)
+		now := drawMilliseconds(rt, "now", from+time.Second, from+time.Minute)
 		counts, complete := proof.CountsFrom(others, 0)
 		if complete && Expired(counts, lease, now) {
 			proven++
 			if now <= last+lease {
-				rt.Errorf("the lease is taken for over at %v, it was renewed at %v", now, last)
+				rt.Errorf("the lease counts as expired at %v, it was renewed at %v", now, last)
 			}
 		}
 	})
 	if proven == 0 {
-		t.Error("no lease was ever proven over")
+		t.Error("no lease was ever proven to have expired")
 	}
 }
 
-// TestWordFits: a word of more machines than go into a frame has only so many bytes. Of none does it say that its
-// lease was renewed earlier than the whole word does, and of the suspect ones that fit it says the same.
-func TestWordFits(t *testing.T) {
-	const most, kept, now, names = 79 << 10, 48 * time.Second, time.Hour, 10_000
-	rapid.Check(t, func(rt *rapid.T) {
-		b := NewRenewalTable(time.Duration(rapid.IntRange(0, 3600).Draw(rt, "began")) * time.Second)
-		suspectOf := rapid.IntRange(2, 50).Draw(rt, "one in so many is suspect")
-		absentOf := rapid.IntRange(2, 50).Draw(rt, "one in so many was never renewed here")
-		step := time.Duration(rapid.IntRange(1, 97).Draw(rt, "step")) * time.Millisecond
-		oldest := max(step, now-b.knownSince)
-		var all, suspects, others []string
-		for i := range names {
-			name := fmt.Sprintf("host-of-a-zone-%05d", i*7919%names)
-			if all = append(all, name); i%suspectOf == 0 {
-				suspects = append(suspects, name)
-			} else {
-				others = append(others, name)
-			}
-			if i%absentOf != 0 {
-				b.Renewed(name, now-time.Duration(i)*step%oldest)
+// drawTable has an earlier process of a controller and its present one renew the lease of m until a time, and returns
+// the table of the present one and when the lease was last renewed by either.
+func drawTable(rt *rapid.T, until time.Duration) (table *RenewalTable, last time.Duration) {
+	began := drawMilliseconds(rt, "began", 0, 60*time.Second)
+	for _, process := range []struct{ start, end time.Duration }{{0, began}, {began, until}} {
+		table = NewRenewalTable(process.start)
+		at := process.start
+		for range rapid.IntRange(0, 3).Draw(rt, "renewals") {
+			if at < process.end {
+				at = drawMilliseconds(rt, "renewed", at, process.end)
+				table.Renewed("m", at)
+				last = max(last, at)
 			}
 		}
-		whole := b.Report(suspects, others, now, kept, 1<<30)
-		fits := b.Report(suspects, others, now, kept, most)
+	}
+	return table, last
+}
+
+// largeZone is a zone of more machines than go into a frame, and a table of their renewals.
+type largeZone struct {
+	table            *RenewalTable
+	suspects, others []string
+}
+
+// The time at which the zone is reported, and for how long renewals are retained.
+const zoneNow, zoneRetention = time.Hour, 48 * time.Second
+
+func drawLargeZone(rt *rapid.T) (zone largeZone) {
+	const machines = 10_000
+	began := time.Duration(rapid.IntRange(0, 3600).Draw(rt, "began")) * time.Second
+	zone.table = NewRenewalTable(began)
+	suspectOf := rapid.IntRange(2, 50).Draw(rt, "one in so many is suspect")
+	absentOf := rapid.IntRange(2, 50).Draw(rt, "one in so many was never renewed here")
+	step := time.Duration(rapid.IntRange(1, 97).Draw(rt, "step")) * time.Millisecond
+	oldest := max(step, zoneNow-began)
+	for i := range machines {
+		name := fmt.Sprintf("host-of-a-zone-%05d", i*7919%machines)
+		if i%suspectOf == 0 {
+			zone.suspects = append(zone.suspects, name)
+		} else {
+			zone.others = append(zone.others, name)
+		}
+		if i%absentOf != 0 {
+			zone.table.Renewed(name, zoneNow-time.Duration(i)*step%oldest)
+		}
+	}
+	return zone
+}
+
+// TestReportFits: a report of more machines than go into a frame has only so many bytes. Of none does it say that its
+// lease was renewed earlier than the whole report does, and of the suspect ones that fit it says the same.
+func TestReportFits(t *testing.T) {
+	const maxBytes, fitSurely = 79 << 10, 3000
+	rapid.Check(t, func(rt *rapid.T) {
+		zone := drawLargeZone(rt)
+		whole := zone.table.Report(zone.suspects, zone.others, zoneNow, zoneRetention, 1<<30)
+		fits := zone.table.Report(zone.suspects, zone.others, zoneNow, zoneRetention, maxBytes)
 		body := fits.Append(nil)
-		if len(body) > most || len(body) < most*9/10 {
-			rt.Fatalf("%d bytes of at most %d", len(body), most)
+		if len(body) > maxBytes || len(body) < maxBytes*9/10 {
+			rt.Fatalf("%d bytes of at most %d", len(body), maxBytes)
 		}
 		read, err := ReadReport(body)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		left := 0
-		for _, name := range all {
-			cut, exact := fits.LastRenewal(name, now, kept), whole.LastRenewal(name, now, kept)
-			if cut < exact {
-				rt.Fatalf("%s was renewed at %v, the word that fits has %v", name, exact, cut)
-			}
-			if d := read.LastRenewal(name, now, kept) - cut; d < 0 || d > time.Millisecond {
-				rt.Fatalf("%s is read as %v later", name, d)
-			}
-			if _, listed := fits.RenewalAges[name]; listed && cut != exact {
-				rt.Fatalf("%s is listed with %v instead of %v", name, cut, exact)
-			} else if !listed {
-				left++
-			}
+		for _, name := range slices.Concat(zone.suspects, zone.others) {
+			checkFitting(rt, name, whole, fits, read)
 		}
-		const fitSurely = 3000
-		for _, name := range suspects {
-			if len(suspects) <= fitSurely && fits.LastRenewal(name, now, kept) != whole.LastRenewal(name, now, kept) {
-				rt.Fatalf("%s is suspect, and not told exactly", name)
+		for _, name := range zone.suspects {
+			if len(zone.suspects) <= fitSurely && lastInZone(fits, name) != lastInZone(whole, name) {
+				rt.Fatalf("%s is suspect, and not reported exactly", name)
 			}
 		}
-		if left == 0 {
+		if len(fits.RenewalAges) == len(zone.suspects)+len(zone.others) {
 			rt.Fatal("all fit")
 		}
 	})
 }
 
-// TestWordIsTheSame: a word is the same bytes each time.
-func TestWordIsTheSame(t *testing.T) {
+func lastInZone(r RenewalReport, machine string) Time {
+	return r.LastRenewal(machine, zoneNow, zoneRetention)
+}
+
+// checkFitting checks what a report that fits says of a machine, and what is read of it.
+func checkFitting(rt *rapid.T, name string, whole, fits, read RenewalReport) {
+	truncated, exact := lastInZone(fits, name), lastInZone(whole, name)
+	if truncated < exact {
+		rt.Fatalf("%s was renewed at %v, the report that fits has %v", name, exact, truncated)
+	}
+	if d := lastInZone(read, name) - truncated; d < 0 || d > time.Millisecond {
+		rt.Fatalf("%s is read as %v later", name, d)
+	}
+	if _, listed := fits.RenewalAges[name]; listed && truncated != exact {
+		rt.Fatalf("%s is listed with %v instead of %v", name, truncated, exact)
+	}
+}
+
+// TestReportIsTheSame: a report is the same bytes each time.
+func TestReportIsTheSame(t *testing.T) {
 	b := NewRenewalTable(0)
 	names := []string{"c", "a", "e", "b", "d"}
 	for i, name := range names {
@@ -143,7 +167,7 @@
 	}
 }
 
-// TestProofNeedsAllOthers: all have to say so, each counts once for a suspicion, and a malformed word is refused.
+// TestProofNeedsAllOthers: all have to report, each counts once for a suspicion, and a malformed report is refused.
 func TestProofNeedsAllOthers(t *testing.T) {
 	var proof ExpiryProof
 	proof.Record(0, 2, 5*time.Second)
@@ -160,7 +184,7 @@
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 2, 1, 'm', 3}, {5, 0, 7}} {
 		if _, err := ReadReport(b); err == nil {
-			t.Errorf("%v is taken for a word", b)
+			t.Errorf("%v is taken for a report", b)
 		}
 	}
 }
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -12,8 +12,8 @@
 // ErrMalformed says that a message of another controller can't be read.
 var ErrMalformed = errors.New("relay: malformed message")
 
-// knownTexts are the texts of reports and orders that have a number of their own. Their order is part of the format:
-// new ones go to the end. Number 0 says that the text itself follows.
+// knownTexts are the texts of heartbeats and commands that have a number of their own. Their order is part of the
+// format: new ones go to the end. Number 0 says that the text itself follows.
 var knownTexts = []string{
 	wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited,
 	wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
@@ -22,11 +22,12 @@
 }
 
 const (
-	// maxTasks and maxCommands bound what is read; a report of 64 KiB holds fewer.
+	// maxTasks and maxCommands bound what is read; a heartbeat of 64 KiB holds fewer.
 	maxTasks    = 4096
 	maxCommands = 4096
 )
 
+// appendText encodes a text by its number, or in full if it has none.
 func appendText(b []byte, s string) []byte {
 	i := slices.Index(knownTexts, s)
 	b = codec.Uint(b, uint64(i+1))
@@ -59,7 +60,7 @@
 	return &s
 }
 
-// AppendReport encodes a worker's report.
+// AppendReport encodes an agent's heartbeat.
 func AppendReport(b []byte, report *wire.Heartbeat) []byte {
 	for _, s := range []string{report.Machine, report.Addr, report.Type, report.Zone} {
 		b = codec.String(b, s)
@@ -79,7 +80,7 @@
 	return b
 }
 
-// ReadReport decodes a worker's report.
+// ReadReport decodes an agent's heartbeat.
 func ReadReport(b []byte) (*wire.Heartbeat, error) {
 	r := &codec.Reader{Data: b}
 	report := readReport(r)
@@ -105,21 +106,18 @@
 		if r.Err != nil {
 			break
 		}
-		report.Tasks = append(
-			report.Tasks,
-			wire.TaskStatus{
-				Task:         r.String(),
-				Attempt:      r.Uint(),
-				State:        readText(r),
-				Cause:        readText(r),
-				Checkpointed: r.Bool(),
-			},
-		)
+		report.Tasks = append(report.Tasks, wire.TaskStatus{
+			Task:         r.String(),
+			Attempt:      r.Uint(),
+			State:        readText(r),
+			Cause:        readText(r),
+			Checkpointed: r.Bool(),
+		})
 	}
 	return report
 }
 
-// AppendOrders encodes a direct command.
+// AppendOrders encodes the commands that are sent to an agent directly.
 func AppendOrders(b []byte, orders *wire.Orders) []byte {
 	b = codec.Uint(codec.Uint(b, orders.FencingToken), orders.AgentEpoch)
 	b = codec.Uint(b, uint64(len(orders.Commands)))
@@ -132,7 +130,7 @@
 	return b
 }
 
-// ReadOrders decodes a direct command.
+// ReadOrders decodes the commands that are sent to an agent directly.
 func ReadOrders(b []byte) (*wire.Orders, error) {
 	r := &codec.Reader{Data: b}
 	orders := &wire.Orders{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
@@ -142,10 +140,12 @@
 		if r.Err != nil {
 			break
 		}
-		orders.Commands = append(
-			orders.Commands,
-			wire.Command{Verb: readText(r), Task: r.String(), Attempt: r.Uint(), GraceS: readSeconds(r)},
-		)
+		orders.Commands = append(orders.Commands, wire.Command{
+			Verb:    readText(r),
+			Task:    r.String(),
+			Attempt: r.Uint(),
+			GraceS:  readSeconds(r),
+		})
 	}
 	if !r.Done() {
 		return nil, ErrMalformed
@@ -153,14 +153,14 @@
 	return orders, nil
 }
 
-// CommandResult is what became of a direct command that another controller sent: its fate, as the client of the
-// workers' interface numbers it, and the worker's report if it answered with one.
+// CommandResult is what became of commands that another controller sent: their fate, as the client of the
+// agents' interface numbers it, and the agent's heartbeat if it answered with one.
 type CommandResult struct {
 	Fate   uint8
 	Report *wire.Heartbeat
 }
 
-// Append encodes an outcome.
+// Append encodes a result.
 func (r CommandResult) Append(b []byte) []byte {
 	b = codec.Uint(b, uint64(r.Fate))
 	b = codec.Bool(b, r.Report != nil)
@@ -170,7 +170,7 @@
 	return b
 }
 
-// ReadCommandResult decodes an outcome.
+// ReadCommandResult decodes a result.
 func ReadCommandResult(b []byte) (CommandResult, error) {
 	r := &codec.Reader{Data: b}
 	result := CommandResult{Fate: uint8(r.Max(math.MaxUint8))}
@@ -183,10 +183,10 @@
 	return result, nil
 }
 
-// Offer is what a node that does not lead tells the leader: that it takes workers' reports for it.
+// Offer is what a controller that does not lead sends to the leader: that it takes agents' heartbeats for it.
 type Offer struct {
-	Node        string
-	HasCapacity bool // it has room for more connections
+	Node        string // the controller's name
+	HasCapacity bool   // it has room for more connections
 }
 
 // Append encodes an offer.
@@ -202,7 +202,7 @@
 	return offer, nil
 }
 
-// AppendOfferAnswer encodes the answer to an offer: whether reports are to be passed on.
+// AppendOfferAnswer encodes the answer to an offer: whether heartbeats are to be passed on.
 func AppendOfferAnswer(b []byte, accepted bool) []byte { return codec.Bool(b, accepted) }
 
 // ReadOfferAnswer decodes the answer to an offer.
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -9,20 +9,20 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// TestGoldenMessages: what a relay and the leader say to each other is written and read as it always was: every text
+// TestGoldenMessages: what a relay and the leader send to each other is written and read as it always was: every text
 // with a number of its own by that number, and another in full.
 func TestGoldenMessages(t *testing.T) {
 	full := &wire.Heartbeat{Machine: "host-1", Addr: "10.1.0.1:9", Type: "small", Zone: "a", Spot: true,
 		AgentEpoch: 1 << 40, Seq: 300, FencingToken: 1<<63 + 5, NoticeS: ptr(12.5)}
-	for i, state := range []string{wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, "other"} {
+	states := []string{wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, "other"}
+	for i, state := range states {
 		full.Tasks = append(full.Tasks, wire.TaskStatus{Task: "req-000007.0", Attempt: uint64(100 + i), State: state})
 	}
-	for i, cause := range []string{wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
-		wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown, "another"} {
-		full.Tasks = append(
-			full.Tasks,
-			wire.TaskStatus{Task: "t", State: wire.TaskExited, Cause: cause, Checkpointed: i%2 == 0},
-		)
+	causes := []string{wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
+		wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown, "another"}
+	for i, cause := range causes {
+		exited := wire.TaskStatus{Task: "t", State: wire.TaskExited, Cause: cause, Checkpointed: i%2 == 0}
+		full.Tasks = append(full.Tasks, exited)
 	}
 	short := &wire.Heartbeat{Machine: "host-2", Tasks: []wire.TaskStatus{}}
 	report := func(r *wire.Heartbeat) []byte { return AppendReport(nil, r) }
@@ -30,18 +30,9 @@
 	golden.RoundTrip(t, "report-short.hex", short, report, ReadReport)
 
 	orders := &wire.Orders{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
-		{
-			Verb:    wire.Start,
-			Task:    "job-1.0",
-			Attempt: 1,
-		},
+		{Verb: wire.Start, Task: "job-1.0", Attempt: 1},
 		{Verb: wire.Stop, Task: "job-1.1", Attempt: 200, GraceS: ptr(0.0)},
-		{
-			Verb:    wire.Stop,
-			Task:    "job-2.0",
-			Attempt: 1,
-			GraceS:  ptr(2.5),
-		},
+		{Verb: wire.Stop, Task: "job-2.0", Attempt: 1, GraceS: ptr(2.5)},
 		{Verb: wire.Forget, Task: "job-3.4095", Attempt: 3},
 		{Verb: "another"},
 	}}
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -11,58 +12,75 @@
 	"fieldhill/wire"
 )
 
-// TestTableMatchesModel compares the table with a plain list of who reports where, over drawn reports, machines that
-// fall silent and nodes that close: the counts are right, nobody is sent to a node that is closed or already has its
-// share, and once workers follow, no open node has more than its share and the slack.
+// TestTableMatchesModel compares the table with a plain list of who reports where, over drawn heartbeats, machines that
+// fall silent and controllers that close: the counts are right, nobody is sent to a controller that is closed or
+// already has its share, and once agents follow, no open controller has more than its share and the slack.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 5).Draw(t, "nodes")
-		table, reference, lastReport := NewTable(nodes), map[string]int{}, map[string]Time{}
+		reference := referenceTable{table: NewTable(nodes), nodeOf: map[string]int{}, lastReport: map[string]Time{}}
 		open := make([]bool, nodes)
-		table.UpdateSpreading(1000, 10)
+		reference.table.UpdateSpreading(1000, 10)
 		for now := time.Second; now < 200*time.Second; now += time.Second {
 			for i := range open {
 				open[i] = rapid.IntRange(0, 9).Draw(t, "open") > 0
 			}
-			machine, node := fmt.Sprint(
-				"m",
-				rapid.IntRange(0, 60).Draw(t, "machine"),
-			), rapid.IntRange(0, nodes-1).
-				Draw(t, "node")
-			table.RecordReport(machine, node, now)
-			reference[machine], lastReport[machine] = node, now
-			before := append([]int(nil), table.Counts()...)
-			if to, redirect := table.Redirect(machine, node, func(i int) bool { return open[i] }, now); redirect {
-				if to == node || to != Leader && !open[to] || before[to] >= before[node] {
-					t.Fatalf("moved from %d (%d) to %d (%d), open %v", node, before[node], to, before[to], open)
-				}
-				reference[machine] = to
-			}
+			machine := fmt.Sprint("m", rapid.IntRange(0, 60).Draw(t, "machine"))
+			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
+			reference.report(t, machine, node, open, now)
 			if rapid.IntRange(0, 19).Draw(t, "sweep") == 0 {
-				table.Forget(now - 20*time.Second)
-				for m, at := range lastReport {
-					if at < now-20*time.Second {
-						delete(reference, m)
-						delete(lastReport, m)
-					}
-				}
-			}
-			counts := make([]int, nodes)
-			for m, at := range reference {
-				counts[at]++
-				if table.NodeOf(m) != at {
-					t.Fatalf("%s at %d, want %d", m, table.NodeOf(m), at)
-				}
-			}
-			if diff := cmp.Diff(counts, table.Counts()); diff != "" {
-				t.Fatal(diff)
+				reference.forget(now - 20*time.Second)
 			}
+			reference.compare(t)
 		}
 	})
 }
 
-// TestTableBalances: all workers come to the leader at once, and are spread within a few of their reports; a node
-// that is back gets its share again.
+// referenceTable is a table, and a plain list of what it should say.
+type referenceTable struct {
+	table      *Table
+	nodeOf     map[string]int
+	lastReport map[string]Time
+}
+
+// report has a machine report through a controller, and checks where it is sent.
+func (r *referenceTable) report(t *rapid.T, machine string, node int, open []bool, now Time) {
+	r.table.RecordReport(machine, node, now)
+	r.nodeOf[machine], r.lastReport[machine] = node, now
+	before := slices.Clone(r.table.Counts())
+	if to, redirect := r.table.Redirect(machine, node, func(i int) bool { return open[i] }, now); redirect {
+		if to == node || to != Leader && !open[to] || before[to] >= before[node] {
+			t.Fatalf("moved from %d (%d) to %d (%d), open %v", node, before[node], to, before[to], open)
+		}
+		r.nodeOf[machine] = to
+	}
+}
+
+func (r *referenceTable) forget(before Time) {
+	r.table.Forget(before)
+	for machine, at := range r.lastReport {
+		if at < before {
+			delete(r.nodeOf, machine)
+			delete(r.lastReport, machine)
+		}
+	}
+}
+
+func (r *referenceTable) compare(t *rapid.T) {
+	counts := make([]int, len(r.table.Counts()))
+	for machine, at := range r.nodeOf {
+		counts[at]++
+		if r.table.NodeOf(machine) != at {
+			t.Fatalf("%s at %d, want %d", machine, r.table.NodeOf(machine), at)
+		}
+	}
+	if diff := cmp.Diff(counts, r.table.Counts()); diff != "" {
+		t.Fatal(diff)
+	}
+}
+
+// TestTableBalances: all agents come to the leader at once, and are spread within a few of their heartbeats; a
+// controller that is back gets its share again.
 func TestTableBalances(t *testing.T) {
 	table, open := NewTable(3), func(int) bool { return true }
 	table.UpdateSpreading(3000, 2000)
@@ -80,11 +98,11 @@
 	round()
 	for i, c := range table.Counts() {
 		if c > 1125 || c < 850 {
-			t.Errorf("node %d has %d of 3000 workers", i, c)
+			t.Errorf("controller %d has %d of 3000 agents", i, c)
 		}
 	}
 	if moves := round(); moves != 0 {
-		t.Errorf("%d workers move though all nodes have their share", moves)
+		t.Errorf("%d agents move though all controllers have their share", moves)
 	}
 	table.UpdateSpreading(1700, 2000)
 	if !table.Spreading() {
@@ -92,19 +110,18 @@
 	}
 	table.UpdateSpreading(1500, 2000)
 	if to, redirect := table.Redirect("m1", 1, open, 2); !redirect || to != Leader {
-		t.Errorf("a worker is not sent back to the leader of a small cell: %d, %v", to, redirect)
+		t.Errorf("an agent is not sent back to the leader of a small cell: %d, %v", to, redirect)
 	}
 }
 
 func drawReport(t *rapid.T) *wire.Heartbeat {
 	text := rapid.StringMatching(`[a-z0-9/.:-]{0,20}`)
 	report := &wire.Heartbeat{
-		Machine: text.Draw(t, "machine"),
-		Addr:    text.Draw(t, "addr"),
-		Type:    text.Draw(t, "type"),
-		Zone:    text.Draw(t, "zone"),
-		Spot: rapid.Bool().
-			Draw(t, "spot"),
+		Machine:      text.Draw(t, "machine"),
+		Addr:         text.Draw(t, "addr"),
+		Type:         text.Draw(t, "type"),
+		Zone:         text.Draw(t, "zone"),
+		Spot:         rapid.Bool().Draw(t, "spot"),
 		AgentEpoch:   rapid.Uint64().Draw(t, "session"),
 		Seq:          rapid.Uint64().Draw(t, "seq"),
 		FencingToken: rapid.Uint64().Draw(t, "token"),
@@ -116,24 +133,18 @@
 	}
 	knownOrText := rapid.OneOf(rapid.SampledFrom(knownTexts), text)
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
-		report.Tasks = append(
-			report.Tasks,
-			wire.TaskStatus{
-				Task:    text.Draw(t, "task"),
-				Attempt: rapid.Uint64().Draw(t, "attempt"),
-				State: knownOrText.Draw(
-					t,
-					"state",
-				),
-				Cause:        knownOrText.Draw(t, "cause"),
-				Checkpointed: rapid.Bool().Draw(t, "saved"),
-			},
-		)
+		report.Tasks = append(report.Tasks, wire.TaskStatus{
+			Task:         text.Draw(t, "task"),
+			Attempt:      rapid.Uint64().Draw(t, "attempt"),
+			State:        knownOrText.Draw(t, "state"),
+			Cause:        knownOrText.Draw(t, "cause"),
+			Checkpointed: rapid.Bool().Draw(t, "saved"),
+		})
 	}
 	return report
 }
 
-// TestMessagesRoundTrip: what is encoded is decoded the same, and what is cut short or has something behind it is
+// TestMessagesRoundTrip: what is encoded is decoded the same, and what is truncated or has something behind it is
 // refused.
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -144,10 +155,8 @@
 			Commands:     []wire.Command{},
 		}
 		for _, s := range report.Tasks {
-			orders.Commands = append(
-				orders.Commands,
-				wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS},
-			)
+			command := wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS}
+			orders.Commands = append(orders.Commands, command)
 		}
 		result := CommandResult{Fate: uint8(len(report.Tasks)), Report: report}
 		offer := Offer{Node: report.Machine, HasCapacity: report.Spot}
@@ -160,7 +169,8 @@
 			{AppendOrders(nil, orders), orders, func(b []byte) (any, error) { return ReadOrders(b) }},
 			{result.Append(nil), result, func(b []byte) (any, error) { return ReadCommandResult(b) }},
 			{offer.Append(nil), offer, func(b []byte) (any, error) { return ReadOffer(b) }},
-			{AppendOfferAnswer(nil, report.Spot), report.Spot, func(b []byte) (any, error) { return ReadOfferAnswer(b) }},
+			{AppendOfferAnswer(nil, report.Spot), report.Spot,
+				func(b []byte) (any, error) { return ReadOfferAnswer(b) }},
 		} {
 			decoded, err := c.read(c.b)
 			if err != nil {
@@ -173,7 +183,7 @@
 				t.Fatalf("%T with a byte behind it is read", c.want)
 			}
 			if _, err := c.read(c.b[:rapid.IntRange(0, len(c.b)-1).Draw(t, "cut")]); err == nil {
-				t.Fatalf("%T cut short is read", c.want)
+				t.Fatalf("%T truncated is read", c.want)
 			}
 		}
 	})
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -1,9 +1,11 @@
-// Package relay is the pure part of spreading workers' connections over the controllers of a cell: which controller
-// ends which worker's connection (Table), and the binary form in which reports and orders travel between controllers.
+// Package relay is the pure part of spreading agents' connections over the controllers of a cell: which controller
+// ends which agent's connection (Table), and the binary form in which heartbeats and commands travel between
+// controllers.
 //
-// A controller that does not lead may end workers' connections and pass each report on to the leader, and the leader's
-// answer back. Such a relay decides nothing: to the leader it is a part of the network, which may delay, lose or repeat
-// what it carries, and everything that the leader concludes from a report it concludes from the report's own numbers.
+// A controller that does not lead may end agents' connections and pass each heartbeat on to the leader, and the
+// leader's answer back. Such a relay decides nothing: to the leader it is a part of the network, which may delay, lose
+// or repeat what it carries, and everything that the leader concludes from a heartbeat it concludes from the
+// heartbeat's own numbers.
 package relay
 
 import "time"
@@ -15,34 +17,35 @@
 const Leader = 0
 
 const (
-	// offShare is the share of the threshold below which spreading ends again, so that it does not go on and off with
+	// offShare is the part of the threshold below which spreading ends again, so that it does not go on and off with
 	// every machine.
 	offShareNumerator, offShareDenominator = 4, 5
-	// slackDivisor and minSlack are how far above its fair share a node may be before workers are moved away from it.
+	// slackDivisor and minSlack are how far above its fair share a controller may be before agents are moved away.
 	slackDivisor = 8
 	minSlack     = 4
-	// firstPause is for how long no workers are sent to a node after one that was sent there came through another: the
-	// workers may not reach it. The pause doubles up to maxPause until one does.
+	// firstPause is for how long no agents are sent to a controller after one that was sent there came through another:
+	// the agents may not reach it. The pause doubles up to maxPause until one does.
 	firstPause = 10 * time.Second
 	maxPause   = 160 * time.Second
 )
 
+// assignment is the controller that ends an agent's connection.
 type assignment struct {
 	node       int
 	lastReport Time
-	redirected bool // it was sent there and has not been heard through it yet
+	redirected bool // the agent was sent there and has not reported through it yet
 }
 
-// Table is which node ends each worker's connection, as far as the leader has seen in its term.
+// Table is which controller ends each agent's connection, as far as the leader has seen in its term.
 type Table struct {
 	assignments map[string]assignment
 	counts      []int
-	nextPause   []Time // by node: how long the next pause is
-	closedUntil []Time // by node: no workers are sent there until then
+	nextPause   []Time // by controller: how long the next pause is
+	closedUntil []Time // by controller: no agents are sent there until then
 	spreading   bool
 }
 
-// NewTable makes an empty table for a cell of so many nodes.
+// NewTable makes an empty table for a cell of so many controllers.
 func NewTable(nodes int) *Table {
 	return &Table{
 		assignments: map[string]assignment{},
@@ -52,7 +55,7 @@
 	}
 }
 
-// UpdateSpreading decides whether workers are spread: when the cell has more machines than the leader takes
+// UpdateSpreading decides whether agents are spread: when the cell has more machines than the leader takes
 // connections.
 func (t *Table) UpdateSpreading(machines, maxConns int) {
 	if t.spreading {
@@ -62,10 +65,10 @@
 	}
 }
 
-// Spreading tells whether workers are spread over the nodes.
+// Spreading tells whether agents are spread over the controllers.
 func (t *Table) Spreading() bool { return t.spreading }
 
-// RecordReport notes that a machine's report came through a node.
+// RecordReport notes that a machine's heartbeat came through a controller.
 func (t *Table) RecordReport(machine string, node int, now Time) {
 	previous, known := t.assignments[machine]
 	switch {
@@ -82,15 +85,15 @@
 	t.counts[node]++
 }
 
-// NodeOf is the node through which a machine was last heard; the leader itself if there is none.
+// NodeOf is the controller through which a machine last reported; the leader itself if there is none.
 func (t *Table) NodeOf(machine string) int { return t.assignments[machine].node }
 
-// Counts is how many machines report through each node.
+// Counts is how many machines report through each controller.
 func (t *Table) Counts() []int { return t.counts }
 
-// Redirect decides whether a machine that reports through a node is sent to another one. Open tells which nodes take
-// more workers now, and is asked only where workers are spread; the leader always does. The machine counts as moved
-// at once, so that no more are sent than needed.
+// Redirect decides whether a machine that reports through a controller is sent to another one. Open tells which
+// controllers take more agents now, and is asked only where agents are spread; the leader always does. The machine
+// counts as moved at once, so that no more are sent than needed.
 func (t *Table) Redirect(machine string, node int, open func(node int) bool, now Time) (to int, redirect bool) {
 	if !t.spreading {
 		return Leader, node != Leader
@@ -98,7 +101,7 @@
 	nodes, to := 0, node
 	for i := range t.counts {
 		if now < t.closedUntil[i] || i != Leader && !open(i) {
-			continue // the leader too is closed where workers that were sent to it came back
+			continue // the leader too is closed where agents that were sent to it came back
 		}
 		nodes++
 		if t.counts[i] < t.counts[to] {
@@ -116,7 +119,7 @@
 	return to, true
 }
 
-// Forget drops the machines that were not heard of since a time.
+// Forget drops the machines that have not reported since a time.
 func (t *Table) Forget(before Time) {
 	for m, assigned := range t.assignments {
 		if assigned.lastReport < before {
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -4,7 +4,7 @@
 
 func newStamp(session, seq, token uint64) Stamp { return Stamp{Number{session, seq}, token} }
 
-// TestJudge: what a message proves, by who asked for it and what was heard before.
+// TestJudge: what a message proves, by who asked for it and what was received before.
 func TestJudge(t *testing.T) {
 	const term = 100
 	trackerOf := func(stamps ...Stamp) *Tracker {
@@ -15,36 +15,47 @@
 		return tracker
 	}
 	for _, c := range []struct {
-		name  string
-		e     *Tracker
-		w     Stamp
-		least uint64
-		asked bool
-		want  Freshness
+		name       string
+		tracker    *Tracker
+		stamp      Stamp
+		minSession uint64
+		asked      bool
+		want       Freshness
 	}{
-		{"the first report of a term may be of any time", trackerOf(), newStamp(3, 7, 99), 0, false, Unproven},
-		{"unless it has a token of the term", trackerOf(), newStamp(3, 7, 100), 0, false, Fresh},
-		{"or was asked for", trackerOf(), newStamp(3, 7, 0), 0, true, Fresh},
-		{"a worker that the log knows in a later session began anew", trackerOf(), newStamp(1, 2, 0), 5, true, Restarted},
-		{"which a report without a token of the term does not prove", trackerOf(), newStamp(1, 2, 0), 5, false, Unproven},
-		{"a newer one", trackerOf(newStamp(1, 4, 100)), newStamp(1, 5, 100), 0, false, Fresh},
-		{"the same again", trackerOf(newStamp(1, 4, 100)), newStamp(1, 4, 100), 0, false, Stale},
-		{"an older session with a larger number", trackerOf(newStamp(2, 4, 100)), newStamp(1, 90, 100), 0, false, Stale},
-		{"a token that goes back", trackerOf(newStamp(1, 4, 101)), newStamp(1, 5, 100), 0, false, Stale},
-		{"an answer whose numbers go back", trackerOf(newStamp(1, 4, 101)), newStamp(1, 2, 0), 0, true, Restarted},
-		{"an answer whose token alone goes back", trackerOf(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
+		{"the first heartbeat of a term may be of any time",
+			trackerOf(), newStamp(3, 7, 99), 0, false, Unproven},
+		{"unless it has a token of the term",
+			trackerOf(), newStamp(3, 7, 100), 0, false, Fresh},
+		{"or was asked for",
+			trackerOf(), newStamp(3, 7, 0), 0, true, Fresh},
+		{"an agent that the log knows in a later epoch has restarted",
+			trackerOf(), newStamp(1, 2, 0), 5, true, Restarted},
+		{"which a heartbeat without a token of the term does not prove",
+			trackerOf(), newStamp(1, 2, 0), 5, false, Unproven},
+		{"a newer one",
+			trackerOf(newStamp(1, 4, 100)), newStamp(1, 5, 100), 0, false, Fresh},
+		{"the same again",
+			trackerOf(newStamp(1, 4, 100)), newStamp(1, 4, 100), 0, false, Stale},
+		{"an older epoch with a larger number",
+			trackerOf(newStamp(2, 4, 100)), newStamp(1, 90, 100), 0, false, Stale},
+		{"a token that goes back",
+			trackerOf(newStamp(1, 4, 101)), newStamp(1, 5, 100), 0, false, Stale},
+		{"an answer whose numbers go back",
+			trackerOf(newStamp(1, 4, 101)), newStamp(1, 2, 0), 0, true, Restarted},
+		{"an answer whose token alone goes back",
+			trackerOf(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
 	} {
 		var question *Question
 		if c.asked {
-			question = c.e.Ask()
+			question = c.tracker.Ask()
 		}
-		if freshness := c.e.Judge(c.w, term, c.least, question); freshness != c.want {
+		if freshness := c.tracker.Judge(c.stamp, term, c.minSession, question); freshness != c.want {
 			t.Errorf("%s: %d, want %d", c.name, freshness, c.want)
 		}
 	}
 }
 
-// TestOvertaken: of two answers the later one counts, and an answer that a report overtook is no proof of a new life.
+// TestOvertaken: of two answers the later one counts, and one that a heartbeat overtook is no proof of a restart.
 func TestOvertaken(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
@@ -55,8 +66,8 @@
 	}
 }
 
-// TestRestartedIncarnation: after a worker began anew, copies from its earlier life have the higher numbers, and
-// don't count; reports do once they show a token that was given out since.
+// TestRestartedIncarnation: after an agent restarted, copies from its earlier incarnation have the higher numbers, and
+// don't count; heartbeats do once they show a token that was given out since.
 func TestRestartedIncarnation(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 50, 100), Fresh, 0, true)
@@ -67,21 +78,21 @@
 	}
 	tracker.Accept(answer, Restarted, 101, false)
 	if tracker.Fenced() {
-		t.Error("a life that has not shown the new token is fenced")
+		t.Error("an incarnation that has not shown the new token is fenced")
 	}
 	if freshness := tracker.Judge(newStamp(1, 60, 100), 100, 0, nil); freshness != Stale {
-		t.Errorf("a copy from the earlier life is %d", freshness)
+		t.Errorf("a copy from the earlier incarnation is %d", freshness)
 	}
 	if freshness := tracker.Judge(newStamp(1, 3, 101), 100, 0, nil); freshness != Fresh {
-		t.Errorf("a report with the new token is %d", freshness)
+		t.Errorf("a heartbeat with the new token is %d", freshness)
 	}
 	tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true)
 	if !tracker.Fenced() || tracker.Incarnations() != 1 {
-		t.Errorf("fenced %v, lives %d", tracker.Fenced(), tracker.Incarnations())
+		t.Errorf("fenced %v, incarnations %d", tracker.Fenced(), tracker.Incarnations())
 	}
 }
 
-// TestInboundPartition: a worker that does not show the token it was told, though it sent its next report, did not
+// TestInboundPartition: an agent that does not show the token it was sent, though it sent its next heartbeat, did not
 // get the answer.
 func TestInboundPartition(t *testing.T) {
 	tracker := &Tracker{}
@@ -93,10 +104,10 @@
 	}
 	tracker.RecordAnswer(101)
 	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.OneWay() {
-		t.Errorf("an answer that arrived: met %v, deaf %v", acknowledged, tracker.OneWay())
+		t.Errorf("an answer that arrived: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
 	}
 	tracker.RecordAnswer(101) // it has it: nothing is tried
 	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.OneWay() {
-		t.Errorf("nothing was tried: met %v, deaf %v", acknowledged, tracker.OneWay())
+		t.Errorf("nothing was tried: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
 	}
 }
