--- a/internal/scheduling/admission/admission_test.go
+++ b/internal/scheduling/admission/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestGate: a burst, in which some wait and others do not, closes nothing; a queue that stands does, for longer
-// pauses the longer it stands; once it is gone, or nothing is asked any more, new work is taken again.
+// TestGate: a burst, in which some wait and others do not, closes nothing; a standing queue does, for longer
+// pauses the longer it lasts; once it is gone, or nothing is asked any more, new work is taken again.
 func TestGate(t *testing.T) {
 	var g Gate
 	now := Time(0)
--- a/internal/scheduling/pending/reason.go
+++ b/internal/scheduling/pending/reason.go
@@ -1,6 +1,9 @@
-// Package why names the reasons for which a job waits, with their figures: stable codes for
-// programs, sentences for people. The scheduler reports them while it decides; package explain
+// Package pending names the reasons for which a job waits, with their figures: stable codes for
+// programs, sentences for people. The scheduler reports them while it decides; package explanation
 // finds all that hold at an instant, and which of them bind. It is pure and knows no model.
+//
+// The codes' names and sentences are an interface of the users' pages and scripts, so they stay in the words of
+// before; the constants have the terms of the code.
 package pending
 
 import (
@@ -16,8 +19,8 @@
 const (
 	None               Code = iota // nothing is in the way, or nobody has looked yet
 	NoLeader                       // no controller leads, or this one does not reach the one that does
-	AwaitingHeartbeats             // a new leader has not yet heard of the machines with work
-	StoreUnavailable               // the state service does not take what would be decided
+	AwaitingHeartbeats             // the machines with work have not all reported to a new leader yet
+	StoreUnavailable               // the key-value store does not take what would be decided
 	BackingOff                     // after failures
 	Faulty                         // it fails on every machine: one task at a time is tried
 	FailedBefore                   // machines on which it failed are passed over
@@ -30,16 +33,16 @@
 	SameZone                       // all tasks must be in one zone
 	AttemptEnding                  // tasks of its last attempt are not gone
 	ImageBusy                      // DAD: a busy machine has its image
-	Preempting                     // low work was told to leave where its image is
-	Throttled                      // low work waits while the leader is short of processor time
+	Preempting                     // low-priority work is being preempted where its image is
+	Throttled                      // low-priority work waits while the leader is short of processor time
 	Headroom                       // kept free for services that must start at once
 	TooExpensive                   // machines that it is not worth
 	ReservedForGPUs                // machines kept for work that uses their GPUs
-	Suspect                        // machines in a zone that is cut off
+	Suspect                        // machines in a partitioned zone
 	Quarantined                    // machines on which tasks of several jobs failed
 	Slow                           // machines that run tasks much slower than others
-	Draining                       // machines that get nothing new, or are to be taken back
-	Releasing                      // machines that are being returned
+	Draining                       // machines that get nothing new, or are to be preempted
+	Releasing                      // machines that are being released
 	Booting                        // machines that are not up yet
 	CloudUnavailable               // the cloud does not answer
 	CloudRefused                   // the cloud has no more of what suits it
@@ -48,7 +51,8 @@
 	numCodes
 )
 
-var texts = [numCodes]struct{ name, says string }{
+// texts are the codes' names and sentences.
+var texts = [numCodes]struct{ name, sentence string }{
 	None:               {"none", "nothing is in the way"},
 	NoLeader:           {"no-leader", "no controller leads at the moment"},
 	AwaitingHeartbeats: {"listening", "a new leader waits until it has heard of the machines"},
@@ -100,7 +104,8 @@
 	return None, false
 }
 
-// Reason is a code with its figures; those that do not apply are 0 or empty.
+// Reason is a code with its figures; those that do not apply are 0 or empty. The zero value says that nothing is in the
+// way.
 type Reason struct {
 	Code      Code
 	Count     int           // how many: jobs, machines, tasks or failures
@@ -118,7 +123,7 @@
 // Summary is the reason in a sentence, without its figures: it does not change while they do.
 func (r Reason) Summary() string {
 	if int(r.Code) < len(texts) {
-		return texts[r.Code].says
+		return texts[r.Code].sentence
 	}
 	return r.Code.String()
 }
--- a/internal/scheduling/pending/reason_test.go
+++ b/internal/scheduling/pending/reason_test.go
@@ -10,7 +10,7 @@
 func TestCodesHaveText(t *testing.T) {
 	names := map[string]Code{}
 	for c := range numCodes {
-		if texts[c].name == "" || texts[c].says == "" {
+		if texts[c].name == "" || texts[c].sentence == "" {
 			t.Errorf("code %d has no name or no sentence", c)
 		}
 		if other, ok := names[c.String()]; ok {
@@ -28,7 +28,8 @@
 		First:     "req-000007",
 		Remaining: 1500 * time.Millisecond,
 	}
-	if text, want := r.String(), "its team's limit: 3, 4 GPUs needed, 62 of 64 in use, first req-000007, for 1.5s"; text != want {
+	want := "its team's limit: 3, 4 GPUs needed, 62 of 64 in use, first req-000007, for 1.5s"
+	if text := r.String(); text != want {
 		t.Errorf("%q, not %q", text, want)
 	}
 }
