--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// answerFromReplica answers from the replica. Whatever any controller answered a user was in the log before; so a replica
-// that has read the log after the request came can't give an older answer.
+// answerFromReplica answers from the replica. Whatever any controller answered a user was in the log before; so a
+// replica that has read the log after the request came can't give an older answer.
 func (js *jobStatus) answerFromReplica(ctx context.Context, id model.JobID) result.Result {
 	known := false
 	js.loop.postAndWait(func() { known = js.replica.model.Jobs[id] != nil })
