--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -206,8 +206,9 @@
 	ask(http.StatusServiceUnavailable, "7", refused, at, "cancel", "req-000412")
 	ask(http.StatusOK, "", job, nil, "status", "req-000412") // no address
 
-	why := adminapi.Respond(result.Explanation{Explanation: &wire.Explanation{ID: "req-000412", State: wire.JobPending, Node: "n1",
-		Waiting: 4, Starting: 2, WillPlace: 1, Partial: true, Pairs: [][2]string{{"queue", "no-room"}},
+	why := adminapi.Respond(result.Explanation{Explanation: &wire.Explanation{
+		ID: "req-000412", State: wire.JobPending, Node: "n1", Waiting: 4,
+		Starting: 2, WillPlace: 1, Partial: true, Pairs: [][2]string{{"queue", "no-room"}},
 		Reasons: []wire.Reason{{Code: "no-room", Text: "no room"},
 			{Code: "team-limit", Text: "its team's limit", Binding: true, PlacedWithout: 4, PreemptedWithout: 1}},
 		History: []wire.ReasonPeriod{{Code: "paced", SinceS: 5}, {Code: "queue", SinceS: 65}}}}).Body
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -40,15 +40,15 @@
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type serveCmd struct {
-	Config     string        `required:"" help:"Settings file (TOML) of the platform." type:"existingfile"`
-	LogLevel   string        `env:"LOG_LEVEL" default:"info" help:"How much to log: error, info or debug."`
-	Beta       float64       `env:"FIELDHILL_BETA" default:"0.8" help:"DAD: weight of image locality against load, 0 to 1."`
-	Threshold  float64       `env:"FIELDHILL_THRESHOLD" default:"0.5" help:"DAD: scores below it count as local."`
-	WaitRounds int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: rounds a task may wait for a busy machine with its image."`
-	Round      time.Duration `env:"FIELDHILL_ROUND" default:"2s" help:"DAD: length of a round."`
-	Metrics    string        `env:"FIELDHILL_METRICS" placeholder:"HOST:PORT" help:"Where to serve a read-only page of counters and latencies (/metrics); none by default."`
-	Operate    string        `env:"FIELDHILL_OPERATE" placeholder:"HOST:PORT" help:"Where to answer operators (fieldhill why, queue), or :PORT beside the users; nowhere by default."`
-	Duties     bool          `env:"FIELDHILL_DUTIES" help:"Have dealing with the cloud and cleaning up done by whichever controller does it best, each under a lease of its own, once all controllers have this; else the leader does it all."`
+	Config         string        `required:"" help:"Settings file (TOML) of the platform." type:"existingfile"`
+	LogLevel       string        `env:"LOG_LEVEL" default:"info" help:"How much to log: error, info or debug."`
+	Beta           float64       `env:"FIELDHILL_BETA" default:"0.8" help:"DAD: weight of image locality against load, 0 to 1."`
+	Threshold      float64       `env:"FIELDHILL_THRESHOLD" default:"0.5" help:"DAD: scores below it count as local."`
+	WaitRounds     int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: rounds a task may wait for a busy machine with its image."`
+	Round          time.Duration `env:"FIELDHILL_ROUND" default:"2s" help:"DAD: length of a round."`
+	Metrics        string        `env:"FIELDHILL_METRICS" placeholder:"HOST:PORT" help:"Where to serve a read-only page of counters and latencies (/metrics); none by default."`
+	Operate        string        `env:"FIELDHILL_OPERATE" placeholder:"HOST:PORT" help:"Where to answer operators (fieldhill why, queue), or :PORT beside the users; nowhere by default."`
+	SingletonRoles bool          `name:"duties" env:"FIELDHILL_DUTIES" help:"Have dealing with the cloud and cleaning up done by whichever controller does it best, each under a lease of its own, once all controllers have this; else the leader does it all."`
 }
 
 // Validate is called by kong when the flags are read.
@@ -115,7 +115,7 @@
 		RoundInterval:  s.Round,
 		MetricsAddr:    s.Metrics,
 		AdminAddr:      withHost(s.Operate, settings.Bind),
-		SingletonRoles: s.Duties,
+		SingletonRoles: s.SingletonRoles,
 	}, logger).Run(context.Background())
 }
 
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,6 +13,7 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldErrorf(field, format string, args ...any) error {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -166,7 +166,7 @@
 		// Its placement is on the way into the log and nothing else happened: the room need wait neither for the log
 		// nor for the agent's answer.
 		cd.commits.propose(&model.Entry{Kind: model.EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt})
-		cd.loop.roundRequested = true
+		cd.loop.requestRound()
 		return
 	}
 	cd.markForCommands(run.Machine)
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -174,8 +174,8 @@
 	commits.batches <- batch
 }
 
-// gatherWait returns for how long the queued batch may still gather; gathering is false if none does.
-func (cp *commitPipeline) gatherWait() (wait time.Duration, gathering bool) {
+// batchWait returns for how long the queued batch may still gather; pending is false if none is queued.
+func (cp *commitPipeline) batchWait() (wait time.Duration, pending bool) {
 	term := cp.term.ownTerm
 	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
 		return 0, false
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -42,7 +42,7 @@
 	runRound(regular bool)
 	// afterTurn ends a turn: it hands proposed entries to the log and publishes the state for other goroutines. If a
 	// batch still gathers entries, it returns for how long; the loop has another turn when that time is over.
-	afterTurn() (wait time.Duration, gathering bool)
+	afterTurn() (wait time.Duration, pending bool)
 }
 
 // newEventLoop returns a loop that is not yet running; whoever wires it sets turns before run.
@@ -136,7 +136,7 @@
 			roundTimerArmed = true
 			roundTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
 		}
-		if wait, gathering := el.turns.afterTurn(); gathering {
+		if wait, pending := el.turns.afterTurn(); pending {
 			batchTimer.Reset(wait)
 		}
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -156,7 +156,6 @@
 		func() { c.explanations.Queue(ctx, adminapi.Filter{Limit: 1}) },
 		func() { c.roles.publishResult(ctx, c.roles.state.roles[singleton.Provisioning], 300, scaledOut) },
 		func() { c.leases.queryZoneRenewals(ctx, &leaderTerm{}, suspects) },
-		//nolint:contextcheck // its context is the term's
 		func() { c.loop.postAndWait(func() { c.replica.caughtUpAt = time.Now(); c.fence.runBarrierRound() }) },
 		func() { c.loop.postAndWait(c.relay.maintainRelay) },
 		func() {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -96,7 +96,7 @@
 		return hb.replyToStale(machine)
 	}
 	if firstReport {
-		hb.loop.roundRequested = true
+		hb.loop.requestRound()
 	}
 	return hb.replyToMachine(machine)
 }
@@ -177,7 +177,7 @@
 	}
 	machine := hb.replica.model.ByName[status.Machine]
 	hb.observe(machine, status, hb.replica.model.BeginProbe(machine))
-	hb.loop.roundRequested = true
+	hb.loop.requestRound()
 	return hb.replyToMachine(machine)
 }
 
@@ -202,7 +202,7 @@
 		// From here on its lease is renewed again.
 		hb.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
 		hb.commits.propose(&model.Entry{Kind: model.EntryTrust, Machine: machine.ID})
-		hb.loop.roundRequested = true
+		hb.loop.requestRound()
 	}
 	firstReport := !machine.Contact.Reported
 	hb.observe(machine, report, question)
@@ -221,7 +221,7 @@
 	verdict := hb.replica.model.Observe(machine, report, question, hb.now())
 	for _, entry := range verdict.Entries {
 		hb.commits.propose(entry)
-		hb.loop.roundRequested = true
+		hb.loop.requestRound()
 	}
 	if verdict.IsStale() {
 		return verdict
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -98,7 +98,7 @@
 func (in *intake) ingestEntry(entry *model.Entry) uint64 {
 	if in.replica.model.Jobs[entry.Job] == nil && in.replica.model.Finals[entry.Job] == 0 {
 		in.commits.propose(entry)
-		in.loop.roundRequested = true
+		in.loop.requestRound()
 		in.log.Info("job ingested from intake", "job", entry.Spec.ID)
 	}
 	if job := in.replica.model.Jobs[entry.Job]; job != nil {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -140,7 +140,7 @@
 	case machine.Health.Quarantined:
 		mh.heartbeats.logQuarantined(machine)
 	case machine.Health.DoubtSince == 0:
-		mh.loop.roundRequested = true // of use again: its jobs fail elsewhere too
+		mh.loop.requestRound() // of use again: its jobs fail elsewhere too
 	}
 }
 
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -24,10 +24,10 @@
 func (c *Controller) runRound(regular bool) { c.rounds.runScheduler(regular) }
 
 // afterTurn ends a turn of the loop (turnHandler).
-func (c *Controller) afterTurn() (wait time.Duration, gathering bool) {
+func (c *Controller) afterTurn() (wait time.Duration, pending bool) {
 	c.commits.flush()
 	c.forward.publish()
-	return c.commits.gatherWait()
+	return c.commits.batchWait()
 }
 
 // runMaintenance runs the periodic maintenance of each component in turn (turnHandler).
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -179,6 +179,6 @@
 	if !machine.Contact.Reported {
 		term.probes.unresponsive[machine] = true
 		term.probes.recordProbe(term.probes.zoneProbe(machine.Zone), false)
-		pr.loop.roundRequested = true
+		pr.loop.requestRound()
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -101,7 +101,7 @@
 			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
 				"draining", !machine.Lifecycle.Draining)
 			machine.Lifecycle.Draining = !machine.Lifecycle.Draining
-			pv.loop.roundRequested = true
+			pv.loop.requestRound()
 		}
 	}
 }
@@ -218,7 +218,7 @@
 			replacements[offer]++
 		}
 		pv.commits.propose(&model.Entry{Kind: model.EntryGone, Machine: machine.ID})
-		pv.loop.roundRequested = true
+		pv.loop.requestRound()
 	}
 	pv.replaceReleased(term, replacements)
 }
@@ -318,7 +318,7 @@
 		return
 	}
 	pv.commits.propose(&model.Entry{Kind: model.EntryType, Type: offered})
-	pv.loop.roundRequested = true
+	pv.loop.requestRound()
 }
 
 // sameResources tells whether two descriptions of a type differ in nothing but its price.
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -230,7 +230,7 @@
 	}
 	entry := model.Accepted(spec, time.Now().UnixMilli())
 	seq := sb.commits.propose(entry)
-	sb.loop.roundRequested = true
+	sb.loop.requestRound()
 	sb.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
 	sb.answerWhenDurable(term, seq, entry, send)
 }
--- a/internal/platform/msgpackhttp/msgpackhttp.go
+++ b/internal/platform/msgpackhttp/msgpackhttp.go
@@ -22,6 +22,7 @@
 	Body []byte
 }
 
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
 
 // StatusCode returns the status behind an error, or 0 if there was no response.
--- a/internal/replication/oplog/errors.go
+++ b/internal/replication/oplog/errors.go
@@ -26,6 +26,7 @@
 	SnapshotSeq uint64 // to which number the snapshot was that the reader saw
 }
 
+// Error implements error.
 func (e *MissingKeyError) Error() string {
 	return fmt.Sprintf("%s is missing, the snapshot is to %d", e.Key, e.SnapshotSeq)
 }
@@ -36,6 +37,7 @@
 	Err error
 }
 
+// Error implements error.
 func (e *CorruptBatchError) Error() string { return fmt.Sprintf("corrupt batch %d: %v", e.Seq, e.Err) }
 
 // Unwrap gives the cause.
@@ -47,6 +49,7 @@
 	Err error
 }
 
+// Error implements error.
 func (e *CorruptValueError) Error() string {
 	return fmt.Sprintf("corrupt value of %s: %v", e.Key, e.Err)
 }
@@ -57,6 +60,7 @@
 // FormatVersionError says that a value is of a version that this one does not read.
 type FormatVersionError struct{ Version int }
 
+// Error implements error.
 func (e *FormatVersionError) Error() string {
 	return fmt.Sprintf("format version %d is unknown", e.Version)
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -45,16 +45,19 @@
 // FrameSizeError says that the length of a frame is impossible.
 type FrameSizeError struct{ Bytes uint32 }
 
+// Error implements error.
 func (e *FrameSizeError) Error() string { return fmt.Sprintf("rpc: frame of %d bytes", e.Bytes) }
 
 // FrameVersionError says that a frame is of a version that this one does not read.
 type FrameVersionError struct{ Version byte }
 
+// Error implements error.
 func (e *FrameVersionError) Error() string { return fmt.Sprintf("rpc: frame of version %d", e.Version) }
 
 // FrameKindError says that a frame is not of the kind that the other side may send.
 type FrameKindError struct{ Kind byte }
 
+// Error implements error.
 func (e *FrameKindError) Error() string { return fmt.Sprintf("rpc: frame of kind %d", e.Kind) }
 
 func appendFrame(b []byte, kind byte, id uint64, payload []byte) []byte {
