--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -5,11 +5,13 @@
 // UnknownKindError is that an entry of the log is of a kind that this version does not know.
 type UnknownKindError struct{ Kind EntryKind }
 
+// Error names the kind.
 func (e *UnknownKindError) Error() string { return fmt.Sprintf("model: unknown entry kind %d", e.Kind) }
 
 // RepeatedAcceptanceError is that an entry accepts a job that was accepted before.
 type RepeatedAcceptanceError struct{ Job JobID }
 
+// Error names the job.
 func (e *RepeatedAcceptanceError) Error() string {
 	return fmt.Sprintf("model: job %d accepted twice", e.Job)
 }
@@ -22,6 +24,7 @@
 	Machine MachineID
 }
 
+// Error names the task and the machine.
 func (e *MisplacementError) Error() string {
 	return fmt.Sprintf("model: placement of %d/%d on %d does not fit the log", e.Job, e.Task, e.Machine)
 }
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -21,7 +21,7 @@
 		GangWait:        m.GangWait,
 	}
 	c.jobTable = m.jobTable.clone(c.Teams)
-	c.cloneRuns(m)
+	cloneRuns(c, m)
 	return c
 }
 
@@ -100,9 +100,9 @@
 	return copied
 }
 
-// cloneRuns copies the runs of the original between the model's own jobs and machines, which are copies. They keep
+// cloneRuns copies the runs of the original between the jobs and machines of its copy. They keep
 // their order on a machine: decisions may follow it.
-func (m *Model) cloneRuns(original *Model) {
+func cloneRuns(copied, original *Model) {
 	runCount := 0
 	for _, machine := range original.Order {
 		runCount += len(machine.Runs)
@@ -113,11 +113,11 @@
 		for _, r := range machine.Runs {
 			o := &runs[len(runPtrs)]
 			*o = *r
-			o.Job, o.Machine = m.Jobs[r.Job.ID], m.Order[i]
+			o.Job, o.Machine = copied.Jobs[r.Job.ID], copied.Order[i]
 			o.Job.Tasks[r.Task].Run = o
 			runPtrs = append(runPtrs, o)
 		}
-		m.Order[i].Runs = runPtrs[from:len(runPtrs):len(runPtrs)]
+		copied.Order[i].Runs = runPtrs[from:len(runPtrs):len(runPtrs)]
 	}
 }
 
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -15,6 +15,7 @@
 // JobIDError is that an entry accepts a job under a name that is not a job's.
 type JobIDError struct{ ID string }
 
+// Error quotes the name.
 func (e *JobIDError) Error() string { return fmt.Sprintf("model: %q is no job id", e.ID) }
 
 // Append encodes an entry, to the end of b.
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -79,7 +79,9 @@
 }
 
 // UpdateQuarantine judges a machine by the jobs that failed on it, which may since have completed or failed elsewhere.
-func (m *Model) UpdateQuarantine(machine *Machine, now Time) { machine.Health.updateQuarantine(now) }
+func (t *leaderTerm) UpdateQuarantine(machine *Machine, now Time) {
+	machine.Health.updateQuarantine(now)
+}
 
 func (h *MachineHealth) updateQuarantine(now Time) {
 	accusers, provenJobs := 0, 0
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -41,6 +41,7 @@
 	Err     error
 }
 
+// Error names the section and what is wrong in it.
 func (e *CorruptSnapshotError) Error() string {
 	return fmt.Sprintf("model: snapshot: %s: %v", e.Section, e.Err)
 }
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -120,7 +120,7 @@
 // DetectSlow tells whether a machine shows to be slow by what still runs there: tasks of two
 // jobs have taken much longer than their peers, and none that started as late as they did has
 // completed in time. What a slow machine completes shows it too, but long after.
-func (m *Model) DetectSlow(machine *Machine, now Time) bool { return machine.detectSlow(now) }
+func (d *durationStats) DetectSlow(machine *Machine, now Time) bool { return machine.detectSlow(now) }
 
 func (machine *Machine) detectSlow(now Time) bool {
 	if machine.IsSlow(now) {
