--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -209,15 +209,15 @@
 
 // Record notes that a controller, one of so many others, has applied the suspicion and renewed the lease last at a
 // time.
-func (p *ExpiryProof) Record(node, others int, last Time) {
+func (p *ExpiryProof) Record(controller, others int, last Time) {
 	if len(p.lastRenewals) != others {
 		p.lastRenewals = make([]Time, others)
 		for i := range p.lastRenewals {
 			p.lastRenewals[i] = -1
 		}
 	}
-	if node >= 0 && node < others && p.lastRenewals[node] < 0 {
-		p.lastRenewals[node] = max(last, 0)
+	if controller >= 0 && controller < others && p.lastRenewals[controller] < 0 {
+		p.lastRenewals[controller] = max(last, 0)
 	}
 }
 
@@ -238,8 +238,8 @@
 }
 
 // IsMissing tells whether a controller has not reported yet.
-func (p *ExpiryProof) IsMissing(node, others int) bool {
-	return len(p.lastRenewals) != others || p.lastRenewals[node] < 0
+func (p *ExpiryProof) IsMissing(controller, others int) bool {
+	return len(p.lastRenewals) != others || p.lastRenewals[controller] < 0
 }
 
 // Expired tells whether a lease that counts from a time has surely expired: clocks differ by up to a twentieth of a
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -17,17 +17,21 @@
 // already has its share, and once agents follow, no open controller has more than its share and the slack.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := rapid.IntRange(1, 5).Draw(t, "nodes")
-		reference := referenceTable{table: NewTable(nodes), nodeOf: map[string]int{}, lastReport: map[string]Time{}}
-		open := make([]bool, nodes)
+		controllers := rapid.IntRange(1, 5).Draw(t, "controllers")
+		reference := referenceTable{
+			table:        NewTable(controllers),
+			controllerOf: map[string]int{},
+			lastReport:   map[string]Time{},
+		}
+		open := make([]bool, controllers)
 		reference.table.UpdateSpreading(1000, 10)
 		for now := time.Second; now < 200*time.Second; now += time.Second {
 			for i := range open {
 				open[i] = rapid.IntRange(0, 9).Draw(t, "open") > 0
 			}
 			machine := fmt.Sprint("m", rapid.IntRange(0, 60).Draw(t, "machine"))
-			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			reference.report(t, machine, node, open, now)
+			controller := rapid.IntRange(0, controllers-1).Draw(t, "controller")
+			reference.report(t, machine, controller, open, now)
 			if rapid.IntRange(0, 19).Draw(t, "sweep") == 0 {
 				reference.forget(now - 20*time.Second)
 			}
@@ -38,21 +42,21 @@
 
 // referenceTable is a table, and a plain list of what it should say.
 type referenceTable struct {
-	table      *Table
-	nodeOf     map[string]int
-	lastReport map[string]Time
+	table        *Table
+	controllerOf map[string]int
+	lastReport   map[string]Time
 }
 
 // report has a machine report through a controller, and checks where it is sent.
-func (r *referenceTable) report(t *rapid.T, machine string, node int, open []bool, now Time) {
-	r.table.RecordReport(machine, node, now)
-	r.nodeOf[machine], r.lastReport[machine] = node, now
+func (r *referenceTable) report(t *rapid.T, machine string, controller int, open []bool, now Time) {
+	r.table.RecordReport(machine, controller, now)
+	r.controllerOf[machine], r.lastReport[machine] = controller, now
 	before := slices.Clone(r.table.Counts())
-	if to, redirect := r.table.Redirect(machine, node, func(i int) bool { return open[i] }, now); redirect {
-		if to == node || to != Leader && !open[to] || before[to] >= before[node] {
-			t.Fatalf("moved from %d (%d) to %d (%d), open %v", node, before[node], to, before[to], open)
+	if to, redirect := r.table.Redirect(machine, controller, func(i int) bool { return open[i] }, now); redirect {
+		if to == controller || to != Leader && !open[to] || before[to] >= before[controller] {
+			t.Fatalf("moved from %d (%d) to %d (%d), open %v", controller, before[controller], to, before[to], open)
 		}
-		r.nodeOf[machine] = to
+		r.controllerOf[machine] = to
 	}
 }
 
@@ -60,7 +64,7 @@
 	r.table.Forget(before)
 	for machine, at := range r.lastReport {
 		if at < before {
-			delete(r.nodeOf, machine)
+			delete(r.controllerOf, machine)
 			delete(r.lastReport, machine)
 		}
 	}
@@ -68,7 +72,7 @@
 
 func (r *referenceTable) compare(t *rapid.T) {
 	counts := make([]int, len(r.table.Counts()))
-	for machine, at := range r.nodeOf {
+	for machine, at := range r.controllerOf {
 		counts[at]++
 		if r.table.NodeOf(machine) != at {
 			t.Fatalf("%s at %d, want %d", machine, r.table.NodeOf(machine), at)
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -31,7 +31,7 @@
 
 // assignment is the controller that ends an agent's connection.
 type assignment struct {
-	node       int
+	controller int
 	lastReport Time
 	redirected bool // the agent was sent there and has not reported through it yet
 }
@@ -46,12 +46,12 @@
 }
 
 // NewTable makes an empty table for a cell of so many controllers.
-func NewTable(nodes int) *Table {
+func NewTable(controllers int) *Table {
 	return &Table{
 		assignments: map[string]assignment{},
-		counts:      make([]int, nodes),
-		nextPause:   make([]Time, nodes),
-		closedUntil: make([]Time, nodes),
+		counts:      make([]int, controllers),
+		nextPause:   make([]Time, controllers),
+		closedUntil: make([]Time, controllers),
 	}
 }
 
@@ -69,24 +69,24 @@
 func (t *Table) Spreading() bool { return t.spreading }
 
 // RecordReport notes that a machine's heartbeat came through a controller.
-func (t *Table) RecordReport(machine string, node int, now Time) {
+func (t *Table) RecordReport(machine string, controller int, now Time) {
 	previous, known := t.assignments[machine]
 	switch {
-	case previous.redirected && previous.node == node:
-		t.nextPause[node] = 0
-	case previous.redirected && now >= t.closedUntil[previous.node]:
-		t.nextPause[previous.node] = min(maxPause, max(firstPause, 2*t.nextPause[previous.node]))
-		t.closedUntil[previous.node] = now + t.nextPause[previous.node]
+	case previous.redirected && previous.controller == controller:
+		t.nextPause[controller] = 0
+	case previous.redirected && now >= t.closedUntil[previous.controller]:
+		t.nextPause[previous.controller] = min(maxPause, max(firstPause, 2*t.nextPause[previous.controller]))
+		t.closedUntil[previous.controller] = now + t.nextPause[previous.controller]
 	}
 	if known {
-		t.counts[previous.node]--
+		t.counts[previous.controller]--
 	}
-	t.assignments[machine] = assignment{node: node, lastReport: now}
-	t.counts[node]++
+	t.assignments[machine] = assignment{controller: controller, lastReport: now}
+	t.counts[controller]++
 }
 
 // NodeOf is the controller through which a machine last reported; the leader itself if there is none.
-func (t *Table) NodeOf(machine string) int { return t.assignments[machine].node }
+func (t *Table) NodeOf(machine string) int { return t.assignments[machine].controller }
 
 // Counts is how many machines report through each controller.
 func (t *Table) Counts() []int { return t.counts }
@@ -94,28 +94,28 @@
 // Redirect decides whether a machine that reports through a controller is sent to another one. Open tells which
 // controllers take more agents now, and is asked only where agents are spread; the leader always does. The machine
 // counts as moved at once, so that no more are sent than needed.
-func (t *Table) Redirect(machine string, node int, open func(node int) bool, now Time) (to int, redirect bool) {
+func (t *Table) Redirect(machine string, controller int, open func(int) bool, now Time) (to int, redirect bool) {
 	if !t.spreading {
-		return Leader, node != Leader
+		return Leader, controller != Leader
 	}
-	nodes, to := 0, node
+	controllers, to := 0, controller
 	for i := range t.counts {
 		if now < t.closedUntil[i] || i != Leader && !open(i) {
 			continue // the leader too is closed where agents that were sent to it came back
 		}
-		nodes++
+		controllers++
 		if t.counts[i] < t.counts[to] {
 			to = i
 		}
 	}
-	fair := (len(t.assignments) + nodes - 1) / max(1, nodes)
+	fair := (len(t.assignments) + controllers - 1) / max(1, controllers)
 	slack := max(minSlack, fair/slackDivisor)
-	if to == node || t.counts[node] <= fair+slack || t.counts[to] >= fair {
-		return node, false
+	if to == controller || t.counts[controller] <= fair+slack || t.counts[to] >= fair {
+		return controller, false
 	}
-	t.counts[node]--
+	t.counts[controller]--
 	t.counts[to]++
-	t.assignments[machine] = assignment{node: to, lastReport: now, redirected: true}
+	t.assignments[machine] = assignment{controller: to, lastReport: now, redirected: true}
 	return to, true
 }
 
@@ -123,7 +123,7 @@
 func (t *Table) Forget(before Time) {
 	for m, assigned := range t.assignments {
 		if assigned.lastReport < before {
-			t.counts[assigned.node]--
+			t.counts[assigned.controller]--
 			delete(t.assignments, m)
 		}
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestGoldenErrors: people who write settings are told the same of each line that is left out or has another value.
+// TestGoldenErrors: people who write settings get the same error for each line that is left out or has another value.
 func TestGoldenErrors(t *testing.T) {
 	lines := strings.SplitAfter(string(golden.Read(t, "settings.toml")), "\n")
 	var b strings.Builder
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,6 +13,7 @@
 	Problem string
 }
 
+// Error names the setting first.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldErrorf(field, format string, args ...any) error {
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -17,7 +17,7 @@
 // Multiples of the usual time to come up.
 const (
 	lateWhenOthersUp    = 1.7 // late, others that were provisioned no earlier came up
-	lateAlways          = 2.5 // late, as far as can be told
+	lateAlways          = 2.5 // late in any case
 	abandonWhenOthersUp = 2.5 // won't come, others came up
 	abandonAlways       = 3.5 // won't come, or not soon enough
 )
--- a/internal/scheduling/scheduler/awaiting_heartbeats_test.go
+++ b/internal/scheduling/scheduler/awaiting_heartbeats_test.go
@@ -48,7 +48,7 @@
 		s.Round(w.model, model.Time(60+10*i)*1e9, true, w)
 	}
 	if more.Live != 1 || other.Live != 0 || late.Live != 0 || len(w.stopped) != 0 {
-		t.Errorf("early: %d with its image there, %d without, %d low, %v stopped (%d low tasks ran)",
+		t.Errorf("early: %d with its image there, %d without, %d low, %v stopped (%d low-priority tasks ran)",
 			more.Live, other.Live, late.Live, w.stopped, filled)
 	}
 	for _, j := range []*model.Job{other, late} {
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -99,14 +99,14 @@
 		s.Round(w.model, model.Time(120+round)*1e9, true, w)
 	}
 	if len(w.placed) != 24 || len(w.stopped) > 0 {
-		t.Errorf("%d low tasks are placed, %d were stopped for others like them", len(w.placed), len(w.stopped))
+		t.Errorf("%d low-priority tasks are placed, %d were preempted for equal ones", len(w.placed), len(w.stopped))
 	}
 	// The promise is kept to a team whose work all fits.
 	for n := range uint64(10) {
 		w.apply(&model.Entry{Kind: model.EntryCancel, Job: model.JobID(15 + n)})
 	}
 	if s.Round(w.model, 200e9, true, w); len(w.stopped) != 4 {
-		t.Errorf("%d low tasks were stopped for four that are within a guarantee", len(w.stopped))
+		t.Errorf("%d low-priority tasks were preempted for four that are within a guarantee", len(w.stopped))
 	}
 }
 
@@ -119,7 +119,7 @@
 		low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Class, s.EstimateS = 40, "blue", "low", 20 })
 		s.Round(w.model, 0, true, w)
 		if low.Live != 12 {
-			t.Fatalf("%d low tasks are placed", low.Live)
+			t.Fatalf("%d low-priority tasks are placed", low.Live)
 		}
 		if wellServed { // many of their class and team are done
 			for n := range uint64(20) {
@@ -141,7 +141,7 @@
 			t.Fatalf("the gangs' class is under-served %v", underServed)
 		}
 		if (len(w.stopped) == 0) != wellServed {
-			t.Errorf("the gangs' class served well %v: %d low tasks were stopped; %d and %d members run",
+			t.Errorf("the gangs' class served well %v: %d low-priority tasks were preempted; %d and %d members run",
 				wellServed, len(w.stopped), gang.Live, other.Live)
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	s.Round(w.model, 90e9, true, w) // now the class is under-served
 	if first.Live != 4 || len(w.stopped) != 0 {
-		t.Fatalf("the first gang has %d tasks, %v were stopped", first.Live, w.stopped)
+		t.Fatalf("the first gang has %d tasks, %v were preempted", first.Live, w.stopped)
 	}
 	end(first)
 	s.Round(w.model, 100e9, true, w)
@@ -191,7 +191,7 @@
 		begun += j.Live
 	}
 	if begun != 4 || len(w.stopped) != 0 {
-		t.Fatalf("%d small gangs began, should be 4; %v were stopped", begun, w.stopped)
+		t.Fatalf("%d small gangs began, should be 4; %v were preempted", begun, w.stopped)
 	}
 	for _, j := range small {
 		end(j)
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -279,7 +279,7 @@
 		}
 	}
 	if reason := low.Scheduling.PendingReason; web.Live != 1 || low.Live != 2 || reason.Code != pending.NoCapacity {
-		t.Errorf("%d replicas and %d low tasks are placed, the rest waits for %q", web.Live, low.Live, reason)
+		t.Errorf("%d replicas and %d low-priority tasks are placed, the rest waits for %q", web.Live, low.Live, reason)
 	}
 }
 
@@ -503,7 +503,7 @@
 		s.Round(w.model, model.Time(100+i)*1e9, true, w)
 	}
 	if low.Live != 4 || len(w.stopped) != 0 || high.Live+one.Live != 0 {
-		t.Errorf("%d low tasks are placed, %v were stopped", low.Live, w.stopped)
+		t.Errorf("%d low-priority tasks are placed, %v were preempted", low.Live, w.stopped)
 	}
 }
 
@@ -562,7 +562,7 @@
 	w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Image = 9, "red", "j" })
 	s.Round(w.model, 10e9, true, w)
 	if len(to.Runs) != 4 {
-		t.Fatalf("low work does not fill the other machine: %v", w.placed)
+		t.Fatalf("low-priority work does not fill the other machine: %v", w.placed)
 	}
 	from.Lifecycle.Draining = false
 	s.DrainTarget = from
@@ -580,7 +580,7 @@
 	s.Round(w.model, 20.3e9, true, w)
 	from.Lifecycle.Draining = false
 	if len(to.Runs) != 3 {
-		t.Fatalf("low work took the room again: %v", w.placed)
+		t.Fatalf("low-priority work took the room again: %v", w.placed)
 	}
 	if s.Round(w.model, 21e9, true, w); !run.Stop {
 		t.Error("the replica was not moved to the room made for it")
@@ -632,7 +632,7 @@
 		t.Fatalf("placed %v", w.placed)
 	}
 	second := w.submitWeb(3, 2)
-	s.Round(w.model, 20e9, false, w) // a low task is told to stop and does not answer
+	s.Round(w.model, 20e9, false, w) // a low-priority task is preempted and does not answer
 	if s.Round(w.model, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
 		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
 	}
@@ -671,18 +671,18 @@
 		}
 		for round := range 40 {
 			s.Round(w.model, model.Time(20+round)*1e9, true, w)
-			for _, machine := range w.model.Order { // what is told to stop leaves
+			for _, machine := range w.model.Order { // what is preempted leaves
 				w.endStopping(machine)
 			}
 		}
 		if guaranteed {
 			if len(w.stopped) != 0 {
-				t.Errorf("%d tasks that go first were stopped", len(w.stopped))
+				t.Errorf("%d tasks that go first were preempted", len(w.stopped))
 			}
 			continue
 		}
 		if gang.Live != 1 || len(w.stopped) != 4 {
-			t.Errorf("%d tasks of the gang run, %d tasks were stopped for its 4 CPUs", gang.Live, len(w.stopped))
+			t.Errorf("%d tasks of the gang run, %d tasks were preempted for its 4 CPUs", gang.Live, len(w.stopped))
 		}
 	}
 }
@@ -726,7 +726,8 @@
 	for round := range 4 {
 		s.Round(w.model, model.Time(round)*1e9, true, w)
 		if low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
-			t.Fatalf("round %d: %d low tasks, %d replicas, left %v", round, low.Live, web.Live, s.LowPriorityDeferred)
+			t.Fatalf("round %d: %d low-priority tasks, %d replicas, deferred %v",
+				round, low.Live, web.Live, s.LowPriorityDeferred)
 		}
 	}
 }
@@ -762,7 +763,7 @@
 			s.Image, s.ImageGB = "big", c.gb
 		})
 		low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 8 })
-		for i, id := range []model.MachineID{1, 2} { // both have the gang's image, and are full of low work
+		for i, id := range []model.MachineID{1, 2} { // both have the gang's image, and are full of low-priority work
 			machine := w.model.Machines[id]
 			machine.TouchImage(w.model, gang, 0)
 			for k := range 4 {
