--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -78,7 +78,7 @@
 	case job.Cancelled:
 		seq = job.FinalSeq
 	default:
-		seq = cn.commits.propose(&model.Entry{Kind: model.EntryCancel, Job: id})
+		seq = cn.commits.propose(model.NewCancellation(id))
 		job.Observed.CancelledFrom = cn.now()
 		cn.stopJobRuns(job)
 		cn.log.Debug("job cancelled", "job", wire.JobID(uint64(id)))
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -165,7 +165,7 @@
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
 		// Its placement is on the way into the log and nothing else happened: the room need wait neither for the log
 		// nor for the agent's answer.
-		cd.commits.propose(&model.Entry{Kind: model.EntryEnded, Job: run.Job.ID, Task: run.Task, Attempt: run.Attempt})
+		cd.commits.propose(model.NewAttemptEnd(run.Job.ID, run.Task, run.Attempt))
 		cd.loop.requestRound()
 		return
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -188,9 +188,7 @@
 	info := &model.MachineInfo{
 		Name: status.Machine, Addr: status.Addr, Type: status.Type, Zone: status.Zone, Spot: status.Spot,
 	}
-	hb.commits.propose(&model.Entry{
-		Kind: model.EntryMachine, Machine: hb.replica.model.NextMachine, At: time.Now().UnixMilli(), Info: info,
-	})
+	hb.commits.propose(model.NewMachine(hb.replica.model.NextMachine, time.Now().UnixMilli(), info))
 }
 
 // onProbeAnswer takes the answer of a machine to a probe.
@@ -201,7 +199,7 @@
 	if machine.Suspect && hb.term.isActive() {
 		// From here on its lease is renewed again.
 		hb.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
-		hb.commits.propose(&model.Entry{Kind: model.EntryTrust, Machine: machine.ID})
+		hb.commits.propose(model.NewTrust(machine.ID))
 		hb.loop.requestRound()
 	}
 	firstReport := !machine.Contact.Reported
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -165,7 +165,7 @@
 func (mh *machineHealth) markSuspect(machine *model.Machine) {
 	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone,
 		"tasks", len(machine.Runs))
-	seq := mh.commits.propose(&model.Entry{Kind: model.EntrySuspect, Machine: machine.ID})
+	seq := mh.commits.propose(model.NewSuspicion(machine.ID))
 	mh.commits.whenCommitted(seq, func(ok bool) {
 		if ok {
 			machine.SuspicionCommitted(seq, mh.now())
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -45,7 +45,7 @@
 	}
 	info := machine.Info
 	info.Addr = addr
-	pv.commits.propose(&model.Entry{Kind: model.EntryMachine, Machine: machine.ID, At: machine.At, Info: &info})
+	pv.commits.propose(model.NewMachine(machine.ID, machine.At, &info))
 }
 
 // releaseMachine has a machine released once the log has it; its tasks are gone when the cloud says so.
@@ -53,7 +53,7 @@
 	if machine.Releasing {
 		return
 	}
-	pv.commits.propose(&model.Entry{Kind: model.EntryRelease, Machine: machine.ID})
+	pv.commits.propose(model.NewRelease(machine.ID))
 	pv.metrics.ScaledIn.Inc()
 	pv.log.Info("machine released", "machine", machine.Info.Name, "type", machine.Info.Type,
 		"zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
@@ -175,11 +175,9 @@
 		return
 	}
 	// The holder of the role reads it in the log.
-	pv.commits.propose(&model.Entry{
-		Kind:  model.EntryIntent,
-		Info:  &model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot},
-		Count: order.Count,
-	})
+	pv.commits.propose(model.NewIntent(
+		&model.MachineInfo{Name: order.Name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}, order.Count,
+	))
 }
 
 // onProvisionerResult takes in what came of a request to the cloud. It is for the leader's loop.
@@ -217,7 +215,7 @@
 		if machine.Suspect {
 			replacements[offer]++
 		}
-		pv.commits.propose(&model.Entry{Kind: model.EntryGone, Machine: machine.ID})
+		pv.commits.propose(model.NewMachineGone(machine.ID))
 		pv.loop.requestRound()
 	}
 	pv.replaceReleased(term, replacements)
@@ -266,18 +264,13 @@
 	}
 	if intent {
 		// Behind its machines: a successor that finds it open requests it again, and is given the same names.
-		pv.commits.propose(&model.Entry{Kind: model.EntryIntentDone, Info: &model.MachineInfo{Name: order.Name}})
+		pv.commits.propose(model.NewIntentDone(order.Name))
 	}
 }
 
 // recordMachine logs a machine that the log does not have, and that has been up for so long.
 func (pv *provisioning) recordMachine(info model.MachineInfo, ageMillis int64) {
-	pv.commits.propose(&model.Entry{
-		Kind:    model.EntryMachine,
-		Machine: pv.replica.model.NextMachine,
-		At:      time.Now().UnixMilli() - ageMillis,
-		Info:    &info,
-	})
+	pv.commits.propose(model.NewMachine(pv.replica.model.NextMachine, time.Now().UnixMilli()-ageMillis, &info))
 }
 
 // maxListDuration is more than it takes to read the whole list of machines, unless it is seen to take longer: it has a
@@ -317,7 +310,7 @@
 		types[id].Price, types[id].SpotPrice = offered.Price, offered.SpotPrice
 		return
 	}
-	pv.commits.propose(&model.Entry{Kind: model.EntryType, Type: offered})
+	pv.commits.propose(model.NewMachineType(offered))
 	pv.loop.requestRound()
 }
 
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -35,14 +35,7 @@
 		"image_cached", machine.HasImage(job.Image), "score", score)
 	sr.metrics.Placed.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
-	sr.commits.propose(&model.Entry{
-		Kind:    model.EntryPlace,
-		Job:     job.ID,
-		Task:    task,
-		Attempt: attempt,
-		Machine: machine.ID,
-		Session: machine.Contact.Session,
-	})
+	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.Session))
 	sr.dispatch.markForCommands(machine)
 }
 
--- a/internal/scheduling/explanation/simulation.go
+++ b/internal/scheduling/explanation/simulation.go
@@ -40,14 +40,7 @@
 // Bind applies a placement.
 func (d *dryRunBinder) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
 	d.seq++
-	err := d.model.Apply(&model.Entry{
-		Kind:    model.EntryPlace,
-		Job:     j.ID,
-		Task:    task,
-		Attempt: attempt,
-		Machine: machine.ID,
-		Session: machine.Contact.Session,
-	}, d.seq, 0)
+	err := d.model.Apply(model.NewPlacement(j.ID, task, attempt, machine.ID, machine.Contact.Session), d.seq, 0)
 	// An entry that does not apply would be one that the scheduler should not have decided; then
 	// it counts for nothing here, as there.
 	if err == nil && j == d.job {
@@ -138,7 +131,7 @@
 	for i := range s.job.Tasks {
 		if r := s.job.Tasks[i].Run; r != nil {
 			// It can't fail: the run is there. The job may settle if it was cancelled.
-			ended := &model.Entry{Kind: model.EntryEnded, Job: s.job.ID, Task: r.Task, Attempt: r.Attempt}
+			ended := model.NewAttemptEnd(s.job.ID, r.Task, r.Attempt)
 			_ = s.model.Apply(ended, 0, s.now)
 		}
 	}
@@ -187,7 +180,7 @@
 func (s *simulation) addMachine(info *model.MachineInfo) {
 	id := s.model.NextMachine
 	// Names of machines in the model come from the cloud, so this one is new.
-	if s.model.Apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info}, 0, s.now) != nil {
+	if s.model.Apply(model.NewMachine(id, 0, info), 0, s.now) != nil {
 		return
 	}
 	machine := s.model.Machines[id]
