--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -9,25 +9,24 @@
 	"fieldhill/internal/rpc"
 )
 
-// commitFence proves, out of touch with the key-value store, until when nothing was committed that this controller
-// lacks. The loop owns its fields.
+// commitFence establishes, while this controller is disconnected from the key-value store, the latest time up to which
+// its copy of the log is known to contain every committed entry. The event loop owns its fields.
 type commitFence struct {
 	*environment
 	loop    *eventLoop
 	replica *replica
 	term    *termState
 
-	provenAt         time.Time // the other controllers showed that nothing this one lacks was committed by then
-	lastBarrierRound time.Time // when they were last asked
+	provenAt         time.Time // the other controllers confirmed that the local copy was complete at this time
+	lastBarrierRound time.Time // start of the last barrier round
 }
 
-// newCommitFence makes a fence that has proven nothing.
 func newCommitFence(env *environment, loop *eventLoop, replica *replica, term *termState) *commitFence {
 	return &commitFence{environment: env, loop: loop, replica: replica, term: term}
 }
 
-// knownCommittedAt is when this controller last knew of all that had been committed: its copy of the log was complete,
-// or a barrier round proved it.
+// knownCommittedAt returns the latest time at which the local copy of the log was known to be complete, either because
+// it was read to its end or because a barrier round confirmed it.
 func (cf *commitFence) knownCommittedAt() time.Time {
 	if cf.provenAt.After(cf.replica.caughtUpAt) {
 		return cf.provenAt
@@ -35,25 +34,25 @@
 	return cf.replica.caughtUpAt
 }
 
-// barrierInterval is how often a controller that is out of touch asks the others for their watermarks.
+// barrierInterval is the interval between barrier rounds, and the timeout of the queries of one round.
 const barrierInterval = 2 * time.Second
 
-// replyWatermarks answers a controller that is out of touch.
+// replyWatermarks answers the watermark query of a controller that is disconnected from the key-value store.
 func (cf *commitFence) replyWatermarks(ctx context.Context) result.Result {
 	return cf.loop.answer(ctx, func(send func(result.Result)) {
 		send(result.Done{Body: cf.replica.watermarks.Report(cf.now()).Append(nil)})
 	})
 }
 
-// barrierRound is one round of asking all other controllers for their watermarks.
+// barrierRound is one round of querying all other controllers for their watermarks.
 type barrierRound struct {
 	*commitfence.BarrierRound
-	generation int // of the copy that the round is about
+	generation int // replica.generation at the start of the round
 }
 
-// runBarrierRound asks all other controllers whether anything may have been committed that this one does not know of,
-// while it can't read the log. If all can be asked and none has, agents' leases are renewed for longer: without this
-// an outage of the key-value store longer than the bound ends all work.
+// runBarrierRound asks all other controllers whether anything may have been committed that this one has not seen while
+// it cannot read the log. If all of them answer and none has, it may go on renewing agents' leases. Without this, a
+// key-value store outage longer than StaleRenewalLimit would let all leases expire and end all tasks.
 func (cf *commitFence) runBarrierRound() {
 	now := time.Now()
 	if !cf.barrierDue(now) {
@@ -75,8 +74,8 @@
 	}
 }
 
-// barrierDue tells whether a round is of use: this controller is out of touch, its copy is not too old to be vouched
-// for, and all the others can be asked.
+// barrierDue reports whether to start a round: this controller is disconnected from the key-value store, its copy of
+// the log is not older than the renewal limit, and all other controllers are reachable.
 func (cf *commitFence) barrierDue(now time.Time) bool {
 	if cf.term.isActive() || !cf.replica.loaded || cf.term.ownTerm == nil && cf.replica.isStoreReachable() ||
 		now.Sub(cf.knownCommittedAt()) > cf.settings.StaleRenewalLimit() ||
@@ -91,8 +90,8 @@
 	return true
 }
 
-// queryWatermark asks the controller with this index for its watermark and records the answer. Without one, or with
-// one from an older version or a busy controller, the bound stays as it was.
+// queryWatermark queries the controller with the given index and records its watermark. If there is no answer, or the
+// controller is busy or of an older version that does not support the query, the proven time is unchanged.
 func (cf *commitFence) queryWatermark(ctx context.Context, round *barrierRound, index int, link *rpc.Link) {
 	ctx, cancel := context.WithTimeout(ctx, barrierInterval)
 	defer cancel()
@@ -111,11 +110,11 @@
 	})
 }
 
-// advance moves the proven time forward if a round has proven a later one.
+// advance moves provenAt forward if the round has proven a later time.
 func (cf *commitFence) advance(round *barrierRound) {
 	provenOffset, ok := round.Proven()
 	if !ok || cf.replica.generation != round.generation || !cf.replica.loaded {
-		return // not proven, or the copy that the round was about is gone
+		return // not proven, or the copy has been replaced since the round began
 	}
 	provenAt := cf.startTime.Add(provenOffset)
 	if !provenAt.After(cf.knownCommittedAt()) {
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -8,22 +8,22 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// commitPipeline proposes entries, groups them into batches, and notifies callers once a batch is committed. The loop
-// owns it. It applies entries to the replica at once, so that later decisions build on them; whatever leaves this
-// controller waits for the commit.
+// commitPipeline proposes log entries, groups them into batches, and notifies callers once a batch is committed. The
+// event loop owns it. Entries are applied to the replica's model immediately, so that later decisions build on them;
+// commands and responses that depend on them are sent only after the commit.
 type commitPipeline struct {
 	*environment
 	replica *replica
 	term    *termState
-	// afterCommit is called by each commit, after the callbacks that waited for it.
+	// afterCommit is called after each commit, when the callbacks registered for it have run.
 	afterCommit func(term *leaderTerm)
-	// compactsLog tells whether the leader compacts the log itself, which otherwise the holder of that role does.
+	// compactsLog reports whether the leader compacts the log itself, rather than the holder of the compaction role.
 	compactsLog func() bool
 
-	snapshotInterval int // batches between two compactions; tests change it
+	snapshotInterval int // batches between two compactions; overridden in tests
 }
 
-// newCommitPipeline makes a pipeline; whoever wires it sets its callbacks.
+// newCommitPipeline returns a pipeline whose callbacks the caller has to set before it is used.
 func newCommitPipeline(env *environment, replica *replica, term *termState) *commitPipeline {
 	return &commitPipeline{
 		environment:      env,
@@ -33,46 +33,46 @@
 	}
 }
 
-// commitPipelineTerm is the commit pipeline's state of one term of leadership. The loop owns it; the channels go to
-// the term's writer and compactor, which leadership runs.
+// commitPipelineTerm is the commit pipeline's state for one leadership term. The event loop owns it; the channels feed
+// the term's log writer and compactor goroutines, which leadership runs.
 type commitPipelineTerm struct {
 	committedSeq         uint64    // last batch known to be committed
-	writeInFlight        bool      // the batch after it is with the writer
-	writeStarted         time.Time // when it was handed over
-	queue                [][]byte  // batches not yet handed to the writer; the last one grows
-	urgent               bool      // the queue holds an entry that somebody waits for
-	queuedAt             time.Time // since when the queue gathers
+	writeInFlight        bool      // batch committedSeq+1 is being written
+	writeStarted         time.Time // when it was passed to the writer
+	queue                [][]byte  // batches not yet passed to the writer; entries are appended to the last one
+	urgent               bool      // the queue may hold an urgent entry, see isUrgent
+	queuedAt             time.Time // start of the batching delay
 	batches              chan oplog.Batch
 	commitWaiters        []commitWaiter
 	batchesSinceSnapshot int
 	snapshots            chan snapshot
 }
 
-// snapshot is the replica's state after the batch seq, for the compactor.
+// snapshot is the encoded model after batch seq, to be written by the compactor.
 type snapshot struct {
 	seq  uint64
 	data []byte
 }
 
-// commitWaiter is a callback that gets whether the batch seq was committed; false says that this controller can no
-// longer know.
+// commitWaiter is a callback that is told whether batch seq was committed. false means that the outcome is unknown to
+// this controller.
 type commitWaiter struct {
 	seq      uint64
 	onResult func(ok bool)
 }
 
 const (
-	// defaultSnapshotInterval is after how many batches the log is compacted.
+	// defaultSnapshotInterval is the number of batches after which the log is compacted.
 	defaultSnapshotInterval = 500
-	// batchDelay is how long entries that are not urgent may wait for others.
+	// batchDelay is how long non-urgent entries may wait for others to join their batch.
 	batchDelay = 250 * time.Millisecond
-	// stalledWrite and stalledQueue are from when on the log counts as stalled: new jobs are refused and nothing is
-	// placed until it has caught up.
-	stalledWrite = 1200 * time.Millisecond
-	stalledQueue = 16
+	// maxWriteTime and maxQueuedBatches are the duration of the current write and the number of queued batches beyond
+	// which the log counts as stalled: new jobs are refused and no tasks are placed until it has caught up.
+	maxWriteTime     = 1200 * time.Millisecond
+	maxQueuedBatches = 16
 )
 
-// nextSeq is the number of the batch that an entry proposed now would be part of.
+// nextSeq returns the number of the batch that an entry proposed now would be appended to.
 func (r *leaderTerm) nextSeq() uint64 {
 	seq := r.commits.committedSeq
 	if r.commits.writeInFlight {
@@ -81,13 +81,14 @@
 	return seq + uint64(max(1, len(r.commits.queue)))
 }
 
-// stalled tells whether a write has been under way for suspiciously long, or too much waits behind it.
+// stalled reports whether the current write takes too long or too many batches are queued behind it.
 func (r *leaderTerm) stalled() bool {
 	commits := &r.commits
-	return commits.writeInFlight && time.Since(commits.writeStarted) > stalledWrite || len(commits.queue) > stalledQueue
+	return commits.writeInFlight && time.Since(commits.writeStarted) > maxWriteTime ||
+		len(commits.queue) > maxQueuedBatches
 }
 
-// propose appends an entry to the log and applies it; it returns the number of its batch.
+// propose queues an entry for the log, applies it to the model, and returns the number of its batch.
 func (cp *commitPipeline) propose(entry *model.Entry) uint64 {
 	term := cp.term.ownTerm
 	commits := &term.commits
@@ -101,10 +102,11 @@
 	return seq
 }
 
-// enqueue adds an entry to the last queued batch, or to a new one if it is full, and returns the batch's index in the
-// queue. With ahead it goes into the first batch that has space: the caller vouches that no queued entry refers to it.
-// That is so for a job's acceptance, for which a user waits; it need not wait behind bulk.
-func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, ahead bool) int {
+// enqueue adds an entry to the last queued batch, or to a new one if that is full, and returns the batch's index in the
+// queue. With firstFit, the entry goes into the first batch that has space; the caller guarantees that it does not
+// depend on any queued entry. This holds for the acceptance of a job, which then does not wait behind bulk entries
+// while a user waits for the response.
+func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, firstFit bool) int {
 	if len(commits.queue) == 0 {
 		commits.queuedAt = time.Now()
 	}
@@ -113,7 +115,7 @@
 		commits.queue = append(commits.queue, nil)
 	}
 	index := len(commits.queue) - 1
-	if ahead {
+	if firstFit {
 		if first := slices.IndexFunc(commits.queue, hasSpace); first >= 0 {
 			index = first
 		}
@@ -122,9 +124,9 @@
 	return index
 }
 
-// isUrgent tells whether somebody waits for an entry: a user for a response, or work of high priority for its start.
-// The rest may gather for a while, so that the few writes a second that the key-value store takes carry more, and are
-// left for what is urgent.
+// isUrgent reports whether a user waits for a response that depends on the entry, or it starts high-priority work.
+// Other entries are delayed and batched, because the key-value store accepts only a few writes per second: each write
+// then carries more, and urgent entries find the log idle.
 func (cp *commitPipeline) isUrgent(entry *model.Entry) bool {
 	switch entry.Kind {
 	case model.EntryAccept, model.EntryCancel:
@@ -136,8 +138,8 @@
 	return false
 }
 
-// whenCommitted calls onResult with true once a batch is committed, or with false once it is known that this
-// controller can't tell.
+// whenCommitted calls onResult with true once the batch is committed, or with false once the outcome cannot be known to
+// this controller any more, because its term has ended.
 func (cp *commitPipeline) whenCommitted(seq uint64, onResult func(ok bool)) {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -151,8 +153,8 @@
 	term.commits.commitWaiters = append(term.commits.commitWaiters, commitWaiter{seq, onResult})
 }
 
-// flush hands the next batch to the writer when it is free, and when the batch is urgent, full or has gathered for
-// long enough.
+// flush passes the next batch to the writer if the writer is free and the batch is urgent, full, or older than
+// batchDelay.
 func (cp *commitPipeline) flush() {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -170,11 +172,11 @@
 	commits.writeInFlight, commits.writeStarted = true, time.Now()
 	cp.metrics.LogBytes.Add(len(batch.Data))
 	commits.queuedAt = commits.writeStarted
-	commits.urgent = commits.urgent && len(commits.queue) > 0 // more of it may be there
+	commits.urgent = commits.urgent && len(commits.queue) > 0 // the other batches may hold urgent entries too
 	commits.batches <- batch
 }
 
-// batchWait returns for how long the queued batch may still gather; pending is false if none is queued.
+// batchWait returns the remaining batching delay; pending is false if no batch is waiting for it.
 func (cp *commitPipeline) batchWait() (wait time.Duration, pending bool) {
 	term := cp.term.ownTerm
 	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
@@ -183,7 +185,7 @@
 	return max(0, batchDelay-time.Since(term.commits.queuedAt)), true
 }
 
-// onCommitted notes that a batch is committed, tells who waits for it, and has the log compacted when that is due.
+// onCommitted records that a batch is committed, notifies its waiters, and triggers a compaction if one is due.
 func (cp *commitPipeline) onCommitted(term *leaderTerm, seq uint64) {
 	if cp.term.ownTerm != term {
 		return
@@ -200,7 +202,7 @@
 	cp.offerSnapshot(term, seq)
 }
 
-// takeWaiters removes those who wait for a batch up to seq, and returns them in the order in which they came.
+// takeWaiters removes the waiters for batches up to seq and returns them in the order of registration.
 func (commits *commitPipelineTerm) takeWaiters(seq uint64) []commitWaiter {
 	var ready []commitWaiter
 	kept := commits.commitWaiters[:0]
@@ -216,8 +218,8 @@
 	return ready
 }
 
-// offerSnapshot hands a snapshot to the compactor if enough batches came since the last one, nothing is applied that
-// is not committed, and the compactor is free.
+// offerSnapshot passes a snapshot to the compactor if enough batches were committed since the last one, the model
+// contains no uncommitted entries, and the compactor is free.
 func (cp *commitPipeline) offerSnapshot(term *leaderTerm, seq uint64) {
 	commits := &term.commits
 	commits.batchesSinceSnapshot++
@@ -231,7 +233,7 @@
 	}
 }
 
-// failWaiters tells all waiters that this controller can't know what becomes of their batches.
+// failWaiters tells all waiters that the outcome of their batches is unknown.
 func (commits *commitPipelineTerm) failWaiters() {
 	for _, waiter := range commits.commitWaiters {
 		waiter.onResult(false)
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -7,9 +7,9 @@
 	"fieldhill/internal/replication/singleton"
 )
 
-// newComponents makes all components and connects each with those that it uses. Those of the core are made in the
-// order of their dependencies; the others use each other both ways, so they are made first and then connected, by one
-// function for each, which shows what it uses.
+// newComponents creates all components and sets the dependencies of each. The core components are created in dependency
+// order. The others depend on each other in both directions, so they are created first and connected afterwards, by one
+// function per component that lists its dependencies.
 func newComponents(env *environment) *Controller {
 	c := &Controller{environment: env}
 	makeCore(c)
@@ -39,7 +39,7 @@
 	return c
 }
 
-// makeCore makes the loop, the state of the log, and leadership.
+// makeCore creates the event loop, the replicated state, and leadership.
 func makeCore(c *Controller) {
 	env := c.environment
 	c.loop = newEventLoop(env)
@@ -51,11 +51,11 @@
 	c.leadership = newLeadership(env, c.loop, c.term, c.replica, c.forward, c.commits)
 }
 
-// connectCore has the core call the components that depend on it, by callbacks and narrow interfaces.
+// connectCore sets the callbacks and interfaces through which the core calls components that depend on it.
 func connectCore(c *Controller) {
-	c.loop.turns = c
+	c.loop.handler = c
 	c.replica.onReset = func() {
-		// They go by machines' numbers in the log, and those of machines that are gone need not be kept.
+		// Entries are keyed by machine IDs of the dropped model; those of removed machines need not be kept.
 		c.keepalives.clearedMachines = clearedMachines{}
 	}
 	c.commits.afterCommit = c.dispatch.sendCommitted
@@ -70,13 +70,13 @@
 	}
 }
 
-// makeAgentSide makes the components that deal with agents, machines and the cloud, unconnected.
+// makeAgentSide creates the components that deal with agents, machines and the cloud, without their dependencies.
 func makeAgentSide(c *Controller) {
 	env := c.environment
 	sockets, maxConns := env.settings.Params.Limits.MaxSockets, env.connLimiter.MaxConns
 	c.leases = &leaseRenewal{environment: env, renewals: lease.NewRenewalTable(env.now())}
 	c.assignments = &relayAssignments{environment: env, spreadThreshold: maxConns * 3 / 4}
-	c.relay = &relayAgent{environment: env, state: newRelaying(maxConns, sockets)}
+	c.relay = &relayAgent{environment: env, state: newRelayState(maxConns, sockets)}
 	c.probes = &probes{
 		environment:       env,
 		maxZoneProbes:     zoneProbeLimit(sockets, len(env.settings.Params.Zones)),
@@ -92,7 +92,7 @@
 	c.health = &machineHealth{environment: env}
 }
 
-// makeUserSide makes the components that deal with jobs, users and operators, unconnected.
+// makeUserSide creates the components that deal with jobs, users and operators, without their dependencies.
 func makeUserSide(c *Controller) {
 	env := c.environment
 	writeRPS := env.settings.Params.KVStore.WriteRPS
@@ -109,7 +109,7 @@
 	}
 }
 
-// Each of the functions below gives one component those that it uses.
+// Each function below sets the dependencies of one component.
 
 func connectLeases(c *Controller) {
 	c.leases.fence = c.fence
@@ -290,8 +290,8 @@
 	c.telemetry.term = c.term
 }
 
-// newRelaying bounds what a relay passes on at the same time.
-func newRelaying(connections, sockets int) *relaying {
+// newRelayState returns the state of a relay, with limits on what it forwards concurrently.
+func newRelayState(connections, sockets int) *relaying {
 	limit := relayedLimit(connections)
 	return &relaying{
 		reports: make(slots, limit),
@@ -300,7 +300,7 @@
 	}
 }
 
-// newRoleState makes the state of a controller that takes part in holding the singleton roles and holds none yet.
+// newRoleState returns the state of a controller that takes part in the singleton roles and holds none yet.
 func newRoleState(node string) *roleState {
 	state := &roleState{participants: map[string]bool{}}
 	for i := range state.roles {
@@ -310,7 +310,7 @@
 	return state
 }
 
-// requestHandlers joins the components that answer users, agents and health checks (api.Service).
+// requestHandlers combines the components that answer users, agents and health checks into an api.Service.
 type requestHandlers struct {
 	*submissions
 	*jobStatus
@@ -319,7 +319,6 @@
 	*readiness
 }
 
-// requestHandlers returns the handlers for the API's server.
 func (c *Controller) requestHandlers() requestHandlers {
 	return requestHandlers{c.submissions, c.jobStatus, c.cancellations, c.heartbeatRouter, c.readiness}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,13 +1,13 @@
-// Package controller is the cluster's controller: it accepts jobs, schedules their tasks onto machines, keeps the
-// agents on them alive, and scales the fleet. One of several controllers leads; the others follow the replicated log
-// and stand ready for failover.
+// Package controller implements the cluster's controller. It accepts jobs, schedules their tasks onto machines, renews
+// the leases of the machines' agents, and scales the fleet. One of several controllers is the leader; the others follow
+// the replicated log and can take over from it.
 //
-// One goroutine, the event loop, owns the model and the state of all components. Users, agents, the log, the cloud
-// and the other controllers reach it by posting work to it.
+// A single goroutine, the event loop, owns the model and the state of all components. All other goroutines, which serve
+// users, agents and other controllers or watch the log and the cloud, post their work to it.
 //
-// Nothing is done and nothing is answered before it is in the log: entries are applied to the model at once, so that
-// later decisions build on them, but commands and responses that depend on them wait until their batch is committed.
-// If leadership is lost, the model is thrown away and read anew.
+// No command or response leaves the controller before the entries it depends on are committed to the log. Entries are
+// applied to the model immediately, so that later decisions build on them; commands and responses wait until their
+// batch is committed. When leadership is lost, the model is discarded and reloaded.
 package controller
 
 import (
@@ -31,9 +31,9 @@
 	"fieldhill/wire"
 )
 
-// Controller makes the components, wires them, runs their goroutines and the periodic maintenance, and dispatches
-// other controllers' requests. It has no state of its own: each component's is the component's, and the loop's to
-// change.
+// Controller creates the components, connects them, runs their goroutines and the periodic maintenance, and dispatches
+// requests from other controllers. It has no state of its own: each component holds its state, which only the event
+// loop changes.
 type Controller struct {
 	*environment
 	loop            *eventLoop
@@ -65,20 +65,21 @@
 	telemetry       *telemetry
 }
 
-// Options are what an operator sets for one controller by flags, beside the settings that the service has in common.
+// Options are the per-controller options that an operator sets by flags, in addition to the settings that all
+// controllers share.
 type Options struct {
-	Beta          float64       // of the scheduler's parameters, see scheduler.Params
-	Threshold     float64       // likewise
-	WaitRounds    int           // likewise
+	Beta          float64       // scheduler parameter, see scheduler.Params
+	Threshold     float64       // scheduler parameter
+	WaitRounds    int           // scheduler parameter
 	RoundInterval time.Duration // between regular scheduling rounds
-	MetricsAddr   string        // address of the metrics page; "": none
-	AdminAddr     string        // address of the admin API; "": none
-	// SingletonRoles has the provisioner's and the compactor's work held one by one, by whichever controller does it
-	// best, once all controllers have this set.
+	MetricsAddr   string        // address of the metrics page; disabled if empty
+	AdminAddr     string        // address of the admin API; disabled if empty
+	// SingletonRoles distributes the provisioner and the log compactor as separate roles, each held by the controller
+	// best placed to do the work. It takes effect once all controllers have it set.
 	SingletonRoles bool
 }
 
-// New makes a controller; Run runs it.
+// New creates a controller, which serves once Run is called.
 func New(network host.Net, settings *config.Settings, options Options, logger *slog.Logger) *Controller {
 	c := newComponents(newEnvironment(network, settings, options, logger))
 	c.replica.reset()
@@ -86,12 +87,12 @@
 	return c
 }
 
-// listeners are the sockets that a controller serves on; metrics and admin are nil if they are not configured.
+// listeners are the sockets that a controller serves on; metrics and admin are nil if not configured.
 type listeners struct {
 	api, peers, metrics, admin net.Listener
 }
 
-// listen opens all listeners, or none.
+// listen opens all configured listeners. If one fails, it closes the others and returns an error.
 func (c *Controller) listen() (*listeners, error) {
 	opened := &listeners{}
 	for _, endpoint := range []struct {
@@ -116,7 +117,7 @@
 	return opened, nil
 }
 
-// close closes what is open.
+// close closes the listeners that are open.
 func (l *listeners) close() error {
 	var errs []error
 	for _, listener := range []net.Listener{l.api, l.peers, l.metrics, l.admin} {
@@ -127,8 +128,8 @@
 	return errors.Join(errs...)
 }
 
-// Run serves until the context ends or something that a controller can't do without fails, and returns which. All
-// goroutines have ended when it returns.
+// Run serves until the context ends or an essential task fails, and returns the cause. All goroutines have ended when
+// it returns.
 func (c *Controller) Run(ctx context.Context) error {
 	opened, err := c.listen()
 	if err != nil {
@@ -143,14 +144,14 @@
 	<-ctx.Done()
 	if c.roles.state != nil {
 		<-c.loop.done
-		c.roles.revokeRoles() //nolint:contextcheck // the context has ended; this has a timeout of its own
+		c.roles.revokeRoles() //nolint:contextcheck // the context has ended; revokeRoles has its own timeout
 	}
 	c.close()
-	_ = tasks.Wait() // the error that ended the context is its cause
+	_ = tasks.Wait() // the first error is the cause of the context
 	return context.Cause(ctx)
 }
 
-// startCore starts the loop, and what it has to do with the log and with the other controllers.
+// startCore starts the event loop, replication, and communication with the other controllers.
 func (c *Controller) startCore(ctx context.Context, tasks *errgroup.Group, opened *listeners) {
 	start := func(task func(context.Context)) {
 		tasks.Go(func() error { task(ctx); return nil })
@@ -170,10 +171,10 @@
 	}
 }
 
-// maxMetricsConns bounds the connections to the metrics page.
+// maxMetricsConns limits the concurrent connections to the metrics page.
 const maxMetricsConns = 4
 
-// startServers starts what answers users, agents and operators.
+// startServers starts the servers for users, agents and operators.
 func (c *Controller) startServers(ctx context.Context, tasks *errgroup.Group, opened *listeners) {
 	tasks.Go(func() error {
 		handler := api.Handler(c.requestHandlers(), c.log, c.connLimiter, c.metrics.ObserveRequest)
@@ -193,7 +194,7 @@
 	}
 }
 
-// taskError names the part of the controller that failed.
+// taskError prefixes an error with the name of the task that failed.
 func taskError(name string, err error) error {
 	if err == nil {
 		return nil
@@ -201,8 +202,8 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// handlePeerRequest answers another controller. Which component may answer depends on whether this one leads, and
-// where it does not, on whether it is in touch with the key-value store.
+// handlePeerRequest answers a request from another controller. Which component answers depends on whether this
+// controller is the leader and, if it is not, on whether it can reach the key-value store.
 func (c *Controller) handlePeerRequest(ctx context.Context, request *rpc.Request) *rpc.Response {
 	switch request.Op {
 	case rpc.OpPing:
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -11,24 +11,25 @@
 	"fieldhill/internal/rpc"
 )
 
-// eligibility decides whether this controller may stand for election, from what the other controllers say of
-// themselves in pings. The links' goroutines and the replication's use it, and it must answer pings also while the
-// loop is late, so it has a lock of its own, which guards watch. warm is written by the loop; the rest never changes.
+// eligibility decides whether this controller may stand for election, based on the status that the other controllers
+// report in answers to pings. It is used by the goroutines of the links and of replication, and has to answer pings
+// even while the event loop is delayed, so it has its own lock, which guards state. The event loop writes warm; the
+// other fields never change.
 type eligibility struct {
 	node        string
-	nodeIndex   map[string]int // of the other controllers, by node: their index in the settings
-	incarnation uint64         // tells this process from earlier ones of its node
+	nodeIndex   map[string]int // index in settings.Members, by node
+	incarnation uint64         // identifies this process among successive ones of the node
 	now         func() model.Time
-	warm        atomic.Bool // the replica is complete, and was so a moment ago
+	warm        atomic.Bool // the replica is up to date
 
 	mu    sync.Mutex
-	watch *candidacy.Eligibility
+	state *candidacy.Eligibility
 }
 
-// newEligibility makes it and has the links' pings carry what it needs to know of the other controllers.
+// newEligibility creates an eligibility and registers it with the links, so that their pings carry its queries.
 func newEligibility(settings *config.Settings, links map[string]*rpc.Link, now func() model.Time) *eligibility {
 	el := &eligibility{
-		watch:       candidacy.New(candidacy.DefaultRules, len(settings.Members), now()),
+		state:       candidacy.New(candidacy.DefaultRules, len(settings.Members), now()),
 		nodeIndex:   map[string]int{},
 		incarnation: rand.Uint64(),
 		node:        settings.Node,
@@ -41,25 +42,27 @@
 	return el
 }
 
-// attach sends queries with a link's pings and takes their answers in, as those of the controller with this index.
+// attach sends a query with each ping of the link and records the answers as the status of the controller with the
+// given index.
 func (el *eligibility) attach(link *rpc.Link, index int) {
 	link.PingBody = func() []byte { return candidacy.AppendQuery(nil, el.node, el.incarnation) }
 	link.OnPong = func(payload []byte) {
-		// A controller of an older version sends nothing, which counts as not warm: then this process stands beside
-		// it, as all did before.
+		// A controller of an older version sends no status and counts as not warm, so this process stands for
+		// election regardless of it, as all controllers of that version do.
 		status, _ := candidacy.ReadStatus(payload)
 		el.mu.Lock()
 		defer el.mu.Unlock()
-		el.watch.RecordStatus(index, status, el.now())
+		el.state.RecordStatus(index, status, el.now())
 	}
 	link.OnDown = func() {
 		el.mu.Lock()
 		defer el.mu.Unlock()
-		el.watch.RecordUnreachable(index)
+		el.state.RecordUnreachable(index)
 	}
 }
 
-// respond returns the answer to another controller's ping; nil if that one is of an older version.
+// respond returns the answer to another controller's ping, or nil if that controller is of an older version that sends
+// no query.
 func (el *eligibility) respond(query []byte) []byte {
 	node, incarnation, err := candidacy.ReadQuery(query)
 	i, known := el.nodeIndex[node]
@@ -69,40 +72,40 @@
 	el.mu.Lock()
 	defer el.mu.Unlock()
 	now := el.now()
-	recentIncarnations := el.watch.RecordIncarnation(i, incarnation, now)
+	recentIncarnations := el.state.RecordIncarnation(i, incarnation, now)
 	status := candidacy.Status{
-		Warm:               el.warm.Load() && !el.watch.IsFresh(now),
+		Warm:               el.warm.Load() && !el.state.IsFresh(now),
 		RecentIncarnations: recentIncarnations,
 	}
 	return status.Append(nil)
 }
 
-// mayStand tells whether this controller may stand for election, and if not, after how long to ask again.
+// mayStand reports whether this controller may stand for election, and if not, when to check again.
 func (el *eligibility) mayStand(hasLeader bool) (ok bool, retryAfter model.Time) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
 	now := el.now()
-	el.watch.RecordLeader(hasLeader, now)
-	return el.watch.MayStand(now)
+	el.state.RecordLeader(hasLeader, now)
+	return el.state.MayStand(now)
 }
 
-// recordLeader notes that there was a leader until now, which was an earlier process of this node.
+// recordLeader records that there was a leader until now: an earlier process of this node.
 func (el *eligibility) recordLeader() {
 	el.mu.Lock()
 	defer el.mu.Unlock()
-	el.watch.RecordLeader(true, el.now())
+	el.state.RecordLeader(true, el.now())
 }
 
-// vacantSince tells since when there is no leader, as far as this controller saw.
-func (el *eligibility) vacantSince() (model.Time, bool) {
+// leaderlessSince returns since when this controller has seen no leader; false if there is one.
+func (el *eligibility) leaderlessSince() (model.Time, bool) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
-	return el.watch.VacantSince()
+	return el.state.VacantSince()
 }
 
-// hasWarmPeer tells whether another controller says of itself that it reads the log to its end.
+// hasWarmPeer reports whether another controller is known to follow the log to its end.
 func (el *eligibility) hasWarmPeer() bool {
 	el.mu.Lock()
 	defer el.mu.Unlock()
-	return el.watch.HasWarmPeer(el.now())
+	return el.state.HasWarmPeer(el.now())
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -17,42 +17,42 @@
 	"fieldhill/internal/rpc"
 )
 
-// environment is what every component needs and none changes: settings, logger, clock, clients of the outside world,
-// links to the other controllers, counters. All of it may be used by any goroutine.
+// environment holds what all components share and none changes: settings, logger, clock, clients of external services,
+// links to the other controllers, and metrics. It is safe for concurrent use.
 type environment struct {
 	network   host.Net
 	settings  *config.Settings
 	options   Options
 	log       *slog.Logger
-	startTime time.Time // zero of model.Time
+	startTime time.Time // origin of model.Time
 
 	store  *kvstore.Client
 	oplog  *oplog.Log
 	cloud  *cloud.Client
 	agents *agent.Client
 
-	links       map[string]*rpc.Link // to the other controllers, by node
-	traffic     rpc.Traffic          // bytes to and from them
-	connLimiter *api.ConnLimiter     // of connections from users and agents
+	links       map[string]*rpc.Link // links to the other controllers, by node
+	traffic     rpc.Traffic          // traffic on links
+	connLimiter *api.ConnLimiter     // limits connections from users and agents
 	metrics     *metrics.Registry
 
-	// ctx ends when the controller stops. Run sets it before it starts any goroutine. It bounds work that belongs to
-	// no single call: what the loop starts, and reads that several requests share.
+	// ctx ends when the controller stops. Run sets it before starting any goroutine. It bounds work that is not tied to
+	// a single request: work started by the event loop, and reads shared by several requests.
 	ctx context.Context
 }
 
-// Shares of the limits that the settings give for the whole service or for a process.
+// Shares of the limits in the settings, which apply to the whole service or to one process.
 const (
-	kvRequestShare     = 0.95 // of a controller's part of the key-value store's requests
-	minKVRequestRate   = 4    // requests a second, in any case
-	cloudRequestShare  = 0.8
-	minAgentConns      = 32
-	minIncomingConns   = 32
-	userConnsTenths    = 6 // of the sockets, for incoming connections
-	agentSocketDivisor = 3 // of the sockets, for commands to and probes of agents
+	kvRequestShare       = 0.95 // of a controller's share of the key-value store's request rate
+	minKVRequestRate     = 4    // lower bound, in requests per second
+	cloudRequestShare    = 0.8  // of the cloud API's request rate
+	minAgentConns        = 32
+	minIncomingConns     = 32
+	incomingConnsPercent = 60 // of the sockets, for connections from users and agents
+	agentSocketDivisor   = 3  // 1/3 of the sockets, for commands to and probes of agents
 )
 
-// newEnvironment makes the clients of the outside world, each with its part of the limits.
+// newEnvironment creates the clients of external services, each with its share of the limits.
 func newEnvironment(
 	network host.Net, settings *config.Settings, options Options, logger *slog.Logger,
 ) *environment {
@@ -71,9 +71,9 @@
 		agents:    agent.New(network, ordersTimeout, max(minAgentConns, sockets/agentSocketDivisor)),
 		metrics:   metrics.New(api.RequestKinds...),
 		links:     map[string]*rpc.Link{},
-		// Sockets: six parts in ten for incoming connections, a third for commands to and probes of agents, the rest
-		// for the key-value store, the cloud, the other controllers and what is just closing.
-		connLimiter: &api.ConnLimiter{MaxConns: max(minIncomingConns, sockets*userConnsTenths/10)},
+		// Sockets: 60% for incoming connections and a third for commands to and probes of agents. The rest is for the
+		// key-value store, the cloud, the other controllers, and connections that are being closed.
+		connLimiter: &api.ConnLimiter{MaxConns: max(minIncomingConns, sockets*incomingConnsPercent/100)},
 	}
 	env.oplog = oplog.New(env.store, params.KVStore.WriteRPS, params.KVStore.ValueKB, params.KVStore.TxnOps, logger)
 	for _, member := range settings.Members {
@@ -91,25 +91,24 @@
 	env.agents.Close()
 }
 
-// now is the controller's clock: the time since its start.
+// now returns the time since the controller's start.
 func (env *environment) now() model.Time { return time.Since(env.startTime) }
 
-// probeAfter is after how long without a heartbeat a machine is probed: the longest interval between two heartbeats,
-// and some time on the way.
+// probeAfter returns the time without a heartbeat after which a machine is probed: the longest interval between two
+// heartbeats plus an allowance for the network delay.
 func (env *environment) probeAfter() time.Duration {
 	return config.Seconds(env.settings.Params.Workers.HeartbeatS*1.25 + 0.75)
 }
 
-// probeGrace is how long after that a probe may go unanswered.
+// probeGrace is how long probes may go unanswered before a machine counts as failed.
 const probeGrace = 3 * time.Second
 
-// silentAfter is after how long without a heartbeat, and without an answer to probes, a machine counts as failed.
+// silentAfter returns the time without a heartbeat or an answer to a probe after which a machine counts as failed.
 func (env *environment) silentAfter() time.Duration { return env.probeAfter() + probeGrace }
 
-// leaseDuration is the duration of an agent's lease.
 func (env *environment) leaseDuration() model.Time {
 	return config.Seconds(env.settings.Params.Workers.LeaseS)
 }
 
-// isReached tells whether a link's other end has responded lately enough to count as reached.
+// isReached reports whether the other end of the link has responded within linkFreshness.
 func isReached(link *rpc.Link) bool { return time.Since(link.LastResponse()) <= linkFreshness }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -9,43 +9,44 @@
 	"fieldhill/internal/scheduling/admission"
 )
 
-// eventLoop is the one goroutine that owns the controller's state: every component's fields are read and written in
-// its turns alone, unless a field says otherwise. Other goroutines reach it through two queues:
+// eventLoop is the goroutine that owns the controller's state: the fields of all components are read and written only
+// in this goroutine, unless a field's comment says otherwise. Other goroutines reach it through two queues:
 //
-//   - workQueue takes what keeps leases, ends of tasks and cancellations come by, and the short look-ups that a
-//     request needs before it is queued itself;
-//   - requestQueue takes what users submit and ask. It is served after all other waiting work, a few requests a turn,
-//     so that a flood of requests delays neither heartbeats nor cancellations.
+//   - workQueue takes heartbeats, ends of tasks, cancellations, and the short look-ups that a request needs before it
+//     is queued itself;
+//   - requestQueue takes users' submissions and status requests. It is served after all waiting work and a few
+//     requests at a time, so that a flood of requests delays neither heartbeats nor cancellations.
 //
-// Both are bounded: beyond their length the caller is refused at once and told to come back.
+// Both are bounded: when a queue is full, the caller is refused immediately and told to retry.
 //
-// The queues may be used by any goroutine. The rest is the loop's own.
+// The queues are safe for concurrent use. The other fields are accessed by the loop only.
 type eventLoop struct {
 	*environment
-	turns turnHandler
+	handler loopHandler
 
 	workQueue    chan func()
 	requestQueue chan queuedRequest
 	done         chan struct{} // closed when the loop has ended
 
-	admissionGate  admission.Gate // decides from requests' queueing delay whether new jobs are admitted
-	roundRequested bool           // an event calls for a scheduling round before the next regular one
+	admissionGate  admission.Gate // admits or refuses new jobs, depending on the queueing delay of requests
+	roundRequested bool           // an event requested a scheduling round before the next periodic one
 	lastRound      time.Time      // start of the last scheduling round; written by schedulingRounds
-	roundGap       time.Duration  // between rounds that events request; written by schedulingRounds
+	roundGap       time.Duration  // minimum time between rounds requested by events; written by schedulingRounds
 }
 
-// turnHandler is what the loop calls besides the work that is queued. All calls come from the loop's goroutine.
-type turnHandler interface {
+// loopHandler is what the loop calls in addition to queued work. All calls come from its goroutine.
+type loopHandler interface {
 	// runMaintenance runs the periodic maintenance, every maintenanceInterval.
 	runMaintenance()
-	// runRound runs the scheduler; regular tells a periodic round from one that an event requested.
+	// runRound runs the scheduler; regular is true for a periodic round and false for one requested by an event.
 	runRound(regular bool)
-	// afterTurn ends a turn: it hands proposed entries to the log and publishes the state for other goroutines. If a
-	// batch still gathers entries, it returns for how long; the loop has another turn when that time is over.
-	afterTurn() (wait time.Duration, pending bool)
+	// afterIteration ends an iteration: it passes proposed entries to the log writer and publishes the state for other
+	// goroutines. If a batch waits for more entries, it returns the remaining delay, after which the loop runs another
+	// iteration.
+	afterIteration() (wait time.Duration, pending bool)
 }
 
-// newEventLoop returns a loop that is not yet running; whoever wires it sets turns before run.
+// newEventLoop returns a loop; the caller has to set handler before run.
 func newEventLoop(env *environment) *eventLoop {
 	return &eventLoop{
 		environment:  env,
@@ -57,19 +58,18 @@
 }
 
 const (
-	// workQueueSize bounds the pieces of work that wait for the loop; while it is full heartbeats are refused.
-	workQueueSize = 512
-	// maintenanceInterval is the period of the maintenance.
+	// workQueueSize is the capacity of workQueue; while it is full, heartbeats are refused.
+	workQueueSize       = 512
 	maintenanceInterval = 250 * time.Millisecond
-	// idleTimer is the first period of timers that are armed by need; firing without need does no harm.
-	idleTimer = time.Hour
+	// initialTimerPeriod is the first period of timers that are reset when needed; firing without having been reset is
+	// harmless.
+	initialTimerPeriod = time.Hour
 )
 
-// errBusy reports that the loop is behind and the work was refused.
-var errBusy = errors.New("controller: event loop queue full")
+// errQueueFull reports that the loop has fallen behind and the work was refused.
+var errQueueFull = errors.New("controller: event loop queue full")
 
-// post queues work without waiting for it to run. It blocks while the queue is full, and gives up when the controller
-// stops.
+// post queues work without waiting for it to run. It blocks while the queue is full, until the controller stops.
 func (el *eventLoop) post(work func()) {
 	select {
 	case el.workQueue <- work:
@@ -77,18 +77,18 @@
 	}
 }
 
-// tryPost queues work, or returns errBusy when the queue is full.
+// tryPost queues work, or returns errQueueFull.
 func (el *eventLoop) tryPost(work func()) error {
 	select {
 	case el.workQueue <- work:
 		return nil
 	default:
-		return errBusy
+		return errQueueFull
 	}
 }
 
-// postAndWait runs work in the loop and waits for it. While the controller stops, the work may not be run; but it
-// never runs after postAndWait has returned, when the caller reads what the work wrote.
+// postAndWait runs work in the loop and waits for it to finish. If the controller stops, the work may not run at all,
+// but it never runs after postAndWait has returned and the caller reads what the work wrote.
 func (el *eventLoop) postAndWait(work func()) {
 	finished := make(chan struct{})
 	el.post(func() { work(); close(finished) })
@@ -98,19 +98,19 @@
 	}
 }
 
-// requestRound asks for a scheduling round as soon as the gap after the last one allows.
+// requestRound requests a scheduling round, which runs once roundGap has passed since the last one.
 func (el *eventLoop) requestRound() { el.roundRequested = true }
 
-// run serves the queues and the timers until the context ends.
+// run serves the queues and timers until the context ends.
 func (el *eventLoop) run(ctx context.Context) {
 	defer close(el.done)
 	roundTicker := time.NewTicker(el.options.RoundInterval)
 	defer roundTicker.Stop()
 	maintenanceTicker := time.NewTicker(maintenanceInterval)
 	defer maintenanceTicker.Stop()
-	roundTimer := time.NewTimer(idleTimer)
+	roundTimer := time.NewTimer(initialTimerPeriod)
 	defer roundTimer.Stop()
-	batchTimer := time.NewTimer(idleTimer)
+	batchTimer := time.NewTimer(initialTimerPeriod)
 	defer batchTimer.Stop()
 	roundTimerArmed := false
 	for {
@@ -119,81 +119,81 @@
 			return
 		case work := <-el.workQueue:
 			work()
-			el.drainWork() // whatever else is waiting goes into the same batch
+			el.drainWork() // entries of other waiting work go into the same batch
 		case request := <-el.requestQueue:
 			el.drainWork()
 			el.drainRequests(request)
 		case <-roundTicker.C:
-			el.turns.runRound(true)
+			el.handler.runRound(true)
 		case <-maintenanceTicker.C:
-			el.turns.runMaintenance()
+			el.handler.runMaintenance()
 		case <-roundTimer.C:
 			roundTimerArmed = false
-			el.turns.runRound(false)
+			el.handler.runRound(false)
 		case <-batchTimer.C:
 		}
 		if el.roundRequested && !roundTimerArmed {
 			roundTimerArmed = true
 			roundTimer.Reset(max(0, el.roundGap-time.Since(el.lastRound)))
 		}
-		if wait, pending := el.turns.afterTurn(); pending {
+		if wait, pending := el.handler.afterIteration(); pending {
 			batchTimer.Reset(wait)
 		}
 	}
 }
 
 const (
-	// maxQueuedRequests bounds the users' requests that wait for the loop; further ones are refused.
+	// maxQueuedRequests is the capacity of requestQueue.
 	maxQueuedRequests = 256
-	// workPerTurn and requestsPerTurn are how many pieces of each queue are run in one turn, whose entries go into the
-	// same batch.
-	workPerTurn     = 64
-	requestsPerTurn = 16
+	// maxWorkPerIteration and maxRequestsPerIteration limit how much of each queue is run in one iteration, whose
+	// entries go into the same batch.
+	maxWorkPerIteration     = 64
+	maxRequestsPerIteration = 16
 )
 
-// queuedRequest is the part of a user's request that runs in the loop, and since when it waits for its turn.
+// queuedRequest is the part of a user's request that runs in the loop.
 type queuedRequest struct {
 	run      func()
 	queuedAt time.Time
 }
 
-// answer runs handle in the loop and returns its result; handle must send exactly one, at once or later. What the loop
-// does not get to, or not through with in time, is result.NotHandled.
+// answer runs handle in the loop and returns its result; handle must send exactly one, immediately or later. If the
+// queue is full or there is no result in time, it returns a result.NotHandled.
 func (el *eventLoop) answer(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPost, handle)
 }
 
-// Results of requests to which the loop has not responded in time.
+// Results of requests that the loop has not answered in time.
 var (
-	loopBusy = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
-	loopSlow = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
-	canceled = result.NotHandled{Reason: "given up", RetryAfter: time.Second}
-	stopping = result.NotHandled{Reason: "stopping", RetryAfter: time.Second}
+	resultBusy     = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
+	resultSlow     = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
+	resultCanceled = result.NotHandled{Reason: "given up", RetryAfter: time.Second}
+	resultStopping = result.NotHandled{Reason: "stopping", RetryAfter: time.Second}
 )
 
-// tryPostRequest queues a user's request, or returns errBusy when the queue is full.
+// tryPostRequest queues a user's request, or returns errQueueFull.
 func (el *eventLoop) tryPostRequest(work func()) error {
 	select {
 	case el.requestQueue <- queuedRequest{run: work, queuedAt: time.Now()}:
 		return nil
 	default:
-		return errBusy
+		return errQueueFull
 	}
 }
 
-// answerInTurn is answer for users' requests, which come after all other waiting work.
+// answerInTurn is like answer, for users' requests, which run after all other waiting work.
 func (el *eventLoop) answerInTurn(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
 
-// awaitResult queues handle by enqueue and waits for its result, for a bounded time.
+// awaitResult queues handle by calling enqueue and waits for its result, for at most responseTimeout.
 func (el *eventLoop) awaitResult(
 	ctx context.Context, enqueue func(func()) error, handle func(send func(result.Result)),
 ) result.Result {
 	results := make(chan result.Result, 1)
 	send := func(r result.Result) { results <- r }
 	if enqueue(func() { handle(send) }) != nil {
-		return loopBusy
+		return resultBusy
 	}
 	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
@@ -201,17 +201,17 @@
 	case r := <-results:
 		return r
 	case <-timer.C:
-		return loopSlow
+		return resultSlow
 	case <-ctx.Done():
-		return canceled
+		return resultCanceled
 	case <-el.ctx.Done():
-		return stopping
+		return resultStopping
 	}
 }
 
-// drainWork runs what waits in workQueue, up to workPerTurn pieces.
+// drainWork runs the work waiting in workQueue, up to maxWorkPerIteration items.
 func (el *eventLoop) drainWork() {
-	for range workPerTurn {
+	for range maxWorkPerIteration {
 		select {
 		case work := <-el.workQueue:
 			work()
@@ -221,10 +221,10 @@
 	}
 }
 
-// drainRequests runs a user's request and those that wait behind it, up to requestsPerTurn, and reports the queueing
-// delay of each to the admission gate.
+// drainRequests runs a user's request and those queued behind it, up to maxRequestsPerIteration, and reports the
+// queueing delay of each to the admission gate.
 func (el *eventLoop) drainRequests(request queuedRequest) {
-	for range requestsPerTurn {
+	for range maxRequestsPerIteration {
 		el.admissionGate.ObserveWait(time.Since(request.queuedAt), el.now())
 		request.run()
 		select {
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder tells requests' goroutines whether this controller leads, and asks the leader or another controller on
-// their behalf. The loop publishes routing; any goroutine reads it.
+// forwarder tells the goroutines of requests whether this controller leads, and forwards requests to the leader or
+// another controller. The event loop publishes routing; any goroutine may read it.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -19,27 +19,27 @@
 	routing atomic.Pointer[routingView]
 }
 
-// newForwarder makes a forwarder; it may be used after the first publish.
+// newForwarder returns a forwarder, which can be used after the first call of publish.
 func newForwarder(env *environment, replica *replica, term *termState) *forwarder {
 	return &forwarder{environment: env, replica: replica, term: term}
 }
 
-// routingView is what the way of a request is chosen by. It may be out of date when it is read: whatever follows from
-// it is checked again in the loop.
+// routingView is the state by which requests are routed. It may be out of date when it is read, so decisions based on
+// it are checked again in the loop.
 type routingView struct {
 	leads             bool
-	leader            string    // node of the leader; "": none is known
-	trustedUntil      time.Time // of a leader: it is in touch with the key-value store until then
-	storeContactUntil time.Time // the same of a follower
+	leader            string    // node of the leader; empty if none is known
+	trustedUntil      time.Time // on the leader: the key-value store counts as reachable until then
+	storeContactUntil time.Time // the same on a follower
 }
 
-// followTimeout is how long a watch of the log waits for news.
+// followTimeout is how long a watch of the log waits for an update.
 const followTimeout = 2 * time.Second
 
-// forwardTimeout bounds how long the leader's response is waited for where there is another way to an answer.
+// forwardTimeout is the timeout for the leader's response if there is another way to answer the request.
 const forwardTimeout = 350 * time.Millisecond
 
-// storeReachable tells whether the controller is in touch with the key-value store.
+// storeReachable reports whether the key-value store counts as reachable.
 func (view *routingView) storeReachable() bool {
 	if view.leads {
 		return time.Now().Before(view.trustedUntil)
@@ -47,7 +47,7 @@
 	return time.Now().Before(view.storeContactUntil)
 }
 
-// publish makes the loop's present state known to the other goroutines.
+// publish makes the current state of the loop available to other goroutines.
 func (fw *forwarder) publish() {
 	view := routingView{leads: fw.term.ownTerm != nil}
 	if fw.term.leader != nil {
@@ -63,14 +63,13 @@
 	}
 }
 
-// routingState tells whether this controller leads or believes so, and whether it is in touch with the key-value
-// store.
+// routingState reports whether this controller leads, as far as it knows, and whether it can reach the key-value store.
 func (fw *forwarder) routingState() (leads, storeReachable bool) {
 	view := fw.routing.Load()
 	return view.leads, view.storeReachable()
 }
 
-// toLeader sends a request to the leader. ok is false if the leader can't be asked or does not respond in time.
+// toLeader forwards a request to the leader. ok is false if the leader is unreachable or does not respond in time.
 func (fw *forwarder) toLeader(
 	ctx context.Context, request *rpc.Request, timeout time.Duration,
 ) (answer result.Forwarded, ok bool) {
@@ -89,8 +88,8 @@
 	return result.Forwarded{Response: response}, true
 }
 
-// toOthers asks the other controllers, one after the other, for what this one can't answer: as far as it can tell it
-// no longer leads, or it no longer reads the log, while others may do both.
+// toOthers forwards a request to the other controllers, one after another, until one can answer it. It is used when
+// this controller may no longer lead, or can no longer read the log, while others may.
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (result.Forwarded, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
@@ -107,8 +106,8 @@
 	return result.Forwarded{}, false
 }
 
-// toLeaderOrOthers asks the leader, if that is another controller, and then the rest if this one is out of touch with
-// the key-value store.
+// toLeaderOrOthers forwards a request to the leader, if that is another controller, and then to the others if this one
+// cannot reach the key-value store.
 func (fw *forwarder) toLeaderOrOthers(
 	ctx context.Context, request *rpc.Request, leads, storeReachable bool,
 ) (result.Forwarded, bool) {
@@ -124,7 +123,7 @@
 	return result.Forwarded{}, false
 }
 
-// isIsolated tells whether no other controller has responded for a while, though there are some.
+// isIsolated reports whether there are other controllers but none of them has responded recently.
 func (fw *forwarder) isIsolated() bool {
 	for _, link := range fw.links {
 		if time.Since(link.LastResponse()) < 2*linkFreshness {
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -13,16 +13,16 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// termReadPause is the pause before a read that a new leader needs is repeated.
+// termReadPause is the pause before a new leader retries a failed read.
 const termReadPause = 100 * time.Millisecond
 
-// serveTerm leads until leadership is lost or resigned, and returns why. Its phases are: renew the lease from now on;
-// read what the log and the intake have beyond the replica; begin the term in the loop; write batches and compact the
-// log until something ends the term. All goroutines that it starts have ended when it returns.
+// serveTerm leads until leadership is lost or resigned, and returns the reason. It first starts to renew the lease,
+// then reads the batches and intake records that the replica lacks, begins the term in the event loop, and then writes
+// batches and compacts the log until the term ends. All goroutines that it starts have ended when it returns.
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
 	term := ls.components.newTerm(ctx, cancel, won.Leader)
-	if since, vacant := ls.eligibility.vacantSince(); vacant {
+	if since, vacant := ls.eligibility.leaderlessSince(); vacant {
 		term.leadership.timeline.Mark(candidacy.LeaderLost, since)
 	}
 	term.leadership.timeline.Mark(candidacy.Elected, ls.now())
@@ -55,8 +55,8 @@
 	return <-term.errs
 }
 
-// renewLease renews the leader's lease, and with each renewal the trust in it, until it is lost or the context ends;
-// it returns which.
+// renewLease renews the leader's lease, and extends the term's trust period with each renewal, until the lease is lost
+// or the context ends; it returns the reason.
 func (ls *leadership) renewLease(ctx context.Context, term *leaderTerm, won *election.Leadership) error {
 	return election.RenewUntilLost(ctx, ls.store, won, func(until time.Time) {
 		ls.loop.post(func() {
@@ -71,15 +71,15 @@
 	})
 }
 
-// missingState is what a new leader lacks of the committed state.
+// missingState is the committed state that a new leader's replica lacks.
 type missingState struct {
 	batches        []oplog.Batch
-	intake         []oplog.Intake // jobs accepted without a leader
-	intakeRevision uint64         // from which to watch for more
+	intake         []oplog.Intake // jobs that other controllers accepted without a leader
+	intakeRevision uint64         // revision from which to watch the intake
 }
 
-// readMissing reads what the log and the intake have beyond the replica. Before anything is answered the leader knows
-// every job that was accepted without one.
+// readMissing reads the batches and intake records that the replica lacks, so that the leader knows every job that was
+// accepted without a leader before it answers any request.
 func (ls *leadership) readMissing(ctx context.Context, term *leaderTerm) (*missingState, error) {
 	var afterSeq uint64
 	ls.loop.postAndWait(func() { afterSeq = ls.replica.appliedSeq })
@@ -102,7 +102,7 @@
 	return missing, nil
 }
 
-// retryRead repeats a read until it works, the term ends with an error, or the context ends.
+// retryRead repeats a read until it succeeds, the term ends with an error, or the context ends.
 func retryRead(ctx context.Context, ended <-chan error, read func() error) error {
 	for {
 		if read() == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// beginTerm makes this controller the leader. It runs in the loop, when the replica has all that is committed.
+// beginTerm makes this controller the leader. It runs in the loop, once the replica has applied all committed batches.
 func (ls *leadership) beginTerm(term *leaderTerm) {
 	ls.term.ownTerm = term
 	ls.term.leader = &term.leader
@@ -126,7 +126,7 @@
 	term.commits.batchesSinceSnapshot = 0
 	ls.replica.model.BeginTerm(term.leader.Term<<machineTokenBits, ls.now())
 	ls.components.prepare(term)
-	// Machines that worked for the last leader report within this time.
+	// Agents that were known to the previous leader send a heartbeat within this time.
 	term.leadership.reportGraceEnd = time.Now().Add(config.Seconds(ls.settings.Params.Workers.HeartbeatS * 1.25))
 	term.leadership.timeline.Mark(candidacy.Leading, ls.now())
 	ls.loop.requestRound()
@@ -136,7 +136,7 @@
 		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
 }
 
-// stepDown ends a term in the loop. The replica's copy holds entries that may never be committed, so it is dropped.
+// stepDown ends a term in the loop. It resets the replica, whose model contains entries that may never be committed.
 func (ls *leadership) stepDown(term *leaderTerm) {
 	term.cancel()
 	if ls.term.ownTerm != term {
@@ -147,7 +147,7 @@
 	term.commits.failWaiters()
 }
 
-// writeBatches appends the term's batches to the log, one at a time. An append that fails ends the term.
+// writeBatches appends the term's batches to the log, one at a time. A failed append ends the term.
 func (ls *leadership) writeBatches(ctx context.Context, term *leaderTerm) {
 	for {
 		select {
@@ -163,11 +163,12 @@
 	}
 }
 
-// compactLog replaces the log's beginning by the term's snapshots. One that fails leaves the previous snapshot in
-// force; only being deposed ends the term.
+// compactLog replaces the beginning of the log by the term's snapshots. After a failed compaction the previous snapshot
+// stays valid; the term ends only if another leader has been elected.
 func (ls *leadership) compactLog(ctx context.Context, term *leaderTerm) {
 	compactor := ls.oplog.NewCompactor(term.leader.Fence())
-	// What earlier terms left uncompacted counts too, or a log whose leaders change often would grow without bound.
+	// Batches that earlier terms left uncompacted count too; otherwise the log would grow without bound if leaders
+	// change often.
 	if seq, err := compactor.SnapshotSeq(ctx); err == nil {
 		ls.loop.post(func() { term.commits.batchesSinceSnapshot = int(term.commits.committedSeq - seq) })
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,12 +10,11 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// leadership is how a controller follows the log, stands for election, and what it does from its election to the first
-// decision and at the end of its term.
+// leadership follows the log, stands for election, and begins and ends this controller's terms.
 //
-// Its methods run in the replication's goroutine (runReplication), which alone holds an own term from the election to
-// its end, or in the loop, as each says. abstainUntil and loadFailing are that goroutine's; termState and replica are
-// changed in the loop.
+// Each method runs either in the replication goroutine (runReplication), which serves a term from the election to its
+// end, or in the event loop, as its comment says. The replication goroutine owns abstainUntil and loadFailing;
+// termState and replica are changed in the loop only.
 type leadership struct {
 	*environment
 	commits     *commitPipeline
@@ -26,26 +25,26 @@
 	eligibility *eligibility
 	components  termComponents
 
-	abstainUntil time.Time // this controller does not stand for election until then
-	loadFailing  bool      // the last load failed, which is logged once for an outage
+	abstainUntil time.Time // do not stand for election before
+	loadFailing  bool      // the last load failed; limits logging to once per outage
 }
 
-// termComponents is the work of the other components that begins with a term. Leadership knows of them by this
-// interface alone, since they in turn depend on it.
+// termComponents is the part of the other components that starts with a term. leadership uses this interface because
+// those components depend on it.
 type termComponents interface {
-	// newTerm makes the state of a term that was just won.
+	// newTerm creates the state of a term that was just won.
 	newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm
-	// prepare makes what decisions need, before the term counts as begun. It runs in the loop.
+	// prepare creates the schedulers and planners that decisions need, before the term begins. It runs in the loop.
 	prepare(term *leaderTerm)
 	// start begins to contact agents and relays. It runs in the loop, as the last step of beginning the term.
 	start(term *leaderTerm)
-	// ingest enters jobs that were accepted without a leader into the log. It runs in the loop.
+	// ingest proposes log entries for jobs that were accepted without a leader. It runs in the loop.
 	ingest(term *leaderTerm, jobs []oplog.Intake)
-	// watchIntake ingests further such jobs, from the revision on, until the term ends.
+	// watchIntake ingests further such jobs, starting at the given revision, until the term ends.
 	watchIntake(term *leaderTerm, revision uint64)
 }
 
-// newLeadership makes it for a controller that follows; whoever wires it sets components.
+// newLeadership returns the leadership of a follower; the caller has to set components.
 func newLeadership(
 	env *environment, loop *eventLoop, term *termState, replica *replica, forward *forwarder, commits *commitPipeline,
 ) *leadership {
@@ -60,24 +59,24 @@
 	}
 }
 
-// leadershipTerm is leadership's state of one term. The loop owns it, but for the phases of the timeline up to
-// LogRead, which are marked before the loop knows the term.
+// leadershipTerm is leadership's state for one term. The event loop owns it, except that the timeline's phases up to
+// LogRead are recorded by the replication goroutine before the loop knows the term.
 type leadershipTerm struct {
-	reportGraceEnd time.Time          // agents that the last leader knew of send a heartbeat by then
-	timeline       candidacy.Timeline // of the failover
+	reportGraceEnd time.Time          // agents known to the previous leader send a heartbeat by then
+	timeline       candidacy.Timeline // phases of the failover
 	failoverLogged bool
 }
 
 const (
-	// loadRetryPause, acquireRetryPause and followRetryPause are the pauses after failed calls of the key-value store.
+	// loadRetryPause, acquireRetryPause and followRetryPause are the pauses after failed key-value store operations.
 	loadRetryPause    = 300 * time.Millisecond
 	acquireRetryPause = 200 * time.Millisecond
 	followRetryPause  = 250 * time.Millisecond
-	// followPause lets news gather between two watches, so that they are applied together.
+	// followPause is the pause between two watches, so that several updates are applied together.
 	followPause = 100 * time.Millisecond
 )
 
-// sleep waits for a while, or until the context ends.
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -85,7 +84,8 @@
 	}
 }
 
-// runReplication keeps the replica up to date, and leads when elected, until the context ends.
+// runReplication keeps the replica up to date, and serves a term whenever this controller is elected, until the context
+// ends.
 func (ls *leadership) runReplication(ctx context.Context) {
 	for ctx.Err() == nil {
 		revision, err := ls.replica.load(ctx, ls.revokeOwnStaleLease)
@@ -104,14 +104,14 @@
 	}
 }
 
-// followOrLead serves a term if this controller wins one, and else waits for news of the log after a revision. inSync
-// is false if the log has to be loaded anew; otherwise it returns the revision to go on from.
+// followOrLead serves a term if this controller wins an election, and otherwise watches the log from the given
+// revision. inSync is false if the log has to be reloaded; otherwise next is the revision from which to continue.
 func (ls *leadership) followOrLead(ctx context.Context, revision uint64) (next uint64, inSync bool) {
 	hasLeader := ls.findLeader(ctx)
 	followDuration := followTimeout
 	eligible, retryAfter := ls.eligibility.mayStand(hasLeader)
 	if !hasLeader && !eligible {
-		followDuration = retryAfter // a warm controller may win; if none does, this one has to
+		followDuration = retryAfter // leave the election to a warm controller, then check again
 	}
 	if eligible && time.Now().After(ls.abstainUntil) {
 		won, err := election.Acquire(ctx, ls.store, ls.settings.Node, ls.log)
@@ -126,8 +126,7 @@
 	return ls.follow(ctx, revision, followDuration)
 }
 
-// findLeader tells whether there is a leader, as far as the log shows, after a stale lease of this controller's own is
-// revoked.
+// findLeader reports whether the log names a leader, after revoking a stale lease of this controller's own.
 func (ls *leadership) findLeader(ctx context.Context) bool {
 	var leader *oplog.Leader
 	ls.loop.postAndWait(func() { leader = ls.term.leader })
@@ -138,10 +137,10 @@
 	return leader != nil
 }
 
-// follow waits for news of the log and applies them; its results are followOrLead's.
-func (ls *leadership) follow(ctx context.Context, revision uint64, hold time.Duration) (next uint64, inSync bool) {
+// follow watches the log and applies the updates; its results are those of followOrLead.
+func (ls *leadership) follow(ctx context.Context, revision uint64, timeout time.Duration) (next uint64, inSync bool) {
 	sentAt := time.Now()
-	update, err := ls.oplog.Follow(ctx, revision, hold)
+	update, err := ls.oplog.Follow(ctx, revision, timeout)
 	if err != nil {
 		ls.log.Debug("log watch failed", "err", err)
 		sleep(ctx, followRetryPause)
@@ -158,12 +157,12 @@
 	return update.Revision, true
 }
 
-// errHeartbeatsMissing ends the term of a leader that agents don't reach, while other controllers do: one of them
-// leads better.
+// errHeartbeatsMissing ends the term of a leader that agents cannot reach while they reach other controllers, so that
+// one of those becomes the leader.
 var errHeartbeatsMissing = errors.New("controller: heartbeats missing from most machines")
 
-// abstainDuration is how long a controller leaves leadership to others after that. If none of them takes it, this one
-// does again.
+// abstainDuration is how long a controller does not stand for election after resigning because of errHeartbeatsMissing.
+// If no other controller is elected by then, it stands again.
 const abstainDuration = 10 * time.Second
 
 // lead serves a term and logs why it ended.
@@ -174,14 +173,15 @@
 	}
 	if errors.Is(err, errHeartbeatsMissing) {
 		ls.abstainUntil = time.Now().Add(abstainDuration)
-		_ = ls.store.Revoke(ctx, won.Lease) // the lease expires by itself otherwise
+		_ = ls.store.Revoke(ctx, won.Lease) // if this fails, the lease expires
 	}
 }
 
-// revokeOwnStaleLease ends the lease of a leader that names this controller while this process does not lead, and
-// tells whether it did: an earlier process led and is dead, or the transaction by which it, or this one, stood for
-// election was carried out after nobody waited for it any more. The others would wait for three seconds. Only the
-// replication's goroutine calls it, which holds a term of this process from its election to its end.
+// revokeOwnStaleLease revokes the leader's lease if the leader key names this node although this process does not lead,
+// and reports whether it did. Either an earlier process of the node led and has ended, or an election transaction of
+// that process or this one was applied after its client had given up on it. Without the revocation, all controllers
+// would wait three seconds for the lease to expire. Only the replication goroutine calls it; it holds any term of this
+// process from the election to its end.
 func (ls *leadership) revokeOwnStaleLease(ctx context.Context, leader *oplog.Leader) bool {
 	if leader == nil || leader.Node != ls.settings.Node {
 		return false
@@ -191,8 +191,8 @@
 	return ls.store.Revoke(ctx, leader.Lease) == nil
 }
 
-// logFailover logs once how long each phase of the failover took, when all have been reached or no more are waited
-// for. It runs in the loop.
+// logFailover logs once per term how long each phase of the failover took, when all phases are complete or
+// failoverLogTimeout has passed. It runs in the loop.
 func (ls *leadership) logFailover(term *leaderTerm) {
 	if term.leadership.failoverLogged ||
 		!term.leadership.timeline.IsComplete() && time.Since(term.leadership.reportGraceEnd) < failoverLogTimeout {
@@ -201,7 +201,7 @@
 	term.leadership.failoverLogged = true
 	args := []any{"term", term.leader.Term}
 	for p := range candidacy.PhaseCount {
-		if after, came := term.leadership.timeline.ReachedAfter(p); came {
+		if after, reached := term.leadership.timeline.ReachedAfter(p); reached {
 			args = append(args, p.String(), after)
 			ls.metrics.ObserveFailover(p, after.Seconds())
 		}
@@ -209,13 +209,14 @@
 	ls.log.Info("failover complete", args...)
 }
 
-// failoverLogTimeout is how long after reportGraceEnd a failover is logged though phases of it were not reached:
-// nothing waited to be placed.
+// failoverLogTimeout is how long after reportGraceEnd an incomplete failover is logged. Some phases are never reached
+// if no tasks are waiting to be placed.
 const failoverLogTimeout = 5 * time.Second
 
-// hasPossibleSuccessor tells, at a leader whose lease can't be renewed, whether another controller may lead in its
-// place: none responds, and they may be well all the same, or one says that it reads the log. Where it is the
-// key-value store that is down, all say that they don't. It runs in the loop.
+// hasPossibleSuccessor reports whether another controller may become leader in place of this one, whose lease cannot be
+// renewed. This is assumed if no controller responds, since they may be healthy but unreachable, and if one of them
+// reports that it follows the log. During a key-value store outage, all of them report that they do not. It runs in the
+// loop.
 func (ls *leadership) hasPossibleSuccessor() bool {
 	return ls.forward.isIsolated() || ls.eligibility.hasWarmPeer()
 }
--- a/internal/controller/log_compaction.go
+++ b/internal/controller/log_compaction.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// compactionShare is the part of the key-value store's write rate that the compactor takes, and logShare the log's
-	// part while compaction is a role of its own.
+	// compactionShare is the compactor's share of the key-value store's write rate, and logShare the log's share while
+	// compaction is a separate role.
 	compactionShare = 0.3
 	logShare        = 0.55
-	// compactionTermBase sets the terms of compactors apart from leaders'.
+	// compactionTermBase keeps the term numbers of compactors distinct from those of leaders.
 	compactionTermBase = 1 << 40
 )
 
-// logCompactor compacts the log while this controller holds the compaction role. The loop owns it; the work itself is
-// done beside the loop, one step at a time.
+// logCompactor compacts the log while this controller holds the compaction role. The event loop owns it; each
+// compaction runs in its own goroutine, one at a time.
 type logCompactor struct {
-	ctx         context.Context // of the hold; what the work that is begun from the loop runs under
+	ctx         context.Context // ends when the role is lost; context of work started by the loop
 	compactor   *oplog.Compactor
-	snapshotSeq uint64 // of the last snapshot
-	seqKnown    bool   // snapshotSeq was read, and no other compactor has taken over since
-	busy        bool   // a step is under way
+	snapshotSeq uint64 // last batch in the latest snapshot
+	seqKnown    bool   // snapshotSeq has been read and no other controller has taken over the role since
+	busy        bool   // a read or a compaction is in progress
 }
 
-// newCompactor begins to compact the log under a term of the role, by finding out how far the last holder came.
+// newCompactor returns a compactor for a term of the role, and starts to read the position of the latest snapshot.
 func (rs *singletonRoles) newCompactor(ctx context.Context, role *singleton.Role, term uint64) *logCompactor {
 	fence := oplog.Fence{Key: oplog.RoleKey(role.Name.String()), Version: term, Term: compactionTermBase + term}
 	shared := rs.oplog.WithWriteShare(rs.settings.Params.KVStore.WriteRPS, compactionShare, rs.log)
 	compactor := &logCompactor{ctx: ctx, busy: true, compactor: shared.NewCompactor(fence)}
-	//nolint:contextcheck // the record of progress is not to end with the hold of the role, whose context this is
+	//nolint:contextcheck // recording progress must not be cancelled with ctx when the role is lost
 	compactor.compactor.OnProgress = func() {
 		rs.loop.post(func() {
 			if role.Term() == term {
@@ -52,7 +52,7 @@
 	return compactor
 }
 
-// compactLog compacts the log once it has enough new batches, at a moment at which the model is what the log has.
+// compactLog starts a compaction if the log has enough new batches and the model contains no uncommitted entries.
 func (rs *singletonRoles) compactLog(role *singleton.Role, compactor *logCompactor) {
 	switch {
 	case compactor.busy:
@@ -75,20 +75,20 @@
 			} else if ctx.Err() == nil {
 				rs.log.Warn("log compaction failed, previous snapshot kept", "seq", seq, "bytes", len(data), "err", err)
 				if errors.Is(err, oplog.ErrDeposed) {
-					compactor.seqKnown = false // the watch tells who holds the role now
+					compactor.seqKnown = false // the role watch will report the new holder
 				}
 			}
 		})
 	}()
 }
 
-// compactionDue tells whether the log has enough batches since the last snapshot.
+// compactionDue reports whether the log has enough batches since the last snapshot.
 func (rs *singletonRoles) compactionDue(compactor *logCompactor) bool {
 	return compactor.seqKnown && (rs.replica.loaded || rs.term.ownTerm != nil) &&
 		rs.replica.appliedSeq >= compactor.snapshotSeq+uint64(rs.commits.snapshotInterval)
 }
 
-// modelCommitted tells whether the model is what the log has: a leader's may be ahead of it.
+// modelCommitted reports whether the model contains committed entries only; a leader's may be ahead of the log.
 func (rs *singletonRoles) modelCommitted() bool {
 	term := rs.term.ownTerm
 	return term == nil || !term.commits.writeInFlight && len(term.commits.queue) == 0 &&
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	minRoundGap    = 40 * time.Millisecond // between two rounds that events request
+	minRoundGap    = 40 * time.Millisecond // between rounds requested by events
 	maxRoundGap    = 500 * time.Millisecond
-	roundGapFactor = 5 // a round is followed by so many times its own length without one that events request
+	roundGapFactor = 5 // roundGap as a multiple of the duration of the last round
 
-	// stallThreshold is for how long the loop may stand still before that is logged, and counts as a gap in all that
-	// it observes.
+	// stallThreshold is the delay of the event loop from which on it is logged and counts as a gap in everything the
+	// loop observes.
 	stallThreshold = 4 * maintenanceInterval
-	// toleratedDelay is how late the maintenance may come before that time counts against no machine.
+	// toleratedDelay is the delay of the maintenance beyond which the delay is excluded from the silence of machines.
 	toleratedDelay = 100 * time.Millisecond
-	// autoscaleInterval is the least time between two plans of the autoscaler.
+	// autoscaleInterval is the minimum time between two runs of the autoscaler.
 	autoscaleInterval = 500 * time.Millisecond
 )
 
-// runRound runs the scheduler (turnHandler).
+// runRound implements loopHandler.
 func (c *Controller) runRound(regular bool) { c.rounds.runScheduler(regular) }
 
-// afterTurn ends a turn of the loop (turnHandler).
-func (c *Controller) afterTurn() (wait time.Duration, pending bool) {
+// afterIteration implements loopHandler.
+func (c *Controller) afterIteration() (wait time.Duration, pending bool) {
 	c.commits.flush()
 	c.forward.publish()
 	return c.commits.batchWait()
 }
 
-// runMaintenance runs the periodic maintenance of each component in turn (turnHandler).
+// runMaintenance implements loopHandler: it runs the periodic maintenance of each component.
 func (c *Controller) runMaintenance() {
 	now := time.Now()
-	elapsed := c.readiness.noteTurn(now)
+	elapsed := c.readiness.recordMaintenance(now)
 	c.observeDelay(elapsed - maintenanceInterval)
 	c.readiness.updateReadiness()
 	c.zones.reportPartition()
@@ -46,26 +46,26 @@
 	}
 }
 
-// noteTurn notes that the loop runs, and returns the time since it last did so.
-func (rd *readiness) noteTurn(now time.Time) time.Duration {
+// recordMaintenance records the time of a maintenance run, and returns the time since the previous one.
+func (rd *readiness) recordMaintenance(now time.Time) time.Duration {
 	sinceStart := now.Sub(rd.startTime)
-	return sinceStart - model.Time(rd.lastLoopTurn.Swap(int64(sinceStart)))
+	return sinceStart - model.Time(rd.lastMaintenance.Swap(int64(sinceStart)))
 }
 
-// observeDelay takes in by how much the maintenance was late, which shows how busy the loop is.
+// observeDelay records by how much the maintenance was late, as a measure of how busy the event loop is.
 func (c *Controller) observeDelay(delay time.Duration) {
-	if len(c.loop.requestQueue) == 0 { // otherwise the requests' own delay tells
+	if len(c.loop.requestQueue) == 0 { // otherwise their own queueing delay is observed
 		c.loop.admissionGate.ObserveWait(max(0, delay), c.now())
 	}
 	if delay > toleratedDelay {
 		c.health.resetFailureDetectors(delay)
 	}
 	if term := c.term.ownTerm; term != nil {
-		term.rounds.lowPriorityLimit = nextLowLimit(term.rounds.lowPriorityLimit, delay)
+		term.rounds.lowPriorityLimit = nextLowPriorityLimit(term.rounds.lowPriorityLimit, delay)
 	}
 }
 
-// maintainTerm is the leader's part of the maintenance.
+// maintainTerm runs the leader's part of the maintenance.
 func (c *Controller) maintainTerm(term *leaderTerm, now time.Time, elapsed time.Duration) {
 	for machine := range term.dispatch.dirtyMachines {
 		c.dispatch.sendDirect(machine)
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -7,8 +7,8 @@
 	"fieldhill/internal/model"
 )
 
-// readiness decides what the load balancer is told: whether this controller can take requests, and whom it reaches.
-// The loop writes what it decides; health checks read it.
+// readiness determines whether this controller reports itself ready to the load balancer. The event loop writes the
+// result; health checks read it.
 type readiness struct {
 	*environment
 	forward    *forwarder
@@ -16,27 +16,27 @@
 	replica    *replica
 	term       *termState
 
-	ready        atomic.Bool
-	lastLoopTurn atomic.Int64 // since the start, when the loop last ran the maintenance
+	ready           atomic.Bool
+	lastMaintenance atomic.Int64 // time of the last maintenance run, since startTime
 }
 
-// Ready tells whether this controller can take requests.
+// Ready reports whether this controller can take requests.
 func (rd *readiness) Ready() bool {
-	// What was found before the process stalled says nothing of now.
-	return rd.ready.Load() && rd.now()-model.Time(rd.lastLoopTurn.Load()) < 2*stallThreshold
+	// A result from before a stall of the process is out of date.
+	return rd.ready.Load() && rd.now()-model.Time(rd.lastMaintenance.Load()) < 2*stallThreshold
 }
 
-// linkFreshness is how recent the last answer of another controller must be for it to count as reached.
+// linkFreshness is the maximum age of the last response over a link for its other end to count as reachable.
 const linkFreshness = 1500 * time.Millisecond
 
-// updateReadiness decides anew, in the loop. A short time without a leader is no reason not to be ready: it comes for
-// all controllers alike, and requests are refused with a time to come back.
+// updateReadiness updates the readiness, in the loop. A short time without a leader does not make a controller unready:
+// it affects all controllers alike, and requests are refused with a Retry-After.
 func (rd *readiness) updateReadiness() {
 	rd.leadership.eligibility.warm.Store(rd.replica.isStoreReachable())
 	rd.ready.Store(rd.canServe())
 }
 
-// canServe tells whether requests that come here can be answered, here or by those that this controller reaches.
+// canServe reports whether requests can be answered by this controller or by another one that it can reach.
 func (rd *readiness) canServe() bool {
 	if !rd.replica.loaded {
 		return false
@@ -45,11 +45,11 @@
 		link := rd.links[rd.term.leader.Node]
 		if link != nil && !isReached(link) &&
 			time.Since(rd.replica.caughtUpAt) >= 2*linkFreshness+followTimeout {
-			return false // without the leader it can still accept jobs and answer, but by the log alone
+			return false // cut off from the leader, this controller would answer from the log alone
 		}
 	}
-	// If neither the log nor any controller that has it is reached, nothing can be answered but what is final, while
-	// the controllers that are not reached may be well.
+	// If neither the log nor another controller can be reached, only the status of finished jobs can be answered,
+	// while the other controllers may be healthy.
 	return !rd.forward.isIsolated() || rd.term.isActive() ||
 		rd.term.ownTerm == nil && rd.replica.isStoreReachable()
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -13,35 +13,35 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// replica keeps this controller's copy of the log up to date: it loads the log, applies what a watch of it shows, and
-// reads it to its end for a request.
+// replica is this controller's copy of the replicated state: a model built from the log. It loads the log, applies the
+// updates that a watch returns, and reads the log to its end when a request needs that.
 //
-// The loop owns all fields but the catch-up's. A leader's commitPipeline applies to model and advances appliedSeq as
-// well, since the leader applies entries before they are committed; leadership advances caughtUpAt with each renewal.
+// The event loop owns all fields except those of the catch-up. On the leader, commitPipeline also applies entries to
+// model before they are committed and advances appliedSeq, and leadership advances caughtUpAt with each lease renewal.
 type replica struct {
 	*environment
 	loop    *eventLoop
 	term    *termState
-	onReset func() // called by each reset, for state of others that refers to the copy
+	onReset func() // called by reset, for state of other components that refers to the model
 
 	model            *model.Model
 	loaded           bool
 	appliedSeq       uint64                 // last batch applied (follower) or committed (leader)
-	caughtUpAt       time.Time              // the copy was complete then
-	lastStoreContact time.Time              // the key-value store answered a watch, or the load, then
-	watermarks       commitfence.Watermarks // what this process has ever seen of the log; outlives resets
-	generation       int                    // counts resets, to recognize that the copy is another one
+	caughtUpAt       time.Time              // the model contained all committed entries at this time
+	lastStoreContact time.Time              // last time the key-value store answered a watch or a load
+	watermarks       commitfence.Watermarks // latest batches seen by this process; kept on reset
+	generation       int                    // number of resets; identifies the current model
 
-	catchUpMu   sync.Mutex // guards catchUpRead, which the requests' goroutines use
+	catchUpMu   sync.Mutex // guards catchUpRead, which is used by the goroutines of requests
 	catchUpRead *catchUpRead
 }
 
-// newReplica makes a replica without a copy; reset gives it an empty one.
+// newReplica returns a replica without a model; reset creates an empty one.
 func newReplica(env *environment, loop *eventLoop, term *termState) *replica {
 	return &replica{environment: env, loop: loop, term: term, onReset: func() {}}
 }
 
-// sequenceGapError reports a batch that does not follow the last one applied: the copy has to be loaded anew.
+// sequenceGapError reports a batch that does not follow the last one applied, after which the log has to be reloaded.
 type sequenceGapError struct {
 	Seq, Applied uint64
 }
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("controller: log batch %d follows batch %d", e.Seq, e.Applied)
 }
 
-// reset throws the copy away, and with it an own term that was served on it.
+// reset discards the model, and with it the term that this controller was serving, if any.
 func (rp *replica) reset() {
 	rp.model = model.New(&rp.settings.Params)
 	rp.appliedSeq, rp.loaded = 0, false
@@ -59,14 +59,14 @@
 	rp.generation++
 }
 
-// isStoreReachable tells whether a follower is in touch with the key-value store. caughtUpAt is no measure of that:
-// where nothing happens the copy lags by two watches, the one that is under way and the one before.
+// isStoreReachable reports whether a follower can reach the key-value store. caughtUpAt cannot be used for this: on an
+// idle log it lags by up to two watches, the current one and the previous one.
 func (rp *replica) isStoreReachable() bool {
 	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
 }
 
-// applyBatch applies a batch that others committed. One that is applied already is passed over; one that does not
-// follow the last is a *sequenceGapError.
+// applyBatch applies a batch committed by another controller. A batch that was already applied is ignored; one that
+// does not follow the last one applied results in a *sequenceGapError.
 func (rp *replica) applyBatch(batch oplog.Batch) error {
 	if batch.Seq <= rp.appliedSeq {
 		return nil
@@ -81,7 +81,7 @@
 			return fmt.Errorf("controller: log batch %d: %w", batch.Seq, err)
 		}
 		if job := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && job != nil {
-			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // the copy was complete then, without this
+			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
 		}
 		if err := rp.model.Apply(entry, batch.Seq, rp.now()); err != nil {
 			rp.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// applyBatches applies batches up to the first that can't be applied.
+// applyBatches applies batches in order and stops at the first error.
 func (rp *replica) applyBatches(batches []oplog.Batch) error {
 	for _, batch := range batches {
 		if err := rp.applyBatch(batch); err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// applyUpdate takes in what a watch that was sent at sentAt saw. It returns false if the copy has to be loaded anew.
+// applyUpdate applies the result of a watch that was sent at sentAt. It returns false if the log has to be reloaded.
 func (rp *replica) applyUpdate(update *oplog.Update, sentAt time.Time) bool {
 	if err := rp.applyBatches(update.Batches); err != nil {
 		rp.log.Warn("replica out of sync, reloading", "err", err)
@@ -117,8 +117,8 @@
 	return true
 }
 
-// load reads the log and replaces the copy. revokeStale tells whether it ended the lease of the leader that the log
-// names; that leader is not one then. It returns the revision from which to watch the log.
+// load reads the log and replaces the model. revokeStale reports whether it revoked the lease of the leader that the
+// log names, in which case there is no leader. load returns the revision from which to watch the log.
 func (rp *replica) load(
 	ctx context.Context, revokeStale func(context.Context, *oplog.Leader) bool,
 ) (revision uint64, err error) {
@@ -130,17 +130,17 @@
 	if revokeStale(ctx, loaded.Leader) {
 		loaded.Leader = nil
 	}
-	rp.loop.postAndWait(func() { err = rp.replaceCopy(loaded, sentAt) })
+	rp.loop.postAndWait(func() { err = rp.replaceModel(loaded, sentAt) })
 	return loaded.Revision, err
 }
 
-// replaceCopy replaces the copy by what was read by a load that was sent at sentAt. After an error the copy counts as
+// replaceModel replaces the model by the result of a load that was sent at sentAt. After an error the replica counts as
 // not loaded.
-func (rp *replica) replaceCopy(loaded *oplog.Loaded, sentAt time.Time) error {
+func (rp *replica) replaceModel(loaded *oplog.Loaded, sentAt time.Time) error {
 	lastSeq := loaded.SnapshotSeq + uint64(len(loaded.Batches))
 	if rp.loaded && rp.appliedSeq >= lastSeq {
-		// A request has read the log's end after this load did. The copy must not go back, or that request is given an
-		// older answer.
+		// A request has read the end of the log after this load did. The model must not go back to an older state,
+		// or that request would get a stale answer.
 		rp.term.leader, rp.lastStoreContact = loaded.Leader, time.Now()
 		return nil
 	}
@@ -163,20 +163,20 @@
 	return nil
 }
 
-// logEndTimeout bounds a read of the log's end.
 const logEndTimeout = 1500 * time.Millisecond
 
-// catchUp reads the log to its end, so that the copy holds all that was committed before the call. Requests that come
-// while a read is under way share the next one, because that one begins after they came.
+// catchUp reads the log to its end, so that the model contains everything committed before the call. Requests that
+// arrive while a read is in progress share the next read, because only that one is certain to begin after their
+// arrival.
 func (rp *replica) catchUp(ctx context.Context) error {
-	for turn := 0; ; turn++ {
+	for attempt := 0; ; attempt++ {
 		rp.catchUpMu.Lock()
 		read := rp.catchUpRead
 		if read == nil {
 			read = &catchUpRead{done: make(chan struct{})}
 			rp.catchUpRead = read
 			rp.catchUpMu.Unlock()
-			// Others wait for this read too, so it does not end with this request.
+			// Other requests share this read, so it is not cancelled with this request.
 			shared := rp.ctx
 			read.err = rp.store.ForUser(shared, responseTimeout, rp.readLogEnd) //nolint:contextcheck // see above
 			rp.catchUpMu.Lock()
@@ -191,22 +191,22 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if turn > 0 { // it began after the request came
+		if attempt > 0 { // this read began after the request arrived
 			return read.err
 		}
 	}
 }
 
-// catchUpRead is a read of the log's end that is under way; err is set before done is closed.
+// catchUpRead is a read of the end of the log that is in progress; err is set before done is closed.
 type catchUpRead struct {
 	done chan struct{}
 	err  error
 }
 
-// errNotLoaded reports that there is no copy of the log to be caught up, or that it is the leader's own.
+// errNotLoaded reports that the log has not been loaded, or that this controller is the leader.
 var errNotLoaded = errors.New("controller: replica not loaded")
 
-// readLogEnd applies all batches after those that the copy has.
+// readLogEnd reads and applies all batches after the last one applied.
 func (rp *replica) readLogEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logEndTimeout)
 	defer cancel()
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -6,9 +6,9 @@
 	"fieldhill/internal/result"
 )
 
-// responseTimeout bounds how long the answer to a user may wait for the log. A write that takes longer is still
-// repeated, but its user is asked at once to come back.
+// responseTimeout limits how long a response to a user may wait for the log. A slower write is still retried, but the
+// user is told to retry the request.
 const responseTimeout = 2500 * time.Millisecond
 
-// noSuchJob is the answer where the name is no job's, or no job is known by it.
+// noSuchJob is the result if an ID is not a valid job ID, or no job with this ID is known.
 var noSuchJob = result.Unknown{Reason: "no such job"}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -10,29 +10,29 @@
 	"fieldhill/internal/scheduling/provisioner"
 )
 
-// termState says who leads: this controller in its own term, or the leader that it knows of. The loop owns it.
+// termState holds which controller leads: this one in its own term, or another one. The event loop owns it.
 //
-// Only leadership begins and ends an own term, and replica drops one with the copy of the log that it was served on;
-// leader is written by these two as well, from what the log's watch and the election show.
+// Only leadership begins and ends an own term, and replica.reset drops it together with the model that it was served
+// on. Both also write leader, from the watch of the log and from the election.
 type termState struct {
 	*environment
-	ownTerm *leaderTerm   // nil: follower
-	leader  *oplog.Leader // nil: none is known
+	ownTerm *leaderTerm   // nil on a follower
+	leader  *oplog.Leader // nil if none is known
 }
 
-// leaderTerm is one term in which this controller leads, with the state that each component has for that term alone
-// and that only this component writes. A component that works for a term holds on to it, and finds out that the term
-// is over by comparing it with termState.ownTerm.
+// leaderTerm is one term in which this controller leads. It holds the state that each component has for that term; only
+// that component writes it. Work that is done for a term keeps a pointer to it, and detects the end of the term by
+// comparing it with termState.ownTerm.
 //
-// The loop owns it, but for trustedUntilOffset, and for the channels and ctx, which any goroutine may use.
+// The event loop owns it, except for trustedUntilOffset, the channels and ctx, which are safe for concurrent use.
 type leaderTerm struct {
 	leader             oplog.Leader
-	trustedUntil       time.Time    // this controller surely leads until then; see termState.extendTrust
-	trustedUntilOffset atomic.Int64 // the same since the start, for goroutines other than the loop's
+	trustedUntil       time.Time    // no other controller can be elected before; see termState.extendTrust
+	trustedUntilOffset atomic.Int64 // trustedUntil since startTime, for goroutines other than the loop
 	ctx                context.Context
 	cancel             context.CancelFunc // ends ctx
-	handingOver        bool               // leadership is resigned: trust is extended no more
-	errs               chan error         // what ends the term; the first counts, see maxTermErrors
+	handingOver        bool               // leadership is resigned: trustedUntil is not extended any more
+	errs               chan error         // errors that end the term; only the first is used, see maxTermErrors
 
 	commits      commitPipelineTerm
 	leadership   leadershipTerm
@@ -49,11 +49,11 @@
 	telemetry    telemetryTerm
 }
 
-// maxTermErrors is how many errors may end a term at the same time: one each of the lease's renewal, the log's writer,
-// the compactor, and the check of the leader's own isolation. With room for all, none of them blocks.
+// maxTermErrors is the capacity of leaderTerm.errs, so that no sender blocks: one error each from the lease renewal,
+// the log writer, the compactor, and the check for missing heartbeats.
 const maxTermErrors = 4
 
-// newLeaderTerm makes the state of a term that was just won; it ends with ctx, which cancel ends.
+// newLeaderTerm creates the state of a term that was just won. It ends with ctx; cancel ends ctx.
 func newLeaderTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader, maxZoneProbes int) *leaderTerm {
 	return &leaderTerm{
 		leader: leader, ctx: ctx, cancel: cancel, errs: make(chan error, maxTermErrors),
@@ -74,16 +74,16 @@
 	}
 }
 
-// machineTokenBits is how many low bits of a fencing token count a machine's own; the term is above them, so that
-// every token of a later term is greater.
+// machineTokenBits is the number of low bits of a fencing token that hold a per-machine counter. The term is in the
+// bits above, so every token of a later term is greater.
 const machineTokenBits = 24
 
-// isActive tells whether this controller leads and may act on it: its lease surely lasts.
+// isActive reports whether this controller leads and may act as the leader, because its lease is certain to be valid.
 func (ts *termState) isActive() bool {
 	return ts.ownTerm != nil && time.Now().Before(ts.ownTerm.trustedUntil)
 }
 
-// extendTrust sets until when this controller surely leads in a term.
+// extendTrust sets the time until which this controller is certain to lead in a term.
 func (ts *termState) extendTrust(term *leaderTerm, until time.Time) {
 	term.trustedUntil = until
 	term.trustedUntilOffset.Store(int64(until.Sub(ts.startTime)))
--- a/internal/controller/term_components.go
+++ b/internal/controller/term_components.go
@@ -12,7 +12,7 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// leaderComponents are the components that only a leader needs, as leadership sees them (termComponents).
+// leaderComponents are the components that are active on the leader only. It implements termComponents.
 type leaderComponents struct {
 	rounds       *schedulingRounds
 	provisioning *provisioning
@@ -22,18 +22,18 @@
 	intake       *intake
 }
 
-// newTerm sizes the term's probes by this controller's limits.
+// newTerm implements termComponents.
 func (lc *leaderComponents) newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm {
 	return newLeaderTerm(ctx, cancel, leader, lc.probes.maxZoneProbes)
 }
 
-// prepare makes the scheduler, the autoscaler and the provisioner.
+// prepare creates the scheduler, the autoscaler and the provisioner.
 func (lc *leaderComponents) prepare(term *leaderTerm) {
 	lc.rounds.prepareTerm()
 	lc.provisioning.prepareTerm(term)
 }
 
-// start counts heartbeats, assigns relays and probes all machines with work.
+// start begins to monitor heartbeats, assigns relays, and probes all machines with work.
 func (lc *leaderComponents) start(term *leaderTerm) {
 	lc.heartbeats.startTerm(term)
 	lc.rounds.startTerm(term)
@@ -41,17 +41,17 @@
 	lc.probes.probeAll()
 }
 
-// ingest passes the jobs on to the intake.
+// ingest implements termComponents.
 func (lc *leaderComponents) ingest(term *leaderTerm, jobs []oplog.Intake) {
 	lc.intake.ingest(term, jobs)
 }
 
-// watchIntake runs the intake's watch.
+// watchIntake implements termComponents.
 func (lc *leaderComponents) watchIntake(term *leaderTerm, revision uint64) {
 	lc.intake.watch(term, revision)
 }
 
-// prepareTerm makes a scheduler that remembers nothing of an earlier term.
+// prepareTerm creates a scheduler without state of an earlier term.
 func (sr *schedulingRounds) prepareTerm() {
 	sr.scheduler = scheduler.New(scheduler.Params{
 		Beta:       sr.options.Beta,
@@ -61,12 +61,12 @@
 	})
 }
 
-// startTerm begins with as many low-priority placements a round as a controller that keeps up makes.
+// startTerm sets the limit on low-priority placements to its maximum.
 func (sr *schedulingRounds) startTerm(term *leaderTerm) {
-	term.rounds.lowPriorityLimit = maxLowPerRound
+	term.rounds.lowPriorityLimit = maxLowPriorityPerRound
 }
 
-// prepareTerm makes an autoscaler, and a provisioner that acts while the term is trusted.
+// prepareTerm creates an autoscaler, and a provisioner that acts only while the term is trusted.
 func (pv *provisioning) prepareTerm(term *leaderTerm) {
 	pv.autoscaler = autoscaler.New(pv.settings.Params.Objectives)
 	trusted := func() bool { return pv.now() < model.Time(term.trustedUntilOffset.Load()) }
@@ -78,10 +78,10 @@
 	term.provisioning.provisioner = pv.newProvisioner(term.ctx, trusted, onResult)
 }
 
-// startTerm counts the time without heartbeats from now on.
+// startTerm measures the time without heartbeats from now on.
 func (hb *heartbeats) startTerm(term *leaderTerm) { term.heartbeats.lastHeartbeat = hb.now() }
 
-// startTerm assigns all agents to the leader, until other controllers have offered themselves as relays.
+// startTerm assigns all agents to the leader until other controllers offer to act as relays.
 func (ra *relayAssignments) startTerm(term *leaderTerm) {
 	controllers := len(ra.settings.Members) + 1
 	term.assignments.table = relay.NewTable(controllers)
@@ -91,17 +91,17 @@
 }
 
 const (
-	maxLowPerRound = 400                   // low-priority placements in a round, while the controller keeps up
-	minLowPerRound = 4                     // while it does not
-	paceThreshold  = 25 * time.Millisecond // of the maintenance's delay, beyond which it does not keep up
+	maxLowPriorityPerRound = 400                   // low-priority placements per round, while the event loop keeps up
+	minLowPriorityPerRound = 4                     // while it does not
+	slowLoopThreshold      = 25 * time.Millisecond // delay of the maintenance beyond which the loop does not keep up
 )
 
-// nextLowLimit returns how many tasks of low priority may be placed in a round, given how late the maintenance came.
-// A start costs a placement, its part of the log, a command and two or three heartbeats: without a limit one huge
-// array of tiny tasks takes the whole processor of a small controller, and users wait.
-func nextLowLimit(limit int, delay time.Duration) int {
-	if delay > paceThreshold {
-		return max(minLowPerRound, limit/2)
+// nextLowPriorityLimit returns how many low-priority tasks may be placed per round, given the delay of the maintenance.
+// Starting a task costs a placement, a log entry, a command and two or three heartbeats: without a limit, a huge array
+// of tiny tasks takes all CPU time of a small controller, and users have to wait.
+func nextLowPriorityLimit(limit int, delay time.Duration) int {
+	if delay > slowLoopThreshold {
+		return max(minLowPriorityPerRound, limit/2)
 	}
-	return min(maxLowPerRound, limit+limit/8+1)
+	return min(maxLowPriorityPerRound, limit+limit/8+1)
 }
