--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -15,36 +15,37 @@
 	"fieldhill/wire"
 )
 
-// TestLogWriteBudget: ends and placements of low work are batched, and a compaction takes what is left of the store's
-// rate, so that a submission finds the log idle. The log used to be written as often as the store allows, at any load.
+// TestLogWriteBudget checks that task ends and low-priority placements are batched, so that bulk load needs few of the
+// store's writes, compactions get the rest, and a submission finds the log idle. Without batching, the log is written
+// as often as the store allows at any load, and submissions have to wait.
 func TestLogWriteBudget(t *testing.T) {
 	runCluster(t, 11, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		for i := range 6 {
 			w.Submit(newJobSpec(100+i, wire.Array, 60, 3))
 		}
-		time.Sleep(40 * time.Second) // machines boot
+		time.Sleep(40 * time.Second) // until the machines have booted
 		before, _ := w.Store.Load()
-		const span = 20
-		for i := range span {
+		const seconds = 20
+		for i := range seconds {
 			began := time.Now()
 			if c := w.Submit(newJobSpec(200+i, wire.Array, 1, 1)); c != 201 {
-				t.Errorf("submission got %d", c)
+				t.Errorf("submission returned status %d, want 201", c)
 			}
 			if d := time.Since(began); d > 150*time.Millisecond {
-				t.Errorf("a submission took %v", d)
+				t.Errorf("submission took %v, want at most 150 ms", d)
 			}
 			time.Sleep(time.Until(began.Add(time.Second)))
 		}
 		after, _ := w.Store.Load()
-		if rate := float64(after-before) / span; rate > 8 {
-			t.Errorf("%.1f writes a second for one submission a second and low work", rate)
+		if rate := float64(after-before) / seconds; rate > 8 {
+			t.Errorf("%.1f store writes/s with one submission/s and low-priority load, want at most 8", rate)
 		}
 	})
 }
 
-// TestSubmissionsWithSlowStore: where a write to the store takes long, a submission does not wait for the batch under
-// way and then for its own, and no job is lost or accepted twice.
+// TestSubmissionsWithSlowStore checks that, if store writes are slow, a submission that arrives during a write does not
+// wait for that write and then for one of its own, and that no job is lost or accepted twice.
 func TestSubmissionsWithSlowStore(t *testing.T) {
 	runCluster(t, 13, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -56,7 +57,7 @@
 		latencies := make([]time.Duration, 0, pairs)
 		var mu sync.Mutex
 		var users sync.WaitGroup
-		for i := range 2 * pairs { // two come close together, twice a second or so
+		for i := range 2 * pairs { // pairs of submissions 40 ms apart, every 650 ms
 			users.Go(func() {
 				time.Sleep(time.Duration(i/2)*650*time.Millisecond + time.Duration(i%2)*40*time.Millisecond)
 				j := newJobSpec(401+i, wire.Array, 4, 2)
@@ -64,7 +65,7 @@
 				b, _ := wire.Marshal(j)
 				began := time.Now()
 				if code, _ := w.Request("submit", j.ID, b); code != 201 && code != 200 {
-					t.Errorf("a submission got %d", code)
+					t.Errorf("submission returned status %d", code)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -76,7 +77,8 @@
 		users.Wait()
 		slices.Sort(latencies)
 		if median := latencies[len(latencies)/2]; median > 200*time.Millisecond {
-			t.Errorf("half of the second submissions took more than %v, a write takes 150 ms", median)
+			t.Errorf("median latency of the second submissions is %v, want at most 200 ms with store writes of 150 ms",
+				median)
 		}
 		for i := range 2 * pairs {
 			waitState(t, w, wire.JobID(uint64(401+i)), wire.JobDone, 2*time.Minute)
@@ -84,18 +86,18 @@
 	})
 }
 
-// TestIntakeRecordsDeletedOnce: the record of a job that the log knows is deleted once, however often the leader reads
-// the intake meanwhile. Each read used to have everything in it deleted again; in a flood of tiny jobs that came by the
-// intake, these deletions took the log's share of the store's rate for a minute and longer.
+// TestIntakeRecordsDeletedOnce checks that the intake record of a job that is in the log is deleted once, however often
+// the leader reads the intake meanwhile. If each read deletes all its records again, the deletions during a flood of
+// small jobs through the intake take the log's share of the store's write rate for a minute and longer.
 func TestIntakeRecordsDeletedOnce(t *testing.T) {
 	runCluster(t, 23, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		leader := nodeAt(findLeader())
 		var records []oplog.Intake
-		for k := range 24 {
-			s := newJobSpec(100+k, wire.Array, 1, 500)
+		for i := range 24 {
+			s := newJobSpec(100+i, wire.Array, 1, 500)
 			w.Submit(s)
-			records = append(records, oplog.Intake{Job: uint64(100 + k), Data: model.Accepted(s, 0).Append(nil)})
+			records = append(records, oplog.Intake{Job: uint64(100 + i), Data: model.Accepted(s, 0).Append(nil)})
 		}
 		time.Sleep(20 * time.Second)
 		w.Store.SetLatency(100 * time.Millisecond)
@@ -112,17 +114,18 @@
 		w.Submit(newJobSpec(200, wire.Array, 1, 500))
 		time.Sleep(20 * time.Second)
 		after, _ := w.Store.Load()
-		if k := after - before; k > 2*len(records)+10 { // a record, its deletion, and little else
-			t.Errorf("%d writes for %d records", k, len(records))
+		if writes := after - before; writes > 2*len(records)+10 { // two per record, and a few others
+			t.Errorf("%d store writes for %d intake records, want at most %d", writes, len(records), 2*len(records)+10)
 		}
 		if left, _, err := leader.oplog.ListIntake(leader.ctx); err != nil || len(left) > 0 {
-			t.Errorf("%d records are left, %v", len(left), err)
+			t.Errorf("%d intake records are left (error %v), want none", len(left), err)
 		}
 	})
 }
 
-// TestCancellationNotReportedBeforeCommit: a job that is cancelled while its acceptance is being written is not
-// reported as cancelled to a user who polled before, until the log has the cancellation too.
+// TestCancellationNotReportedBeforeCommit checks that a job cancelled while its acceptance is being written is reported
+// as cancelled only after the cancellation is committed, also to a user whose status request was waiting for the
+// acceptance.
 func TestCancellationNotReportedBeforeCommit(t *testing.T) {
 	runCluster(t, 25, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -136,7 +139,7 @@
 		}
 		w.Checker.RegisterJob(s)
 		leader.loop.postAndWait(func() { leader.submissions.accept(1, s, nil, record) })
-		time.Sleep(100 * time.Millisecond) // it is being written
+		time.Sleep(100 * time.Millisecond) // the acceptance is being written
 		var finalSeq uint64
 		leader.loop.postAndWait(func() {
 			leader.jobStatus.respondIfKnown(1, record)
@@ -146,7 +149,8 @@
 		time.Sleep(5 * time.Second)
 		leader.loop.postAndWait(func() {
 			if len(committedAtReport) != 2 || slices.Min(committedAtReport) < finalSeq {
-				t.Errorf("the end was reported with %v committed, it is in %d", committedAtReport, finalSeq)
+				t.Errorf("cancellation reported when batches %v were committed, want two reports after batch %d",
+					committedAtReport, finalSeq)
 			}
 		})
 	})
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -10,51 +10,51 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// TestEnqueue checks into which batch an entry goes: the last, unless it is full, and with ahead the first that has
-// space for it.
+// TestEnqueue checks which batch an entry is added to: the last one unless it is full, and with firstFit the first one
+// that has space.
 func TestEnqueue(t *testing.T) {
 	const maxData = 8
 	for name, test := range map[string]struct {
-		queue []string
-		data  string
-		ahead bool
-		want  []string
-		index int
+		queue     []string
+		data      string
+		firstFit  bool
+		want      []string
+		wantIndex int
 	}{
-		"first entry":            {nil, "ab", false, []string{"ab"}, 0},
-		"last batch has space":   {[]string{"abcdef"}, "gh", false, []string{"abcdefgh"}, 0},
-		"last batch is full":     {[]string{"abcdefg"}, "hi", false, []string{"abcdefg", "hi"}, 1},
-		"behind earlier batches": {[]string{"a", "b"}, "c", false, []string{"a", "bc"}, 1},
-		"ahead of bulk":          {[]string{"a", "b"}, "c", true, []string{"ac", "b"}, 0},
-		"ahead where it fits":    {[]string{"abcdefg", "b", "c"}, "de", true, []string{"abcdefg", "bde", "c"}, 1},
-		"ahead, none has space":  {[]string{"abcdefg"}, "hi", true, []string{"abcdefg", "hi"}, 1},
-		"larger than a batch":    {[]string{"a"}, "0123456789", true, []string{"a", "0123456789"}, 1},
+		"first entry":                 {nil, "ab", false, []string{"ab"}, 0},
+		"last batch has space":        {[]string{"abcdef"}, "gh", false, []string{"abcdefgh"}, 0},
+		"last batch is full":          {[]string{"abcdefg"}, "hi", false, []string{"abcdefg", "hi"}, 1},
+		"several batches":             {[]string{"a", "b"}, "c", false, []string{"a", "bc"}, 1},
+		"first fit in first batch":    {[]string{"a", "b"}, "c", true, []string{"ac", "b"}, 0},
+		"first fit in later batch":    {[]string{"abcdefg", "b", "c"}, "de", true, []string{"abcdefg", "bde", "c"}, 1},
+		"first fit, all batches full": {[]string{"abcdefg"}, "hi", true, []string{"abcdefg", "hi"}, 1},
+		"larger than a batch":         {[]string{"a"}, "0123456789", true, []string{"a", "0123456789"}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			commits := &commitPipelineTerm{}
 			for _, batch := range test.queue {
 				commits.queue = append(commits.queue, []byte(batch))
 			}
-			index := commits.enqueue([]byte(test.data), maxData, test.ahead)
+			index := commits.enqueue([]byte(test.data), maxData, test.firstFit)
 			got := make([]string, 0, len(commits.queue))
 			for _, batch := range commits.queue {
 				got = append(got, string(batch))
 			}
-			if index != test.index || !slices.Equal(got, test.want) {
-				t.Errorf("batch %d of %q, want %d of %q", index, got, test.index, test.want)
+			if index != test.wantIndex || !slices.Equal(got, test.want) {
+				t.Errorf("batch %d of %q, want %d of %q", index, got, test.wantIndex, test.want)
 			}
 		})
 	}
 }
 
-// TestCommitWaiters checks that a commit is told to those who wait for it or for an earlier one, in their order, and
-// the end of a term to the rest.
+// TestCommitWaiters checks that a commit notifies the waiters for its batch and earlier ones, in order of registration,
+// and that the end of a term notifies the others of an unknown outcome.
 func TestCommitWaiters(t *testing.T) {
 	commits := &commitPipelineTerm{}
-	var told []string
+	var results []string
 	for _, seq := range []uint64{3, 1, 2, 4} {
 		commits.commitWaiters = append(commits.commitWaiters, commitWaiter{seq, func(ok bool) {
-			told = append(told, fmt.Sprint(seq, ok))
+			results = append(results, fmt.Sprint(seq, ok))
 		}})
 	}
 	for _, waiter := range commits.takeWaiters(2) {
@@ -62,13 +62,13 @@
 	}
 	commits.failWaiters()
 	want := "1 true, 2 true, 3 false, 4 false"
-	if got := strings.Join(told, ", "); got != want || len(commits.commitWaiters) > 0 {
-		t.Errorf("%s and %d waiting, want %s", got, len(commits.commitWaiters), want)
+	if got := strings.Join(results, ", "); got != want || len(commits.commitWaiters) > 0 {
+		t.Errorf("got results %s and %d remaining waiters, want %s and none", got, len(commits.commitWaiters), want)
 	}
 }
 
-// TestSequenceGap checks that a batch which does not follow the last one applied is refused by a typed error, and one
-// that is applied already is passed over.
+// TestSequenceGap checks that a batch that does not follow the last one applied is rejected with a sequenceGapError,
+// and that one already applied is ignored.
 func TestSequenceGap(t *testing.T) {
 	withIdleController(t, 800, func(c *Controller) {
 		if err := c.replica.applyBatches([]oplog.Batch{{Seq: 1}, {Seq: 1}, {Seq: 2}}); err != nil {
@@ -77,12 +77,14 @@
 		err := c.replica.applyBatch(oplog.Batch{Seq: 4})
 		var gap *sequenceGapError
 		if !errors.As(err, &gap) || gap.Seq != 4 || gap.Applied != 2 || c.replica.appliedSeq != 2 {
-			t.Errorf("%v after batch %d", err, c.replica.appliedSeq)
+			t.Errorf("got error %v with batch %d applied, want a gap before batch 4 with batch 2 applied",
+				err, c.replica.appliedSeq)
 		}
 	})
 }
 
-// TestListenersAreClosed checks that a controller which can't listen on all of its addresses listens on none.
+// TestListenersAreClosed checks that a controller that cannot listen on one of its addresses closes the listeners that
+// it opened for the others.
 func TestListenersAreClosed(t *testing.T) {
 	withIdleController(t, 800, func(c *Controller) {
 		c.settings.Bind, c.settings.PeerListen = "n0:1", "n0:2"
@@ -91,14 +93,14 @@
 			t.Fatal(err)
 		}
 		if _, err := c.listen(); err == nil || !strings.Contains(err.Error(), "peer listener") {
-			t.Errorf("error %v, want one that names the peer listener", err)
+			t.Errorf("got error %v, want one that names the peer listener", err)
 		}
 		if err := taken.Close(); err != nil {
 			t.Fatal(err)
 		}
 		opened, err := c.listen()
 		if err != nil {
-			t.Fatalf("the API listener was left open: %v", err)
+			t.Fatalf("listen after a failed attempt: %v", err)
 		}
 		if err := opened.close(); err != nil {
 			t.Error(err)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"testing"
 	"time"
 
@@ -14,8 +15,7 @@
 	"fieldhill/wire"
 )
 
-// waitForLeader waits until another controller leads than the one that is excepted, and returns it and how long that
-// took.
+// waitForLeader waits until a controller other than except leads, and returns its index and how long that took.
 func waitForLeader(t *testing.T, except int, within time.Duration) (i int, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -25,15 +25,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("nobody but node %d led within %v", except, within)
+	t.Fatalf("no controller other than node %d became leader within %v", except, within)
 	return -1, 0
 }
 
-// TestLeaderCrashLoop: a leader that ends again and again, each time back within a fraction of a second, used to win
-// the election again itself, cold, while the others ran on. Now another leads as soon as the new process has ended the
-// old lease, and stays leader through all later ends. Work goes on: nothing is started again.
+// TestLeaderCrashLoop checks that a leader that crashes repeatedly and restarts within a fraction of a second is
+// replaced: another controller leads as soon as the new process has revoked the old lease, and stays leader through all
+// later crashes. Without the eligibility rule, the restarted process wins the election again with an empty replica
+// while others are warm. No task may be started again.
 func TestLeaderCrashLoop(t *testing.T) {
-	for k, back := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
+	for k, downtime := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		runCluster(t, uint64(40+k), func(w *emulator.Environment) {
 			time.Sleep(6 * time.Second)
 			for n := 1; n <= 4; n++ {
@@ -42,35 +43,35 @@
 			time.Sleep(30 * time.Second)
 			starts := w.Checker.Starts()
 			first := findLeader()
-			w.Restart(first, back)
+			w.Restart(first, downtime)
 			next, took := waitForLeader(t, first, 3*time.Second)
 			if took > 500*time.Millisecond {
-				t.Errorf("another node led %v after the new process began", took)
+				t.Errorf("another node became leader after %v, want at most 500 ms", took)
 			}
 			for range 8 {
 				time.Sleep(2 * time.Second)
-				w.Restart(first, back)
+				w.Restart(first, downtime)
 				time.Sleep(500 * time.Millisecond)
 				if i := findLeader(); i != next {
-					t.Errorf("node %d leads instead of %d", i, next)
+					t.Errorf("node %d is leader, want node %d", i, next)
 				}
 			}
 			time.Sleep(30 * time.Second)
-			if k := w.Checker.Starts() - starts; k != 0 {
-				t.Errorf("%d tasks were started again", k)
+			if restarts := w.Checker.Starts() - starts; restarts != 0 {
+				t.Errorf("%d tasks were started again, want none", restarts)
 			}
 		})
 	}
 }
 
-// TestElectionWithoutWarmCandidate: where all processes are equally cold, or the others are gone or unreachable, a
-// fresh one leads all the same.
+// TestElectionWithoutWarmCandidate checks that a newly started controller becomes leader if no warm one can: all were
+// restarted, or the others are stopped or unreachable.
 func TestElectionWithoutWarmCandidate(t *testing.T) {
 	for name, c := range map[string]struct {
-		end    func(w *emulator.Environment)
+		inject func(w *emulator.Environment)
 		within time.Duration
 	}{
-		"all restarted one after the other": {func(w *emulator.Environment) {
+		"all restarted in sequence": {func(w *emulator.Environment) {
 			killAll(w)
 			for i := range 3 {
 				time.Sleep(200 * time.Millisecond)
@@ -97,19 +98,19 @@
 				time.Sleep(6 * time.Second)
 				w.Submit(newWebService(1, 1, "small"))
 				time.Sleep(20 * time.Second)
-				c.end(w)
+				c.inject(w)
 				_, took := waitForLeader(t, -1, 5*time.Second)
-				t.Logf("led after %v", took)
+				t.Logf("leader elected after %v", took)
 				if took > c.within {
-					t.Errorf("a node led after %v", took)
+					t.Errorf("leader elected after %v, want at most %v", took, c.within)
 				}
 			})
 		})
 	}
 }
 
-// TestColdPartitionedNodeYields: a fresh process that reaches none of the others leaves leadership to a warm one that
-// sees the same key go.
+// TestColdPartitionedNodeYields checks that a restarted controller that reaches none of the others leaves the election
+// to a warm one that sees the leader key disappear.
 func TestColdPartitionedNodeYields(t *testing.T) {
 	runCluster(t, 51, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -122,9 +123,9 @@
 	})
 }
 
-// TestDelayedElectionTransaction: a transaction that acquires leadership for a process that has ended is applied after
-// the next process has read the log. The key names a controller that runs and does not lead; it ends that lease instead
-// of everybody waiting for its expiry.
+// TestDelayedElectionTransaction checks the case in which an election transaction of an ended process is applied after
+// the next process of that node has read the log. The leader key then names a running controller that does not lead; it
+// has to revoke that lease, so that the others need not wait for it to expire.
 func TestDelayedElectionTransaction(t *testing.T) {
 	runCluster(t, 54, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -149,55 +150,57 @@
 		began := time.Now()
 		k, _ := waitForLeader(t, -1, 3*time.Second)
 		if took := time.Since(began); took > 500*time.Millisecond {
-			t.Errorf("a node led after %v", took)
+			t.Errorf("leader elected after %v, want at most 500 ms", took)
 		}
 		node = nodeAt(k)
 		node.loop.postAndWait(func() {
 			if node.term.ownTerm.leader.Term != won.Term+1 {
-				t.Errorf("the leader's term is %d, the term before it that nobody led is %d",
+				t.Errorf("leader's term is %d, want the one after unused term %d",
 					node.term.ownTerm.leader.Term, won.Term)
 			}
 		})
 	})
 }
 
-// TestRequestsBeforeLogLoaded: a process that has just begun, when nobody has noticed yet that the one before it ended,
-// gets requests at once. It reports no job as unknown, ends no agent's lease, and says when to come back.
+// TestRequestsBeforeLogLoaded checks that a controller that receives requests before it has loaded the log, right after
+// a restart that no other controller has noticed, reports no job as unknown, ends no agent's lease, and tells clients
+// to retry.
 func TestRequestsBeforeLogLoaded(t *testing.T) {
 	runCluster(t, 52, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newWebService(1, 1, "small"))
 		time.Sleep(20 * time.Second)
 		i := (findLeader() + 1) % 3
-		w.Store.SetLatency(400 * time.Millisecond) // so that there is time for requests
+		w.Store.SetLatency(400 * time.Millisecond) // leaves time for requests during the load
 		w.Restart(i, 20*time.Millisecond)
 		time.Sleep(20 * time.Millisecond)
 		node := nodeAt(i)
 		loaded := true
 		node.loop.postAndWait(func() { loaded = node.replica.loaded })
 		if loaded {
-			t.Error("the log was read already: nothing is tested")
+			t.Error("the log is already loaded: precondition not met")
 		}
 		heartbeat := &wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Seq: 1}
-		if a := api.Respond(node.heartbeatRouter.Heartbeat(w.Context(), heartbeat)); a.Status != 421 {
-			t.Errorf("a heartbeat got %d", a.Status)
+		response := api.Respond(node.heartbeatRouter.Heartbeat(w.Context(), heartbeat))
+		if response.Status != http.StatusMisdirectedRequest {
+			t.Errorf("heartbeat returned status %d, want %d", response.Status, http.StatusMisdirectedRequest)
 		}
-		for range 10 { // the job exists, whenever the log is read
+		for range 10 { // the job exists, so 404 would be wrong at any time
 			if code, _ := w.RequestAt(i, "poll", "req-000001", nil); code != 200 && code != 503 {
-				t.Errorf("a poll got %d", code)
+				t.Errorf("poll returned status %d, want 200 or 503", code)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		w.Store.SetLatency(3 * time.Millisecond)
 		time.Sleep(40 * time.Second)
-		if k := w.Checker.Running("req-000001"); k != 1 {
-			t.Errorf("%d replicas run", k)
+		if running := w.Checker.Running("req-000001"); running != 1 {
+			t.Errorf("%d replicas are running, want 1", running)
 		}
 	})
 }
 
-// TestIdleFollowerConnected: where nothing happens a follower counts as connected to the store all the same. By the age
-// of its replica it did not for a third of the time, and forwarded users to others.
+// TestIdleFollowerConnected checks that a follower of an idle log counts as connected to the store. Judged by the age
+// of its replica, it would count as disconnected for a third of the time and forward requests to other controllers.
 func TestIdleFollowerConnected(t *testing.T) {
 	runCluster(t, 53, func(w *emulator.Environment) {
 		time.Sleep(30 * time.Second)
@@ -205,25 +208,26 @@
 		for range 100 {
 			time.Sleep(107 * time.Millisecond)
 			if _, connected := follower.forward.routingState(); !connected {
-				t.Fatal("a follower does not count as connected to the store")
+				t.Fatal("follower does not count as connected to the store")
 			}
 		}
 		w.Store.SetOutage(true)
-		time.Sleep(2*followTimeout + linkFreshness) // a watch that was open may still be answered
+		time.Sleep(2*followTimeout + linkFreshness) // an open watch may still be answered
 		if _, connected := follower.forward.routingState(); connected {
-			t.Error("a follower counts as connected to the store during an outage")
+			t.Error("follower counts as connected to the store during an outage")
 		}
 		w.Store.SetOutage(false)
 	})
 }
 
-// TestFailoverTimeline: one silent machine with work does not delay urgent work: it is placed while the machine is
-// still probed, which takes more than a second. Every phase of the failover is recorded, in order.
+// TestFailoverTimeline checks that a silent machine with work does not delay an urgent task after a failover: the task
+// is placed while the machine is still being probed, which takes more than a second. All phases of the failover have to
+// be recorded in order.
 func TestFailoverTimeline(t *testing.T) {
 	runCluster(t, 55, func(w *emulator.Environment) {
 		startServices(w, 5)
 		if hangBusyMachine(w, 40*time.Second) == nil {
-			t.Error("no machine holds work: nothing is tested")
+			t.Error("no machine has tasks: precondition not met")
 		}
 		i := findLeader()
 		w.Restart(i, 200*time.Millisecond)
@@ -233,7 +237,7 @@
 		w.Submit(j)
 		waitRunning(w, j.ID, began)
 		if d := time.Since(began); d > time.Second {
-			t.Errorf("a service ran %v after the election", d)
+			t.Errorf("service was running %v after the election, want at most 1 s", d)
 		}
 		time.Sleep(3 * time.Second)
 		var timeline candidacy.Timeline
@@ -243,37 +247,38 @@
 		for phase := range candidacy.AgentsAccounted {
 			after, reached := timeline.ReachedAfter(phase)
 			if !reached || after < last {
-				t.Errorf("%s: %v, %v; the phase before it was reached after %v", phase, reached, after, last)
+				t.Errorf("phase %s: reached %v after %v, previous phase after %v", phase, reached, after, last)
 			}
 			last = after
 		}
 		leads, _ := timeline.ReachedAfter(candidacy.Leading)
 		accounted, reached := timeline.ReachedAfter(candidacy.AgentsAccounted)
 		if !reached || leads > 500*time.Millisecond || accounted-leads < time.Second {
-			t.Errorf("it led after %v, and had accounted for all agents after %v (%v)", leads, accounted, reached)
+			t.Errorf("leading after %v, want at most 500 ms; agents accounted for after %v (%v), want 1 s more",
+				leads, accounted, reached)
 		}
 	})
 }
 
-// TestFailoverDuringZonePartition: a new leader does not wait for each machine of a partitioned zone: once some probes
-// are unanswered, and no agent of the zone was seen while others were, the rest is not waited for, and not probed
-// before the other zones' machines. Its tasks count as placed where they are.
+// TestFailoverDuringZonePartition checks that a new leader does not wait for every machine of a partitioned zone. Once
+// some probes are unanswered and only agents of other zones have been seen, it stops waiting for the zone's machines
+// and probes those of other zones first. Tasks on the partitioned machines stay placed there and are not started again.
 func TestFailoverDuringZonePartition(t *testing.T) {
-	defer func(n int) { maxSilentProbes = n }(maxSilentProbes)
+	defer func(saved int) { maxSilentProbes = saved }(maxSilentProbes)
 	maxSilentProbes = 6
 	runClusterWithTeams(t, 56, defaultTeams, func(w *emulator.Environment) {
 		w.Cloud.SetCapacity(20)
 		startServices(w, 20)
 		first := findLeader()
 		starts := w.Checker.Starts()
-		held := 0
+		busy := 0
 		for _, worker := range busyMachines(w) {
 			if worker.Zone == "b" {
-				held++
+				busy++
 			}
 		}
-		if held < silentZoneThreshold+2 {
-			t.Fatalf("zone b holds work on %d machines only", held)
+		if busy < silentZoneThreshold+2 {
+			t.Fatalf("only %d machines of zone b have tasks, want at least %d", busy, silentZoneThreshold+2)
 		}
 		partitionZoneAgents(w, true)
 		w.Restart(first, 200*time.Millisecond)
@@ -285,13 +290,14 @@
 			leads, _ := timeline.ReachedAfter(candidacy.Leading)
 			accounted, reached := timeline.ReachedAfter(candidacy.AgentsAccounted)
 			if !reached || accounted-leads > 2*time.Second {
-				t.Errorf("it had accounted for all reachable agents %v after it led (%v)", accounted-leads, reached)
+				t.Errorf("reachable agents accounted for %v after leading (reached %v), want at most 2 s",
+					accounted-leads, reached)
 			}
 		})
 		partitionZoneAgents(w, false)
 		time.Sleep(20 * time.Second)
-		if d := w.Checker.Starts() - starts; d != 0 {
-			t.Errorf("%d tasks were started again", d)
+		if restarts := w.Checker.Starts() - starts; restarts != 0 {
+			t.Errorf("%d tasks were started again, want none", restarts)
 		}
 	})
 }
--- a/internal/controller/event_loop_test.go
+++ b/internal/controller/event_loop_test.go
@@ -7,8 +7,8 @@
 	"fieldhill/internal/emulator"
 )
 
-// TestStopDuringLoopRequest: a caller of the event loop reads a result only when the loop has written it, or never
-// will, also when the controller stops meanwhile.
+// TestStopDuringLoopRequest checks that postAndWait returns only when the loop has run the work or never will, also
+// when the controller stops meanwhile.
 func TestStopDuringLoopRequest(t *testing.T) {
 	runCluster(t, 24, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -22,11 +22,11 @@
 			result = 1
 		})
 		if result != 1 {
-			t.Error("the caller went on before the loop had written the result")
+			t.Error("postAndWait returned before the loop had written the result")
 		}
 		if nodeAt(0) != nil {
 			t.Error("the controller did not stop")
 		}
-		node.loop.postAndWait(func() { t.Error("run by a controller that has ended") })
+		node.loop.postAndWait(func() { t.Error("work was run by a stopped controller") })
 	})
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -13,10 +13,10 @@
 	"fieldhill/wire"
 )
 
-// These tests combine faults with failovers.
+// The tests in this file combine faults with failovers.
 
-// changeLeader makes leadership change in a way that is drawn: the leader is restarted, refused by the store, or
-// frozen, now and then during a store outage. It returns what ends that.
+// changeLeader injects a random fault that makes the leader change: the leader is restarted, refused by the store, or
+// frozen, with a probability of 1/3 during a store outage. end ends the fault.
 func changeLeader(w *emulator.Environment, rng *rand.Rand) (end func()) {
 	i := leaderOrFirst()
 	if rng.IntN(3) == 0 {
@@ -35,9 +35,9 @@
 	return func() {}
 }
 
-// TestCancelDuringFailover: leaders change ten times in two minutes, also inside an outage, and jobs are cancelled in
-// the seconds around each change, while their tasks fetch and run; with distributed singleton roles too. The tasks end
-// in time; those that start after the confirmation are counted.
+// TestCancelDuringFailover checks that the tasks of cancelled jobs end in time if jobs are cancelled within seconds of
+// a leader change, while their tasks fetch images or run. The leader changes ten times in two minutes, also during
+// store outages, with and without distributed singleton roles. Tasks that start after the confirmation are counted.
 func TestCancelDuringFailover(t *testing.T) {
 	defer func() { distributedRoles = false }()
 	for _, distributedRoles = range []bool{false, true} {
@@ -45,17 +45,17 @@
 	}
 }
 
-// cancelDuringFailover is TestCancelDuringFailover for one setting of the singleton roles.
+// cancelDuringFailover runs TestCancelDuringFailover for one setting of distributedRoles.
 func cancelDuringFailover(t *testing.T) {
 	cancelled, late := atomic.Int64{}, 0
 	runFaultCombination(t, 1, 70, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 3)
 		terms := map[uint64]bool{}
-		n := 100
+		next := 100 // number of the next job
 		for range 10 {
-			for range 6 { // some fetch, some run when the leader changes
-				submitAndCancel(w, rng, n, &cancelled)
-				n++
+			for range 6 { // some are fetching images and some are running when the leader changes
+				submitAndCancel(w, rng, next, &cancelled)
+				next++
 				time.Sleep(randomMillis(rng, 0, 400))
 			}
 			end := changeLeader(w, rng)
@@ -66,26 +66,27 @@
 			}
 		}
 		if len(terms) < 7 {
-			t.Errorf("%d leaders were seen: the fault combination did not occur", len(terms))
+			t.Errorf("%d leader terms observed, want at least 7: the fault combination did not occur", len(terms))
 		}
 		time.Sleep(70 * time.Second)
-		for k := 100; k < n; k++ {
-			if err := pollEndedOrUnknown(w, wire.JobID(uint64(k))); err != nil {
+		for n := 100; n < next; n++ {
+			if err := pollEndedOrUnknown(w, wire.JobID(uint64(n))); err != nil {
 				t.Error(err)
 			}
 		}
-		if k := servicesUp(w, 3); k != 3 {
-			t.Errorf("%d of 3 services run", k)
+		if up := servicesUp(w, 3); up != 3 {
+			t.Errorf("%d of 3 services are running", up)
 		}
 		late += w.Checker.StartsAfterCancel()
 	})
-	t.Logf("%d jobs were cancelled, %d tasks started after that was confirmed", cancelled.Load(), late)
+	t.Logf("%d jobs were cancelled, %d tasks started after the confirmation", cancelled.Load(), late)
 	if cancelled.Load() < 30 {
-		t.Errorf("%d jobs were cancelled: the fault combination did not occur", cancelled.Load())
+		t.Errorf("%d jobs were cancelled, want at least 30: the fault combination did not occur", cancelled.Load())
 	}
 }
 
-// submitAndCancel submits an array and cancels it some seconds later, without waiting, and counts the confirmations.
+// submitAndCancel submits an array job and cancels it after some seconds, without waiting, and counts confirmed
+// cancellations.
 func submitAndCancel(w *emulator.Environment, rng *rand.Rand, n int, cancelled *atomic.Int64) {
 	j := newHighArray(n, 1+rng.IntN(3), 0.25, 30)
 	j.Image = fmt.Sprint("img-", n%9)
@@ -99,9 +100,9 @@
 	}()
 }
 
-// TestCancelAsStoreRefusesLeader: jobs are cancelled at the very moment at which the store refuses the leader alone,
-// and a second later there is an outage for all that lasts longer than a cancellation may take. The tasks of every
-// confirmed cancellation end in time.
+// TestCancelAsStoreRefusesLeader checks that the tasks of every confirmed cancellation end in time if jobs are
+// cancelled at the moment at which the store refuses the leader only. A second later, an outage begins for all
+// controllers that lasts longer than a cancellation may take.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
 	var confirmed atomic.Int64
 	runFaultCombination(t, 2, 72, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -134,7 +135,7 @@
 		time.Sleep(40 * time.Second)
 		for _, id := range ids[20:] {
 			if w.Checker.Running(id) == 0 {
-				t.Errorf("%s, which was not cancelled, does not run", id)
+				t.Errorf("job %s was not cancelled but is not running", id)
 			}
 		}
 	})
@@ -143,18 +144,19 @@
 	}
 }
 
-// TestStaleReportsAfterFailover: copies of heartbeats are retained, of machines that were released, rebooted, got a new
-// agent epoch, hang or are suspect, and reach every controller just as a new leader begins, and a moment before and
-// after. They prove nothing: nothing starts twice, and nothing that runs is started again.
+// TestStaleReportsAfterFailover checks that stale heartbeats are ignored after a failover. Copies of heartbeats, of
+// machines that were released, rebooted, got a new agent epoch, hang or are suspect, arrive at all controllers just as
+// a new leader begins its term, and shortly before and after. No task may start twice or be started again because of
+// them.
 func TestStaleReportsAfterFailover(t *testing.T) {
 	runFaultCombination(t, 2, 74, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 5)
 		w.RetainHeartbeats(0.5)
-		sent, n := 0, 100
+		sent, next := 0, 100
 		for range 4 {
 			for range 4 {
-				w.Submit(newHighArray(n, 1+rng.IntN(4), 0.5, 4+30*rng.Float64()))
-				n++
+				w.Submit(newHighArray(next, 1+rng.IntN(4), 0.5, 4+30*rng.Float64()))
+				next++
 			}
 			time.Sleep(randomMillis(rng, 5000, 8000))
 			disturbMachines(w, rng)
@@ -172,18 +174,19 @@
 		}
 		w.RetainHeartbeats(0)
 		if sent < 40 {
-			t.Errorf("%d copies arrived as a leader began: the fault combination did not occur", sent)
+			t.Errorf("%d copies were sent as a leader began, want at least 40: the fault combination did not occur",
+				sent)
 		}
-		for k := 100; k < n; k++ {
-			waitState(t, w, wire.JobID(uint64(k)), wire.JobDone, 3*time.Minute)
+		for n := 100; n < next; n++ {
+			waitState(t, w, wire.JobID(uint64(n)), wire.JobDone, 3*time.Minute)
 		}
-		if k := servicesUp(w, 5); k != 5 {
-			t.Errorf("%d of 5 services run", k)
+		if up := servicesUp(w, 5); up != 5 {
+			t.Errorf("%d of 5 services are running", up)
 		}
 	})
 }
 
-// disturbMachines reboots, hangs and, if they are idle, reclaims an eighth of the machines each.
+// disturbMachines reboots an eighth of the machines, hangs an eighth, and reclaims an eighth unless they have tasks.
 func disturbMachines(w *emulator.Environment, rng *rand.Rand) {
 	for _, worker := range w.Cloud.Workers() {
 		switch rng.IntN(8) {
@@ -199,9 +202,9 @@
 	}
 }
 
-// replayAtNextLeader sends the retained heartbeats as soon as another controller leads than the old leader, and now and
-// then before, and returns how many were sent then. Most machines hang meanwhile, so that the copies arrive before the
-// answers to the next leader's probes.
+// replayAtNextLeader replays the retained heartbeats as soon as a controller other than the old leader leads, and at
+// random before, and returns how many were sent to the new leader. Most machines hang meanwhile, so that the copies
+// arrive before the answers to the new leader's probes.
 func replayAtNextLeader(w *emulator.Environment, rng *rand.Rand, old int) (sent int) {
 	for _, worker := range w.Cloud.Workers() {
 		if rng.IntN(3) > 0 {
@@ -209,7 +212,7 @@
 		}
 	}
 	for began := time.Now(); time.Since(began) < 15*time.Second; time.Sleep(20 * time.Millisecond) {
-		if l := findLeader(); l >= 0 && l != old {
+		if leader := findLeader(); leader >= 0 && leader != old {
 			return w.ReplayRetained()
 		}
 		if rng.IntN(40) == 0 {
@@ -219,21 +222,20 @@
 	return 0
 }
 
-// quotaTest is the state of TestTeamsAtQuota.
 type quotaTest struct {
 	w    *emulator.Environment
 	rng  *rand.Rand
 	next int                 // number of the next job
-	open map[string][]string // jobs that were not cancelled, by team
+	open map[string][]string // IDs of jobs that were not cancelled, by team
 }
 
-// quotaTeams are the teams that TestTeamsAtQuota fills up to their limits of 24 and 20 CPUs.
+// quotaTeams are the teams that TestTeamsAtQuota keeps at their limits of 24 and 20 CPUs.
 var quotaTeams = []string{"red", "blue"}
 
-// TestTeamsAtQuota: every team is at its limit, with more pending, while jobs are cancelled whose machines are
-// partitioned or hang, and the leader changes. What a cancelled job still holds counts until its end is proven, through
-// the log and its snapshot (a compaction every few batches): no team exceeds its limit. Afterwards each uses all of it
-// again.
+// TestTeamsAtQuota checks that no team exceeds its limit if jobs are cancelled while their machines are partitioned or
+// hang and the leader changes, with every team at its limit and more jobs pending. The resources of a cancelled job
+// count until its tasks are proven to have ended, also across the log and its snapshots (compaction runs every few
+// batches). Afterwards each team has to use its whole limit again.
 func TestTeamsAtQuota(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 5
@@ -241,12 +243,12 @@
 		startServices(w, 1)
 		q := &quotaTest{w: w, rng: rng, next: 100, open: map[string][]string{}}
 		for _, team := range quotaTeams {
-			for range 14 { // more than the limit
+			for range 14 { // exceeds the limit
 				q.submit(team)
 			}
 		}
 		time.Sleep(45 * time.Second)
-		q.checkAtLimit(t, "before")
+		q.checkAtLimit(t, "before the faults")
 		if t.Failed() {
 			t.Fatal("the fault combination did not occur")
 		}
@@ -255,15 +257,15 @@
 			cancelledTasks += q.cancelDuringFaults()
 		}
 		if cancelledTasks < 12 {
-			t.Errorf("%d tasks were on machines as their jobs were cancelled: the fault combination did not occur",
+			t.Errorf("%d tasks of cancelled jobs were running, want at least 12: the fault combination did not occur",
 				cancelledTasks)
 		}
 		time.Sleep(60 * time.Second)
-		q.checkAtLimit(t, "afterwards")
+		q.checkAtLimit(t, "after the faults")
 	})
 }
 
-// submit submits a job of two tasks of one CPU.
+// submit submits a job with two tasks of one CPU each.
 func (q *quotaTest) submit(team string) {
 	j := newHighArray(q.next, 2, 1, 1000)
 	q.next++
@@ -276,21 +278,21 @@
 	q.open[team] = append(q.open[team], j.ID)
 }
 
-// checkAtLimit requires that each team uses all of its limit but what a job of two CPUs, beside a service of three,
-// may leave.
+// checkAtLimit checks that each team uses its limit, except for what a service of three CPUs and jobs of two CPUs may
+// leave unused.
 func (q *quotaTest) checkAtLimit(t *testing.T, phase string) {
 	t.Helper()
 	teams := q.w.Params.Teams
 	for _, team := range quotaTeams {
 		limit := teams[slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == team })].CPUsMax
 		if used := q.w.Checker.UsedCPUs(team); used < limit-1.5 {
-			t.Errorf("%s: %s uses %g of %g CPUs", phase, team, used, limit)
+			t.Errorf("%s: team %s uses %g of %g CPUs", phase, team, used, limit)
 		}
 	}
 }
 
 // cancelDuringFaults replaces four jobs of each team while machines are partitioned or hang, and restarts the leader.
-// It returns how many tasks of the cancelled jobs ran.
+// It returns how many tasks of the cancelled jobs were running.
 func (q *quotaTest) cancelDuringFaults() (running int) {
 	w, rng := q.w, q.rng
 	duration := randomSeconds(rng, 10, 60)
@@ -312,7 +314,7 @@
 			q.open[team] = slices.Delete(q.open[team], k, k+1)
 			running += w.Checker.Running(id)
 			go w.Cancel(id)
-			q.submit(team) // competes with the pending jobs for what becomes free
+			q.submit(team) // competes with the pending jobs for the freed resources
 		}
 	}
 	time.Sleep(randomMillis(rng, 0, 3000))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -28,8 +28,8 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenClearedMachines: the list of cleared machines that a controller puts into the store is written and read as
-// it always was.
+// TestGoldenClearedMachines checks that the encoding of the list of cleared machines, which controllers write to the
+// store, is unchanged.
 func TestGoldenClearedMachines(t *testing.T) {
 	now, settings := time.Now(), emulator.DefaultParams()
 	m, all := model.New(&settings), clearedMachines{}
@@ -51,7 +51,7 @@
 	}
 	golden.Check(t, "cleared.hex", all.encode(m, now, 1000))
 	if got := decodeCleared(&oplog.PartitionedNode{Data: golden.Read(t, "cleared.hex")}); !maps.Equal(got, want) {
-		t.Errorf("read as %v", got)
+		t.Errorf("decoded %v, want %v", got, want)
 	}
 	golden.FlipFinds(t, "cleared.hex", func(b []byte) (again []byte, err error) {
 		for _, id := range slices.Sorted(maps.Keys(decodeCleared(&oplog.PartitionedNode{Data: b}))) {
@@ -61,24 +61,24 @@
 	})
 }
 
-// TestGoldenCommandFates: the fates of direct commands go between controllers by number.
+// TestGoldenCommandFates checks the numbers of command fates, which controllers exchange.
 func TestGoldenCommandFates(t *testing.T) {
 	for number, fate := range []agent.CommandFate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(fate) != number {
-			t.Errorf("fate %d has number %d", number, fate)
+			t.Errorf("fate has number %d, want %d", fate, number)
 		}
 	}
 }
 
-// recordingPeer is a controller whose loop takes work, with the requests that its only peer, which it takes for the
-// leader, got from it.
+// recordingPeer is a controller that runs only queued work, connected to a single peer. The peer records the requests
+// it receives, and the controller regards it as the leader.
 type recordingPeer struct {
 	*Controller
 	link     *rpc.Link
 	requests chan *rpc.Request
 }
 
-// withRecordingPeer runs f with such a controller.
+// withRecordingPeer runs f with a recordingPeer.
 func withRecordingPeer(t *testing.T, f func(ctx context.Context, c *recordingPeer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	})
 }
 
-// runQueues runs what is posted to the event loop, and nothing that the loop does by itself.
+// runQueues runs work queued for the event loop, without the loop's periodic work.
 func (c *recordingPeer) runQueues(ctx context.Context) {
 	for {
 		select {
@@ -127,8 +127,9 @@
 	}
 }
 
-// sendEach returns what sends each request that a controller sends to others, in the order of the golden file.
-func (c *recordingPeer) sendEach(ctx context.Context, t *testing.T) []func() {
+// requestSenders returns functions that each make the controller send one kind of request to another controller, in the
+// order of the golden file.
+func (c *recordingPeer) requestSenders(ctx context.Context, t *testing.T) []func() {
 	t.Helper()
 	report := &wire.Heartbeat{
 		Machine:    "host-1",
@@ -168,24 +169,24 @@
 	}
 }
 
-// TestGoldenPeerRequests: each operation is requested of another controller in the same bytes as ever, and what was
-// always requested is understood: the file has, for each request, its number, ID and body, and the status by which this
-// controller, which does not lead, answers it. A body that is cut short is answered as malformed.
+// TestGoldenPeerRequests checks that the encoding of each request to another controller is unchanged, and that requests
+// in this encoding are accepted. The golden file lists, for each request, its operation number, ID and body, and the
+// status of the answer by this controller, which does not lead. A truncated body has to be rejected as malformed.
 func TestGoldenPeerRequests(t *testing.T) {
 	var all strings.Builder
 	withRecordingPeer(t, func(ctx context.Context, c *recordingPeer) {
-		for _, send := range c.sendEach(ctx, t) {
+		for _, send := range c.requestSenders(ctx, t) {
 			send()
 			time.Sleep(200 * time.Millisecond)
 			if len(c.requests) == 0 {
-				t.Errorf("nothing was sent after\n%s", all.String())
+				t.Errorf("no request was sent after\n%s", all.String())
 				continue
 			}
 			request := <-c.requests
 			for len(c.requests) > 0 {
 				<-c.requests
 			}
-			// Only a leader reads the filter.
+			// Only a leader decodes the filter.
 			c.forward.routing.Store(&routingView{leader: "n1", leads: request.Op == rpc.OpQueue})
 			status := c.handlePeerRequest(ctx, request).Status
 			fmt.Fprintf(&all, "%d %q %x -> %d\n", request.Op, request.ID, request.Body, status)
@@ -200,15 +201,15 @@
 	golden.Check(t, "calls.txt", []byte(all.String()))
 }
 
-// registerJob makes a job known to the invariant checker and returns its encoded submission, for tests that submit it
-// at a controller of their choice or that expect a refusal.
+// registerJob registers a job with the invariant checker and returns its encoded submission, for tests that submit it
+// to a particular controller or expect a refusal.
 func registerJob(t *testing.T, w *emulator.Environment, s *wire.JobSpec) []byte {
 	t.Helper()
 	w.Checker.RegisterJob(s)
 	return mustMarshal(t, s)
 }
 
-// pollEach polls each of several jobs without waiting for the answers, with a probability of one in so many.
+// pollEach polls each job with probability 1/oneIn, without waiting for the answers.
 func pollEach(w *emulator.Environment, rng *rand.Rand, ids []string, oneIn int) {
 	for _, id := range ids {
 		if rng.IntN(oneIn) == 0 {
@@ -217,22 +218,22 @@
 	}
 }
 
-// endedError returns an error unless the answer to a poll reports a final state.
+// endedError returns an error unless the response to a poll reports a final state.
 func endedError(id string, code int, status *wire.JobStatus) error {
 	if code != http.StatusOK || status.State != wire.JobDone && status.State != wire.JobCancelled {
-		return fmt.Errorf("%s: %d %+v", id, code, status)
+		return fmt.Errorf("job %s: poll returned status %d, %+v; want a final state", id, code, status)
 	}
 	return nil
 }
 
-// pollEnded returns an error unless a job is reported to be done or cancelled.
+// pollEnded polls a job and returns an error unless it is done or cancelled.
 func pollEnded(w *emulator.Environment, id string) error {
 	code, status := w.Request("poll", id, nil)
 	return endedError(id, code, status)
 }
 
-// pollEndedOrUnknown returns an error unless a job is reported to be done or cancelled, or was never accepted, which
-// the invariant checker verifies.
+// pollEndedOrUnknown polls a job and returns an error unless it is done, cancelled or unknown. Whether an unknown job
+// was never accepted is verified by the invariant checker.
 func pollEndedOrUnknown(w *emulator.Environment, id string) error {
 	code, status := w.Request("poll", id, nil)
 	if code == http.StatusNotFound {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -10,31 +10,31 @@
 	"fieldhill/wire"
 )
 
-// TestFrozenLeader: a leader that is frozen is replaced within a lease, and when it goes on it does nothing as a
-// leader: no machine is released for the silence that it slept through, and no replica is lost.
+// TestFrozenLeader checks that a frozen leader is replaced within a lease period and does not act as a leader when it
+// continues: it releases no machine because of heartbeats that it missed while frozen, and no task is started again.
 func TestFrozenLeader(t *testing.T) {
 	runCluster(t, 20, func(w *emulator.Environment) {
 		startServices(w, 6)
 		starts, busy := w.Checker.Starts(), busyMachines(w)
 		pauses := []time.Duration{1500 * time.Millisecond, 7 * time.Second, 30 * time.Second, 60 * time.Second}
-		for k, pause := range pauses {
-			checkServedWhileFrozen(t, w, newWebService(10+k, 0.1), pause)
+		for i, pause := range pauses {
+			checkServedWhileFrozen(t, w, newWebService(10+i, 0.1), pause)
 			starts++
 		}
-		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were started again", k)
+		if restarts := w.Checker.Starts() - starts; restarts != 0 {
+			t.Errorf("%d tasks were started again, want none", restarts)
 		}
 		up := w.Cloud.Workers()
 		for _, worker := range busy {
 			if !slices.Contains(up, worker) {
-				t.Errorf("%s was released", worker.Name)
+				t.Errorf("machine %s was released", worker.Name)
 			}
 		}
 	})
 }
 
-// checkServedWhileFrozen freezes the leader and requires that another controller accepts a service at once and that it
-// runs after a failover. It returns ten seconds after the leader goes on.
+// checkServedWhileFrozen freezes the leader and checks that another controller accepts a service immediately and that
+// the service runs after a failover. It returns ten seconds after the end of the freeze.
 func checkServedWhileFrozen(t *testing.T, w *emulator.Environment, s *wire.JobSpec, pause time.Duration) {
 	t.Helper()
 	i := findLeader()
@@ -43,20 +43,21 @@
 	body := registerJob(t, w, s)
 	time.Sleep(100 * time.Millisecond)
 	if code, _ := w.RequestAt((i+1)%3, "submit", s.ID, body); code != 201 {
-		t.Errorf("a submission to another node got %d", code)
+		t.Errorf("submission to another node returned status %d, want 201", code)
 	}
 	if took := time.Since(began) - 100*time.Millisecond; took > 200*time.Millisecond {
-		t.Errorf("a submission to another node took %v", took)
+		t.Errorf("submission to another node took %v, want at most 200 ms", took)
 	}
 	waitRunning(w, s.ID, began)
 	if took := time.Since(began); took > 7*time.Second {
-		t.Errorf("frozen for %v: a service ran after %v", pause, took)
+		t.Errorf("leader frozen for %v: service was running after %v, want at most 7 s", pause, took)
 	}
 	time.Sleep(time.Until(began.Add(pause + 10*time.Second)))
 }
 
-// TestElectionUnderPolls: the polls of a moment without a leader do not delay the next election. Each used to read the
-// end of the log for itself, and the election waited behind them in this controller's share of the store's rate.
+// TestElectionUnderPolls checks that status requests received while there is no leader do not delay the election. If
+// each of them reads the end of the log itself, the election waits behind these reads for this controller's share of
+// the store's request rate.
 func TestElectionUnderPolls(t *testing.T) {
 	runCluster(t, 12, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -68,20 +69,20 @@
 		for i := range 3 { // one of them leads
 			w.Crash(i)
 			ctx, stop := context.WithCancel(context.Background())
-			for k := range 300 { // users poll while there is no leader
+			for k := range 300 { // users polling while there is no leader
 				id, delay := wire.JobID(uint64(300+k%40)), time.Duration(k)*3*time.Millisecond
 				go pollEverySecond(ctx, w, (i+1+k%2)%3, id, delay)
 			}
 			began := time.Now()
-			for { // cancellations need the leader
+			for { // a cancellation needs a leader
 				code, _ := w.RequestAt((i+1)%3, "cancel", wire.JobID(uint64(300+i)), nil)
 				if code == 200 {
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			if d := time.Since(began); d > 4500*time.Millisecond {
-				t.Errorf("no leader for %v after node %d ended", d, i)
+			if took := time.Since(began); took > 4500*time.Millisecond {
+				t.Errorf("no leader for %v after the crash of node %d, want at most 4.5 s", took, i)
 			}
 			stop()
 			w.Start(i)
@@ -90,17 +91,17 @@
 	})
 }
 
-// pollEverySecond polls a job at a controller, after a delay, until the context ends.
+// pollEverySecond polls a job at a controller every second, after a delay, until the context ends.
 func pollEverySecond(ctx context.Context, w *emulator.Environment, node int, id string, delay time.Duration) {
 	time.Sleep(delay)
 	for ctx.Err() == nil {
-		w.RequestAt(node, "poll", id, nil) //nolint:contextcheck // a request outlives the user's loop
+		w.RequestAt(node, "poll", id, nil) //nolint:contextcheck // a request may outlive ctx
 		time.Sleep(time.Second)
 	}
 }
 
-// TestNewLeaderProbesMachines: a new leader probes the machines with work, and so places new work long before all
-// their agents have found it.
+// TestNewLeaderProbesMachines checks that a new leader probes the machines with tasks, and so can place new tasks long
+// before all of their agents have sent it a heartbeat.
 func TestNewLeaderProbesMachines(t *testing.T) {
 	runCluster(t, 18, func(w *emulator.Environment) {
 		startServices(w, 5)
@@ -112,26 +113,26 @@
 	})
 }
 
-// checkPlacedAfterCrash crashes a controller and requires that a service runs within the time of a lease, the election,
-// probing the machines, and fetching the image for 1.5 s.
+// checkPlacedAfterCrash crashes a controller and checks that a service then runs within 5.5 s: 3 s for the lease to
+// expire, and the rest for the election, probes, and an image fetch of 1.5 s.
 func checkPlacedAfterCrash(t *testing.T, w *emulator.Environment, node int, s *wire.JobSpec) {
 	t.Helper()
 	w.Crash(node)
 	began := time.Now()
 	w.Submit(s)
 	waitRunning(w, s.ID, began)
-	if d := time.Since(began); d > 3*time.Second+2500*time.Millisecond {
-		t.Errorf("node %d: a service ran %v after the crash", node, d)
+	if took := time.Since(began); took > 3*time.Second+2500*time.Millisecond {
+		t.Errorf("node %d: service was running %v after the crash, want at most 5.5 s", node, took)
 	}
 }
 
-// TestNewLeaderProbeUnanswered: one silent machine with work does not keep a new leader from placing new work for a
-// whole heartbeat interval (8.0 s after the crash).
+// TestNewLeaderProbeUnanswered checks that one silent machine with tasks does not keep a new leader from placing new
+// tasks for a whole heartbeat interval, which would be 8.0 s after the crash.
 func TestNewLeaderProbeUnanswered(t *testing.T) {
 	runCluster(t, 18, func(w *emulator.Environment) {
 		startServices(w, 5)
 		if hangBusyMachine(w, time.Hour) == nil {
-			t.Error("no machine holds work: nothing is tested")
+			t.Error("no machine has tasks: precondition not met")
 		}
 		i := findLeader()
 		checkPlacedAfterCrash(t, w, i, newWebService(10, 0.5, "small"))
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -13,30 +13,30 @@
 )
 
 var (
-	seedCount             = flag.Uint64("days", defaultSeeds, "how many seeds the random tests run")
-	firstSeed             = flag.Uint64("from", 0, "the first seed")
-	alwaysDistributeRoles = flag.Bool("duties", false, "distribute the singleton roles with every seed, not with half")
+	seedCount             = flag.Uint64("days", defaultSeeds, "number of seeds to run the random tests with")
+	firstSeed             = flag.Uint64("from", 0, "first seed")
+	alwaysDistributeRoles = flag.Bool("duties", false, "distribute the singleton roles with every seed")
 )
 
-// defaultSeeds is how many seeds of TestRandomFaults run in CI.
+// defaultSeeds is the number of seeds that TestRandomFaults runs with in CI.
 const defaultSeeds = 8
 
-// seeds are those of a random test: a number of its own in CI, and as many as the flags ask for otherwise.
+// seeds returns the seeds of a random test: count by default, or as many as the flags request.
 func seeds(count uint64) func(yield func(uint64) bool) {
-	to := *firstSeed + count
+	end := *firstSeed + count
 	if *seedCount != defaultSeeds {
-		to = *firstSeed + *seedCount
+		end = *firstSeed + *seedCount
 	}
 	return func(yield func(uint64) bool) {
-		for seed := *firstSeed; seed < to && yield(seed); seed++ {
+		for seed := *firstSeed; seed < end && yield(seed); seed++ {
 		}
 	}
 }
 
-// TestRandomFaults injects every fault that the emulator has, at random but with fixed seeds, and requires that the
-// invariants hold and that everything ends well. Every other seed compacts the log every few batches: by default it
-// would not be compacted at all in most runs, which left a compaction that deleted too much after a failover unfound.
-// Half of the seeds distribute the singleton roles, two of three assign agents to relays.
+// TestRandomFaults injects every fault of the emulator, at random but with fixed seeds, and checks that the invariants
+// hold and that the deployment converges afterwards. Every other seed compacts the log every few batches: with the
+// default interval most runs would not compact it at all, and would miss faults such as a compaction that deletes too
+// much after a failover. Half of the seeds distribute the singleton roles, and two of three assign agents to relays.
 func TestRandomFaults(t *testing.T) {
 	savedThreshold := *relayThreshold
 	defer func() { compactEvery, distributedRoles, *relayThreshold = 0, false, savedThreshold }()
@@ -49,22 +49,22 @@
 	}
 }
 
-// randomRun is the state of a run of TestRandomFaults.
+// randomRun is the state of one run of TestRandomFaults.
 type randomRun struct {
 	w    *emulator.Environment
 	rng  *rand.Rand
-	up   []bool // which controllers run
-	jobs int
-	open []string // the jobs that were submitted
+	up   []bool   // whether each controller is running
+	jobs int      // number of jobs submitted
+	open []string // IDs of submitted jobs
 }
 
-// runRandomFaults draws submissions, polls, cancellations and faults for some minutes, and then ends all faults and
-// checks that the deployment converges.
+// runRandomFaults injects random submissions, polls, cancellations and faults for some minutes, then ends all faults
+// and checks that the deployment converges.
 func runRandomFaults(t *testing.T, w *emulator.Environment, rng *rand.Rand) {
 	t.Helper()
 	endBackground := backgroundFaults(w, rand.New(rand.NewPCG(rng.Uint64(), 10)))
 	w.SetFaults(0.1, 20*time.Second)
-	// What a process has used of the rate limits is not available to the next one.
+	// Enforced by the store, so that a restarted controller does not get the rate used by its predecessor again.
 	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
 	time.Sleep(6 * time.Second)
 	run := &randomRun{w: w, rng: rng, up: []bool{true, true, true}}
@@ -87,7 +87,7 @@
 	checkConvergence(t, w, run.open)
 }
 
-// submit submits a job that is drawn, without waiting for the answer.
+// submit submits a random job without waiting for the response.
 func (r *randomRun) submit() {
 	rng := r.rng
 	r.jobs++
@@ -110,8 +110,8 @@
 	go r.w.Submit(s)
 }
 
-// randomFaults are what one draw in each step of a run does, to the controller i if it concerns one. A fault that
-// lasts is ended by a draw of its own. The order decides what a seed plays; nil does nothing.
+// randomFaults are the faults from which each step of a run draws one; i is the controller that it affects, if any.
+// Faults that last are ended by other entries. The order determines what a seed does; nil does nothing.
 var randomFaults = [23]func(r *randomRun, i int){
 	0:  (*randomRun).toggleController,
 	1:  (*randomRun).toggleController,
@@ -136,7 +136,7 @@
 	22: (*randomRun).restartAll,
 }
 
-// toggleController crashes a controller that runs and starts one that does not.
+// toggleController crashes controller i if it is running and otherwise starts it.
 func (r *randomRun) toggleController(i int) {
 	if r.up[i] {
 		r.w.Crash(i)
@@ -146,7 +146,7 @@
 	r.up[i] = !r.up[i]
 }
 
-// restartRepeatedly kills a controller that is back within a fraction of a second, up to three times.
+// restartRepeatedly restarts controller i up to three times, each time within a fraction of a second.
 func (r *randomRun) restartRepeatedly(i int) {
 	for range 1 + r.rng.IntN(3) {
 		if r.up[i] {
@@ -156,7 +156,7 @@
 	}
 }
 
-// restartAll kills all controllers and starts them one after the other.
+// restartAll kills all controllers and starts them in sequence.
 func (r *randomRun) restartAll(int) {
 	for k := range 3 {
 		if r.up[k] {
@@ -171,47 +171,47 @@
 	}
 }
 
-// freezeController freezes a controller that runs.
+// freezeController freezes controller i for up to 30 s if it is running.
 func (r *randomRun) freezeController(i int) {
 	if r.up[i] {
 		freeze(r.w, i, randomMillis(r.rng, 0, 30000))
 	}
 }
 
-// healStore lets a controller reach the store again, which is as fast as by default.
+// healStore reconnects controller i to the store and resets the store's latency to the default.
 func (r *randomRun) healStore(i int) {
 	r.w.PartitionStore(i, false)
 	r.w.Store.SetLatency(3 * time.Millisecond)
 }
 
-// hangMachine makes a machine hang for a while.
+// hangMachine makes a random machine hang for up to 40 s.
 func (r *randomRun) hangMachine(int) {
 	if all := r.w.Cloud.Workers(); len(all) > 0 {
 		all[r.rng.IntN(len(all))].Hang(randomSeconds(r.rng, 0, 40))
 	}
 }
 
-// reclaimMachine lets the cloud reclaim a machine.
+// reclaimMachine makes the cloud reclaim a random machine.
 func (r *randomRun) reclaimMachine(int) {
 	if all := r.w.Cloud.Workers(); len(all) > 0 {
 		r.w.Cloud.Reclaim(all[r.rng.IntN(len(all))].Name)
 	}
 }
 
-// failJob makes all tasks of a job fail from now on.
+// failJob makes all tasks of a random job fail from now on.
 func (r *randomRun) failJob(int) {
 	if len(r.open) > 0 {
 		r.w.FailJob(r.open[r.rng.IntN(len(r.open))])
 	}
 }
 
-// partitionController partitions a controller from another one and from the agents of zone b.
+// partitionController partitions controller i from another one and from the agents of zone b.
 func (r *randomRun) partitionController(i int) {
 	r.w.PartitionControllers(i, (i+1)%3, true)
 	r.w.PartitionWorkers("b", i, true)
 }
 
-// healPartitions ends all that partitionController began.
+// healPartitions ends all partitions injected by partitionController.
 func (r *randomRun) healPartitions() {
 	for k := range 3 {
 		r.w.PartitionControllers(k, (k+1)%3, false)
@@ -219,7 +219,7 @@
 	}
 }
 
-// endFaults ends whatever still lasts.
+// endFaults ends all faults and starts all stopped controllers.
 func (r *randomRun) endFaults() {
 	r.w.SetFaults(0, 0)
 	r.w.Store.SetOutage(false)
@@ -236,9 +236,10 @@
 	}
 }
 
-// backgroundFaults begins what happens beside the faults of a random run: inbound partitions of a machine or a zone;
-// late copies of heartbeats, from seconds to twice a lease old; a controller that loses the store and its peers but
-// not its agents; and machines that reboot under their names within a moment. It returns what ends all of it.
+// backgroundFaults starts the faults that are independent of the steps of a random run: inbound partitions of a machine
+// or a zone, heartbeats duplicated with a delay of seconds up to twice the lease duration, controllers partitioned from
+// the store and from their peers but not from agents, and machines that reboot quickly and keep their names. end ends
+// all of them.
 func backgroundFaults(w *emulator.Environment, rng *rand.Rand) (end func()) {
 	var ended atomic.Bool
 	if rng.IntN(2) == 0 {
@@ -269,7 +270,7 @@
 	}
 }
 
-// injectBackgroundFault draws one of the faults of backgroundFaults and lets it end after at most a minute.
+// injectBackgroundFault injects a random fault of backgroundFaults, which ends after at most a minute.
 func injectBackgroundFault(w *emulator.Environment, rng *rand.Rand, all []*emulator.Worker) {
 	target, wholeZone, i := all[rng.IntN(len(all))], rng.IntN(4) == 0, rng.IntN(3)
 	duration := randomSeconds(rng, 0, 60)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -16,24 +16,24 @@
 )
 
 var (
-	finishedJobs  = flag.Int("history", 20_000, "finished jobs that TestStatusAfterFullRestart has behind it")
+	finishedJobs  = flag.Int("history", 20_000, "number of finished jobs in TestStatusAfterFullRestart")
 	extraMachines = flag.Int(
 		"machines",
 		0,
-		"so many machines TestStatusAfterFullRestart has beside the default ones, all with six tasks of arrays",
+		"additional machines in TestStatusAfterFullRestart, each with six tasks of array jobs",
 	)
 )
 
 const (
-	firstFinishedJob = 100_000 // number of the first of the finished jobs
-	liveJobPollers   = 60      // of statusPollers, those who poll jobs that run
-	statusPollers    = 300
+	firstFinishedJob = 100_000 // number of the first finished job
+	statusPollers    = 300     // users polling job status
+	liveJobPollers   = 60      // of these, those polling running jobs
 )
 
-// TestStatusAfterFullRestart: after the end of all controllers at once the status of every job is answered within a
-// bound, of live jobs and of those that ended long ago, with everybody polling at the same time, the store's rate
-// limits, and a snapshot of many finished jobs to be read; also where the store answers thirty times slower. The worst
-// case is the sum in docs/DESIGN.md ("Known").
+// TestStatusAfterFullRestart checks that, after a restart of all controllers at once, the status of every job is
+// answered within a time limit, both of live jobs and of those that finished long ago. All users poll at the same time,
+// the store enforces its rate limits, and a snapshot with many finished jobs has to be read. One case has a store with
+// thirty times the default latency. docs/DESIGN.md ("Known") derives the worst case.
 func TestStatusAfterFullRestart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -52,9 +52,10 @@
 				time.Sleep(200 * time.Millisecond)
 				startAll(w)
 				polls := pollAllAfterRestart(t, w)
-				t.Logf("%d answers, the longest time without one about a job %v", polls.answered, polls.longestGap)
-				if polls.longestGap > c.limit || polls.answered == 0 { // a poll comes every five seconds
-					t.Errorf("no poll of a job was answered for %v", polls.longestGap)
+				t.Logf("%d polls answered, longest time without an answer %v", polls.answered, polls.longestGap)
+				if polls.longestGap > c.limit || polls.answered == 0 { // each user polls every five seconds
+					t.Errorf("%d polls answered, longest time without an answer %v, want at most %v",
+						polls.answered, polls.longestGap, c.limit)
 				}
 				w.Store.SetLatency(3 * time.Millisecond)
 				time.Sleep(20 * time.Second)
@@ -63,15 +64,15 @@
 	}
 }
 
-// startWithHistory starts services, and arrays on the extra machines, and has the leader write a snapshot with finished
-// jobs.
+// startWithHistory starts services, and array jobs for the additional machines, and makes the leader write a snapshot
+// with many finished jobs.
 func startWithHistory(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
 	w.Cloud.SetCapacity(max(4, *extraMachines))
 	startServices(w, 5)
-	for k := range *extraMachines / 50 {
-		j := newJobSpec(1000+k, wire.Array, 300, 3600)
+	for i := range *extraMachines / 50 {
+		j := newJobSpec(1000+i, wire.Array, 300, 3600)
 		j.Team, j.Types, j.CPUs, j.MemoryGB = "blue", []string{"small"}, 0.6, 1
 		w.Submit(j)
 	}
@@ -81,23 +82,22 @@
 	}
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
-		for k := range *finishedJobs {
-			leader.replica.model.Finals[model.JobID(firstFinishedJob+k)] = model.FinalDone
+		for i := range *finishedJobs {
+			leader.replica.model.Finals[model.JobID(firstFinishedJob+i)] = model.FinalDone
 		}
-		leader.commits.snapshotInterval = 0 // the next batch is followed by a compaction
+		leader.commits.snapshotInterval = 0 // compact after the next batch
 	})
 	w.Submit(newWebService(6, 0.5, "small"))
 	time.Sleep(20 * time.Second)
 }
 
-// answeredPolls counts the answers to polls, and keeps the longest time that a user was without one.
+// answeredPolls counts answered polls and records the longest time that a user was without an answer.
 type answeredPolls struct {
 	mu         sync.Mutex
 	answered   int
 	longestGap time.Duration
 }
 
-// add counts answers, and the gap that ended with them.
 func (p *answeredPolls) add(answers int, gap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +105,7 @@
 	p.longestGap = max(p.longestGap, gap)
 }
 
-// pollAllAfterRestart plays users who poll their jobs, about every five seconds each, for forty seconds.
+// pollAllAfterRestart simulates users that each poll a job about every five seconds, for forty seconds.
 func pollAllAfterRestart(t *testing.T, w *emulator.Environment) *answeredPolls {
 	t.Helper()
 	began, polls := time.Now(), &answeredPolls{}
@@ -126,7 +126,7 @@
 	return polls
 }
 
-// pollAfterRestart polls a job until forty seconds after the controllers began.
+// pollAfterRestart polls a job until forty seconds after the restart.
 func pollAfterRestart(
 	t *testing.T,
 	w *emulator.Environment,
@@ -145,10 +145,10 @@
 			polls.add(1, now.Sub(lastAnswer))
 			lastAnswer = now
 			if finished && s.State != wire.JobDone {
-				t.Errorf("%s is %s", id, s.State)
+				t.Errorf("job %s is reported as %s, want %s", id, s.State, wire.JobDone)
 			}
 		case http.StatusNotFound:
-			t.Errorf("%s is not known", id)
+			t.Errorf("job %s is reported as unknown", id)
 		}
 		time.Sleep(5 * time.Second)
 	}
--- a/internal/controller/slow_leader_test.go
+++ b/internal/controller/slow_leader_test.go
@@ -7,10 +7,10 @@
 	"fieldhill/internal/emulator"
 )
 
-// TestSlowLeaderDelaysEviction: a leader whose event loop is slow again and again, though never for a second, receives
-// the heartbeats of a part of the fleet only. What it did not process counts against no machine: a silent machine is
-// released after ten seconds in which the leader processed heartbeats, which take it three times as long. Four hundred
-// healthy machines were once released as silent within three seconds.
+// TestSlowLeaderDelaysEviction checks that a leader with a slow event loop, whose single delays are all below a second,
+// does not count as silence the time in which it did not process heartbeats. It receives only a part of the heartbeats;
+// when that counted against the machines, 400 healthy ones were released within 3 s. A machine that is really silent is
+// released after ten seconds of processed heartbeats, which take this leader about three times as long.
 func TestSlowLeaderDelaysEviction(t *testing.T) {
 	evictedAfter := func(delay time.Duration) (took time.Duration) {
 		runCluster(t, 60, func(w *emulator.Environment) {
@@ -34,6 +34,7 @@
 	normal, slow := evictedAfter(0), evictedAfter(700*time.Millisecond)
 	t.Logf("released after %v, by a slow leader after %v", normal, slow)
 	if normal > 15*time.Second || slow < 2*normal || slow > 45*time.Second {
-		t.Errorf("released after %v, by a slow leader after %v", normal, slow)
+		t.Errorf("released after %v, by a slow leader after %v; want at most 15 s, and from twice that long to 45 s",
+			normal, slow)
 	}
 }
