--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -10,12 +10,13 @@
 	"fieldhill/wire"
 )
 
-// commandDispatcher sends machines their commands at once, as soon as the log permits, instead of with the answer to
-// their next heartbeat, and takes in what became of them.
+// commandDispatcher sends commands to machines as soon as the log entries that they depend on are committed, instead of
+// with the response to the next heartbeat, and processes the outcomes.
 //
-// It owns which machines have commands waiting (commandDispatcherTerm), and of the model's observations whether a
-// direct command to a machine is under way and whether the last one got no answer (DirectInFlight, DirectFailed). All
-// of this is written in the loop; goroutines wait for the agents' answers and post them to it.
+// It owns the set of machines that have pending commands (commandDispatcherTerm) and, of the observed state in the
+// model, whether a direct command to a machine is in flight and whether the last one got no response (DirectInFlight,
+// DirectFailed). All of this is written on the event loop only; goroutines wait for the agents' responses and post them
+// to the loop.
 type commandDispatcher struct {
 	*environment
 	commits     *commitPipeline
@@ -27,32 +28,32 @@
 	term        *termState
 }
 
-// commandDispatcherTerm is what commandDispatcher keeps for one term of leadership. commitPipeline moves machines from
-// the second set to the first when a batch is committed.
+// commandDispatcherTerm is the state of commandDispatcher for one leadership term. commitPipeline moves machines from
+// dirtyAfterCommit to dirtyMachines when a batch is committed.
 type commandDispatcherTerm struct {
-	dirtyMachines    map[*model.Machine]bool // may have commands waiting
-	dirtyAfterCommit map[*model.Machine]bool // will have, once the log has it
+	dirtyMachines    map[*model.Machine]bool // may have pending commands
+	dirtyAfterCommit map[*model.Machine]bool // will have pending commands once proposed entries are committed
 }
 
-// ordersTimeout is how long an agent has to answer a direct command.
+// ordersTimeout is how long an agent has to respond to a direct command.
 const ordersTimeout = 3 * time.Second
 
-// markForCommands marks a machine as having commands waiting.
+// markForCommands marks a machine as possibly having pending commands.
 func (cd *commandDispatcher) markForCommands(machine *model.Machine) {
 	if term := cd.term.ownTerm; term != nil {
 		term.dispatch.dirtyMachines[machine] = true
 	}
 }
 
-// acceptsDirect tells whether direct commands may be sent to a machine: its agent has reported, is expected to answer,
-// and the machine is to stay.
+// acceptsDirect reports whether direct commands may be sent to a machine: its agent has reported in this term and is
+// expected to respond, and the machine is not being released.
 func (cd *commandDispatcher) acceptsDirect(machine *model.Machine) bool {
 	return cd.replica.model.Machines[machine.ID] == machine && !machine.Contact.DirectFailed &&
 		machine.Contact.Reported && machine.Info.Addr != "" && !machine.Releasing
 }
 
-// sendDirect sends a machine its commands at once instead of with the answer to its next heartbeat. One command is
-// under way to a machine at a time.
+// sendDirect sends a machine its pending commands at once instead of with the response to its next heartbeat. At most
+// one direct command per machine is in flight.
 func (cd *commandDispatcher) sendDirect(machine *model.Machine) {
 	term := cd.term.ownTerm
 	if term == nil || machine.Contact.DirectInFlight {
@@ -63,10 +64,10 @@
 		return
 	}
 	commands := cd.replica.model.Commands(machine, term.commits.committedSeq, false)
-	// What waits for the log is sent once it is committed, not by trying again at once: that would be a loop of
-	// commands that say nothing new.
+	// Commands that depend on uncommitted entries are sent after the commit. Retrying immediately would send repeated
+	// commands without new content.
 	delete(term.dispatch.dirtyMachines, machine)
-	if cd.hasUncommitted(machine) {
+	if cd.hasUncommittedCommands(machine) {
 		term.dispatch.dirtyAfterCommit[machine] = true
 	}
 	if len(commands) == 0 && machine.Contact.Reports.Fenced() {
@@ -75,16 +76,16 @@
 	cd.send(term, machine, commands)
 }
 
-// directCommand is a direct command under way to a machine.
+// directCommand is a direct command in flight to a machine.
 type directCommand struct {
 	term     *leaderTerm
 	machine  *model.Machine
 	commands []wire.Command
 	token    uint64
-	question *staleness.Question // what was known of the agent as it was sent
+	question *staleness.Question // what was known about the agent when the command was sent
 }
 
-// send sends commands to a machine under its present token and has the loop take in what becomes of them.
+// send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
 func (cd *commandDispatcher) send(term *leaderTerm, machine *model.Machine, commands []wire.Command) {
 	sent := &directCommand{
 		term: term, machine: machine, commands: commands,
@@ -97,12 +98,15 @@
 	addr, via := machine.Info.Addr, cd.assignments.relayFor(machine)
 	go func() {
 		fate, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
-		cd.loop.post(func() { cd.onSent(sent, fate, report, err) })
+		cd.loop.post(func() { cd.onCommandOutcome(sent, fate, report, err) })
 	}()
 }
 
-// onSent takes in what became of a direct command, and the status with which the agent answered it, if it did.
-func (cd *commandDispatcher) onSent(sent *directCommand, fate agent.CommandFate, report *wire.Heartbeat, err error) {
+// onCommandOutcome processes the outcome of a direct command and the status report that the agent responded with, if
+// any.
+func (cd *commandDispatcher) onCommandOutcome(
+	sent *directCommand, fate agent.CommandFate, report *wire.Heartbeat, err error,
+) {
 	if cd.term.ownTerm != sent.term {
 		return
 	}
@@ -115,7 +119,7 @@
 	case agent.Unknown:
 		cd.log.Debug("command outcome unknown", "machine", machine.Info.Name, "err", err)
 		cd.replica.model.StartsLost(machine, sent.commands, sent.token)
-		cd.probes.probeMachine(machine, func() { cd.onProbedAfterLoss(sent) })
+		cd.probes.probeMachine(machine, func() { cd.onProbedAfterUnknownOutcome(sent) })
 	case agent.Unsent:
 		cd.replica.model.StartsAnswered(machine, sent.commands, sent.token, false)
 		machine.Contact.DirectFailed = true
@@ -133,9 +137,9 @@
 	}
 }
 
-// onProbedAfterLoss marks a machine as inbound partitioned if it did not answer the probe either that followed a
-// command of unknown outcome. Heartbeats may go on to come from it.
-func (cd *commandDispatcher) onProbedAfterLoss(sent *directCommand) {
+// onProbedAfterUnknownOutcome marks a machine as inbound partitioned if it did not respond to the probe that followed a
+// command of unknown outcome either. Heartbeats from it may continue to arrive.
+func (cd *commandDispatcher) onProbedAfterUnknownOutcome(sent *directCommand) {
 	machine := sent.machine
 	if cd.term.ownTerm != sent.term || cd.replica.model.Machines[machine.ID] != machine ||
 		cd.now()-machine.Contact.LastReport <= probeTimeout ||
@@ -147,9 +151,9 @@
 	cd.probes.logInboundPartition(machine)
 }
 
-// hasUncommitted tells whether a machine will have commands once the log has what was proposed: a placement, the end of
-// a job, or the end of a task that its agent is to forget.
-func (cd *commandDispatcher) hasUncommitted(machine *model.Machine) bool {
+// hasUncommittedCommands reports whether a machine will have commands to execute once proposed entries are committed:
+// for a placement, the end of a job, or a finished task that its agent is to discard.
+func (cd *commandDispatcher) hasUncommittedCommands(machine *model.Machine) bool {
 	for _, run := range machine.Runs {
 		if run.PlacedSeq > cd.term.ownTerm.commits.committedSeq ||
 			run.Job.FinalSeq > cd.term.ownTerm.commits.committedSeq {
@@ -159,12 +163,12 @@
 	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
-// stopRun ends a run that is to be stopped, or whose job is cancelled: at once if its start can't have been sent, or
-// else by a command to its machine.
+// stopRun ends a run that is to be stopped or whose job is cancelled: immediately if its start cannot have been sent,
+// otherwise by a stop command to its machine.
 func (cd *commandDispatcher) stopRun(run *model.Run) {
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
-		// Its placement is on the way into the log and nothing else happened: the room need wait neither for the log
-		// nor for the agent's answer.
+		// Its placement is not committed yet, so no start was sent: its resources can be freed without waiting for the
+		// commit or for the agent.
 		cd.commits.propose(model.NewAttemptEnd(run.Job.ID, run.Task, run.Attempt))
 		cd.loop.requestRound()
 		return
@@ -173,7 +177,7 @@
 	cd.sendDirect(run.Machine)
 }
 
-// sendCommitted sends the commands that waited for a commit.
+// sendCommitted sends the commands that were waiting for a commit.
 func (cd *commandDispatcher) sendCommitted(term *leaderTerm) {
 	for machine := range term.dispatch.dirtyAfterCommit {
 		term.dispatch.dirtyMachines[machine] = true
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -11,8 +11,9 @@
 	"fieldhill/wire"
 )
 
-// heartbeatRouter brings a heartbeat to whoever may take it: as a relay to the leader, as the leader to heartbeats, and
-// otherwise to followerKeepalives. It owns no state; by what was agreed with the leader it goes, which relayAgent has.
+// heartbeatRouter passes each heartbeat to the component that handles it: to the leader if this controller is a relay,
+// to heartbeats if it leads, and to followerKeepalives otherwise. It owns no state; whether this controller relays is
+// agreed with the leader and held by relayAgent.
 type heartbeatRouter struct {
 	*environment
 	heartbeats  *heartbeats
@@ -25,22 +26,23 @@
 }
 
 const (
-	// offerInterval is how often a controller offers itself as a relay, and offerTTL how long the leader counts on an
-	// offer.
+	// offerInterval is how often a controller offers itself as a relay, and offerTTL how long an offer is valid at the
+	// leader.
 	offerInterval = time.Second
 	offerTTL      = 3 * time.Second
-	// minRelayed is how many heartbeats, and how many direct commands, a relay of any size may have under way.
+	// minRelayed is the minimum of each of a relay's limits on concurrent heartbeats, direct commands and probes.
 	minRelayed = 256
-	// relayTimeout is how long a relay waits for the leader's answer to a heartbeat. The agent's own timeout is 4 s,
-	// and the relay still has to answer by itself.
+	// relayTimeout is how long a relay waits for the leader's response to a heartbeat. It is shorter than the agent's
+	// own timeout of 4 s so that the relay has time to respond itself.
 	relayTimeout = 2 * time.Second
-	// sweepInterval is how often the relay table, and what a follower keeps of agents, are swept.
+	// sweepInterval is how often expired entries are removed from the relay table and from a follower's state about
+	// agents.
 	sweepInterval = 5 * time.Second
-	// statusBusy is how a leader that is late answers a relayed heartbeat (result.Overloaded).
-	statusBusy = http.StatusTooManyRequests
+	// statusOverloaded is the status of an overloaded leader's response to a relayed heartbeat (result.Overloaded).
+	statusOverloaded = http.StatusTooManyRequests
 )
 
-// Heartbeat answers an agent's heartbeat.
+// Heartbeat responds to an agent's heartbeat.
 func (hr *heartbeatRouter) Heartbeat(ctx context.Context, report *wire.Heartbeat) result.Result {
 	if answer := hr.forwardReport(ctx, report); answer != nil {
 		return answer
@@ -54,8 +56,8 @@
 	})
 }
 
-// forwardReport passes an agent's heartbeat on to the leader. It returns nil where this controller is no relay, or the
-// one that it relays for leads no more, or is of an older version.
+// forwardReport forwards an agent's heartbeat to the leader. It returns nil if this controller is not a relay, if its
+// target no longer leads, or if the target runs an older version without relaying.
 func (hr *heartbeatRouter) forwardReport(ctx context.Context, report *wire.Heartbeat) result.Result {
 	state := hr.relay.state
 	target := state.leaderLink.Load()
@@ -70,8 +72,8 @@
 	relayCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply, err := target.Do(relayCtx, request)
-	if err != nil || reply.Status == statusBusy {
-		// The request's own time may be over with the relay's.
+	if err != nil || reply.Status == statusOverloaded {
+		// The request context may have expired together with the relay timeout.
 		return hr.renewRelayed(context.WithoutCancel(ctx), report)
 	}
 	switch reply.Status {
@@ -82,8 +84,9 @@
 	return nil
 }
 
-// renewRelayed renews the lease of an agent whose heartbeat the leader did not take in time, as any controller does
-// that does not reach the leader, and within the same bounds. Under overload this is what keeps running work alive.
+// renewRelayed renews the lease of an agent whose heartbeat the leader did not process in time. The same rules and
+// limits apply as on a controller that cannot reach the leader. This keeps running tasks alive while the leader is
+// overloaded.
 func (hr *heartbeatRouter) renewRelayed(ctx context.Context, report *wire.Heartbeat) result.Result {
 	hr.metrics.AnsweredLocally.Inc()
 	return hr.loop.answer(ctx, func(send func(result.Result)) {
@@ -98,8 +101,8 @@
 	})
 }
 
-// onRelayedReport takes a heartbeat that a relay passes on. One that the loop did not get to, or not through with, in
-// time is Overloaded to the relay, which then renews the lease by itself.
+// onRelayedReport processes a heartbeat forwarded by a relay. If the event loop does not finish it in time, the relay
+// gets Overloaded and renews the lease itself.
 func (hr *heartbeatRouter) onRelayedReport(ctx context.Context, request *rpc.Request) result.Result {
 	report, err := relay.ReadReport(request.Body)
 	if err != nil || report.Machine == "" || report.AgentEpoch == 0 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -10,11 +10,12 @@
 	"fieldhill/wire"
 )
 
-// heartbeats takes agents' status in as the leader, from heartbeats and from the answers to probes and direct commands,
-// and reconciles it with the state: the model tells what a status proves, and that is proposed to the log.
+// heartbeats processes agents' status reports on the leader, from heartbeats and from the responses to probes and
+// direct commands, and reconciles them with the replicated state: the model determines what a report proves, and
+// heartbeats proposes the resulting entries to the log.
 //
-// It alone writes what the model has observed of an agent (model.MachineContact) from its status, in the loop. Of its
-// own it has only its part of a term.
+// It is the only writer of the fields of model.MachineContact that come from status reports, on the event loop. Its own
+// state is limited to heartbeatsTerm.
 type heartbeats struct {
 	*environment
 	commits      *commitPipeline
@@ -30,25 +31,26 @@
 	term         *termState
 }
 
-// heartbeatsTerm is what heartbeats keeps for one term of leadership. After a stall machineHealth sets lastHeartbeat.
+// heartbeatsTerm is the state of heartbeats for one leadership term. machineHealth sets lastHeartbeat after a stall of
+// the event loop.
 type heartbeatsTerm struct {
-	lastHeartbeat   model.Time      // when a heartbeat of any machine was last received
-	unknownMachines map[string]bool // machines that are in no log, and that are being probed
+	lastHeartbeat   model.Time      // when a heartbeat from any machine was last received
+	unknownMachines map[string]bool // unregistered machines that are being probed
 }
 
-// The answers to agents whose heartbeats are not taken in.
+// Responses to agents whose heartbeats are rejected.
 var (
-	machineReleased   = result.Unavailable{Reason: "this machine was returned", RetryAfter: time.Second}
-	machineUnknown    = result.Unavailable{Reason: "this machine is not known", RetryAfter: time.Second}
-	machineNotReached = result.Unavailable{Reason: "this machine does not answer", RetryAfter: time.Second}
-	leaseToExpire     = result.Unavailable{Reason: "its lease is to run out", RetryAfter: time.Second}
+	machineReleased     = result.Unavailable{Reason: "this machine was returned", RetryAfter: time.Second}
+	machineUnknown      = result.Unavailable{Reason: "this machine is not known", RetryAfter: time.Second}
+	machineUnresponsive = result.Unavailable{Reason: "this machine does not answer", RetryAfter: time.Second}
+	leaseExpiring       = result.Unavailable{Reason: "its lease is to run out", RetryAfter: time.Second}
 )
 
-// onReportAsLeader takes a heartbeat that came to this controller, or through another one, by its index in the relay
-// table.
+// onReportAsLeader processes a heartbeat that arrived at this controller or through a relay; node is the index of that
+// controller in the relay table.
 func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(result.Result)) {
 	machine := hb.replica.model.ByName[report.Machine]
-	if answer := hb.answerUntaken(machine, report); answer != nil {
+	if answer := hb.rejectReport(machine, report); answer != nil {
 		send(answer)
 		return
 	}
@@ -58,22 +60,23 @@
 	case machine.Suspect:
 		hb.onSuspectReport(machine, report, send)
 	default:
-		send(hb.takeIn(machine, report, node))
+		send(hb.acceptReport(machine, report, node))
 	}
 }
 
-// answerUntaken is the answer to a heartbeat that proves nothing to this leader, or that it may not act on: nil if the
-// heartbeat is to be taken in. The machine is nil if it is in no log.
-func (hb *heartbeats) answerUntaken(machine *model.Machine, report *wire.Heartbeat) result.Result {
+// rejectReport returns the response to a heartbeat that this leader must not process, or nil if the heartbeat is to be
+// processed. The machine is nil if no log entry registers it.
+func (hb *heartbeats) rejectReport(machine *model.Machine, report *wire.Heartbeat) result.Result {
 	active := hb.term.isActive()
 	switch {
 	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
-		return result.Redirected{} // its agent obeys a later term than this one
+		return result.Redirected{} // its agent has accepted a later term than this one
 	case !hb.leases.mayRenew():
-		// Nobody may keep leases alive for longer than a cancellation that this controller can't know of leaves time.
+		// No controller may extend leases beyond the stale renewal limit: a cancellation that it does not know of must
+		// take effect in time.
 		return result.NoLeader{}
 	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsAgent(report.Machine, false):
-		return result.Redirected{} // another controller may lead by now, or will soon
+		return result.Redirected{} // another controller may be the leader, or soon will be
 	case hb.replica.model.Tombstones[report.Machine]:
 		return machineReleased
 	case machine == nil && !active:
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// takeIn takes in the heartbeat of a machine whose lease may be renewed, and answers it.
-func (hb *heartbeats) takeIn(machine *model.Machine, report *wire.Heartbeat, node int) result.Result {
+// acceptReport processes and answers the heartbeat of a machine whose lease may be renewed.
+func (hb *heartbeats) acceptReport(machine *model.Machine, report *wire.Heartbeat, node int) result.Result {
 	if to, move := hb.assignments.redirectTarget(machine, node); move {
 		hb.metrics.Reassigned.Inc()
 		return result.Redirected{Node: to}
@@ -101,18 +104,20 @@
 	return hb.replyToMachine(machine)
 }
 
-// replyToStale answers a heartbeat that may be a copy from the past, or from an agent that restarted. It is answered,
-// which is nothing to an agent that is not there, and probed. It gets no stops, though, so one whose answers to probes
-// do not arrive is kept alive for no longer than by a controller that knows nothing of cancellations.
+// replyToStale answers a heartbeat that may be a delayed duplicate or come from an agent that has restarted since. The
+// response has no effect if no such agent exists, and the machine is probed. The response contains no stop commands, so
+// the lease of an agent whose probe responses do not arrive is renewed no longer than by a controller that does not
+// know of cancellations.
 func (hb *heartbeats) replyToStale(machine *model.Machine) result.Result {
 	hb.probes.probeMachine(machine, nil)
 	if hb.now()-machine.Contact.LastReport > hb.settings.StaleRenewalLimit() {
-		return machineNotReached
+		return machineUnresponsive
 	}
 	return hb.leases.renew(machine.Info.Name, hb.replica.model.Token(machine), []wire.Command{})
 }
 
-// replyToMachine is the answer to a machine whose status was taken in: its lease is renewed, and it gets its commands.
+// replyToMachine returns the response to a machine whose status report was processed: its lease is renewed, and it gets
+// its commands.
 func (hb *heartbeats) replyToMachine(machine *model.Machine) result.Result {
 	if !hb.leases.mayRenew() {
 		return result.NoLeader{}
@@ -123,13 +128,13 @@
 	return hb.leases.renew(machine.Info.Name, token, commands)
 }
 
-// onSuspectReport takes the heartbeat of a machine whose lease is to expire. Before it is answered, which renews the
-// lease, the suspicion is cleared by an entry; and that is done only if the machine answers a probe now: a copy of a
-// heartbeat from before the partition, or one of an agent that receives nothing, would begin the wait for the expiry
-// anew, again and again.
+// onSuspectReport processes the heartbeat of a machine whose lease is to expire. Answering it renews the lease, so a
+// log entry must clear the suspicion first, and only if the machine responds to a probe now. Otherwise a duplicate of a
+// heartbeat from before the partition, or an agent that receives nothing, would restart the wait for the lease expiry
+// again and again.
 func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(result.Result)) {
 	if machine.Contact.Reported {
-		hb.observe(machine, report, nil) // what it proves by its numbers, it proves all the same
+		hb.observe(machine, report, nil) // its epoch and sequence number are valid evidence nevertheless
 	}
 	term := hb.term.ownTerm
 	onProbed := func() {
@@ -137,16 +142,17 @@
 			!machine.Suspect {
 			send(hb.replyToMachine(machine))
 		} else {
-			send(leaseToExpire)
+			send(leaseExpiring)
 		}
 	}
 	if !hb.probes.probeMachine(machine, onProbed) {
-		send(leaseToExpire)
+		send(leaseExpiring)
 	}
 }
 
-// onUnknownMachine takes the heartbeat of a machine that is in no log: one whose provisioning was not answered, or a
-// copy from one that is long gone. It counts as a machine once it answers a probe, or the cloud lists it.
+// onUnknownMachine processes the heartbeat of a machine that no log entry registers: one whose provisioning request got
+// no response, or a delayed duplicate from a machine that no longer exists. The machine is registered once it responds
+// to a probe or appears in the cloud listing.
 func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(result.Result)) {
 	term := hb.term.ownTerm
 	unknown := term.heartbeats.unknownMachines
@@ -164,14 +170,14 @@
 				send(machineUnknown)
 				return
 			}
-			send(hb.onUnknownAnswered(status))
+			send(hb.onUnknownMachineProbed(status))
 		})
 	}()
 }
 
-// onUnknownAnswered registers a machine that answered a probe, unless that was done meanwhile, and answers its
-// heartbeat.
-func (hb *heartbeats) onUnknownAnswered(status *wire.Heartbeat) result.Result {
+// onUnknownMachineProbed registers a machine that responded to a probe, unless it was registered meanwhile, and answers
+// its heartbeat.
+func (hb *heartbeats) onUnknownMachineProbed(status *wire.Heartbeat) result.Result {
 	if hb.replica.model.ByName[status.Machine] == nil {
 		hb.register(status)
 	}
@@ -181,7 +187,7 @@
 	return hb.replyToMachine(machine)
 }
 
-// register logs a machine as its agent describes it.
+// register proposes the registration of a machine as described by its agent.
 func (hb *heartbeats) register(status *wire.Heartbeat) {
 	hb.log.Info("machine registered", "machine", status.Machine, "type", status.Type, "zone", status.Zone,
 		"spot", status.Spot)
@@ -191,7 +197,7 @@
 	hb.commits.propose(model.NewMachine(hb.replica.model.NextMachine, time.Now().UnixMilli(), info))
 }
 
-// onProbeAnswer takes the answer of a machine to a probe.
+// onProbeAnswer processes the response of a machine to a probe.
 func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
@@ -208,8 +214,8 @@
 	hb.loop.roundRequested = hb.loop.roundRequested || firstReport
 }
 
-// observe takes in a status, from a heartbeat or in answer to a question, and proposes what it proves. A stale one is
-// nothing beyond that.
+// observe records a status report, from a heartbeat or in response to a request, and proposes the entries that follow
+// from it. The question is nil for a heartbeat. A stale report has no further effect.
 func (hb *heartbeats) observe(
 	machine *model.Machine, report *wire.Heartbeat, question *staleness.Question,
 ) model.ReportVerdict {
@@ -226,7 +232,7 @@
 	}
 	term := hb.term.ownTerm
 	term.heartbeats.lastHeartbeat = hb.now()
-	term.probes.recordProbe(term.probes.zoneProbe(machine.Zone), true)
+	term.probes.recordProbe(term.probes.zoneCounts(machine.Zone), true)
 	hb.provisioning.recordAddr(machine, report.Addr)
 	if firstReport && machine.Lifecycle.ProvisionedAt != 0 {
 		bootRatio := autoscaler.BootRatio(hb.replica.model, machine, hb.now())
@@ -236,7 +242,7 @@
 	case verdict.Freshness == staleness.Restarted:
 		hb.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch,
 			"seq", report.Seq, "tasks", len(machine.Runs))
-		hb.dispatch.markForCommands(machine) // a token that its earlier incarnation can't have
+		hb.dispatch.markForCommands(machine) // under a new token, which its previous process cannot have
 	case verdict.Slow:
 		hb.logSlow(machine)
 	case machine.Health.Quarantined && !wasQuarantined:
@@ -249,13 +255,14 @@
 		hb.probes.probeMachine(machine, nil)
 	}
 	hb.replica.model.SealReapable(machine, term.nextSeq())
-	hb.followUp(machine, &verdict, firstReport && question != nil)
+	hb.applyVerdict(machine, &verdict, firstReport && question != nil)
 	return verdict
 }
 
-// followUp logs the jobs that a status shows to fail everywhere, and marks the machines that are to get commands for
-// it; firstByProbe tells that it is the first status of the machine in this term and answers a question.
-func (hb *heartbeats) followUp(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
+// applyVerdict logs the jobs that a report shows to fail on every machine, and marks the machines that need commands as
+// a result; firstByProbe tells whether this is the first report of the machine in this term and was requested by this
+// controller.
+func (hb *heartbeats) applyVerdict(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
 	for _, j := range verdict.Faulty {
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
 			"failures", j.Observed.Errors)
@@ -264,20 +271,19 @@
 		hb.dispatch.markForCommands(ready)
 	}
 	if len(verdict.Entries) > 0 {
-		hb.dispatch.markForCommands(machine) // the agent is to forget what is logged
+		hb.dispatch.markForCommands(machine) // the agent is to discard the task ends that are logged
 	}
 	if firstByProbe && machine.HasCancelledTask() {
-		// Its next heartbeat may be long in coming, while it looks for this leader.
+		// Its next heartbeat may be delayed while the agent searches for this leader.
 		hb.dispatch.markForCommands(machine)
 	}
 }
 
-// logQuarantined logs that a machine was quarantined for the tasks that failed on it.
 func (hb *heartbeats) logQuarantined(machine *model.Machine) {
 	hb.log.Info("machine quarantined", "machine", machine.Info.Name, "failures", machine.Health.Failures)
 }
 
-// logSlow logs that a machine was found to be slow, and for how long it gets only services.
+// logSlow logs that a machine was found to be slow, and for how long it is assigned services only.
 func (hb *heartbeats) logSlow(machine *model.Machine) {
 	hb.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs),
 		"duration", machine.Health.SlowUntil-hb.now())
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -11,41 +11,43 @@
 	"fieldhill/wire"
 )
 
-// followerKeepalives keeps agents alive that do not reach the leader: it answers their heartbeats as a follower, renews
-// their leases within leaseRenewal's bound and starts nothing.
+// followerKeepalives keeps agents alive that cannot reach the leader: as a follower it answers their heartbeats and
+// renews their leases within the limit of leaseRenewal, and starts no tasks.
 //
-// It owns which agents came here of late, for how long each is kept before it is sent to the leader, and which of them
-// hold nothing of a cancelled job. This is written in the loop alone and outlives terms; zoneLiveness reads the last.
+// It owns which agents reported here recently, how long each is retained before it is redirected to the leader, and
+// which of their machines hold no task of a cancelled job. This state is written on the event loop only and outlives
+// terms. zoneLiveness reads clearedMachines.
 type followerKeepalives struct {
 	*environment
 	leases  *leaseRenewal
 	replica *replica
 	term    *termState
 
-	noRedirectUntil map[string]time.Time // by machine: until when its agent, which came here, is not sent to the leader
+	noRedirectUntil map[string]time.Time // by machine: until when its agent is not redirected
 	lastSweep       time.Time            // when the two maps were last swept
 	clearedMachines clearedMachines
 }
 
-// clearedMachines is when machines last reported to this controller, as a follower, and held no task of a cancelled
-// job.
+// clearedMachines maps a machine to the time of its last heartbeat to this controller as a follower, if it held no task
+// of a cancelled job then.
 type clearedMachines map[model.MachineID]time.Time
 
 const (
-	// firstRetention and repeatRetention are how long an agent that does not reach the leader is kept by this
-	// controller before it is sent to look for the leader: when it comes for the first time, and when it has come back.
+	// firstRetention and repeatRetention are how long an agent that cannot reach the leader is retained by this
+	// controller before it is redirected to the leader: on its first heartbeat here, and after it has returned.
 	firstRetention  = 3 * time.Second
 	repeatRetention = 20 * time.Second
-	// returnWindow is for how long after that an agent counts as one that comes back.
+	// returnWindow is how long after its retention an agent that reports here again counts as returning.
 	returnWindow = time.Minute
-	// maxFollowerStops is how many stops one answer of a follower carries; the next answer has the rest.
+	// maxFollowerStops is the maximum number of stop commands in a follower's response; further ones follow in the next
+	// response.
 	maxFollowerStops = 300
-	// maxNoRedirectEntries is how many names of machines a controller keeps beside two for each machine of the log.
-	// Heartbeats are not authenticated, so a flood of names that were made up may be behind a larger number.
+	// maxNoRedirectEntries is the maximum number of entries in noRedirectUntil, in addition to two per registered
+	// machine. Heartbeats are not authenticated, so a larger number may come from a flood of invented names.
 	maxNoRedirectEntries = 20_000
 )
 
-// onReportAsFollower answers an agent's heartbeat when another controller leads, or none.
+// onReportAsFollower answers an agent's heartbeat while this controller does not lead.
 func (fk *followerKeepalives) onReportAsFollower(report *wire.Heartbeat) result.Result {
 	if !fk.replica.loaded {
 		return result.Redirected{}
@@ -60,17 +62,17 @@
 	return fk.renewAsFollower(report)
 }
 
-// retainsAgent tells whether an agent is kept by this controller, which can't give it work, or sent to look for the
-// leader; leaderReached tells whether this controller reaches the leader.
+// retainsAgent reports whether this controller retains an agent, although it cannot assign work to it, instead of
+// redirecting it to the leader; leaderReached tells whether this controller can reach the leader.
 func (fk *followerKeepalives) retainsAgent(machine string, leaderReached bool) bool {
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
 	if !known || now.Sub(until) > returnWindow {
-		// It comes for the first time, since the leader did not answer it, and its lease may be near its end: it is
-		// kept before it is sent to look for the leader again, which takes long when nothing answers.
+		// This is its first heartbeat here: the leader did not answer it, and its lease may be about to expire. It is
+		// retained before it is redirected, because the search for the leader takes long when no controller responds.
 		until = now.Add(firstRetention)
 	} else if !leaderReached && now.After(until) {
-		until = now.Add(repeatRetention) // if it comes back, it is partitioned from the leader too
+		until = now.Add(repeatRetention) // if it returns, it cannot reach the leader either
 		leaderReached = true
 	}
 	if !leaderReached || known {
@@ -79,16 +81,16 @@
 	return !leaderReached
 }
 
-// renewAsFollower renews an agent's lease under the agent's own token while no leader can. Nothing is started. Tasks of
-// jobs that the log shows as cancelled are stopped, and what this controller can't know of any more is why it ends
-// after a bound: a job cancelled after the log was last read here still loses its tasks in time when the leases then
-// expire.
+// renewAsFollower renews an agent's lease under the agent's own token while the leader cannot. It starts no tasks, and
+// stops those of jobs that the log shows as cancelled. The renewals end at the stale renewal limit, because this
+// controller may not know of later cancellations: a job cancelled after the last log read still loses its tasks in time
+// when the leases then expire.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) result.Result {
 	machine := fk.replica.model.ByName[report.Machine]
 	if machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
-		return leaseToExpire
+		return leaseExpiring
 	}
-	commands := fk.stopsOfCancelled(report)
+	commands := fk.stopCommandsForCancelled(report)
 	if machine != nil {
 		if delete(fk.clearedMachines, machine.ID); len(commands) == 0 {
 			fk.clearedMachines[machine.ID] = time.Now()
@@ -97,8 +99,8 @@
 	return fk.leases.renew(report.Machine, report.FencingToken, commands)
 }
 
-// stopsOfCancelled are stops for the tasks of a heartbeat whose jobs the log shows as cancelled.
-func (fk *followerKeepalives) stopsOfCancelled(report *wire.Heartbeat) []wire.Command {
+// stopCommandsForCancelled returns stop commands for the tasks in a heartbeat whose jobs the log shows as cancelled.
+func (fk *followerKeepalives) stopCommandsForCancelled(report *wire.Heartbeat) []wire.Command {
 	commands := []wire.Command{}
 	for _, t := range report.Tasks {
 		number, _, ok := wire.ParseTaskID(t.Task)
@@ -115,7 +117,7 @@
 	return commands
 }
 
-// isCancelled tells whether the log, as far as it is committed, shows a job as cancelled.
+// isCancelled reports whether the committed part of the log shows a job as cancelled.
 func (fk *followerKeepalives) isCancelled(id model.JobID) bool {
 	if fk.replica.model.Finals[id] == model.FinalCancelled {
 		return true
@@ -125,9 +127,9 @@
 		(fk.term.ownTerm == nil || j.FinalSeq <= fk.term.ownTerm.commits.committedSeq)
 }
 
-// sweep drops what no longer counts of agents that came while this controller did not lead. What still counts is kept
-// at any size of the fleet: an agent whose entry is lost is kept for some seconds more, again and again, and never sent
-// to look for the leader.
+// sweep removes expired entries about agents that reported while this controller did not lead. Entries that still count
+// are kept at any fleet size: an agent whose entry is lost would be retained again for firstRetention each time, and
+// never be redirected to the leader.
 func (fk *followerKeepalives) sweep(now time.Time) {
 	if now.Sub(fk.lastSweep) >= sweepInterval {
 		fk.lastSweep = now
@@ -143,8 +145,8 @@
 	}
 }
 
-// encode lists the machines that came of late, of those that by the log hold a task of a cancelled job, in at most so
-// many bytes: the others are of no interest.
+// encode returns the IDs of the machines that reported recently and that, according to the log, hold a task of a
+// cancelled job, as varints in at most maxBytes bytes. Other machines are not relevant to the leader.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
 	for _, machine := range m.Order {
 		if at, ok := c[machine.ID]; ok && now.Sub(at) < partitionReportTTL && machine.HasCancelledTask() &&
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -13,13 +13,13 @@
 	"fieldhill/wire"
 )
 
-// leaseRenewal renews agents' leases and proves to the leader when they were last renewed: who may renew an agent's
-// lease, and until when; every answer that does so goes through renew. And whose lease was renewed when: what a
-// controller keeps of it, tells the leader, and what the leader asks.
+// leaseRenewal renews agents' leases and lets the leader prove when they were last renewed. It decides whether this
+// controller may renew leases; every response that renews a lease is created by renew. It also records the renewals of
+// this controller, reports them to the leader, and as the leader queries those of the other controllers.
 //
-// It owns the table of renewals, which outlives a term. It is written in the loop alone: by renew, and by
-// queryRenewals, which forgets what proves nothing more. What the others report goes into the machine's proof of expiry
-// in the model.
+// It owns the table of renewals, which outlives a term and is written on the event loop only: by renew, and by
+// queryRenewals, which removes entries that are too old to matter. The other controllers' reports are recorded in the
+// model, in each machine's proof of lease expiry.
 type leaseRenewal struct {
 	*environment
 	fence   *commitFence
@@ -27,23 +27,24 @@
 	replica *replica
 	term    *termState
 
-	renewals *lease.RenewalTable // whose lease this process renewed when
+	renewals *lease.RenewalTable // when this process last renewed each lease
 }
 
-// leaseRenewalTerm is what leaseRenewal keeps for one term of leadership; it alone writes it, in the loop.
+// leaseRenewalTerm is the state of leaseRenewal for one leadership term; only leaseRenewal writes it, on the event
+// loop.
 type leaseRenewalTerm struct {
-	lastRenewalQuery time.Time // when the others were last asked whose lease they renewed
+	lastRenewalQuery time.Time // when the other controllers were last queried
 }
 
-// mayRenew tells whether this controller may renew leases now. A leader may while its leadership is trusted. Nobody
-// else may for longer than a cancellation that this controller can't know of leaves time. It is checked when the
-// heartbeat is read, which was sent before: whatever happens between this check and the answer, the lease counts from
-// the sending of the heartbeat.
+// mayRenew reports whether this controller may renew leases now. A leader may while its leadership is trusted. Any
+// other controller may until the stale renewal limit, so that cancellations that it does not know of take effect in
+// time. The check happens after the heartbeat was sent, and the lease counts from the sending of the heartbeat, so a
+// delay between this check and the response does not extend the lease.
 func (lr *leaseRenewal) mayRenew() bool {
 	return lr.term.isActive() || time.Since(lr.fence.knownCommittedAt()) <= lr.settings.StaleRenewalLimit()
 }
 
-// renew is the answer that renews an agent's lease, or a refusal.
+// renew returns the response that renews an agent's lease, or a refusal.
 func (lr *leaseRenewal) renew(machine string, token uint64, commands []wire.Command) result.Result {
 	if !lr.mayRenew() {
 		return result.NoLeader{}
@@ -52,16 +53,16 @@
 	return result.Renewed{FencingToken: token, Commands: commands}
 }
 
-// delayedStartPossible tells whether a machine may yet receive, by a command that is delayed on its way, the start of a
-// task whose job was cancelled too long ago. Only the leader can fence such a start, and the machine's agent does not
-// reach it. What the agent lists, in whatever state, is not started again, and is stopped by renewAsFollower; what it
-// does not list may be started. So the agent epoch to which the start was sent must end in time: its lease is renewed
-// no longer than by a controller that does not know of the cancellation. Starts delayed by seventy seconds in a
-// partitioned zone were once carried out when the partition ended.
+// delayedStartPossible reports whether a machine may still receive a delayed start command for a task whose job was
+// cancelled longer ago than the stale renewal limit. Only the leader can fence such a start, and the machine's agent
+// cannot reach it. Tasks that the agent lists, in any state, are not started again and are stopped by renewAsFollower;
+// tasks that it does not list may still be started. The agent epoch to which the start was sent must therefore end in
+// time, so its lease is renewed no longer than by a controller that does not know of the cancellation. Without this
+// check, starts that were delayed by 70 s in a partitioned zone were executed when the partition ended.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
-		if !j.Cancelled || run.Session < report.AgentEpoch || reportLists(report, run) {
+		if !j.Cancelled || run.Session < report.AgentEpoch || reportContains(report, run) {
 			continue
 		}
 		if j.Observed.CancelledFrom == 0 || lr.now()-j.Observed.CancelledFrom > lr.settings.StaleRenewalLimit() {
@@ -71,8 +72,8 @@
 	return false
 }
 
-// reportLists tells whether a heartbeat lists a run, in whatever state.
-func reportLists(report *wire.Heartbeat, run *model.Run) bool {
+// reportContains reports whether a heartbeat lists a run, in any state.
+func reportContains(report *wire.Heartbeat, run *model.Run) bool {
 	id := wire.TaskID(uint64(run.Job.ID), int(run.Task))
 	for i := range report.Tasks {
 		if report.Tasks[i].Task == id && report.Tasks[i].Attempt == uint64(run.Attempt) {
@@ -82,21 +83,23 @@
 	return false
 }
 
-// renewalQueryInterval is how often the leader asks the others about a zone's suspect machines until all have answered.
+// renewalQueryInterval is how often the leader queries the other controllers about the suspect machines of a zone until
+// all have answered.
 const renewalQueryInterval = time.Second
 
-// retention is for how long a controller remembers whose lease it renewed: what is longer ago proves nothing more.
+// retention is how long renewals are recorded. Older renewals no longer matter for the proof of expiry.
 func (lr *leaseRenewal) retention() model.Time { return 2 * lr.leaseDuration() }
 
-// latestOwnRenewal is from when a machine's lease counts at the latest, as far as this controller knows: when it last
-// renewed it (an earlier process of it may have until this one began), or last received a heartbeat of the agent epoch
-// that holds what is placed there, which has a lease from its own beginning.
+// latestOwnRenewal returns the latest time from which a machine's lease may count, as far as this controller knows: its
+// last renewal here (an earlier process of this controller may have renewed it until this one started), or the last
+// heartbeat from the agent epoch that holds the placed tasks, whose lease begins with the epoch.
 func (lr *leaseRenewal) latestOwnRenewal(machine *model.Machine) model.Time {
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
 
-// replyRenewals answers the leader that asks when the leases of a zone's machines were last renewed here. Only a
-// controller that has applied the batch that made them suspect may answer: from then on it renews none of them.
+// replyRenewals answers the leader's query for when this controller last renewed the leases of a zone's machines. It
+// answers only after it has applied the batch that made them suspect, because from then on it does not renew their
+// leases.
 func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
@@ -123,7 +126,7 @@
 	})
 }
 
-// queryRenewals asks the other controllers about the zones that have suspect machines with tasks.
+// queryRenewals queries the other controllers about the zones that have suspect machines with tasks.
 func (lr *leaseRenewal) queryRenewals(term *leaderTerm) {
 	lr.renewals.Forget(lr.now() - lr.retention())
 	if time.Since(term.leases.lastRenewalQuery) < renewalQueryInterval {
@@ -145,8 +148,8 @@
 	}
 }
 
-// newestSuspicions is, by index of the other controller and by zone, the newest suspicion of a machine there with tasks
-// for which that controller has not answered.
+// newestSuspicions returns, by index of the other controller and by zone, the log sequence number of the newest
+// suspicion of a machine with tasks about which that controller has not answered yet.
 func (lr *leaseRenewal) newestSuspicions() []map[int32]uint64 {
 	others := len(lr.settings.Members)
 	newest := make([]map[int32]uint64, others)
@@ -167,16 +170,16 @@
 	return newest
 }
 
-// renewalQuery is a question to another controller: when it last renewed the leases of a zone's machines.
+// renewalQuery asks another controller when it last renewed the leases of a zone's machines.
 type renewalQuery struct {
 	link       *rpc.Link
 	member     int // index of the other controller in the settings
 	zone       int32
 	zoneName   string
-	suspectSeq uint64 // the newest suspicion in the zone, which it must have read from the log
+	suspectSeq uint64 // newest suspicion in the zone; the controller must have applied it
 }
 
-// queryZoneRenewals asks another controller about a zone and has the loop take its answer in.
+// queryZoneRenewals sends a query about a zone to another controller and posts the response to the event loop.
 func (lr *leaseRenewal) queryZoneRenewals(ctx context.Context, term *leaderTerm, query renewalQuery) {
 	ctx, cancel := context.WithTimeout(ctx, renewalQueryInterval)
 	defer cancel()
@@ -194,8 +197,8 @@
 	lr.loop.post(func() { lr.onRenewalReport(term, query, &report) })
 }
 
-// onRenewalReport records when another controller last renewed the leases of the machines that it was asked for. What
-// became suspect after the question is not covered by its answer.
+// onRenewalReport records when another controller last renewed the leases of the machines that it was queried about.
+// The report does not cover machines that became suspect after the query.
 func (lr *leaseRenewal) onRenewalReport(term *leaderTerm, query renewalQuery, report *lease.RenewalReport) {
 	if lr.term.ownTerm != term {
 		return
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -9,12 +9,12 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// machineHealth is what the leader judges and does regularly about machines that are silent, quarantined, slow or in a
-// partitioned zone, and about its own isolation. It gathers what is observed of them, has package health decide, and
-// carries the actions out: probes, suspicions and releases go through the components that own them.
+// machineHealth performs the leader's periodic health checks: of machines that are silent, quarantined, slow or in a
+// partitioned zone, and of the leader's own isolation. It collects the observations, lets package health decide, and
+// applies the resulting actions: probes, suspicions and releases are delegated to the components that own them.
 //
-// It owns no state beyond its part of a term (machineHealthTerm). Of what the model keeps it writes when a heartbeat
-// counts as received after a stall (resetFailureDetectors), that a machine is inbound partitioned, and its token.
+// It owns no state except machineHealthTerm. In the model it writes the time of the last heartbeat after a stall
+// (resetFailureDetectors), the inbound partition of a machine, and its token.
 type machineHealth struct {
 	*environment
 	commits      *commitPipeline
@@ -29,16 +29,17 @@
 	zones        *zoneLiveness
 }
 
-// machineHealthTerm is what machineHealth keeps for one term of leadership; it alone writes it, in the loop.
+// machineHealthTerm is the state of machineHealth for one leadership term; only machineHealth writes it, on the event
+// loop.
 type machineHealthTerm struct {
 	detector health.Detector
 }
 
-// resetFailureDetectors begins the detection of silence anew by as much as this controller did not listen itself: a
-// process that was stopped, or starved, finds everybody silent at once, and what they sent meanwhile is still to be
-// read. One that is late again and again, never for a second, receives the heartbeats of a part of the fleet only: four
-// hundred machines that were well were once released as silent within three seconds, when the cloud was back and a
-// third of the fleet was to be replaced.
+// resetFailureDetectors moves the start of the silence detection forward by the time in which this controller did not
+// process messages. A process that was suspended or starved of CPU finds all machines silent at once, while their
+// heartbeats are still unread. Short delays count as well: an event loop that is repeatedly late by less than a second
+// receives the heartbeats of only part of the fleet, and this caused the release of 400 healthy machines as silent
+// within 3 s, when the cloud had recovered and a third of the fleet was about to be replaced.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
 	for _, machine := range mh.replica.model.Order {
@@ -54,26 +55,26 @@
 	}
 }
 
-// healthRules are the bounds by which machines are judged, from the settings.
+// healthRules returns the thresholds of the health checks, from the settings.
 func (mh *machineHealth) healthRules() *health.Rules {
 	return &health.Rules{
 		HeartbeatS:     mh.settings.Params.Workers.HeartbeatS,
 		ProbeAfter:     mh.probeAfter(),
 		SilentAfter:    mh.silentAfter(),
-		CancelPatience: mh.cancelPatience(),
+		CancelPatience: mh.cancelReleaseDelay(),
 		Zones:          len(mh.settings.Params.Zones),
 	}
 }
 
-// cancelPatience is for how long a cancelled job may keep tasks on a machine of a partitioned zone before the machine
-// is released: its agent ends them in time by itself, unless it hangs, and the rest of the time that a cancellation has
-// is for the cloud.
-func (mh *machineHealth) cancelPatience() model.Time {
+// cancelReleaseDelay is how long a machine of a partitioned zone may hold tasks of a cancelled job before it is
+// released. Unless it hangs, its agent ends them in time by itself; the rest of the cancellation deadline is left for
+// the cloud to release the machine.
+func (mh *machineHealth) cancelReleaseDelay() model.Time {
 	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
 }
 
-// checkMachineHealth judges all machines and does what follows from it: it releases those that are silent, quarantined
-// or never came up, and those of a partitioned zone whose work is needed elsewhere.
+// checkMachineHealth checks all machines and applies the resulting actions: it releases machines that are silent,
+// quarantined or failed to boot, and those of a partitioned zone whose work is needed elsewhere.
 func (mh *machineHealth) checkMachineHealth(term *leaderTerm) {
 	now, rules := mh.now(), mh.healthRules()
 	census := &health.Census{}
@@ -86,11 +87,11 @@
 	round := term.health.detector.Begin(rules, census, now, term.provisioning.cloudUnavailable)
 	evidence := &healthEvidence{machineHealth: mh, ownTerm: term, now: now}
 	for _, machine := range mh.replica.model.Order {
-		mh.judgeTasks(machine, round.ChecksLateness(), now)
+		mh.checkTaskHealth(machine, round.ChecksLateness(), now)
 		evidence.machine = machine
 		observed := observeMachine(machine, now)
 		for _, action := range round.Judge(&observed, evidence) {
-			mh.carryOut(machine, action, now)
+			mh.applyAction(machine, action, now)
 		}
 	}
 	settleTime := mh.silentAfter() + bootSettleTime
@@ -106,11 +107,11 @@
 	}
 }
 
-// bootSettleTime is what machines that are up get beyond the limit of silence to report to a new leader, before they
-// count as not booted.
+// bootSettleTime is how long, in addition to the silence limit, running machines have to report to a new leader before
+// their boot counts as failed.
 const bootSettleTime = 10 * time.Second
 
-// observeMachine is what this controller has observed of a machine, for package health to judge.
+// observeMachine returns the observations of a machine that package health evaluates.
 func observeMachine(machine *model.Machine, now model.Time) health.Machine {
 	return health.Machine{
 		Zone:               machine.Zone,
@@ -126,9 +127,9 @@
 	}
 }
 
-// judgeTasks has the model judge a machine by the tasks on it: whether it is slow, and whether it is to be quarantined
-// for those that failed.
-func (mh *machineHealth) judgeTasks(machine *model.Machine, checkSlow bool, now model.Time) {
+// checkTaskHealth lets the model evaluate a machine by its tasks: whether it is slow, and whether it is to be
+// quarantined because of task failures.
+func (mh *machineHealth) checkTaskHealth(machine *model.Machine, checkSlow bool, now model.Time) {
 	if checkSlow && mh.replica.model.DetectSlow(machine, now) {
 		mh.heartbeats.logSlow(machine)
 	}
@@ -140,12 +141,12 @@
 	case machine.Health.Quarantined:
 		mh.heartbeats.logQuarantined(machine)
 	case machine.Health.DoubtSince == 0:
-		mh.loop.requestRound() // of use again: its jobs fail elsewhere too
+		mh.loop.requestRound() // it is usable again: its jobs fail on other machines too
 	}
 }
 
-// carryOut does what was decided about a machine.
-func (mh *machineHealth) carryOut(machine *model.Machine, action health.Action, now model.Time) {
+// applyAction applies an action that package health decided on for a machine.
+func (mh *machineHealth) applyAction(machine *model.Machine, action health.Action, now model.Time) {
 	switch action.Kind {
 	case health.RaiseToken:
 		mh.replica.model.RaiseToken(machine)
@@ -160,8 +161,8 @@
 	}
 }
 
-// markSuspect makes a machine suspect: its lease expires. After that it is released if its work may run elsewhere;
-// otherwise it is left where it is, and of use again when the partition ends.
+// markSuspect marks a machine as suspect, so that its lease expires. Afterwards the machine is released if its work may
+// run elsewhere; otherwise it is kept and used again when the partition ends.
 func (mh *machineHealth) markSuspect(machine *model.Machine) {
 	mh.log.Info("machine suspect, zone partitioned", "machine", machine.Info.Name, "zone", machine.Info.Zone,
 		"tasks", len(machine.Runs))
@@ -173,7 +174,8 @@
 	})
 }
 
-// checkSelfIsolation resigns, for another controller to lead, when it is this one that the machines don't reach.
+// checkSelfIsolation resigns, so that another controller leads, if it is this controller that the machines cannot
+// reach.
 func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
 	now := mh.now()
 	reach := health.Reach{
@@ -196,7 +198,7 @@
 	}
 }
 
-// resign ends the term with errHeartbeatsMissing. From here on nothing is decided in it.
+// resign ends the term with errHeartbeatsMissing. No further decisions are made in this term.
 func (mh *machineHealth) resign(term *leaderTerm, census *health.Census) {
 	total, silent := census.Totals()
 	mh.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
@@ -208,7 +210,8 @@
 	}
 }
 
-// healthEvidence answers what package health asks about one machine in the course of a round (health.Evidence).
+// healthEvidence implements health.Evidence: it provides package health with details about one machine during a round
+// of checks.
 type healthEvidence struct {
 	*machineHealth
 	ownTerm *leaderTerm
@@ -216,33 +219,34 @@
 	machine *model.Machine
 }
 
-// CancelledFor is for how long a job with a task on the machine has been cancelled.
+// CancelledFor returns how long ago a job that still has a task on the machine was cancelled.
 func (e *healthEvidence) CancelledFor() model.Time {
 	return e.replica.model.CancelledFor(e.machine, e.now)
 }
 
-// Cleared tells whether a controller on the machine's side of a partition found no task of a cancelled job there.
+// Cleared reports whether a controller on the machine's side of a partition found no task of a cancelled job on it.
 func (e *healthEvidence) Cleared() bool { return e.ownTerm.zones.isCleared(e.machine.ID) }
 
-// LeaseExpired tells whether the machine's lease has surely expired.
+// LeaseExpired reports whether the machine's lease has certainly expired.
 func (e *healthEvidence) LeaseExpired() bool {
 	return e.machine.LeaseExpired(e.settings.StaleRenewalLimit(), e.leaseDuration(),
 		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// MovableWork is what on the machine may run in another zone.
+// MovableWork returns the work on the machine that may run in another zone.
 func (e *healthEvidence) MovableWork() (urgent bool, low health.Room) {
 	urgent, resources := scheduler.MovableWork(e.machine)
 	return urgent, health.Room{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
-// FreeOutsideZone is the room for low-priority work in the other zones: without what is kept free for services.
+// FreeOutsideZone returns the free resources for low-priority work in the other zones, without the headroom reserved
+// for services.
 func (e *healthEvidence) FreeOutsideZone() health.Room {
 	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
 	return health.Room{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
 }
 
-// ZoneMayBeAlive tells whether work in the machine's zone may go on without this controller.
+// ZoneMayBeAlive reports whether work in the machine's zone may continue without this controller.
 func (e *healthEvidence) ZoneMayBeAlive() bool {
 	return e.zones.mayBeAlive(e.ownTerm, e.replica.model.Zones.Name(e.machine.Zone))
 }
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -9,12 +9,12 @@
 	"fieldhill/wire"
 )
 
-// probes asks machines for their status when their heartbeats are missing or prove too little, and counts by zone what
-// came of it.
+// probes requests status reports from machines whose heartbeats are missing or inconclusive, and counts the results by
+// zone.
 //
-// It owns the counts of a term (probesTerm), and of the model's observations that a machine is being probed and when it
-// last was (Probing, ProbedAt). All of this is written in the loop; goroutines wait for the answers and post them to
-// it.
+// It owns the counts of a term (probesTerm) and, of the observed state in the model, whether a machine is being probed
+// and when it was last probed (Probing, ProbedAt). All of this is written on the event loop only; goroutines wait for
+// the responses and post them to the loop.
 type probes struct {
 	*environment
 	heartbeats  *heartbeats
@@ -23,56 +23,57 @@
 	assignments *relayAssignments
 	term        *termState
 
-	maxZoneProbes     int // silent machines of a zone that are probed at once; tests change it
-	maxFollowUpProbes int // machines that are probed at once because of what they reported
+	maxZoneProbes     int // limit on concurrent probes to silent machines of a zone; overridden by tests
+	maxFollowUpProbes int // limit on concurrent probes that result from reports
 }
 
-// probesTerm is what probes keeps for one term of leadership. heartbeats counts the machines of a zone, too, when it
-// receives their status (recordProbe).
+// probesTerm is the state of probes for one leadership term. heartbeats also updates the counts of a zone when it
+// receives a status report (recordProbe).
 type probesTerm struct {
-	maxZoneProbes  int                        // as in probes when the term began
-	unresponsive   map[*model.Machine]bool    // probed without an answer, and not heard of in this term
-	zones          map[int32]*zoneProbeCounts // what came of probes, by zone
-	followUpProbes int                        // machines that are being probed because of what they reported
-	heartbeatCount int                        // how often a status of any machine was received in this term
+	maxZoneProbes  int                        // copied from probes at the start of the term
+	unresponsive   map[*model.Machine]bool    // no response to a probe and no report in this term
+	zones          map[int32]*zoneProbeCounts // results of probes by zone
+	followUpProbes int                        // probes in flight that result from reports
+	heartbeatCount int                        // status reports received from any machine in this term
 }
 
 const (
-	// probeTimeout is how long an agent has to answer a probe.
+	// probeTimeout is how long an agent has to respond to a probe.
 	probeTimeout = 1200 * time.Millisecond
-	// probeInterval is how often a machine is probed at most because of what it reported, unless somebody waits for the
-	// answer.
+	// probeInterval is the minimum interval between probes that result from a machine's reports, unless a caller waits
+	// for the response.
 	probeInterval = time.Second
-	// silentZoneThreshold is after how many machines of a zone that were probed in vain, while none was heard of, the
-	// rest of it is not waited for: it is partitioned, most likely, and a third of a large fleet took ten seconds to be
-	// probed, while answers of other zones waited behind it.
+	// silentZoneThreshold is how many machines of a zone must have failed to respond to probes, while none has
+	// reported, before the remaining machines are no longer waited for. The zone is then most likely partitioned.
+	// Probing a third of a large fleet took 10 s, and responses from other zones were delayed behind it.
 	silentZoneThreshold = 5
 )
 
-// allMachinesReported tells whether every machine with tasks has reported to this leader, or was probed in vain: it
-// hangs, is gone or can't be reached, gets nothing new, and what it holds counts as placed all the same. Among a
-// thousand machines there is always one, and for it a new leader placed nothing for a whole heartbeat interval.
+// allMachinesReported reports whether every machine with tasks has reported to this leader or failed to respond to a
+// probe. An unresponsive machine gets no new tasks, and those that it holds count as placed. Waiting for it would delay
+// a new leader's first placements by a heartbeat interval, because among a thousand machines there is always one that
+// does not respond.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.Order {
 		if !machine.Contact.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
-			!term.probes.unresponsive[machine] && !term.probes.zoneProbe(machine.Zone).silent.Load() {
+			!term.probes.unresponsive[machine] && !term.probes.zoneCounts(machine.Zone).silent.Load() {
 			return false
 		}
 	}
 	return len(pr.replica.model.Order) > 0
 }
 
-// zoneProbeCounts is what came of probes to the machines of a zone, and of their heartbeats, in this term. The loop
-// writes it; goroutines that are about to probe read whether the zone is silent, and take slots.
+// zoneProbeCounts counts the results of probes to the machines of a zone, and their heartbeats, in this term. The event
+// loop writes it; goroutines that are about to probe acquire slots and read whether the zone is silent.
 type zoneProbeCounts struct {
 	answered, unanswered int
-	silent               atomic.Bool // some were probed in vain, and none was heard of
-	slots                slots       // silent machines that are being probed
+	silent               atomic.Bool // several probes failed, and no machine reported
+	slots                slots       // concurrent probes to silent machines
 }
 
-// zoneProbe is the counts of a zone, which begin with the first question for them.
-func (pt *probesTerm) zoneProbe(zone int32) *zoneProbeCounts {
+// zoneCounts returns the counts of a zone, creating them if needed.
+func (pt *probesTerm) zoneCounts(zone int32) *zoneProbeCounts {
 	counts := pt.zones[zone]
 	if counts == nil {
 		counts = &zoneProbeCounts{slots: make(slots, pt.maxZoneProbes)}
@@ -81,8 +82,8 @@
 	return counts
 }
 
-// recordProbe counts a machine of a zone whose status was received, or that was probed in vain. Where nothing is
-// received from other zones either, it may be this controller that is late.
+// recordProbe counts a machine of a zone that reported its status or failed to respond to a probe. A zone is considered
+// silent only if enough reports arrive from other zones; otherwise this controller itself may be late.
 func (pt *probesTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
@@ -94,8 +95,8 @@
 		pt.heartbeatCount >= silentZoneThreshold)
 }
 
-// probeAll probes all machines with tasks. A new leader places nothing before it has heard of them, and many of their
-// agents take a heartbeat interval and longer to find it.
+// probeAll probes all machines with tasks. A new leader places no tasks before these machines have reported, and many
+// agents take a heartbeat interval or longer to find it.
 func (pr *probes) probeAll() {
 	for _, machine := range pr.replica.model.Order {
 		if len(machine.Runs) > 0 && !machine.Suspect {
@@ -104,8 +105,8 @@
 	}
 }
 
-// probeMachine probes a machine now, because of what it reported; onDone, if not nil, is called in the loop when it has
-// answered or has not. It tells whether the machine is probed.
+// probeMachine probes a machine because of what it reported. If onDone is not nil, it is called on the event loop after
+// the response or failure. The result tells whether a probe was started.
 func (pr *probes) probeMachine(machine *model.Machine, onDone func()) bool {
 	term := pr.term.ownTerm
 	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes ||
@@ -117,7 +118,7 @@
 	addr, routes := machine.Info.Addr, pr.assignments.routesTo(machine)
 	question := pr.replica.model.BeginProbe(machine)
 	go func() {
-		report, err := pr.assignments.queryMachine(term.ctx, routes, addr)
+		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
 		pr.loop.post(func() {
 			term.probes.followUpProbes--
 			if pr.term.ownTerm == term && err == nil {
@@ -131,22 +132,22 @@
 	return true
 }
 
-// logInboundPartition logs that answers to a machine are known not to arrive, or arrive again.
+// logInboundPartition logs the beginning or end of an inbound partition of a machine.
 func (pr *probes) logInboundPartition(machine *model.Machine) {
 	pr.log.Info("machine inbound partition changed", "machine", machine.Info.Name, "zone", machine.Info.Zone,
 		"inbound_partition", machine.Contact.InboundPartitionSince != 0, "tasks", len(machine.Runs))
 }
 
 // probeSilent probes a silent machine. An agent that lost its controller may take long to find the leader; one that is
-// dead or hangs does not answer at all. With skipIfZoneSilent it is not probed any more once its zone is known to be
-// silent.
+// dead or hangs does not respond at all. With skipIfZoneSilent, the probe is skipped if the machine's zone has
+// meanwhile been found silent.
 func (pr *probes) probeSilent(machine *model.Machine, skipIfZoneSilent bool) {
 	term := pr.term.ownTerm
 	if machine.Contact.Probing || machine.Contact.DirectInFlight || machine.Info.Addr == "" {
 		return
 	}
 	machine.Contact.Probing = true
-	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.probes.zoneProbe(machine.Zone)
+	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.probes.zoneCounts(machine.Zone)
 	question := pr.replica.model.BeginProbe(machine)
 	go func() {
 		select {
@@ -159,12 +160,12 @@
 			pr.loop.post(func() { machine.Contact.Probing = false })
 			return
 		}
-		report, err := pr.assignments.queryMachine(term.ctx, routes, addr)
+		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
 		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, question) })
 	}()
 }
 
-// onSilentProbed takes in the answer of a silent machine, or that there was none.
+// onSilentProbed processes the result of probing a silent machine.
 func (pr *probes) onSilentProbed(
 	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.Question,
 ) {
@@ -178,7 +179,7 @@
 	}
 	if !machine.Contact.Reported {
 		term.probes.unresponsive[machine] = true
-		term.probes.recordProbe(term.probes.zoneProbe(machine.Zone), false)
+		term.probes.recordProbe(term.probes.zoneCounts(machine.Zone), false)
 		pr.loop.requestRound()
 	}
 }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -11,9 +11,9 @@
 	"fieldhill/internal/rpc"
 )
 
-// relayAgent is a follower's part in relaying (relayAssignments has the leader's): it offers itself to the leader, and
-// passes the leader's direct commands and probes on to agents. Heartbeats are passed on by heartbeatRouter, by what is
-// agreed here.
+// relayAgent is the follower side of relaying (relayAssignments is the leader side): it offers this controller to the
+// leader as a relay, and forwards the leader's direct commands and probes to agents. heartbeatRouter forwards
+// heartbeats, as agreed here.
 type relayAgent struct {
 	*environment
 	replica *replica
@@ -22,25 +22,25 @@
 	state *relaying
 }
 
-// relaying is what a controller has agreed with the leader as its relay, and what it has under way for it.
-// maintainRelay alone writes it, in the loop, and the answer to its offer the flag enabled; the goroutines of agents'
-// connections and of the leader's calls read the atomic fields and take slots.
+// relaying is the state of a relay: its agreement with the leader and the limits on forwarded requests. It is written
+// by maintainRelay on the event loop, except for enabled, which the response to an offer sets. The goroutines of
+// agents' connections and of the leader's requests read the atomic fields and acquire slots.
 type relaying struct {
-	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil: this controller leads, or does not reach one
-	enabled    atomic.Bool              // the leader wants heartbeats passed on
-	reports    slots                    // heartbeats under way
-	orders     slots                    // direct commands under way
-	probes     slots                    // probes under way
+	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil if this controller leads or cannot reach the leader
+	enabled    atomic.Bool              // the leader accepts forwarded heartbeats
+	reports    slots                    // heartbeats in flight
+	orders     slots                    // direct commands in flight
+	probes     slots                    // probes in flight
 	offeredAt  time.Time
 	offeredTo  *rpc.Link
-	// neverOffers is for tests: the controller behaves as one of a version without relays.
-	neverOffers bool
+	// offersDisabled makes the controller behave like a version without relays, for tests.
+	offersDisabled bool
 }
 
-// slots bounds what is under way at the same time.
+// slots is a counting semaphore.
 type slots chan struct{}
 
-// tryAcquire takes a slot, if one is free.
+// tryAcquire acquires a slot if one is free.
 func (s slots) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
@@ -50,13 +50,12 @@
 	}
 }
 
-// release gives a slot back.
 func (s slots) release() { <-s }
 
-// reachableLeader is the link to the leader, if it may be relayed for; nil: this controller leads, or does not reach
-// it.
+// reachableLeader returns the link to the leader if this controller may relay for it, or nil if this controller leads
+// or cannot reach the leader.
 func (ry *relayAgent) reachableLeader() *rpc.Link {
-	if ry.state.neverOffers || ry.term.ownTerm != nil || !ry.replica.loaded || ry.term.leader == nil {
+	if ry.state.offersDisabled || ry.term.ownTerm != nil || !ry.replica.loaded || ry.term.leader == nil {
 		return nil
 	}
 	link := ry.links[ry.term.leader.Node]
@@ -66,7 +65,7 @@
 	return link
 }
 
-// maintainRelay keeps the link to the leader up to date and offers this controller as a relay.
+// maintainRelay updates the link to the leader and offers this controller as a relay.
 func (ry *relayAgent) maintainRelay() {
 	state := ry.state
 	target := ry.reachableLeader()
@@ -78,8 +77,8 @@
 	go state.offer(ry.ctx, target, relay.Offer{Node: ry.settings.Node, HasCapacity: !ry.connLimiter.NearLimit()})
 }
 
-// offer offers this controller to the leader and keeps its answer. What was agreed holds until the leader answers
-// again.
+// offer offers this controller to the leader as a relay and stores the response. The previous agreement stays in effect
+// if the leader does not respond.
 func (s *relaying) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
 	ctx, cancel := context.WithTimeout(ctx, offerInterval)
 	defer cancel()
@@ -91,7 +90,7 @@
 	s.enabled.Store(reply.Status == http.StatusOK && err == nil && enabled)
 }
 
-// forwardQuery asks an agent for its status for the leader.
+// forwardQuery probes an agent on behalf of the leader.
 func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) result.Result {
 	if !ry.state.probes.tryAcquire() {
 		return result.Overloaded{}
@@ -104,7 +103,7 @@
 	return result.Done{Body: relay.AppendReport(nil, report)}
 }
 
-// forwardOrders sends a direct command for the leader.
+// forwardOrders sends a direct command to an agent on behalf of the leader.
 func (ry *relayAgent) forwardOrders(ctx context.Context, request *rpc.Request) result.Result {
 	orders, err := relay.ReadOrders(request.Body)
 	if err != nil {
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -14,34 +14,35 @@
 	"fieldhill/wire"
 )
 
-// relayAssignments is the leader's side of relaying, which spreads the agents of a large cell over its controllers: a
-// relay ends agents' connections, passes each heartbeat on to the leader and the leader's answer back, and sends the
-// leader's direct commands. internal/agents/relay decides which agent reports where; docs/REGIONS.md has the argument
-// why nothing more is needed for the rules.
+// relayAssignments is the leader side of relaying, which distributes the agents of a large cell across its controllers:
+// a relay terminates agents' connections, forwards each heartbeat to the leader and the leader's response back, and
+// sends the leader's direct commands. Package internal/agents/relay decides through which controller each agent
+// reports; docs/REGIONS.md explains why relaying needs no further safety rules.
 //
-// It owns the assignments, which are forgotten with the term, and is written in the loop alone. What it sends,
-// goroutines send that have looked the way up before.
+// It owns the assignments, which are discarded at the end of the term and written on the event loop only. Routes are
+// looked up on the event loop before goroutines send requests over them.
 type relayAssignments struct {
 	*environment
 	loop    *eventLoop
 	replica *replica
 	term    *termState
 
-	// spreadThreshold is with more than how many machines agents are spread over the controllers; tests change it.
+	// spreadThreshold is the number of machines above which agents are distributed across the controllers; overridden
+	// by tests.
 	spreadThreshold int
 }
 
-// relayAssignmentsTerm is what relayAssignments keeps for one term of leadership.
+// relayAssignmentsTerm is the state of relayAssignments for one leadership term.
 type relayAssignmentsTerm struct {
-	table               *relay.Table // through which controller each machine reports
-	acceptingNodes      []bool       // controllers that take more agents, by their index in the table
-	lastRelayOffers     []model.Time // when they last offered to be relays; 0: never
-	lastAssignmentSweep model.Time   // when the table was last swept
+	table               *relay.Table // which controller each machine reports through
+	acceptingNodes      []bool       // controllers that accept more agents, by index in the table
+	lastRelayOffers     []model.Time // when each controller last offered itself as a relay; 0 if never
+	lastAssignmentSweep model.Time   // when silent agents were last removed from the table
 }
 
-// errNotSent is the failure of a command or a probe that a relay did not send: it has too many under way, or is
-// stopping.
-var errNotSent = errors.New("controller: relay did not send the request")
+// errNotForwarded is returned for a command or a probe that a relay did not send because it has too many in flight or
+// is shutting down.
+var errNotForwarded = errors.New("controller: relay did not send the request")
 
 // onRelayOffer answers a controller that offers itself as a relay.
 func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) result.Result {
@@ -62,7 +63,7 @@
 	})
 }
 
-// memberIndex is a controller's index in the relay table; relay.Leader if there is no such controller.
+// memberIndex returns a controller's index in the relay table, or relay.Leader if there is no such controller.
 func (ra *relayAssignments) memberIndex(node string) int {
 	for i, m := range ra.settings.Members {
 		if m.Node == node {
@@ -72,13 +73,13 @@
 	return relay.Leader
 }
 
-// redirectTarget tells whether an agent is to report through another controller, and through which.
+// redirectTarget reports whether an agent is to report through another controller, and through which.
 func (ra *relayAssignments) redirectTarget(machine *model.Machine, node int) (to string, move bool) {
 	term := ra.term.ownTerm
 	now := ra.now()
 	term.assignments.table.RecordReport(machine.Info.Name, node, now)
 	if !machine.Contact.Reported || now-machine.Contact.LastReport > ra.leaseDuration()/4 {
-		return "", false // its lease is renewed first: to find another controller takes time
+		return "", false // renew its lease first: connecting to another controller takes time
 	}
 	open := func(index int) bool { return term.assignments.acceptingNodes[index] && ra.isRelay(index) }
 	index, move := term.assignments.table.Redirect(machine.Info.Name, node, open, now)
@@ -91,15 +92,16 @@
 	return ra.settings.Members[index-1].Node, true
 }
 
-// isRelay tells whether a controller, by its index in the relay table, offered itself as a relay a moment ago and is
-// reached.
+// isRelay reports whether a controller, given by its index in the relay table, recently offered itself as a relay and
+// is reachable.
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
 	return at != 0 && ra.now()-at < offerTTL &&
 		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
 }
 
-// maintainAssignments decides from the size of the fleet whether agents are spread, and forgets those that are silent.
+// maintainAssignments decides by the size of the fleet whether agents are distributed, and removes the assignments of
+// silent agents.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
 	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
@@ -108,8 +110,8 @@
 	}
 }
 
-// sendOrders sends a direct command, through the relay by which the machine reports, if there is one. A command whose
-// relay is lost meanwhile may be executed at any later time, as one that a network delays.
+// sendOrders sends a direct command, through the relay by which the machine reports if there is one. If the relay is
+// lost meanwhile, the command may be executed at any later time, like one that is delayed in the network.
 func (ra *relayAssignments) sendOrders(
 	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
 ) (agent.CommandFate, *wire.Heartbeat, error) {
@@ -125,7 +127,7 @@
 	case err != nil:
 		return agent.Unknown, nil, err
 	case reply.Status != http.StatusOK:
-		return agent.Unsent, nil, errNotSent
+		return agent.Unsent, nil, errNotForwarded
 	}
 	outcome, err := relay.ReadCommandResult(reply.Body)
 	if err != nil || outcome.Fate > uint8(agent.Unknown) {
@@ -134,7 +136,7 @@
 	return agent.CommandFate(outcome.Fate), outcome.Report, nil
 }
 
-// relayFor is the link to the relay by which a machine reports; nil: it is sent commands from here.
+// relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
 	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
@@ -143,9 +145,9 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo is how a machine may be probed: through the controller by which it reports and, if that fails, one other
-// way; nil stands for directly. A leader that is partitioned from agents whose relays are not must not take them for
-// silent.
+// routesTo returns the routes over which to probe a machine: through the controller by which it reports, then one
+// alternative; nil stands for a direct connection. The alternative keeps a leader that is partitioned from agents from
+// treating them as silent while a relay can reach them.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
@@ -161,8 +163,8 @@
 	return []*rpc.Link{nil}
 }
 
-// queryMachine asks an agent for its status, by one route after the other until it answers.
-func (ra *relayAssignments) queryMachine(
+// probeOverRoutes probes an agent over one route after the other until it responds.
+func (ra *relayAssignments) probeOverRoutes(
 	ctx context.Context, routes []*rpc.Link, addr string,
 ) (report *wire.Heartbeat, err error) {
 	for _, via := range routes {
@@ -178,7 +180,7 @@
 	return nil, err
 }
 
-// queryThrough asks an agent for its status through a relay, which has the time of a probe and some on the way.
+// queryThrough probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
 func queryThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
@@ -187,7 +189,7 @@
 		return nil, err
 	}
 	if reply.Status != http.StatusOK {
-		return nil, errNotSent
+		return nil, errNotForwarded
 	}
 	return relay.ReadReport(reply.Body)
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -171,7 +171,7 @@
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
 		older := nodeAt((leaderIndex + 1) % 3)
-		older.loop.postAndWait(func() { older.relay.state.neverOffers = true })
+		older.loop.postAndWait(func() { older.relay.state.offersDisabled = true })
 		time.Sleep(40 * time.Second)
 		perNode := agentsPerNode(nodeAt(leaderIndex))
 		if i := nodeAt(leaderIndex).assignments.memberIndex(older.settings.Node); perNode[i] != 0 {
@@ -194,7 +194,7 @@
 		result := relay.CommandResult{Fate: uint8(agent.Unknown)}
 		return &rpc.Response{Status: http.StatusOK, Body: result.Append(nil)}
 	case "busy":
-		return &rpc.Response{Status: statusBusy}
+		return &rpc.Response{Status: statusOverloaded}
 	case "malformed":
 		return &rpc.Response{Status: http.StatusOK, Body: []byte{9}}
 	case "older":
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -10,11 +10,12 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// zoneLiveness finds out whether work in a partitioned zone goes on under a controller there: what a controller that
-// reads the log but does not reach the leader reports through the key-value store, and what the leader makes of that.
+// zoneLiveness determines whether work in a partitioned zone continues under a controller there. A controller that
+// reads the log but cannot reach the leader reports this through the key-value store, and the leader evaluates the
+// reports.
 //
-// It owns when this controller last reported, and in a term what was read of the others' reports. Both are written in
-// the loop alone; the store is read and written by goroutines that post their results to it.
+// It owns the time of this controller's last report and, for a term, the reports read from the other controllers. Both
+// are written on the event loop only; goroutines access the store and post the results to the loop.
 type zoneLiveness struct {
 	*environment
 	keepalives *followerKeepalives
@@ -22,39 +23,39 @@
 	replica    *replica
 	term       *termState
 
-	lastPartitionReport time.Time // when this controller last reported that it does not reach the leader
+	lastPartitionReport time.Time // when this controller last reported that it cannot reach the leader
 }
 
-// zoneLivenessTerm is what zoneLiveness keeps for one term of leadership.
+// zoneLivenessTerm is the state of zoneLiveness for one leadership term.
 type zoneLivenessTerm struct {
-	nodes                  map[string]*partitionedNode // by name: controllers that reported not to reach this one
-	partitionQueryInFlight bool                        // their reports are being read
-	lastPartitionQuery     time.Time                   // when they were last read
+	nodes                  map[string]*partitionedNode // by name: controllers that cannot reach this one
+	partitionQueryInFlight bool                        // a read of their reports is in flight
+	lastPartitionQuery     time.Time                   // when their reports were last read
 }
 
 const (
-	// partitionReportInterval is how often a controller that does not reach the leader reports so.
+	// partitionReportInterval is how often a controller that cannot reach the leader reports this.
 	partitionReportInterval = 5 * time.Second
-	// partitionReportTTL is for how long such a report counts.
+	// partitionReportTTL is how long such a report is valid.
 	partitionReportTTL = 2 * partitionReportInterval
-	// maxPartitionReportLag is how many batches of the log a report that is read for the first time may lack.
+	// maxPartitionReportLag is how many log batches a report that is read for the first time may be behind.
 	maxPartitionReportLag = 100
 )
 
-// partitionedNode is what the leader has read of a controller that does not reach it.
+// partitionedNode is what the leader knows about a controller that cannot reach it.
 type partitionedNode struct {
-	version         uint64                   // of its record in the store
-	updatedAt       time.Time                // when its record was last found to be new
-	clearedMachines map[model.MachineID]bool // machines that reported to it, with no task of a cancelled job
+	version         uint64                   // version of its record in the store
+	updatedAt       time.Time                // when its record was last found to have changed
+	clearedMachines map[model.MachineID]bool // machines that reported to it and held no task of a cancelled job
 }
 
-// isFresh tells whether the controller has reported lately.
+// isFresh reports whether the controller has reported recently.
 func (n *partitionedNode) isFresh() bool { return time.Since(n.updatedAt) < partitionReportTTL }
 
-// splitVarints splits a list of variable-length numbers, between two of them, into parts of at most so many bytes;
-// there is at least one part.
+// splitVarints splits a list of varints, at number boundaries, into parts of at most maxBytes bytes. It returns at
+// least one part.
 func splitVarints(b []byte, maxBytes int) (parts [][]byte) {
-	const continuation = 0x80 // in each byte of a number but the last
+	const continuation = 0x80 // set in each byte of a varint except the last
 	for len(b) > maxBytes {
 		end := maxBytes
 		for b[end-1]&continuation != 0 {
@@ -65,8 +66,8 @@
 	return append(parts, b)
 }
 
-// decodeCleared reads the machines of clearedMachines.encode from all parts of a record. What is malformed does not
-// count.
+// decodeCleared decodes the machine IDs written by clearedMachines.encode from all parts of a record, and ignores
+// malformed data.
 func decodeCleared(record *oplog.PartitionedNode) map[model.MachineID]bool {
 	cleared := map[model.MachineID]bool{}
 	for _, part := range append([][]byte{record.Data}, record.Parts...) {
@@ -79,8 +80,8 @@
 	return cleared
 }
 
-// isCleared tells whether a controller that does not reach this one has just heard from a machine, and no task of a
-// cancelled job was left there.
+// isCleared reports whether a controller that cannot reach this one recently received a heartbeat from a machine and
+// found no task of a cancelled job there.
 func (zt *zoneLivenessTerm) isCleared(id model.MachineID) bool {
 	for _, node := range zt.nodes {
 		if node.clearedMachines[id] && node.isFresh() {
@@ -90,9 +91,9 @@
 	return false
 }
 
-// mayBeAlive tells whether work in a zone may go on without this controller: one there is reached, or reads the log and
-// so keeps the zone's agents alive. Then the zone is not partitioned from everything, but from the leader alone. As
-// long as that is not known, it may be so.
+// mayBeAlive reports whether work in a zone may continue without this controller: a controller there is reachable, or
+// reads the log and therefore renews the leases of the zone's agents. In the latter case the zone is partitioned from
+// the leader only, not from the log. The result is true as long as this is not known.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
 		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
@@ -112,7 +113,7 @@
 	return false
 }
 
-// queryIfDue reads which controllers don't reach the leader, unless that was done a moment ago or is under way.
+// queryIfDue reads which controllers cannot reach the leader, unless a read is in flight or was done recently.
 func (zl *zoneLiveness) queryIfDue(term *leaderTerm) {
 	if term.zones.partitionQueryInFlight || time.Since(term.zones.lastPartitionQuery) <= partitionReportInterval/2 {
 		return
@@ -124,7 +125,7 @@
 	}()
 }
 
-// onPartitionedNodes takes in the records of the controllers that reported not to reach the leader.
+// onPartitionedNodes processes the records of the controllers that reported that they cannot reach the leader.
 func (zl *zoneLiveness) onPartitionedNodes(term *leaderTerm, records []oplog.PartitionedNode, err error) {
 	term.zones.partitionQueryInFlight = false
 	if zl.term.ownTerm != term || err != nil {
@@ -139,8 +140,8 @@
 		case node == nil:
 			node = &partitionedNode{version: record.Version, clearedMachines: decodeCleared(record)}
 			term.zones.nodes[record.Node] = node
-			// A record read for the first time may be old: it counts at once only if its controller had read the log
-			// to nearly its end.
+			// A record read for the first time may be old: it counts immediately only if its controller had almost
+			// caught up with the log.
 			if record.Seq+maxPartitionReportLag > term.commits.committedSeq {
 				node.updatedAt = now
 			}
@@ -150,8 +151,8 @@
 	}
 }
 
-// reportPartition reports to the leader, by way of the key-value store, that this controller reads the log but does not
-// reach it.
+// reportPartition reports to the leader, through the key-value store, that this controller reads the log but cannot
+// reach the leader.
 func (zl *zoneLiveness) reportPartition() {
 	now := time.Now()
 	if zl.term.ownTerm != nil || !zl.replica.loaded || zl.term.leader == nil ||
@@ -164,7 +165,7 @@
 	}
 	zl.lastPartitionReport = now
 	maxData := zl.oplog.MaxData()
-	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // a part may end a number early
+	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // parts end between varints
 	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxData)
 	record := oplog.PartitionedNode{
 		Node:  zl.settings.Node,
@@ -175,7 +176,7 @@
 	go zl.putReport(zl.ctx, record)
 }
 
-// putReport writes this controller's record to the store. One that fails is written again after the interval.
+// putReport writes this controller's record to the store. A failed write is repeated after the interval.
 func (zl *zoneLiveness) putReport(ctx context.Context, record oplog.PartitionedNode) {
 	ctx, cancel := context.WithTimeout(ctx, partitionReportInterval)
 	defer cancel()
