--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -12,11 +12,11 @@
 	"fieldhill/wire"
 )
 
-// These tests combine two faults. Each of them also checks that its combination occurred.
+// These tests combine two faults each, and check that the combination occurred.
 
-// TestDelayedStartOfCancelledJob: a start is delayed on its way to a machine that can't reach the leader any more, but
-// another controller, which renews its lease; its job is cancelled, and the start arrives after more than the time that
-// a cancellation may take. The agent epoch must be over by then.
+// TestDelayedStartOfCancelledJob delays a start command to a machine that can then no longer reach the leader, but
+// another controller, which renews its lease. The job is cancelled, and the start arrives after the cancellation
+// deadline. The agent epoch must have ended by then.
 func TestDelayedStartOfCancelledJob(t *testing.T) {
 	runCluster(t, 40, func(w *emulator.Environment) {
 		startServices(w, 6)
@@ -27,28 +27,28 @@
 		if l := findLeader(); l == 1 || l < 0 {
 			t.Fatalf("node %d leads", l)
 		}
-		// Zone b keeps its own controller, n1, and loses the others.
-		held := zoneMachines(w, "b")
-		for _, worker := range held {
+		// Zone b can still reach its own controller, n1, but not the others.
+		machines := zoneMachines(w, "b")
+		for _, worker := range machines {
 			worker.DelayCommands(70 * time.Second)
 		}
 		zone := "b"
 		j := newHighArray(500, 4, 0.5, 200)
 		j.Zone = &zone
 		if code := w.Submit(j); code != 201 {
-			t.Fatalf("the job got %d", code)
+			t.Fatalf("submission returned status %d", code)
 		}
 		delayed := waitDelayedCommand(w, zone)
 		partitionZone(w, true)
 		for _, worker := range w.Cloud.Workers() {
 			worker.DelayCommands(0)
 		}
-		if len(held) == 0 || delayed == 0 {
-			t.Fatalf("%d machines, %d starts are delayed: the fault combination did not occur", len(held), delayed)
+		if len(machines) == 0 || delayed == 0 {
+			t.Fatalf("%d machines, %d starts are delayed: the fault combination did not occur", len(machines), delayed)
 		}
 		time.Sleep(500 * time.Millisecond)
 		if code := w.Cancel(j.ID); code != 200 {
-			t.Fatalf("the cancellation got %d", code)
+			t.Fatalf("cancellation returned status %d", code)
 		}
 		time.Sleep(90 * time.Second)
 		partitionZone(w, false)
@@ -61,8 +61,8 @@
 	return slices.DeleteFunc(w.Cloud.Workers(), func(worker *emulator.Worker) bool { return worker.Zone != zone })
 }
 
-// waitDelayedCommand waits for at most four seconds until a command to a machine of a zone is delayed, and returns the
-// largest number of them on one machine.
+// waitDelayedCommand waits for up to four seconds until a command to a machine of the zone is delayed, and returns the
+// largest number of delayed commands on one machine.
 func waitDelayedCommand(w *emulator.Environment, zone string) (delayed int) {
 	for range 40 {
 		time.Sleep(100 * time.Millisecond)
@@ -76,8 +76,8 @@
 	return delayed
 }
 
-// runFaultCombination runs a test against a deployment of its own for each seed, with a source of draws; the offset
-// separates its draws from those of other tests.
+// runFaultCombination runs f against a separate deployment for each seed, with a random number generator; seedOffset
+// separates its random numbers from those of other tests.
 func runFaultCombination(
 	t *testing.T,
 	count, seedOffset uint64,
@@ -92,7 +92,8 @@
 	}
 }
 
-// lastRenewalBy returns when a controller last renewed any agent's lease, as the time since it began; 0 if never.
+// lastRenewalBy returns when a controller last renewed any agent's lease, in its own time since start, or 0 if it has
+// not renewed any.
 func lastRenewalBy(node *Controller) (last time.Duration) {
 	node.loop.postAndWait(func() {
 		for _, machine := range node.replica.model.Order {
@@ -102,15 +103,16 @@
 	return last
 }
 
-// timeAt returns a controller's clock.
-func timeAt(node *Controller) (now time.Duration) {
+// controllerTime returns a controller's current time.
+func controllerTime(node *Controller) (now time.Duration) {
 	node.loop.postAndWait(func() { now = node.now() })
 	return now
 }
 
-// TestCancelledByNewLeaderDuringOutage: the store refuses the leader alone, another controller leads and confirms
-// cancellations, and then there is a store outage for all that lasts longer than a cancellation may take, while agents
-// reach the old leader only. Twice in a row. The invariant checker requires that the tasks end in time.
+// TestCancelledByNewLeaderDuringOutage makes the store refuse only the leader, so that another controller takes over
+// and confirms cancellations. A store outage for all controllers follows that lasts longer than the cancellation
+// deadline, while agents can reach the old leader only. This happens twice. The invariant checker requires that the
+// tasks of cancelled jobs end in time.
 func TestCancelledByNewLeaderDuringOutage(t *testing.T) {
 	runFaultCombination(t, 2, 41, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -129,18 +131,19 @@
 			time.Sleep(10 * time.Second)
 			cancelByNewLeader(t, w, rng, ids[:3], seed%2 == 1)
 			if k := w.Checker.Running(ids[3]); k == 0 {
-				t.Errorf("%s, which was not cancelled, does not run", ids[3])
+				t.Errorf("%s was not cancelled but is not running", ids[3])
 			}
 			w.Cancel(ids[3])
 		}
 		if k := servicesUp(w, 6); k != 6 {
-			t.Errorf("%d of 6 services run", k)
+			t.Errorf("%d of 6 services are running", k)
 		}
 	})
 }
 
-// cancelByNewLeader makes the store refuse the leader, cancels jobs through the next one, and follows up with an outage
-// in which the agents reach the old leader only. The controllers that know of the cancellations may be restarted.
+// cancelByNewLeader makes the store refuse the leader, cancels jobs through the next leader, and begins an outage
+// during which the agents can reach the old leader only. With restartOthers, the controllers that know of the
+// cancellations are restarted.
 func cancelByNewLeader(t *testing.T, w *emulator.Environment, rng *rand.Rand, ids []string, restartOthers bool) {
 	t.Helper()
 	old := findLeader()
@@ -151,10 +154,10 @@
 	var cancelledAt time.Duration
 	for i, id := range ids {
 		if code := w.Cancel(id); code != 200 {
-			t.Fatalf("cancelling %s got %d", id, code)
+			t.Fatalf("cancellation of %s returned status %d", id, code)
 		}
 		if i == 0 {
-			cancelledAt = timeAt(oldLeader)
+			cancelledAt = controllerTime(oldLeader)
 		}
 	}
 	if l := findLeader(); l == old || l < 0 {
@@ -178,9 +181,9 @@
 	time.Sleep(40 * time.Second)
 }
 
-// TestLongOutage: during a store outage that lasts longer than a cancellation may take, controllers that reach each
-// other prove to each other that nothing was confirmed that they don't know of, and work goes on. Where one of them was
-// restarted meanwhile, or can't be reached, that can't be proven, and the stale renewal limit holds.
+// TestLongOutage runs a store outage that lasts longer than the cancellation deadline. Controllers that can reach each
+// other prove to each other that no cancellation was confirmed that they don't know of, and work continues. If one of
+// them restarted meanwhile or is unreachable, this can't be proven, and the stale renewal limit applies.
 func TestLongOutage(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -203,24 +206,24 @@
 				c.fault(w, leaderOrFirst())
 				time.Sleep(100 * time.Second)
 				if up := servicesUp(w, 6); c.workGoesOn && up != 6 || !c.workGoesOn && up != 0 {
-					t.Errorf("%d of 6 services run after 108 s", up)
+					t.Errorf("%d of 6 services are running after 108 s", up)
 				}
 				w.Store.SetOutage(false)
 				partitionControllers(w, false)
 				time.Sleep(30 * time.Second)
 				if up := servicesUp(w, 6); up != 6 {
-					t.Errorf("%d of 6 services run afterwards", up)
+					t.Errorf("%d of 6 services are running after the outage", up)
 				}
 				if k := w.Checker.Starts() - starts; c.workGoesOn && k != 0 {
-					t.Errorf("%d tasks were started again", k)
+					t.Errorf("%d tasks were restarted", k)
 				}
 			})
 		})
 	}
 }
 
-// TestRepeatedFailovers: leadership moves to and fro, all controllers end, and one returns, also within a second and in
-// the middle of an election.
+// TestRepeatedFailovers checks that no task is restarted while leadership alternates, and while all controllers are
+// killed and started again one by one, also within a second and during an election.
 func TestRepeatedFailovers(t *testing.T) {
 	for _, maxPause := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(maxPause), func(t *testing.T) {
@@ -238,17 +241,17 @@
 				}
 				time.Sleep(15 * time.Second)
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services run", k)
+					t.Errorf("%d of 5 services are running", k)
 				}
 				if k := w.Checker.Starts() - starts; k != 0 {
-					t.Errorf("%d tasks were started again", k)
+					t.Errorf("%d tasks were restarted", k)
 				}
 			})
 		})
 	}
 }
 
-// alternateLeaders makes the store refuse each of two leaders in turn until another one leads.
+// alternateLeaders makes the store refuse two successive leaders, each until another controller leads.
 func alternateLeaders(w *emulator.Environment, rng *rand.Rand, maxPause time.Duration) {
 	for range 2 {
 		i := leaderOrFirst()
@@ -259,8 +262,8 @@
 	}
 }
 
-// restartDuringElection kills all controllers and starts them one after the other; one of them may be restarted in the
-// middle of the election that the first one has begun.
+// restartDuringElection kills all controllers and starts them one after the other. The first may be restarted during
+// the election that it has begun.
 func restartDuringElection(w *emulator.Environment, rng *rand.Rand, maxPause time.Duration, first int) {
 	killAll(w)
 	for i := range 3 {
@@ -273,8 +276,8 @@
 	}
 }
 
-// TestDelayedCommands: direct commands (starts, stops and reaps) and their responses are delayed for seconds, and the
-// machines then go on; within a term, and across a failover.
+// TestDelayedCommands delays direct commands (starts, stops and reaps) and their responses by seconds before the
+// machines execute them, within a term and, for odd seeds, across failovers.
 func TestDelayedCommands(t *testing.T) {
 	runFaultCombination(t, 2, 45, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -312,7 +315,7 @@
 	})
 }
 
-// submitShortJobs submits four arrays or gangs that run for some seconds, and returns their IDs.
+// submitShortJobs submits four arrays or gangs that run for a few seconds, and returns their IDs.
 func submitShortJobs(w *emulator.Environment, rng *rand.Rand, first int) (ids []string) {
 	for n := first; n < first+4; n++ {
 		j := newJobSpec(n, wire.Array, 1+rng.IntN(3), 1+8*rng.Float64())
@@ -327,20 +330,21 @@
 	return ids
 }
 
-// hangFault is what happens to the cloud while machines of a partitioned zone hang across the expiry of their leases.
+// hangFault is a fault of the cloud or the leader while machines of a partitioned zone hang across the expiry of their
+// leases.
 type hangFault struct {
 	name  string
 	begin func(w *emulator.Environment)
 	then  func(w *emulator.Environment)
-	waits bool // nothing may start elsewhere before then
+	waits bool // no task may start elsewhere before then is called
 }
 
-// TestFailoverWithUnreachableMachines: the leader ends while machines with long tasks hang or have an inbound
-// partition. Their tasks go on if that ends before such a machine is replaced, and nothing runs on two machines.
+// TestFailoverWithUnreachableMachines restarts the leader while machines with long tasks hang or have an inbound
+// partition. The tasks continue if the fault ends before the machines are replaced, and no task runs on two machines.
 func TestFailoverWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		inbound   bool // an inbound partition; the machine hangs otherwise
+		inbound   bool // an inbound partition instead of a hang
 		duration  time.Duration
 		tasksStay bool
 	}{
@@ -364,8 +368,8 @@
 	}
 }
 
-// failoverWithUnreachableMachines restarts the leader while two machines of six tasks are unreachable, and requires
-// that the tasks stay or are started again.
+// failoverWithUnreachableMachines restarts the leader while two of the machines that run six tasks are unreachable, and
+// requires that the tasks stay or are restarted, as tasksStay tells.
 func failoverWithUnreachableMachines(
 	t *testing.T,
 	w *emulator.Environment,
@@ -378,7 +382,7 @@
 	w.Submit(j)
 	time.Sleep(50 * time.Second)
 	if k := w.Checker.Running(j.ID); k != 6 {
-		t.Fatalf("%d of 6 tasks run", k)
+		t.Fatalf("%d of 6 tasks are running", k)
 	}
 	starts, busy := w.Checker.Starts(), busyMachines(w)
 	if len(busy) == 0 {
@@ -390,27 +394,27 @@
 	w.Restart(leaderOrFirst(), 500*time.Millisecond)
 	time.Sleep(90 * time.Second)
 	if k := w.Checker.Running(j.ID); k != 6 {
-		t.Errorf("%d of 6 tasks run in the end", k)
+		t.Errorf("%d of 6 tasks are running at the end", k)
 	}
 	if k := w.Checker.Starts() - starts; tasksStay && k != 0 || !tasksStay && k == 0 {
-		t.Errorf("%d tasks were started again", k)
+		t.Errorf("%d tasks were restarted", k)
 	}
 }
 
-// TestStaggeredTaskEndsAcrossFailover: jobs of two or three tasks whose ends lie far apart, with a failover, or two,
-// between them. None is reported done early, none of their tasks runs again once it is done, and none is forgotten.
+// TestStaggeredTaskEndsAcrossFailover runs jobs of two or three tasks that end far apart, with failovers in between. No
+// job may be reported done early, no finished task may run again, and no task may be forgotten.
 func TestStaggeredTaskEndsAcrossFailover(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	for seed := range seeds(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			compactEvery = int(seed%2) * 5 // ends are in the log or in its snapshot
+			compactEvery = int(seed%2) * 5 // the task ends are in the log or in its snapshot
 			rng := rand.New(rand.NewPCG(seed, 47))
 			runCluster(t, 48+seed, func(w *emulator.Environment) { staggeredTaskEnds(t, w, rng) })
 		})
 	}
 }
 
-// staggeredTaskEnds is TestStaggeredTaskEndsAcrossFailover for one seed.
+// staggeredTaskEnds runs TestStaggeredTaskEndsAcrossFailover for one seed.
 func staggeredTaskEnds(t *testing.T, w *emulator.Environment, rng *rand.Rand) {
 	t.Helper()
 	startServices(w, 2)
@@ -431,7 +435,7 @@
 		w.Restart(leaderOrFirst(), randomMillis(rng, 20, 900))
 	}
 	if partlyDone < 3 {
-		t.Errorf("%d times a job was partly done at a failover: the fault combination did not occur", partlyDone)
+		t.Errorf("a job was partly done at a failover only %d times: the fault combination did not occur", partlyDone)
 	}
 	time.Sleep(60 * time.Second)
 	for _, j := range jobs {
@@ -439,13 +443,13 @@
 			t.Errorf("%s: %d %+v", j.ID, code, s)
 		}
 		if k := w.Checker.StartsOf(j.ID); k != j.Tasks {
-			t.Errorf("%s: %d starts of %d tasks", j.ID, k, j.Tasks)
+			t.Errorf("%s: tasks were started %d times, want %d", j.ID, k, j.Tasks)
 		}
 	}
 }
 
-// TestSlowThenRefusingStore: the store answers slowly, or refuses the leader alone and then everybody, while users
-// cancel and poll at every controller; no state that was reported is taken back, which the invariant checker verifies.
+// TestSlowThenRefusingStore makes the store slow, then refuse the leader, then fail for all controllers, while users
+// cancel and poll jobs at every controller. The invariant checker verifies that no reported state is retracted.
 func TestSlowThenRefusingStore(t *testing.T) {
 	runFaultCombination(t, 1, 49, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -478,7 +482,7 @@
 	})
 }
 
-// slowThenRefuse makes the store slow, then refuse the leader, and then be down for almost a minute.
+// slowThenRefuse makes the store slow, then refuse the leader, and then fail completely for almost a minute.
 func slowThenRefuse(w *emulator.Environment, rng *rand.Rand) {
 	w.Store.SetLatency(randomMillis(rng, 100, 700))
 	time.Sleep(randomMillis(rng, 0, 4000))
@@ -499,7 +503,7 @@
 	cancelled, polled atomic.Int64
 }
 
-// requestAt polls and cancels jobs at a controller until done, without waiting for the answers.
+// requestAt polls and cancels jobs at a controller until done is closed, without waiting for the responses.
 func (a *answeredRequests) requestAt(
 	w *emulator.Environment,
 	node int,
@@ -526,9 +530,9 @@
 	}
 }
 
-// TestCancelDuringLeaderPartition: a leader loses the store and the other controllers, not its agents and users; jobs
-// are cancelled through the next leader, which the agents do not reach for a while. Their tasks end in time, and the
-// partitioned leader reports nothing else.
+// TestCancelDuringLeaderPartition partitions a leader from the store and the other controllers, but not from its agents
+// and users. Jobs are cancelled through the next leader, which the agents cannot reach for a while. Their tasks must
+// end in time, and the partitioned leader must not report a state that contradicts the cancellations.
 func TestCancelDuringLeaderPartition(t *testing.T) {
 	runFaultCombination(t, 2, 51, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -544,10 +548,10 @@
 				time.Sleep(200 * time.Millisecond)
 			}
 			if code != 200 {
-				t.Fatalf("a cancellation got %d", code)
+				t.Fatalf("cancellation returned status %d", code)
 			}
 		}
-		cancelledAt := timeAt(oldLeader)
+		cancelledAt := controllerTime(oldLeader)
 		for range 60 {
 			time.Sleep(time.Second)
 			for k := 1; k <= 6; k++ {
@@ -562,15 +566,16 @@
 		time.Sleep(60 * time.Second)
 		for k := 4; k <= 6; k++ {
 			if w.Checker.Running(wire.JobID(uint64(k))) != 1 {
-				t.Errorf("service %d does not run", k)
+				t.Errorf("service %d is not running", k)
 			}
 		}
 	})
 }
 
-// TestDelayedTransactions: transactions get no response and are applied two to twelve seconds later, after newer ones
-// of the same controller; while leaders change, the log is compacted again and again, jobs come by the intake, and
-// users cancel. Each kind of write is delayed, and a controller that reads everything again knows what was reported.
+// TestDelayedTransactions checks transactions that get no response and are applied two to twelve seconds later, after
+// newer ones of the same controller, while leaders change, the log is compacted repeatedly, jobs arrive through the
+// intake, and users cancel jobs. Every kind of write must have been delayed, and a controller that reloads everything
+// must know all that was reported.
 func TestDelayedTransactions(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 4
@@ -601,14 +606,14 @@
 		"put f/log", "put f/snap", "put f/meta", "delete f/log", "put f/in", "delete f/in", "put f/term",
 	} {
 		if delayed[kind] == 0 {
-			t.Errorf("%q was never applied late: %v", kind, delayed)
+			t.Errorf("no %q transaction was delayed: %v", kind, delayed)
 		}
 	}
 	t.Log(delayed)
 }
 
-// submitDuringRestarts submits sixty jobs within some minutes, polls and cancels some of them, and restarts the leader
-// now and then. It returns the jobs.
+// submitDuringRestarts submits sixty jobs over more than a minute, polls and cancels some of them, and occasionally
+// restarts the leader. It returns the IDs of the jobs.
 func submitDuringRestarts(w *emulator.Environment, rng *rand.Rand) (ids []string) {
 	for n := 100; n < 160; n++ {
 		j := newJobSpec(n, wire.Array, 1+rng.IntN(2), 2+10*rng.Float64())
@@ -628,9 +633,10 @@
 	return ids
 }
 
-// TestHangAcrossLeaseExpiry: machines of a partitioned zone hang while their leases expire, and do not get to end their
-// tasks, which count until the machines go on. They start elsewhere once the cloud has released the machines; not at
-// all during a cloud outage; and if the leader ends during the release, once the next one has the cloud's answer.
+// TestHangAcrossLeaseExpiry hangs machines of a partitioned zone while their leases expire, so that their agents cannot
+// end the tasks, which count as running until the machines recover. The tasks start elsewhere once the cloud has
+// released the machines; not at all during a cloud outage; and if the leader restarts during the release, only once the
+// next leader has the cloud's response.
 func TestHangAcrossLeaseExpiry(t *testing.T) {
 	nothing := func(*emulator.Environment) {}
 	for _, fault := range []hangFault{
@@ -652,31 +658,31 @@
 	}
 }
 
-// hangAcrossLeaseExpiry is TestHangAcrossLeaseExpiry for one fault of the cloud.
+// hangAcrossLeaseExpiry runs TestHangAcrossLeaseExpiry for one fault.
 func hangAcrossLeaseExpiry(t *testing.T, w *emulator.Environment, fault hangFault) {
 	t.Helper()
-	held := zoneWithoutController(w)
-	if len(held) < 3 {
-		t.Fatalf("%d machines hang: the fault combination did not occur", len(held))
+	machines := zoneWithoutController(w)
+	if len(machines) < 3 {
+		t.Fatalf("%d machines hang: the fault combination did not occur", len(machines))
 	}
-	zone, blocker := "a", newHighArray(100, 4, 3, 500) // its end leaves capacity in the other zone
+	zone, blocker := "a", newHighArray(100, 4, 3, 500) // cancelling it frees capacity in the other zone
 	blocker.Zone, blocker.Team = &zone, "blue"
 	w.Submit(blocker)
 	time.Sleep(20 * time.Second)
 	if k := w.Checker.Running(blocker.ID); k != 4 {
-		t.Fatalf("%d tasks hold capacity in the other zone", k)
+		t.Fatalf("%d of 4 tasks occupy capacity in the other zone", k)
 	}
 	partitionZoneAgents(w, true)
 	time.Sleep(15 * time.Second)
 	starts := w.Checker.Starts()
 	fault.begin(w)
 	w.Cancel(blocker.ID)
-	for _, worker := range held {
+	for _, worker := range machines {
 		worker.Hang(30 * time.Second)
 	}
 	time.Sleep(28 * time.Second)
 	if k := w.Checker.Starts() - starts; fault.waits != (k == 0) {
-		t.Errorf("%d tasks were started elsewhere, long after the leases", k)
+		t.Errorf("%d tasks were started elsewhere after the leases expired, which must be none: %v", k, fault.waits)
 	}
 	fault.then(w)
 	time.Sleep(12 * time.Second)
@@ -684,9 +690,9 @@
 	partitionZoneAgents(w, false)
 	time.Sleep(45 * time.Second)
 	if k := servicesUp(w, 5); k != 5 {
-		t.Errorf("%d of 5 services run at the end", k)
+		t.Errorf("%d of 5 services are running at the end", k)
 	}
 	if other := otherTaskCounts(w, 6, 12, 2); len(other) > 0 {
-		t.Errorf("jobs with other than 2 running tasks at the end: %v", other)
+		t.Errorf("jobs without exactly 2 running tasks at the end: %v", other)
 	}
 }
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -6,7 +6,7 @@
 	"fieldhill/internal/emulator"
 )
 
-// freeze stops a controller's network and event loop for a while.
+// freeze suspends a controller's network and event loop for the given duration.
 func freeze(w *emulator.Environment, i int, d time.Duration) {
 	w.Freeze(i, d)
 	if node := nodeAt(i); node != nil {
@@ -24,7 +24,8 @@
 	return busy
 }
 
-// hangBusyMachine makes a machine that holds tasks hang for a while, and returns it, or nil if there is none.
+// hangBusyMachine makes a machine that holds tasks hang for the given duration, and returns it, or nil if there is
+// none.
 func hangBusyMachine(w *emulator.Environment, d time.Duration) *emulator.Worker {
 	busy := busyMachines(w)
 	if len(busy) == 0 {
@@ -34,7 +35,7 @@
 	return busy[0]
 }
 
-// delayCommands delays the direct commands to all machines, and returns what ends that.
+// delayCommands delays the direct commands to all machines, and returns a function that removes the delay.
 func delayCommands(w *emulator.Environment, d time.Duration) (end func()) {
 	all := w.Cloud.Workers()
 	for _, worker := range all {
@@ -47,7 +48,7 @@
 	}
 }
 
-// restrictAgentsTo lets the agents reach one controller only, or ends that.
+// restrictAgentsTo partitions the agents from all controllers but one, or ends that partition.
 func restrictAgentsTo(w *emulator.Environment, node int, on bool) {
 	for k := range 3 {
 		if k != node {
@@ -56,14 +57,14 @@
 	}
 }
 
-// partitionAgents partitions the agents of both zones from a controller, or ends that.
+// partitionAgents partitions the agents of both zones from a controller, or ends that partition.
 func partitionAgents(w *emulator.Environment, node int, on bool) {
 	w.PartitionWorkers("a", node, on)
 	w.PartitionWorkers("b", node, on)
 }
 
-// partitionZone partitions zone b from controllers 0 and 2, which are in zone a, or ends that: controller 1, which is
-// in zone b, and its agents.
+// partitionZone partitions zone b, which is controller 1 and its agents, from controllers 0 and 2 in zone a, or ends
+// that partition.
 func partitionZone(w *emulator.Environment, on bool) {
 	w.PartitionControllers(0, 1, on)
 	w.PartitionControllers(1, 2, on)
@@ -71,35 +72,34 @@
 	w.PartitionWorkers("b", 2, on)
 }
 
-// partitionControllers partitions the controllers from each other, or ends that: each answers from the store alone.
+// partitionControllers partitions the controllers from each other, or ends that partition. The store remains reachable.
 func partitionControllers(w *emulator.Environment, on bool) {
 	for k := range 3 {
 		w.PartitionControllers(k, (k+1)%3, on)
 	}
 }
 
-// partitionZoneAgents partitions the agents of zone b from all controllers, or ends that.
+// partitionZoneAgents partitions the agents of zone b from all controllers, or ends that partition.
 func partitionZoneAgents(w *emulator.Environment, on bool) {
 	for i := range 3 {
 		w.PartitionWorkers("b", i, on)
 	}
 }
 
-// startAll starts all controllers.
 func startAll(w *emulator.Environment) {
 	for i := range 3 {
 		w.Start(i)
 	}
 }
 
-// crashAll ends all controllers and waits until they have ended.
+// crashAll crashes all controllers and waits until they have ended.
 func crashAll(w *emulator.Environment) {
 	for i := range 3 {
 		w.Crash(i)
 	}
 }
 
-// killAll kills the processes of all controllers, which get no time to end anything in order.
+// killAll kills the processes of all controllers without an orderly shutdown.
 func killAll(w *emulator.Environment) {
 	for i := range 3 {
 		w.Kill(i)
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -23,9 +23,9 @@
 	"fieldhill/wire"
 )
 
-// These tests compare limits on numbers of things with fleets of 4,000 machines and more.
+// These tests check size limits with fleets of 4,000 machines and more.
 
-// awaitAnyLeader waits until a controller leads, and returns it and one that does not.
+// awaitAnyLeader waits until a controller leads, and returns the indexes of the leader and of one follower.
 func awaitAnyLeader(t *testing.T) (leader, follower int) {
 	t.Helper()
 	for range 200 {
@@ -34,12 +34,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Error("nobody leads")
+	t.Error("no controller became leader within 20 s")
 	return 0, 1
 }
 
-// TestRenewalReportOfLargeZone: the leader learns when the leases of a zone of 4,000 machines with names of twenty
-// letters were last renewed, and the link to the controller that it asks stays up.
+// TestRenewalReportOfLargeZone checks that the leader learns when the leases of a zone of 4,000 machines with names of
+// twenty characters were last renewed, and that the link to the queried controller stays up.
 func TestRenewalReportOfLargeZone(t *testing.T) {
 	const machines = 4000
 	runCluster(t, 61, func(w *emulator.Environment) {
@@ -55,7 +55,7 @@
 		request := &rpc.Request{Op: rpc.OpRenewals, ID: "a", Body: codec.Uint(nil, suspectSeq)}
 		response, err := link.Do(ctx, request)
 		if err != nil || response.Status != http.StatusOK {
-			t.Errorf("the renewals of a large zone: %+v, %v", response, err)
+			t.Errorf("renewal query for a large zone: %+v, %v", response, err)
 			return
 		}
 		report, err := lease.ReadReport(response.Body)
@@ -65,7 +65,7 @@
 		}
 		if age := report.RenewalAges[name(machines-1)]; age < (machines-1)*time.Millisecond ||
 			age > (machines+1000)*time.Millisecond {
-			t.Errorf("the suspect machine was renewed %v ago", age)
+			t.Errorf("the lease of the suspect machine was renewed %v ago", age)
 		}
 		if time.Since(link.LastResponse()) > linkFreshness {
 			t.Error("the link is down")
@@ -73,9 +73,9 @@
 	})
 }
 
-// addRenewedMachines applies machines of zone a to a controller's replica of the log, which has renewed the lease of
-// each a millisecond before that of the one before it; the last one is suspect. It returns the sequence number of that.
-// It must be called on the event loop.
+// addRenewedMachines applies machines of zone a to a controller's replica of the log and records lease renewals for
+// them: each machine's renewal is one millisecond older than that of the machine before it. The last machine is
+// suspect, and the sequence number of its suspicion is returned. It must be called on the event loop.
 func addRenewedMachines(t *testing.T, n *Controller, machines int, name func(i int) string) (suspectSeq uint64) {
 	t.Helper()
 	const first = 100_000
@@ -94,10 +94,10 @@
 	return n.replica.appliedSeq
 }
 
-// TestQueueListingThroughFollower: an operator who asks a follower for as many jobs as may be asked for gets those that
-// fit into a frame, and how many more there are, and the follower stays connected to its leader.
+// TestQueueListingThroughFollower checks that an operator who asks a follower for the maximum number of jobs gets those
+// that fit into a frame and the number of the others, and that the follower stays connected to the leader.
 func TestQueueListingThroughFollower(t *testing.T) {
-	const jobs, run = 500, 6 // the team's limit allows so many more to run
+	const jobs, run = 500, 6 // run: how many more the team's limit allows to run
 	runCluster(t, 62, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		leader, follower := awaitAnyLeader(t)
@@ -105,7 +105,7 @@
 			job := newWebService(i+1, 4)
 			job.Class = fmt.Sprintf("%s-%04d", strings.Repeat("class", 10), i)
 			if code := w.Submit(job); code != http.StatusOK && code != http.StatusCreated {
-				t.Errorf("job %d: %d", i, code)
+				t.Errorf("job %d: submission returned status %d", i, code)
 				return
 			}
 		}
@@ -115,14 +115,14 @@
 			var queue wire.Queue
 			code, err := queryAdmin(w, node, wire.PathAdminQueue+fmt.Sprintf("?most=%d", wire.MaxQueued), &queue)
 			if err != nil || code != http.StatusOK {
-				t.Errorf("node %d answers %d, %v", node, code, err)
+				t.Errorf("node %d returned status %d, %v", node, code, err)
 				continue
 			}
 			if listed := len(queue.Jobs); listed+queue.More != jobs || queue.Tasks != jobs || listed < 100 {
-				t.Errorf("node %d lists %d jobs of %d tasks, and %d more", node, listed, queue.Tasks, queue.More)
+				t.Errorf("node %d listed %d jobs of %d tasks, and %d more", node, listed, queue.Tasks, queue.More)
 			}
 			if node == leader && queue.More > 0 {
-				t.Errorf("the leader itself leaves out %d", queue.More)
+				t.Errorf("the listing by the leader itself omits %d jobs", queue.More)
 			}
 		}
 		if time.Since(link.LastResponse()) > linkFreshness {
@@ -135,11 +135,11 @@
 type listingLeader struct {
 	t         *testing.T
 	term      uint64
-	machines  map[string]bool // of all listings
-	published int             // listings
+	machines  map[string]bool // machines in all listings
+	published int             // number of listings received
 }
 
-// handle receives a listing of machines.
+// handle records a published machine listing.
 func (l *listingLeader) handle(_ context.Context, request *rpc.Request) *rpc.Response {
 	if request.Op != rpc.OpRoleResult {
 		return &rpc.Response{Status: http.StatusOK}
@@ -148,7 +148,7 @@
 	term := r.Uint()
 	result, err := provisioner.ReadResult(r.Data)
 	if err != nil || term != l.term || result.Kind != provisioner.MachinesListed {
-		l.t.Errorf("got %d bytes of term %d: %v", len(request.Body), term, err)
+		l.t.Errorf("received %d bytes of term %d: %v", len(request.Body), term, err)
 		return &rpc.Response{Status: http.StatusBadRequest}
 	}
 	l.published++
@@ -158,8 +158,8 @@
 	return &rpc.Response{Status: http.StatusOK}
 }
 
-// TestMachineListingPublishedInFull: a provisioner that does not lead publishes to the leader all machines that the log
-// does not know, however many. It published 300 a listing.
+// TestMachineListingPublishedInFull checks that a provisioner that does not lead publishes all machines that the log
+// does not know to the leader. The number of machines per listing was once limited to 300.
 func TestMachineListingPublishedInFull(t *testing.T) {
 	const machines = 4000
 	synctest.Test(t, func(t *testing.T) {
@@ -171,11 +171,11 @@
 			t.Fatal(err)
 		}
 		leader := &listingLeader{t: t, term: 7, machines: map[string]bool{}}
-		quiet := slog.New(slog.DiscardHandler)
-		go func() { _ = rpc.Serve(ctx, ln, leader.handle, &rpc.Traffic{}, quiet) }()
+		logger := slog.New(slog.DiscardHandler)
+		go func() { _ = rpc.Serve(ctx, ln, leader.handle, &rpc.Traffic{}, logger) }()
 		settings := &config.Settings{Node: "n2", Zone: "a",
 			Members: []config.Member{{Node: "leader", Zone: "b", Addr: addr}}}
-		n := New(network.Host("n2"), settings, Options{}, quiet)
+		n := New(network.Host("n2"), settings, Options{}, logger)
 		n.forward.routing.Store(&routingView{leader: "leader"})
 		go n.links["leader"].Run(ctx)
 		time.Sleep(time.Second)
@@ -193,7 +193,7 @@
 		}
 		publish(listing)
 		if got := len(leader.machines); got != machines {
-			t.Errorf("the leader got %d of %d machines", got, machines)
+			t.Errorf("the leader received %d of %d machines", got, machines)
 		}
 		before := leader.published
 		publish(nil)
@@ -205,13 +205,14 @@
 	})
 }
 
-// TestClearedMachinesRecordOfLargeFleet: the leader learns of 10,000 machines that they came to a controller which does
-// not reach it and held nothing of a cancelled job. It learnt of 1,997 at values of 8 KiB, and released the others.
+// TestClearedMachinesRecordOfLargeFleet checks that the leader learns of all 10,000 machines that reported to a
+// controller that cannot reach it and held no task of a cancelled job. A record of a single 8 KiB value holds only
+// 1,997 of them, and the leader then releases the others.
 func TestClearedMachinesRecordOfLargeFleet(t *testing.T) {
-	const machines, first = 10_000, 20_000 // numbers of three bytes, as those of a fleet that is some weeks old
+	const machines, first = 10_000, 20_000 // varints of three bytes, as in a fleet that is some weeks old
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		network, quiet := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
+		network, logger := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
 		const addr = "state:1"
 		go func() {
 			if err := emulator.NewKVStore(1).Serve(ctx, network.Host("state"), addr); err != nil && ctx.Err() == nil {
@@ -219,14 +220,14 @@
 			}
 		}()
 		time.Sleep(time.Second)
-		store := oplog.New(kvstore.New(network.Host("n2"), addr, 1000), 20, 8, 12, quiet)
+		store := oplog.New(kvstore.New(network.Host("n2"), addr, 1000), 20, 8, 12, logger)
 		leader := config.Member{Node: "leader", Zone: "b", Addr: "leader:1"}
 		settings := &config.Settings{Node: "n2", Zone: "a", Members: []config.Member{leader}}
-		n := New(network.Host("n2"), settings, Options{}, quiet)
+		n := New(network.Host("n2"), settings, Options{}, logger)
 		n.ctx, n.oplog = ctx, store
 		n.replica.loaded, n.replica.caughtUpAt = true, time.Now()
 		n.term.leader = &oplog.Leader{Node: "leader"}
-		holdCancelled(t, n, first, machines)
+		applyCancelledTasks(t, n, first, machines)
 		for _, machine := range n.replica.model.Order {
 			n.keepalives.clearedMachines[machine.ID] = time.Now()
 		}
@@ -234,12 +235,12 @@
 		time.Sleep(time.Second)
 		records, err := store.PartitionedNodes(ctx)
 		if err != nil || len(records) != 1 {
-			t.Errorf("%d records: %v", len(records), err)
+			t.Errorf("got %d records, want 1: %v", len(records), err)
 		} else {
 			cleared := decodeCleared(&records[0])
 			for _, machine := range n.replica.model.Order {
 				if !cleared[machine.ID] {
-					t.Errorf("machine %d is not among the %d that are cleared", machine.ID, len(cleared))
+					t.Errorf("machine %d is not among the %d cleared machines", machine.ID, len(cleared))
 					break
 				}
 			}
@@ -249,9 +250,9 @@
 	})
 }
 
-// holdCancelled applies machines to a controller's replica of the log, each with a task of a job that is cancelled
-// then.
-func holdCancelled(t *testing.T, n *Controller, first, machines int) {
+// applyCancelledTasks applies machines to a controller's replica of the log, each with a task of a job that is then
+// cancelled.
+func applyCancelledTasks(t *testing.T, n *Controller, first, machines int) {
 	t.Helper()
 	apply := func(e *model.Entry) {
 		t.Helper()
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -11,11 +11,12 @@
 	"fieldhill/wire"
 )
 
-// These tests combine faults with what machines do.
+// These tests combine faults with machine lifecycle events.
 
-// TestImmediateBoot: machines are up within two seconds, or before the cloud has answered, and get work at once, while
-// transactions are applied late and the leader ends. Machines that run tasks before any controller but their leader
-// knows them, whose scale-out has no response yet, are used or released, and nothing starts twice.
+// TestImmediateBoot checks machines that boot within two seconds, or before the cloud has answered, and get work at
+// once, while transactions are applied late and the leader restarts. Such machines may run tasks before any controller
+// but their leader knows them, while their scale-out request has no response yet. They must be used or released, and no
+// task may start twice.
 func TestImmediateBoot(t *testing.T) {
 	var justBooted atomic.Int64
 	runFaultCombination(t, 2, 80, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -31,7 +32,7 @@
 				open = append(open, submitForNewMachine(w, rng, n))
 				n++
 			}
-			for range 40 { // until some are up
+			for range 40 { // until some have booted
 				time.Sleep(50 * time.Millisecond)
 				if len(w.Cloud.Workers()) > before {
 					break
@@ -53,12 +54,13 @@
 		checkConvergence(t, w, open)
 	})
 	if justBooted.Load() < 6 {
-		t.Errorf("%d machines had just booted as their leader ended: the fault combination did not occur",
+		t.Errorf("%d machines had just booted when their leader restarted: the fault combination did not occur",
 			justBooted.Load())
 	}
 }
 
-// submitForNewMachine submits a service that needs a machine of its own, without waiting, and returns its ID.
+// submitForNewMachine submits a service that needs a machine of its own, without waiting for the response, and returns
+// its ID.
 func submitForNewMachine(w *emulator.Environment, rng *rand.Rand, n int) string {
 	s := newWebService(n, 2+2*rng.Float64(), "small")
 	if rng.IntN(2) == 0 {
@@ -69,17 +71,17 @@
 	return s.ID
 }
 
-// TestOutboundPartition: agents can't open connections to any controller, while probes and direct commands reach them,
-// for longer than a lease: one machine, a zone, or all of them; jobs are cancelled meanwhile, and the leader changes.
-// Afterwards all jobs run.
+// TestOutboundPartition checks that all jobs run again after agents could not open connections to any controller for
+// longer than a lease, while probes and direct commands reached them. The partition affects one machine, a zone, or all
+// machines; jobs are cancelled during it, and the leader changes.
 func TestOutboundPartition(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		pick func(worker *emulator.Worker, partitioned int) bool
 	}{
-		{"one", func(_ *emulator.Worker, partitioned int) bool { return partitioned == 0 }},
-		{"a zone", func(worker *emulator.Worker, _ int) bool { return worker.Zone == "b" }},
-		{"all", func(*emulator.Worker, int) bool { return true }},
+		{"one machine", func(_ *emulator.Worker, partitioned int) bool { return partitioned == 0 }},
+		{"one zone", func(worker *emulator.Worker, _ int) bool { return worker.Zone == "b" }},
+		{"all machines", func(*emulator.Worker, int) bool { return true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runFaultCombination(t, 1, 82, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -89,7 +91,7 @@
 	}
 }
 
-// outboundPartition is TestOutboundPartition for the busy machines that are picked.
+// outboundPartition runs TestOutboundPartition for the busy machines that pick selects.
 func outboundPartition(
 	t *testing.T,
 	w *emulator.Environment,
@@ -115,28 +117,28 @@
 	time.Sleep(randomSeconds(rng, 5, 15))
 	for n := 100; n < 103; n++ {
 		if code := w.Cancel(wire.JobID(uint64(n))); code != 200 {
-			t.Errorf("a cancellation got %d", code)
+			t.Errorf("cancellation returned status %d", code)
 		}
 	}
 	w.Restart(leaderOrFirst(), 300*time.Millisecond)
 	time.Sleep(75 * time.Second)
-	t.Logf("%d partitioned machines, %d tasks started again, %d of 4 services up",
+	t.Logf("%d partitioned machines, %d tasks restarted, %d of 4 services running",
 		partitioned, w.Checker.Starts()-starts, servicesUp(w, 4))
 	for _, worker := range w.Cloud.Workers() {
 		worker.SetOutboundPartition(false)
 	}
 	time.Sleep(40 * time.Second)
 	if up := servicesUp(w, 4); up != 4 {
-		t.Errorf("%d of 4 services run", up)
+		t.Errorf("%d of 4 services are running", up)
 	}
 	if other := otherTaskCounts(w, 103, 107, 2); len(other) > 0 {
-		t.Errorf("jobs with other than 2 running tasks: %v", other)
+		t.Errorf("jobs without exactly 2 running tasks: %v", other)
 	}
 }
 
-// TestZoneConstrainedJobs: arrays, gangs and services that must be in one zone lose its machines, which are reclaimed,
-// hang and reboot, with a failover; there is more work than capacity, and images come over slow links. All of it is
-// done in that zone.
+// TestZoneConstrainedJobs checks that arrays, gangs and services that must be in one zone complete there although its
+// machines are reclaimed, hang and reboot, with failovers. There is more work than capacity, and images are fetched
+// over slow links.
 func TestZoneConstrainedJobs(t *testing.T) {
 	runFaultCombination(t, 1, 84, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		w.Cloud.SetCapacity(2)
@@ -178,7 +180,8 @@
 	})
 }
 
-// loseZoneMachines reclaims, hangs or reboots three quarters of the busy machines of a zone, and returns how many.
+// loseZoneMachines reclaims, hangs or reboots about three quarters of the busy machines of a zone, and returns how
+// many.
 func loseZoneMachines(w *emulator.Environment, rng *rand.Rand, zone string) (lost int) {
 	for _, worker := range busyMachines(w) {
 		if worker.Zone != zone {
@@ -198,7 +201,7 @@
 	return lost
 }
 
-// floodJobs is how many jobs TestSubmissionFlood submits, four a second for two minutes.
+// floodJobs is how many jobs TestSubmissionFlood submits, at four per second for two minutes.
 const floodJobs = 480
 
 // submissionFlood is the state of TestSubmissionFlood.
@@ -207,9 +210,9 @@
 	slow, refused, unanswered, polls atomic.Int64
 }
 
-// TestSubmissionFlood: one-task jobs come four a second for minutes, a quarter cancelled, some at the moment of their
-// completion; with the store's rate limits. Each is accepted within a second, no poll is starved, all end, and the log
-// does not fall behind.
+// TestSubmissionFlood submits one-task jobs at four per second for two minutes, with the store's rate limits in effect.
+// A quarter of the jobs is cancelled, some of them at the moment of their completion. Each submission must be accepted
+// within a second, polls must be answered, all jobs must end, and the log must not fall behind.
 func TestSubmissionFlood(t *testing.T) {
 	runFaultCombination(t, 1, 86, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
@@ -228,7 +231,7 @@
 			t.Errorf("%d of %d jobs were cancelled: the fault combination did not occur", cancelled, floodJobs)
 		}
 		if slow > floodJobs/50 || refused > 0 || unanswered > polls/100 {
-			t.Errorf("%d submissions took longer than a second, %d were refused; %d of %d polls got no answer",
+			t.Errorf("%d submissions took over a second, %d were refused; %d of %d polls were not answered in time",
 				slow, refused, unanswered, polls)
 		}
 		for n := range floodJobs {
@@ -243,13 +246,13 @@
 		leader.loop.postAndWait(func() {
 			if leader.term.ownTerm == nil || len(leader.term.ownTerm.commits.queue) > 2 ||
 				len(leader.replica.model.Jobs) > 3 {
-				t.Errorf("the log is behind: %d jobs are open", len(leader.replica.model.Jobs))
+				t.Errorf("the log has fallen behind: %d jobs are unfinished", len(leader.replica.model.Jobs))
 			}
 		})
 	})
 }
 
-// pollUntil polls jobs, sixteen times a second, until done.
+// pollUntil polls jobs, sixteen times per second, until done is closed.
 func (f *submissionFlood) pollUntil(done <-chan struct{}, rng *rand.Rand) {
 	for {
 		select {
@@ -261,7 +264,7 @@
 	}
 }
 
-// poll polls a job and counts the poll as unanswered after two seconds.
+// poll polls a job, and counts the poll as unanswered if it fails or takes longer than two seconds.
 func (f *submissionFlood) poll(id string) {
 	f.polls.Add(1)
 	began := time.Now()
@@ -271,7 +274,7 @@
 	}
 }
 
-// submit submits all jobs, and returns how many are cancelled after some seconds.
+// submit submits all jobs, and returns how many are cancelled within 8 s after their submission.
 func (f *submissionFlood) submit(rng *rand.Rand) (cancelled int) {
 	for n := range floodJobs {
 		j := newJobSpec(100+n, wire.Array, 1, 4+10*rng.Float64())
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestHungMachine: tasks of a silent machine run elsewhere once it is proven to be gone, and a machine that goes on
-// does not run them twice.
+// TestHungMachine checks that the tasks of a silent machine run elsewhere only once the machine is known to be gone,
+// and that a machine that recovers does not run them twice.
 func TestHungMachine(t *testing.T) {
 	runCluster(t, 4, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -26,8 +26,8 @@
 	})
 }
 
-// TestHungMachineAtFailover: a machine that hangs while leadership changes is replaced as soon as under one leader,
-// since the new one probes it. It used to be left six seconds more, in which its replicas were down.
+// TestHungMachineAtFailover checks that a machine that hangs during a failover is replaced as soon as without one,
+// because the new leader probes it. Without the probe it was kept six seconds longer, with its replicas down.
 func TestHungMachineAtFailover(t *testing.T) {
 	runCluster(t, 25, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -44,13 +44,13 @@
 		for slices.Contains(w.Cloud.Workers(), hung) && time.Since(began) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if d := time.Since(began); d > 12500*time.Millisecond { // a lease, and 7.5 s of silence
-			t.Errorf("the machine was released %v after the end of the leader", d)
+		if d := time.Since(began); d > 12500*time.Millisecond { // a lease and 7.5 s of silence
+			t.Errorf("the machine was released %v after the leader crashed", d)
 		}
 	})
 }
 
-// TestFaultyMachine: a machine on which every task fails gets no more work and is released.
+// TestFaultyMachine checks that a machine on which every task fails gets no more work and is released.
 func TestFaultyMachine(t *testing.T) {
 	runCluster(t, 5, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -58,7 +58,7 @@
 		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
 		up := w.Cloud.Workers()
 		if len(up) == 0 {
-			t.Fatal("no machine is up")
+			t.Fatal("no machine has booted")
 		}
 		faulty := up[0]
 		faulty.FailAllTasks()
@@ -74,16 +74,16 @@
 	})
 }
 
-// TestFaultyJobs: jobs that fail on every machine, several at once, get their failures attributed to themselves: only
-// the machine that really is faulty is released, other work goes on, and they are retried seldom. Two such jobs used to
-// cost every machine that they ran on.
+// TestFaultyJobs checks that failures of several jobs that fail on every machine are attributed to the jobs: only the
+// machine that is really faulty is released, other work continues, and the jobs are retried at a low rate. Two such
+// jobs could otherwise cause the release of every machine that they ran on.
 func TestFaultyJobs(t *testing.T) {
 	runCluster(t, 19, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newReplicatedService(1, 3))
 		w.Submit(newJobSpec(2, wire.Array, 12, 3))
 		waitState(t, w, "req-000002", wire.JobDone, time.Minute)
-		var serving []*emulator.Worker // they stay, unless they are quarantined
+		var serving []*emulator.Worker // must not be released
 		var faulty *emulator.Worker
 		for _, worker := range w.Cloud.Workers() {
 			if w.Checker.HasTasks(worker.Name) {
@@ -110,15 +110,15 @@
 			}
 		}
 		for n := 10; n < 14; n++ {
-			checkSeldomRetried(t, w, wire.JobID(uint64(n)))
+			checkRetryRate(t, w, wire.JobID(uint64(n)))
 		}
 		if n := w.Checker.Running("req-000001"); n != 3 {
-			t.Errorf("%d of 3 replicas run", n)
+			t.Errorf("%d of 3 replicas are running", n)
 		}
 	})
 }
 
-// submitFailingJobs submits the jobs 10 to 13, whose tasks fail on every machine: three arrays and a gang.
+// submitFailingJobs submits jobs 10 to 13, whose tasks fail on every machine: three arrays and a gang.
 func submitFailingJobs(w *emulator.Environment) {
 	for n := 10; n < 14; n++ {
 		s := newJobSpec(n, wire.Array, 20, 4)
@@ -130,21 +130,21 @@
 	}
 }
 
-// checkSeldomRetried requires that a failing job is started at most three times in ten seconds, and cancels it.
-func checkSeldomRetried(t *testing.T, w *emulator.Environment, id string) {
+// checkRetryRate requires that a failing job is started at most three times in ten seconds, and cancels it.
+func checkRetryRate(t *testing.T, w *emulator.Environment, id string) {
 	t.Helper()
 	before := w.Checker.StartsOf(id)
 	time.Sleep(10 * time.Second)
 	if k := w.Checker.StartsOf(id) - before; k > 3 {
-		t.Errorf("%s was started %d times in ten seconds", id, k)
+		t.Errorf("%s was started %d times within 10 s", id, k)
 	}
 	if c := w.Cancel(id); c != 200 {
-		t.Errorf("the cancellation of %s got %d", id, c)
+		t.Errorf("cancellation of %s returned status %d", id, c)
 	}
 }
 
-// TestBootFaults: machines that are up before the cloud has answered are adopted once; those that never come up are
-// replaced and released, and work goes on.
+// TestBootFaults checks that machines that boot before the cloud has answered are adopted once, that those that fail to
+// boot are replaced and released, and that work continues.
 func TestBootFaults(t *testing.T) {
 	runCluster(t, 22, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -166,17 +166,17 @@
 		}
 		time.Sleep(100 * time.Second)
 		if other := otherTaskCounts(w, 1, 8, 1); len(other) > 0 {
-			t.Errorf("services with other than 1 running replica: %v", other)
+			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		time.Sleep(60 * time.Second)
 		if k := len(w.Cloud.Workers()); k != 8 {
-			t.Errorf("%d machines are kept for eight services", k)
+			t.Errorf("%d machines remain for eight services", k)
 		}
 	})
 }
 
-// TestDelayedMachineDeletion: a deletion that one leader decided, and that is carried out under the next, ends no work:
-// the log has it, and the machine is assigned none.
+// TestDelayedMachineDeletion checks that a machine deletion requested by one leader and carried out under the next
+// interrupts no work, because the release is logged and the machine is assigned no tasks.
 func TestDelayedMachineDeletion(t *testing.T) {
 	runCluster(t, 21, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestZonePartition: agents that can't reach the leader, but another controller, keep their work running; a job
-// cancelled meanwhile loses its tasks there in time.
+// TestZonePartition checks that agents that cannot reach the leader, but another controller, keep their tasks running,
+// and that a job cancelled during the partition loses its tasks there in time.
 func TestZonePartition(t *testing.T) {
 	runCluster(t, 6, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -31,27 +31,27 @@
 		partition(false)
 		time.Sleep(20 * time.Second)
 		if n := w.Checker.Running("req-000002"); n != 0 {
-			t.Errorf("%d replicas of the cancelled service run", n)
+			t.Errorf("%d replicas of the cancelled service are running", n)
 		}
 		for _, n := range []uint64{1, 3, 4} {
 			if k := w.Checker.Running(wire.JobID(n)); k != 2 {
-				t.Errorf("%d replicas of service %d run", k, n)
+				t.Errorf("%d replicas of service %d are running, want 2", k, n)
 			}
 		}
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were started again", k)
+			t.Errorf("%d tasks were restarted", k)
 		}
 	})
 }
 
-// TestZoneFullyPartitioned: work in a partitioned zone, its controller included, goes on for the stale renewal limit
-// and ends with its agents' leases; then, and not before, it starts elsewhere, and the machines are used again after
-// the partition.
+// TestZoneFullyPartitioned checks that work in a partitioned zone, including its controller, continues for the stale
+// renewal limit and ends with its agents' leases. Only then does it start elsewhere, and the machines are used again
+// after the partition.
 func TestZoneFullyPartitioned(t *testing.T) {
 	runCluster(t, 14, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		zone := "b"
-		for n := 1; n <= 7; n++ { // a machine each; three must stay in zone b
+		for n := 1; n <= 7; n++ { // one machine each; three must be in zone b
 			s := newWebService(n, 3, "small")
 			if n <= 3 {
 				s.Zone = &zone
@@ -70,25 +70,25 @@
 		partition(true)
 		time.Sleep(35 * time.Second)
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were started again within the limit", k)
+			t.Errorf("%d tasks were restarted within the stale renewal limit", k)
 		}
 		time.Sleep(50 * time.Second) // the zone is still partitioned
 		if other := otherTaskCounts(w, 4, 7, 1); len(other) > 0 {
-			t.Errorf("services with other than 1 running replica: %v", other)
+			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k == 0 {
-			t.Error("no task was started elsewhere")
+			t.Error("no task was restarted in another zone")
 		}
 		partition(false)
 		time.Sleep(40 * time.Second)
 		if other := otherTaskCounts(w, 1, 7, 1); len(other) > 0 {
-			t.Errorf("services with other than 1 running replica after the partition: %v", other)
+			t.Errorf("services without exactly 1 running replica after the partition: %v", other)
 		}
 	})
 }
 
-// TestPartitionedZoneNotReleased: a leader that is elected during the partition does not release the machines of the
-// zone, which are empty by the log and have not sent it a heartbeat.
+// TestPartitionedZoneNotReleased checks that a leader elected during the partition does not release the machines of the
+// zone, which are empty according to the log and have not sent it a heartbeat.
 func TestPartitionedZoneNotReleased(t *testing.T) {
 	runCluster(t, 15, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -106,7 +106,7 @@
 			}
 		}
 		if len(lost) < 3 {
-			t.Fatalf("%d machines of the zone hold work", len(lost))
+			t.Fatalf("%d machines of the zone hold tasks, want at least 3", len(lost))
 		}
 		partition := func(on bool) {
 			partitionZone(w, on)
@@ -130,8 +130,9 @@
 	})
 }
 
-// TestLeaderLosesStore: a leader that has lost the store alone forwards users' requests to the one that leads now. It
-// used to refuse everything until it read the log again, while the load balancer went on sending users to it.
+// TestLeaderLosesStore checks that a leader that has lost only its connection to the store forwards users' requests to
+// the new leader. Otherwise it refuses all requests until it can read the log again, while the load balancer still
+// routes users to it.
 func TestLeaderLosesStore(t *testing.T) {
 	runCluster(t, 16, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -145,38 +146,39 @@
 				time.Sleep(time.Second)
 			}
 			if code, _ := w.RequestAt(i, "cancel", wire.JobID(uint64(10+10*i)), nil); code != 200 {
-				t.Errorf("node %d: a cancellation got %d", i, code)
+				t.Errorf("node %d: cancellation returned status %d", i, code)
 			}
 			w.PartitionStore(i, false)
 			time.Sleep(20 * time.Second)
 		}
 		if k := w.Checker.Running("req-000001"); k != 2 {
-			t.Errorf("%d of 2 replicas run", k)
+			t.Errorf("%d of 2 replicas are running", k)
 		}
 	})
 }
 
-// checkRequestsForwarded requires that a controller without the store answers a submission and a poll, and fast.
+// checkRequestsForwarded requires that a controller without access to the store answers a submission and a poll, the
+// submission within 500 ms.
 func checkRequestsForwarded(t *testing.T, w *emulator.Environment, node int, s *wire.JobSpec) {
 	t.Helper()
 	body, began := registerJob(t, w, s), time.Now()
 	if code, _ := w.RequestAt(node, "submit", s.ID, body); code != 201 {
-		t.Errorf("node %d: a submission got %d", node, code)
+		t.Errorf("node %d: submission returned status %d", node, code)
 	}
 	if d := time.Since(began); d > 500*time.Millisecond {
-		t.Errorf("node %d: a submission took %v", node, d)
+		t.Errorf("node %d: submission took %v", node, d)
 	}
 	if code, _ := w.RequestAt(node, "poll", s.ID, nil); code != 200 {
-		t.Errorf("node %d: a poll got %d", node, code)
+		t.Errorf("node %d: poll returned status %d", node, code)
 	}
 }
 
-// TestLeaderLosesWorkers: a leader that no agent reaches hands over to a controller that they reach, before their
-// leases expire.
+// TestLeaderLosesWorkers checks that a leader that no agent can reach hands over to a controller that they can reach,
+// before their leases expire.
 func TestLeaderLosesWorkers(t *testing.T) {
 	savedThreshold := *relayThreshold
 	defer func() { *relayThreshold = savedThreshold }()
-	*relayThreshold = 0 // with relays it need not hand over: TestRelayFaults
+	*relayThreshold = 0 // disables relays, with which no handover is needed (TestRelayFaults)
 	runCluster(t, 17, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		submitOnePerMachine(w)
@@ -189,18 +191,18 @@
 			for led && findLeader() == i && time.Since(began) < time.Minute {
 				time.Sleep(100 * time.Millisecond)
 			}
-			if d := time.Since(began); d > 5500*time.Millisecond { // a heartbeat interval, and 1.5 s to answer
-				t.Errorf("node %d leads for %v more", i, d)
+			if d := time.Since(began); d > 5500*time.Millisecond { // a heartbeat interval and 1.5 s for responses
+				t.Errorf("node %d led for %v after the partition began", i, d)
 			}
 			time.Sleep(time.Until(began.Add(40 * time.Second)))
 			partitionAgents(w, i, false)
 			time.Sleep(10 * time.Second)
 		}
 		if other := otherTaskCounts(w, 1, 12, 1); len(other) > 0 {
-			t.Errorf("services with other than 1 running replica: %v", other)
+			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were started again", k)
+			t.Errorf("%d tasks were restarted", k)
 		}
 	})
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -18,8 +18,8 @@
 	"fieldhill/wire"
 )
 
-// withRelays runs f against a deployment whose agents are assigned to three controllers, with a service on each of
-// twelve machines.
+// withRelays runs f against a deployment whose agents are distributed across three controllers, with a service on each
+// of twelve machines.
 func withRelays(t *testing.T, seed uint64, f func(w *emulator.Environment)) {
 	t.Helper()
 	savedThreshold := *relayThreshold
@@ -33,7 +33,7 @@
 	})
 }
 
-// submitOnePerMachine submits twelve services of one replica, each of which needs a machine of its own.
+// submitOnePerMachine submits twelve single-replica services, each of which needs a machine of its own.
 func submitOnePerMachine(w *emulator.Environment) {
 	submitServices(w, 1, 8)
 	for n := 9; n <= 12; n++ {
@@ -43,15 +43,16 @@
 	}
 }
 
-// agentsPerNode returns how many agents report through each controller, the leader first, as the leader sees it.
+// agentsPerNode returns how many agents report through each controller, the leader first, according to the leader's
+// relay table.
 func agentsPerNode(leader *Controller) (perNode []int) {
 	leader.loop.postAndWait(func() { perNode = append(perNode, leader.term.ownTerm.assignments.table.Counts()...) })
 	return perNode
 }
 
-// TestRelayFaults: agents are spread evenly; nothing is started again and no lease expires while the leader ends, a
-// relay ends, any controller loses the agents, a relay loses the leader or all of the others, or the leader is frozen;
-// and new work starts.
+// TestRelayFaults checks that agents are distributed evenly, and that no task is restarted, no lease expires and new
+// work starts while the leader or a relay restarts, a controller is partitioned from the agents, a relay from the
+// leader or from the store and all peers, or the leader is frozen.
 func TestRelayFaults(t *testing.T) {
 	n := 100
 	for name, begin := range map[string]func(w *emulator.Environment, leader, follower int) (end func()){
@@ -88,7 +89,7 @@
 			withRelays(t, 61, func(w *emulator.Environment) {
 				leader := findLeader()
 				if c := agentsPerNode(nodeAt(leader)); slices.Min(c) < 3 || slices.Max(c) > 10 {
-					t.Errorf("agents by node: %v", c)
+					t.Errorf("agents are not distributed evenly, by node: %v", c)
 				}
 				starts := w.Checker.Starts()
 				end := begin(w, leader, (leader+1)%3)
@@ -102,14 +103,15 @@
 				end()
 				starts = w.Checker.Starts()
 				time.Sleep(30 * time.Second)
-				checkEpochsUnchanged(t, w, starts, name+", after its end")
+				checkEpochsUnchanged(t, w, starts, name+", after the fault ended")
 			})
 		})
 	}
 }
 
-// TestRelayRenewsLeases: a leader that is too slow to answer heartbeats, for several leases, costs no agent its lease,
-// because relays answer by themselves; within the stale renewal limit, and with stops of cancelled jobs.
+// TestRelayRenewsLeases checks that no agent loses its lease while the leader is too slow to answer heartbeats for the
+// duration of several leases. Relays renew the leases themselves, within the stale renewal limit, and send stops for
+// cancelled jobs.
 func TestRelayRenewsLeases(t *testing.T) {
 	withRelays(t, 62, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -117,7 +119,7 @@
 		starts := w.Checker.Starts()
 		for began := time.Now(); time.Since(began) < 80*time.Second; time.Sleep(100 * time.Millisecond) {
 			if findLeader() != leaderIndex {
-				t.Error("the leader was replaced: nothing is tested")
+				t.Error("the leader was replaced: the slow leader was not tested")
 				break
 			}
 			leader.loop.post(func() { time.Sleep(2300 * time.Millisecond) })
@@ -127,15 +129,15 @@
 			answered += nodeAt(i).metrics.AnsweredLocally.Get()
 		}
 		if answered < 10 {
-			t.Errorf("relays answered %d heartbeats by themselves: nothing is tested", answered)
+			t.Errorf("relays answered only %d heartbeats themselves: renewal by relays was not tested", answered)
 		}
 		time.Sleep(20 * time.Second)
 		checkEpochsUnchanged(t, w, starts, "slow leader")
 	})
 }
 
-// TestRelayRenewalBound: a relay that can't reach the log renews no longer than any controller may, and who relays a
-// heartbeat to a controller that does not lead learns that.
+// TestRelayRenewalBound checks that a relay that cannot reach the log renews leases no longer than any other
+// controller, and that a heartbeat relayed to a controller that does not lead is answered as such.
 func TestRelayRenewalBound(t *testing.T) {
 	withRelays(t, 63, func(w *emulator.Environment) {
 		leader := findLeader()
@@ -148,25 +150,24 @@
 			Body: relay.AppendReport(nil, report),
 		}
 		if r := node.handlePeerRequest(context.Background(), request); r.Status != http.StatusGone {
-			t.Errorf("a node that does not lead answers a relayed heartbeat with %d", r.Status)
+			t.Errorf("node that does not lead answered a relayed heartbeat with status %d", r.Status)
 		}
 		request.Body = request.Body[1:]
 		if r := nodeAt(leader).handlePeerRequest(context.Background(), request); r.Status != http.StatusBadRequest {
-			t.Errorf("a malformed heartbeat is answered with %d", r.Status)
+			t.Errorf("malformed heartbeat was answered with status %d", r.Status)
 		}
 		w.PartitionFromStoreAndPeers(relayIndex, true)
 		time.Sleep(node.settings.StaleRenewalLimit() + 2*time.Second)
 		r := api.Respond(node.heartbeatRouter.renewRelayed(context.Background(), report))
 		if r.Status == http.StatusOK {
-			t.Error("a lease is renewed for longer than a cancellation may take")
+			t.Error("a lease was renewed after the stale renewal limit")
 		}
 		w.PartitionFromStoreAndPeers(relayIndex, false)
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// TestMixedVersions: a controller of an older version, which knows no relays, is assigned no agents and gets the
-// leader's as before.
+// TestMixedVersions checks that a controller of an older version without relaying is assigned no agents.
 func TestMixedVersions(t *testing.T) {
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -175,13 +176,14 @@
 		time.Sleep(40 * time.Second)
 		perNode := agentsPerNode(nodeAt(leaderIndex))
 		if i := nodeAt(leaderIndex).assignments.memberIndex(older.settings.Node); perNode[i] != 0 {
-			t.Errorf("agents by node: %v, the older one is %d", perNode, i)
+			t.Errorf("agents by node: %v, want none at node %d, which has an older version", perNode, i)
 		}
 		checkEpochsUnchanged(t, w, w.Checker.Starts(), fmt.Sprint("mixed ", perNode))
 	})
 }
 
-// relayWithOutcome answers a relayed command as the ID of the request says, and others not before hang is closed.
+// relayWithOutcome answers a relayed command as selected by the request ID; for other IDs it blocks until hang is
+// closed.
 func relayWithOutcome(request *rpc.Request, hang <-chan struct{}) *rpc.Response {
 	if request.Op == rpc.OpPing {
 		return &rpc.Response{Status: http.StatusOK}
@@ -204,12 +206,13 @@
 	return &rpc.Response{Status: http.StatusOK}
 }
 
-// TestCommandOutcomeThroughRelay: what the leader concludes of a command that a relay was to send: only what is known
-// not to have been sent counts as not sent, since another copy of it may be executed at any later time.
+// TestCommandOutcomeThroughRelay checks which outcome the leader assigns to a command that a relay was to send. A
+// command counts as unsent only if it is known not to have been sent; otherwise it may still be executed at any later
+// time.
 func TestCommandOutcomeThroughRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		network, quiet := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
+		network, logger := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
 		ln, err := network.Host("relay").Listen("10.0.0.9:81")
 		if err != nil {
 			t.Fatal(err)
@@ -218,15 +221,15 @@
 		handler := func(_ context.Context, request *rpc.Request) *rpc.Response {
 			return relayWithOutcome(request, hang)
 		}
-		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, quiet) }()
-		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", quiet)
+		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, logger) }()
+		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", logger)
 		node := &Controller{}
 		fateOf := func(id string) agent.CommandFate {
 			fate, _, _ := node.assignments.sendOrders(ctx, link, id, &wire.Orders{})
 			return fate
 		}
 		if fate := fateOf("executed"); fate != agent.Unsent {
-			t.Errorf("without a connection: %d", fate)
+			t.Errorf("without a connection: outcome %d, want unsent", fate)
 		}
 		go link.Run(ctx)
 		time.Sleep(time.Second)
@@ -239,7 +242,7 @@
 			"hangs":      agent.Unknown,
 		} {
 			if fate := fateOf(id); fate != want {
-				t.Errorf("%s: %d, want %d", id, fate, want)
+				t.Errorf("%s: outcome %d, want %d", id, fate, want)
 			}
 		}
 		go func() {
@@ -250,7 +253,7 @@
 			network.Host("relay").Terminate()
 		}()
 		if fate := fateOf("lost"); fate != agent.Unknown {
-			t.Errorf("with the connection lost: %d", fate)
+			t.Errorf("with the connection lost: outcome %d, want unknown", fate)
 		}
 		close(hang)
 		stop()
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -10,12 +10,12 @@
 	"fieldhill/wire"
 )
 
-// These tests are about what a heartbeat proves, and about one-way partitions of machines.
+// These tests cover what a heartbeat proves, and one-way partitions of machines.
 
-// TestAgentRestart: a machine whose agent is back within a moment under the same name holds nothing any more, whether
-// its sequence numbers go on or begin at 1, also beside a failover and when it restarts again and again. One whose
-// numbers began at 1 used to be taken for a stale copy of its own heartbeats: it was answered and assigned nothing, and
-// its replicas stayed down for good.
+// TestAgentRestart checks that a machine whose agent restarts quickly under the same name is known to hold no tasks any
+// more, whether its sequence numbers continue or start again at 1, also shortly after a failover and when it restarts
+// repeatedly. If an agent whose numbers start at 1 is mistaken for a delayed duplicate of its own heartbeats, it is
+// answered but assigned nothing, and its replicas stay down permanently.
 func TestAgentRestart(t *testing.T) {
 	for _, resetNumbers := range []bool{false, true} {
 		for _, times := range []int{1, 3} {
@@ -30,7 +30,8 @@
 	}
 }
 
-// agentRestart is TestAgentRestart for one combination; a failover before it is given the time if that is not negative.
+// agentRestart runs TestAgentRestart for one combination. If failover is not negative, the leader is restarted first,
+// and failover is the time from then until the agents restart.
 func agentRestart(t *testing.T, w *emulator.Environment, resetNumbers bool, times int, failover time.Duration) {
 	t.Helper()
 	startServices(w, 5)
@@ -48,15 +49,15 @@
 		}
 	}
 	if d := waitServicesUp(w, 5, time.Minute); d > 12*time.Second {
-		t.Errorf("%d of 5 services run %v after the agents were back", servicesUp(w, 5), d)
+		t.Errorf("%d of 5 services are running %v after the agents restarted", servicesUp(w, 5), d)
 	}
 	time.Sleep(30 * time.Second)
 	if k := servicesUp(w, 5); k != 5 {
-		t.Errorf("%d of 5 services run half a minute later", k)
+		t.Errorf("%d of 5 services are running 30 s later", k)
 	}
 }
 
-// replayHeartbeats sends copies of heartbeats to every controller every two seconds, for two minutes.
+// replayHeartbeats sends copies of heartbeats to every controller every two seconds for two minutes.
 func replayHeartbeats(w *emulator.Environment, reports []*wire.Heartbeat) {
 	for began := time.Now(); time.Since(began) <= 2*time.Minute; time.Sleep(2 * time.Second) {
 		for _, r := range reports {
@@ -67,25 +68,25 @@
 	}
 }
 
-// checkNotMachines requires that the leader knows none of the machines that sent heartbeats.
-func checkNotMachines(t *testing.T, reports ...*wire.Heartbeat) {
+// checkNotRegistered requires that none of the machines that sent the heartbeats is registered at the leader.
+func checkNotRegistered(t *testing.T, reports ...*wire.Heartbeat) {
 	t.Helper()
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
 		for _, r := range reports {
 			if leader.replica.model.ByName[r.Machine] != nil {
-				t.Errorf("%s, which is gone or never existed, counts as a machine", r.Machine)
+				t.Errorf("%s is registered although it was reclaimed or never existed", r.Machine)
 			}
 		}
 	})
 }
 
-// TestStaleReportCopies: copies of the heartbeats that machines sent before they were gone, or partitioned, prove
-// nothing about now: neither for the leader that received the first of them, nor for the next one, to which all
-// sequence numbers are new.
+// TestStaleReportCopies checks that duplicates of heartbeats that machines sent before they were reclaimed or
+// partitioned prove nothing about the present: neither to the leader that received the originals, nor to the next one,
+// which has not seen their sequence numbers.
 func TestStaleReportCopies(t *testing.T) {
 	for _, failover := range []bool{false, true} {
-		t.Run(fmt.Sprint("gone, failover ", failover), func(t *testing.T) {
+		t.Run(fmt.Sprint("reclaimed, failover ", failover), func(t *testing.T) {
 			runCluster(t, 32, func(w *emulator.Environment) { replayOfReclaimedMachines(t, w, failover) })
 		})
 	}
@@ -101,7 +102,7 @@
 				w.SendDuplicate(w.UserAddr(i), &report)
 			}
 			time.Sleep(time.Second)
-			checkNotMachines(t, &report)
+			checkNotRegistered(t, &report)
 		})
 	})
 }
@@ -121,10 +122,10 @@
 	began := time.Now()
 	go replayHeartbeats(w, reports)
 	if d := waitServicesUp(w, 5, time.Minute); d > 25*time.Second {
-		t.Errorf("%d of 5 services run %v after two machines were lost", servicesUp(w, 5), d)
+		t.Errorf("%d of 5 services are running %v after two machines were reclaimed", servicesUp(w, 5), d)
 	}
 	time.Sleep(time.Until(began.Add(100 * time.Second)))
-	checkNotMachines(t, reports...)
+	checkNotRegistered(t, reports...)
 	time.Sleep(30 * time.Second)
 }
 
@@ -145,17 +146,18 @@
 	began := time.Now()
 	go replayHeartbeats(w, reports)
 	time.Sleep(20 * time.Second)
-	// Silence, the stale renewal limit of 25 s less its margin, a lease of 24 s and a start: as without copies.
+	// The limit covers the silence limit, the stale renewal limit of 25 s less its margin, a lease of 24 s and a task
+	// start, the same as without duplicates.
 	if d := waitServicesUp(w, 6, 2*time.Minute); d > 50*time.Second {
-		t.Errorf("%d of 6 services run %v after the zone was partitioned", servicesUp(w, 6), d+20*time.Second)
+		t.Errorf("%d of 6 services are running %v after the zone was partitioned", servicesUp(w, 6), d+20*time.Second)
 	}
 	partition(false)
 	time.Sleep(time.Until(began.Add(3 * time.Minute)))
 }
 
-// TestInboundPartition: a machine whose heartbeats arrive while nothing reaches it gets no work, and what it held runs
-// elsewhere when its own lease has expired, or it was released; one machine, a zone, and beside a failover. Jobs
-// cancelled meanwhile end in time, which the invariant checker verifies.
+// TestInboundPartition checks that a machine whose heartbeats arrive while nothing can reach it gets no work, and that
+// its tasks run elsewhere after its lease has expired or it was released. The partition affects one machine or a zone,
+// with or without a failover. The invariant checker verifies that jobs cancelled meanwhile end in time.
 func TestInboundPartition(t *testing.T) {
 	oneMachine := func(w *emulator.Environment) []*emulator.Worker { return busyMachines(w)[:1] }
 	wholeZone := func(w *emulator.Environment) []*emulator.Worker { return zoneMachines(w, "b") }
@@ -165,10 +167,10 @@
 		failover bool
 		within   time.Duration
 	}{
-		{"one", oneMachine, false, 35 * time.Second},
-		{"one and a failover", oneMachine, true, 40 * time.Second},
-		{"a zone", wholeZone, false, 45 * time.Second},
-		{"a zone and a failover", wholeZone, true, 45 * time.Second},
+		{"one machine", oneMachine, false, 35 * time.Second},
+		{"one machine and a failover", oneMachine, true, 40 * time.Second},
+		{"one zone", wholeZone, false, 45 * time.Second},
+		{"one zone and a failover", wholeZone, true, 45 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runCluster(t, 35, func(w *emulator.Environment) {
@@ -183,7 +185,7 @@
 				}
 				time.Sleep(c.within)
 				if other := otherTaskCounts(w, 1, 4, 1); len(other) > 0 {
-					t.Errorf("services with other than 1 running replica %v after %d machines were partitioned: %v",
+					t.Errorf("services without exactly 1 running replica %v after %d machines were partitioned: %v",
 						c.within, len(affected), other)
 				}
 				checkNewServicesStart(t, w)
@@ -192,14 +194,14 @@
 				}
 				time.Sleep(40 * time.Second)
 				if other := otherTaskCounts(w, 1, 4, 1); len(other) > 0 {
-					t.Errorf("services with other than 1 running replica at the end: %v", other)
+					t.Errorf("services without exactly 1 running replica at the end: %v", other)
 				}
 			})
 		})
 	}
 }
 
-// checkNewServicesStart requires that new work finds machines that are reachable.
+// checkNewServicesStart requires that new services start on reachable machines within 15 s.
 func checkNewServicesStart(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	for n := 10; n < 14; n++ {
@@ -208,13 +210,13 @@
 		w.Submit(j)
 		waitRunning(w, j.ID, began)
 		if d := time.Since(began); d > 15*time.Second {
-			t.Errorf("a new service ran after %v", d)
+			t.Errorf("new service started after %v, want at most 15 s", d)
 		}
 	}
 }
 
-// TestPartitionedController: a controller that has lost the store and the other controllers, but not its agents, is not
-// offered to users, and does not keep from the next leader the machines whose agents still reach it.
+// TestPartitionedController checks that a controller that has lost the store and its peers, but not its agents, does
+// not report itself ready for users' requests, and does not retain agents that the next leader needs.
 func TestPartitionedController(t *testing.T) {
 	for _, duration := range []time.Duration{5 * time.Second, 70 * time.Second} {
 		t.Run(fmt.Sprint(duration), func(t *testing.T) {
@@ -225,15 +227,16 @@
 					partitionController(t, w, (first+k)%3, duration)
 				}
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services run", k)
+					t.Errorf("%d of 5 services are running", k)
 				}
 			})
 		})
 	}
 }
 
-// partitionController partitions a controller from the store and its peers, and checks that a new service runs all the
-// same and, if there is time for that, that the controller is not ready and that all agents have found the next leader.
+// partitionController partitions a controller from the store and its peers and checks that a new service runs
+// nevertheless. If the partition lasts long enough, it also checks that the controller is not ready and that all agents
+// have found the next leader.
 func partitionController(t *testing.T, w *emulator.Environment, i int, duration time.Duration) {
 	t.Helper()
 	starts := w.Checker.Starts()
@@ -251,18 +254,18 @@
 	}
 	waitRunning(w, j.ID, began)
 	if d := time.Since(began); d > 4*time.Second+4*time.Second {
-		t.Errorf("node %d: a new service ran %v after the partition", i, d)
+		t.Errorf("node %d: new service started %v after the partition began", i, d)
 	}
 	if duration > 10*time.Second {
 		time.Sleep(time.Until(began.Add(10 * time.Second)))
 		if node := nodeAt(i); node.readiness.Ready() {
-			t.Errorf("node %d is offered to users", i)
+			t.Errorf("node %d reports itself ready while partitioned", i)
 		}
 	}
 	w.Cancel(j.ID)
 	if duration > 20*time.Second {
-		// Idle machines, which the next leader does not probe, have found it: each agent was retained for 3 s and then
-		// redirected.
+		// Idle machines, which the next leader does not probe, have found it by now: each agent was retained for 3 s
+		// and then redirected.
 		time.Sleep(time.Until(began.Add(16 * time.Second)))
 		node := nodeAt(findLeader())
 		node.loop.postAndWait(func() {
@@ -277,14 +280,14 @@
 	w.PartitionFromStoreAndPeers(i, false)
 	time.Sleep(20 * time.Second)
 	if k := w.Checker.Starts() - starts - 1; k != 0 {
-		t.Errorf("node %d: %d tasks were started again", i, k)
+		t.Errorf("node %d: %d tasks were restarted", i, k)
 	}
 }
 
 // zoneWithoutController moves all controllers into zone a. Two services may run anywhere, three must run in zone b, and
-// arrays that may run anywhere fill the rest of their machines, so that each machine of the zone holds something that
-// may move. It returns the machines of zone b that hold work.
-func zoneWithoutController(w *emulator.Environment) (held []*emulator.Worker) {
+// arrays that may run anywhere fill the remaining capacity of their machines, so that each machine of the zone holds a
+// task that may move. It returns the machines of zone b that hold tasks.
+func zoneWithoutController(w *emulator.Environment) (busy []*emulator.Worker) {
 	for i := range 3 {
 		w.Crash(i)
 		w.SetZone(i, "a")
@@ -304,14 +307,14 @@
 	return slices.DeleteFunc(busyMachines(w), func(worker *emulator.Worker) bool { return worker.Zone != zone })
 }
 
-// TestZoneWithoutController: all controllers are in one zone and another one is partitioned. Nobody has renewed its
-// leases since, which all controllers prove to each other; so its machines are released, and its work starts elsewhere,
-// as soon as the leases have expired, not after the time for which an unreachable controller might have renewed them
-// (24 s of lease and 25 s less a margin of that limit: 57 s). One that is unreachable brings that back.
+// TestZoneWithoutController checks the time until the tasks of a partitioned zone without controllers start elsewhere.
+// If all controllers are reachable, they prove that none has renewed the leases in that zone, and its machines are
+// released as soon as the leases have expired. An unreachable controller might have renewed them, so the leader then
+// also waits for the stale renewal limit (24 s of lease and 25 s less a margin: 57 s after the partition began).
 func TestZoneWithoutController(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		crashed  bool // a controller is unreachable, and nobody knows whose leases it renews
+		crashed  bool // one controller is unreachable and may have renewed leases
 		from, to time.Duration
 	}{
 		{"all reachable", false, 24 * time.Second, 34 * time.Second},
@@ -319,19 +322,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runCluster(t, 37, func(w *emulator.Environment) {
-				if held := zoneWithoutController(w); len(held) < 3 {
-					t.Fatalf("%d machines of the zone hold work", len(held))
+				if busy := zoneWithoutController(w); len(busy) < 3 {
+					t.Fatalf("%d machines of the zone hold tasks, want at least 3", len(busy))
 				}
 				if c.crashed {
 					w.Crash((findLeader() + 1) % 3)
 				}
 				if d := partitionZoneUntilEvicted(w); d < c.from || d > c.to {
-					t.Errorf("the zone's tasks were known to have ended after %v", d)
+					t.Errorf("the zone's tasks were evicted after %v, want %v to %v", d, c.from, c.to)
 				}
 				partitionZoneAgents(w, false)
 				time.Sleep(30 * time.Second)
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services run at the end", k)
+					t.Errorf("%d of 5 services are running at the end", k)
 				}
 			})
 		})
@@ -339,7 +342,7 @@
 }
 
 // partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns how long it takes until
-// the leader has no tasks on their machines any more, at most 90 seconds. The partition stays.
+// the leader assigns no tasks to their machines any more, at most 90 s. The partition stays in place.
 func partitionZoneUntilEvicted(w *emulator.Environment) time.Duration {
 	partitionZoneAgents(w, true)
 	began := time.Now()
@@ -353,7 +356,7 @@
 	return time.Since(began)
 }
 
-// tasksOn returns how many tasks the leader takes to be on machines.
+// tasksOn returns how many tasks the leader's model places on the given machines.
 func tasksOn(machines map[string]bool) (tasks int) {
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
