--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -10,28 +10,28 @@
 	"fieldhill/wire"
 )
 
-// checkConvergence requires that all ends well once all faults are over: every job is answered for, and once all are
-// cancelled nothing is left behind.
-func checkConvergence(t *testing.T, w *emulator.Environment, open []string) {
+// checkConvergence requires that the cluster recovers once all faults are over: every job is in a known state, and
+// after all jobs are cancelled no task or machine is left over.
+func checkConvergence(t *testing.T, w *emulator.Environment, ids []string) {
 	t.Helper()
 	w.Checker.MarkFaultsOver()
-	for range 20 { // no job starves: each is polled, as users do
-		for _, id := range open {
+	for range 20 { // no job may starve: each is polled, as users do
+		for _, id := range ids {
 			go w.Request("poll", id, nil)
 		}
 		time.Sleep(5 * time.Second)
 	}
-	for _, id := range open {
+	for _, id := range ids {
 		w.Cancel(id)
 	}
 	time.Sleep(60 * time.Second)
-	for _, id := range open {
-		// A job that no controller could accept for a minute is unknown.
+	for _, id := range ids {
+		// A job that no controller could accept for a minute may be unknown.
 		if err := pollEndedOrUnknown(w, id); err != nil {
 			t.Error(err)
 		}
 		if k := w.Checker.Running(id); k != 0 {
-			t.Errorf("%s has %d tasks left", id, k)
+			t.Errorf("%s still has %d running tasks", id, k)
 		}
 	}
 	time.Sleep(30 * time.Second)
@@ -42,30 +42,30 @@
 	leader.loop.postAndWait(func() {
 		for _, worker := range w.Cloud.Workers() {
 			if leader.replica.model.ByName[worker.Name] == nil {
-				t.Errorf("%s is provisioned, and the leader does not know it", worker.Name)
+				t.Errorf("machine %s is provisioned but unknown to the leader", worker.Name)
 			}
 		}
 	})
-	if err := machinesKnown(w, leader); err != nil {
+	if err := compareMachines(w, leader); err != nil {
 		t.Error(err)
 	}
 }
 
-// machinesKnown compares the machines that the cloud has with those that a controller knows, and returns an error
-// where they differ or a scale-out is still open.
-func machinesKnown(w *emulator.Environment, node *Controller) (err error) {
+// compareMachines compares the machines in the cloud with those that a controller knows, and returns an error if they
+// differ or a scale-out is still open.
+func compareMachines(w *emulator.Environment, node *Controller) (err error) {
 	node.loop.postAndWait(func() {
 		if intents := node.replica.model.Intents; len(intents) > 0 {
-			err = fmt.Errorf("scale-outs are still open: %+v", intents)
+			err = fmt.Errorf("open scale-outs: %+v", intents)
 		}
 		if up, known := len(w.Cloud.Workers()), len(node.replica.model.Order); up != known {
-			err = errors.Join(err, fmt.Errorf("%d machines are provisioned, %d are known", up, known))
+			err = errors.Join(err, fmt.Errorf("%d machines are provisioned, the controller knows %d", up, known))
 		}
 	})
 	return err
 }
 
-// servicesUp counts the replicas of services 1 to n that run.
+// servicesUp returns the number of running replicas of services 1 to services.
 func servicesUp(w *emulator.Environment, services int) (up int) {
 	for k := 1; k <= services; k++ {
 		up += w.Checker.Running(wire.JobID(uint64(k)))
@@ -73,19 +73,20 @@
 	return up
 }
 
-// otherTaskCounts returns the jobs from first to last of which not exactly so many tasks run, with how many do.
+// otherTaskCounts returns the jobs from first to last whose number of running tasks differs from want, with that
+// number.
 func otherTaskCounts(w *emulator.Environment, first, last, want int) map[string]int {
-	other := map[string]int{}
+	unexpected := map[string]int{}
 	for n := first; n <= last; n++ {
 		id := wire.JobID(uint64(n))
 		if running := w.Checker.Running(id); running != want {
-			other[id] = running
+			unexpected[id] = running
 		}
 	}
-	return other
+	return unexpected
 }
 
-// waitServicesUp waits until so many services of one replica run, and returns how long that took, at most the limit.
+// waitServicesUp waits until all services of one replica run, and returns how long that took, at most limit.
 func waitServicesUp(w *emulator.Environment, services int, limit time.Duration) time.Duration {
 	began := time.Now()
 	for servicesUp(w, services) < services && time.Since(began) < limit {
@@ -94,19 +95,19 @@
 	return time.Since(began)
 }
 
-// checkMachinesKnown requires that the leader knows exactly the machines that the cloud has.
+// checkMachinesKnown requires that the leader knows exactly the machines in the cloud.
 func checkMachinesKnown(t *testing.T, w *emulator.Environment) {
 	t.Helper()
-	if err := machinesKnown(w, nodeAt(findLeader())); err != nil {
+	if err := compareMachines(w, nodeAt(findLeader())); err != nil {
 		t.Error(err)
 	}
 }
 
-// checkEpochsUnchanged requires that no agent's lease expired and no task was started again meanwhile.
+// checkEpochsUnchanged requires that no agent's lease has expired and no task was restarted.
 func checkEpochsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
 	t.Helper()
 	if k := w.Checker.Starts() - starts; k != 0 {
-		t.Errorf("%s: %d tasks were started again", label, k)
+		t.Errorf("%s: %d tasks were restarted", label, k)
 	}
 	for _, worker := range w.Cloud.Workers() {
 		if r := worker.LastHeartbeat(); r != nil && r.AgentEpoch != 1 {
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -9,7 +9,7 @@
 	"fieldhill/wire"
 )
 
-// newJobSpec is a low job of the red team with tasks of one CPU.
+// newJobSpec returns a low-priority job of team red with tasks of one CPU.
 func newJobSpec(n int, shape string, tasks int, run float64) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID:        wire.JobID(uint64(n)),
@@ -26,34 +26,35 @@
 	}
 }
 
-// newWebService is a production service of one task.
+// newWebService returns a production service with one replica.
 func newWebService(n int, cpus float64, types ...string) *wire.JobSpec {
 	s := newJobSpec(n, wire.Service, 1, 0)
 	s.Priority, s.Class, s.CPUs, s.Types = wire.Production, "web", cpus, types
 	return s
 }
 
-// newReplicatedService is a production service of several replicas of one CPU.
+// newReplicatedService returns a production service with the given number of one-CPU replicas.
 func newReplicatedService(n, replicas int) *wire.JobSpec {
 	s := newWebService(n, 1)
 	s.Tasks = replicas
 	return s
 }
 
-// newHighArray is an array of high priority, which is placed before the low work of other tests' jobs.
+// newHighArray returns a high-priority array, which is placed before low-priority jobs.
 func newHighArray(n, tasks int, cpus, run float64) *wire.JobSpec {
 	s := newJobSpec(n, wire.Array, tasks, run)
 	s.CPUs, s.Priority = cpus, wire.High
 	return s
 }
 
-// toGang makes a job a gang that writes a checkpoint every three seconds.
+// toGang turns a job into a gang that writes a checkpoint every three seconds.
 func toGang(s *wire.JobSpec, tasks int) {
 	s.Shape, s.Tasks = wire.Gang, tasks
 	s.CheckpointIntervalS, s.CheckpointWriteS = 3, 1
 }
 
-// drawShape leaves half of all jobs arrays and makes a quarter gangs and a quarter replicated services.
+// drawShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as they
+// are.
 func drawShape(s *wire.JobSpec, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
@@ -65,38 +66,38 @@
 	}
 }
 
-// randomMillis draws a duration of at least from and less than from plus span milliseconds.
+// randomMillis returns a random duration in [from, from+span) milliseconds.
 func randomMillis(rng *rand.Rand, from, span int) time.Duration {
 	return time.Duration(from+rng.IntN(span)) * time.Millisecond
 }
 
-// randomSeconds draws a duration of at least from and less than from plus span seconds.
+// randomSeconds returns a random duration in [from, from+span) seconds.
 func randomSeconds(rng *rand.Rand, from, span int) time.Duration {
 	return time.Duration(from+rng.IntN(span)) * time.Second
 }
 
-// startServices waits until a controller leads, submits services of three CPUs, and waits until they run.
+// startServices waits for a leader, submits services of three CPUs, and waits until they run.
 func startServices(w *emulator.Environment, services int) {
 	time.Sleep(6 * time.Second)
 	submitServices(w, 1, services)
 	time.Sleep(40 * time.Second)
 }
 
-// submitServices submits services of three CPUs, each of which needs a small machine of its own.
+// submitServices submits services of three CPUs, each of which needs a small machine to itself.
 func submitServices(w *emulator.Environment, first, last int) {
 	for n := first; n <= last; n++ {
 		w.Submit(newWebService(n, 3, "small"))
 	}
 }
 
-// waitRunning waits until a task of a job runs, or a minute has passed since it began.
+// waitRunning waits until a task of a job runs, for at most a minute after began.
 func waitRunning(w *emulator.Environment, id string, began time.Time) {
 	for w.Checker.Running(id) == 0 && time.Since(began) < time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// waitState polls a job until it is in a state.
+// waitState polls a job until it is in the given state, and fails the test after the time limit.
 func waitState(t *testing.T, w *emulator.Environment, id, state string, within time.Duration) {
 	t.Helper()
 	end := time.Now().Add(within)
@@ -112,7 +113,7 @@
 	}
 }
 
-// mustMarshal encodes a message as it is sent.
+// mustMarshal encodes a message in its wire format.
 func mustMarshal(t *testing.T, message any) []byte {
 	t.Helper()
 	b, err := wire.Marshal(message)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -15,20 +15,20 @@
 	"fieldhill/internal/platform/host"
 )
 
-// The tests of this package run whole deployments in virtual time: three real controllers against the emulator, whose
-// invariant checker verifies the users' rules independently of the controllers' code.
+// The tests of this package run complete deployments in virtual time: three real controllers against the emulator,
+// whose invariant checker verifies the guarantees to users independently of the controllers' code.
 
-// nodeRegistry lists the running controllers of a test, for faults and checks that reach into them.
+// nodeRegistry holds the running controllers of a test, for faults and checks that access their internals.
 type nodeRegistry struct {
 	mu     sync.Mutex
 	byName map[string]*Controller
 }
 
-// runningNodes are the controllers of the test that runs; no two tests of this package run at once in a process.
+// runningNodes holds the controllers of the current test. Tests of this package don't run in parallel in one process.
 var runningNodes = nodeRegistry{byName: map[string]*Controller{}}
 
-// nodeAt returns the running controller with an index, or nil. It may only be called by the test's own goroutine: it
-// waits until all others are idle, so that the test sees what the start of a controller has written.
+// nodeAt returns the running controller with an index, or nil. It must be called from the test's own goroutine, as it
+// waits until all other goroutines are blocked; that orders it after the writes of a starting controller.
 func nodeAt(i int) *Controller {
 	synctest.Wait()
 	runningNodes.mu.Lock()
@@ -53,11 +53,10 @@
 	return -1
 }
 
-// leaderOrFirst returns the index of the leader, or the first controller's if there is none, for faults that need a
-// target at any moment.
+// leaderOrFirst returns the index of the leader, or 0 if there is none, for faults that always need a target.
 func leaderOrFirst() int { return max(0, findLeader()) }
 
-// currentTerm returns the term that the leader knows of, or 0 if there is none.
+// currentTerm returns the term known to the leader, or 0 if there is none.
 func currentTerm() (term uint64) {
 	if leader := nodeAt(leaderOrFirst()); leader != nil {
 		leader.loop.postAndWait(func() {
@@ -69,29 +68,27 @@
 	return term
 }
 
-// compactEvery is the number of batches after which controllers that are started from now on compact the log; 0 is the
-// default.
+// compactEvery is the number of batches between log compactions of controllers started from now on; 0 is the default.
 var compactEvery int
 
-// relayThreshold is the number of machines above which controllers that are started from now on assign agents to
-// relays; 0 is the default.
-var relayThreshold = flag.Int("relays", 0, "assign agents to relays from so many machines on, in every test")
+// relayThreshold is the number of machines above which controllers started from now on assign agents to relays; 0 is
+// the default.
+var relayThreshold = flag.Int("relays", 0, "in every test, assign agents to relays above this number of machines")
 
-// maxSilentProbes is how many silent machines of a zone a controller that is started from now on probes at once; 0 is
+// maxSilentProbes is the number of silent machines per zone that controllers started from now on probe at once; 0 is
 // the default.
 var maxSilentProbes int
 
-// distributedRoles says whether controllers that are started from now on hold singleton roles independently of
-// leadership.
+// distributedRoles sets whether controllers started from now on hold the singleton roles independently of leadership.
 var distributedRoles bool
 
-// metricsAddr is where a controller serves its metrics.
+// metricsAddr returns the address of a controller's metrics page.
 func metricsAddr(node string) string { return "10.4.0." + node[1:] + ":80" }
 
-// adminAddr is where a controller serves the admin API.
+// adminAddr returns the address of a controller's admin API.
 func adminAddr(node string) string { return "10.5.0." + node[1:] + ":80" }
 
-// testLogHandler writes logs to standard error if LOG_LEVEL is set, and discards them otherwise.
+// testLogHandler logs to standard error if LOG_LEVEL is set, and discards all logs otherwise.
 func testLogHandler() slog.Handler {
 	name := os.Getenv("LOG_LEVEL")
 	if name == "" {
@@ -102,7 +99,7 @@
 	return slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
 }
 
-// runController is how the emulator runs a controller: as the program does, with the limits that the test has set.
+// runController runs a controller in the emulator as the program does, with the limits set by the test.
 func runController(ctx context.Context, network host.Net, settings *config.Settings) error {
 	options := Options{
 		Beta:           0.8,
@@ -136,7 +133,7 @@
 	runClusterWithTeams(t, seed, nil, f)
 }
 
-// runClusterWithTeams is runCluster with other teams than the default ones.
+// runClusterWithTeams is runCluster with teams other than the default ones.
 func runClusterWithTeams(t *testing.T, seed uint64, teams []config.Team, f func(w *emulator.Environment)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -149,13 +146,13 @@
 		f(w)
 		finished, accepted := w.Checker.Finished()
 		writes, keys := w.Store.Load()
-		t.Logf("%d starts, %d jobs accepted, %d ended; %d writes, at most %d keys",
+		t.Logf("%d task starts, %d jobs accepted, %d ended; %d writes, at most %d keys",
 			w.Checker.Starts(), accepted, finished, writes, keys)
 		for _, violation := range w.Checker.Violations() {
 			t.Error(violation)
 		}
 		stop()
-		time.Sleep(time.Minute) // everything ends
+		time.Sleep(time.Minute) // all goroutines end
 		synctest.Wait()
 	})
 }
--- a/internal/controller/edge_test.go
+++ b/internal/controller/edge_test.go
@@ -15,8 +15,8 @@
 	"fieldhill/wire"
 )
 
-// TestLoadBalancer: the load balancer between users and controllers of a local cluster passes over a controller that
-// has ended, and reports the answers to the invariant checker.
+// TestLoadBalancer: the load balancer in front of the controllers of a local cluster skips a controller that has ended,
+// and reports the responses to the invariant checker.
 func TestLoadBalancer(t *testing.T) {
 	runCluster(t, 26, func(w *emulator.Environment) {
 		const addr = "10.3.0.1:80"
@@ -31,27 +31,27 @@
 			return status, client.Do(ctx, "POST", addr, path, in, &status, wire.MaxBody)
 		}
 		if _, err := do(wire.PathJobs, newJobSpec(1, wire.Array, 1, 500)); msgpackhttp.StatusCode(err) != 503 {
-			t.Errorf("before any controller is ready: %v", err)
+			t.Errorf("submission before any controller is ready: %v, want status 503", err)
 		}
 		time.Sleep(6 * time.Second)
 		w.Crash((findLeader() + 1) % 3)
 		time.Sleep(3 * time.Second)
 		for n := 1; n <= 6; n++ {
 			if _, err := do(wire.PathJobs, newJobSpec(n, wire.Array, 1, 500)); msgpackhttp.StatusCode(err) != 201 {
-				t.Errorf("job %d: %v", n, err)
+				t.Errorf("submission of job %d: %v, want status 201", n, err)
 			}
 		}
 		status, err := do(wire.PathJobs+"/req-000002"+wire.CancelSuffix, struct{}{})
 		if err != nil || status.State != wire.JobCancelled {
-			t.Errorf("cancellation: %v %v", status, err)
+			t.Errorf("cancellation: %v, %v", status, err)
 		}
 		if finished, accepted := w.Checker.Finished(); finished != 1 || accepted != 6 {
-			t.Errorf("the invariant checker knows of %d jobs, %d ended", accepted, finished)
+			t.Errorf("the invariant checker recorded %d accepted jobs, %d ended; want 6 and 1", accepted, finished)
 		}
 	})
 }
 
-// operatorClient is an HTTP client on a host of an operator's.
+// operatorClient returns an HTTP client on an operator's host.
 func operatorClient(w *emulator.Environment) *http.Client {
 	operator := w.Network.Host("operator")
 	return &http.Client{
@@ -82,8 +82,8 @@
 	return string(page)
 }
 
-// TestMetricsPage: the metrics of a leader say who leads, what it has and how many requests it answered, and a
-// follower's agree on the jobs.
+// TestMetricsPage: the leader's metrics report leadership, jobs, tasks and request counts, and a follower's metrics
+// report the same jobs.
 func TestMetricsPage(t *testing.T) {
 	runCluster(t, 27, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -108,13 +108,13 @@
 			`fieldhill_request_seconds_count{request="status"} 5`,
 		} {
 			if !strings.Contains("\n"+page, "\n"+want+"\n") {
-				t.Errorf("%s is missing", want)
+				t.Errorf("the metrics page lacks %q", want)
 			}
 		}
 		followerPage := "\n" + readMetrics(t, w, (leader+1)%3)
 		if !strings.Contains(followerPage, "\nfieldhill_leads 0\n") ||
 			!strings.Contains(followerPage, "\nfieldhill_jobs 2\n") {
-			t.Error("a follower's metrics differ")
+			t.Error("the follower's metrics page lacks fieldhill_leads 0 or fieldhill_jobs 2")
 		}
 		if t.Failed() {
 			t.Log(page)
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -19,30 +19,30 @@
 type workload struct {
 	class, team, shape, priority string
 	jobsPerSecond                float64
-	from, to                     int   // seconds of the scenario
-	tasks                        []int // each job has one of these numbers of tasks
+	from, to                     int   // in seconds of the scenario
+	tasks                        []int // each job has one of these numbers of tasks, chosen at random
 	cpus, runSeconds             float64
 }
 
-// overloadScenario is a load with more work than machines, and what happens in each of its seconds.
+// overloadScenario is a workload that exceeds the capacity, with faults injected at certain seconds.
 type overloadScenario struct {
 	name          string
-	inCI          bool // run without -hard too
+	inCI          bool // also run without -hard
 	teams         []config.Team
 	loads         []workload
-	runtimeFactor float64 // tasks run so many times as long as their estimates say; 0: 1
+	runtimeFactor float64 // actual runtime as a multiple of the estimate; 0 means 1
 	everySecond   func(w *emulator.Environment, second int)
 }
 
 const (
-	scenarioSeconds = 300 // how long a scenario lasts
-	usersFrom       = 10  // seconds after the start of the deployment at which users come
+	scenarioSeconds = 300 // duration of a scenario
+	warmupSeconds   = 10  // when the first jobs are submitted, in seconds after the start of the deployment
 )
 
-// defaultTeams are the teams of all scenarios: two with guarantees and one without.
+// defaultTeams are the teams of all scenarios: two with a guarantee and one without.
 var defaultTeams = []config.Team{{Name: "red", CPUs: 120}, {Name: "blue", CPUs: 60}, {Name: "guest"}}
 
-// The loads of which scenarios are composed.
+// The workloads that scenarios are composed of.
 var (
 	webLoad   = workload{"web", "red", wire.Service, wire.Production, 0.15, 0, 200, []int{2, 4}, 1, 0}
 	batchLoad = workload{"batch", "blue", wire.Array, wire.Low, 0.4, 0, 260, []int{5, 10, 40, 120}, 1, 12}
@@ -50,13 +50,13 @@
 	gangLoad  = workload{"sim", "red", wire.Gang, wire.High, 0.06, 0, 240, []int{1, 2}, 8, 20}
 )
 
-// scaled returns a load with so many times the jobs, in a part of the scenario.
+// scaled returns the workload with f times the jobs per second, between two seconds of the scenario.
 func (l workload) scaled(f float64, from, to int) workload {
 	l.jobsPerSecond, l.from, l.to = l.jobsPerSecond*f, from, to
 	return l
 }
 
-// newJob draws a job of the load.
+// newJob returns a random job of the workload.
 func (l workload) newJob(n int, rng *rand.Rand) *wire.JobSpec {
 	j := newJobSpec(n, l.shape, l.tasks[rng.IntN(len(l.tasks))], l.runSeconds*(0.5+rng.Float64()))
 	j.Class, j.Team, j.Priority = l.class, l.team, l.priority
@@ -67,10 +67,10 @@
 	return j
 }
 
-// overloadScenarios are what TestOverloadFairness runs; the seed of each is its position.
+// overloadScenarios are the scenarios of TestOverloadFairness; the seed of each is its position, from 1.
 var overloadScenarios = []overloadScenario{
 	{
-		name:  "four times a class while half of the machines are gone",
+		name:  "fourfold load of a class with half of the machines reclaimed",
 		inCI:  true,
 		teams: defaultTeams,
 		loads: []workload{
@@ -79,18 +79,18 @@
 		everySecond: reclaimHalfOfTheMachines,
 	},
 	{
-		name:        "cloud outage after a zone was lost",
+		name:        "cloud outage with a lost zone",
 		teams:       defaultTeams,
 		loads:       []workload{webLoad, batchLoad, guestLoad, gangLoad},
 		everySecond: loseZoneDuringCloudOutage,
 	},
 	{
-		name:  "one team submits nine tenths",
+		name:  "one team submits nine tenths of the jobs",
 		teams: defaultTeams,
 		loads: []workload{webLoad, gangLoad, batchLoad.scaled(0.3, 0, 260), guestLoad.scaled(9, 0, 260)},
 	},
 	{
-		name:  "few huge arrays beside many",
+		name:  "few huge arrays among many small ones",
 		inCI:  true,
 		teams: defaultTeams,
 		loads: []workload{
@@ -100,12 +100,12 @@
 		},
 	},
 	{
-		name:  "thousands of jobs of one task",
+		name:  "thousands of single-task jobs",
 		teams: defaultTeams,
-		loads: []workload{webLoad, batchLoad, {"dust", "guest", wire.Array, wire.Low, 8, 0, 260, []int{1}, 1, 6}},
+		loads: []workload{webLoad, batchLoad, {"tiny", "guest", wire.Array, wire.Low, 8, 0, 260, []int{1}, 1, 6}},
 	},
 	{
-		name:          "estimates wrong by three times",
+		name:          "runtimes three times the estimates",
 		teams:         defaultTeams,
 		loads:         []workload{webLoad, batchLoad, guestLoad, gangLoad.scaled(1.5, 0, 200)},
 		runtimeFactor: 3,
@@ -132,7 +132,7 @@
 		everySecond: restartAllEveryMinute,
 	},
 	{
-		name:  "a class comes in the last quarter",
+		name:  "new class in the last third",
 		teams: defaultTeams,
 		loads: []workload{
 			webLoad,
@@ -143,7 +143,7 @@
 	},
 }
 
-// reclaimHalfOfTheMachines reclaims every second machine at second 100; the cloud has only few others then.
+// reclaimHalfOfTheMachines reclaims every second machine at second 100, when the cloud has little capacity left.
 func reclaimHalfOfTheMachines(w *emulator.Environment, second int) {
 	if second != 100 {
 		return
@@ -156,7 +156,8 @@
 	}
 }
 
-// loseZoneDuringCloudOutage reclaims all machines of a zone at second 100, in a cloud outage of 150 seconds.
+// loseZoneDuringCloudOutage reclaims all machines of a zone at second 100, at the start of a cloud outage of 150
+// seconds.
 func loseZoneDuringCloudOutage(w *emulator.Environment, second int) {
 	switch second {
 	case 100:
@@ -169,7 +170,7 @@
 	}
 }
 
-// slowLeaderForAMinute keeps the leader's event loop busy for more than half of the time from second 100 on.
+// slowLeaderForAMinute keeps the leader's event loop busy for more than half of the time, for a minute from second 100.
 func slowLeaderForAMinute(_ *emulator.Environment, second int) {
 	if second < 100 || second >= 160 {
 		return
@@ -181,7 +182,7 @@
 	}
 }
 
-// restartAllEveryMinute ends all controllers for three seconds every minute.
+// restartAllEveryMinute stops all controllers for three seconds every minute.
 func restartAllEveryMinute(w *emulator.Environment, second int) {
 	if second == 0 || second%60 != 0 {
 		return
@@ -191,12 +192,12 @@
 	startAll(w)
 }
 
-// allScenarios also runs what takes too long for CI.
-var allScenarios = flag.Bool("hard", false, "run all overload scenarios and measurements, not only those of CI")
+// allScenarios enables scenarios and measurements that take too long for CI.
+var allScenarios = flag.Bool("hard", false, "run all overload scenarios and measurements, not only those run in CI")
 
-// TestOverloadFairness runs deployments with more work than machines, and other faults besides. At the end of each
-// scenario every class and every team must have been served by half, by each measure, where that was possible at all.
-// As each takes half a minute under the race detector, two of them run by default: one that serves a class of few large
+// TestOverloadFairness runs deployments whose workload exceeds their capacity, with additional faults. By the end of a
+// scenario every class and every team must have been served by half, by each measure, where that was feasible. Each
+// scenario takes half a minute under the race detector, so only two run by default: one with a class of few large
 // arrays, and one where a team without a guarantee queues behind a burst.
 func TestOverloadFairness(t *testing.T) {
 	for i, scenario := range overloadScenarios {
@@ -211,14 +212,14 @@
 	}
 }
 
-// feasibleShare is the share of the capacity model's machines below which half of everything must be served: real
-// machines boot, fetch images and have fragments.
+// feasibleShare is the share of the capacity model's CPU time up to which serving half of the work is required. It is
+// below 1 because real machines boot, fetch images and have fragmented capacity.
 const feasibleShare = 0.7
 
-// runOverload submits the loads of a scenario and then checks what was served.
+// runOverload submits the workloads of a scenario and then checks which jobs were served.
 func runOverload(t *testing.T, w *emulator.Environment, scenario overloadScenario, rng *rand.Rand) {
 	t.Helper()
-	time.Sleep(usersFrom * time.Second)
+	time.Sleep(warmupSeconds * time.Second)
 	n := 0
 	capacity := &capacityModel{runtimeFactor: max(1, scenario.runtimeFactor)}
 	w.SetRuntimeFactor(capacity.runtimeFactor)
@@ -248,22 +249,22 @@
 	checkHalfServed(t, capacity, "team", teams, func(j demand) string { return j.spec.Team })
 }
 
-// checkLargestServed requires that half of the largest jobs of each class began, and in time.
+// checkLargestServed requires that half of the largest jobs of each class started, and started in time.
 func checkLargestServed(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	for class, l := range w.Checker.LargestByClass(time.Minute) {
-		t.Logf("largest of %s: %+v", class, *l)
+		t.Logf("largest jobs of class %s: %+v", class, *l)
 		if 2*l.Started < l.Jobs {
-			t.Errorf("of the largest jobs of %s %d of %d began", class, l.Started, l.Jobs)
+			t.Errorf("class %s: only %d of the %d largest jobs started", class, l.Started, l.Jobs)
 		}
 		if 2*l.Late > l.Jobs {
-			t.Errorf("of the largest jobs of %s %d of %d did not begin within four minutes", class, l.Late, l.Jobs)
+			t.Errorf("class %s: %d of the %d largest jobs did not start within four minutes", class, l.Late, l.Jobs)
 		}
 	}
 }
 
-// checkHalfServed requires that half of the jobs and of the tasks of each class or team were served, where the capacity
-// model finds that feasible, and that its services were up half of the time.
+// checkHalfServed requires that half of the jobs and half of the tasks of each class or team were served where the
+// capacity model finds that feasible, and that services were up half of the time.
 func checkHalfServed(
 	t *testing.T,
 	capacity *capacityModel,
@@ -273,42 +274,42 @@
 ) {
 	t.Helper()
 	needJobs, needTasks := capacity.requiredShare(nameOf, true), capacity.requiredShare(nameOf, false)
-	t.Logf("half of the jobs of each %s takes %.2f of the machines at the tightest, half of the tasks %.2f",
+	t.Logf("half of the jobs of each %s need at most %.2f of the capacity, half of the tasks %.2f",
 		kind, needJobs, needTasks)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		count := counts[name]
 		jobs, tasks, up := count.Shares()
 		t.Logf("%s %s: %v", kind, name, count)
 		if jobs < 0.5 && needJobs < feasibleShare || tasks < 0.5 && needTasks < feasibleShare || up < 0.5 {
-			t.Errorf("%s %s was served by less than half", kind, name)
+			t.Errorf("%s %s: less than half was served", kind, name)
 		}
 	}
 }
 
-// capacityModel estimates how much could be served at all: machines are one pool of CPUs that work fills without
-// fragments, nothing is fetched and nothing is lost.
+// capacityModel estimates an upper bound on the work that could be served. It treats the machines as one pool of CPUs
+// without fragmentation, image fetches or lost work.
 type capacityModel struct {
 	jobs          []demand
-	available     []float64 // CPUs that were up, by second
-	runtimeFactor float64   // tasks run so many times as long as estimated
+	available     []float64 // available CPUs, by second
+	runtimeFactor float64   // actual runtime as a multiple of the estimate
 }
 
 // demand is a job in the capacity model.
 type demand struct {
-	second     int // when it was submitted
+	second     int // when the job was submitted
 	spec       *wire.JobSpec
 	cpuSeconds float64
 }
 
-// add counts a job that was submitted in a second.
+// add records a job submitted at a second of the scenario.
 func (c *capacityModel) add(second int, j *wire.JobSpec) {
 	taskSeconds := j.EstimateS*c.runtimeFactor*1.2 + 1.5
 	c.jobs = append(c.jobs, demand{second, j, float64(j.Tasks) * j.CPUs * taskSeconds})
 }
 
-// requiredShare returns the share of the machines' time that half of the jobs of each class or team take, the smallest
-// ones, or half of all its tasks, beside all services: the largest share, over all moments of the scenario, of the
-// capacity that is left from then on that the work submitted from then on needs.
+// requiredShare returns the share of the capacity needed to serve, besides all services, half of the jobs of each class
+// or team (the smallest ones) or half of all tasks. It is the maximum, over all seconds of the scenario, of the work
+// submitted from that second on divided by the capacity from that second on.
 func (c *capacityModel) requiredShare(nameOf func(demand) string, jobs bool) float64 {
 	byName := map[string][]demand{}
 	left, wanted := slices.Clone(c.available), make([]float64, len(c.available))
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -10,13 +10,13 @@
 	"fieldhill/wire"
 )
 
-// fault is something that goes wrong: begin injects it, and what that returns ends it.
+// fault is a fault to inject: begin starts it and returns a function that ends it.
 type fault struct {
 	name  string
 	begin func(w *emulator.Environment, rng *rand.Rand) (end func())
 }
 
-// onMachines injects a fault into those machines that are picked, and returns what ends it.
+// onMachines injects a fault into the machines selected by pick, and returns a function that ends it.
 func onMachines(
 	w *emulator.Environment,
 	pick func(*emulator.Worker) bool,
@@ -36,7 +36,7 @@
 	}
 }
 
-// faults are all that pairs are drawn from; their order decides what a seed plays.
+// faults are the faults that pairs are drawn from. Their order determines what a seed injects.
 var faults = []fault{
 	{"store outage", func(w *emulator.Environment, _ *rand.Rand) func() {
 		w.Store.SetOutage(true)
@@ -210,9 +210,9 @@
 	}},
 }
 
-// TestFaultPairs draws pairs of faults, so that one begins within the first or the last second of the other, with
-// controllers ending in between, while users submit, poll and cancel. The invariants hold, no job is forgotten, and
-// everything ends well.
+// TestFaultPairs injects random pairs of faults, the second beginning within a second of the beginning or the end of
+// the first, and restarts controllers in between, while users submit, poll and cancel. All invariants hold, no job is
+// lost, and the cluster recovers.
 func TestFaultPairs(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	seenPairs := map[string]bool{}
@@ -226,9 +226,9 @@
 			})
 		})
 	}
-	t.Logf("%d pairs of %d occurred", len(seenPairs), len(faults)*len(faults))
+	t.Logf("%d of %d pairs occurred", len(seenPairs), len(faults)*len(faults))
 	if len(seenPairs) < 3 {
-		t.Errorf("only %d pairs occurred", len(seenPairs))
+		t.Errorf("%d pairs occurred, want at least 3", len(seenPairs))
 	}
 }
 
@@ -248,26 +248,27 @@
 		time.Sleep(randomSeconds(rng, 0, 20))
 	}
 	close(done)
-	open := <-submitted
+	ids := <-submitted
 	for k := range 3 {
 		w.RefuseStore(k, false)
 	}
-	checkConvergence(t, w, open)
+	checkConvergence(t, w, ids)
 	return pairs
 }
 
-// submitPollAndCancel plays users of a deployment with three services until done, and returns all jobs.
+// submitPollAndCancel simulates the users of a deployment with three services until done is closed, and returns all
+// jobs.
 func submitPollAndCancel(
 	w *emulator.Environment,
 	rng *rand.Rand,
 	teamsAtQuota bool,
 	done <-chan struct{},
-) (open []string) {
-	open = []string{wire.JobID(1), wire.JobID(2), wire.JobID(3)}
+) (ids []string) {
+	ids = []string{wire.JobID(1), wire.JobID(2), wire.JobID(3)}
 	for n := 10; ; n++ {
 		select {
 		case <-done:
-			return open
+			return ids
 		case <-time.After(randomMillis(rng, 200, 2500)):
 		}
 		s := newJobSpec(n, wire.Array, 1+rng.IntN(4), 5+100*rng.Float64())
@@ -279,18 +280,18 @@
 		if teamsAtQuota {
 			s.CPUs = 2
 		}
-		open = append(open, s.ID)
+		ids = append(ids, s.ID)
 		w.Checker.RegisterJob(s)
 		go w.Submit(s)
-		pollEach(w, rng, open, 6)
+		pollEach(w, rng, ids, 6)
 		if rng.IntN(2) == 0 {
-			go w.Cancel(open[3+rng.IntN(len(open)-3)])
+			go w.Cancel(ids[3+rng.IntN(len(ids)-3)])
 		}
 	}
 }
 
-// injectPair injects two faults, the second one close to the beginning or the end of the first, and returns their
-// names when both are over.
+// injectPair injects two faults, the second within a second of the beginning or the end of the first, and returns their
+// names when both have ended.
 func injectPair(w *emulator.Environment, rng *rand.Rand) string {
 	first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
 	duration := randomSeconds(rng, 1, 75)
@@ -314,7 +315,7 @@
 	time.Sleep(randomSeconds(rng, 0, 75))
 	endSecond()
 	if first.name == second.name {
-		endFirst() // of two equal faults the first one's end was the second one's
+		endFirst() // equal faults share their state, so the first one is ended again after the second one
 	}
 	return first.name + " / " + second.name
 }
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -9,13 +9,13 @@
 	"fieldhill/wire"
 )
 
-// TestJobLifecycle: an array, a gang and a service run and end as their specifications say, what can't run is refused,
-// and the machines are released when nothing needs them.
+// TestJobLifecycle: an array, a gang and a service run and end as specified, jobs that can't run are refused, and idle
+// machines are released.
 func TestJobLifecycle(t *testing.T) {
 	runCluster(t, 1, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		if c := w.Submit(newJobSpec(1, wire.Array, 12, 5)); c != 201 {
-			t.Errorf("submission got %d", c)
+			t.Errorf("submission got %d, want 201", c)
 		}
 		g := newJobSpec(2, wire.Gang, 3, 8)
 		g.SameZone = true
@@ -26,40 +26,40 @@
 		invalid := newJobSpec(4, wire.Array, 1, 5)
 		invalid.Team = "green"
 		if c := w.Submit(invalid); c != 422 {
-			t.Errorf("a job of an unknown team got %d", c)
+			t.Errorf("a job of an unknown team got %d, want 422", c)
 		}
 		big := newJobSpec(5, wire.Gang, 30, 5)
 		if c := w.Submit(big); c != 422 {
-			t.Errorf("a gang over its team's limit got %d", c)
+			t.Errorf("a gang above its team's limit got %d, want 422", c)
 		}
 		if c, _ := w.Request("poll", "req-777777", nil); c != 404 {
-			t.Errorf("an unknown job got %d", c)
+			t.Errorf("status of an unknown job got %d, want 404", c)
 		}
 		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
 		waitState(t, w, "req-000002", wire.JobDone, time.Minute)
 		waitState(t, w, "req-000003", wire.JobRunning, time.Minute)
 		if n := w.Checker.Running("req-000003"); n != 3 {
-			t.Errorf("%d replicas run", n)
+			t.Errorf("%d replicas run, want 3", n)
 		}
 		if c := w.Cancel("req-000003"); c != 200 {
-			t.Errorf("the cancellation got %d", c)
+			t.Errorf("cancellation got %d, want 200", c)
 		}
 		time.Sleep(5 * time.Second)
 		if n := w.Checker.Running("req-000003"); n != 0 {
-			t.Errorf("%d replicas run after the cancellation", n)
+			t.Errorf("%d replicas run after the cancellation, want 0", n)
 		}
 		if c := w.Submit(newJobSpec(1, wire.Array, 12, 5)); c != 200 {
-			t.Errorf("a late repetition got %d", c)
+			t.Errorf("resubmission of a completed job got %d, want 200", c)
 		}
 		time.Sleep(2 * time.Minute)
 		if up := len(w.Cloud.Workers()); up > 2 {
-			t.Errorf("%d idle machines are kept", up)
+			t.Errorf("%d idle machines are kept, want at most 2", up)
 		}
 	})
 }
 
-// TestAllControllersLost: a job that was accepted runs although every process that knew of it is gone, and a final
-// state is kept.
+// TestAllControllersLost: an accepted job runs to completion although all controllers have ended, and the final state
+// of a completed job survives.
 func TestAllControllersLost(t *testing.T) {
 	runCluster(t, 2, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestStoreOutage: running work stays alive during a store outage that lasts for most of an agent's lease, and no
-// submission is held back meanwhile.
+// TestStoreOutage: running tasks survive a store outage that lasts for most of an agent's lease, and submissions during
+// the outage are answered without delay.
 func TestStoreOutage(t *testing.T) {
 	runCluster(t, 3, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -89,47 +89,47 @@
 		j := newJobSpec(2, wire.Array, 1, 1)
 		body, began := registerJob(t, w, j), time.Now()
 		if code, _ := w.Request("submit", j.ID, body); code != 503 || time.Since(began) > 300*time.Millisecond {
-			t.Errorf("a submission during the outage got %d after %v", code, time.Since(began))
+			t.Errorf("submission during the outage got %d after %v, want 503 within 300 ms", code, time.Since(began))
 		}
 		time.Sleep(17 * time.Second)
 		w.Store.SetOutage(false)
 		time.Sleep(30 * time.Second)
 		running, again := w.Checker.Running("req-000001"), w.Checker.Starts()-starts
 		if again != 0 || running != 4 {
-			t.Errorf("%d replicas run, %d tasks were started again", running, again)
+			t.Errorf("%d replicas run, want 4; %d tasks were restarted", running, again)
 		}
 		if c := w.Submit(j); c != 201 && c != 200 {
-			t.Errorf("the submission got %d after the outage", c)
+			t.Errorf("submission after the outage got %d, want 200 or 201", c)
 		}
 	})
 }
 
-// newGuestArray is an array of the guest team, which has no guarantee.
+// newGuestArray returns an array of team guest, which has no guarantee.
 func newGuestArray(n, tasks int, run float64) *wire.JobSpec {
 	s := newJobSpec(n, wire.Array, tasks, run)
 	s.Team = "guest"
 	return s
 }
 
-// TestUnguaranteedTeamFlood: a team without a guarantee submits one huge array and a flood of tiny jobs: others'
-// submissions and services don't suffer, its work makes progress, and it alone can't use up the limit of unfinished
-// tasks.
+// TestUnguaranteedTeamFlood: a team without a guarantee submits one huge array and many tiny jobs. Submissions and
+// services of other teams are not delayed, the team's own work makes progress, and the team alone can't use up the
+// limit of unfinished tasks.
 func TestUnguaranteedTeamFlood(t *testing.T) {
 	runCluster(t, 24, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		huge := newGuestArray(1, 60_000, 20)
 		huge.CPUs, huge.MemoryGB, huge.Spot = 0.5, 0.5, true
 		if c := w.Submit(huge); c != 201 {
-			t.Errorf("the huge array got %d", c)
+			t.Errorf("the huge array got %d, want 201", c)
 		}
 		time.Sleep(30 * time.Second)
 		second := newGuestArray(2, 100_000, 20)
 		if c, _ := w.Request("submit", second.ID, registerJob(t, w, second)); c != 201 {
-			t.Errorf("the second array got %d", c)
+			t.Errorf("the second array got %d, want 201", c)
 		}
 		third := newGuestArray(3, 40_000, 20)
 		if c, _ := w.Request("submit", third.ID, registerJob(t, w, third)); c != 429 {
-			t.Errorf("the guest's third array got %d", c)
+			t.Errorf("the third array got %d, want 429", c)
 		}
 		w.Cancel("req-000002")
 		var users sync.WaitGroup
@@ -139,7 +139,7 @@
 				s := newGuestArray(100+n, 1, 10)
 				s.CPUs, s.MemoryGB, s.Spot = 0.25, 0.2, true
 				if c := w.Submit(s); c != 201 {
-					t.Errorf("a tiny job got %d", c)
+					t.Errorf("a tiny job got %d, want 201", c)
 				}
 			})
 		}
@@ -151,22 +151,22 @@
 			waitState(t, w, wire.JobID(uint64(100+n)), wire.JobDone, 3*time.Minute)
 		}
 		if k := w.Checker.StartsOf(huge.ID); k < 100 {
-			t.Errorf("%d tasks of the huge array were started", k)
+			t.Errorf("%d tasks of the huge array were started, want at least 100", k)
 		}
 	})
 }
 
-// checkServiceStarts submits a service and requires that it is accepted and runs as fast as without other load. It
-// takes two seconds at least.
+// checkServiceStarts submits a service and requires that it is accepted and running as fast as without other load. It
+// takes at least two seconds.
 func checkServiceStarts(t *testing.T, w *emulator.Environment, s *wire.JobSpec) {
 	t.Helper()
 	began := time.Now()
 	if c := w.Submit(s); c != 201 || time.Since(began) > 300*time.Millisecond {
-		t.Errorf("a service got %d after %v", c, time.Since(began))
+		t.Errorf("submission of a service got %d after %v, want 201 within 300 ms", c, time.Since(began))
 	}
 	waitRunning(w, s.ID, began)
 	if d := time.Since(began); d > 4*time.Second { // fetching the image takes 1.5 s
-		t.Errorf("a service ran after %v", d)
+		t.Errorf("a service started after %v, want at most 4 s", d)
 	}
 	time.Sleep(time.Until(began.Add(2 * time.Second)))
 }
--- a/internal/controller/pending_test.go
+++ b/internal/controller/pending_test.go
@@ -12,7 +12,7 @@
 	"fieldhill/wire"
 )
 
-// queryAdmin asks a controller's admin API and returns the HTTP status.
+// queryAdmin requests a path of a controller's admin API and returns the HTTP status.
 func queryAdmin(w *emulator.Environment, i int, path string, out any) (status int, err error) {
 	resp, err := operatorClient(w).Get("http://" + adminAddr(emulator.ControllerName(i)) + path)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return resp.StatusCode, errors.Join(err, resp.Body.Close())
 }
 
-// queryPending asks a controller why a job is pending; the status is 0 without an answer.
+// queryPending asks a controller why a job is pending. The status is 0 if there is no response.
 func queryPending(w *emulator.Environment, i int, id string) (*wire.Explanation, int) {
 	var explanation wire.Explanation
 	code, err := queryAdmin(w, i, wire.PathAdminJobs+"/"+id+wire.WhySuffix, &explanation)
@@ -35,7 +35,7 @@
 	return &explanation, code
 }
 
-// bindingCodes returns the codes of the reasons that keep a job pending.
+// bindingCodes returns the codes of the binding reasons, those that keep the job pending.
 func bindingCodes(explanation *wire.Explanation) (codes []string) {
 	for _, r := range explanation.Reasons {
 		if r.Binding {
@@ -45,8 +45,8 @@
 	return codes
 }
 
-// TestPendingReasons: the leader and the others give the same reasons for a pending job; a reason that changes is given
-// anew; no question starts or stops anything; and the lack of a leader is given as the reason.
+// TestPendingReasons: all controllers return the same reasons for a pending job; changed reasons are reported;
+// explanations start and stop no tasks; and without a leader that is the reason given.
 func TestPendingReasons(t *testing.T) {
 	runCluster(t, 31, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -64,40 +64,40 @@
 			node := (leader + k) % 3
 			checkTeamLimitReason(t, w, node, leader, big.ID, more.ID)
 			if _, code := queryPending(w, leader, more.ID); code != 429 {
-				t.Errorf("a second question at once got %d", code)
+				t.Errorf("a second explanation without a pause got %d, want 429", code)
 			}
 			checkQueueListing(t, w, node, more.ID)
 			time.Sleep(2 * time.Second)
 		}
 		if again := w.Checker.Starts() - starts; again != 0 {
-			t.Errorf("%d tasks were started by questions", again)
+			t.Errorf("%d tasks were started by explanations", again)
 		}
 		w.Cancel(big.ID)
 		time.Sleep(20 * time.Second)
 		explanation, code := queryPending(w, leader, more.ID)
 		if code != 200 || explanation.Waiting != 0 || len(explanation.Reasons) != 0 {
-			t.Errorf("of a job that runs: %+v, %d", explanation, code)
+			t.Errorf("explanation of a running job: %+v, %d", explanation, code)
 		}
 		time.Sleep(2 * time.Second)
 		explanation, code = queryPending(w, (leader+1)%3, big.ID)
 		if code != 200 || explanation.State != wire.JobCancelled {
-			t.Errorf("of a job that was cancelled: %+v, %d", explanation, code)
+			t.Errorf("explanation of a cancelled job: %+v, %d", explanation, code)
 		}
 		time.Sleep(2 * time.Second)
 		if _, code := queryPending(w, leader, "req-777777"); code != 404 {
-			t.Errorf("of an unknown job: %d", code)
+			t.Errorf("explanation of an unknown job got %d, want 404", code)
 		}
 		checkSpreadAndNoLeaderReasons(t, w, leader)
 	})
 }
 
-// checkTeamLimitReason requires that a controller names the team's limit, which a running job uses up, as the reason
-// for the pending task of another job, one of whose two tasks has found its place within the limit.
+// checkTeamLimitReason requires that a controller reports the team's limit as the reason for a pending task: a running
+// job uses most of the limit, and of the two tasks of the pending job only one fits into the rest.
 func checkTeamLimitReason(t *testing.T, w *emulator.Environment, node, leader int, running, pending string) {
 	t.Helper()
 	explanation, code := queryPending(w, node, pending)
 	if code != 200 {
-		t.Fatalf("node %d answers %d", node, code)
+		t.Fatalf("node %d answered %d, want 200", node, code)
 	}
 	var limit wire.Reason
 	for _, r := range explanation.Reasons {
@@ -107,49 +107,49 @@
 	}
 	if explanation.Waiting != 1 || limit.Used != 24 || limit.Limit != 24 || limit.Need != 4 || limit.Unit != "CPUs" ||
 		limit.Count != 2 || limit.First != running {
-		t.Errorf("node %d: %+v", node, explanation)
+		t.Errorf("node %d: unexpected explanation %+v", node, explanation)
 	}
 	history := explanation.History
 	if len(history) == 0 || history[0].Code != "team-limit" || history[0].SinceS < 8 || history[0].SinceS > 20 ||
 		explanation.AgeS != 0 || explanation.Node != emulator.ControllerName(leader) {
-		t.Errorf("node %d reports the history: %+v", node, explanation)
+		t.Errorf("node %d: unexpected history or origin: %+v", node, explanation)
 	}
 }
 
-// checkQueueListing requires that a controller lists exactly one job with a task that the team's limit keeps pending.
+// checkQueueListing requires that a controller lists exactly one job with a task pending because of the team's limit.
 func checkQueueListing(t *testing.T, w *emulator.Environment, node int, pending string) {
 	t.Helper()
 	var queue wire.Queue
 	code, err := queryAdmin(w, node, wire.PathAdminQueue+"?reason=team-limit", &queue)
 	if err != nil || code != 200 || len(queue.Jobs) != 1 || queue.Jobs[0].ID != pending ||
 		queue.Jobs[0].Position != 1 || queue.Tasks != 1 || queue.More != 0 {
-		t.Errorf("node %d lists %+v: %d, %v", node, queue, code, err)
+		t.Errorf("node %d lists %+v by reason: %d, %v", node, queue, code, err)
 	}
 	code, err = queryAdmin(w, node, wire.PathAdminQueue+"?team=blue", &queue)
 	if err != nil || code != 200 || len(queue.Jobs) != 0 {
-		t.Errorf("node %d lists %+v of a team without jobs: %d, %v", node, queue, code, err)
+		t.Errorf("node %d lists %+v for a team without jobs: %d, %v", node, queue, code, err)
 	}
 }
 
-// checkSpreadAndNoLeaderReasons requires that a job which can't be spread gets that as the only binding reason, and the
-// lack of a leader once there is none.
+// checkSpreadAndNoLeaderReasons requires that spreading is the only binding reason of a job whose spread and zone
+// constraints conflict, and that the missing leader is the only one once there is none.
 func checkSpreadAndNoLeaderReasons(t *testing.T, w *emulator.Environment, leader int) {
 	t.Helper()
 	zone := "a"
 	wide := newReplicatedService(3, 2)
-	wide.Spread, wide.Zone = true, &zone // and at most half of the tasks may be in a zone
+	wide.Spread, wide.Zone = true, &zone // conflicts with spread: at most half of the tasks may be in one zone
 	w.Submit(wide)
 	time.Sleep(10 * time.Second)
 	explanation, code := queryPending(w, leader, wide.ID)
 	if code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[spread]" || !explanation.Complete {
-		t.Errorf("of a job that must be in one zone and may not: %+v, %d", explanation, code)
+		t.Errorf("explanation of a job that can't be spread: %+v, %d", explanation, code)
 	}
 	w.Store.SetOutage(true)
 	w.Crash(leader)
 	time.Sleep(4 * time.Second)
 	explanation, code = queryPending(w, (leader+1)%3, wide.ID)
 	if code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[no-leader]" || explanation.AgeS <= 0 {
-		t.Errorf("without a leader: %+v, %d", explanation, code)
+		t.Errorf("explanation without a leader: %+v, %d", explanation, code)
 	}
 	w.Store.SetOutage(false)
 }
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -33,14 +33,14 @@
 	return -1
 }
 
-// TestProvisionerFailover: the provisioner need not lead, and when it is frozen another controller takes over within
-// the time of its lease; what it does when it goes on changes nothing.
+// TestProvisionerFailover: the provisioner need not be the leader. When it is frozen, another controller takes over
+// within the lease duration, and what the frozen one does when it resumes has no effect.
 func TestProvisionerFailover(t *testing.T) {
 	runClusterWithRoles(t, 41, func(w *emulator.Environment) {
-		time.Sleep(45 * time.Second) // the leader has had time to hand over the roles that it took first
+		time.Sleep(45 * time.Second) // long enough for the leader to hand over the roles that it acquired first
 		leader, holder := findLeader(), findRoleHolder(singleton.Provisioning)
 		if leader < 0 || holder < 0 || leader == holder {
-			t.Fatalf("%d leads, %d is the provisioner", leader, holder)
+			t.Fatalf("leader is %d, provisioner is %d; want two different controllers", leader, holder)
 		}
 		w.Submit(newJobSpec(1, wire.Array, 12, 20))
 		waitState(t, w, "req-000001", wire.JobRunning, 30*time.Second)
@@ -49,30 +49,30 @@
 		began, launched := time.Now(), w.Cloud.Launched()
 		w.Submit(newWebService(3, 16, "large"))
 		if took := waitLaunched(w, launched, began, 30*time.Second, 100*time.Millisecond); took > 10*time.Second {
-			t.Errorf("nothing was provisioned for %v after the holder was frozen", took)
+			t.Errorf("no machine was launched for %v after the provisioner was frozen", took)
 		}
 		if h := findRoleHolder(singleton.Provisioning); h == holder || h < 0 {
-			t.Errorf("%d is the provisioner", h)
+			t.Errorf("provisioner is %d after %d was frozen", h, holder)
 		}
 		waitState(t, w, "req-000003", wire.JobRunning, 30*time.Second)
 		time.Sleep(60 * time.Second)
 		checkMachinesKnown(t, w)
-		for i := range 3 { // every controller lists the same holders
+		for i := range 3 { // all controllers list the same holder
 			var list wire.RoleList
 			_, err := queryAdmin(w, i, wire.PathAdminRoles, &list)
 			if err != nil || !list.Distributed || len(list.Roles) != 2 || len(list.UncertainProvisioning) != 0 {
-				t.Fatalf("%d lists %+v, %v", i, list, err)
+				t.Fatalf("node %d lists %+v, %v", i, list, err)
 			}
 			h := findRoleHolder(singleton.Provisioning)
 			if h >= 0 && list.Roles[0].Holder != emulator.ControllerName(h) {
-				t.Errorf("%d lists %s as the provisioner, it is %d", i, list.Roles[0].Holder, h)
+				t.Errorf("node %d lists %s as the provisioner, want controller %d", i, list.Roles[0].Holder, h)
 			}
 		}
 	})
 }
 
-// waitLaunched waits until the cloud has launched more machines than before, and returns how long that took since it
-// began, at most the limit.
+// waitLaunched waits until the cloud has launched more machines than before, and returns the time since began, at most
+// limit.
 func waitLaunched(w *emulator.Environment, before int, began time.Time, limit, interval time.Duration) time.Duration {
 	for w.Cloud.Launched() == before && time.Since(began) < limit {
 		time.Sleep(interval)
@@ -80,9 +80,9 @@
 	return time.Since(began)
 }
 
-// TestProvisionerWithoutCloud: a provisioner that alone does not reach the cloud gives the role up, though it is
-// healthy otherwise, and does not compete for it; another one takes it. When none of them reaches the cloud they have
-// more patience, and go on trying.
+// TestProvisionerWithoutCloud: a provisioner that is the only controller without a connection to the cloud resigns,
+// though it is otherwise healthy, and does not compete for the role; another controller acquires it. When no controller
+// reaches the cloud, holders resign less often, but keep trying.
 func TestProvisionerWithoutCloud(t *testing.T) {
 	runClusterWithRoles(t, 42, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second)
@@ -91,7 +91,7 @@
 		time.Sleep(singleton.DefaultRules(singleton.Provisioning).Patience + 8*time.Second)
 		next := findRoleHolder(singleton.Provisioning)
 		if next == holder || next < 0 {
-			t.Fatalf("%d is the provisioner and does not reach the cloud", next)
+			t.Fatalf("provisioner is %d, want a controller that reaches the cloud (not %d)", next, holder)
 		}
 		w.Submit(newWebService(1, 4, "small"))
 		waitState(t, w, "req-000001", wire.JobRunning, 40*time.Second)
@@ -106,7 +106,7 @@
 			}
 		}
 		if moves < 2 || moves > 9 {
-			t.Errorf("the role moved %d times in five minutes in which no holder reached the cloud", moves)
+			t.Errorf("the role moved %d times in five minutes without a connection to the cloud, want 2 to 9", moves)
 		}
 		for i := range 3 {
 			w.PartitionCloud(i, false)
@@ -118,8 +118,8 @@
 	})
 }
 
-// TestScaleOutResponseLost: the response to a scale-out request is lost, and all controllers end. The log has the
-// request, and the next holder repeats it under that name: nothing is provisioned twice.
+// TestScaleOutResponseLost: the response to a scale-out request is lost, and all controllers end. The request is in the
+// log, and the next holder of the role repeats it under the same name, so no machine is provisioned twice.
 func TestScaleOutResponseLost(t *testing.T) {
 	runClusterWithRoles(t, 43, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -136,14 +136,14 @@
 		waitState(t, w, "req-000001", wire.JobRunning, 40*time.Second)
 		time.Sleep(20 * time.Second)
 		checkMachinesKnown(t, w)
-		if total := w.Cloud.Launched(); total > launched+1 { // one spare machine
-			t.Errorf("%d machines were provisioned before, %d after", launched, total)
+		if total := w.Cloud.Launched(); total > launched+1 { // one spare machine is allowed
+			t.Errorf("%d machines were launched before the restart, %d in total after it", launched, total)
 		}
 	})
 }
 
-// TestOlderNodeDisablesRoles: while one controller knows nothing of singleton roles, or was started without, the leader
-// does it all, and logs nothing that such a controller can't read.
+// TestOlderNodeDisablesRoles: while one controller does not support singleton roles or runs with them disabled, the
+// leader does the work of all roles, and logs nothing that such a controller can't read.
 func TestOlderNodeDisablesRoles(t *testing.T) {
 	runClusterWithRoles(t, 44, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -153,7 +153,7 @@
 		time.Sleep(5 * time.Second)
 		for _, name := range []singleton.Name{singleton.Provisioning, singleton.Compaction} {
 			if h := findRoleHolder(name); h >= 0 {
-				t.Errorf("%d holds %v beside a node that does not participate", h, name)
+				t.Errorf("node %d holds %v although a node does not participate", h, name)
 			}
 		}
 		w.Submit(newWebService(1, 4, "small"))
@@ -164,18 +164,18 @@
 		w.Start(2)
 		time.Sleep(10 * time.Second)
 		if findRoleHolder(singleton.Provisioning) < 0 {
-			t.Error("there is no provisioner, though all nodes participate")
+			t.Error("no provisioner although all nodes participate")
 		}
 		w.Submit(newWebService(2, 16, "large"))
 		waitState(t, w, "req-000002", wire.JobRunning, 40*time.Second)
 	})
 }
 
-// TestProvisionerFailoverTime measures how long it takes from the moment at which the provisioner is frozen to the next
-// scale-out: with distributed roles, and with the leader holding all. It runs with -hard only.
+// TestProvisionerFailoverTime measures the time from freezing the provisioner to the next scale-out, with distributed
+// roles and with the leader doing the work of all roles. It runs only with -hard.
 func TestProvisionerFailoverTime(t *testing.T) {
 	if !*allScenarios {
-		t.Skip("a measurement: -hard")
+		t.Skip("measurement, runs only with -hard")
 	}
 	defer func() { distributedRoles = false }()
 	for _, distributedRoles = range []bool{false, true} {
@@ -187,18 +187,18 @@
 				writes, _ := w.Store.Load()
 				time.Sleep(time.Minute)
 				if after, _ := w.Store.Load(); seed == 20 {
-					t.Logf("distributed %v: %d writes in a minute without work", distributedRoles, after-writes)
+					t.Logf("distributed %v: %d writes in a minute without workload", distributedRoles, after-writes)
 				}
 			})
 		}
 		slices.Sort(took)
-		t.Logf("distributed %v: next scale-out after a median of %v, %v at worst",
+		t.Logf("distributed %v: time to the next scale-out: median %v, maximum %v",
 			distributedRoles, took[len(took)/2], took[len(took)-1])
 	}
 }
 
-// provisionerFailoverTime freezes the provisioner, submits a service that needs a machine at a controller that is not
-// frozen, and returns how long it took until a machine was launched.
+// provisionerFailoverTime freezes the provisioner, submits a service that needs a new machine to another controller,
+// and returns the time until a machine was launched.
 func provisionerFailoverTime(t *testing.T, w *emulator.Environment) time.Duration {
 	t.Helper()
 	holder := findLeader()
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -12,13 +12,13 @@
 	"fieldhill/wire"
 )
 
-// These tests compare what users are told by all controllers within milliseconds.
+// These tests compare the states that all controllers report within milliseconds of each other.
 
-// pollInterval is the pause between two polls of users who poll right after an event.
+// pollInterval is the pause between polls right after an event.
 const pollInterval = 3 * time.Millisecond
 
-// submitAndObserve submits jobs, and polls each repeatedly right after it was accepted, after it was confirmed as
-// cancelled, which some are at once, and after it ended.
+// submitAndObserve submits jobs and cancels some of them, some at once. It polls each job repeatedly right after its
+// acceptance, its confirmed cancellation and its completion.
 func submitAndObserve(w *emulator.Environment, rng *rand.Rand, first, jobs int, pause time.Duration) {
 	for n := first; n < first+jobs; n++ {
 		j := newHighArray(n, 1, 0.25, 1+4*rng.Float64())
@@ -44,7 +44,8 @@
 	}
 }
 
-// observeCompletion polls a job until it is done, for at most half a minute, and repeatedly right after that.
+// observeCompletion polls a job until it is done, for about half a minute at most, and then repeatedly right after
+// that.
 func observeCompletion(w *emulator.Environment, j *wire.JobSpec) {
 	for range 100 {
 		if code, s := w.Request("poll", j.ID, nil); code == 200 && s.State == wire.JobDone {
@@ -55,41 +56,41 @@
 	}
 }
 
-// statusFault is a fault during which TestStatusConsistency polls.
+// statusFault is a fault injected by TestStatusConsistency.
 type statusFault struct {
-	name         string
-	racingPolls  int      // at least so many polls must have raced with an event
-	lostWrites   []string // responses to these kinds of writes must have been lost
-	leastLogLost int      // and so many of those to writes of the log
-	begin        func(w *emulator.Environment, rng *rand.Rand) (end func())
+	name                string
+	minRacingPolls      int      // minimum number of polls that must race with an event
+	lostWriteKinds      []string // kinds of writes that must have lost a response
+	minLogResponsesLost int      // minimum number of log writes that must have lost a response
+	begin               func(w *emulator.Environment, rng *rand.Rand) (end func())
 }
 
 // statusFaults are the faults of TestStatusConsistency.
 var statusFaults = []statusFault{
 	{
-		name:        "no fault",
-		racingPolls: 200,
-		begin:       func(*emulator.Environment, *rand.Rand) func() { return func() {} },
+		name:           "no fault",
+		minRacingPolls: 200,
+		begin:          func(*emulator.Environment, *rand.Rand) func() { return func() {} },
 	},
 	{
-		name:        "slow store",
-		racingPolls: 150,
+		name:           "slow store",
+		minRacingPolls: 150,
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			w.Store.SetLatency(250 * time.Millisecond)
 			return func() { w.Store.SetLatency(3 * time.Millisecond) }
 		},
 	},
 	{
-		name:        "answered from the log",
-		racingPolls: 150,
+		name:           "answered from the log",
+		minRacingPolls: 150,
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			partitionControllers(w, true)
 			return func() { partitionControllers(w, false) }
 		},
 	},
 	{
-		name:        "leaders refused and restarted",
-		racingPolls: 100,
+		name:           "leaders refused by the store and restarted",
+		minRacingPolls: 100,
 		begin: func(w *emulator.Environment, rng *rand.Rand) func() {
 			for range 2 {
 				i := leaderOrFirst()
@@ -104,23 +105,24 @@
 		},
 	},
 	{
-		name:         "lost responses",
-		racingPolls:  100,
-		leastLogLost: 5,
+		name:                "lost responses",
+		minRacingPolls:      100,
+		minLogResponsesLost: 5,
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			w.Store.DropResponses(0.5)
 			return func() { w.Store.DropResponses(0) }
 		},
 	},
 	{
-		name:         "lost responses, answered from the log",
-		racingPolls:  100,
-		leastLogLost: 5,
-		lostWrites:   []string{"put f/in"},
+		name:                "lost responses, answered from the log",
+		minRacingPolls:      100,
+		minLogResponsesLost: 5,
+		lostWriteKinds:      []string{"put f/in"},
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			w.Store.DropResponses(0.4)
 			partitionControllers(w, true)
-			// Stops come with the answer to a heartbeat, so the cancelled job does not end at once.
+			// Stop commands are sent with heartbeat responses, which are delayed so that the cancelled job does not end
+			// at once.
 			endDelay := delayCommands(w, 10*time.Second)
 			return func() {
 				w.Store.DropResponses(0)
@@ -131,11 +133,11 @@
 	},
 }
 
-// TestStatusConsistency: users poll at all controllers within milliseconds, and repeat the submission, right after a
-// job was accepted, ended or confirmed as cancelled, and some cancel at once; by every way in which a controller
-// answers. No controller may report anything older than what any reported, which the invariant checker verifies. The
-// last faults apply transactions at once and lose their responses alone, while the other controllers read what was
-// written: a leader that did not know yet that its write of a cancellation was applied reported the job as running.
+// TestStatusConsistency: users poll all controllers within milliseconds, and resubmit, right after a job was accepted,
+// has ended or was confirmed as cancelled, through every path by which a controller answers. No controller may report
+// an older state than any controller has reported before, which the invariant checker verifies. The last two faults
+// apply writes but lose their responses, while other controllers read the writes: this guards against a leader that
+// reports a job as running because it does not know yet that its cancellation was committed.
 func TestStatusConsistency(t *testing.T) {
 	for _, fault := range statusFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -147,8 +149,9 @@
 				time.Sleep(20 * time.Second)
 				end()
 				time.Sleep(40 * time.Second)
-				if k := w.Checker.RacingReads(); k < fault.racingPolls {
-					t.Errorf("%d racing polls: the fault combination did not occur", k)
+				if k := w.Checker.RacingReads(); k < fault.minRacingPolls {
+					t.Errorf("%d racing polls, want at least %d: the fault combination did not occur",
+						k, fault.minRacingPolls)
 				}
 				for n := 100; n < 130; n++ {
 					if err := pollEndedOrUnknown(w, wire.JobID(uint64(n))); err != nil {
@@ -159,17 +162,18 @@
 					lost[kind] += k
 				}
 			})
-			if lost["put f/log"] < fault.leastLogLost ||
-				slices.ContainsFunc(fault.lostWrites, func(kind string) bool { return lost[kind] == 0 }) {
-				t.Errorf("responses were lost to %v: the fault combination did not occur", lost)
+			if lost["put f/log"] < fault.minLogResponsesLost ||
+				slices.ContainsFunc(fault.lostWriteKinds, func(kind string) bool { return lost[kind] == 0 }) {
+				t.Errorf("lost responses by kind of write: %v: the fault combination did not occur", lost)
 			}
 		})
 	}
 }
 
-// TestCommitResponseLost: the leader's write is applied at once and only its response is lost, while the other
-// controllers read what it wrote. What they report of a job's acceptance, cancellation and end the leader does not
-// contradict while it does not know. It reported a job as running that they reported as cancelled.
+// TestCommitResponseLost: the leader's write is applied and only its response is lost, while the other controllers read
+// the write. The leader must not contradict what they report of the job's acceptance, cancellation or completion while
+// it does not know the outcome. This guards against a leader that reports a job as running after others reported it as
+// cancelled.
 func TestCommitResponseLost(t *testing.T) {
 	runFaultCombination(t, 2, 66, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -179,7 +183,7 @@
 		w.Submit(ending)
 		waitRunning(w, ending.ID, time.Now())
 		partitionControllers(w, true)
-		endDelay := delayCommands(w, 10*time.Second) // the cancelled job does not end at once
+		endDelay := delayCommands(w, 10*time.Second) // so that the cancelled job does not end at once
 		time.Sleep(2 * time.Second)
 		late := newJobSpec(102, wire.Array, 1, 500)
 		lateBody := registerJob(t, w, late)
@@ -198,7 +202,7 @@
 			w.Store.DropResponses(0)
 			time.Sleep(3 * time.Second)
 			if !reported || agreed.Load() == 0 {
-				t.Errorf("%s: another node reported it: %v, the leader agreed %d times: the combination did not occur",
+				t.Errorf("%s: reported by another node: %v, by the leader %d times: the combination did not occur",
 					c.event, reported, agreed.Load())
 			}
 			if w.Store.DroppedResponses()["put f/log"] == 0 {
@@ -209,14 +213,14 @@
 		endDelay()
 		time.Sleep(20 * time.Second)
 		if k := w.Checker.Running(running.ID); k != 0 {
-			t.Errorf("%d tasks of the cancelled job run", k)
+			t.Errorf("%d tasks of the cancelled job still run", k)
 		}
 	})
 }
 
-// waitLeaderAgrees polls a job at the other controllers until they report a state, and then at the leader too until
-// that reports it, which the invariant checker compares with what was reported. It counts how often the leader has, and
-// returns whether another controller reported the state.
+// waitLeaderAgrees polls a job at the other controllers until one reports the state, and from then on at the leader too
+// until it reports the same; the invariant checker compares the answers. It counts the leader's matching answers in
+// agreed, and returns whether another controller reported the state.
 func waitLeaderAgrees(
 	w *emulator.Environment,
 	rng *rand.Rand,
@@ -243,8 +247,8 @@
 	return reported
 }
 
-// TestCancelAtCompletion: users cancel jobs at the moment of the completion of their last task, with no other fault;
-// all poll and repeat the submission then. A job is reported as done or cancelled, never both.
+// TestCancelAtCompletion: users cancel jobs at the moment their last task completes, without other faults, while all
+// users poll. A job is reported as done or as cancelled, never as both.
 func TestCancelAtCompletion(t *testing.T) {
 	runFaultCombination(t, 1, 62, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -265,7 +269,7 @@
 		}
 		time.Sleep(40 * time.Second)
 		if k := w.CancelledAtEnd(); k < 10 {
-			t.Errorf("%d jobs were cancelled at their completion: the fault combination did not occur", k)
+			t.Errorf("%d jobs were cancelled at completion, want at least 10: the fault combination did not occur", k)
 		}
 		states := map[string]int{}
 		for _, id := range ids {
@@ -282,17 +286,18 @@
 	})
 }
 
-// invalidField is a field of a submission that makes it invalid, and the status by which it is refused.
+// invalidField is a field value that makes a submission invalid, and the status code of the refusal.
 type invalidField struct {
 	field string
 	value any
 	code  int
-	spec  func(s *wire.JobSpec) // what else makes it so, or nil
+	spec  func(s *wire.JobSpec) // further changes needed to make the job invalid, or nil
 }
 
-// TestInvalidRequests: what can't run, lacks a field or has a wrong one is refused for good, alike by the leader, by a
-// follower that forwards it, and by the intake; a job that was accepted is never reported as refused, whatever is
-// submitted under its ID, also while only the intake has it; a cancellation of one that is done reports it as done.
+// TestInvalidRequests: jobs that can't run, lack a field or have an invalid one are refused permanently, with the same
+// status by the leader, by a follower that forwards the request, and by the intake. An accepted job is never reported
+// as refused, whatever is submitted under its ID, even while it is only in the intake. The cancellation of a completed
+// job reports it as done.
 func TestInvalidRequests(t *testing.T) {
 	runCluster(t, 64, func(w *emulator.Environment) {
 		startServices(w, 1)
@@ -304,18 +309,18 @@
 			s := f.newJob(1000 + k)
 			for _, i := range []int{leader, (leader + 1) % 3} {
 				if code, _ := w.RequestAt(i, "submit", s.ID, f.body(t, s)); code != f.code {
-					t.Errorf("node %d: %s = %v got %d instead of %d", i, f.field, f.value, code, f.code)
+					t.Errorf("node %d: %s = %v got %d, want %d", i, f.field, f.value, code, f.code)
 				}
 			}
 		}
 		checkResubmission(t, w, "done", completed, leader)
 		if code, s := w.RequestAt(leader, "cancel", completed.ID, nil); code != 200 || s.State != wire.JobDone {
-			t.Errorf("a job that is done was cancelled: %d %+v", code, s)
+			t.Errorf("cancellation of a completed job got %d, %+v; want it reported as done", code, s)
 		}
 		partitionControllers(w, true)
 		time.Sleep(2 * time.Second)
 		checkInvalidAtIntake(t, w, (leader+1)%3)
-		for k := range 3 { // only the intake has the next job: nobody leads
+		for k := range 3 { // without a leader the next job is only in the intake
 			w.RefuseStore(k, k == leader)
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -326,7 +331,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if code != 201 {
-			t.Errorf("the intake answered %d", code)
+			t.Errorf("submission to the intake got %d, want 201", code)
 		}
 		checkResubmission(t, w, "in the intake", intakeOnly, (leader+2)%3)
 		w.RefuseStore(leader, false)
@@ -337,40 +342,41 @@
 	})
 }
 
-// checkResubmission requires that a user who repeats the submission of an accepted job gets its status, whatever else
+// checkResubmission requires that resubmitting an accepted job returns its status or a retryable error, whatever else
 // is in the body.
 func checkResubmission(t *testing.T, w *emulator.Environment, phase string, accepted *wire.JobSpec, node int) {
 	t.Helper()
 	for _, f := range invalidFields {
 		code, _ := w.RequestAt(node, "submit", accepted.ID, f.body(t, accepted))
 		if code != 200 && code != 503 && code != 429 {
-			t.Errorf("%s: %s again with %s = %v got %d", phase, accepted.ID, f.field, f.value, code)
+			t.Errorf("%s: resubmission of %s with %s = %v got %d, want 200, 429 or 503",
+				phase, accepted.ID, f.field, f.value, code)
 		}
 	}
 }
 
-// checkInvalidAtIntake requires that the intake of a controller refuses all invalid jobs, whose leader is partitioned.
+// checkInvalidAtIntake requires that a controller partitioned from the leader refuses all invalid jobs at the intake.
 func checkInvalidAtIntake(t *testing.T, w *emulator.Environment, node int) {
 	t.Helper()
 	for k, f := range invalidFields {
 		s := f.newJob(2000 + k)
 		body, code := f.body(t, s), 0
-		for range 40 { // the intake's share of the writes is small
+		for range 40 { // the intake's share of the write rate is small
 			if code, _ = w.RequestAt(node, "submit", s.ID, body); code != http.StatusServiceUnavailable {
 				break
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		if code != f.code {
-			t.Errorf("by the intake: %s = %v got %d instead of %d", f.field, f.value, code, f.code)
+			t.Errorf("at the intake: %s = %v got %d, want %d", f.field, f.value, code, f.code)
 		}
 	}
 }
 
-// missingField is the value of a field that is left out.
+// missingField marks a field that is left out.
 var missingField = new(int)
 
-// invalidFields are what TestInvalidRequests submits.
+// invalidFields are the invalid submissions of TestInvalidRequests.
 var invalidFields = []invalidField{
 	{"cores", missingField, 400, nil},
 	{"jobclass", missingField, 400, nil},
@@ -394,7 +400,7 @@
 	{"pieces", 2, 422, func(s *wire.JobSpec) { s.Shape, s.Spread, s.SameZone = wire.Gang, true, true }},
 }
 
-// newJob is a job that the field will make invalid.
+// newJob returns the job that the field will be applied to.
 func (f *invalidField) newJob(n int) *wire.JobSpec {
 	s := newJobSpec(n, wire.Array, 1, 2)
 	if f.spec != nil {
@@ -403,7 +409,7 @@
 	return s
 }
 
-// body encodes the submission of a job with the field.
+// body encodes the submission of a job with the field applied.
 func (f *invalidField) body(t *testing.T, s *wire.JobSpec) []byte {
 	t.Helper()
 	var fields map[string]any
