--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -2,35 +2,33 @@
 
 import "fmt"
 
-// UnknownKindError is that an entry of the log is of a kind that this version does not know.
+// UnknownKindError reports a log entry whose kind this version does not support.
 type UnknownKindError struct{ Kind EntryKind }
 
-// Error names the kind.
 func (e *UnknownKindError) Error() string { return fmt.Sprintf("model: unknown entry kind %d", e.Kind) }
 
-// RepeatedAcceptanceError is that an entry accepts a job that was accepted before.
-type RepeatedAcceptanceError struct{ Job JobID }
+// DuplicateAcceptanceError reports a log entry that accepts a job a second time.
+type DuplicateAcceptanceError struct{ Job JobID }
 
-// Error names the job.
-func (e *RepeatedAcceptanceError) Error() string {
+func (e *DuplicateAcceptanceError) Error() string {
 	return fmt.Sprintf("model: job %d accepted twice", e.Job)
 }
 
-// MisplacementError is that an entry places a task that can't be placed as the log stands: it or its machine is not
-// known, or it does not wait.
-type MisplacementError struct {
+// InvalidPlacementError reports a placement that conflicts with the replicated state: the task or the machine is
+// unknown, or the task is not waiting.
+type InvalidPlacementError struct {
 	Job     JobID
 	Task    int32
 	Machine MachineID
 }
 
-// Error names the task and the machine.
-func (e *MisplacementError) Error() string {
-	return fmt.Sprintf("model: placement of %d/%d on %d does not fit the log", e.Job, e.Task, e.Machine)
+func (e *InvalidPlacementError) Error() string {
+	return fmt.Sprintf("model: placement of task %d/%d on machine %d conflicts with the replicated state",
+		e.Job, e.Task, e.Machine)
 }
 
-// Apply carries out one entry of the log, which has the number seq in it. An entry that is late or repeated changes
-// nothing where that can happen; it is an error where the leader that logged it would have known better.
+// Apply applies the log entry with sequence number seq. Late and repeated entries are ignored if they can occur in
+// normal operation. Entries that the leader must not have logged in the current state return an error.
 func (m *Model) Apply(e *Entry, seq uint64, now Time) error {
 	switch e.Kind {
 	case EntryAccept:
@@ -45,7 +43,7 @@
 		m.completeTask(e, seq, now)
 	case EntryMachine:
 		m.addMachine(e, now)
-	case EntryGone:
+	case EntryMachineGone:
 		m.removeMachine(e.Machine, now)
 	case EntryRelease:
 		m.releaseMachine(e.Machine, seq)
@@ -71,13 +69,13 @@
 
 func (m *Model) acceptJob(e *Entry, seq uint64, now Time) error {
 	if m.Jobs[e.Job] != nil || m.Finals[e.Job] != 0 {
-		return &RepeatedAcceptanceError{e.Job}
+		return &DuplicateAcceptanceError{e.Job}
 	}
 	m.addJob(e, seq, now)
 	return nil
 }
 
-// addJob makes the job that an entry accepts.
+// addJob creates the job that an acceptance entry describes.
 func (m *Model) addJob(e *Entry, seq uint64, now Time) *Job {
 	s := e.Spec
 	j := &Job{
@@ -103,15 +101,15 @@
 	if j := m.Jobs[id]; j != nil && !j.Cancelled {
 		j.Cancelled = true
 		j.FinalSeq = seq
-		m.settle(j, now)
+		m.finishIfOver(j, now)
 	}
 }
 
-// placeTask gives a task a run.
+// placeTask creates the run of a placed task.
 func (m *Model) placeTask(e *Entry, seq uint64, now Time) error {
 	j, machine := m.Jobs[e.Job], m.Machines[e.Machine]
 	if j == nil || machine == nil || int(e.Task) >= len(j.Tasks) || j.Tasks[e.Task].State != Waiting || j.Cancelled {
-		return &MisplacementError{e.Job, e.Task, e.Machine}
+		return &InvalidPlacementError{e.Job, e.Task, e.Machine}
 	}
 	r := &Run{
 		Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, Session: e.Session, PlacedSeq: seq, PlacedAt: now,
@@ -122,19 +120,20 @@
 	m.recordStart(j)
 	machine.Runs = append(machine.Runs, r)
 	machine.countFetch(r, 1)
-	r.charge(1)
+	r.addUsage(1)
 	return nil
 }
 
-// endAttempt drops the run of an attempt that is evidently gone; its task waits again.
+// endAttempt drops the run of an attempt that is known to have ended. Its task waits again.
 func (m *Model) endAttempt(e *Entry, now Time) {
 	if r := m.findRun(e.Job, e.Task, e.Attempt); r != nil {
 		m.dropRun(r, now)
-		m.settle(r.Job, now)
+		m.finishIfOver(r.Job, now)
 	}
 }
 
-// completeTask notes that a task completed, whatever its attempt: also the result of one that was given up counts.
+// completeTask marks a task as completed, whichever attempt completed it. The result of an attempt that was given up
+// counts too.
 func (m *Model) completeTask(e *Entry, seq uint64, now Time) {
 	j := m.Jobs[e.Job]
 	if j == nil || int(e.Task) >= len(j.Tasks) {
@@ -152,17 +151,16 @@
 	if j.Done == len(j.Tasks) && !j.Cancelled {
 		j.FinalSeq = seq
 	}
-	m.settle(j, now)
+	m.finishIfOver(j, now)
 }
 
-// countCompletion counts one more task of a job as completed.
 func (m *Model) countCompletion(j *Job) {
 	j.Done++
 	m.countTasks(j, -1)
-	m.recordTaskDone(j)
+	m.recordTaskCompletion(j)
 }
 
-// dropRun takes a run off its machine and its job. Its task waits again, unless it is completed next.
+// dropRun detaches a run from its machine and its job. The task waits again; completeTask then marks it as done.
 func (m *Model) dropRun(r *Run, now Time) {
 	r.setPhase(Unseen)
 	j, machine := r.Job, r.Machine
@@ -171,7 +169,7 @@
 	if len(machine.Runs) == 0 {
 		machine.Lifecycle.IdleSince = now
 	}
-	r.charge(-1)
+	r.addUsage(-1)
 	j.Live--
 	t := &j.Tasks[r.Task]
 	t.Run = nil
@@ -181,17 +179,17 @@
 	}
 }
 
-// dropRuns notes that everything on a machine is gone.
+// dropRuns drops all runs of a machine.
 func (m *Model) dropRuns(machine *Machine, now Time) {
 	for len(machine.Runs) > 0 {
 		r := machine.Runs[0]
 		m.dropRun(r, now)
-		m.settle(r.Job, now)
+		m.finishIfOver(r.Job, now)
 	}
 }
 
-// settle turns a job whose tasks are all gone, and which is over, into its final state.
-func (m *Model) settle(j *Job, now Time) {
+// finishIfOver replaces a cancelled or completed job by its final state once it has no more runs.
+func (m *Model) finishIfOver(j *Job, now Time) {
 	if j.Live > 0 || m.Jobs[j.ID] != j {
 		return
 	}
@@ -209,8 +207,8 @@
 	m.finishJob(j, final)
 }
 
-// addMachine makes the machine that an entry names. One that is known by its name is not made twice, but the entry may
-// tell where it is.
+// addMachine creates the machine that an entry names. For a machine name that is already known only the address is
+// updated.
 func (m *Model) addMachine(e *Entry, now Time) {
 	if m.updateAddress(e.Info) || m.Machines[e.Machine] != nil {
 		return
@@ -228,8 +226,8 @@
 	}
 }
 
-// expireLease makes a machine suspect whose lease has surely expired, so that its runs are gone. Older versions logged
-// that; the present one reads it.
+// expireLease marks a machine as suspect and drops its runs, because its lease has certainly expired. The entry is no
+// longer written but still read, as older versions logged it.
 func (m *Model) expireLease(id MachineID, seq uint64, now Time) {
 	m.setSuspect(id, true, seq)
 	if machine := m.Machines[id]; machine != nil {
--- a/internal/model/catalog.go
+++ b/internal/model/catalog.go
@@ -7,27 +7,27 @@
 	"fieldhill/wire"
 )
 
-// Type is a machine type.
+// Type is a machine type and its zones.
 type Type struct {
 	wire.MachineType
-	ZoneIDs []int32 // where the cloud offers it
-	Known   bool    // the cloud has described it; else only its name is known, from a job or a machine
+	ZoneIDs []int32 // zones in which the cloud offers it
+	Known   bool    // described by the cloud; otherwise only the name is known, from a job or a machine
 }
 
-// catalog holds the names that others refer to by index, and the cloud's machine types. It only grows.
+// catalog holds the interned names and the cloud's machine types. Entries are never removed, so indexes stay valid.
 type catalog struct {
-	// The names of container images, job classes, zones and machine types.
+	// Interned names of container images, job classes, zones and machine types.
 	Images, Classes, Zones, TypeNames intern.Table
-	// Types are the machine types, by their index in TypeNames.
+	// Machine types, by their index in TypeNames.
 	Types []Type
 }
 
-// TypesKnown tells whether the cloud's offer is known.
+// TypesKnown reports whether the cloud has described any machine type.
 func (c *catalog) TypesKnown() bool {
 	return slices.ContainsFunc(c.Types, func(t Type) bool { return t.Known })
 }
 
-// typeIndex returns the slot of a type, and makes one if its name is new.
+// typeIndex returns the index of a machine type, and adds a new name to the table.
 func (c *catalog) typeIndex(name string) int32 {
 	id := c.TypeNames.ID(name)
 	for int(id) >= len(c.Types) {
@@ -36,26 +36,26 @@
 	return id
 }
 
-// setType takes in a machine type as the cloud describes it.
-func (c *catalog) setType(described *wire.MachineType) {
-	t := &c.Types[c.typeIndex(described.Name)]
-	t.MachineType, t.Known, t.ZoneIDs = *described, true, nil
-	for _, z := range described.Zones {
+// setType stores a machine type as described by the cloud.
+func (c *catalog) setType(machineType *wire.MachineType) {
+	t := &c.Types[c.typeIndex(machineType.Name)]
+	t.MachineType, t.Known, t.ZoneIDs = *machineType, true, nil
+	for _, z := range machineType.Zones {
 		t.ZoneIDs = append(t.ZoneIDs, c.Zones.ID(z))
 	}
 }
 
-// TypeOf returns a machine's type.
 func (c *catalog) TypeOf(machine *Machine) *Type { return &c.Types[machine.Type] }
 
-// Fits tells whether a task of the job has room on a machine.
+// Fits reports whether a machine has enough free resources for a task of the job.
 func (c *catalog) Fits(j *Job, machine *Machine) bool {
 	t := &c.Types[machine.Type]
 	return t.Known && machine.CPUs+j.Spec.CPUs <= t.CPUs+epsilon && machine.GPUs+j.Spec.GPUs <= t.GPUs+epsilon &&
 		machine.Mem+j.Spec.MemoryGB <= t.MemoryGB+epsilon
 }
 
-// zonesFor is the set of the zones in which the cloud offers an allowed type on which a task of a job has room.
+// zonesFor returns the zones in which the cloud offers an allowed machine type that is large enough for a task of the
+// job.
 func (c *catalog) zonesFor(s *wire.JobSpec) map[int32]bool {
 	zones := map[int32]bool{}
 	for i := range c.Types {
@@ -73,18 +73,18 @@
 	return zones
 }
 
-// CanEverRun says why a job can never run, or "".
+// CanEverRun returns the reason why a job can never run, or "" if it can.
 func (m *Model) CanEverRun(s *wire.JobSpec) string {
 	team := m.teamByName[s.Team]
 	if team == nil {
 		return "unknown team"
 	}
-	together := 1.0 // tasks that run at once or not at all
+	concurrentTasks := 1.0 // tasks that must run at the same time
 	if kindOf(s.Shape) != Array {
-		together = float64(s.Tasks)
+		concurrentTasks = float64(s.Tasks)
 	}
-	if (team.CPUsMax > 0 && s.CPUs*together > team.CPUsMax+epsilon) ||
-		(team.GPUsMax > 0 && s.GPUs*together > team.GPUsMax+epsilon) {
+	if (team.CPUsMax > 0 && s.CPUs*concurrentTasks > team.CPUsMax+epsilon) ||
+		(team.GPUsMax > 0 && s.GPUs*concurrentTasks > team.GPUsMax+epsilon) {
 		return "over the team's limit"
 	}
 	zones := m.zonesFor(s)
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -5,11 +5,10 @@
 	"slices"
 )
 
-// Clone copies what scheduling reads and changes: jobs, runs, machines, teams and names. Nothing that the copy's
-// owner does reaches the model, and the copy may be read while the model goes on; what never changes (jobs'
-// descriptions, machines' details) is shared. What only matters between a leader and its agents (commands under way,
-// failures to attribute) is left out, and so are the final states, which grow with history; machines are not found by
-// name. It takes some milliseconds for ten thousand runs.
+// Clone copies the state that scheduling reads and changes: jobs, runs, machines, teams and names. The copy and the
+// original can be used concurrently; immutable data (job specifications, machine types' names) is shared. Clone omits
+// state that only matters between a leader and its agents (commands in flight, failures to attribute), the final
+// states, which grow with the history, and the index of machines by name. Copying 10,000 runs takes a few milliseconds.
 func (m *Model) Clone() *Model {
 	c := &Model{
 		catalog:         m.catalog.clone(),
@@ -49,8 +48,8 @@
 	return completionTable{ByClass: slices.Clone(t.ByClass), ByTeam: slices.Clone(t.ByTeam)}
 }
 
-// clone copies the machines, whose runs are still those of the original. One piece of memory serves for all things of
-// a kind: thousands of small ones take ten times as long.
+// clone copies the machines; their runs still point to the original's. Objects of one kind share one allocation,
+// because thousands of small allocations take ten times as long.
 func (t *machineTable) clone() machineTable {
 	copied := newMachineTable()
 	copied.Machines = make(map[MachineID]*Machine, len(t.Machines))
@@ -67,8 +66,8 @@
 	for i, machine := range t.Order {
 		o := &machines[i]
 		*o = *machine
-		o.cache, cacheSlab = appendPiece(cacheSlab, machine.cache)
-		o.fetches, fetchSlab = appendPiece(fetchSlab, machine.fetches)
+		o.cache, cacheSlab = appendToSlab(cacheSlab, machine.cache)
+		o.fetches, fetchSlab = appendToSlab(fetchSlab, machine.fetches)
 		o.Health.FailedJobs, o.Contact.unresolvedStarts, o.Contact.reapable = nil, nil, nil
 		copied.Order[i] = o
 		copied.Machines[o.ID] = o
@@ -76,7 +75,7 @@
 	return copied
 }
 
-// clone copies the live jobs, whose runs are still those of the original, for a copy of the teams.
+// clone copies the live jobs and links them to the copied teams; their runs still point to the original's.
 func (t *jobTable) clone(teams []*Team) jobTable {
 	live, taskCount := t.JobsInOrder(), 0
 	for _, j := range live {
@@ -90,7 +89,7 @@
 	for i, j := range live {
 		o := &jobs[i]
 		*o = *j
-		o.Tasks, taskSlab = appendPiece(taskSlab, j.Tasks)
+		o.Tasks, taskSlab = appendToSlab(taskSlab, j.Tasks)
 		o.retryTasks, o.Observed.FailedOn = slices.Clone(j.retryTasks), maps.Clone(j.Observed.FailedOn)
 		if j.Team != nil {
 			o.Team = teams[j.Team.Index]
@@ -100,8 +99,8 @@
 	return copied
 }
 
-// cloneRuns copies the runs of the original between the jobs and machines of its copy. They keep
-// their order on a machine: decisions may follow it.
+// cloneRuns copies the runs and links them to the copied jobs and machines. The order of a machine's runs is preserved,
+// since scheduling decisions may depend on it.
 func cloneRuns(copied, original *Model) {
 	runCount := 0
 	for _, machine := range original.Order {
@@ -121,8 +120,9 @@
 	}
 }
 
-// appendPiece copies a list to the end of a slab, and gives the copy, which can't grow into what follows.
-func appendPiece[T any](slab, list []T) (copied, rest []T) {
+// appendToSlab copies list to the end of slab. The copy's capacity is limited to its length, so that appending to it
+// cannot overwrite later data in the slab.
+func appendToSlab[T any](slab, list []T) (copied, rest []T) {
 	from := len(slab)
 	slab = append(slab, list...)
 	return slab[from:len(slab):len(slab)], slab
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -2,13 +2,13 @@
 
 import "fieldhill/wire"
 
-// maxCommands is how many commands a machine gets at once. The rest follow with its next report.
+// maxCommands is the maximum number of commands per message to a machine. Further commands follow the machine's next
+// report.
 const maxCommands = 400
 
-// Commands lists what a machine is to be commanded now. Starts go out only when their
-// placement is committed. With viaAnswer the commands go with the answer to the
-// report last observed.
-func (m *Model) Commands(machine *Machine, committed uint64, viaAnswer bool) []wire.Command {
+// Commands returns the commands to send to a machine now. A start is sent only after its placement is committed. With
+// inResponse the commands are part of the response to the last observed report.
+func (m *Model) Commands(machine *Machine, committed uint64, inResponse bool) []wire.Command {
 	commands := []wire.Command{}
 	for _, d := range machine.Contact.reapable {
 		if len(commands) >= maxCommands {
@@ -22,20 +22,21 @@
 		if len(commands) >= maxCommands {
 			break
 		}
-		if c, ok := m.runCommand(r, committed, viaAnswer); ok {
+		if c, ok := m.runCommand(r, committed, inResponse); ok {
 			commands = append(commands, c)
 		}
 	}
 	return commands
 }
 
-// reapCommand is the command for an attempt that an agent lists and that has no run: to forget it, or to stop it.
+// reapCommand returns the command for an attempt that an agent lists but that has no run: to forget it if it has
+// exited, otherwise to stop it.
 func (t *leaderTerm) reapCommand(machine *Machine, d reapableTask, committed uint64) (_ wire.Command, ok bool) {
 	if !d.exited {
 		return commandFor(d.key, wire.Stop, new(float64)), true
 	}
-	// After it is forgotten a repeated start would run it again, so no
-	// start of it may be under way, from this leader or another.
+	// After the agent forgets the attempt, a repeated start would run it again. So no start of it may be in flight,
+	// from this leader or an earlier one.
 	contact := &machine.Contact
 	_, open := contact.unresolvedStarts[d.key]
 	if open {
@@ -47,16 +48,16 @@
 	return commandFor(d.key, wire.Forget, nil), true
 }
 
-// runCommand is the command for a run: to start it or to stop it.
-func (m *Model) runCommand(r *Run, committed uint64, viaAnswer bool) (_ wire.Command, ok bool) {
+// runCommand returns the command to start or stop a run, if one is due.
+func (m *Model) runCommand(r *Run, committed uint64, inResponse bool) (_ wire.Command, ok bool) {
 	contact := &r.Machine.Contact
 	if r.Session != contact.Session || committed < r.PlacedSeq {
 		return wire.Command{}, false
 	}
 	switch {
 	case r.Job.Cancelled:
-		// The cancellation itself need not be in the log yet: nothing is promised by a stop, and one that is sent in
-		// vain ends an attempt, which is reported and followed by another.
+		// The stop does not have to wait for the cancellation to be committed. If the cancellation is lost, the stop
+		// only ends an attempt, which is reported and then retried.
 		return commandFor(r.key(), wire.Stop, new(float64)), true
 	case r.Stop:
 		grace := new(float64)
@@ -65,15 +66,16 @@
 		}
 		return commandFor(r.key(), wire.Stop, grace), true
 	case r.Phase == Unseen && !m.mustHoldStart(r):
-		if viaAnswer {
-			r.answeredReportSeq = contact.Reports.Number().Seq
+		if inResponse {
+			r.startResponseSeq = contact.Reports.Number().Seq
 		}
 		return commandFor(r.key(), wire.Start, nil), true
 	}
 	return wire.Command{}, false
 }
 
-// commandFor makes a command for an attempt. The grace is for a stop: how many seconds the task has for a checkpoint.
+// commandFor returns a command for an attempt. The grace period, in seconds, applies to stops: it is the time that the
+// task has to write a checkpoint.
 func commandFor(k runKey, verb string, grace *float64) wire.Command {
 	return wire.Command{
 		Verb: verb, Task: wire.TaskID(uint64(k.job), int(k.task)), Attempt: uint64(k.attempt), GraceS: grace,
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -2,33 +2,32 @@
 
 import "math"
 
-// CompletionStats counts what became of the jobs of a class or a team, as far as this replica has read of the log:
-// jobs that were over before the snapshot it began with are not in it. A job has started when
-// a task of it was placed; what was cancelled can't complete.
+// CompletionStats counts the outcomes of the jobs of a class or team that this replica has read from the log; jobs that
+// ended before its first snapshot are not included. A job counts as started when one of its tasks is placed. Cancelled
+// jobs cannot complete, so their tasks are not counted.
 type CompletionStats struct {
 	Jobs, Started, Done, Cancelled int
 	Tasks, TasksDone               int     // of jobs that were not cancelled
-	WantedSeconds, UpSeconds       float64 // replicas' seconds, while this node was the leader
+	WantedSeconds, UpSeconds       float64 // replica seconds wanted and up while this node was the leader
 	recent                         recentCompletions
 }
 
-// recentCompletions is what was completed of the jobs that were accepted not long ago; the older a job is, the less
-// it counts.
+// recentCompletions sums the completed jobs and tasks, weighted by RecencyWeight of the time since their acceptance.
 type recentCompletions struct {
-	jobs, tasks float64 // the sums of their weights at decayedAt
+	jobs, tasks float64 // sums of the weights as of decayedAt
 	decayedAt   Time
 }
 
-// decaySeconds is the time constant of a job's weight, in seconds since its acceptance: several of the longest jobs
-// that arrays usually make, so that a class is neither behind for one slow job nor well for what it had an hour ago.
-// Those that wait lose weight as those that are done do: large ones, which wait for long, would else be all that is
-// left to count.
+// decaySeconds is the time constant of the exponential weight of a job, in seconds since its acceptance. It spans
+// several of the longest typical array jobs, so that neither one slow job nor results of an hour ago dominate the
+// figures of a class. The weights of waiting and completed jobs decay alike; otherwise large jobs, which wait for long,
+// would come to dominate.
 const decaySeconds = 600.0
 
-// RecencyWeight is how much a job of an age counts, from 1 when it is accepted on.
+// RecencyWeight returns the weight of a job of the given age: 1 at its acceptance, decaying exponentially.
 func RecencyWeight(age Time) float64 { return math.Exp(-age.Seconds() / decaySeconds) }
 
-// decay brings the sums to a later time.
+// decay advances the sums to a later time.
 func (r *recentCompletions) decay(now Time) {
 	if now > r.decayedAt {
 		factor := RecencyWeight(now - r.decayedAt)
@@ -38,22 +37,22 @@
 	}
 }
 
-// RecentlyCompleted tells how many jobs and tasks were completed, each with its weight.
+// RecentlyCompleted returns the weighted numbers of completed jobs and tasks.
 func (s *CompletionStats) RecentlyCompleted(now Time) (jobs, tasks float64) {
 	decayed := s.recent
 	decayed.decay(now)
 	return decayed.jobs, decayed.tasks
 }
 
-// completionTable holds what became of the jobs, by class and by team.
+// completionTable holds the completion statistics by class and by team.
 type completionTable struct {
-	// ByClass is by the index of the class; it may be shorter than Model.Classes.
+	// By class index. It may be shorter than Model.Classes.
 	ByClass []CompletionStats
-	// ByTeam is by the index of the team.
+	// By team index.
 	ByTeam []CompletionStats
 }
 
-// updateStats counts a change of a job for its class and its team.
+// updateStats applies a change to the statistics of a job's class and team.
 func (t *completionTable) updateStats(j *Job, change func(s *CompletionStats)) {
 	for int(j.Class) >= len(t.ByClass) {
 		t.ByClass = append(t.ByClass, CompletionStats{})
@@ -64,7 +63,6 @@
 	}
 }
 
-// recordAcceptance counts a job that was accepted.
 func (t *completionTable) recordAcceptance(j *Job) {
 	t.updateStats(j, func(s *CompletionStats) {
 		s.Jobs++
@@ -72,7 +70,7 @@
 	})
 }
 
-// recordStart notes that a task of a job was placed, or is done; the first one of a job counts.
+// recordStart counts a job as started when the first of its tasks is placed or completed.
 func (t *completionTable) recordStart(j *Job) {
 	if !j.started {
 		j.started = true
@@ -80,13 +78,12 @@
 	}
 }
 
-// recordTaskDone counts one more task of a job as completed.
-func (t *completionTable) recordTaskDone(j *Job) {
+func (t *completionTable) recordTaskCompletion(j *Job) {
 	t.recordStart(j)
 	t.updateStats(j, func(s *CompletionStats) { s.TasksDone++ })
 }
 
-// recordEnd notes that a job has come to its end.
+// recordEnd counts a completed or cancelled job.
 func (t *completionTable) recordEnd(j *Job, now Time) {
 	t.updateStats(j, func(s *CompletionStats) {
 		if j.Cancelled {
@@ -103,8 +100,8 @@
 	})
 }
 
-// AccrueServiceTime counts the time of services' replicas since it was last called: what is wanted, and what of
-// it was up, as far as this leader has observed.
+// AccrueServiceTime adds the time since the last call to the wanted seconds of all service replicas, and to the up
+// seconds of those that this leader observes running.
 func (m *Model) AccrueServiceTime(elapsed Time) {
 	seconds := elapsed.Seconds()
 	for _, j := range m.JobsInOrder() {
@@ -117,8 +114,8 @@
 	}
 }
 
-// Availability is the share of the replicas' wanted time in which they were up, rounded to a thousandth; 1 where none
-// was wanted.
+// Availability returns the share of the wanted replica time in which replicas were up, rounded to three decimals; 1 if
+// none was wanted.
 func (s *CompletionStats) Availability() float64 {
 	if s.WantedSeconds <= 0 {
 		return 1
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -12,61 +12,62 @@
 	"fieldhill/wire"
 )
 
-// This explores what one machine's agent and its leaders can send each other, in every order: reports, copies of them
-// at any later time, questions, commands (starts, stops and reaps) that are late or lost, a task that ends by itself,
-// an agent that restarts under its name, with numbers that go on or begin at 1, a lease that expires, and a new leader
-// while the old one's commands are still under way. The model and its judgement of reports are the real ones.
+// The tests in this file explore, in every order, the messages that one machine's agent and its leaders can exchange:
+// reports and delayed copies of them; probes; commands (start, stop, reap) that are late or lost; a task that ends by
+// itself; an agent that restarts under its name, with numbers that continue or restart at 1; a lease expiry; and a new
+// leader while commands of the old one are in flight. The model and its evaluation of reports are the production code.
 //
-// A command that was on its way to an earlier incarnation ends with its connection: the new one does not know it.
+// A command in flight to an earlier incarnation ends with its connection; the new incarnation never receives it.
 
-// mutation is what is done wrongly on purpose.
+// mutation is a fault that is injected into the protocol, which the exploration must detect.
 type mutation int
 
 const (
 	noMutation mutation = iota
-	// a copy of a report passes for the answer to a question, and the token in it is not looked at
-	copyPassesForAnswer
-	answerNotAwaited // a start under way in the answer to a report is not waited for
-	lostStartIgnored // a direct start without an answer is taken for one that never left
-	anySessionProves // the session of any report ends the runs of lower ones
-	// a relay that has answered a report itself gives the agent the leader's answer when that comes, whatever the
-	// agent has said since
-	relayForwardsLate
-	// the end of an attempt is logged, and it is reaped, though a start of it may be under way; nothing fences that
+	// A copy of a report is taken for the response to a probe, and its token is ignored.
+	copyTakenAsResponse
+	responseNotAwaited // a start in flight in the response to a report is ignored
+	lostStartIgnored   // a direct start without a response counts as never sent
+	anySessionTrusted  // the epoch of any report ends the runs of lower epochs
+	// A relay that has responded to a report itself forwards the leader's later response to the agent, whatever the
+	// agent has sent since.
+	relayForwardsLateResponse
+	// The end of an attempt is logged and the attempt is reaped although a start of it may be in flight, and nothing
+	// fences that start.
 	reapsEarly
 )
 
-// inFlightMessage is what a leader has sent to the agent and is not there yet.
+// inFlightMessage is a message from a leader that the agent has not received yet.
 type inFlightMessage struct {
-	incarnation, token, session uint64 // incarnation: that it was sent to
+	incarnation, token, session uint64 // incarnation is that of the recipient
 	commands                    []wire.Command
-	answer                      bool // to the report in flight
-	awaited                     bool // its sender still waits for what comes of it
+	isResponse                  bool // response to the report in flight
+	senderWaits                 bool // the sender still waits for the response
 	question                    *staleness.Question
 	term                        uint64
 }
 
-// exploredState is the state of the agent, the network and the leader.
+// exploredState is the combined state of the agent, the network and the leader.
 type exploredState struct {
 	mutation      mutation
-	model         *Model // the leader's
-	incarnation   uint64 // the agent's, as are the next ones
+	model         *Model // of the leader
+	incarnation   uint64 // of the agent, as are the fields up to exited
 	session       uint64
 	seq           uint64
-	token         uint64 // the highest that it has seen
-	heldAttempt   uint64 // the attempt that is on the machine, or was and is not reaped; 0: none
-	exited        bool   // it ended
-	earlyReaped   uint64 // the attempt that is reaped as soon as it is seen to have ended
-	elsewhere     bool   // the task runs on another machine
+	token         uint64 // highest seen by the agent
+	agentAttempt  uint64 // attempt on the machine that is not reaped yet; 0: none
+	exited        bool   // the attempt has ended
+	earlyReaped   uint64 // attempt that reapsEarly reaps once a report lists it as exited
+	runsElsewhere bool   // the task runs on another machine
 	reports       []wire.Heartbeat
-	awaitedReport int // the report that waits for its answer, 1 is the first; 0: none
+	awaitedReport int // 1-based index of the report that awaits its response; 0: none, -1: response in flight
 	inFlight      []inFlightMessage
 	question      *staleness.Question
 	terms         int
-	lapses        int
-	broken        string
-	relay         bool // a relay may answer reports by itself; the leader then gets them late
-	relayedReport int  // the report that a relay has answered and the leader has not had yet, 1 is the first; 0: none
+	leaseExpiries int
+	violation     string
+	relay         bool // a relay may respond to reports itself; the leader then receives them late
+	relayedReport int  // 1-based index of the report answered by a relay and not yet received by the leader; 0: none
 }
 
 const testTaskID = "req-000007/0"
@@ -87,21 +88,21 @@
 	machine := w.model.Order[0]
 	contact := &machine.Contact
 	b := fmt.Appendf(nil, "%+v %v %v %v %v",
-		contact.Reports, contact.Session, contact.TokenBump, contact.unresolvedStarts, contact.reapable)
+		contact.Reports, contact.Session, contact.TokenOffset, contact.unresolvedStarts, contact.reapable)
 	for _, r := range machine.Runs {
 		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v",
-			r.Attempt, r.Session, r.Phase, r.Inherited, r.answeredReportSeq, r.Stop, r.goneFromToken)
+			r.Attempt, r.Session, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
 	}
 	for _, x := range []uint64{
-		w.incarnation, w.session, w.seq, w.token, w.heldAttempt, w.earlyReaped, uint64(w.awaitedReport),
-		uint64(w.terms), uint64(w.lapses), w.model.TermBase,
+		w.incarnation, w.session, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
+		uint64(w.terms), uint64(w.leaseExpiries), w.model.TermBase,
 	} {
 		b = binary.AppendUvarint(b, x)
 	}
-	b = fmt.Appendf(b, "%v %v %v %v %+v", w.elsewhere, w.exited, w.broken, w.relayedReport, w.reports)
+	b = fmt.Appendf(b, "%v %v %v %v %+v", w.runsElsewhere, w.exited, w.violation, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
 		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v",
-			u.incarnation, u.token, u.session, u.answer, u.awaited, u.term, u.question)
+			u.incarnation, u.token, u.session, u.isResponse, u.senderWaits, u.term, u.question)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
@@ -109,14 +110,14 @@
 	return string(fmt.Appendf(b, "%+v", w.question))
 }
 
-func (w exploredState) Violation() string { return w.broken }
+func (w exploredState) Violation() string { return w.violation }
 
-// report is what the agent says now.
+// report returns the next report of the agent.
 func (w *exploredState) report() *wire.Heartbeat {
 	w.seq++
 	r := testReport(w.session, w.seq, w.token)
-	if w.heldAttempt != 0 {
-		s := wire.TaskStatus{Task: testTaskID, Attempt: w.heldAttempt, State: wire.TaskRunning}
+	if w.agentAttempt != 0 {
+		s := wire.TaskStatus{Task: testTaskID, Attempt: w.agentAttempt, State: wire.TaskRunning}
 		if w.exited {
 			s.State, s.Cause = wire.TaskExited, wire.CauseError
 		}
@@ -125,15 +126,15 @@
 	return r
 }
 
-// observe gives the leader a message and has it apply what that proves.
+// observe passes a report to the leader and applies the resulting entries.
 func (w *exploredState) observe(r *wire.Heartbeat, q *staleness.Question) ReportVerdict {
 	machine := w.model.Order[0]
-	bump := machine.Contact.TokenBump
+	offset := machine.Contact.TokenOffset
 	v := w.model.Observe(machine, r, q, 1)
 	if w.mutation == reapsEarly {
-		machine.Contact.TokenBump = bump
+		machine.Contact.TokenOffset = offset
 	}
-	if w.mutation == anySessionProves && v.Freshness == staleness.Unproven {
+	if w.mutation == anySessionTrusted && v.Freshness == staleness.Unproven {
 		for _, run := range machine.Runs {
 			if run.Session < r.AgentEpoch {
 				v.Entries = append(v.Entries, &Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: run.Attempt})
@@ -152,32 +153,32 @@
 	return v
 }
 
-// execute has the agent carry out commands.
+// execute simulates the agent executing commands.
 func (w *exploredState) execute(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Verb {
 		case wire.Start:
 			switch {
-			case w.heldAttempt == c.Attempt, w.heldAttempt != 0 && !w.exited: // known, or busy
-			case w.heldAttempt != 0: // one attempt is enough to list here; the other is refused
-			case w.elsewhere:
-				w.broken = fmt.Sprintf("attempt %d starts while the task runs elsewhere", c.Attempt)
+			case w.agentAttempt == c.Attempt, w.agentAttempt != 0 && !w.exited: // known, or machine busy
+			case w.agentAttempt != 0: // the simulated agent holds one attempt; others are rejected
+			case w.runsElsewhere:
+				w.violation = fmt.Sprintf("attempt %d starts while the task runs on another machine", c.Attempt)
 			case w.model.findRun(7, 0, uint32(c.Attempt)) == nil:
-				w.broken = fmt.Sprintf("attempt %d starts, whose end is in the log", c.Attempt)
+				w.violation = fmt.Sprintf("attempt %d starts after its end was logged", c.Attempt)
 			default:
-				w.heldAttempt = c.Attempt
+				w.agentAttempt = c.Attempt
 			}
 		case wire.Stop:
-			w.exited = w.exited || w.heldAttempt == c.Attempt
+			w.exited = w.exited || w.agentAttempt == c.Attempt
 		case wire.Forget:
-			if w.heldAttempt == c.Attempt && w.exited {
-				w.heldAttempt, w.exited = 0, false
+			if w.agentAttempt == c.Attempt && w.exited {
+				w.agentAttempt, w.exited = 0, false
 			}
 		}
 	}
 }
 
-// commands is what the leader says now. What observe applied counts as committed.
+// commands returns the commands that the leader sends now. Entries applied by observe count as committed.
 func (w *exploredState) commands(answer bool) []wire.Command {
 	machine := w.model.Order[0]
 	w.model.SealReapable(machine, 1)
@@ -188,7 +189,7 @@
 	return commands
 }
 
-// newExploredState is a task that was just placed on a machine of which the leader of term 3 has a report.
+// newExploredState returns the state after a task was placed on a machine that has reported to the leader of term 3.
 func newExploredState(t *testing.T, injected mutation) exploredState {
 	t.Helper()
 	m := New(params())
@@ -202,7 +203,7 @@
 	return w
 }
 
-// followSteps takes steps by their names.
+// followSteps takes the named steps in order.
 func followSteps(t *testing.T, w exploredState, names ...string) exploredState {
 	t.Helper()
 next:
@@ -213,46 +214,47 @@
 				continue next
 			}
 		}
-		t.Fatalf("there is no step %q", name)
+		t.Fatalf("no step %q in this state", name)
 	}
 	return w
 }
 
-// TestNoOrderStartsTwice explores the orders of all this, and finds what is done wrongly on purpose: from a task that
-// was just placed, and from one that runs while another copy of its start is held up.
-func TestNoOrderStartsTwice(t *testing.T) {
-	held := []string{
+// TestDeliveryOrderNeverStartsTaskTwice explores the delivery orders from two states: a task that was just placed, and
+// a running task while a second copy of its start is delayed. No order may start the task twice, and each injected
+// mutation must be detected.
+func TestDeliveryOrderNeverStartsTaskTwice(t *testing.T) {
+	duplicateStartDelayed := []string{
 		"the leader sends a command",
 		"the leader abandons a command",
 		"the agent reports",
 		"report 0 arrives",
-		"the answer of term 3 arrives",
+		"the response of term 3 arrives",
 		"the agent reports",
 	}
 	for _, c := range []struct {
-		slip        mutation
-		from        []string
-		depth, most int
-		relay       bool
+		mutation         mutation
+		setup            []string
+		depth, maxStates int
+		relay            bool
 	}{
 		{noMutation, nil, 20, 20_000, false},
-		{noMutation, held, 20, 20_000, false},
-		{copyPassesForAnswer, nil, 12, 60_000, false},
-		{answerNotAwaited, nil, 12, 60_000, false},
+		{noMutation, duplicateStartDelayed, 20, 20_000, false},
+		{copyTakenAsResponse, nil, 12, 60_000, false},
+		{responseNotAwaited, nil, 12, 60_000, false},
 		{lostStartIgnored, nil, 12, 60_000, false},
-		{anySessionProves, nil, 14, 150_000, false},
-		{reapsEarly, held, 14, 60_000, false},
+		{anySessionTrusted, nil, 14, 150_000, false},
+		{reapsEarly, duplicateStartDelayed, 14, 60_000, false},
 		{noMutation, nil, 20, 30_000, true},
-		{noMutation, held, 20, 30_000, true},
-		{relayForwardsLate, nil, 16, 60_000, true},
+		{noMutation, duplicateStartDelayed, 20, 30_000, true},
+		{relayForwardsLateResponse, nil, 16, 60_000, true},
 	} {
-		w := followSteps(t, newExploredState(t, c.slip), c.from...)
+		w := followSteps(t, newExploredState(t, c.mutation), c.setup...)
 		w.relay = c.relay
-		r := modelcheck.Explore(w, c.depth, c.most)
-		if found := r.Violation != ""; found != (c.slip != noMutation) {
-			t.Errorf("slip %d: %s", c.slip, r)
+		r := modelcheck.Explore(w, c.depth, c.maxStates)
+		if found := r.Violation != ""; found != (c.mutation != noMutation) {
+			t.Errorf("mutation %d: %s", c.mutation, r)
 		} else {
-			t.Logf("slip %d: %s", c.slip, r)
+			t.Logf("mutation %d: %s", c.mutation, r)
 		}
 	}
 }
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -9,11 +9,11 @@
 	"fieldhill/wire"
 )
 
-// NextSteps lists what may happen next. Their order is that in which they are explored.
+// NextSteps returns the possible next steps, in the order in which they are explored.
 func (w exploredState) NextSteps() (list []modelcheck.Step) {
 	s := &stepList{from: w}
 	s.addReports()
-	s.addAnswers()
+	s.addResponses()
 	s.addProbe()
 	s.addCommandsInFlight()
 	s.addDirectCommand()
@@ -23,7 +23,7 @@
 	return s.list
 }
 
-// stepList gathers the steps from a state.
+// stepList collects the steps from a state.
 type stepList struct {
 	from exploredState
 	list []modelcheck.Step
@@ -35,10 +35,10 @@
 	s.list = append(s.list, modelcheck.Step{Name: name, To: n})
 }
 
-// machine is the one that all is about.
+// machine returns the only machine of the model.
 func (w *exploredState) machine() *Machine { return w.model.Order[0] }
 
-// addReports: a report is made, and each that was made arrives, or a copy of it.
+// addReports adds steps in which the agent sends a report, and in which a report or a copy of it arrives.
 func (s *stepList) addReports() {
 	if s.from.awaitedReport == 0 && len(s.from.reports) < 3 {
 		s.add("the agent reports", func(w *exploredState) {
@@ -48,138 +48,141 @@
 	}
 	for i := range s.from.reports {
 		if s.from.awaitedReport != i+1 {
-			s.add(fmt.Sprint("a copy of report ", i, " comes"), func(w *exploredState) { w.observeCopy(w.reports[i]) })
+			s.add(fmt.Sprint("a copy of report ", i, " arrives"), func(w *exploredState) {
+				w.observeCopy(w.reports[i])
+			})
 			continue
 		}
-		s.add(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) { w.answerReport(&w.reports[i]) })
+		s.add(fmt.Sprint("report ", i, " arrives"), func(w *exploredState) { w.respondToReport(&w.reports[i]) })
 		s.add("the agent abandons its report", func(w *exploredState) { w.awaitedReport = 0 })
 		if s.from.relay && s.from.relayedReport == 0 {
-			s.add(fmt.Sprint("a relay answers report ", i, " by itself"), func(w *exploredState) {
+			s.add(fmt.Sprint("a relay responds to report ", i), func(w *exploredState) {
 				w.awaitedReport, w.relayedReport = 0, i+1
 			})
 		}
 	}
 }
 
-// observeCopy has the leader take in a report that it may have had before.
+// observeCopy passes a report to the leader that it may have received before.
 func (w *exploredState) observeCopy(r wire.Heartbeat) {
 	var q *staleness.Question
-	if w.mutation == copyPassesForAnswer {
+	if w.mutation == copyTakenAsResponse {
 		q = w.model.BeginProbe(w.machine())
 		r.FencingToken = w.model.TermBase + 1<<20
 	}
 	w.observe(&r, q)
 }
 
-// newAnswer is an answer to a report as the leader sends it, without commands yet.
-func (w *exploredState) newAnswer(r *wire.Heartbeat) inFlightMessage {
+// newResponse returns the leader's response to a report, without commands.
+func (w *exploredState) newResponse(r *wire.Heartbeat) inFlightMessage {
 	return inFlightMessage{
 		incarnation: w.incarnation,
 		session:     r.AgentEpoch,
-		answer:      true,
+		isResponse:  true,
 		token:       w.model.Token(w.machine()),
 		term:        w.model.TermBase,
 	}
 }
 
-// answerReport has the leader take in the report that waits for its answer, and send that.
-func (w *exploredState) answerReport(r *wire.Heartbeat) {
+// respondToReport passes the report that awaits its response to the leader, and sends the response.
+func (w *exploredState) respondToReport(r *wire.Heartbeat) {
 	v := w.observe(r, nil)
-	u := w.newAnswer(r)
+	u := w.newResponse(r)
 	if !v.IsStale() {
 		w.machine().Contact.Reports.RecordAnswer(u.token)
 		u.commands = w.commands(true)
 		for _, run := range w.machine().Runs {
-			if w.mutation == answerNotAwaited && run.answeredReportSeq != 0 {
-				run.answeredReportSeq = 0
+			if w.mutation == responseNotAwaited && run.startResponseSeq != 0 {
+				run.startResponseSeq = 0
 				run.setPhase(Fetching)
 			}
 		}
 	}
 	w.inFlight = append(w.inFlight, u)
-	w.awaitedReport = -1 // answered, and the answer is under way
+	w.awaitedReport = -1 // the response is in flight
 }
 
-// addAnswers: a report that a relay answered comes from it, and an answer is lost.
-func (s *stepList) addAnswers() {
+// addResponses adds steps in which a relay delivers a report that it responded to, and in which a response is lost.
+func (s *stepList) addResponses() {
 	if s.from.relayedReport != 0 {
-		s.add(fmt.Sprint("report ", s.from.relayedReport-1, " comes from the relay"), (*exploredState).observeRelayed)
+		s.add(fmt.Sprint("report ", s.from.relayedReport-1, " arrives from the relay"), (*exploredState).observeRelayed)
 	}
 	if s.from.awaitedReport == -1 {
-		s.add("the answer is lost", func(w *exploredState) {
-			w.inFlight = slices.DeleteFunc(w.inFlight, func(u inFlightMessage) bool { return u.answer })
+		s.add("the response is lost", func(w *exploredState) {
+			w.inFlight = slices.DeleteFunc(w.inFlight, func(u inFlightMessage) bool { return u.isResponse })
 			w.awaitedReport = 0
 		})
 	}
 }
 
-// observeRelayed has the leader take in the report that a relay has answered.
+// observeRelayed passes the report that a relay responded to to the leader.
 func (w *exploredState) observeRelayed() {
 	r := w.reports[w.relayedReport-1]
 	w.relayedReport = 0
 	if v := w.observe(&r, nil); v.IsStale() {
 		return
 	}
-	u := w.newAnswer(&r)
+	u := w.newResponse(&r)
 	w.machine().Contact.Reports.RecordAnswer(u.token)
 	u.commands = w.commands(true)
-	if w.mutation == relayForwardsLate {
+	if w.mutation == relayForwardsLateResponse {
 		w.inFlight = append(w.inFlight, u)
-	} // else the relay has no connection any more on which the agent waits for it
+	} // otherwise the relay has no open request of the agent left to respond to
 }
 
-// addProbe: the leader asks a question, and it is answered.
+// addProbe adds steps in which the leader probes the agent and in which the agent responds.
 func (s *stepList) addProbe() {
 	if s.from.question == nil {
 		s.add("the leader probes", func(w *exploredState) { w.question = w.model.BeginProbe(w.machine()) })
 		return
 	}
-	s.add("the agent answers the probe", func(w *exploredState) {
+	s.add("the agent responds to the probe", func(w *exploredState) {
 		q := w.question
 		w.question = nil
 		w.observe(w.report(), q)
 	})
 }
 
-// addCommandsInFlight: what is on its way to the agent arrives, or its sender waits for it no longer.
+// addCommandsInFlight adds steps in which a message in flight reaches the agent, and in which its sender stops waiting
+// for the response.
 func (s *stepList) addCommandsInFlight() {
 	for i, u := range s.from.inFlight {
 		what := "the command"
-		if u.answer {
-			what = "the answer"
+		if u.isResponse {
+			what = "the response"
 		}
 		s.add(fmt.Sprintf("%s of term %d arrives", what, u.term>>24), func(w *exploredState) { w.deliver(i) })
-		if u.awaited {
+		if u.senderWaits {
 			s.add("the leader abandons a command", func(w *exploredState) { w.abandon(i) })
 		}
 	}
 }
 
-// deliver has the agent take in a message, and its sender the answer to it.
+// deliver passes a message to the agent, and the agent's response to the sender.
 func (w *exploredState) deliver(i int) {
 	u := w.inFlight[i]
 	w.inFlight = slices.Delete(w.inFlight, i, i+1)
-	if u.answer {
+	if u.isResponse {
 		w.awaitedReport = 0
 	}
 	if u.incarnation != w.incarnation {
 		return
 	}
-	taken := u.session == w.session && u.token >= w.token
-	if taken {
+	accepted := u.session == w.session && u.token >= w.token
+	if accepted {
 		w.token = u.token
 		w.execute(u.commands)
 	}
-	if u.awaited && u.term == w.model.TermBase {
-		w.model.StartsAnswered(w.machine(), u.commands, u.token, taken)
+	if u.senderWaits && u.term == w.model.TermBase {
+		w.model.StartsAnswered(w.machine(), u.commands, u.token, accepted)
 		w.observe(w.report(), u.question)
 	}
 }
 
-// abandon has the leader wait no longer for the answer to a command.
+// abandon simulates a leader that stops waiting for the response to a command.
 func (w *exploredState) abandon(i int) {
 	u := &w.inFlight[i]
-	u.awaited = false
+	u.senderWaits = false
 	switch {
 	case u.term != w.model.TermBase:
 	case w.mutation == lostStartIgnored:
@@ -189,10 +192,10 @@
 	}
 }
 
-// addDirectCommand: the leader sends a command. There is one to a machine at a time.
+// addDirectCommand adds the step in which the leader sends a command. At most one per machine is in flight at a time.
 func (s *stepList) addDirectCommand() {
 	term := s.from.model.TermBase
-	isAwaited := func(u inFlightMessage) bool { return u.awaited && u.term == term }
+	isAwaited := func(u inFlightMessage) bool { return u.senderWaits && u.term == term }
 	if !s.from.machine().Contact.Reported || len(s.from.inFlight) >= 2 ||
 		slices.ContainsFunc(s.from.inFlight, isAwaited) {
 		return
@@ -205,7 +208,7 @@
 			session:     machine.Contact.Session,
 			token:       w.model.Token(machine),
 			commands:    commands,
-			awaited:     true,
+			senderWaits: true,
 			question:    w.model.BeginProbe(machine),
 			term:        w.model.TermBase,
 		}
@@ -214,20 +217,22 @@
 	})
 }
 
-// addScheduling: the task is placed, here or elsewhere, and its run is stopped.
+// addScheduling adds steps in which the task is placed, on this machine or another one, and in which its run is
+// stopped.
 func (s *stepList) addScheduling() {
 	machine, task := s.from.machine(), s.from.model.Jobs[7].Tasks[0]
-	if machine.Contact.Reported && task.State == Waiting && task.Attempt < 2 && !s.from.elsewhere {
-		s.add("the task is placed here", func(w *exploredState) {
+	if machine.Contact.Reported && task.State == Waiting && task.Attempt < 2 && !s.from.runsElsewhere {
+		s.add("the task is placed on this machine", func(w *exploredState) {
 			machine := w.machine()
 			e := NewPlacement(7, 0, w.model.Jobs[7].Tasks[0].Attempt+1, machine.ID, machine.Contact.Session)
 			_ = w.model.Apply(e, 1, 1)
 		})
 	}
-	if task.State == Waiting && task.Attempt > 0 && !s.from.elsewhere {
-		s.add("the task is placed elsewhere", func(w *exploredState) {
-			if w.elsewhere = true; w.heldAttempt != 0 && !w.exited {
-				w.broken = fmt.Sprintf("the task is started elsewhere while attempt %d is here", w.heldAttempt)
+	if task.State == Waiting && task.Attempt > 0 && !s.from.runsElsewhere {
+		s.add("the task is placed on another machine", func(w *exploredState) {
+			if w.runsElsewhere = true; w.agentAttempt != 0 && !w.exited {
+				w.violation = fmt.Sprintf("the task is started on another machine while attempt %d is on this one",
+					w.agentAttempt)
 			}
 		})
 	}
@@ -238,29 +243,29 @@
 	}
 }
 
-// addAgentEvents: the task ends, the agent restarts, and its lease runs out.
+// addAgentEvents adds steps in which the task ends, the agent restarts, or its lease expires.
 func (s *stepList) addAgentEvents() {
-	if s.from.heldAttempt != 0 && !s.from.exited {
+	if s.from.agentAttempt != 0 && !s.from.exited {
 		s.add("the task ends by itself", func(w *exploredState) { w.exited = true })
 	}
 	if s.from.incarnation < 2 {
-		for _, afresh := range []bool{false, true} {
-			s.add(fmt.Sprint("the agent restarts, afresh ", afresh), func(w *exploredState) {
-				w.incarnation, w.heldAttempt, w.exited, w.awaitedReport = w.incarnation+1, 0, false, 0
-				if w.session++; afresh {
+		for _, resetNumbers := range []bool{false, true} {
+			s.add(fmt.Sprint("the agent restarts, numbers reset ", resetNumbers), func(w *exploredState) {
+				w.incarnation, w.agentAttempt, w.exited, w.awaitedReport = w.incarnation+1, 0, false, 0
+				if w.session++; resetNumbers {
 					w.session, w.seq, w.token = 1, 0, 0
 				}
 			})
 		}
 	}
-	if s.from.lapses == 0 {
+	if s.from.leaseExpiries == 0 {
 		s.add("the agent's lease expires", func(w *exploredState) {
-			w.lapses, w.session, w.heldAttempt, w.exited = 1, w.session+1, 0, false
+			w.leaseExpiries, w.session, w.agentAttempt, w.exited = 1, w.session+1, 0, false
 		})
 	}
 }
 
-// addFailover: another node is elected.
+// addFailover adds the step in which another node is elected.
 func (s *stepList) addFailover() {
 	if s.from.terms == 0 {
 		s.add("another node is elected", func(w *exploredState) {
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -7,18 +7,18 @@
 	"fieldhill/wire"
 )
 
-// This file has the stored form of entries and of what they hold. It must not change: testdata/golden has each kind.
+// This file implements the stored format of entries and their fields. The format must not change; testdata/golden
+// covers every kind of entry.
 
-// maxID bounds attempts and machine ids as they are read: their counts can't come near it.
+// maxID is the upper limit of attempt numbers and machine IDs when decoding, far above any count that occurs.
 const maxID = 1 << 31
 
-// JobIDError is that an entry accepts a job under a name that is not a job's.
+// JobIDError reports a stored job specification whose ID is not a valid job ID.
 type JobIDError struct{ ID string }
 
-// Error quotes the name.
-func (e *JobIDError) Error() string { return fmt.Sprintf("model: %q is no job id", e.ID) }
+func (e *JobIDError) Error() string { return fmt.Sprintf("model: %q is not a valid job ID", e.ID) }
 
-// Append encodes an entry, to the end of b.
+// Append appends the encoded entry to b.
 func (e *Entry) Append(b []byte) []byte {
 	b = append(b, byte(e.Kind))
 	switch e.Kind {
@@ -41,7 +41,7 @@
 		b = codec.Uint(b, uint64(e.Machine))
 		b = codec.Uint(b, uint64(e.At))
 		b = appendInfo(b, e.Info)
-	case EntryGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
+	case EntryMachineGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		b = codec.Uint(b, uint64(e.Machine))
 	case EntryIntent:
 		b = appendInfo(b, e.Info)
@@ -54,7 +54,7 @@
 	return b
 }
 
-// ReadEntry decodes one entry, and leaves the reader behind it.
+// ReadEntry decodes one entry and advances the reader past it.
 func ReadEntry(r *codec.Reader) (*Entry, error) {
 	e := &Entry{Kind: EntryKind(r.Byte())}
 	if r.Err != nil {
@@ -87,7 +87,7 @@
 		e.Machine = MachineID(r.Max(maxID))
 		e.At = int64(r.Uint())
 		e.Info = readInfo(r)
-	case EntryGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
+	case EntryMachineGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		e.Machine = MachineID(r.Max(maxID))
 	case EntryIntent:
 		e.Info = readInfo(r)
@@ -114,8 +114,8 @@
 	return &MachineInfo{Name: r.String(), Addr: r.String(), Type: r.String(), Zone: r.String(), Spot: r.Bool()}
 }
 
-// typeFigures lists the figures of a machine type in the order in which they are stored.
-func typeFigures(t *wire.MachineType) [8]*float64 {
+// typeNumbers returns the numeric fields of a machine type in stored order.
+func typeNumbers(t *wire.MachineType) [8]*float64 {
 	return [...]*float64{
 		&t.CPUs, &t.GPUs, &t.MemoryGB, &t.CacheGB, &t.FetchGBPerS, &t.Price, &t.SpotPrice, &t.BootS,
 	}
@@ -123,7 +123,7 @@
 
 func appendType(b []byte, t *wire.MachineType) []byte {
 	b = codec.String(b, t.Name)
-	for _, f := range typeFigures(t) {
+	for _, f := range typeNumbers(t) {
 		b = codec.Float(b, *f)
 	}
 	return appendStrings(b, t.Zones)
@@ -131,7 +131,7 @@
 
 func readType(r *codec.Reader) *wire.MachineType {
 	t := &wire.MachineType{Name: r.String()}
-	for _, f := range typeFigures(t) {
+	for _, f := range typeNumbers(t) {
 		*f = r.Float()
 	}
 	t.Zones = readStrings(r)
@@ -155,23 +155,23 @@
 	return s
 }
 
-// specNames and specFigures list fields of a job's description in the order in which they are stored.
-func specNames(s *wire.JobSpec) [6]*string {
+// specStrings and specNumbers return fields of a job specification in stored order.
+func specStrings(s *wire.JobSpec) [6]*string {
 	return [...]*string{&s.ID, &s.Class, &s.Team, &s.Shape, &s.Priority, &s.Image}
 }
 
-func specFigures(s *wire.JobSpec) [7]*float64 {
+func specNumbers(s *wire.JobSpec) [7]*float64 {
 	return [...]*float64{
 		&s.CPUs, &s.GPUs, &s.MemoryGB, &s.ImageGB, &s.EstimateS, &s.CheckpointIntervalS, &s.CheckpointWriteS,
 	}
 }
 
 func appendSpec(b []byte, s *wire.JobSpec) []byte {
-	for _, v := range specNames(s) {
+	for _, v := range specStrings(s) {
 		b = codec.String(b, *v)
 	}
 	b = codec.Uint(b, uint64(s.Tasks))
-	for _, f := range specFigures(s) {
+	for _, f := range specNumbers(s) {
 		b = codec.Float(b, *f)
 	}
 	b = codec.Bool(b, s.SameZone)
@@ -194,11 +194,11 @@
 
 func readSpec(r *codec.Reader) *wire.JobSpec {
 	s := &wire.JobSpec{}
-	for _, v := range specNames(s) {
+	for _, v := range specStrings(s) {
 		*v = r.String()
 	}
 	s.Tasks = r.Max(wire.MaxTasks)
-	for _, f := range specFigures(s) {
+	for _, f := range specNumbers(s) {
 		*f = r.Float()
 	}
 	s.SameZone = r.Bool()
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -1,48 +1,45 @@
 package model
 
-// This file tells faulty jobs from faulty machines. A job that was submitted with a
-// mistake fails on every machine, a faulty machine fails whatever it is given, and
-// the first failure looks the same. So a job is retried elsewhere at once, and what
-// happens there decides:
+// This file attributes task failures to faulty jobs or to faulty machines. A faulty job fails on every machine and a
+// faulty machine fails every task, so a first failure is ambiguous. A failed task is therefore retried on another
+// machine at once, and the outcome there decides:
 //
-//   - a job none of whose tasks ever completed, and that failed on two machines, is
-//     faulty: its failures are held against no machine;
-//   - a machine on which two jobs failed that are not faulty, with nothing completed
-//     in between, is in doubt: it gets nothing new. It is quarantined for good once
-//     both jobs completed something elsewhere, or when a while has passed and they
-//     are still not faulty.
+//   - A job is faulty if none of its tasks ever completed and it failed on two machines. Its failures are not counted
+//     against any machine.
+//   - A machine is cordoned, that is, it gets no new tasks, if two jobs that are not faulty failed on it with no
+//     completion in between. It is quarantined permanently once both jobs completed a task elsewhere, or if they have
+//     still not proved faulty after cordonPeriod.
 //
-// Both are judged by what is known at the time, so a wrong judgement is taken back by
-// the first completion.
+// Each decision uses what is known at the time. A completion clears a job's faulty state and a machine's cordon.
 
 const (
-	// avoidPeriod is how long a job stays off a machine where it failed.
+	// How long a job is not placed again on a machine where it failed.
 	avoidPeriod = Time(60e9)
-	// doubtPeriod is how long jobs that failed on a machine have to fail elsewhere.
-	doubtPeriod = Time(10e9)
-	// faultyPause is how long a faulty job is paused, the first time twice as long and so on, up to maxPauseDoublings.
-	faultyPause       = Time(2e9)
-	maxPauseDoublings = 5
-	// minFaultyMachines is on how many machines a job fails that is faulty.
+	// How long jobs that failed on a machine have to fail elsewhere before the machine is quarantined.
+	cordonPeriod = Time(10e9)
+	// Base of the exponential backoff of a faulty job. The first backoff is twice as long and each further one doubles,
+	// up to maxBackoffDoublings doublings.
+	faultyBackoff       = Time(2e9)
+	maxBackoffDoublings = 5
+	// Number of machines on which a job must fail to be faulty.
 	minFaultyMachines = 2
-	// minAccusers is how many jobs that are not faulty fail on a machine that is in doubt.
-	minAccusers = 2
+	// Number of jobs that are not faulty that must fail on a machine for it to be cordoned.
+	minFailedJobs = 2
 )
 
-// attributeFailure counts a failure against machine and job. It tells whether it shows the job
-// to be faulty.
+// attributeFailure records a failure of a job on a machine. It reports whether the failure shows the job to be faulty.
 func attributeFailure(machine *Machine, j *Job, now Time) (becameFaulty bool) {
 	machine.Health.addFailure(j)
 	if becameFaulty = j.addFailure(machine.ID, now); j.Observed.Faulty && now >= j.Scheduling.NotBefore {
-		// One failure a pause counts: tasks that were under way fail together.
-		j.Observed.pauses++
-		j.Scheduling.NotBefore = now + faultyPause<<min(j.Observed.pauses, maxPauseDoublings)
+		// The backoff doubles once per retry: tasks that were already running fail together.
+		j.Observed.backoffs++
+		j.Scheduling.NotBefore = now + faultyBackoff<<min(j.Observed.backoffs, maxBackoffDoublings)
 	}
 	machine.Health.updateQuarantine(now)
 	return becameFaulty
 }
 
-// addFailure counts a failure of a job on a machine. It tells whether it shows the job to be faulty.
+// addFailure records a failure on a machine. It reports whether the failure shows the job to be faulty.
 func (j *Job) addFailure(machine MachineID, now Time) (becameFaulty bool) {
 	observed := &j.Observed
 	if observed.FailedOn == nil {
@@ -57,14 +54,14 @@
 	return true
 }
 
-// clearFailures notes that a task of a job completed: it does not fail everywhere.
+// clearFailures is called when a task of the job completes, which proves that the job is not faulty.
 func (j *Job) clearFailures() {
 	if j.Observed.Faulty {
-		j.Observed.Faulty, j.Observed.pauses, j.Scheduling.NotBefore = false, 0, 0
+		j.Observed.Faulty, j.Observed.backoffs, j.Scheduling.NotBefore = false, 0, 0
 	}
 }
 
-// addFailure counts a failure of a job on the machine.
+// addFailure records a failure of a job on the machine.
 func (h *MachineHealth) addFailure(j *Job) {
 	h.Failures++
 	if h.FailedJobs == nil {
@@ -73,31 +70,31 @@
 	h.FailedJobs[j.ID] = j
 }
 
-// clearFailures notes that a task completed on the machine: it does not fail everything.
+// clearFailures is called when a task completes on the machine, which proves that not every task fails there.
 func (h *MachineHealth) clearFailures() {
 	h.Failures, h.FailedJobs, h.DoubtSince = 0, nil, 0
 }
 
-// UpdateQuarantine judges a machine by the jobs that failed on it, which may since have completed or failed elsewhere.
+// UpdateQuarantine re-evaluates a machine: the jobs that failed on it may since have completed or failed elsewhere.
 func (t *leaderTerm) UpdateQuarantine(machine *Machine, now Time) {
 	machine.Health.updateQuarantine(now)
 }
 
 func (h *MachineHealth) updateQuarantine(now Time) {
-	accusers, provenJobs := 0, 0
+	nonFaultyJobs, completedJobs := 0, 0
 	for _, j := range h.FailedJobs {
 		if j.Done > 0 {
-			provenJobs++
+			completedJobs++
 		}
 		if !j.Observed.Faulty && (!j.Cancelled || j.Done > 0) {
-			accusers++
+			nonFaultyJobs++
 		}
 	}
 	switch {
 	case h.Quarantined:
-	case accusers < minAccusers:
+	case nonFaultyJobs < minFailedJobs:
 		h.DoubtSince = 0
-	case provenJobs >= minAccusers || h.DoubtSince != 0 && now-h.DoubtSince > doubtPeriod:
+	case completedJobs >= minFailedJobs || h.DoubtSince != 0 && now-h.DoubtSince > cordonPeriod:
 		h.Quarantined = true
 	case h.DoubtSince == 0:
 		h.DoubtSince = max(now, 1)
--- a/internal/model/gang_start.go
+++ b/internal/model/gang_start.go
@@ -1,14 +1,14 @@
 package model
 
-// This file has the members of a gang start together. Each waits for the others once it has its image, for the
-// platform's time at most (GangWait), and then exits. Where an image takes longer to fetch than that, a member that has
-// it would exit before one that fetches is there, the gang would be stopped, the fetch abandoned, and the next attempt
-// would go the same way: one gang of four with images of two members went through five attempts, 35 s each. So a member
-// that is there at once is started when those that fetch for long are there; and a gang that failed to start together
-// is not stopped before its fetches have ended.
+// This file coordinates the start of gang members. Once a member has its image it waits for the others, at most for the
+// platform's GangWait, and then exits. If another member needs longer than that to fetch the image, the waiting member
+// exits first, the gang is stopped, the fetch is aborted and the next attempt fails the same way: a gang of four with
+// images cached by two members was seen to take five attempts of 35 s each. So members with a cached image are started
+// only when those with long fetches are ready, and a gang that failed to start together is not stopped before its
+// fetches have ended.
 
-// IsLongFetch tells whether a machine takes so long to fetch a job's image that members of a gang who fetch it, and
-// who don't, may not start together: as rates differ by a third, from half of the wait on.
+// IsLongFetch reports whether fetching a job's image on a machine may take longer than gang members with a cached image
+// wait. The threshold is half of GangWait, because fetch rates vary by a third.
 func (m *Model) IsLongFetch(j *Job, machine *Machine) bool {
 	if m.GangWait <= 0 || machine.HasImage(j.Image) {
 		return false
@@ -17,7 +17,7 @@
 	return rate > 0 && j.Spec.ImageGB/rate > m.GangWait.Seconds()/2
 }
 
-// mustHoldStart tells whether the start of a gang's member waits for others, whose fetch takes long.
+// mustHoldStart reports whether the start of a gang member must wait for another member's long fetch.
 func (m *Model) mustHoldStart(r *Run) bool {
 	j := r.Job
 	if j.Kind != Gang || len(j.Tasks) < 2 || r.Inherited || !r.Machine.HasImage(j.Image) {
@@ -32,8 +32,8 @@
 	return false
 }
 
-// machinesAwaitingMember lists the machines of a gang's members whose start may have waited for one that has its
-// image now.
+// machinesAwaitingMember returns the machines of gang members whose start may have been held until another member had
+// its image.
 func (j *Job) machinesAwaitingMember() (machines []*Machine) {
 	if j.Kind != Gang {
 		return nil
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -16,7 +16,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// everyEntry is a batch with each kind of entry in the order of their numbers, some more than once.
+// everyEntry returns entries of every kind, in the order of the kinds' numbers.
 func everyEntry() []*Entry {
 	full := &wire.JobSpec{
 		ID: wire.JobID(300), Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.Production,
@@ -36,7 +36,7 @@
 		{Kind: EntryDone, Job: 128, Task: 4, Attempt: 2},
 		{Kind: EntryMachine, Machine: 1, At: 5, Info: machine},
 		{Kind: EntryMachine, Machine: 300, Info: &MachineInfo{Name: "host-300", Type: "t", Zone: "b"}},
-		{Kind: EntryGone, Machine: 2},
+		{Kind: EntryMachineGone, Machine: 2},
 		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, GPUs: 0.1, MemoryGB: 16, CacheGB: 50,
 			FetchGBPerS: 1e-9, Price: 0.18, SpotPrice: 0.06, BootS: 25, Zones: []string{"a", "b"}}},
 		{Kind: EntrySuspect, Machine: 3},
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestGoldenEntries: a batch with every kind of entry is written and read as it always was.
+// TestGoldenEntries checks that the stored format of every kind of entry is unchanged.
 func TestGoldenEntries(t *testing.T) {
 	entries := everyEntry()
 	golden.RoundTrip(t, "entries.hex", entries, func(all []*Entry) (b []byte) {
@@ -71,16 +71,16 @@
 		kinds = append(kinds, e.Append(nil)[0])
 	}
 	if want := []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}; !bytes.Equal(want, slices.Compact(kinds)) {
-		t.Errorf("the kinds have numbers %v", kinds)
+		t.Errorf("kinds have numbers %v", kinds)
 	}
 	for _, kind := range []byte{0, 15} {
 		if _, err := ReadEntry(&codec.Reader{Data: []byte{kind, 1, 1, 1}}); err == nil {
-			t.Errorf("an entry of kind %d is read", kind)
+			t.Errorf("entry of unknown kind %d is decoded", kind)
 		}
 	}
 }
 
-// applyAll applies entries with the numbers from 1 on, each a moment after the one before.
+// applyAll applies entries with sequence numbers from 1 on, at increasing times.
 func applyAll(t *testing.T, m *Model, entries ...*Entry) {
 	t.Helper()
 	for i, e := range entries {
@@ -90,8 +90,8 @@
 	}
 }
 
-// eventful is a model that has some of everything that a snapshot holds, but rentals under way.
-func eventful(t *testing.T) *Model {
+// newModelWithHistory returns a model with some of everything that a snapshot contains, except intents.
+func newModelWithHistory(t *testing.T) *Model {
 	t.Helper()
 	other, full := testSpec(20, 3), *everyEntry()[0].Spec
 	other.Image, other.ImageGB, full.Tasks = "j", 2.5, 1000
@@ -111,8 +111,8 @@
 		&Entry{Kind: EntryMachine, Machine: 3, Info: testInfo("host-3")},
 		&Entry{Kind: EntryMachine, Machine: 4, Info: testInfo("host-4")},
 		&Entry{Kind: EntryMachine, Machine: 5, Info: testInfo("host-5")},
-		&Entry{Kind: EntryGone, Machine: 5},
-		&Entry{Kind: EntryGone, Machine: 4},
+		&Entry{Kind: EntryMachineGone, Machine: 5},
+		&Entry{Kind: EntryMachineGone, Machine: 4},
 		&Entry{Kind: EntrySuspect, Machine: 2},
 		&Entry{Kind: EntryRelease, Machine: 3},
 		Accepted(testSpec(1, 1), 5),
@@ -124,7 +124,7 @@
 		entry(EntryDone, 300, 0, 1),
 		entry(EntryCancel, 2, 0, 0),
 		entry(EntryCancel, 301, 0, 0),
-		Accepted(testSpec(21, 5), 9), // part done, with attempts, part placed, part waiting
+		Accepted(testSpec(21, 5), 9), // tasks done, placed and waiting, some retried
 		entry(EntryDone, 21, 0, 0),
 		place(21, 1, 1, 1),
 		entry(EntryEnded, 21, 1, 1),
@@ -135,17 +135,18 @@
 		entry(EntryEnded, 21, 3, 1),
 		Accepted(other, 10),
 		place(20, 0, 1, 1),
-		entry(EntryDone, 20, 0, 1), // a second image in the cache
+		entry(EntryDone, 20, 0, 1), // second image in the cache
 		Accepted(testSpec(22, 2), 11),
 		place(22, 1, 1, 2),
-		entry(EntryCancel, 22, 0, 0), // over, but for its run
+		entry(EntryCancel, 22, 0, 0), // cancelled but still has a run
 		&Entry{Kind: EntryAccept, Job: 400, Spec: &full, At: 12},
 	)
 	return m
 }
 
-// older makes what version 1 or 2 wrote of a snapshot of version 3: without the last one or two of a machine's flags.
-func older(m *Model, b []byte, version byte) []byte {
+// downgradeSnapshot converts a snapshot of version 3 to version 1 or 2 by removing the flags of machines that the older
+// version lacks.
+func downgradeSnapshot(m *Model, b []byte, version byte) []byte {
 	b = bytes.Clone(b)
 	b[0] = version
 	for _, machine := range m.Order {
@@ -156,12 +157,13 @@
 	return b
 }
 
-// TestGoldenSnapshots: snapshots of all versions are read as they always were, and the present ones are written so.
+// TestGoldenSnapshots checks that snapshots of all versions can still be read, and that the format of the written
+// versions is unchanged.
 func TestGoldenSnapshots(t *testing.T) {
-	m := eventful(t)
+	m := newModelWithHistory(t)
 	golden.Check(t, "snapshot-v3.hex", m.Snapshot())
-	golden.Check(t, "snapshot-v1.hex", older(m, m.Snapshot(), 1))
-	golden.Check(t, "snapshot-v2.hex", older(m, m.Snapshot(), 2))
+	golden.Check(t, "snapshot-v1.hex", downgradeSnapshot(m, m.Snapshot(), 1))
+	golden.Check(t, "snapshot-v2.hex", downgradeSnapshot(m, m.Snapshot(), 2))
 	for _, name := range []string{"x", "y"} {
 		i := &MachineInfo{Name: name, Type: "t", Zone: "a", Spot: name == "y"}
 		applyAll(t, m, &Entry{Kind: EntryIntent, Info: i, Count: wire.MaxScaleOut})
@@ -169,7 +171,7 @@
 	golden.Check(t, "snapshot-v4.hex", m.Snapshot())
 	for version := byte(1); version <= 4; version++ {
 		golden.FlipFinds(t, fmt.Sprintf("snapshot-v%d.hex", version), func(b []byte) (_ []byte, err error) {
-			// Restore still panics on a machine that is there twice; that is a difference that was found, too.
+			// Restore panics on a duplicate machine; that also counts as detecting the change.
 			defer func() {
 				if p := recover(); p != nil {
 					err = fmt.Errorf("panic: %v", p)
@@ -180,7 +182,7 @@
 				return nil, err
 			}
 			if version < 3 {
-				return older(again, again.Snapshot(), version), nil
+				return downgradeSnapshot(again, again.Snapshot(), version), nil
 			}
 			return again.Snapshot(), nil
 		})
@@ -188,12 +190,12 @@
 	for version := byte(0); version <= 5; version++ {
 		b := golden.Read(t, "snapshot-v4.hex")
 		if b[0] = version; (New(params()).Restore(b, 50, 0) == nil) != (version == 4) {
-			t.Errorf("a snapshot of version 4 is read as one of version %d", version)
+			t.Errorf("a snapshot of version 4 is accepted as version %d", version)
 		}
 	}
 }
 
-// describeFleet lists the machines with what the log says of them, and the intents.
+// describeFleet returns the machines with their replicated flags, and the intents.
 func describeFleet(m *Model) (list []string) {
 	for _, machine := range m.Order {
 		described := machine.Info.Name
@@ -211,8 +213,8 @@
 	return list
 }
 
-// TestGoldenRestored: the stored snapshots are read as what they stood for, in each version.
-func TestGoldenRestored(t *testing.T) {
+// TestGoldenSnapshotContents checks the state restored from the stored snapshots of each version.
+func TestGoldenSnapshotContents(t *testing.T) {
 	for version, want := range map[int][]string{
 		1: {"host-1", "host-2", "host-3"},
 		2: {"host-1", "host-2 suspect", "host-3"},
@@ -239,22 +241,23 @@
 		}
 		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 ||
 			len(machine.cache) != 2 {
-			t.Errorf("version %d: gone %v, next %d, cache %v", version, m.Tombstones, m.NextMachine, machine.cache)
+			t.Errorf("version %d: tombstones %v, next machine %d, cache %v",
+				version, m.Tombstones, m.NextMachine, machine.cache)
 		}
 	}
 }
 
-// TestGoldenTombs: a thousand names of gone machines are written as they always were, in the order of their going.
-func TestGoldenTombs(t *testing.T) {
+// TestGoldenTombstones checks that the stored format of 1,000 tombstones is unchanged, oldest first.
+func TestGoldenTombstones(t *testing.T) {
 	m := New(params())
 	for id := MachineID(1); id <= 1000; id++ {
 		applyAll(t, m, &Entry{Kind: EntryMachine, Machine: id, Info: testInfo(fmt.Sprint("host-", id))},
-			&Entry{Kind: EntryGone, Machine: id})
+			&Entry{Kind: EntryMachineGone, Machine: id})
 	}
 	b := m.Snapshot()
 	golden.Check(t, "tombs.sha256.txt", fmt.Appendf(nil, "%x\n", sha256.Sum256(b)))
 	again := New(params())
 	if err := again.Restore(b, 1, 0); err != nil || !bytes.Equal(b, again.Snapshot()) || len(again.Tombstones) != 1000 {
-		t.Errorf("%d names of 1000 are read, %v", len(again.Tombstones), err)
+		t.Errorf("%d of 1000 tombstones restored, %v", len(again.Tombstones), err)
 	}
 }
--- a/internal/model/helpers_test.go
+++ b/internal/model/helpers_test.go
@@ -29,15 +29,14 @@
 	}
 }
 
-// testType is the machine type of the tests.
 func testType() *wire.MachineType {
 	return &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, Zones: []string{"a"}}
 }
 
 func testInfo(n string) *MachineInfo { return &MachineInfo{Name: n, Addr: "x:1", Type: "t", Zone: "a"} }
 
-// newPlacedModel makes a model with a job of two tasks, of which the first is placed on a
-// machine in session 1, under a leader of term 3.
+// newPlacedModel returns a model led in term 3 with a job of two tasks, the first of which is placed on a machine in
+// agent epoch 1.
 func newPlacedModel(t *testing.T) (*Model, *Machine, *Run) {
 	t.Helper()
 	m := New(params())
@@ -64,7 +63,7 @@
 	}
 }
 
-// testStatus is what a report lists of the first attempt of the task that newPlacedModel places.
+// testStatus returns the status of the first attempt of the task that newPlacedModel places.
 func testStatus(state, cause string) wire.TaskStatus {
 	return wire.TaskStatus{Task: "req-000007/0", Attempt: 1, State: state, Cause: cause}
 }
--- a/internal/model/image_cache.go
+++ b/internal/model/image_cache.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// This file infers what images a machine has. Heartbeats don't list images, so the tasks that got theirs show it.
+// This file infers the content of the machines' image caches. Heartbeats do not list images, so the cache is derived
+// from tasks that have progressed past their fetch.
 
-// cachedImage is an image that a machine is thought to have.
+// cachedImage is an image that a machine is assumed to have.
 type cachedImage struct {
 	image    int32
 	sizeGB   float64
 	lastUsed Time
 }
 
-// pendingFetch is an image that runs wait for: how many, and how large it is.
+// pendingFetch is an image that a number of runs on a machine wait for.
 type pendingFetch struct {
 	image       int32
 	waitingRuns int32
 	sizeGB      float64
 }
 
-// countFetch counts a run in or out of those that wait for their image.
+// countFetch adds a run to (delta 1) or removes it from (delta -1) the runs that wait for their image.
 func (machine *Machine) countFetch(r *Run, delta int32) {
 	for i := range machine.fetches {
 		if p := &machine.fetches[i]; p.image == r.Job.Image {
@@ -35,8 +36,8 @@
 	}
 }
 
-// TouchImage notes that a machine has a job's image. Where that is more than its cache holds, the images that were
-// used longest ago are thought to be evicted.
+// TouchImage records that a machine has a job's image. If the cache size is exceeded, the least recently used images
+// are assumed to be evicted.
 func (machine *Machine) TouchImage(m *Model, j *Job, now Time) {
 	for i := range machine.cache {
 		if machine.cache[i].image == j.Image {
@@ -52,7 +53,8 @@
 	machine.evictImages(limit, j.Image)
 }
 
-// evictImages drops images until the others fit into a limit, but for one that is needed and those of present runs.
+// evictImages drops the least recently used images until the cache is within the limit. It keeps the needed image and
+// the images of present runs.
 func (machine *Machine) evictImages(limitGB float64, needed int32) {
 	cachedGB := 0.0
 	for _, c := range machine.cache {
@@ -83,7 +85,7 @@
 	return false
 }
 
-// HasImage tells whether a machine is thought to have an image.
+// HasImage reports whether a machine is assumed to have an image.
 func (machine *Machine) HasImage(image int32) bool {
 	for i := range machine.cache {
 		if machine.cache[i].image == image {
@@ -93,8 +95,7 @@
 	return false
 }
 
-// FetchBacklog tells whether a machine is fetching an image, and how many GB it still
-// has to fetch in all.
+// FetchBacklog reports whether a machine is fetching an image, and the total size of its pending fetches in GB.
 func (machine *Machine) FetchBacklog(image int32) (fetchingImage bool, totalGB float64) {
 	for i := range machine.fetches {
 		if p := &machine.fetches[i]; !machine.HasImage(p.image) {
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -7,23 +7,23 @@
 	"fieldhill/wire"
 )
 
-// JobID is a job's number.
+// JobID is the numeric part of a job's ID.
 type JobID uint64
 
-// Kind is a job's shape.
+// Kind is the shape of a job.
 type Kind uint8
 
-// The shapes.
+// Job shapes.
 const (
 	Array   Kind = iota // independent tasks
-	Gang                // tasks that run together or not at all
-	Service             // replicas without an end
+	Gang                // tasks that run at the same time or not at all
+	Service             // long-running replicas
 )
 
-// Priority orders jobs; higher is more urgent.
+// Priority is the scheduling priority of a job; higher values are more urgent.
 type Priority uint8
 
-// The priorities.
+// Job priorities, in ascending order.
 const (
 	Low Priority = iota
 	Normal
@@ -31,10 +31,10 @@
 	Production
 )
 
-// Final is how a job ended.
+// Final is the final state of a job.
 type Final uint8
 
-// The final states.
+// Final states of a job.
 const (
 	FinalDone Final = iota + 1
 	FinalCancelled
@@ -43,80 +43,80 @@
 // TaskState is the replicated state of a task.
 type TaskState uint8
 
-// The states of a task.
+// States of a task.
 const (
-	Waiting TaskState = iota // has no run, and wants one unless its job is over
+	Waiting TaskState = iota // has no run; needs one unless its job is over
 	Placed                   // has a run
 	Done                     // completed
 )
 
-// Task is one task of a job.
+// Task is the replicated state of one task of a job.
 type Task struct {
 	State   TaskState
-	Attempt uint32 // the latest attempt; 0: none yet
-	Run     *Run   // the attempt that is not evidently gone; nil: none
+	Attempt uint32 // number of the latest attempt; 0: none yet
+	Run     *Run   // the current attempt; nil: none, or known to have ended
 }
 
-// Job is an accepted job that is not over, or has tasks that are not gone. Its own fields are replicated, but for
-// Running; what was observed of it and what the scheduler holds of it are apart.
+// Job is an accepted job that is unfinished or still has runs. Its own fields are replicated, except Running. Scheduler
+// state and observations, which are not replicated, are in Scheduling and Observed.
 type Job struct {
 	ID        JobID
-	Spec      *wire.JobSpec // as submitted; never changed, and shared by clones
+	Spec      *wire.JobSpec // as submitted; immutable and shared by clones
 	Kind      Kind
 	Priority  Priority
-	Team      *Team   // nil: the settings don't name it
-	Class     int32   // in Model.Classes
-	Image     int32   // in Model.Images
-	Zone      int32   // in Model.Zones; -1: any
-	Types     []int32 // in Model.Types; nil: any
-	TypesKey  string  // equal for jobs that allow the same types
+	Team      *Team   // nil: not in the configuration
+	Class     int32   // index in Model.Classes
+	Image     int32   // index in Model.Images
+	Zone      int32   // index in Model.Zones; -1: any
+	Types     []int32 // indexes in Model.Types; nil: any
+	TypesKey  string  // equal for jobs that allow the same machine types
 	Tasks     []Task
-	Done      int // tasks that completed
-	Live      int // tasks with a Run
-	Running   int // runs observed running or checkpointing
+	Done      int // completed tasks
+	Live      int // placed tasks, that is, with a Run
+	Running   int // runs observed as running or checkpointing
 	Cancelled bool
-	Order     uint64 // order of acceptance
-	At        int64  // time of day of acceptance, ms
-	AcceptSeq uint64 // the log's number of its acceptance
-	FinalSeq  uint64 // the log's number of the entry that decided its end; 0: undecided
+	Order     uint64 // position in the order of acceptance
+	At        int64  // wall-clock time of acceptance, ms
+	AcceptSeq uint64 // log sequence number of the acceptance
+	FinalSeq  uint64 // log sequence number of the entry that decided the final state; 0: undecided
 
-	retryTasks []int32 // tasks that wait again after an attempt, the next one last
-	nextTask   int32   // all before it were placed or are done
-	settled    bool    // it has its final state, and leaves jobsInOrder at the next look
-	started    bool    // a task of it was placed
+	retryTasks []int32 // stack of tasks that wait again after an attempt
+	nextTask   int32   // all tasks before it have been placed or completed
+	finished   bool    // final; removed from jobsInOrder by the next JobsInOrder call
+	started    bool    // a task has been placed or completed
 
 	Scheduling JobScheduling
 	Observed   JobObservation
 }
 
-// JobScheduling is what the leader's scheduler holds of a job between rounds. It is not in the log: a new leader
-// begins with the zero value.
+// JobScheduling is the scheduler's state of a job between rounds. It is not in the log; a new leader starts from the
+// zero value.
 type JobScheduling struct {
-	WaitedRounds  int            // rounds spent waiting for a busy machine with the image
-	PendingReason pending.Reason // why its next task was not placed when last considered
+	WaitedRounds  int            // rounds spent waiting for a busy machine that has the image
+	PendingReason pending.Reason // why the next task was not placed in the last round that considered it
 	reasonHistory [maxReasonHistory]ReasonSince
-	// NotBefore is until when it is not placed, after attempts that failed for a reason that takes time to pass.
+	// The job is not placed before this time, after attempts that failed for a reason that takes time to pass.
 	NotBefore Time
-	// LocalRoomSince is since when room is being made on machines that have its image; 0: it is not.
+	// When the scheduler began to free capacity on machines that have the image; 0: it is not doing so.
 	LocalRoomSince Time
-	// WithinGuarantee says that it fits into its team's guarantee together with the team's earlier unfinished jobs.
+	// The job and its team's earlier unfinished jobs together fit into the team's guarantee.
 	WithinGuarantee bool
-	Guaranteed      bool // it is placed as one within the guarantee
-	Deferrable      bool // its part of the guarantee may wait for classes and teams that are under-served
+	Guaranteed      bool // scheduled as a job within the guarantee
+	Deferrable      bool // its share of the guarantee may wait for under-served classes and teams
 	UnderServed     bool // its class or team gets less than its minimum share
-	Rank            int  // jobs of a higher rank are placed first
+	Rank            int  // jobs with a higher rank are placed first
 }
 
-// JobObservation is what this replica, or this leader, has observed of a job. It is not in the log.
+// JobObservation is what this replica or leader has observed of a job. It is not in the log.
 type JobObservation struct {
-	// CancelledFrom is from when its cancellation counts at the earliest; 0: for longer than this replica has followed.
+	// Earliest time from which the cancellation counts; 0: before this replica began to follow the log.
 	CancelledFrom Time
-	Errors        int                // attempts that failed
-	FailedOn      map[MachineID]Time // machines where a task of it failed, and when last
-	Faulty        bool               // it fails on every machine, as far as was observed
-	pauses        int                // how often it was paused for that
-	taskTimes     average            // of its completed tasks' durations, in logarithms of seconds
-	KnownSince    Time               // when this replica learnt of it
+	Errors        int                // failed attempts
+	FailedOn      map[MachineID]Time // time of the last failure by machine
+	Faulty        bool               // fails on every machine, as far as observed
+	backoffs      int                // number of backoffs since it became faulty
+	logDurations  average            // mean duration of completed tasks, as the logarithm of seconds
+	KnownSince    Time               // when this replica learned of the job
 }
 
 func kindOf(s string) Kind {
@@ -141,7 +141,8 @@
 	return Low
 }
 
-// typesKeyOf makes a key that is equal for jobs that allow the same types. "" is that of jobs that allow any.
+// typesKeyOf returns a key that is equal for jobs that allow the same machine types. It is "" for jobs that allow all
+// types.
 func typesKeyOf(s *wire.JobSpec) string {
 	if s.Types == nil {
 		return ""
@@ -149,7 +150,7 @@
 	return "=" + strings.Join(s.Types, "=")
 }
 
-// Waiting counts the tasks that want a place.
+// Waiting returns the number of tasks that need a placement.
 func (j *Job) Waiting() int {
 	if j.Cancelled {
 		return 0
@@ -157,7 +158,7 @@
 	return len(j.Tasks) - j.Done - j.Live
 }
 
-// NextWaiting finds a task that wants a place, or -1. Tasks that were placed before come first.
+// NextWaiting returns a task that needs a placement, or -1. Tasks that have been placed before come first.
 func (j *Job) NextWaiting() int32 {
 	if j.Waiting() == 0 {
 		return -1
@@ -177,7 +178,7 @@
 	return -1
 }
 
-// ZoneCount counts the tasks that are placed in a zone, and in any other.
+// ZoneCount returns the number of tasks placed in the given zone and in all other zones.
 func (j *Job) ZoneCount(zone int32) (inZone, elsewhere int) {
 	if j.Live == 0 {
 		return 0, 0
@@ -194,7 +195,7 @@
 	return inZone, elsewhere
 }
 
-// AllowsMachine tells whether a job may use a machine's type, zone and kind at all.
+// AllowsMachine reports whether the job's constraints admit a machine type, a zone and spot pricing.
 func (j *Job) AllowsMachine(typ, zone int32, spot bool) bool {
 	if spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != zone {
 		return false
@@ -210,8 +211,8 @@
 	return false
 }
 
-// ZoneAllows tells whether one more task of the job may start in a zone, given
-// where the others are. Tasks of old attempts count until they are gone.
+// ZoneAllows reports whether the same-zone and spread constraints admit one more task in a zone. Runs of old attempts
+// count until they are known to have ended.
 func (j *Job) ZoneAllows(zone int32) bool {
 	if !j.Spec.SameZone && !j.Spec.Spread {
 		return true
@@ -223,7 +224,7 @@
 	return !j.Spec.Spread || inZone+1 <= (len(j.Tasks)+1)/2
 }
 
-// TeamLimitAllows tells whether n more tasks keep the team's quota.
+// TeamLimitAllows reports whether n more tasks stay within the team's quota.
 func (j *Job) TeamLimitAllows(n int) bool {
 	t := j.Team
 	if t == nil {
@@ -233,7 +234,7 @@
 		(t.GPUsMax == 0 || t.UsedGPUs+j.Spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
 }
 
-// Avoids tells whether a job failed on a machine so recently that it goes elsewhere.
+// Avoids reports whether the job failed on the machine within avoidPeriod.
 func (j *Job) Avoids(machine *Machine, now Time) bool {
 	at, failed := j.Observed.FailedOn[machine.ID]
 	return failed && now-at < avoidPeriod
--- a/internal/model/job_table.go
+++ b/internal/model/job_table.go
@@ -2,27 +2,26 @@
 
 import "slices"
 
-// jobTable is the replicated table of jobs: those that are live in full, and of the others how they ended, which costs
-// a few bytes each and is kept for good.
+// jobTable is the replicated table of jobs. Live jobs are held in full; for all others only the final state is kept, a
+// few bytes each, and never deleted.
 type jobTable struct {
-	// Jobs are the live ones: not over, or with tasks that are not gone.
+	// Live jobs: unfinished, or with runs that are not known to have ended.
 	Jobs map[JobID]*Job
-	// Finals are the final states of all others.
+	// Final states of all other jobs.
 	Finals map[JobID]Final
-	// LiveTasks counts the tasks of the live jobs that are not completed.
+	// Number of tasks of live jobs that are not completed.
 	LiveTasks int
 
-	jobsInOrder  []*Job           // the live ones in the order of acceptance, and settled ones until the next look
-	settledCount int              // how many of jobsInOrder are settled
-	jobOrder     uint64           // the Order of the next job
-	finalSeqs    map[JobID]uint64 // the log's numbers of final states that are not committed yet
+	jobsInOrder   []*Job           // live jobs by acceptance, and finished ones until the next JobsInOrder call
+	finishedCount int              // number of finished jobs in jobsInOrder
+	jobOrder      uint64           // Order of the next job
+	finalSeqs     map[JobID]uint64 // log sequence numbers of final states that are not committed yet
 }
 
 func newJobTable() jobTable {
 	return jobTable{Jobs: map[JobID]*Job{}, Finals: map[JobID]Final{}, finalSeqs: map[JobID]uint64{}}
 }
 
-// insertJob takes in a job that was just accepted.
 func (t *jobTable) insertJob(j *Job) {
 	j.Order = t.jobOrder
 	t.jobOrder++
@@ -31,7 +30,7 @@
 	t.countTasks(j, len(j.Tasks))
 }
 
-// countTasks counts a job's tasks that are not completed in or out.
+// countTasks changes the counts of incomplete tasks of the table and of the job's team.
 func (t *jobTable) countTasks(j *Job, delta int) {
 	t.LiveTasks += delta
 	if j.Team != nil {
@@ -39,16 +38,15 @@
 	}
 }
 
-// finishJob replaces a job by its final state.
 func (t *jobTable) finishJob(j *Job, final Final) {
 	t.Finals[j.ID] = final
 	t.finalSeqs[j.ID] = j.FinalSeq
 	delete(t.Jobs, j.ID)
-	j.settled = true
-	t.settledCount++
+	j.finished = true
+	t.finishedCount++
 }
 
-// findRun finds the run of an attempt, nil if that attempt is evidently gone or was never placed.
+// findRun returns the run of an attempt, or nil if the attempt was never placed or is known to have ended.
 func (t *jobTable) findRun(job JobID, task int32, attempt uint32) *Run {
 	j := t.Jobs[job]
 	if j == nil || task < 0 || int(task) >= len(j.Tasks) {
@@ -60,22 +58,21 @@
 	return nil
 }
 
-// JobsInOrder lists the live jobs in the order of acceptance. The list is the
-// model's own, kept in order as jobs come and go: it may be read until the next
-// call.
+// JobsInOrder returns the live jobs in the order of acceptance. The slice belongs to the model and is valid until the
+// next call.
 func (t *jobTable) JobsInOrder() []*Job {
-	if t.settledCount > 0 {
-		t.jobsInOrder = slices.DeleteFunc(t.jobsInOrder, func(j *Job) bool { return j.settled })
-		t.settledCount = 0
+	if t.finishedCount > 0 {
+		t.jobsInOrder = slices.DeleteFunc(t.jobsInOrder, func(j *Job) bool { return j.finished })
+		t.finishedCount = 0
 	}
 	return t.jobsInOrder
 }
 
-// FinalSeq is the log's number of the entry that made a job final, for answers that must not
-// run ahead of the log; 0 once that is committed.
+// FinalSeq returns the log sequence number of the entry that made a job final, for responses that must not precede its
+// commit; 0 once it is committed.
 func (t *jobTable) FinalSeq(id JobID) uint64 { return t.finalSeqs[id] }
 
-// ForgetCommitted drops bookkeeping that only matters until its entry is committed.
+// ForgetCommitted drops the sequence numbers of final states that are committed.
 func (t *jobTable) ForgetCommitted(committed uint64) {
 	for id, s := range t.finalSeqs {
 		if s <= committed {
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -8,123 +8,126 @@
 	"fieldhill/internal/agents/staleness"
 )
 
-// MachineID numbers machines in the order in which the log names them.
+// MachineID numbers machines in the order in which they appear in the log.
 type MachineID uint32
 
-// MachineInfo is what identifies a machine.
+// MachineInfo identifies a machine.
 type MachineInfo struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 }
 
-// ReservedResources is what services without GPUs use of a machine: it is not preempted.
+// ReservedResources is the part of a machine's resources that is used by services without GPUs, which are not
+// preempted.
 type ReservedResources struct{ CPUs, GPUs, Mem float64 }
 
-// Machine is a provisioned machine that is not evidently gone. Its own fields are replicated, but for the inferred
-// image cache; what this leader has observed and decided is in Contact, Health and Lifecycle.
+// Machine is a provisioned machine that is not known to be gone. Its own fields are replicated, except the inferred
+// image cache. What the current leader has observed and decided is in Contact, Health and Lifecycle.
 type Machine struct {
 	ID       MachineID
 	Info     MachineInfo
-	Type     int32 // in Model.Types
-	Zone     int32 // in Model.Zones
+	Type     int32 // index in Model.Types
+	Zone     int32 // index in Model.Zones
 	Spot     bool
-	At       int64   // time of day when the log first named it, ms
-	Runs     []*Run  // in no order
-	CPUs     float64 // in use by its runs
+	At       int64   // wall-clock time of its first entry in the log, ms
+	Runs     []*Run  // unordered
+	CPUs     float64 // used by its runs, as are GPUs and Mem
 	GPUs     float64
 	Mem      float64
-	Reserved ReservedResources // of that, what services without GPUs use
+	Reserved ReservedResources // part used by services without GPUs
 	cache    []cachedImage
 	fetches  []pendingFetch
 
-	// Suspect tells that the log forbids all replicas but the leader to renew its agent's lease: no heartbeat of it
-	// has come for long.
+	// The log forbids every replica but the leader to renew the agent's lease, because heartbeats have been missing for
+	// long.
 	Suspect bool
-	// Releasing tells that its release is under way. No token fences a deletion: one that was decided before its
-	// leader stalled, or was held up by the network, may be carried out at any later time. So the log has it first,
-	// and no later leader gives the machine work; it repeats the deletion until the cloud answers.
+	// The machine's deletion may be in flight. Fencing tokens do not cover the cloud's deletion call: one that was
+	// decided before its leader stalled, or that the network delayed, may execute at any later time. So the release is
+	// logged first, no later leader places work on the machine, and each leader repeats the deletion until the cloud
+	// responds.
 	Releasing  bool
-	ReleaseSeq uint64 // the log's number of that
+	ReleaseSeq uint64 // log sequence number of the release entry
 
-	suspectSeq uint64 // the log's number of the entry that made it suspect, or took that back
+	suspectSeq uint64 // log sequence number of the last entry that set or cleared Suspect
 	Contact    MachineContact
 	Health     MachineHealth
 	Lifecycle  MachineLifecycle
 }
 
-// MachineContact is what this leader has observed of a machine's agent since its term began. It is not in the log.
+// MachineContact is what the current leader has observed of a machine's agent since its term began. It is not in the
+// log.
 type MachineContact struct {
-	Session uint64            // the agent epoch of the last message that proved something
-	Reports staleness.Tracker // the numbers and tokens that were received, for judging what a message proves
-	// InboundPartitionSince is since when answers are known not to reach the agent; 0: they do.
+	Session uint64            // agent epoch of the last valid message
+	Reports staleness.Tracker // report numbers and tokens received, to judge what a message proves
+	// Since when responses are known not to reach the agent; 0: they do.
 	InboundPartitionSince Time
-	// TokenBump is by how much the machine's fencing token is above the term's lowest.
-	TokenBump  uint64
-	Reported   bool // a message of it proved something in this term
-	LastReport Time // when the last one did, or when the term began
-	KnownSince Time // when this replica learnt of the machine, or when the term began
-	// OutboundPartitionSince is since when its heartbeats reach no controller though it answers probes, as its lease
-	// expired meanwhile; 0: they do.
+	// Offset of the machine's fencing token from the lowest token of the term.
+	TokenOffset uint64
+	Reported    bool // a valid message was received in this term
+	LastReport  Time // time of the last valid message, or the start of the term
+	KnownSince  Time // when this replica learned of the machine, or the start of the term
+	// Since when the machine's heartbeats reach no controller, so that its lease expired, although it responds to
+	// probes; 0: they arrive.
 	OutboundPartitionSince Time
-	// SuspectFrom is since when every replica that may renew the lease of a suspect machine either knows of that or
-	// has a copy of the log older than this; 0: the entry is not committed.
+	// Time from which every replica that may renew the lease of a suspect machine either knows of the suspicion or has
+	// an older copy of the log; 0: the entry is not committed.
 	SuspectFrom      Time
-	Renewals         lease.ExpiryProof      // when the other replicas last renewed its lease, as far as they reported
-	DirectInFlight   bool                   // a direct command is under way
-	Probing          bool                   // a probe is under way
-	ProbedAt         Time                   // when it was last probed because of what it reported
-	DirectFailed     bool                   // the last direct command got no answer
+	Renewals         lease.ExpiryProof      // last renewals by the other replicas, as far as reported
+	DirectInFlight   bool                   // a direct command is in flight
+	Probing          bool                   // a probe is in flight
+	ProbedAt         Time                   // when it was last probed because of its report
+	DirectFailed     bool                   // the last direct command got no response
 	unresolvedStarts map[runKey]startTokens // direct starts that may still be executed
 	reapable         []reapableTask         // listed attempts that are to be forgotten or stopped
-	observation      uint64                 // counts the messages that proved something
-	lastObservedAt   Time                   // when the last one came
-	silenceEndedAt   Time                   // when the first one after a long silence came
+	observationCount uint64                 // number of valid messages
+	lastObservedAt   Time                   // time of the last valid message
+	silenceEndedAt   Time                   // time of the first valid message after the last long silence
 }
 
-// MachineHealth is how well a machine has served this leader's tasks. It is not in the log.
+// MachineHealth is how reliably and how fast a machine has run this leader's tasks. It is not in the log.
 type MachineHealth struct {
-	Quarantined     bool           // it gets nothing new, and what is on it moves to others
-	SlowUntil       Time           // it was found to be slow, and gets only services until then
-	Failures        int            // attempts that failed since the last completion
-	FailedJobs      map[JobID]*Job // whose attempts these were
-	DoubtSince      Time           // since when it gets nothing new, because jobs failed on it; 0: it does
-	pace            average        // of its tasks' durations against those of their peers, in logarithms
-	paceJobs        int            // how many jobs in turn that is from
-	lastPaceJob     JobID          // the last of these
-	lastOnTimeStart Time           // when the last task started that completed in time
+	Quarantined     bool           // permanently gets no new tasks; its tasks move to other machines
+	SlowUntil       Time           // found to be slow, and gets only services until then
+	Failures        int            // failed attempts since the last completion
+	FailedJobs      map[JobID]*Job // jobs of those attempts
+	DoubtSince      Time           // since when it is cordoned because of failed jobs; 0: it is not
+	slowdown        average        // ratio of its task durations to those of their peers, as a mean logarithm
+	slowdownJobs    int            // number of job changes in the sequence of tasks behind slowdown
+	lastSlowdownJob JobID          // job of the last of these tasks
+	lastOnTimeStart Time           // latest start of a task that completed in time
 	slowFoundAt     Time           // when it was last found to be slow
-	slowCount       int            // how often it was
+	slowCount       int            // how often it was found to be slow
 }
 
-// MachineLifecycle is from when to when this leader counts on a machine. It is not in the log.
+// MachineLifecycle is the lifecycle of a machine as tracked by the current leader. It is not in the log.
 type MachineLifecycle struct {
-	ProvisionedAt Time // when this leader provisioned it; 0: another did
-	BootOverdue   bool // it should have come up by now
-	PreemptionAt  Time // when the cloud takes it back; 0: no notice
-	Draining      bool // it gets no new work, and is released when empty
-	IdleSince     Time // since when it has no run
+	ProvisionedAt Time // when this leader provisioned it; 0: another leader did
+	BootOverdue   bool // it has exceeded its expected boot time
+	PreemptionAt  Time // when the cloud reclaims it; 0: no notice
+	Draining      bool // it gets no new tasks and is released when empty
+	IdleSince     Time // since when it has no runs
 }
 
-// IsUsable tells whether a machine may be given work.
+// IsUsable reports whether new tasks may be placed on the machine.
 func (machine *Machine) IsUsable() bool {
 	return machine.Contact.Reported && !machine.IsLeaving() && !machine.Releasing && !machine.Suspect &&
 		machine.Health.DoubtSince == 0 &&
 		machine.Contact.InboundPartitionSince == 0
 }
 
-// IsLeaving tells whether what is on a machine is to move to others.
+// IsLeaving reports whether the machine's tasks are to move to other machines.
 func (machine *Machine) IsLeaving() bool {
 	return machine.Lifecycle.Draining || machine.Health.Quarantined || machine.Lifecycle.PreemptionAt != 0
 }
 
-// ServicesOnly tells whether a machine gets services only: it is slow, which is nothing to them, or its heartbeats
-// reach no controller, so that what runs there is ended with its lease again and again, by which services lose a moment
-// and the rest all that it did.
+// ServicesOnly reports whether the machine gets services only. That is so if it is slow, which does not affect
+// services, or if its heartbeats reach no controller: its tasks are then ended at every lease expiry, which costs
+// services only a short interruption but other tasks all their progress.
 func (machine *Machine) ServicesOnly(now Time) bool {
 	return machine.IsSlow(now) || machine.Contact.OutboundPartitionSince != 0
 }
 
-// MarkInboundPartition notes that what is sent to a machine does not arrive, as far as is known.
+// MarkInboundPartition records that messages to the machine apparently do not arrive.
 func (machine *Machine) MarkInboundPartition(now Time) { machine.Contact.markInboundPartition(now) }
 
 func (c *MachineContact) markInboundPartition(now Time) {
@@ -133,7 +136,8 @@
 	}
 }
 
-// SilentFor is for how long nothing has been received of a machine, or it is known not to receive.
+// SilentFor returns how long nothing has been received from the machine or, if that is longer, how long messages have
+// been known not to reach it.
 func (machine *Machine) SilentFor(now Time) Time { return machine.Contact.silentFor(now) }
 
 func (c *MachineContact) silentFor(now Time) Time {
@@ -143,21 +147,22 @@
 	return now - c.LastReport
 }
 
-// SuspectSeq is the log's number of the entry that made a machine suspect.
+// SuspectSeq returns the log sequence number of the last entry that set or cleared Suspect.
 func (machine *Machine) SuspectSeq() uint64 { return machine.suspectSeq }
 
-// SuspicionCommitted notes that the entry with a number, which made a machine suspect,
-// is committed now. An earlier one of several proves nothing: between the two the
-// machine was trusted, and a replica that read so far may renew its lease.
+// SuspicionCommitted records that the entry with the given sequence number, which marked the machine as suspect, is
+// committed. Only the latest such entry counts: between two of them the machine was trusted, and a replica that has
+// read the log up to that point may renew its lease.
 func (machine *Machine) SuspicionCommitted(seq uint64, now Time) {
 	if machine.Suspect && machine.suspectSeq == seq {
 		machine.Contact.SuspectFrom = now
 	}
 }
 
-// LeaseExpired tells whether the lease of a suspect machine has surely expired: since all that may have renewed it
-// reported when they last did (ownRenewal is when this replica did; others is how many there are besides it), or, where
-// not all did, by the bound for which any replica may go on with an old copy of the log.
+// LeaseExpired reports whether the lease of a suspect machine has certainly expired. If all other replicas (their
+// number is others) have reported their last renewal, the lease is counted from the latest renewal, including this
+// replica's own (ownRenewal). Otherwise it is counted from the bound up to which any replica may act on an old copy of
+// the log.
 func (machine *Machine) LeaseExpired(bound, duration, ownRenewal, now Time, others int) bool {
 	contact := &machine.Contact
 	if !machine.Suspect || contact.SuspectFrom == 0 {
@@ -170,18 +175,18 @@
 	return lease.Expired(contact.SuspectFrom, bound+duration, now)
 }
 
-// HasCancelledTask tells whether a machine has a task of a job that is cancelled.
+// HasCancelledTask reports whether the machine runs a task of a cancelled job.
 func (machine *Machine) HasCancelledTask() bool {
 	return slices.ContainsFunc(machine.Runs, func(r *Run) bool { return r.Job.Cancelled })
 }
 
-// cancelledFor is for how long a job that has a task on the machine has been cancelled, of several the longest.
+// cancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
 func (machine *Machine) cancelledFor(now Time) (longest Time) {
 	for _, r := range machine.Runs {
 		switch {
 		case !r.Job.Cancelled:
 		case r.Job.Observed.CancelledFrom == 0:
-			return math.MaxInt64 // for longer than this replica has followed
+			return math.MaxInt64 // cancelled before this replica began to follow the log
 		default:
 			longest = max(longest, now-r.Job.Observed.CancelledFrom)
 		}
@@ -189,15 +194,14 @@
 	return longest
 }
 
-// reachedSession is a session that a machine's agent is known, by the log, to have reached.
-func (machine *Machine) reachedSession() (session uint64) {
+// latestRunSession returns the latest agent epoch that the agent is known, from the log, to have reached.
+func (machine *Machine) latestRunSession() (session uint64) {
 	for _, r := range machine.Runs {
 		session = max(session, r.Session)
 	}
 	return session
 }
 
-// removeRun takes a run off the machine's list.
 func (machine *Machine) removeRun(r *Run) {
 	for i, o := range machine.Runs {
 		if o == r {
--- a/internal/model/machine_table.go
+++ b/internal/model/machine_table.go
@@ -6,35 +6,35 @@
 	"fieldhill/internal/agents/lease"
 )
 
-// machineTable is the replicated table of machines: those that are not evidently gone, the names of those that are
-// (tombstones), and the requests by which others may come (intents).
+// machineTable is the replicated table of machines. It also holds the names of machines that are gone (tombstones) and
+// the scale-out requests that may still add machines (intents).
 type machineTable struct {
 	Machines map[MachineID]*Machine
-	Order    []*Machine // in the order in which the log named them, and so by id
+	Order    []*Machine // in log order, and so by ID
 	ByName   map[string]*Machine
-	// NextMachine is the id of the next one that is named.
+	// ID of the next machine.
 	NextMachine MachineID
-	// Tombstones are the names of machines that are gone.
+	// Names of machines that are gone.
 	Tombstones map[string]bool
-	// Intents are the scale-out requests that may be under way, in the order of the log.
+	// Scale-out requests that may be in flight, in log order.
 	Intents []Intent
 
-	tombstoneRing []string // the tombstones in the order in which the machines went
-	maxFleetSize  int      // how many machines there were at once at most, as far as this process knows
+	tombstoneQueue []string // tombstones, oldest first
+	maxFleetSize   int      // largest number of concurrent machines known to this process
 }
 
-// Intent is a scale-out request whose result is not known. The log has it before anybody asks the cloud, so whoever has
-// to finish it does so under the same name, and provisions nothing twice.
+// Intent is a scale-out request whose result is not known. It is logged before the request is sent to the cloud, so
+// that a later leader retries it under the same name and nothing is provisioned twice.
 type Intent struct {
 	Name, Type, Zone string
 	Spot             bool
 	Count            int
-	Seq              uint64 // the log's number of it
+	Seq              uint64 // log sequence number
 }
 
-// minTombstones is how many names of gone machines are kept at least. Of a larger fleet twice as many as it ever had
-// are, so that none is forgotten while a list lags though all machines were lost and others were provisioned. Replicas
-// may differ in how many they keep: no entry is applied otherwise for it.
+// minTombstones is the minimum number of tombstones kept. Larger fleets keep twice the largest fleet size, so that no
+// tombstone is dropped while the cloud's listing lags, even if all machines were lost and replaced. Replicas may keep
+// different numbers; applying entries does not depend on it.
 const minTombstones = 1024
 
 func newMachineTable() machineTable {
@@ -46,8 +46,8 @@
 	}
 }
 
-// updateAddress tells whether a machine is known by its name. If so, and its address is given, that is taken in: it was
-// provisioned, and has reported where it is.
+// updateAddress reports whether a machine is known by its name. If it is and info has an address, the address is
+// stored: a provisioned machine has reported it.
 func (t *machineTable) updateAddress(info *MachineInfo) (known bool) {
 	machine := t.ByName[info.Name]
 	if machine != nil && info.Addr != "" {
@@ -56,7 +56,6 @@
 	return machine != nil
 }
 
-// insertMachine takes in a machine that was just named.
 func (t *machineTable) insertMachine(machine *Machine) {
 	t.Machines[machine.ID] = machine
 	t.ByName[machine.Info.Name] = machine
@@ -70,34 +69,34 @@
 	delete(t.Machines, machine.ID)
 	delete(t.ByName, machine.Info.Name)
 	if i := slices.Index(t.Order, machine); i >= 0 {
-		// Not slices.Delete: the caller may be going through the list, whose end must not become nil under it.
+		// slices.Delete would zero the tail of the slice, which a caller may be iterating over.
 		t.Order = append(t.Order[:i], t.Order[i+1:]...)
 	}
 	t.addTombstone(machine.Info.Name)
 }
 
-// addTombstone remembers a gone machine's name, so that a late report or a lagging list
-// does not bring it back.
+// addTombstone stores the name of a machine that is gone, so that a late report or a stale listing does not add it
+// again.
 func (t *machineTable) addTombstone(name string) {
 	if t.Tombstones[name] {
 		return
 	}
 	t.Tombstones[name] = true
-	t.tombstoneRing = append(t.tombstoneRing, name)
-	if len(t.tombstoneRing) > max(minTombstones, 2*t.maxFleetSize) {
-		delete(t.Tombstones, t.tombstoneRing[0])
-		t.tombstoneRing = t.tombstoneRing[1:]
+	t.tombstoneQueue = append(t.tombstoneQueue, name)
+	if len(t.tombstoneQueue) > max(minTombstones, 2*t.maxFleetSize) {
+		delete(t.Tombstones, t.tombstoneQueue[0])
+		t.tombstoneQueue = t.tombstoneQueue[1:]
 	}
 }
 
-// releaseMachine notes that the deletion of a machine may be under way from now on.
+// releaseMachine records that the machine's deletion may be in flight from now on.
 func (t *machineTable) releaseMachine(id MachineID, seq uint64) {
 	if machine := t.Machines[id]; machine != nil && !machine.Releasing {
 		machine.Releasing, machine.ReleaseSeq = true, seq
 	}
 }
 
-// setSuspect makes a machine suspect, or takes that back. Either way what was known of its lease counts no more.
+// setSuspect sets or clears a machine's suspicion. Both discard the evidence about its lease.
 func (t *machineTable) setSuspect(id MachineID, suspect bool, seq uint64) {
 	machine := t.Machines[id]
 	if machine == nil {
@@ -107,21 +106,21 @@
 	machine.Contact.SuspectFrom, machine.Contact.Renewals = 0, lease.ExpiryProof{}
 }
 
-// addIntent takes in a request, unless one of its name is known: it was repeated.
+// addIntent adds a scale-out request, unless one with its name is known: requests may be repeated.
 func (t *machineTable) addIntent(intent Intent) {
 	if t.intentIndex(intent.Name) < 0 {
 		t.Intents = append(t.Intents, intent)
 	}
 }
 
-// removeIntent drops the request of a name: its result is known.
+// removeIntent removes a scale-out request by name, once its result is known.
 func (t *machineTable) removeIntent(name string) {
 	if i := t.intentIndex(name); i >= 0 {
 		t.Intents = slices.Delete(t.Intents, i, i+1)
 	}
 }
 
-// intentIndex finds a request, -1 if there is none.
+// intentIndex returns the index of a scale-out request, or -1.
 func (t *machineTable) intentIndex(name string) int {
 	return slices.IndexFunc(t.Intents, func(i Intent) bool { return i.Name == name })
 }
--- a/internal/model/machine_test.go
+++ b/internal/model/machine_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// TestOutboundPartitionedMachine: a machine that answers with a newer session, while no report of it comes, lost its
-// lease though it is reached: it gets services only, until a report comes.
-func TestOutboundPartitionedMachine(t *testing.T) {
+// TestOutboundPartitionRestrictsToServices checks that a machine gets services only while it responds to probes but its
+// reports do not arrive. A response with a newer agent epoch shows that its lease has expired in the meantime. The next
+// report lifts the restriction.
+func TestOutboundPartitionRestrictsToServices(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	token := m.Token(machine)
 	if m.Observe(machine, testReport(1, 2, token), m.BeginProbe(machine), 1); machine.ServicesOnly(1) {
-		t.Error("one that answers in its session counts as mute")
+		t.Error("a machine that responds in its current epoch is restricted to services")
 	}
 	m.Observe(machine, testReport(2, 5, token), m.BeginProbe(machine), 2)
 	if !machine.ServicesOnly(2) || !machine.IsUsable() {
-		t.Error("its lease ran out under our questions, and it gets all work, or none")
+		t.Error("after a lease expiry between probes the machine is not restricted to services, or not usable")
 	}
 	if m.Observe(machine, testReport(1, 3, token), nil, 3); !machine.ServicesOnly(3) {
-		t.Error("an old report counts")
+		t.Error("an old report lifted the restriction")
 	}
 	if m.Observe(machine, testReport(2, 6, m.Token(machine)), nil, 4); machine.ServicesOnly(4) {
-		t.Error("its reports come again, and it still gets services only")
+		t.Error("a new report did not lift the restriction")
 	}
 }
 
-// TestSuspectLeaseExpiry: the lease of a suspect machine is over once the entry has
-// been committed for the bound and a lease, not a moment earlier; a report takes the
-// suspicion back, and a new leader counts anew. The entry by which older versions ended the runs then is still read.
+// TestSuspectLeaseExpiry checks that the lease of a suspect machine counts as expired once the entry has been committed
+// for the bound plus a lease duration, and not earlier; that a report clears the suspicion; and that a new leader
+// counts from its own election. EntryLeaseExpired, with which older versions ended the runs, is still read.
 func TestSuspectLeaseExpiry(t *testing.T) {
 	const bound, lease = 20 * time.Second, 24 * time.Second
 	m, machine, run := newPlacedModel(t)
@@ -42,14 +43,14 @@
 	apply(EntrySuspect, 5*time.Second)
 	apply(EntryTrust, 6*time.Second)
 	apply(EntrySuspect, 10*time.Second)
-	machine.SuspicionCommitted(9, 10*time.Second) // the first one is committed, the second is not
+	machine.SuspicionCommitted(9, 10*time.Second) // the first entry is committed, the second is not
 	if machine.LeaseExpired(bound, lease, 0, time.Hour, 2) || machine.IsUsable() {
-		t.Error("gone before the entry was committed, or still in use")
+		t.Error("lease expired before the entry was committed, or the machine is usable")
 	}
 	machine.SuspicionCommitted(11, 11*time.Second)
 	if machine.LeaseExpired(bound, lease, 0, machine.Contact.SuspectFrom+bound+lease+Time(0.9e9), 2) ||
 		!machine.LeaseExpired(bound, lease, 0, machine.Contact.SuspectFrom+bound+lease+Time(1.2e9), 2) {
-		t.Error("not gone a second after the bound and the lease")
+		t.Error("lease did not expire within 0.9 to 1.2 s after the bound plus the lease")
 	}
 	again := New(params())
 	if err := again.Restore(m.Snapshot(), 9, 0); err != nil {
@@ -58,15 +59,15 @@
 	again.BeginTerm(4<<24, time.Minute)
 	if o := again.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) ||
 		!o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
-		t.Error("a new leader does not count from its own election")
+		t.Error("a new leader does not count the lease from its own election")
 	}
 	apply(EntryTrust, 12*time.Second)
 	if machine.LeaseExpired(bound, lease, 0, time.Hour, 2) || !machine.IsUsable() || len(machine.Runs) != 1 {
-		t.Error("the suspicion was not taken back")
+		t.Error("the suspicion was not cleared")
 	}
 	apply(EntrySuspect, 13*time.Second)
 	apply(EntryLeaseExpired, time.Minute)
 	if len(machine.Runs) != 0 || m.Jobs[7].Tasks[0].State != Waiting || run.Machine.IsUsable() {
-		t.Error("after the lease its task does not wait again, or the machine is in use")
+		t.Error("after the lease expiry the task does not wait again, or the machine is usable")
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,14 +1,16 @@
-// Package model owns the scheduler's state: jobs, tasks, machines and teams, and the rules for what is evidence of a
-// change. It is pure: entries, heartbeats and the time go in, entries to log and commands to send come out.
+// Package model holds the scheduler's state: jobs, tasks, machines and teams, and the rules for what counts as evidence
+// of a change. It performs no I/O: its inputs are log entries, heartbeats and the time, its outputs are entries to log
+// and commands to send.
 //
 // The replicated part (jobs, placements, machines, final states) changes only through Apply, with the log's entries in
-// the log's order, so every replica that has read the same log holds the same state. Observations (agent epochs,
-// phases, caches, health) belong to the leader and are gathered anew by each; they are kept in types of their own
-// (MachineContact, MachineHealth, MachineLifecycle, JobScheduling, JobObservation).
+// log order, so replicas that have read the same log hold the same state. Observations (agent epochs, phases, caches,
+// health) are collected by each leader for itself, in separate types: MachineContact, MachineHealth, MachineLifecycle,
+// JobScheduling and JobObservation.
 //
 // Invariants:
-//   - a task has at most one Run, from the entry that placed it until evidence that it is gone (rule: ran_twice);
-//   - a Run counts against its team, zone and machine as long as it exists, whatever its job has become (rules: quota,
+//   - A task has at most one Run, from the entry that placed it until there is evidence that it has ended (rule:
+//     ran_twice).
+//   - A Run counts against its team, zone and machine as long as it exists, even if its job is over (rules: quota,
 //     wrong_place).
 package model
 
@@ -20,15 +22,15 @@
 	"fieldhill/internal/config"
 )
 
-// Time is steady time since the process began.
+// Time is monotonic time since the start of the process.
 type Time = time.Duration
 
-// epsilon is by how much sums of resources may differ from the limit they are compared with: they are sums of
-// fractions, and rounding must not refuse what fits exactly.
+// epsilon is the tolerance when sums of resources are compared with a limit. The sums are of fractions, and rounding
+// errors must not reject an exact fit.
 const epsilon = 1e-6
 
-// Model is the state of one replica. Each part has its concern and the state for it; what needs several of them is
-// a method of the Model.
+// Model is the state of one replica. Each embedded type covers one concern; operations that span several of them are
+// methods of Model.
 type Model struct {
 	catalog
 	jobTable
@@ -38,11 +40,11 @@
 	durationStats
 	leaderTerm
 
-	// GangWait is how long a gang's member waits for the others before it exits, by the platform.
+	// How long a gang member waits for the others before it exits, as set by the platform.
 	GangWait Time
 }
 
-// New makes an empty model with the teams and zones of the settings.
+// New returns an empty model with the configured teams and zones.
 func New(p *config.Params) *Model {
 	m := &Model{
 		jobTable:     newJobTable(),
@@ -57,8 +59,8 @@
 	return m
 }
 
-// BeginTerm makes the replica that holds the model the leader: nothing that was observed under earlier terms counts,
-// and their commands may still be under way. The base is the lowest token of the new term.
+// BeginTerm makes this replica the leader. Observations of earlier terms are discarded, and commands of earlier leaders
+// may still be in flight. The base is the lowest fencing token of the new term.
 func (m *Model) BeginTerm(base uint64, now Time) {
 	m.TermBase = base
 	for _, machine := range m.Order {
@@ -66,15 +68,15 @@
 	}
 }
 
-// beginTerm forgets what earlier terms observed of a machine. How well it has served and whether it is drained stays
-// from an earlier term of this process, and a probe that is under way ends by itself.
+// beginTerm discards what earlier terms observed of the machine. Health and draining state of an earlier term of this
+// process are kept, and a probe in flight ends on its own.
 func (machine *Machine) beginTerm(now Time) {
 	contact, lifecycle := &machine.Contact, &machine.Lifecycle
 	contact.Session = 0
 	contact.Reports = staleness.Tracker{}
 	contact.InboundPartitionSince = 0
 	contact.OutboundPartitionSince = 0
-	contact.TokenBump = 0
+	contact.TokenOffset = 0
 	contact.Reported = false
 	contact.LastReport = now
 	contact.KnownSince = now
@@ -93,8 +95,8 @@
 	for _, r := range machine.Runs {
 		r.setPhase(Unseen)
 		r.Inherited = true
-		r.answeredReportSeq = 0
+		r.startResponseSeq = 0
 		r.Stop = false
-		r.goneFromToken = 0
+		r.endMinToken = 0
 	}
 }
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -5,131 +5,131 @@
 	"fieldhill/wire"
 )
 
-// This file holds the evidence rules: what an agent's report proves, and what may
-// be commanded after it.
+// This file holds the evidence rules: what an agent's report proves, and which commands may be sent after it.
 //
-// A run's start can be under way in three ways, and while one of them is open
-// the run's absence from a report proves nothing:
-//   - in a direct command without an answer: it may be executed as long as the
-//     token it carried is the highest that the agent has seen, so it is over
-//     once the agent reports a higher one (unresolvedStarts);
-//   - in the answer to a report: the agent drops it after a while and has one
-//     report in flight, so it is over when the next report arrives (answeredReportSeq);
-//   - in a command of an earlier leader (Inherited): over once the agent
-//     reports a token of this term.
+// The start of a run can be in flight in three ways. While one of them is open, the run's absence from a report proves
+// nothing:
+//   - In a direct command without a response. It may be executed as long as its token is the highest that the agent has
+//     seen, so it is void once the agent reports a higher one (unresolvedStarts).
+//   - In the response to a report. The agent drops late responses and has one report in flight, so it is void when the
+//     next report arrives (startResponseSeq).
+//   - In a command of an earlier leader (Inherited). It is void once the agent reports a token of this term.
 //
-// That an agent's lease has expired is known without its report, if no replica can have renewed it. A machine that has
-// long been silent is made suspect by an entry: a replica that knows of it does not renew the lease, and a replica
-// whose copy of the log is older stops at its bound, counted from that copy. So once the entry has been committed for
-// that bound and a lease, the agent has ended everything on the machine, or will as soon as it executes anything; a
-// start that is still under way names a session that is over. That is no evidence: a machine that hangs holds its tasks
-// until it wakes. But nothing is lost any more by releasing it, and the cloud's answer to that is evidence. If the
-// leader receives a report of the agent meanwhile it takes the suspicion back before it answers. A leader counts from
-// its own election if the entry is older. (EntryLeaseExpired, by which older versions had the end of a lease end the
-// runs, is still read.)
+// The expiry of an agent's lease is known without a report if no replica can have renewed it. A machine that has been
+// silent for long is marked as suspect by a log entry. Replicas that have read the entry do not renew the lease, and
+// replicas with an older copy of the log stop renewing when that copy reaches its age bound. So once the entry has been
+// committed for that bound plus a lease duration, the agent has ended all tasks on the machine, or will as soon as it
+// executes anything, and a start still in flight names an agent epoch that is over. This is not evidence that the tasks
+// have ended: a machine that hangs holds its tasks until it resumes. But releasing the machine then loses nothing, and
+// the cloud's response to the release is evidence. If the leader receives a report of the agent meanwhile, it clears
+// the suspicion before it responds. A leader whose term began after the entry counts from its own election. (Older
+// versions ended the runs on lease expiry with EntryLeaseExpired, which is still read.)
 
-// busyPause is how long a job is not placed after its machine refused a task for want of room: what the machine holds
-// is not what is believed of it, and a pause keeps the job from being placed there again and again.
-const busyPause = Time(1e9)
+// noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources.
+// The machine's actual usage then differs from the model's, and without a delay the job would be placed there again at
+// once.
+const noCapacityBackoff = Time(1e9)
 
-// ReportVerdict is what Observe makes of a report.
+// ReportVerdict is the result of evaluating a report.
 type ReportVerdict struct {
-	Freshness  staleness.Freshness // what the report proves; Stale and Unproven: nothing of now
-	Entries    []*Entry            // what it is evidence for, to be logged and applied
-	Faulty     []*Job              // jobs that this report shows to fail everywhere
+	Freshness  staleness.Freshness // Stale and Unproven reports prove nothing about the present
+	Entries    []*Entry            // entries to log and apply
+	Faulty     []*Job              // jobs that this report shows to be faulty
 	Slow       bool                // the report shows the machine to be slow
-	GangReady  []*Machine          // whose gangs' members may be started now
-	NeedsProbe bool                // the report would end runs that were there, if it is of now: a probe must tell
+	GangReady  []*Machine          // machines whose held gang members may be started now
+	NeedsProbe bool                // the report would end runs if it is current, which a probe must confirm
 }
 
-// IsStale tells whether the report proves nothing of now: the machine is to be probed.
+// IsStale reports whether the report proves nothing about the present, so that the machine must be probed.
 func (v *ReportVerdict) IsStale() bool {
 	return v.Freshness == staleness.Stale || v.Freshness == staleness.Unproven
 }
 
-// observation is one report while it is being judged.
+// observation is the evaluation of one report.
 type observation struct {
-	model         *Model
-	machine       *Machine
-	report        *wire.Heartbeat
-	isProbeAnswer bool // it answers a question of this leader; else it came by itself
-	now           Time
-	verdict       ReportVerdict
+	model           *Model
+	machine         *Machine
+	report          *wire.Heartbeat
+	isProbeResponse bool // response to a probe or command of this leader; otherwise unsolicited
+	now             Time
+	verdict         ReportVerdict
 }
 
-// Observe takes an agent's report, or the report that a question was answered with (question: what was known when it
-// was asked), and returns the entries it is evidence for. The caller logs and applies them.
-func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, question *staleness.Question, now Time) ReportVerdict {
-	o := observation{model: m, machine: machine, report: r, isProbeAnswer: question != nil, now: now}
+// Observe evaluates an agent's report and returns the entries that it is evidence for, which the caller logs and
+// applies. If the report responds to a probe or a command, probe is what was known when that was sent; otherwise it is
+// nil.
+func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.Question, now Time) ReportVerdict {
+	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
 	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
-	o.verdict.Freshness = contact.Reports.Judge(stamp, m.TermBase, machine.reachedSession(), question)
+	o.verdict.Freshness = contact.Reports.Judge(stamp, m.TermBase, machine.latestRunSession(), probe)
 	if o.verdict.IsStale() {
-		// Not even its session proves anything: it may be a copy from an earlier incarnation of the agent, whose
-		// sessions had gone further than those of the present one.
+		// Not even the agent epoch is valid: the report may be a delayed copy from an earlier incarnation of the agent
+		// with higher epochs than the present one.
 		return o.verdict
 	}
-	isUncertain := o.acceptContact(stamp)
-	o.acceptNotice()
+	deliveryUncertain := o.updateContact(stamp)
+	o.updatePreemptionNotice()
 	contact.fenceBelow(r.FencingToken)
 	contact.beginObservation(now)
 	for i := range r.Tasks {
-		o.judgeListed(&r.Tasks[i])
+		o.handleListedAttempt(&r.Tasks[i])
 	}
 	for _, run := range machine.Runs {
-		if run.seenObservation == contact.observation {
+		if run.lastListedIn == contact.observationCount {
 			continue
 		}
-		startAnswerSeq := run.answeredReportSeq
-		if o.provesUnlistedGone(run) {
+		pendingResponseSeq := run.startResponseSeq
+		if o.absenceProvesEnd(run) {
 			o.logEnd(run.key())
-		} else if startAnswerSeq != 0 && run.answeredReportSeq == 0 {
-			isUncertain = true // the answer had its start, and it did not start
+		} else if pendingResponseSeq != 0 && run.startResponseSeq == 0 {
+			deliveryUncertain = true // the response carried the start, but the run did not start
 		}
 	}
-	if isUncertain {
+	if deliveryUncertain {
 		m.RaiseToken(machine)
 	}
 	return o.verdict
 }
 
-// acceptContact takes in what a report tells of the connection to the agent. It tells whether it is uncertain that
-// answers arrive, so that the machine's token is to be raised.
-func (o *observation) acceptContact(stamp staleness.Stamp) (isUncertain bool) {
+// updateContact records what a report shows about the connection to the agent. It reports whether delivery of responses
+// is uncertain, so that the machine's token must be raised.
+func (o *observation) updateContact(stamp staleness.Stamp) (deliveryUncertain bool) {
 	m, machine, contact := o.model, o.machine, &o.machine.Contact
-	isRestarted := o.verdict.Freshness == staleness.Restarted
-	if isRestarted {
-		contact.TokenBump++ // what was sent to its earlier incarnation has lower tokens
+	agentRestarted := o.verdict.Freshness == staleness.Restarted
+	if agentRestarted {
+		contact.TokenOffset++ // messages to the earlier incarnation carry lower tokens
 	}
-	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeAnswer)
-	// Every session is newer than none, but only one that was observed in this term can have ended since.
+	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
+	// Any epoch is higher than the initial zero, but only an epoch observed in this term can have ended since.
 	hasNewSession := contact.Reported && o.report.AgentEpoch > contact.Session
-	leaseExpired := !o.isProbeAnswer && hasNewSession
-	isUncertain = leaseExpired || !o.isProbeAnswer && contact.DirectFailed
-	isReachedUnrenewed := o.isProbeAnswer && hasNewSession && !isRestarted
+	leaseExpired := !o.isProbeResponse && hasNewSession
+	deliveryUncertain = leaseExpired || !o.isProbeResponse && contact.DirectFailed
+	answeredWithoutRenewal := o.isProbeResponse && hasNewSession && !agentRestarted
 	contact.Session = o.report.AgentEpoch
 	contact.Reported, contact.LastReport = true, o.now
 	switch {
-	case !o.isProbeAnswer:
+	case !o.isProbeResponse:
 		contact.DirectFailed, contact.OutboundPartitionSince = false, 0
-	case isReachedUnrenewed && contact.OutboundPartitionSince == 0:
-		// it is reached, and nobody renewed its lease: what it gets lasts for a lease
+	case answeredWithoutRenewal && contact.OutboundPartitionSince == 0:
+		// The agent is reachable but its lease was not renewed, so any task that it gets lasts for one lease at most.
 		contact.OutboundPartitionSince = max(o.now, 1)
 	}
 	switch {
 	case contact.Reports.OneWay():
 		contact.markInboundPartition(o.now)
-	case tokenSeen || o.isProbeAnswer:
+	case tokenSeen || o.isProbeResponse:
 		contact.InboundPartitionSince = 0
 	case leaseExpired:
-		// its lease expired although its reports were answered; the report after the next answer tells
+		// The lease expired although the reports were answered. The report after the next response shows whether
+		// responses arrive.
 		contact.markInboundPartition(o.now)
 	}
-	return isUncertain
+	return deliveryUncertain
 }
 
-// acceptNotice takes in whether the cloud has announced that it takes the machine back.
-func (o *observation) acceptNotice() {
+// updatePreemptionNotice records whether the cloud has announced that it will reclaim the machine.
+func (o *observation) updatePreemptionNotice() {
 	lifecycle := &o.machine.Lifecycle
 	switch notice := o.report.NoticeS; {
 	case notice == nil:
@@ -139,18 +139,18 @@
 	}
 }
 
-// beginObservation begins to take in what an agent lists.
+// beginObservation prepares for recording the attempts that a report lists.
 func (c *MachineContact) beginObservation(now Time) {
 	if now-c.lastObservedAt > longSilence {
 		c.silenceEndedAt = now
 	}
 	c.lastObservedAt = now
-	c.observation++
+	c.observationCount++
 	c.reapable = c.reapable[:0]
 }
 
-// judgeListed judges an attempt that a report lists.
-func (o *observation) judgeListed(s *wire.TaskStatus) {
+// handleListedAttempt evaluates an attempt that a report lists.
+func (o *observation) handleListedAttempt(s *wire.TaskStatus) {
 	n, task, ok := wire.ParseTaskID(s.Task)
 	if !ok || s.Attempt >= maxID {
 		return
@@ -159,43 +159,44 @@
 	contact := &o.machine.Contact
 	run := o.model.findRun(k.job, k.task, k.attempt)
 	if run == nil || run.Machine != o.machine || run.Session > contact.Session {
-		o.judgeStray(k, s)
+		o.handleUntrackedAttempt(k, s)
 		return
 	}
-	run.seenObservation = contact.observation
-	if !o.isProbeAnswer {
-		// the agent has one report in flight: what answered the one before was taken or dropped
-		run.answeredReportSeq = 0
+	run.lastListedIn = contact.observationCount
+	if !o.isProbeResponse {
+		// The agent has one report in flight, so it has received or dropped the response to the previous one.
+		run.startResponseSeq = 0
 	}
 	if run.Session < contact.Session {
-		// The agent forgot everything between the sessions; a task listed now
-		// under an old attempt can't be, so the listing is not believed.
-		if !o.model.startMayBeInFlight(o.machine, run) && o.provesGone(run) {
+		// The agent ended all tasks between the two epochs, so a task that is listed now under an old attempt is not
+		// trusted.
+		if !o.model.startMayBeInFlight(o.machine, run) && o.provesEnd(run) {
 			o.logEnd(k)
 		}
 		return
 	}
-	run.goneFromToken = 0
+	run.endMinToken = 0
 	run.setListedPhase(s.State)
 	if s.State == wire.TaskExited {
-		o.judgeExit(run, s.Cause)
+		o.handleExit(run, s.Cause)
 	} else {
-		o.noteProgress(run)
+		o.recordProgress(run)
 	}
 }
 
-// judgeStray judges a listed attempt that has no run on the machine, so that it is to be forgotten, or stopped.
-func (o *observation) judgeStray(k runKey, s *wire.TaskStatus) {
+// handleUntrackedAttempt evaluates a listed attempt that has no run on the machine, so that it must be forgotten or
+// stopped.
+func (o *observation) handleUntrackedAttempt(k runKey, s *wire.TaskStatus) {
 	exited := s.State == wire.TaskExited
 	if j := o.model.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled &&
 		int(k.task) < len(j.Tasks) && j.Tasks[k.task].State == Waiting {
-		// A result that was kept through a change of leaders still counts.
+		// A result that the agent kept across a change of leaders still counts.
 		o.log(NewCompletion(k.job, k.task, k.attempt))
 	}
 	o.machine.Contact.reapable = append(o.machine.Contact.reapable, reapableTask{key: k, exited: exited})
 }
 
-// setListedPhase takes in the state of a run that an agent lists. One that exited keeps the phase it was last in.
+// setListedPhase records the state of a run as listed by the agent. A run that exited keeps its last phase.
 func (r *Run) setListedPhase(state string) {
 	switch state {
 	case wire.TaskFetching:
@@ -205,13 +206,13 @@
 	case wire.TaskRunning:
 		r.setPhase(Running)
 	case wire.TaskCheckpointing:
-		r.setPhase(Saving)
+		r.setPhase(Checkpointing)
 	}
 }
 
-// noteProgress takes in that a run is under way.
-func (o *observation) noteProgress(run *Run) {
-	o.model.startMayBeInFlight(o.machine, run) // one whose fate is not known is fenced long before the task ends
+// recordProgress records that a run is in progress.
+func (o *observation) recordProgress(run *Run) {
+	o.model.startMayBeInFlight(o.machine, run) // fences an unresolved start well before the task ends
 	if run.Phase >= AwaitingGang {
 		if !o.machine.HasImage(run.Job.Image) {
 			o.verdict.GangReady = append(o.verdict.GangReady, run.Job.machinesAwaitingMember()...)
@@ -223,15 +224,15 @@
 	}
 }
 
-// judgeExit judges a run that is listed as ended.
-func (o *observation) judgeExit(run *Run, cause string) {
-	if cause != wire.CauseDone && (o.model.startMayBeInFlight(o.machine, run) || run.answeredReportSeq != 0) {
-		// What it lists is not started again. But if the agent has restarted since, it may be, by the start that is
-		// under way: the end counts as soon as the agent shows the token that fences that. So it may, once it is
-		// reaped, by the same start in an answer to a report that is held up: what a probe or a direct command
-		// showed waits for the next report.
+// handleExit evaluates a run that is listed as exited.
+func (o *observation) handleExit(run *Run, cause string) {
+	if cause != wire.CauseDone && (o.model.startMayBeInFlight(o.machine, run) || run.startResponseSeq != 0) {
+		// The agent does not start a listed attempt again. But if it has restarted since, a start in flight may run the
+		// attempt again, so the exit counts only when the agent shows the token that fences that start. Likewise, once
+		// the attempt is reaped, a start in a delayed response to a report may run it again, so an exit shown by a
+		// probe or a direct command counts only with the next report.
 		if run.Phase == Unseen {
-			run.setPhase(Fetching) // it need not be commanded to start again
+			run.setPhase(Fetching) // no further start command is needed
 		}
 		return
 	}
@@ -239,7 +240,7 @@
 	o.machine.Contact.reapable = append(o.machine.Contact.reapable, reapableTask{key: k, exited: true})
 	switch cause {
 	case wire.CauseDone:
-		o.noteCompletion(run)
+		o.recordCompletion(run)
 		o.log(NewCompletion(k.job, k.task, k.attempt))
 		return
 	case wire.CauseError:
@@ -247,13 +248,13 @@
 			o.verdict.Faulty = append(o.verdict.Faulty, run.Job)
 		}
 	case wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown:
-		run.Job.Scheduling.NotBefore = max(run.Job.Scheduling.NotBefore, o.now+busyPause)
+		run.Job.Scheduling.NotBefore = max(run.Job.Scheduling.NotBefore, o.now+noCapacityBackoff)
 	}
 	o.logEnd(k)
 }
 
-// noteCompletion learns from a run that completed: its job and its machine work, and how long it took.
-func (o *observation) noteCompletion(run *Run) {
+// recordCompletion updates the health and speed statistics: the job and the machine work, and the duration is known.
+func (o *observation) recordCompletion(run *Run) {
 	o.machine.Health.clearFailures()
 	run.Job.clearFailures()
 	if o.model.recordDuration(o.machine, run, o.now) {
@@ -262,25 +263,25 @@
 	}
 }
 
-// provesUnlistedGone judges a run that a report does not list: whether it is evidently gone.
-func (o *observation) provesUnlistedGone(run *Run) bool {
+// absenceProvesEnd reports whether the absence of a run from a report proves that the run has ended.
+func (o *observation) absenceProvesEnd(run *Run) bool {
 	m, r, contact := o.model, o.report, &o.machine.Contact
 	if run.Session < r.AgentEpoch {
-		// A newer session: everything of the older one is gone, and commands for it are refused. Unless the agent
-		// has restarted since it sent this, with numbers that begin at 1: then the older session may be that of its
-		// present incarnation, in which the run may be, or be started by what is on its way.
-		return !m.startMayBeInFlight(o.machine, run) && o.provesGone(run)
+		// In a newer epoch all tasks of the older one have ended and commands for it are rejected. The exception is an
+		// agent that has restarted with numbers from 1 after it sent this report: the older epoch may then be that of
+		// its present incarnation, in which the run may exist or be started by a command in flight.
+		return !m.startMayBeInFlight(o.machine, run) && o.provesEnd(run)
 	}
 	if !contact.Reports.Fenced() {
-		return false // a start that was sent to an earlier incarnation may come to this one
+		return false // a start sent to an earlier incarnation may reach this one
 	}
 	if run.Session > r.AgentEpoch {
-		return contact.Reports.Incarnations() > 0 // if so, it is of an earlier one
+		return contact.Reports.Incarnations() > 0 // then the epoch is of an earlier incarnation
 	}
-	if !o.isProbeAnswer && run.answeredReportSeq != 0 && r.Seq > run.answeredReportSeq {
-		run.answeredReportSeq = 0
+	if !o.isProbeResponse && run.startResponseSeq != 0 && r.Seq > run.startResponseSeq {
+		run.startResponseSeq = 0
 	}
-	if run.answeredReportSeq != 0 {
+	if run.startResponseSeq != 0 {
 		return false
 	}
 	if _, open := contact.unresolvedStarts[run.key()]; open {
@@ -295,28 +296,26 @@
 	if run.Phase == Unseen {
 		return !run.IsWanted()
 	}
-	return o.provesGone(run)
+	return o.provesEnd(run)
 }
 
-// provesGone tells whether a report may end a run that was there by not listing it, or by a newer session. That is so
-// rare that it may take a probe: a report that an agent sent before it restarted, with numbers that begin at 1,
-// may come after newer ones whose numbers are no higher. So the machine is probed, and its answer counts at once; a
-// report counts if it shows a token that was first given out after one like it was received.
-func (o *observation) provesGone(run *Run) bool {
-	if o.isProbeAnswer || run.goneFromToken != 0 && o.report.FencingToken >= run.goneFromToken {
+// provesEnd reports whether a report that does not list a run, or that shows a newer epoch, may end the run. This is
+// rare enough to confirm it by a probe: a report that an agent sent before it restarted with numbers from 1 may arrive
+// after newer reports with numbers that are no higher. So the machine is probed, and the response to the probe counts
+// at once. A report counts if it shows a token that was first issued after such a report was received.
+func (o *observation) provesEnd(run *Run) bool {
+	if o.isProbeResponse || run.endMinToken != 0 && o.report.FencingToken >= run.endMinToken {
 		return true
 	}
-	if run.goneFromToken == 0 {
+	if run.endMinToken == 0 {
 		if !o.verdict.NeedsProbe {
-			o.machine.Contact.TokenBump++
+			o.machine.Contact.TokenOffset++
 		}
-		run.goneFromToken, o.verdict.NeedsProbe = o.model.Token(o.machine), true
+		run.endMinToken, o.verdict.NeedsProbe = o.model.Token(o.machine), true
 	}
 	return false
 }
 
-// log adds an entry that the report is evidence for.
 func (o *observation) log(e *Entry) { o.verdict.Entries = append(o.verdict.Entries, e) }
 
-// logEnd adds the entry that an attempt is gone.
 func (o *observation) logEnd(k runKey) { o.log(NewAttemptEnd(k.job, k.task, k.attempt)) }
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -8,18 +8,18 @@
 	"fieldhill/wire"
 )
 
-// TestStartsWaitForCommit: no start goes out before its placement is committed, and
-// until then, but for a new leader, the run can end without a report of the machine.
+// TestStartsWaitForCommit checks that a start is sent only after its placement is committed. Until then the run can end
+// without a report of the machine, unless an earlier leader placed it.
 func TestStartsWaitForCommit(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	if c := m.Commands(machine, 3, true); len(c) != 0 || !run.IsUnsent(3) {
-		t.Errorf("before its placement is committed: %v, unsent %v", verbs(c), run.IsUnsent(3))
+		t.Errorf("before the placement is committed: commands %v, unsent %v", verbs(c), run.IsUnsent(3))
 	}
 	if run.IsUnsent(4) {
-		t.Error("unsent although its placement is committed")
+		t.Error("unsent although the placement is committed")
 	}
 	if run.Inherited = true; run.IsUnsent(3) {
-		t.Error("unsent by an earlier leader")
+		t.Error("a run inherited from an earlier leader counts as unsent")
 	}
 	run.Inherited = false
 	if d := cmp.Diff([]string{"run req-000007/0"}, verbs(m.Commands(machine, 4, true))); d != "" {
@@ -27,32 +27,32 @@
 	}
 }
 
-// TestLateStartIsFenced: a start whose direct command got no answer may run at any later
-// time, so its task counts as placed until the agent has seen a higher token.
-func TestLateStartIsFenced(t *testing.T) {
+// TestUnansweredStartIsFenced checks that a start without a response, which may be executed at any later time, keeps
+// its task placed until the agent has seen a higher token.
+func TestUnansweredStartIsFenced(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
 	m.StartsSent(machine, cmds, m.Token(machine))
 	m.StartsLost(machine, cmds, m.Token(machine))
 	run.Stop = true
 	if v := m.Observe(machine, testReport(1, 2, 3<<24), nil, 1); len(v.Entries) != 0 {
-		t.Fatal("the run was declared gone while its start may still be executed")
+		t.Fatal("the run was ended while its start may still be executed")
 	}
 	if m.Token(machine) != 3<<24+1 {
-		t.Fatalf("the machine's token is %d: the late start is not fenced", m.Token(machine))
+		t.Fatalf("token %d does not fence the unanswered start", m.Token(machine))
 	}
 	if v := m.Observe(machine, testReport(1, 3, 3<<24), nil, 1); len(v.Entries) != 0 {
-		t.Fatal("gone before the agent has seen the higher token")
+		t.Fatal("the run was ended before the agent saw the higher token")
 	}
 	v := m.Observe(machine, testReport(1, 4, 3<<24+1), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-		t.Fatalf("not gone although the late start can't be executed any more: %v", v.Entries)
+		t.Fatalf("the run was not ended although its start is fenced: %v", v.Entries)
 	}
 }
 
-// TestTwoLostCopiesOfAStart: the answer to the second copy of a start says nothing about
-// the first one, if both carry the same token.
-func TestTwoLostCopiesOfAStart(t *testing.T) {
+// TestDuplicateUnansweredStart checks that the response to the second copy of a start proves nothing about the first
+// one if both carry the same token.
+func TestDuplicateUnansweredStart(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
 	token := m.Token(machine)
@@ -68,7 +68,7 @@
 	m.SealReapable(machine, 5)
 	for _, c := range m.Commands(machine, 9, true) {
 		if c.Verb == wire.Forget {
-			t.Error("the attempt is forgotten while a copy of its start is under way: it would run again")
+			t.Error("the attempt is reaped while a copy of its start is in flight, which would run it again")
 		}
 	}
 	m.Observe(machine, testReport(1, 3, m.Token(machine), failed), nil, 2)
@@ -78,59 +78,59 @@
 	}
 }
 
-// TestInheritedStart: after a change of leaders a start of the old one may be
-// under way until the agent reports a token of the new term.
+// TestInheritedStart checks that a start of an earlier leader counts as in flight until the agent reports a token of
+// the new term.
 func TestInheritedStart(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryCancel, Job: 7}, 5, 0)
 	m.BeginTerm(4<<24, 0)
 	if v := m.Observe(machine, testReport(1, 5, 3<<24), nil, 1); len(v.Entries) != 0 {
-		t.Fatal("gone under the old token")
+		t.Fatal("the run was ended by a report with the old token")
 	}
 	if v := m.Observe(machine, testReport(1, 6, 4<<24), nil, 1); len(v.Entries) != 1 {
-		t.Fatal("not gone under the new token")
+		t.Fatal("the run was not ended by a report with the new token")
 	}
 }
 
-func TestEvidenceBySession(t *testing.T) {
+func TestNewerSessionEndsRuns(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	run.Phase = Running
 	run.Job.Running = 1
 	if v := m.Observe(machine, testReport(1, 1, 3<<24), nil, 1); !v.IsStale() {
-		t.Error("an old report was believed")
+		t.Error("an old report was accepted")
 	}
-	// A report may have been sent by an earlier incarnation of the agent, whose sessions had gone further: it has the
-	// machine asked, and counts once it shows a token that was given out since.
+	// The report may be from an earlier incarnation of the agent with higher epochs. It causes a probe, and counts only
+	// with a token that was issued since.
 	v := m.Observe(machine, testReport(2, 1, 3<<24), nil, 1)
 	if len(v.Entries) != 0 || !v.NeedsProbe {
-		t.Errorf("a report's newer session ends what ran in the older by itself: %v, asked %v", v.Entries, v.NeedsProbe)
+		t.Errorf("report with a newer epoch: entries %v, probe requested %v", v.Entries, v.NeedsProbe)
 	}
 	raised := m.Token(machine)
 	if raised <= 3<<24 {
-		t.Error("no token was raised that only the present agent can show")
+		t.Error("the token was not raised")
 	}
 	if v := m.Observe(machine, testReport(2, 2, raised-1), nil, 1); len(v.Entries) != 0 {
-		t.Errorf("the same without the raised token: %v", v.Entries)
+		t.Errorf("a report without the raised token ended runs: %v", v.Entries)
 	}
 	v = m.Observe(machine, testReport(2, 3, raised), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-		t.Errorf("a newer session ends what ran in the older: %v", v.Entries)
+		t.Errorf("a newer epoch with the raised token: entries %v", v.Entries)
 	}
-	// The answer to a question counts at once, for a newer session as for a run that is not there any more.
+	// The response to a probe counts at once, both for a newer epoch and for a run that is no longer listed.
 	for _, session := range []uint64{1, 2} {
 		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
 		v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1)
 		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-			t.Errorf("the answer to a question, session %d: %v", session, v.Entries)
+			t.Errorf("response to a probe, epoch %d: entries %v", session, v.Entries)
 		}
 	}
 }
 
-// TestLateResultStillCounts: a result that is reported after its attempt was ended by an
-// earlier leader still counts, if the task waits.
-func TestLateResultStillCounts(t *testing.T) {
+// TestLateCompletionCounts checks that a completion that is reported after an earlier leader ended the attempt still
+// counts if the task waits.
+func TestLateCompletionCounts(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
 	v := m.Observe(machine, testReport(1, 2, 3<<24, testStatus(wire.TaskExited, wire.CauseDone)), nil, 1)
@@ -139,18 +139,18 @@
 	}
 }
 
-// TestReportFromEarlierIncarnation: the first report that a new leader gets of a machine may be a copy from an
-// earlier incarnation of its agent, whose sessions had gone further than those of the present one. Its session once
-// passed for a proof that the runs of a lower one are gone, and they were started elsewhere while they ran.
+// TestReportFromEarlierIncarnation checks the first report that a new leader receives from a machine. It may be a
+// delayed copy from an earlier incarnation of the agent, with a higher epoch than the present one. If that epoch
+// counted as proof that runs of lower epochs have ended, they would be started elsewhere while still running.
 func TestReportFromEarlierIncarnation(t *testing.T) {
-	m, machine, run := newPlacedModel(t) // a run in session 1 of the present incarnation
+	m, machine, run := newPlacedModel(t) // a run in epoch 1 of the present incarnation
 	m.BeginTerm(4<<24, 0)
 	if v := m.Observe(machine, testReport(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.IsStale() {
-		t.Errorf("a copy of session 2 proves %d ends", len(v.Entries))
+		t.Errorf("a copy from epoch 2 gives %d entries", len(v.Entries))
 	}
 	running := testStatus(wire.TaskRunning, "")
 	v := m.Observe(machine, testReport(1, 7, 3<<24, running), m.BeginProbe(machine), 2)
 	if len(v.Entries) != 0 || run.Phase != Running {
-		t.Errorf("an answer that lists the run proves %d ends, phase %d", len(v.Entries), run.Phase)
+		t.Errorf("a response that lists the run gives %d entries, phase %d", len(v.Entries), run.Phase)
 	}
 }
--- a/internal/model/reason_history.go
+++ b/internal/model/reason_history.go
@@ -2,17 +2,17 @@
 
 import "fieldhill/internal/scheduling/pending"
 
-// ReasonSince is a reason that held from some time on, until the next one did.
+// ReasonSince is a pending reason and the time from which it applied, until the next one did.
 type ReasonSince struct {
 	Code  pending.Code
 	Since Time
 }
 
-// maxReasonHistory is how many reasons are kept of a job.
+// maxReasonHistory is the number of reasons kept per job.
 const maxReasonHistory = 8
 
-// RecordReason notes since when the reason for which a job waits holds. It is called once a round, when
-// that round's reason is known, and costs nothing while it stays the same.
+// RecordReason appends the current pending reason to the history if it has changed. It is called once per scheduling
+// round, after the reason of the round is known.
 func (j *Job) RecordReason(now Time) {
 	if j.Scheduling.reasonHistory[0].Code == j.Scheduling.PendingReason.Code {
 		return
@@ -21,8 +21,8 @@
 	j.Scheduling.reasonHistory[0] = ReasonSince{j.Scheduling.PendingReason.Code, now}
 }
 
-// ReasonHistory lists the reasons for which the job has waited, the present one first, as far as it is
-// kept and this leader has observed it. Nothing in the way (pending.None) is among them.
+// ReasonHistory returns the recorded reasons for which the job has waited, most recent first, as far as this leader has
+// observed them. It includes pending.None, for times at which nothing kept the job from being placed.
 func (j *Job) ReasonHistory() (history []ReasonSince) {
 	for _, p := range j.Scheduling.reasonHistory {
 		if p.Since == 0 {
--- a/internal/model/reason_history_test.go
+++ b/internal/model/reason_history_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// TestReasonHistory: a job keeps its last reasons with the times at which they began, the present
-// one first; while a reason stays, with other figures, nothing is noted, and noting takes no memory.
+// TestReasonHistory checks that the most recent reasons are kept with their start times, latest first; that a change of
+// only the count adds no record; and that recording does not allocate.
 func TestReasonHistory(t *testing.T) {
 	j := &Job{}
 	for i, c := range []pending.Code{
@@ -30,10 +30,10 @@
 	at := Time(10e9)
 	if n := testing.AllocsPerRun(100, func() {
 		at++
-		j.Scheduling.PendingReason.Code = pending.TeamLimit + pending.Code(at%2) // it changes every time
+		j.Scheduling.PendingReason.Code = pending.TeamLimit + pending.Code(at%2) // different code each time
 		j.RecordReason(at)
 	}); n != 0 {
-		t.Errorf("%g allocations for a change of reason", n)
+		t.Errorf("%g allocations per recorded reason", n)
 	}
 	if actual := j.ReasonHistory(); len(actual) != maxReasonHistory || actual[0].Since != at ||
 		actual[maxReasonHistory-1].Since != at-maxReasonHistory+1 {
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -10,8 +10,7 @@
 	"fieldhill/wire"
 )
 
-// referenceModel is the slow, plain model of the replicated state: what each entry means,
-// written down with maps and no counters.
+// referenceModel is a simple implementation of the replicated state, with maps and without counters.
 type referenceModel struct {
 	tasks  map[JobID][]string // "wait", "done" or the machine
 	finals map[JobID]string
@@ -40,7 +39,7 @@
 		if all && p.finals[e.Job] == "" {
 			p.finals[e.Job] = "done"
 		}
-	case EntryGone:
+	case EntryMachineGone:
 		for _, ts := range p.tasks {
 			for i := range ts {
 				if ts[i] == string(rune('A'+e.Machine)) {
@@ -51,8 +50,8 @@
 	}
 }
 
-// requireAgreement compares everything that the rules rest on.
-func requireAgreement(t *rapid.T, m *Model, p *referenceModel, machines map[MachineID]bool) {
+// requireMatches compares the model with the reference.
+func requireMatches(t *rapid.T, m *Model, p *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range p.tasks {
 		live := 0
@@ -60,48 +59,48 @@
 			if s != "wait" && s != "done" {
 				live++
 			}
-			requireTaskAgreement(t, m, id, i, s)
+			requireTaskMatches(t, m, id, i, s)
 		}
 		cpus += float64(live)
-		requireJobAgreement(t, m, id, ts, p.finals[id], live)
+		requireJobMatches(t, m, id, ts, p.finals[id], live)
 	}
 	if m.Teams[0].UsedCPUs != cpus {
-		t.Fatalf("team uses %g, plainly %g", m.Teams[0].UsedCPUs, cpus)
+		t.Fatalf("team uses %g CPUs, want %g", m.Teams[0].UsedCPUs, cpus)
 	}
 	if len(m.Machines) != len(machines) || len(m.Order) != len(machines) {
-		t.Fatalf("%d machines, plainly %d", len(m.Machines), len(machines))
+		t.Fatalf("%d machines, want %d", len(m.Machines), len(machines))
 	}
 }
 
-// requireTaskAgreement compares a task with what it plainly is: "wait", "done" or the machine.
-func requireTaskAgreement(t *rapid.T, m *Model, id JobID, i int, plainly string) {
+// requireTaskMatches compares a task with its reference state: "wait", "done" or the machine.
+func requireTaskMatches(t *rapid.T, m *Model, id JobID, i int, want string) {
 	j := m.Jobs[id]
-	if plainly != "wait" && plainly != "done" {
-		if j == nil || j.Tasks[i].Run == nil || string(rune('A'+j.Tasks[i].Run.Machine.ID)) != plainly {
-			t.Fatalf("job %d task %d should be on %s", id, i, plainly)
+	if want != "wait" && want != "done" {
+		if j == nil || j.Tasks[i].Run == nil || string(rune('A'+j.Tasks[i].Run.Machine.ID)) != want {
+			t.Fatalf("job %d task %d should be on %s", id, i, want)
 		}
 	} else if j != nil && j.Tasks[i].Run != nil {
 		t.Fatalf("job %d task %d should not be placed", id, i)
 	}
-	if j != nil && (j.Tasks[i].State == Done) != (plainly == "done") {
-		t.Fatalf("job %d task %d is %v, plainly %s", id, i, j.Tasks[i].State, plainly)
+	if j != nil && (j.Tasks[i].State == Done) != (want == "done") {
+		t.Fatalf("job %d task %d is %v, want %s", id, i, j.Tasks[i].State, want)
 	}
 }
 
-// requireJobAgreement compares a job's end and its counts.
-func requireJobAgreement(t *rapid.T, m *Model, id JobID, tasks []string, over string, live int) {
+// requireJobMatches compares a job's final state and its counts with the reference.
+func requireJobMatches(t *rapid.T, m *Model, id JobID, tasks []string, wantFinal string, live int) {
 	j := m.Jobs[id]
 	final := map[Final]string{0: "", FinalDone: "done", FinalCancelled: "cancelled"}[m.Finals[id]]
-	if want := over; live > 0 && final != "" || live == 0 && final != want {
-		t.Fatalf("job %d is %q, plainly %q with %d placed", id, final, over, live)
+	if want := wantFinal; live > 0 && final != "" || live == 0 && final != want {
+		t.Fatalf("job %d has final state %q, want %q with %d placed tasks", id, final, wantFinal, live)
 	}
 	if j == nil {
 		return
 	}
 	if j.Live != live {
-		t.Fatalf("job %d counts %d placed, plainly %d", id, j.Live, live)
+		t.Fatalf("job %d has %d placed tasks, want %d", id, j.Live, live)
 	}
-	if over != "" {
+	if wantFinal != "" {
 		return
 	}
 	want := 0
@@ -111,20 +110,20 @@
 		}
 	}
 	if j.Waiting() != want || (want > 0) != (j.NextWaiting() >= 0) {
-		t.Fatalf("job %d: %d wait and the next is %d, plainly %d", id, j.Waiting(), j.NextWaiting(), want)
+		t.Fatalf("job %d: %d tasks wait and the next is %d, want %d", id, j.Waiting(), j.NextWaiting(), want)
 	}
 }
 
-// history draws entries that fit a model.
-type history struct {
+// historyGenerator generates entries that are valid for a model.
+type historyGenerator struct {
 	test     *rapid.T
 	model    *Model
 	machines map[MachineID]bool
 	attempt  uint32
 }
 
-// draw makes the next entry, nil if what was drawn does not fit the model.
-func (h *history) draw() *Entry {
+// draw returns a random entry, or nil if the drawn values are not valid for the model.
+func (h *historyGenerator) draw() *Entry {
 	id := JobID(rapid.IntRange(1, 5).Draw(h.test, "job"))
 	machineID := MachineID(rapid.IntRange(1, 4).Draw(h.test, "machine"))
 	j := h.model.Jobs[id]
@@ -139,13 +138,13 @@
 	case kind == 2 || kind == 3:
 		return h.drawMachine(kind, machineID)
 	case j != nil && kind >= 4:
-		return h.drawChange(kind, j, task, machineID)
+		return h.drawJobChange(kind, j, task, machineID)
 	}
 	return nil
 }
 
-// drawMachine has a machine come or go.
-func (h *history) drawMachine(kind int, id MachineID) *Entry {
+// drawMachine returns an entry that adds or removes a machine.
+func (h *historyGenerator) drawMachine(kind int, id MachineID) *Entry {
 	switch {
 	case kind == 2 && !h.machines[id] && id >= h.model.NextMachine:
 		h.machines[id] = true
@@ -157,8 +156,8 @@
 	return nil
 }
 
-// drawChange changes a job: it is cancelled, or one of its tasks is placed, ends or completes.
-func (h *history) drawChange(kind int, j *Job, task int32, machine MachineID) *Entry {
+// drawJobChange returns an entry that cancels a job, or that places, ends or completes one of its tasks.
+func (h *historyGenerator) drawJobChange(kind int, j *Job, task int32, machine MachineID) *Entry {
 	t := &j.Tasks[task]
 	switch {
 	case kind == 4 && rapid.IntRange(0, 2).Draw(h.test, "rarely") == 0:
@@ -174,34 +173,34 @@
 	return nil
 }
 
-// throughLog is an entry as the log gives it back.
-func throughLog(t *rapid.T, e *Entry) *Entry {
+// encodeAndDecode returns an entry after encoding and decoding.
+func encodeAndDecode(t *rapid.T, e *Entry) *Entry {
 	r := &codec.Reader{Data: e.Append(nil)}
 	decoded, err := ReadEntry(r)
 	if err != nil || !r.Done() {
-		t.Fatalf("%+v does not survive the log: %v", e, err)
+		t.Fatalf("%+v cannot be decoded: %v", e, err)
 	}
 	return decoded
 }
 
-// throughSnapshot is a model as its snapshot gives it back.
-func throughSnapshot(t *rapid.T, m *Model, seq uint64) *Model {
+// snapshotAndRestore returns a model restored from a snapshot of m.
+func snapshotAndRestore(t *rapid.T, m *Model, seq uint64) *Model {
 	snapshot := m.Snapshot()
 	restored := New(params())
 	if err := restored.Restore(snapshot, seq, 0); err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(snapshot, restored.Snapshot()); d != "" {
-		t.Fatalf("a snapshot does not survive itself: %s", d)
+		t.Fatalf("the restored model gives a different snapshot: %s", d)
 	}
 	return restored
 }
 
-// TestAgainstReferenceModel drives random histories through the model and the plain
-// one, by way of the log's encoding, and through snapshots now and then.
+// TestAgainstReferenceModel applies random histories to the model and to the reference. Entries pass through the log
+// encoding, and the model is regularly restored from a snapshot.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{test: t, model: New(params()), machines: map[MachineID]bool{}}
+		h := &historyGenerator{test: t, model: New(params()), machines: map[MachineID]bool{}}
 		reference := &referenceModel{tasks: map[JobID][]string{}, finals: map[JobID]string{}}
 		_ = h.model.Apply(
 			NewMachineType(&wire.MachineType{Name: "t", CPUs: 99, MemoryGB: 99, Zones: []string{"a"}}), 1, 0,
@@ -211,14 +210,14 @@
 			if e == nil {
 				continue
 			}
-			if err := h.model.Apply(throughLog(t, e), seq, Time(seq)); err != nil {
+			if err := h.model.Apply(encodeAndDecode(t, e), seq, Time(seq)); err != nil {
 				t.Fatal(err)
 			}
 			reference.apply(e)
-			requireAgreement(t, h.model, reference, h.machines)
+			requireMatches(t, h.model, reference, h.machines)
 			if seq%16 == 0 {
-				h.model = throughSnapshot(t, h.model, seq)
-				requireAgreement(t, h.model, reference, h.machines)
+				h.model = snapshotAndRestore(t, h.model, seq)
+				requireMatches(t, h.model, reference, h.machines)
 			}
 		}
 	})
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -1,49 +1,48 @@
 package model
 
-// Phase is what the machine last reported of a run.
+// Phase is the state of a run as last reported by its machine.
 type Phase uint8
 
-// The phases.
+// Phases of a run.
 const (
-	Unseen       Phase = iota // placed; its machine has not reported it yet
-	Fetching                  // its image is being fetched
-	AwaitingGang              // has its image and waits for the gang's other members
+	Unseen       Phase = iota // placed, but not yet reported by its machine
+	Fetching                  // fetching its image
+	AwaitingGang              // has its image and waits for the other gang members
 	Running
-	Saving // writes a checkpoint
+	Checkpointing // writing a checkpoint
 )
 
-// Run is an attempt of a task that is placed and not evidently gone. What the log has of it is Job to PlacedSeq; the
-// rest is observed or decided by this leader.
+// Run is an attempt of a task that is placed and not known to have ended. The fields from Job to PlacedSeq are
+// replicated; the others are observed or decided by the current leader.
 type Run struct {
 	Job       *Job
 	Task      int32
 	Attempt   uint32
 	Machine   *Machine
-	Session   uint64 // the agent epoch in which it may be started
-	PlacedSeq uint64 // the log's number of its placement
+	Session   uint64 // agent epoch in which it may be started
+	PlacedSeq uint64 // log sequence number of its placement
 
 	Phase     Phase
 	PlacedAt  Time
 	StartedAt Time // when it was first observed running; 0: never
 	Stop      bool // it is to be stopped
-	Hard      bool // without a checkpoint
-	Inherited bool // placed by an earlier leader, whose commands may be under way
+	Hard      bool // stop without a checkpoint
+	Inherited bool // placed by an earlier leader, whose commands may be in flight
 
-	answeredReportSeq uint64 // the report whose answer carried its start; 0: none is under way
-	goneFromToken     uint64 // a report that it is gone counts from this token on; 0: none said so
-	seenObservation   uint64 // the last observation of its machine that listed it
+	startResponseSeq uint64 // sequence number of the report whose response carried the start; 0: none in flight
+	endMinToken      uint64 // lowest token with which a report that it has ended counts; 0: no such report yet
+	lastListedIn     uint64 // observationCount of its machine when last listed
 }
 
-// IsUnsent tells whether no start of the run can have been sent by anybody: starts
-// go out once the placement is committed.
+// IsUnsent reports whether no leader can have sent a start of the run: starts are sent once the placement is committed.
 func (r *Run) IsUnsent(committed uint64) bool {
 	return r.Phase == Unseen && !r.Inherited && r.PlacedSeq > committed
 }
 
-// IsWanted tells whether the run should go on.
+// IsWanted reports whether the run should continue.
 func (r *Run) IsWanted() bool { return !r.Stop && !r.Job.Cancelled }
 
-// runKey names an attempt.
+// runKey identifies an attempt.
 type runKey struct {
 	job     JobID
 	task    int32
@@ -52,7 +51,7 @@
 
 func (r *Run) key() runKey { return runKey{r.Job.ID, r.Task, r.Attempt} }
 
-// setPhase notes a phase, and counts the run in or out of those that are running and of those that wait for an image.
+// setPhase sets the phase and updates the counts of running tasks and of runs that wait for an image.
 func (r *Run) setPhase(p Phase) {
 	wasRunning, isRunning := r.Phase >= Running, p >= Running
 	if wasRunning != isRunning {
@@ -72,8 +71,8 @@
 	r.Phase = p
 }
 
-// charge adds what a run uses to its machine and its team, or with sign -1 takes it off.
-func (r *Run) charge(sign float64) {
+// addUsage adds (sign 1) or subtracts (sign -1) the run's resources to or from the usage of its machine and team.
+func (r *Run) addUsage(sign float64) {
 	s, machine := r.Job.Spec, r.Machine
 	machine.CPUs += sign * s.CPUs
 	machine.GPUs += sign * s.GPUs
@@ -83,7 +82,7 @@
 		machine.Reserved.Mem += sign * s.MemoryGB
 	}
 	if len(machine.Runs) == 0 {
-		// no drift from rounding
+		// Without runs the usage is exactly zero; this removes accumulated rounding errors.
 		machine.CPUs, machine.GPUs, machine.Mem, machine.Reserved = 0, 0, 0, ReservedResources{}
 	}
 	if t := r.Job.Team; t != nil {
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -10,17 +10,17 @@
 	"fieldhill/wire"
 )
 
-// The versions of snapshots. 1: without suspects; 2: without machines that are being released; 3: without
-// intents. The last is written only if there are any, so that nodes that don't know them, beside
-// which none are logged, read what is written.
+// Snapshot versions. Version 1 has no suspect flag, version 2 no releasing flag and version 3 no intents. Version 4 is
+// written only if there are intents, so that nodes that support version 3 at most can read all other snapshots; no
+// intents are logged while such nodes are members.
 const (
-	snapshotVersion = 4
-	withoutIntents  = 3
-	withSuspects    = 2 // the first version that has them
-	withReleases    = 3 // the first version that has them
+	snapshotVersion           = 4
+	lastVersionWithoutIntents = 3
+	firstVersionWithSuspect   = 2
+	firstVersionWithReleasing = 3
 )
 
-// The sections of a snapshot, in their order, as CorruptSnapshotError names them.
+// Sections of a snapshot in stored order, as reported by CorruptSnapshotError.
 const (
 	sectionVersion    = "version"
 	sectionTypes      = "machine types"
@@ -32,26 +32,24 @@
 	sectionEnd        = "end"
 )
 
-// ErrUnknownVersion is that a snapshot is of a version that this program does not read.
+// ErrUnknownVersion reports a snapshot version that this program does not support.
 var ErrUnknownVersion = errors.New("unknown version")
 
-// CorruptSnapshotError is that a snapshot can't be read, and in which of its sections that shows.
+// CorruptSnapshotError reports a snapshot that cannot be decoded, and the section in which decoding failed.
 type CorruptSnapshotError struct {
 	Section string
 	Err     error
 }
 
-// Error names the section and what is wrong in it.
 func (e *CorruptSnapshotError) Error() string {
 	return fmt.Sprintf("model: snapshot: %s: %v", e.Section, e.Err)
 }
 
-// Unwrap returns what is wrong in the section.
 func (e *CorruptSnapshotError) Unwrap() error { return e.Err }
 
-// Snapshot writes the replicated part, in an order that depends on it alone.
+// Snapshot encodes the replicated state. Equal states give equal bytes.
 func (m *Model) Snapshot() []byte {
-	b := []byte{withoutIntents}
+	b := []byte{lastVersionWithoutIntents}
 	if len(m.Intents) > 0 {
 		b[0] = snapshotVersion
 	}
@@ -100,9 +98,10 @@
 	return b
 }
 
-func (t *machineTable) appendTombstones(b []byte) []byte { return appendStrings(b, t.tombstoneRing) }
+func (t *machineTable) appendTombstones(b []byte) []byte { return appendStrings(b, t.tombstoneQueue) }
 
-// appendFinals writes the final states, each by its difference to the job before it: most are one byte.
+// appendFinals encodes the final states as sorted job IDs, each as the difference to the one before: most take one
+// byte.
 func (t *jobTable) appendFinals(b []byte) []byte {
 	for _, wanted := range []Final{FinalDone, FinalCancelled} {
 		ids := make([]JobID, 0, len(t.Finals))
@@ -134,7 +133,7 @@
 	return b
 }
 
-// appendTasks writes runs of equal tasks as one, and placed tasks in full.
+// appendTasks run-length encodes equal tasks. Placed tasks are encoded one by one.
 func appendTasks(b []byte, tasks []Task) []byte {
 	for i := 0; i < len(tasks); {
 		t := &tasks[i]
@@ -162,7 +161,8 @@
 	return b
 }
 
-// Restore fills an empty model from a snapshot that was taken at a log number. If it fails the model is of no use.
+// Restore fills an empty model from a snapshot that was taken at the given log sequence number. After an error the
+// model must not be used.
 func (m *Model) Restore(b []byte, seq uint64, now Time) error {
 	if len(b) == 0 || b[0] < 1 || b[0] > snapshotVersion {
 		return &CorruptSnapshotError{sectionVersion, ErrUnknownVersion}
@@ -195,17 +195,17 @@
 	return nil
 }
 
-// restorer reads the sections of a snapshot into a model.
+// restorer decodes the sections of a snapshot into a model.
 type restorer struct {
 	codec.Reader
 	model   *Model
 	version byte
-	limit   uint64 // of any count: the length of the snapshot
-	seq     uint64 // the log's number at which it was taken
+	limit   uint64 // upper bound of any count: the length of the snapshot
+	seq     uint64 // log sequence number of the snapshot
 	now     Time
 }
 
-// count reads how many records follow.
+// count reads the number of records that follow.
 func (r *restorer) count() int { return r.Max(r.limit) }
 
 func (r *restorer) readTypes() error {
@@ -224,8 +224,8 @@
 	next := MachineID(r.Max(maxID))
 	for range r.count() {
 		e := NewMachine(MachineID(r.Max(maxID)), int64(r.Uint()), readInfo(&r.Reader))
-		suspect := r.version >= withSuspects && r.Bool()
-		releasing := r.version >= withReleases && r.Bool()
+		suspect := r.version >= firstVersionWithSuspect && r.Bool()
+		releasing := r.version >= firstVersionWithReleasing && r.Bool()
 		if r.Err != nil {
 			return r.Err
 		}
@@ -243,7 +243,7 @@
 func (r *restorer) readTombstones() error {
 	m := r.model
 	n := r.count()
-	m.maxFleetSize = max(m.maxFleetSize, (n+1)/2) // who wrote this knew of as many
+	m.maxFleetSize = max(m.maxFleetSize, (n+1)/2) // the writer kept twice its largest fleet size
 	for range n {
 		m.addTombstone(r.String())
 	}
@@ -317,7 +317,7 @@
 }
 
 func (r *restorer) readIntents() error {
-	if r.version <= withoutIntents {
+	if r.version <= lastVersionWithoutIntents {
 		return nil
 	}
 	for range r.count() {
--- a/internal/model/snapshot_test.go
+++ b/internal/model/snapshot_test.go
@@ -10,9 +10,9 @@
 	"fieldhill/internal/codec"
 )
 
-// TestLongHistory: what a finished job leaves behind is a few bytes, so a
-// recovery stays short after a very long life.
-func TestLongHistory(t *testing.T) {
+// TestSnapshotSizeWithManyFinishedJobs checks that a finished job takes at most two bytes of a snapshot, so that
+// recovery stays fast with a long history.
+func TestSnapshotSizeWithManyFinishedJobs(t *testing.T) {
 	m := New(params())
 	const n = 50_000
 	for i := range uint64(n) {
@@ -22,7 +22,7 @@
 	m.ForgetCommitted(n)
 	snapshot := m.Snapshot()
 	if len(snapshot) > 2*n {
-		t.Errorf("the snapshot has %d bytes for %d finished jobs", len(snapshot), n)
+		t.Errorf("snapshot has %d bytes for %d finished jobs", len(snapshot), n)
 	}
 	began := time.Now()
 	restored := New(params())
@@ -35,7 +35,7 @@
 	}
 }
 
-// FuzzDecode: whatever the log holds, reading it ends in an error, not a panic.
+// FuzzDecode checks that decoding arbitrary data returns an error instead of panicking.
 func FuzzDecode(f *testing.F) {
 	m := New(params())
 	_ = m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, 1, 0)
@@ -49,7 +49,7 @@
 		if m := New(params()); m.Restore(b, 1, 0) == nil && len(m.Jobs) > 0 && m.LiveTasks == 0 && len(m.Finals) == 0 {
 			for _, j := range m.Jobs {
 				if j.Waiting() != 0 {
-					t.Error("a restored job waits for nothing")
+					t.Error("a restored job has waiting tasks although LiveTasks is 0")
 				}
 			}
 		}
@@ -62,8 +62,8 @@
 	})
 }
 
-// TestIntentsInSnapshots: rentals under way survive in snapshots, in the order of the log, and a snapshot without any
-// is of the version that nodes which don't know them read.
+// TestIntentsInSnapshots checks that intents are kept in snapshots in log order, and that a snapshot without intents
+// has the version that nodes without support for them can read.
 func TestIntentsInSnapshots(t *testing.T) {
 	m := New(params())
 	apply := func(seq uint64, e *Entry) {
@@ -78,7 +78,7 @@
 	intent := func(name string, n int) *Entry {
 		return &Entry{Kind: EntryIntent, Info: &MachineInfo{Name: name, Type: "t", Zone: "a", Spot: n%2 == 0}, Count: n}
 	}
-	for i, name := range []string{"x", "y", "x", "z"} { // one is repeated
+	for i, name := range []string{"x", "y", "x", "z"} { // the second "x" is a repeated request
 		apply(uint64(i+1), intent(name, i+1))
 	}
 	apply(5, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: "y"}})
@@ -93,12 +93,12 @@
 	for _, name := range []string{"x", "z"} {
 		apply(6, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: name}})
 	}
-	if b := m.Snapshot(); b[0] != withoutIntents || len(m.Intents) != 0 {
-		t.Errorf("a snapshot without rentals is of version %d", b[0])
+	if b := m.Snapshot(); b[0] != lastVersionWithoutIntents || len(m.Intents) != 0 {
+		t.Errorf("a snapshot without intents has version %d", b[0])
 	}
 }
 
-// TestCorruptSnapshot: the error tells the section in which a snapshot breaks off or does not fit.
+// TestCorruptSnapshot checks that the error names the section in which a snapshot is truncated or invalid.
 func TestCorruptSnapshot(t *testing.T) {
 	m, _, _ := newPlacedModel(t)
 	applyAll(t, m,
@@ -112,13 +112,13 @@
 	if err := New(params()).Restore(whole, 9, 0); err != nil {
 		t.Fatal(err)
 	}
-	// The sections in which snapshots of all lengths break off, each once.
+	// The sections named by the errors for all truncated lengths, without repetitions.
 	var sections []string
 	for n := 1; n < len(whole); n++ {
 		var corrupt *CorruptSnapshotError
 		err := New(params()).Restore(whole[:n], 9, 0)
 		if !errors.As(err, &corrupt) || !errors.Is(err, codec.ErrShort) {
-			t.Fatalf("the first %d bytes: %v", n, err)
+			t.Fatalf("truncated to %d bytes: %v", n, err)
 		}
 		if len(sections) == 0 || sections[len(sections)-1] != corrupt.Section {
 			sections = append(sections, corrupt.Section)
@@ -138,6 +138,6 @@
 	}
 	err := New(params()).Restore(append(whole, 0), 9, 0)
 	if !errors.As(err, &corrupt) || corrupt.Section != sectionEnd {
-		t.Errorf("a byte after the end: %v", err)
+		t.Errorf("trailing byte: %v", err)
 	}
 }
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// timing plays tasks that take given times, and an agent that reports every 3 s.
-type timing struct {
+// speedFixture simulates tasks with given durations and an agent that reports every 3 s.
+type speedFixture struct {
 	test      *testing.T
 	model     *Model
 	now       Time
@@ -17,7 +17,7 @@
 	reportSeq uint64
 }
 
-func (x *timing) apply(e *Entry) {
+func (x *speedFixture) apply(e *Entry) {
 	x.test.Helper()
 	x.logSeq++
 	if err := x.model.Apply(e, x.logSeq, x.now); err != nil {
@@ -25,9 +25,9 @@
 	}
 }
 
-// run has a task run on a machine for so many seconds, in which it says nothing for
-// silent seconds. It tells whether the machine was found to be slow.
-func (x *timing) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
+// run simulates a task that takes tookS seconds on a machine whose agent is silent for the first silentS seconds. It
+// reports whether the machine was found to be slow.
+func (x *speedFixture) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
 	x.test.Helper()
 	machine := x.model.Machines[machineID]
 	sendReport := func(state, cause string) {
@@ -49,10 +49,10 @@
 	return slow
 }
 
-// newTiming makes a leader with three machines that have reported, and thirty jobs whose owners give an estimate.
-func newTiming(t *testing.T, estimate float64) *timing {
+// newSpeedFixture returns a leader with three machines that have reported and 30 jobs with the given estimate.
+func newSpeedFixture(t *testing.T, estimate float64) *speedFixture {
 	t.Helper()
-	x := &timing{test: t, model: New(params()), now: 1}
+	x := &speedFixture{test: t, model: New(params()), now: 1}
 	x.apply(NewMachineType(testType()))
 	for n := MachineID(1); n <= 3; n++ {
 		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
@@ -70,19 +70,19 @@
 	return x
 }
 
-// TestEstimatesAreCorrected: owners whose estimates are wrong in one direction are
-// corrected after some jobs, and one job with many tasks does not count as many.
-func TestEstimatesAreCorrected(t *testing.T) {
-	x := newTiming(t, 20)
+// TestEstimateBiasCorrection checks that consistently wrong estimates are corrected after several jobs, and that one
+// job with many tasks does not count as several.
+func TestEstimateBiasCorrection(t *testing.T) {
+	x := newSpeedFixture(t, 20)
 	last := x.model.Jobs[30]
 	if actual := x.model.ExpectedSeconds(last); actual != 20 {
-		t.Errorf("at first a task is expected to take %g s", actual)
+		t.Errorf("initially: expected duration %g s", actual)
 	}
 	for task := range int32(20) {
 		x.run(1, task, 1, 60, 0)
 	}
 	if actual := x.model.ExpectedSeconds(last); actual > 28 {
-		t.Errorf("after one job a task is expected to take %g s", actual)
+		t.Errorf("after one job: expected duration %g s", actual)
 	}
 	for n := uint64(2); n <= 28; n++ {
 		for task := range int32(20) {
@@ -90,13 +90,12 @@
 		}
 	}
 	if actual := x.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
-		t.Errorf("tasks of 20 s take 60 s, %g s are expected", actual)
+		t.Errorf("after 28 jobs with estimate 20 s and duration 60 s: expected duration %g s", actual)
 	}
 }
 
-// TestSlowMachine: a machine on which tasks take much longer than the same jobs' tasks
-// elsewhere is distrusted; one that is a little slower, that has the long tasks of one job
-// by chance, or that hung, is not.
+// TestSlowMachine checks that a machine is found to be slow if tasks take much longer on it than the same jobs' tasks
+// elsewhere. A machine is not slow if it is only slightly slower, has the long tasks of one job by chance, or hung.
 func TestSlowMachine(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -109,12 +108,12 @@
 		{"one job only", 60, 0, 1, false},
 		{"hung", 60, 40, 3, false},
 	} {
-		x := newTiming(t, 10) // all take twice as long as their owners think
+		x := newSpeedFixture(t, 10) // all tasks take twice their estimate
 		slow := false
 		for n := uint64(1); n <= c.jobs; n++ {
 			for task := range int32(8) {
 				if x.run(n, task, 1+MachineID(task%2), 20, 0) {
-					t.Fatalf("%s: a good machine is slow", c.name)
+					t.Fatalf("%s: a normal machine was found to be slow", c.name)
 				}
 			}
 			for task := int32(8); task < 12; task++ {
@@ -122,7 +121,7 @@
 			}
 		}
 		if x.model.DetectSlow(x.model.Machines[3], x.now) {
-			t.Errorf("%s: nothing runs, and it is late", c.name)
+			t.Errorf("%s: found slow without running tasks", c.name)
 		}
 		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want ||
 			machine.IsSlow(x.now+2*slowPeriod) {
@@ -131,17 +130,16 @@
 	}
 }
 
-// TestLateTasksShowSlowMachine: tasks of two jobs that run for much longer than their peers
-// did show their machine to be slow before they complete, unless one that began after them
-// completed in time.
-func TestLateTasksShowSlowMachine(t *testing.T) {
+// TestDetectSlowFromRunningTasks checks that running tasks of two jobs that take much longer than their peers show
+// their machine to be slow before they complete, unless a task that started later completed in time.
+func TestDetectSlowFromRunningTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		jobs uint64
 		good bool
 		want bool
-	}{{"two jobs", 2, false, true}, {"one job", 1, false, false}, {"a later one in time", 2, true, false}} {
-		x := newTiming(t, 10)
+	}{{"two jobs", 2, false, true}, {"one job", 1, false, false}, {"a later task in time", 2, true, false}} {
+		x := newSpeedFixture(t, 10)
 		for n := uint64(1); n <= 3; n++ {
 			for task := range int32(8) {
 				x.run(n, task, 1, 20, 0)
@@ -168,7 +166,7 @@
 			x.now += config.Seconds(3)
 		}
 		if (now != 0) != c.want || c.want && now > config.Seconds(42) {
-			t.Errorf("%s: found after %v", c.name, now)
+			t.Errorf("%s: found to be slow after %v", c.name, now)
 		}
 	}
 }
--- a/internal/model/team.go
+++ b/internal/model/team.go
@@ -2,17 +2,17 @@
 
 import "fieldhill/internal/config"
 
-// Team is an owner of jobs, with what its jobs use.
+// Team is an owner of jobs, with the resources that its jobs use.
 type Team struct {
 	config.Team
-	Index              int     // in Model.Teams
-	UsedCPUs, UsedGPUs float64 // by its runs, whatever has become of their jobs
-	LiveTasks          int     // of its unfinished jobs, not completed
+	Index              int     // index in Model.Teams
+	UsedCPUs, UsedGPUs float64 // used by its runs, including those of jobs that are over
+	LiveTasks          int     // tasks of its unfinished jobs that are not completed
 }
 
-// teamTable holds the teams of the settings.
+// teamTable holds the configured teams.
 type teamTable struct {
-	Teams      []*Team // in the order of the settings
+	Teams      []*Team // in the order of the configuration
 	teamByName map[string]*Team
 }
 
@@ -29,5 +29,5 @@
 	t.teamByName[team.Name] = team
 }
 
-// TeamOf finds a team; nil if the settings don't name it.
+// TeamOf returns the team with the given name, or nil if it is not configured.
 func (t *teamTable) TeamOf(name string) *Team { return t.teamByName[name] }
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -5,46 +5,45 @@
 	"fieldhill/wire"
 )
 
-// leaderTerm is what a leader needs for its dialogue with the agents: the fencing tokens of its term, and by them what
-// of its commands may still be executed.
+// leaderTerm is the state of a leader's term in its communication with the agents: the term's fencing tokens, from
+// which it follows which of its commands may still be executed.
 type leaderTerm struct {
-	// TermBase is the lowest fencing token of the present term.
+	// The lowest fencing token of the current term.
 	TermBase uint64
 }
 
-// startTokens holds the tokens of direct starts: of the one that waits for its
-// answer, and of the last one that got none. 0: none.
-type startTokens struct{ awaiting, lost uint64 }
+// startTokens holds the tokens of direct starts of an attempt: of the one that awaits its response, and of the last one
+// that got none. 0: none.
+type startTokens struct{ pending, unanswered uint64 }
 
-// reapableTask is an attempt that an agent lists and that has no run any more.
+// reapableTask is an attempt that an agent lists but that has no run any more.
 type reapableTask struct {
 	key    runKey
-	exited bool   // it is to be forgotten; else stopped
-	seq    uint64 // the log's number up to which that must be committed first; 0: not logged yet
+	exited bool   // it is to be forgotten; otherwise stopped
+	seq    uint64 // log sequence number that must be committed before it is forgotten; 0: not logged yet
 }
 
-// Token is the fencing token under which this leader commands a machine.
-func (t *leaderTerm) Token(machine *Machine) uint64 { return t.TermBase + machine.Contact.TokenBump }
+// Token returns the fencing token with which this leader commands a machine.
+func (t *leaderTerm) Token(machine *Machine) uint64 { return t.TermBase + machine.Contact.TokenOffset }
 
-// RaiseToken raises a machine's token, unless the agent is yet to show the last one: whether answers arrive is not
-// known, and the report after the next answer tells.
+// RaiseToken raises a machine's token, unless the agent has yet to show the current one. It is used when delivery of
+// responses is uncertain: the report after the next response shows whether that arrived.
 func (t *leaderTerm) RaiseToken(machine *Machine) {
 	if machine.Contact.Reports.Token() >= t.Token(machine) {
-		machine.Contact.TokenBump++
+		machine.Contact.TokenOffset++
 	}
 }
 
-// fenceStart raises a machine's token above a start that may still be under way, so
-// that it can't be executed once the agent has seen the new one. It needs no
-// write: the low bits of a token belong to the leader.
+// fenceStart raises a machine's token above that of a start that may be in flight, so that the start is rejected once
+// the agent has seen the new token. This needs no log write, because the low bits of a token belong to the leader.
 func (t *leaderTerm) fenceStart(machine *Machine, k runKey) {
-	if u := machine.Contact.unresolvedStarts[k]; u.lost >= t.Token(machine) {
-		machine.Contact.TokenBump++
+	if u := machine.Contact.unresolvedStarts[k]; u.unanswered >= t.Token(machine) {
+		machine.Contact.TokenOffset++
 	}
 }
 
-// startMayBeInFlight tells whether a start of a run in an earlier session may be under way, and raises the token
-// above it if so: once the agent has the new token the start is refused, whatever the agent's session is by then.
+// startMayBeInFlight reports whether a direct start of a run may be in flight. If so it raises the machine's token:
+// once the agent has seen the new token it rejects the start, whatever its epoch is by then.
 func (t *leaderTerm) startMayBeInFlight(machine *Machine, run *Run) bool {
 	_, open := machine.Contact.unresolvedStarts[run.key()]
 	if open {
@@ -53,40 +52,39 @@
 	return open
 }
 
-// BeginProbe notes what is known of a machine as a question goes to it, a probe or a command. Only a report that was
-// made after it, in answer to it, may be judged by that.
+// BeginProbe records what is known of a machine when a probe or a command is sent to it. Only a report that the agent
+// made in response may be judged by that.
 func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.Question {
 	return machine.Contact.Reports.Ask()
 }
 
-// StartsSent notes that starts are going out in a direct command.
+// StartsSent records that starts are being sent in a direct command.
 func (t *leaderTerm) StartsSent(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsSent(commands, token)
 }
 
-// StartsAnswered notes that a direct command was answered, or surely not sent: this
-// copy is not under way. An earlier one without an answer still is, unless its
-// token was lower than the one the agent has now accepted.
+// StartsAnswered records that a direct command got a response or was certainly not sent, so this copy is not in flight.
+// An earlier copy without a response may still be, unless its token is lower than the one that the agent has now
+// accepted.
 func (t *leaderTerm) StartsAnswered(machine *Machine, commands []wire.Command, token uint64, accepted bool) {
 	machine.Contact.startsAnswered(commands, token, accepted)
 }
 
-// StartsLost notes that a direct command got no answer: it may be executed later.
+// StartsLost records that a direct command got no response and may be executed later.
 func (t *leaderTerm) StartsLost(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsLost(commands, token)
 }
 
-// SealReapable notes the log's number that carries what the last report proved:
-// exited attempts are forgotten by the agent only after it is committed,
-// because their listing is the evidence.
+// SealReapable records the log sequence number that covers the entries of the last report. The agent may forget exited
+// attempts only after it is committed, because their listing is the evidence for the entries.
 func (t *leaderTerm) SealReapable(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
 
-// ReapPending tells whether an exited attempt waits for the log to be forgotten.
+// ReapPending reports whether an exited attempt cannot be forgotten until the log has been committed further.
 func (t *leaderTerm) ReapPending(machine *Machine, committed uint64) bool {
 	return machine.Contact.reapPending(committed)
 }
 
-// CancelledFor is for how long a job that has a task on a machine has been cancelled, of several the longest.
+// CancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
 func (t *leaderTerm) CancelledFor(machine *Machine, now Time) Time { return machine.cancelledFor(now) }
 
 func (c *MachineContact) startsSent(commands []wire.Command, token uint64) {
@@ -95,7 +93,7 @@
 			c.unresolvedStarts = map[runKey]startTokens{}
 		}
 		u := c.unresolvedStarts[k]
-		u.awaiting = token
+		u.pending = token
 		c.unresolvedStarts[k] = u
 	})
 }
@@ -106,13 +104,13 @@
 		if !ok {
 			return
 		}
-		if u.awaiting == token {
-			u.awaiting = 0
+		if u.pending == token {
+			u.pending = 0
 		}
-		if accepted && u.lost < token {
-			u.lost = 0
+		if accepted && u.unanswered < token {
+			u.unanswered = 0
 		}
-		if u.awaiting == 0 && u.lost == 0 {
+		if u.pending == 0 && u.unanswered == 0 {
 			delete(c.unresolvedStarts, k)
 		} else {
 			c.unresolvedStarts[k] = u
@@ -124,19 +122,19 @@
 	c.DirectFailed = true
 	forEachStart(commands, func(k runKey) {
 		if u, ok := c.unresolvedStarts[k]; ok {
-			u.lost = max(u.lost, token)
-			if u.awaiting == token {
-				u.awaiting = 0
+			u.unanswered = max(u.unanswered, token)
+			if u.pending == token {
+				u.pending = 0
 			}
 			c.unresolvedStarts[k] = u
 		}
 	})
 }
 
-// fenceBelow forgets the starts that carried a token below one that the agent has seen: they are refused.
+// fenceBelow drops the starts whose tokens are lower than one that the agent has seen: it rejects them.
 func (c *MachineContact) fenceBelow(seen uint64) {
 	for k, u := range c.unresolvedStarts {
-		if seen > max(u.awaiting, u.lost) {
+		if seen > max(u.pending, u.unanswered) {
 			delete(c.unresolvedStarts, k)
 		}
 	}
@@ -159,7 +157,7 @@
 	return false
 }
 
-// forEachStart calls f with the attempt of each start among commands.
+// forEachStart calls f with the attempt of each start command.
 func forEachStart(commands []wire.Command, f func(runKey)) {
 	for _, c := range commands {
 		if c.Verb == wire.Start {
