--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -26,9 +26,9 @@
 	noMutation mutation = iota
 	// A copy of a report is taken for the response to a probe, and its token is ignored.
 	copyTakenAsResponse
-	responseNotAwaited // a start in flight in the response to a report is ignored
-	lostStartIgnored   // a direct start without a response counts as never sent
-	anySessionTrusted  // the epoch of any report ends the runs of lower epochs
+	responseNotAwaited     // a start in flight in the response to a report is ignored
+	unansweredStartIgnored // a direct start without a response counts as never sent
+	anySessionTrusted      // the epoch of any report ends the runs of lower epochs
 	// A relay that has responded to a report itself forwards the leader's later response to the agent, whatever the
 	// agent has sent since.
 	relayForwardsLateResponse
@@ -43,7 +43,7 @@
 	commands                    []wire.Command
 	isResponse                  bool // response to the report in flight
 	senderWaits                 bool // the sender still waits for the response
-	question                    *staleness.Question
+	probe                       *staleness.Question
 	term                        uint64
 }
 
@@ -62,7 +62,7 @@
 	reports       []wire.Heartbeat
 	awaitedReport int // 1-based index of the report that awaits its response; 0: none, -1: response in flight
 	inFlight      []inFlightMessage
-	question      *staleness.Question
+	probe         *staleness.Question
 	terms         int
 	leaseExpiries int
 	violation     string
@@ -102,12 +102,12 @@
 	b = fmt.Appendf(b, "%v %v %v %v %+v", w.runsElsewhere, w.exited, w.violation, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
 		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v",
-			u.incarnation, u.token, u.session, u.isResponse, u.senderWaits, u.term, u.question)
+			u.incarnation, u.token, u.session, u.isResponse, u.senderWaits, u.term, u.probe)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
 	}
-	return string(fmt.Appendf(b, "%+v", w.question))
+	return string(fmt.Appendf(b, "%+v", w.probe))
 }
 
 func (w exploredState) Violation() string { return w.violation }
@@ -127,10 +127,10 @@
 }
 
 // observe passes a report to the leader and applies the resulting entries.
-func (w *exploredState) observe(r *wire.Heartbeat, q *staleness.Question) ReportVerdict {
+func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.Question) ReportVerdict {
 	machine := w.model.Order[0]
 	offset := machine.Contact.TokenOffset
-	v := w.model.Observe(machine, r, q, 1)
+	v := w.model.Observe(machine, r, probe, 1)
 	if w.mutation == reapsEarly {
 		machine.Contact.TokenOffset = offset
 	}
@@ -179,10 +179,10 @@
 }
 
 // commands returns the commands that the leader sends now. Entries applied by observe count as committed.
-func (w *exploredState) commands(answer bool) []wire.Command {
+func (w *exploredState) commands(inResponse bool) []wire.Command {
 	machine := w.model.Order[0]
 	w.model.SealReapable(machine, 1)
-	commands := w.model.Commands(machine, 9, answer)
+	commands := w.model.Commands(machine, 9, inResponse)
 	if w.earlyReaped != 0 {
 		commands = append(commands, wire.Command{Verb: wire.Forget, Task: testTaskID, Attempt: w.earlyReaped})
 	}
@@ -241,7 +241,7 @@
 		{noMutation, duplicateStartDelayed, 20, 20_000, false},
 		{copyTakenAsResponse, nil, 12, 60_000, false},
 		{responseNotAwaited, nil, 12, 60_000, false},
-		{lostStartIgnored, nil, 12, 60_000, false},
+		{unansweredStartIgnored, nil, 12, 60_000, false},
 		{anySessionTrusted, nil, 14, 150_000, false},
 		{reapsEarly, duplicateStartDelayed, 14, 60_000, false},
 		{noMutation, nil, 20, 30_000, true},
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -65,12 +65,12 @@
 
 // observeCopy passes a report to the leader that it may have received before.
 func (w *exploredState) observeCopy(r wire.Heartbeat) {
-	var q *staleness.Question
+	var probe *staleness.Question
 	if w.mutation == copyTakenAsResponse {
-		q = w.model.BeginProbe(w.machine())
+		probe = w.model.BeginProbe(w.machine())
 		r.FencingToken = w.model.TermBase + 1<<20
 	}
-	w.observe(&r, q)
+	w.observe(&r, probe)
 }
 
 // newResponse returns the leader's response to a report, without commands.
@@ -132,14 +132,14 @@
 
 // addProbe adds steps in which the leader probes the agent and in which the agent responds.
 func (s *stepList) addProbe() {
-	if s.from.question == nil {
-		s.add("the leader probes", func(w *exploredState) { w.question = w.model.BeginProbe(w.machine()) })
+	if s.from.probe == nil {
+		s.add("the leader probes", func(w *exploredState) { w.probe = w.model.BeginProbe(w.machine()) })
 		return
 	}
 	s.add("the agent responds to the probe", func(w *exploredState) {
-		q := w.question
-		w.question = nil
-		w.observe(w.report(), q)
+		probe := w.probe
+		w.probe = nil
+		w.observe(w.report(), probe)
 	})
 }
 
@@ -147,11 +147,11 @@
 // for the response.
 func (s *stepList) addCommandsInFlight() {
 	for i, u := range s.from.inFlight {
-		what := "the command"
+		message := "the command"
 		if u.isResponse {
-			what = "the response"
+			message = "the response"
 		}
-		s.add(fmt.Sprintf("%s of term %d arrives", what, u.term>>24), func(w *exploredState) { w.deliver(i) })
+		s.add(fmt.Sprintf("%s of term %d arrives", message, u.term>>24), func(w *exploredState) { w.deliver(i) })
 		if u.senderWaits {
 			s.add("the leader abandons a command", func(w *exploredState) { w.abandon(i) })
 		}
@@ -175,7 +175,7 @@
 	}
 	if u.senderWaits && u.term == w.model.TermBase {
 		w.model.StartsAnswered(w.machine(), u.commands, u.token, accepted)
-		w.observe(w.report(), u.question)
+		w.observe(w.report(), u.probe)
 	}
 }
 
@@ -185,7 +185,7 @@
 	u.senderWaits = false
 	switch {
 	case u.term != w.model.TermBase:
-	case w.mutation == lostStartIgnored:
+	case w.mutation == unansweredStartIgnored:
 		w.model.StartsAnswered(w.machine(), u.commands, u.token, false)
 	default:
 		w.model.StartsLost(w.machine(), u.commands, u.token)
@@ -209,7 +209,7 @@
 			token:       w.model.Token(machine),
 			commands:    commands,
 			senderWaits: true,
-			question:    w.model.BeginProbe(machine),
+			probe:       w.model.BeginProbe(machine),
 			term:        w.model.TermBase,
 		}
 		w.model.StartsSent(machine, commands, u.token)
@@ -270,7 +270,7 @@
 	if s.from.terms == 0 {
 		s.add("another node is elected", func(w *exploredState) {
 			w.terms++
-			w.question = nil
+			w.probe = nil
 			w.model.BeginTerm(w.model.TermBase+1<<24, 1)
 		})
 	}
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -17,7 +17,7 @@
 	EntryType                              // machine type as described by the cloud
 	EntrySuspect                           // only the leader may renew the lease of the machine's agent from now on
 	EntryTrust                             // suspect machine has reported to the leader
-	EntryLeaseExpired                      // lease of a suspect machine has certainly expired; no longer written
+	EntryLeaseExpired                      // suspect machine's lease has surely expired, ending its tasks; not written
 	EntryRelease                           // machine may be released at any time from now on
 	EntryIntent                            // machines may be provisioned under a request name from now on
 	EntryIntentDone                        // result of the scale-out request is known
--- a/internal/model/entry_test.go
+++ b/internal/model/entry_test.go
@@ -13,7 +13,7 @@
 
 // TestEntryConstructors checks that each constructor sets the kind and the fields that the log stores for it.
 func TestEntryConstructors(t *testing.T) {
-	info, described, spec := testInfo("host-1"), testType(), testSpec(7, 2)
+	info, machineType, spec := testInfo("host-1"), testType(), testSpec(7, 2)
 	for _, c := range []struct {
 		made, want *Entry
 	}{
@@ -27,7 +27,7 @@
 		{NewCompletion(7, 1, 2), &Entry{Kind: EntryDone, Job: 7, Task: 1, Attempt: 2}},
 		{NewMachine(3, 5, info), &Entry{Kind: EntryMachine, Machine: 3, At: 5, Info: info}},
 		{NewMachineGone(3), &Entry{Kind: EntryMachineGone, Machine: 3}},
-		{NewMachineType(described), &Entry{Kind: EntryType, Type: described}},
+		{NewMachineType(machineType), &Entry{Kind: EntryType, Type: machineType}},
 		{NewSuspicion(3), &Entry{Kind: EntrySuspect, Machine: 3}},
 		{NewTrust(3), &Entry{Kind: EntryTrust, Machine: 3}},
 		{NewRelease(3), &Entry{Kind: EntryRelease, Machine: 3}},
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -177,14 +177,14 @@
 					err = fmt.Errorf("panic: %v", p)
 				}
 			}()
-			again := New(params())
-			if err := again.Restore(b, 50, 0); err != nil {
+			restored := New(params())
+			if err := restored.Restore(b, 50, 0); err != nil {
 				return nil, err
 			}
 			if version < 3 {
-				return downgradeSnapshot(again, again.Snapshot(), version), nil
+				return downgradeSnapshot(restored, restored.Snapshot(), version), nil
 			}
-			return again.Snapshot(), nil
+			return restored.Snapshot(), nil
 		})
 	}
 	for version := byte(0); version <= 5; version++ {
@@ -198,14 +198,14 @@
 // describeFleet returns the machines with their replicated flags, and the intents.
 func describeFleet(m *Model) (list []string) {
 	for _, machine := range m.Order {
-		described := machine.Info.Name
+		description := machine.Info.Name
 		if machine.Suspect {
-			described += " suspect"
+			description += " suspect"
 		}
 		if machine.Releasing {
-			described += " releasing"
+			description += " releasing"
 		}
-		list = append(list, described)
+		list = append(list, description)
 	}
 	for _, i := range m.Intents {
 		list = append(list, i.Name)
@@ -256,8 +256,9 @@
 	}
 	b := m.Snapshot()
 	golden.Check(t, "tombs.sha256.txt", fmt.Appendf(nil, "%x\n", sha256.Sum256(b)))
-	again := New(params())
-	if err := again.Restore(b, 1, 0); err != nil || !bytes.Equal(b, again.Snapshot()) || len(again.Tombstones) != 1000 {
-		t.Errorf("%d of 1000 tombstones restored, %v", len(again.Tombstones), err)
+	restored := New(params())
+	if err := restored.Restore(b, 1, 0); err != nil || !bytes.Equal(b, restored.Snapshot()) ||
+		len(restored.Tombstones) != 1000 {
+		t.Errorf("%d of 1000 tombstones restored, %v", len(restored.Tombstones), err)
 	}
 }
--- a/internal/model/machine_table_test.go
+++ b/internal/model/machine_table_test.go
@@ -16,12 +16,12 @@
 			t.Fatal(err)
 		}
 	}
-	again := New(params())
-	if err := again.Restore(m.Snapshot(), 1, 0); err != nil {
+	restored := New(params())
+	if err := restored.Restore(m.Snapshot(), 1, 0); err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Order) != 1 || again.Order[0].Info.Addr != "x:9" {
-		t.Errorf("%d machines, address %q", len(again.Order), again.Order[0].Info.Addr)
+	if len(restored.Order) != 1 || restored.Order[0].Info.Addr != "x:9" {
+		t.Errorf("%d machines, address %q", len(restored.Order), restored.Order[0].Info.Addr)
 	}
 }
 
--- a/internal/model/machine_test.go
+++ b/internal/model/machine_test.go
@@ -52,12 +52,12 @@
 		!machine.LeaseExpired(bound, lease, 0, machine.Contact.SuspectFrom+bound+lease+Time(1.2e9), 2) {
 		t.Error("lease did not expire within 0.9 to 1.2 s after the bound plus the lease")
 	}
-	again := New(params())
-	if err := again.Restore(m.Snapshot(), 9, 0); err != nil {
+	restored := New(params())
+	if err := restored.Restore(m.Snapshot(), 9, 0); err != nil {
 		t.Fatal(err)
 	}
-	again.BeginTerm(4<<24, time.Minute)
-	if o := again.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) ||
+	restored.BeginTerm(4<<24, time.Minute)
+	if o := restored.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) ||
 		!o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
 		t.Error("a new leader does not count the lease from its own election")
 	}
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -16,31 +16,31 @@
 	finals map[JobID]string
 }
 
-func (p *referenceModel) apply(e *Entry) {
+func (reference *referenceModel) apply(e *Entry) {
 	switch e.Kind {
 	case EntryAccept:
 		for range e.Spec.Tasks {
-			p.tasks[e.Job] = append(p.tasks[e.Job], "wait")
+			reference.tasks[e.Job] = append(reference.tasks[e.Job], "wait")
 		}
 	case EntryCancel:
-		if p.finals[e.Job] == "" {
-			p.finals[e.Job] = "cancelled"
+		if reference.finals[e.Job] == "" {
+			reference.finals[e.Job] = "cancelled"
 		}
 	case EntryPlace:
-		p.tasks[e.Job][e.Task] = string(rune('A' + e.Machine))
+		reference.tasks[e.Job][e.Task] = string(rune('A' + e.Machine))
 	case EntryEnded:
-		p.tasks[e.Job][e.Task] = "wait"
+		reference.tasks[e.Job][e.Task] = "wait"
 	case EntryDone:
-		p.tasks[e.Job][e.Task] = "done"
+		reference.tasks[e.Job][e.Task] = "done"
 		all := true
-		for _, s := range p.tasks[e.Job] {
+		for _, s := range reference.tasks[e.Job] {
 			all = all && s == "done"
 		}
-		if all && p.finals[e.Job] == "" {
-			p.finals[e.Job] = "done"
+		if all && reference.finals[e.Job] == "" {
+			reference.finals[e.Job] = "done"
 		}
 	case EntryMachineGone:
-		for _, ts := range p.tasks {
+		for _, ts := range reference.tasks {
 			for i := range ts {
 				if ts[i] == string(rune('A'+e.Machine)) {
 					ts[i] = "wait"
@@ -51,9 +51,9 @@
 }
 
 // requireMatches compares the model with the reference.
-func requireMatches(t *rapid.T, m *Model, p *referenceModel, machines map[MachineID]bool) {
+func requireMatches(t *rapid.T, m *Model, reference *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
-	for id, ts := range p.tasks {
+	for id, ts := range reference.tasks {
 		live := 0
 		for i, s := range ts {
 			if s != "wait" && s != "done" {
@@ -62,7 +62,7 @@
 			requireTaskMatches(t, m, id, i, s)
 		}
 		cpus += float64(live)
-		requireJobMatches(t, m, id, ts, p.finals[id], live)
+		requireJobMatches(t, m, id, ts, reference.finals[id], live)
 	}
 	if m.Teams[0].UsedCPUs != cpus {
 		t.Fatalf("team uses %g CPUs, want %g", m.Teams[0].UsedCPUs, cpus)
--- a/internal/model/snapshot_test.go
+++ b/internal/model/snapshot_test.go
@@ -82,12 +82,12 @@
 		apply(uint64(i+1), intent(name, i+1))
 	}
 	apply(5, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: "y"}})
-	again := New(params())
-	if err := again.Restore(m.Snapshot(), 5, 0); err != nil {
+	restored := New(params())
+	if err := restored.Restore(m.Snapshot(), 5, 0); err != nil {
 		t.Fatal(err)
 	}
 	want := []Intent{{"x", "t", "a", false, 1, 5}, {"z", "t", "a", true, 4, 5}}
-	if d := cmp.Diff(want, again.Intents); d != "" {
+	if d := cmp.Diff(want, restored.Intents); d != "" {
 		t.Error(d)
 	}
 	for _, name := range []string{"x", "z"} {
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -17,33 +17,33 @@
 	reportSeq uint64
 }
 
-func (x *speedFixture) apply(e *Entry) {
-	x.test.Helper()
-	x.logSeq++
-	if err := x.model.Apply(e, x.logSeq, x.now); err != nil {
-		x.test.Fatal(err)
+func (f *speedFixture) apply(e *Entry) {
+	f.test.Helper()
+	f.logSeq++
+	if err := f.model.Apply(e, f.logSeq, f.now); err != nil {
+		f.test.Fatal(err)
 	}
 }
 
 // run simulates a task that takes tookS seconds on a machine whose agent is silent for the first silentS seconds. It
 // reports whether the machine was found to be slow.
-func (x *speedFixture) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
-	x.test.Helper()
-	machine := x.model.Machines[machineID]
+func (f *speedFixture) run(job uint64, task int32, machineID MachineID, tookS, silentS float64) (slow bool) {
+	f.test.Helper()
+	machine := f.model.Machines[machineID]
 	sendReport := func(state, cause string) {
-		x.reportSeq++
+		f.reportSeq++
 		status := wire.TaskStatus{Task: wire.TaskID(job, int(task)), Attempt: 1, State: state, Cause: cause}
-		v := x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, status), nil, x.now)
+		v := f.model.Observe(machine, testReport(1, f.reportSeq, 3<<24, status), nil, f.now)
 		slow = slow || v.Slow
 		for _, e := range v.Entries {
-			x.apply(e)
+			f.apply(e)
 		}
 	}
-	x.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, Session: 1})
+	f.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, Session: 1})
 	for left := config.Seconds(tookS); left > 0; {
 		sendReport(wire.TaskRunning, "")
 		step := min(left, config.Seconds(max(3, silentS)))
-		x.now, left, silentS = x.now+step, left-step, 0
+		f.now, left, silentS = f.now+step, left-step, 0
 	}
 	sendReport(wire.TaskExited, wire.CauseDone)
 	return slow
@@ -52,44 +52,44 @@
 // newSpeedFixture returns a leader with three machines that have reported and 30 jobs with the given estimate.
 func newSpeedFixture(t *testing.T, estimate float64) *speedFixture {
 	t.Helper()
-	x := &speedFixture{test: t, model: New(params()), now: 1}
-	x.apply(NewMachineType(testType()))
+	f := &speedFixture{test: t, model: New(params()), now: 1}
+	f.apply(NewMachineType(testType()))
 	for n := MachineID(1); n <= 3; n++ {
-		x.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
+		f.apply(&Entry{Kind: EntryMachine, Machine: n, Info: testInfo(fmt.Sprintf("host-%d", n))})
 	}
-	x.model.BeginTerm(3<<24, 0)
+	f.model.BeginTerm(3<<24, 0)
 	for n := MachineID(1); n <= 3; n++ {
-		x.model.Observe(x.model.Machines[n], testReport(1, 1, 3<<24), nil, x.now)
+		f.model.Observe(f.model.Machines[n], testReport(1, 1, 3<<24), nil, f.now)
 	}
-	x.reportSeq = 1
+	f.reportSeq = 1
 	for n := uint64(1); n <= 30; n++ {
 		s := testSpec(n, 20)
 		s.EstimateS = estimate
-		x.apply(&Entry{Kind: EntryAccept, Job: JobID(n), Spec: s})
+		f.apply(&Entry{Kind: EntryAccept, Job: JobID(n), Spec: s})
 	}
-	return x
+	return f
 }
 
 // TestEstimateBiasCorrection checks that consistently wrong estimates are corrected after several jobs, and that one
 // job with many tasks does not count as several.
 func TestEstimateBiasCorrection(t *testing.T) {
-	x := newSpeedFixture(t, 20)
-	last := x.model.Jobs[30]
-	if actual := x.model.ExpectedSeconds(last); actual != 20 {
+	f := newSpeedFixture(t, 20)
+	last := f.model.Jobs[30]
+	if actual := f.model.ExpectedSeconds(last); actual != 20 {
 		t.Errorf("initially: expected duration %g s", actual)
 	}
 	for task := range int32(20) {
-		x.run(1, task, 1, 60, 0)
+		f.run(1, task, 1, 60, 0)
 	}
-	if actual := x.model.ExpectedSeconds(last); actual > 28 {
+	if actual := f.model.ExpectedSeconds(last); actual > 28 {
 		t.Errorf("after one job: expected duration %g s", actual)
 	}
 	for n := uint64(2); n <= 28; n++ {
 		for task := range int32(20) {
-			x.run(n, task, 1, 60, 0)
+			f.run(n, task, 1, 60, 0)
 		}
 	}
-	if actual := x.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
+	if actual := f.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
 		t.Errorf("after 28 jobs with estimate 20 s and duration 60 s: expected duration %g s", actual)
 	}
 }
@@ -108,24 +108,24 @@
 		{"one job only", 60, 0, 1, false},
 		{"hung", 60, 40, 3, false},
 	} {
-		x := newSpeedFixture(t, 10) // all tasks take twice their estimate
+		f := newSpeedFixture(t, 10) // all tasks take twice their estimate
 		slow := false
 		for n := uint64(1); n <= c.jobs; n++ {
 			for task := range int32(8) {
-				if x.run(n, task, 1+MachineID(task%2), 20, 0) {
+				if f.run(n, task, 1+MachineID(task%2), 20, 0) {
 					t.Fatalf("%s: a normal machine was found to be slow", c.name)
 				}
 			}
 			for task := int32(8); task < 12; task++ {
-				slow = x.run(n, task, 3, c.took, c.silent) || slow
+				slow = f.run(n, task, 3, c.took, c.silent) || slow
 			}
 		}
-		if x.model.DetectSlow(x.model.Machines[3], x.now) {
+		if f.model.DetectSlow(f.model.Machines[3], f.now) {
 			t.Errorf("%s: found slow without running tasks", c.name)
 		}
-		if machine := x.model.Machines[3]; slow != c.want || machine.IsSlow(x.now) != c.want ||
-			machine.IsSlow(x.now+2*slowPeriod) {
-			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(x.now))
+		if machine := f.model.Machines[3]; slow != c.want || machine.IsSlow(f.now) != c.want ||
+			machine.IsSlow(f.now+2*slowPeriod) {
+			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(f.now))
 		}
 	}
 }
@@ -139,31 +139,31 @@
 		good bool
 		want bool
 	}{{"two jobs", 2, false, true}, {"one job", 1, false, false}, {"a later task in time", 2, true, false}} {
-		x := newSpeedFixture(t, 10)
+		f := newSpeedFixture(t, 10)
 		for n := uint64(1); n <= 3; n++ {
 			for task := range int32(8) {
-				x.run(n, task, 1, 20, 0)
+				f.run(n, task, 1, 20, 0)
 			}
 		}
-		machine, now := x.model.Machines[3], Time(0)
+		machine, now := f.model.Machines[3], Time(0)
 		var tasks []wire.TaskStatus
 		for k := range uint64(4) {
 			n := 1 + k%c.jobs
-			x.apply(&Entry{Kind: EntryPlace, Job: JobID(n), Task: int32(10 + k), Attempt: 1, Machine: 3, Session: 1})
+			f.apply(&Entry{Kind: EntryPlace, Job: JobID(n), Task: int32(10 + k), Attempt: 1, Machine: 3, Session: 1})
 			tasks = append(tasks, wire.TaskStatus{Task: wire.TaskID(n, int(10+k)), Attempt: 1, State: wire.TaskRunning})
 		}
-		began := x.now
-		for x.now < began+config.Seconds(80) {
-			x.reportSeq++
-			x.model.Observe(machine, testReport(1, x.reportSeq, 3<<24, tasks...), nil, x.now)
-			if now == 0 && x.model.DetectSlow(machine, x.now) {
-				now = x.now - began
+		began := f.now
+		for f.now < began+config.Seconds(80) {
+			f.reportSeq++
+			f.model.Observe(machine, testReport(1, f.reportSeq, 3<<24, tasks...), nil, f.now)
+			if now == 0 && f.model.DetectSlow(machine, f.now) {
+				now = f.now - began
 			}
-			if c.good && x.now == began+config.Seconds(3) {
-				later := &Run{Job: x.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: x.now}
-				x.model.recordDuration(machine, later, x.now+config.Seconds(20))
+			if c.good && f.now == began+config.Seconds(3) {
+				later := &Run{Job: f.model.Jobs[3], Machine: machine, Attempt: 1, StartedAt: f.now}
+				f.model.recordDuration(machine, later, f.now+config.Seconds(20))
 			}
-			x.now += config.Seconds(3)
+			f.now += config.Seconds(3)
 		}
 		if (now != 0) != c.want || c.want && now > config.Seconds(42) {
 			t.Errorf("%s: found to be slow after %v", c.name, now)
