--- a/internal/scheduling/admission/admission.go
+++ b/internal/scheduling/admission/admission.go
@@ -1,36 +1,36 @@
-// Package admission decides whether new work is taken while a controller is late. It is pure.
+// Package admission implements admission control for new work on an overloaded controller. It is pure.
 //
-// A controller that takes more than it can do ends up doing less: what it has taken waits, its users ask again, and
-// the answers that keep running work alive wait behind both. So new jobs are refused on arrival, with a time to retry
-// after, while work has to queue for longer than it should. As in CoDel (Nichols and Jacobson, 2012) the measure is
-// the shortest wait of an interval: a burst lets some wait and others not, while a standing queue lets all wait.
+// A controller that accepts more work than it can handle becomes less effective: accepted work queues up, users retry,
+// and both delay the responses that keep running work alive. So new jobs are rejected on arrival, with a retry-after
+// time, while the queueing delay is too long. As in CoDel (Nichols and Jacobson, 2012) the measure is the minimum delay
+// within an interval: in a burst only some of the work is delayed, in a standing queue all of it is.
 package admission
 
 import "time"
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
 const (
-	// TargetWait is how long work may queue in a controller that keeps up.
+	// TargetWait is the maximum queueing delay in a controller that keeps up.
 	TargetWait = 250 * time.Millisecond
-	// Interval is how long all of it has to queue for longer before new work is refused, and for how long a verdict
-	// holds.
+	// Interval is the measuring interval: new work is rejected once the delay has exceeded TargetWait throughout an
+	// interval, and the decision holds for the next one.
 	Interval = time.Second
-	// maxRetryAfter bounds the time after which a refused user is asked to retry; it doubles from a second to there.
+	// maxRetryAfter limits the retry-after time, which starts at one second and doubles maxRetryDoublings times.
 	maxRetryAfter     = 8 * time.Second
 	maxRetryDoublings = 3
 )
 
-// Gate judges by how long work waited in a queue. The zero value is open.
+// Gate admits or rejects new work based on the observed queueing delay. The zero value admits work.
 type Gate struct {
 	intervalStart Time
-	minWait       Time // the shortest wait in the interval
-	observed      bool // some work was seen in the interval
-	lateIntervals int  // how many intervals in a row were too long
+	minWait       Time // minimum delay in the interval
+	observed      bool // a delay was observed in the interval
+	lateIntervals int  // consecutive intervals above TargetWait
 }
 
-// ObserveWait notes how long a piece of work queued that is begun now.
+// ObserveWait records the queueing delay of a piece of work that starts now.
 func (g *Gate) ObserveWait(wait, now Time) {
 	g.rollInterval(now)
 	if !g.observed || wait < g.minWait {
@@ -38,7 +38,7 @@
 	}
 }
 
-// rollInterval ends the interval if it is over, with the verdict on it.
+// rollInterval evaluates the interval and starts the next one if it is over.
 func (g *Gate) rollInterval(now Time) {
 	if now-g.intervalStart < Interval {
 		return
@@ -51,7 +51,7 @@
 	g.intervalStart, g.observed = now, false
 }
 
-// Admit tells whether new work is taken, and if not, after how long to retry.
+// Admit reports whether new work is accepted, and if not, the time to retry after.
 func (g *Gate) Admit(now Time) (retryAfter time.Duration, ok bool) {
 	g.rollInterval(now)
 	if g.lateIntervals == 0 {
--- a/internal/scheduling/pending/reason.go
+++ b/internal/scheduling/pending/reason.go
@@ -1,9 +1,9 @@
-// Package pending names the reasons for which a job waits, with their figures: stable codes for
-// programs, sentences for people. The scheduler reports them while it decides; package explanation
-// finds all that hold at an instant, and which of them bind. It is pure and knows no model.
+// Package pending defines the reasons why a job is waiting, with their figures: stable codes for programs and sentences
+// for people. The scheduler reports them as it decides; package explanation finds all that apply at an instant, and
+// which of them are binding. The package is pure and independent of the model.
 //
-// The codes' names and sentences are an interface of the users' pages and scripts, so they stay in the words of
-// before; the constants have the terms of the code.
+// The names and sentences of the codes are a public interface that users' dashboards and scripts rely on. They are kept
+// when terms change, so some differ from the names of the constants.
 package pending
 
 import (
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// Code is a reason. Its name (Code.String) does not change between releases; numbers may.
+// Code identifies a reason. Its name (Code.String) is stable across releases; its number is not.
 type Code uint8
 
-// The reasons.
+// Codes of the reasons why a job is waiting, or not running yet after placement.
 const (
-	None               Code = iota // nothing is in the way, or nobody has looked yet
-	NoLeader                       // no controller leads, or this one does not reach the one that does
-	AwaitingHeartbeats             // the machines with work have not all reported to a new leader yet
-	StoreUnavailable               // the key-value store does not take what would be decided
-	BackingOff                     // after failures
-	Faulty                         // it fails on every machine: one task at a time is tried
-	FailedBefore                   // machines on which it failed are passed over
-	TeamLimit                      // its team's limit
-	QueuedBehind                   // others go first
-	NoCapacity                     // machines that suit it have no room
-	NoGangCapacity                 // no room for all members at once
-	TooSmall                       // machines that it allows are too small for a task
+	None               Code = iota // no reason, or not evaluated yet
+	NoLeader                       // no leader is elected, or this controller cannot reach it
+	AwaitingHeartbeats             // not all machines with running work have reported to a new leader yet
+	StoreUnavailable               // the key-value store does not accept writes
+	BackingOff                     // retry delay after failures
+	Faulty                         // the job fails on every machine; one task at a time is tried
+	FailedBefore                   // machines on which the job failed are excluded
+	TeamLimit                      // the team limit would be exceeded
+	QueuedBehind                   // other jobs are served first
+	NoCapacity                     // suitable machines lack free resources
+	NoGangCapacity                 // not enough free resources for all members at once
+	TooSmall                       // the machines the job allows are too small for a task
 	ZoneSpread                     // at most half of its tasks may be in one zone
-	SameZone                       // all tasks must be in one zone
-	AttemptEnding                  // tasks of its last attempt are not gone
-	ImageBusy                      // DAD: a busy machine has its image
-	Preempting                     // low-priority work is being preempted where its image is
-	Throttled                      // low-priority work waits while the leader is short of processor time
-	Headroom                       // kept free for services that must start at once
-	TooExpensive                   // machines that it is not worth
-	ReservedForGPUs                // machines kept for work that uses their GPUs
+	SameZone                       // all of its tasks must be in one zone
+	AttemptEnding                  // tasks of the previous attempt have not ended yet
+	ImageBusy                      // waiting for a busy machine that has the image (DAD)
+	Preempting                     // low-priority work is being preempted on a machine that has the image
+	Throttled                      // low-priority placements are limited while the leader is short of CPU time
+	Headroom                       // resources kept free for services that must start immediately
+	TooExpensive                   // machines too expensive for the job
+	ReservedForGPUs                // machines reserved for GPU work
 	Suspect                        // machines in a partitioned zone
 	Quarantined                    // machines on which tasks of several jobs failed
 	Slow                           // machines that run tasks much slower than others
-	Draining                       // machines that get nothing new, or are to be preempted
-	Releasing                      // machines that are being released
-	Booting                        // machines that are not up yet
-	CloudUnavailable               // the cloud does not answer
-	CloudRefused                   // the cloud has no more of what suits it
-	FetchingImage                  // placed: its image is being fetched
-	AwaitingGang                   // placed: the gang is not complete
+	Draining                       // machines being drained, or about to be preempted by the cloud
+	Releasing                      // machines being released
+	Booting                        // machines still booting
+	CloudUnavailable               // the cloud API does not respond
+	CloudRefused                   // the cloud has no more suitable machines
+	FetchingImage                  // placed: the image is being fetched
+	AwaitingGang                   // placed: waiting for the other members of the gang
 	numCodes
 )
 
-// texts are the codes' names and sentences.
+// texts holds the stable names and sentences of the codes.
 var texts = [numCodes]struct{ name, sentence string }{
 	None:               {"none", "nothing is in the way"},
 	NoLeader:           {"no-leader", "no controller leads at the moment"},
@@ -86,7 +86,7 @@
 	AwaitingGang:       {"gathering", "its gang is not complete"},
 }
 
-// String is the code's stable name.
+// String returns the stable name of the code.
 func (c Code) String() string {
 	if int(c) < len(texts) {
 		return texts[c].name
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("code-%d", c)
 }
 
-// ParseCode finds a code by its name.
+// ParseCode returns the code with the given name.
 func ParseCode(name string) (Code, bool) {
 	for c := range numCodes {
 		if texts[c].name == name {
@@ -104,23 +104,22 @@
 	return None, false
 }
 
-// Reason is a code with its figures; those that do not apply are 0 or empty. The zero value says that nothing is in the
-// way.
+// Reason is a code with its figures. Fields that do not apply are zero or empty. The zero value means no reason.
 type Reason struct {
 	Code      Code
-	Count     int           // how many: jobs, machines, tasks or failures
-	Unit      string        // what the next three are: "CPUs", "GPUs", "s"
-	Need      float64       // what it takes
-	Used      float64       // what is taken
-	Limit     float64       // of how much
-	First     string        // the first of them: a job's or a machine's name
-	Remaining time.Duration // in how long it ends, where that can be known; 0: unknown
+	Count     int           // number of jobs, machines, tasks or failures
+	Unit      string        // unit of the next three fields: "CPUs", "GPUs", "s"
+	Need      float64       // amount needed
+	Used      float64       // amount in use
+	Limit     float64       // total amount available
+	First     string        // name of the first job or machine counted
+	Remaining time.Duration // time until the reason ends; 0: unknown
 }
 
-// IsSet tells whether there is a reason at all.
+// IsSet reports whether there is a reason.
 func (r Reason) IsSet() bool { return r.Code != None }
 
-// Summary is the reason in a sentence, without its figures: it does not change while they do.
+// Summary returns the sentence without the figures, so that it does not change while they do.
 func (r Reason) Summary() string {
 	if int(r.Code) < len(texts) {
 		return texts[r.Code].sentence
@@ -128,7 +127,7 @@
 	return r.Code.String()
 }
 
-// String is the reason in a sentence with its figures.
+// String returns the sentence with the figures.
 func (r Reason) String() string {
 	var b strings.Builder
 	b.WriteString(r.Summary())
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -10,50 +10,50 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// This file places gangs, all members or none.
+// This file implements gang placement: all members are placed or none.
 
-// holderWaitShare is the part of its time to start that a gang waits for machines that have its image.
-const holderWaitShare = 0.15
+// gangLocalWaitShare is the share of its start time limit that a gang waits for machines that have its image.
+const gangLocalWaitShare = 0.15
 
-// anyZone is in the place of a zone where a gang may span them.
+// anyZone stands for all zones together, for gangs that may span zones.
 const anyZone = -1
 
-// gangPlacement is a gang whose turn it is.
+// gangPlacement is an attempt to place a gang in the current round.
 type gangPlacement struct {
-	round   *round
-	turn    *placementTurn
-	job     *model.Job
-	need    Resources // of a member
-	members int       // that wait
-	// withinQuota says that its team's limit holds all members; if not, shortfall is what is in the way.
+	round     *round
+	placement *jobPlacement
+	job       *model.Job
+	need      Resources // per member
+	members   int       // number of waiting members
+	// withinQuota tells that the team limit allows all members. Otherwise shortfall is what exceeds it.
 	withinQuota bool
 	shortfall   teamShortfall
 }
 
-// placeGang places all tasks of a gang or none. A gang that lost a member is preempted
-// as a whole first; its next attempt begins when nothing of the old one is left.
-func (r *round) placeGang(t *placementTurn) {
-	j := t.job
+// placeGang places all tasks of a gang or none. If the gang lost a member, the rest of it is preempted first; the next
+// attempt starts when no task of the previous one is left.
+func (r *round) placeGang(p *jobPlacement) {
+	j := p.job
 	if j.Live > 0 {
 		r.endAttempt(j)
 		return
 	}
-	g := gangPlacement{round: r, turn: t, job: j, need: t.need, members: j.Waiting()}
-	if !g.checkQuota() || g.placeOnFree() {
+	g := gangPlacement{round: r, placement: p, job: j, need: p.need, members: j.Waiting()}
+	if !g.checkQuota() || g.placeOnFreeMachines() {
 		return
 	}
-	willFit := false
+	claimed := false
 	if g.members == 1 {
-		willFit = r.preemptForTask(t)
+		claimed = r.preemptForTask(p)
 	} else {
-		willFit = g.claimRoom()
+		claimed = g.claimCapacity()
 	}
-	if willFit && !g.withinQuota {
+	if claimed && !g.withinQuota {
 		r.preemptInTeam(j, g.members, g.shortfall)
 	}
 }
 
-// endAttempt preempts what is left of a gang that lost a member.
+// endAttempt preempts the remaining members of a gang that lost one.
 func (r *round) endAttempt(j *model.Job) {
 	j.Scheduling.PendingReason = pending.Reason{Code: pending.AttemptEnding, Count: j.Live}
 	for i := range j.Tasks {
@@ -62,13 +62,13 @@
 			continue
 		}
 		if run.Phase == model.Fetching && r.model.IsLongFetch(j, run.Machine) {
-			continue // its fetch would be aborted, and begin anew with the next attempt
+			continue // stopping it would abort the fetch, and the next attempt would restart it
 		}
 		r.binder.Preempt(run, false, "gang member lost")
 	}
 }
 
-// checkQuota tells whether the gang's team may have it, at once or when less urgent work of the team has left.
+// checkQuota reports whether the team limit allows the gang, now or once less urgent work of the team is preempted.
 func (g *gangPlacement) checkQuota() bool {
 	r, j := g.round, g.job
 	g.withinQuota = r.quota.allows(j, g.members)
@@ -82,29 +82,29 @@
 	return feasible
 }
 
-// placeOnFree places the gang on free machines. It tells whether its turn is over: it is placed, or there are machines
-// and it waits for something else.
-func (g *gangPlacement) placeOnFree() bool {
-	r, t, j := g.round, g.turn, g.job
-	kind, failedBefore := kindOf(j), j.Observed.FailedOn != nil
-	if !failedBefore && coveredBy(r.infeasible.unplaceable, kind, g.need) {
-		return false // not even one member finds room
+// placeOnFreeMachines places the gang on free machines. It reports whether the gang is done for this round: it is
+// placed, or machines are available and it waits for another condition.
+func (g *gangPlacement) placeOnFreeMachines() bool {
+	r, p, j := g.round, g.placement, g.job
+	key, failedBefore := constraintKeyOf(j), j.Observed.FailedOn != nil
+	if !failedBefore && isKnownInfeasible(r.infeasible.unplaceable, key, g.need) {
+		return false // not even one member fits
 	}
 	plan := g.plan()
 	switch {
 	case plan == nil:
-		if len(t.candidates) == 0 && !t.zoneLimited && !failedBefore {
-			r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{kind, g.need})
+		if len(p.candidates) == 0 && !p.zoneLimited && !failedBefore {
+			r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{key, g.need})
 		}
 		return false
 	case r.directives.AwaitingHeartbeats && slices.ContainsFunc(plan, g.isRemote):
 		j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
-	case !g.withinQuota: // the machines are there: now its team's less urgent work leaves
+	case !g.withinQuota: // machines are available; preempt less urgent work of the team
 		for _, view := range plan {
 			view.claim(g.need)
 		}
 		r.preemptInTeam(j, g.members, g.shortfall)
-	case g.preemptAtImageHolders(plan):
+	case g.preemptForImageLocality(plan):
 		j.Scheduling.PendingReason = pending.Reason{Code: pending.Preempting}
 	default:
 		g.bind(plan)
@@ -116,7 +116,7 @@
 	return g.round.isRemote(locality(g.round.model, g.job, view.machine))
 }
 
-// bind places the members, all with the attempt after the latest of any of them.
+// bind places all members with the same attempt number, one above the highest of any member.
 func (g *gangPlacement) bind(plan []*machineView) {
 	attempt := uint32(0)
 	for i := range g.job.Tasks {
@@ -127,11 +127,10 @@
 	}
 }
 
-// plan finds a machine for every member, or nil. Each zone is tried by
-// itself when the job must stay in one.
+// plan returns a machine for every member, or nil. If the gang must stay in one zone, each zone is tried separately.
 func (g *gangPlacement) plan() []*machineView {
-	t := g.turn
-	g.round.buildCandidates(t)
+	p := g.placement
+	g.round.buildCandidates(p)
 	if !g.job.Spec.SameZone {
 		plan, _ := g.planInZone(anyZone)
 		return plan
@@ -139,8 +138,8 @@
 	var best []*machineView
 	var bestSum float64
 	tried := map[int32]bool{}
-	for i := range t.candidates {
-		zone := t.candidates[i].view.machine.Zone
+	for i := range p.candidates {
+		zone := p.candidates[i].view.machine.Zone
 		if tried[zone] {
 			continue
 		}
@@ -152,22 +151,22 @@
 	return best
 }
 
-// planInZone finds room for the members in a zone, or in all, and the sum of the scores.
+// planInZone finds machines for all members in a zone, or in any, and returns them with the sum of their scores.
 func (g *gangPlacement) planInZone(zone int32) (plan []*machineView, sum float64) {
 	maxPerZone := len(g.job.Tasks)
 	if g.job.Spec.Spread {
 		maxPerZone = (len(g.job.Tasks) + 1) / 2
 	}
 	perZone := map[int32]int{}
-	order := slices.Clone(g.turn.candidates)
+	order := slices.Clone(g.placement.candidates)
 	slices.SortFunc(order, func(a, b candidate) int {
 		if c := cmp.Compare(a.score, b.score); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.index, b.index)
 	})
-	// A member's place does not change the score of the next one: the gang is
-	// placed in one round, as the round began.
+	// Scores are not updated as members are assigned: all members are placed on the basis of the state at the beginning
+	// of the round.
 	for i := range order {
 		c := &order[i]
 		candidateZone := c.view.machine.Zone
@@ -176,7 +175,7 @@
 		}
 		for k := 1.0; len(plan) < g.members && perZone[candidateZone] < maxPerZone; k++ {
 			g.round.examined++
-			if !g.round.hasResources(g.job, c.view, g.need.times(k)) {
+			if !g.round.hasResources(g.job, c.view, g.need.scaled(k)) {
 				break
 			}
 			perZone[candidateZone]++
@@ -190,33 +189,32 @@
 	return nil, 0
 }
 
-// claimRoom claims room for all members, in one zone if it must be:
-// where preempting others costs least. If there is not enough anywhere,
-// the first gang in the queue claims what it finds in the best zone: without
-// that, gangs of several machines would wait for as long as smaller ones come. It
-// tells whether there will be room for all.
-func (g *gangPlacement) claimRoom() bool {
+// claimCapacity claims resources for all members where preemption costs least, in a single zone if the gang requires
+// it. If no zone has enough, the first such gang in the queue claims what is available in the best zone; otherwise
+// smaller gangs would keep a multi-machine gang waiting for as long as they arrive. It reports whether the claims
+// suffice for all members.
+func (g *gangPlacement) claimCapacity() bool {
 	r, j := g.round, g.job
 	if j.Spec.Spread || j.Observed.Faulty {
 		return false
 	}
 	failedBefore := j.Observed.FailedOn != nil
-	demand := gangDemand{demandShape{preemptionKindOf(j), g.need}, g.members, j.Spec.SameZone}
-	if r.partialGangHeld && !r.searchEveryGang && !failedBefore && r.infeasible.coversGang(demand) {
+	demand := gangDemand{demandShape{preemptionKeyOf(j), g.need}, g.members, j.Spec.SameZone}
+	if r.partialGangClaimed && !r.searchEveryGang && !failedBefore && r.infeasible.isGangInfeasible(demand) {
 		return false
 	}
-	best, _ := g.cheapestRoom()
+	best, _ := g.cheapestCapacity()
 	complete := len(best) == g.members
 	if !complete {
 		if !failedBefore {
 			r.infeasible.gangs = append(r.infeasible.gangs, demand)
 		}
-		if r.partialGangHeld {
+		if r.partialGangClaimed {
 			return false
 		}
-		r.partialGangHeld = true
+		r.partialGangClaimed = true
 	}
-	mayPreempt := complete && !r.isPatient(j) // nothing is preempted for a part of a gang
+	mayPreempt := complete && !r.preemptionDelayed(j) // do not preempt for an incomplete gang
 	for i := range best {
 		best[i].view.claim(g.need)
 		if mayPreempt {
@@ -226,37 +224,37 @@
 	return complete
 }
 
-// gangRoom is the room for members of a gang in a zone.
-type gangRoom struct {
-	choices         []preemptionChoice // room for one member each; runs are those of the earlier ones there too
-	possibleMembers int                // members that find room when other gangs end
+// gangCapacity is the capacity for members of a gang in a zone.
+type gangCapacity struct {
+	choices    []preemptionChoice // one per member; runs include those of earlier choices on the same machine
+	maxMembers int                // members that fit beside the services once all other work ends
 }
 
-// cheapestRoom finds the room for the gang, or for as many members as possible, that costs least: what is undone by
-// preempting others, and what the members lose while the image is fetched.
-func (g *gangPlacement) cheapestRoom() (best []preemptionChoice, bestCost float64) {
-	for _, room := range g.roomByZone() {
-		if room.possibleMembers < g.members || len(room.choices) == 0 {
+// cheapestCapacity finds the cheapest capacity for the gang, or for as many members as possible. The cost is the work
+// lost by preemption plus the time that members are idle while their image is fetched.
+func (g *gangPlacement) cheapestCapacity() (best []preemptionChoice, bestCost float64) {
+	for _, capacity := range g.capacityByZone() {
+		if capacity.maxMembers < g.members || len(capacity.choices) == 0 {
 			continue
 		}
-		sort.Stable(choiceHeap(room.choices))
-		list := room.choices[:min(g.members, len(room.choices))]
+		sort.Stable(choiceHeap(capacity.choices))
+		choices := capacity.choices[:min(g.members, len(capacity.choices))]
 		cost := 0.0
-		for i := range list {
-			cost += list[i].cost
+		for i := range choices {
+			cost += choices[i].cost
 		}
-		if len(list) > len(best) ||
-			len(list) == len(best) && (cost < bestCost || cost == bestCost && list[0].index < best[0].index) {
-			best, bestCost = list, cost
+		if len(choices) > len(best) ||
+			len(choices) == len(best) && (cost < bestCost || cost == bestCost && choices[0].index < best[0].index) {
+			best, bestCost = choices, cost
 		}
 	}
 	return best, bestCost
 }
 
-// roomByZone lists the room for members in each zone, or in all together if the gang may span them.
-func (g *gangPlacement) roomByZone() map[int32]*gangRoom {
+// capacityByZone returns the capacity in each zone, or in all zones together if the gang may span them.
+func (g *gangPlacement) capacityByZone() map[int32]*gangCapacity {
 	r, j := g.round, g.job
-	rooms := map[int32]*gangRoom{}
+	capacities := map[int32]*gangCapacity{}
 	for i := range r.machines {
 		view := &r.machines[i]
 		if !r.mayUse(j, view, g.need) || !r.serviceAllowed(j, view) {
@@ -266,27 +264,27 @@
 		if !j.Spec.SameZone {
 			zone = anyZone
 		}
-		room := rooms[zone]
-		if room == nil {
-			room = &gangRoom{}
-			rooms[zone] = room
+		capacity := capacities[zone]
+		if capacity == nil {
+			capacity = &gangCapacity{}
+			capacities[zone] = capacity
 		}
 		free := view.capacity.Minus(Reserved(view.machine))
-		for room.possibleMembers < g.members && free.Contains(g.need) {
-			room.possibleMembers++
+		for capacity.maxMembers < g.members && free.Contains(g.need) {
+			capacity.maxMembers++
 			free = free.Minus(g.need)
 		}
-		room.choices = g.appendChoices(room.choices, view, i)
+		capacity.choices = g.appendChoices(capacity.choices, view, i)
 	}
-	return rooms
+	return capacities
 }
 
-// appendChoices adds the room for members on a machine: each choice costs what it adds to those before it.
+// appendChoices appends the choices on one machine, each with its cost in addition to the previous ones.
 func (g *gangPlacement) appendChoices(choices []preemptionChoice, view *machineView, index int) []preemptionChoice {
 	r, j := g.round, g.job
 	previousCost := 0.0
 	for k := 1.0; int(k) <= g.members; k++ {
-		need := g.need.times(k)
+		need := g.need.scaled(k)
 		if !view.unclaimedWithoutServices().Contains(need) {
 			break
 		}
@@ -301,12 +299,12 @@
 	return choices
 }
 
-// preemptAtImageHolders makes room for a gang on machines that have its image, though there are free ones that have
-// not, if less is undone by that than its members would lose while they fetch. That is DAD's wait for a busy holder
-// as far as a gang can use it: where an image takes ten times as long as the two rounds, low-priority work leaves a
-// holder within a moment, and members that fetch for very different times would not meet before the first of them times
-// out. It tells whether the gang waits for that, which it does for a part of its time only.
-func (g *gangPlacement) preemptAtImageHolders(plan []*machineView) bool {
+// preemptForImageLocality preempts work on machines that have the gang's image, although machines without it are free,
+// if that loses less work than the members would lose while fetching. It is the gang's equivalent of DAD waiting for a
+// busy local machine: where a fetch takes ten times as long as the two rounds of that wait, preempting low-priority
+// work is quicker, and members with very different fetch times would not all start before the first one times out. It
+// reports whether the gang waits for these machines, which it does for a limited share of its start time limit.
+func (g *gangPlacement) preemptForImageLocality(plan []*machineView) bool {
 	r, j := g.round, g.job
 	if r.directives.AwaitingHeartbeats || j.Spec.Spread || j.Observed.Faulty {
 		return false
@@ -316,25 +314,25 @@
 		slowest = max(slowest, fetchSeconds(r.model, j, view.machine))
 	}
 	within, ok := r.params.startWithin(j)
-	roomSince := j.Scheduling.LocalRoomSince
-	if !ok || slowest == 0 || roomSince != 0 && r.now-roomSince > config.Seconds(within*holderWaitShare) {
+	waitingSince := j.Scheduling.LocalRoomSince
+	if !ok || slowest == 0 || waitingSince != 0 && r.now-waitingSince > config.Seconds(within*gangLocalWaitShare) {
 		return false
 	}
-	best, cost := g.cheapestRoom()
+	best, cost := g.cheapestCapacity()
 	if len(best) < g.members || cost >= slowest*max(j.Spec.CPUs, minCostCPUs)*float64(g.members) {
 		return false
 	}
-	waits := false
+	mustWait := false
 	for _, c := range best {
 		if fetchSeconds(r.model, j, c.view.machine) >= slowest {
-			return false // its last member would start no sooner
+			return false // the slowest member would not start sooner
 		}
-		waits = waits || len(c.runs) > 0 || !r.hasResources(j, c.view, g.need)
+		mustWait = mustWait || len(c.runs) > 0 || !r.hasResources(j, c.view, g.need)
 	}
-	if !waits {
+	if !mustWait {
 		return false
 	}
-	if roomSince == 0 {
+	if waitingSince == 0 {
 		j.Scheduling.LocalRoomSince = r.now
 	}
 	for i := range best {
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -9,42 +9,42 @@
 	"fieldhill/internal/model"
 )
 
-// This file is what a team's guarantee is spent on.
+// This file decides which jobs a team's guarantee is used for.
 
-// defaultNewJobSeconds is how long a job within its team's guarantee counts as new where no objective says so.
+// defaultNewJobSeconds is how long a job within its team's guarantee counts as new if no objective defines it.
 const defaultNewJobSeconds = 10.0
 
-// newJobSeconds is for how many seconds a low-priority array counts as new: as long as the objectives give work
-// within a guarantee to start.
+// newJobSeconds returns for how many seconds a low-priority array counts as new: the longest start time limit of the
+// guarantee objectives.
 func newJobSeconds(objectives []config.Objective) float64 {
-	s := 0.0
+	seconds := 0.0
 	for _, o := range objectives {
 		if o.Kind == "guarantee" {
-			s = max(s, o.WithinS)
+			seconds = max(seconds, o.WithinS)
 		}
 	}
-	if s == 0 {
+	if seconds == 0 {
 		return defaultNewJobSeconds
 	}
-	return s
+	return seconds
 }
 
-// guaranteeCovers tells whether a team's guarantee holds a use of it by a job.
-func guaranteeCovers(t *model.Team, use Resources, j *model.Job) bool {
-	return (t.CPUs > 0 || j.Spec.CPUs == 0 || j.Spec.GPUs > 0) && (t.CPUs == 0 || use.CPUs <= t.CPUs+epsilon) &&
-		use.GPUs <= t.GPUs+epsilon && (t.GPUs > 0 || j.Spec.GPUs == 0)
+// guaranteeCovers reports whether a team's guarantee covers the given usage, of which a job is part.
+func guaranteeCovers(t *model.Team, usage Resources, j *model.Job) bool {
+	return (t.CPUs > 0 || j.Spec.CPUs == 0 || j.Spec.GPUs > 0) && (t.CPUs == 0 || usage.CPUs <= t.CPUs+epsilon) &&
+		usage.GPUs <= t.GPUs+epsilon && (t.GPUs > 0 || j.Spec.GPUs == 0)
 }
 
-// unfinishedDemand is what the unfinished tasks of a job take together.
+// unfinishedDemand returns the total CPUs and GPUs of the unfinished tasks of a job.
 func unfinishedDemand(j *model.Job) Resources {
 	n := float64(len(j.Tasks) - j.Done)
 	return Resources{CPUs: j.Spec.CPUs * n, GPUs: j.Spec.GPUs * n}
 }
 
-// guaranteeOrder orders a team's work of one priority for what its guarantee has left: gangs that run keep theirs,
-// under-served ones that have waited for long are next, then the other under-served ones, the smallest first, and then
-// the rest as it came. By age alone a few large gangs had all of it, and small ones behind them were passed over,
-// though they were what half of the class would be served by.
+// guaranteeOrder returns the sort key by which a team's jobs of one priority receive what is left of its guarantee:
+// running gangs keep theirs, followed by under-served gangs that have waited for long, the other under-served gangs
+// with the smallest first, and then the rest in submission order. By submission order alone a few large gangs held the
+// whole guarantee, and the small gangs behind them, which make up half of the class, did not start.
 func guaranteeOrder(m *model.Model, j *model.Job, now model.Time) float64 {
 	switch {
 	case j.Kind != model.Gang:
@@ -58,71 +58,73 @@
 	return math.MaxFloat64
 }
 
-// MarkGuarantees marks the jobs that are within their team's guarantee, and those that are served so.
-// Within it are those that fit into it together with the team's earlier unfinished jobs.
+// MarkGuarantees updates, for each job, whether it is within its team's guarantee and whether it is served as such. A
+// job is within the guarantee if it fits together with the team's earlier unfinished jobs.
 //
-// Of a team that wants more, the guarantee is an amount, and the team's oldest jobs used to have all of it. That is
-// first come, first served among low-priority arrays, and before what is more urgent: on a day with work for twice the
-// machines, large ones that came early kept hundreds of small ones from starting. So low-priority arrays keep it for
-// being early only while they are new; what is left goes to the team's most urgent work, and among low-priority arrays,
-// and gangs that are under-served, to those that need least to be done. As the promise is to teams whose unfinished
-// jobs all fit, what low-priority arrays of others have of it is only deferrable: it may wait for what is under-served.
+// If a team wants more than its guarantee, the guarantee is an amount to be distributed. Giving all of it to the oldest
+// jobs would mean first come, first served among low-priority arrays, ahead of more urgent work: with work for twice
+// the machines, large arrays that arrived early kept hundreds of small ones from starting. Low-priority arrays are
+// therefore entitled by submission order only while they are new. What is left goes to the team's most urgent work, and
+// among low-priority arrays and under-served gangs to those with the least remaining work. Since the guarantee is
+// promised to teams whose unfinished jobs all fit, low-priority arrays of other teams hold their share as deferrable:
+// it may wait for under-served work.
 func MarkGuarantees(m *model.Model, jobs []*model.Job, now model.Time, objectives []config.Objective) {
 	newSeconds := newJobSeconds(objectives)
-	wantedSoFar := make([]Resources, len(m.Teams))
+	cumulativeDemand := make([]Resources, len(m.Teams))
 	spent := make([]Resources, len(m.Teams))
-	var rest []guaranteeClaim
+	var claims []guaranteeClaim
 	for _, j := range jobs {
 		t := j.Team
 		if t == nil || j.Cancelled {
 			continue
 		}
 		unfinished := unfinishedDemand(j)
-		r := &wantedSoFar[t.Index]
-		*r = r.Plus(unfinished)
-		j.Scheduling.WithinGuarantee = guaranteeCovers(t, *r, j)
+		total := &cumulativeDemand[t.Index]
+		*total = total.Plus(unfinished)
+		j.Scheduling.WithinGuarantee = guaranteeCovers(t, *total, j)
 		j.Scheduling.Guaranteed, j.Scheduling.Deferrable = j.Scheduling.WithinGuarantee, false
-		switch short := isLowArray(j); {
-		case short && (now-j.Observed.KnownSince).Seconds() > newSeconds:
+		switch lowPriorityArray := isLowPriorityArray(j); {
+		case lowPriorityArray && (now-j.Observed.KnownSince).Seconds() > newSeconds:
 			j.Scheduling.Guaranteed = false
-			rest = append(rest, guaranteeClaim{j, remainingWork(m, j)})
+			claims = append(claims, guaranteeClaim{j, remainingWork(m, j)})
 		case j.Scheduling.Guaranteed:
 			spent[t.Index] = spent[t.Index].Plus(unfinished)
-		case !short:
-			rest = append(rest, guaranteeClaim{j, guaranteeOrder(m, j, now)})
+		case !lowPriorityArray:
+			claims = append(claims, guaranteeClaim{j, guaranteeOrder(m, j, now)})
 		}
 	}
-	for _, c := range rest {
-		covered := guaranteeCovers(c.job.Team, wantedSoFar[c.job.Team.Index], c.job)
-		c.job.Scheduling.Deferrable = isLowArray(c.job) && !covered
+	for _, c := range claims {
+		covered := guaranteeCovers(c.job.Team, cumulativeDemand[c.job.Team.Index], c.job)
+		c.job.Scheduling.Deferrable = isLowPriorityArray(c.job) && !covered
 	}
-	divideGuarantees(rest, spent)
+	distributeGuarantees(claims, spent)
 }
 
-// guaranteeClaim is a job that may have some of what its team's guarantee has left.
+// guaranteeClaim is a job that competes for the rest of its team's guarantee.
 type guaranteeClaim struct {
 	job   *model.Job
-	order float64 // among the team's jobs of its priority
+	order float64 // sort key among the team's jobs of equal priority
 }
 
-// divideGuarantees gives what is left of the teams' guarantees, beside what is spent, to the most urgent work first.
-func divideGuarantees(claims []guaranteeClaim, spent []Resources) {
+// distributeGuarantees assigns what is left of each guarantee, after what is spent, to the most urgent work first.
+func distributeGuarantees(claims []guaranteeClaim, spent []Resources) {
 	slices.SortStableFunc(claims, func(a, b guaranteeClaim) int {
 		if c := cmp.Compare(b.job.Priority, a.job.Priority); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.order, b.order)
 	})
-	// A larger one is first in the queue: those behind don't pass it by being smaller.
+	// A job that does not fit blocks those behind it, so that smaller ones do not overtake it. Low-priority arrays are
+	// exempt.
 	queueBlocked := make([]bool, len(spent))
 	for _, c := range claims {
-		i, short := c.job.Team.Index, isLowArray(c.job)
+		i, lowPriorityArray := c.job.Team.Index, isLowPriorityArray(c.job)
 		switch total := spent[i].Plus(unfinishedDemand(c.job)); {
-		case !short && queueBlocked[i]:
+		case !lowPriorityArray && queueBlocked[i]:
 		case guaranteeCovers(c.job.Team, total, c.job):
 			spent[i], c.job.Scheduling.Guaranteed = total, true
 		default:
-			queueBlocked[i] = queueBlocked[i] || !short
+			queueBlocked[i] = queueBlocked[i] || !lowPriorityArray
 		}
 	}
 }
--- a/internal/scheduling/scheduler/infeasible.go
+++ b/internal/scheduling/scheduler/infeasible.go
@@ -2,37 +2,38 @@
 
 import "fieldhill/internal/model"
 
-// infeasible is what found no room in this round: jobs of the same shape that need at least as much find
-// none either, since room only shrinks in a round. It keeps a round's work from growing with what waits.
+// infeasible records the demands that no machine could satisfy in this round. Free resources only shrink during a
+// round, so jobs with the same constraints that need at least as much fail too. This keeps the cost of a round from
+// growing with the number of waiting jobs.
 type infeasible struct {
-	unplaceable   []demandShape // found no free room
-	unpreemptable []demandShape // found none by preempting others either
-	gangs         []gangDemand  // gangs that found none either way
+	unplaceable   []demandShape // do not fit on free resources
+	unpreemptable []demandShape // do not fit with preemption either
+	gangs         []gangDemand  // gangs that fit neither way
 }
 
-func (f *infeasible) begin() {
+func (f *infeasible) reset() {
 	f.unplaceable, f.unpreemptable, f.gangs = f.unplaceable[:0], f.unpreemptable[:0], f.gangs[:0]
 }
 
-// demandShape is what a job asks of a machine.
+// demandShape is what a task of a job requires of a machine.
 type demandShape struct {
-	kind shapeKind
+	key  constraintKey
 	need Resources
 }
 
-// shapeKind is what two jobs must have in common for one's search to say something of the other's.
-type shapeKind struct {
+// constraintKey is what two jobs must have in common for the result of one search to apply to the other.
+type constraintKey struct {
 	types                                             string
 	zone                                              int32
 	spot, service, needsGPUs, production, lowPriority bool
-	// These only where others are preempted.
+	// Set only for searches with preemption.
 	priority   model.Priority
 	guaranteed bool
 	team       *model.Team
 }
 
-func kindOf(j *model.Job) shapeKind {
-	return shapeKind{
+func constraintKeyOf(j *model.Job) constraintKey {
+	return constraintKey{
 		types:       j.TypesKey,
 		zone:        j.Zone,
 		spot:        j.Spec.Spot,
@@ -43,37 +44,38 @@
 	}
 }
 
-// preemptionKindOf is the kind where others are preempted: whom a job may preempt is part of it.
-func preemptionKindOf(j *model.Job) shapeKind {
-	k := kindOf(j)
+// preemptionKeyOf returns the key for searches with preemption, which includes what determines the runs that a job may
+// preempt.
+func preemptionKeyOf(j *model.Job) constraintKey {
+	k := constraintKeyOf(j)
 	k.priority, k.guaranteed, k.team = j.Priority, j.Scheduling.Guaranteed, j.Team
 	return k
 }
 
-// coveredBy tells whether a need is at least one that found nothing.
-func coveredBy(list []demandShape, k shapeKind, need Resources) bool {
-	for i := range list {
-		if list[i].kind == k && need.Contains(list[i].need) {
+// isKnownInfeasible reports whether a demand is at least as large as one that failed under the same key.
+func isKnownInfeasible(demands []demandShape, k constraintKey, need Resources) bool {
+	for i := range demands {
+		if demands[i].key == k && need.Contains(demands[i].need) {
 			return true
 		}
 	}
 	return false
 }
 
-// gangDemand is a gang that found no room in this round, also by preempting others.
+// gangDemand is the demand of a gang that fits nowhere in this round, even with preemption.
 type gangDemand struct {
 	demandShape
 	members  int
 	sameZone bool
 }
 
-// coversGang tells whether a gang needs at least what one that was served before it did not find: it is behind it
-// in the queue, so it may preempt no more, and what was claimed since only grew. With a hundred gangs waiting each of
-// them looked through all machines in each round.
-func (f *infeasible) coversGang(demand gangDemand) bool {
+// isGangInfeasible reports whether a gang needs at least as much as an earlier one that did not fit. It is behind that
+// one in the queue, so it may not preempt more, and claims have only grown since. Without this, each of a hundred
+// waiting gangs searched all machines in each round.
+func (f *infeasible) isGangInfeasible(demand gangDemand) bool {
 	for i := range f.gangs {
 		g := &f.gangs[i]
-		if g.kind == demand.kind && demand.need.Contains(g.need) && demand.members >= g.members &&
+		if g.key == demand.key && demand.need.Contains(g.need) && demand.members >= g.members &&
 			(demand.sameZone || !g.sameZone) {
 			return true
 		}
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -6,66 +6,67 @@
 	"fieldhill/internal/model"
 )
 
-// This file is the minimum share: what the last in the queue still gets when there is not room for all.
+// This file implements the minimum share: a lower bound on how well each class and team is served under overload.
 //
-// Priorities and guarantees say who goes first, and the shortest first says how most jobs are done;
-// neither says that a class or a team is served at all. How well one is served is read in two ways,
-// by jobs and by tasks, and the worse one counts: shortest first serves many jobs of few tasks, turns serve
-// many tasks of jobs that are never done. A class or team below the minimum share is under-served: among the work that
-// has no better right, it goes first until it is above the minimum again.
+// Priorities and guarantees decide who goes first, and shortest first maximizes the number of completed jobs, but
+// neither ensures that a given class or team is served at all. The served share is measured by jobs and by tasks, and
+// the lower value counts: shortest first serves many jobs with few tasks, while round-robin serves many tasks of jobs
+// that never complete. A class or team below the minimum share is under-served: among work without a stronger
+// entitlement it is served first until its share has recovered.
 //
-// What is under-served takes nothing from production, nor from a team whose unfinished jobs all fit into its guarantee,
-// nor from new work within one; it preempts nothing that it could not preempt before. While it is under-served it is
-// not preempted either for work that has no better right than its own. A team counts as under-served only as long as it
-// uses less than its fair share of the machines, and classes that do go before those that don't: who sends nine tenths
-// of all jobs does not go before the others for being served badly.
+// Under-served work takes nothing from production, from a team whose unfinished jobs all fit into its guarantee, or
+// from new work within a guarantee, and it gains no additional right to preempt. While it is under-served, it is not
+// preempted for work without a stronger entitlement either. A team counts as under-served only while it uses less than
+// its fair share of the machines, and classes below their fair share go before those above it: otherwise a class that
+// submits nine tenths of all jobs would go before all others because it is served worst.
 
 const (
-	// A class or team is under-served when less than these parts of its jobs or of its tasks are served: half of
-	// them, and some room to spare.
+	// A class or team is under-served if less than these shares of its jobs or of its tasks are served. The goal is
+	// half of the jobs and tasks; the job share has a margin on top.
 	minimumJobShare, minimumTaskShare = 0.7, 0.5
-	// recoveredShare is the share from which on it is not under-served any more.
+	// recoveredShare is the share from which a class or team is no longer under-served. The gap to minimumJobShare
+	// provides hysteresis.
 	recoveredShare = 0.75
-	// shareStep is the difference by which who is served worse goes first; in the same step it is shortest first.
+	// shareStep is the granularity by which lower shares go first. Within one step the order is shortest first.
 	shareStep = 0.05
-	// shareSteps is how many steps there are below recoveredShare.
+	// shareSteps is the number of steps below recoveredShare.
 	shareSteps = 15
 )
 
-// minimumShare is how well each class and team is served.
+// minimumShare holds the served share of each class and team.
 type minimumShare struct {
-	classes, teams []standing
+	classes, teams []serviceShare
 }
 
-// standing is how well a class or a team is served, from 0 to 1, and whether it is under-served.
-type standing struct {
+// serviceShare is the served share of a class or team, from 0 to 1.
+type serviceShare struct {
 	share         float64
 	underServed   bool
-	overFairShare bool // it uses its fair share of the machines, or more
+	overFairShare bool // uses its fair share of the machines or more
 }
 
-// tally is what a standing is computed from: what is asked, and what of it is served, which is completed
-// lately or placed.
-type tally struct {
-	jobs, tasks             float64 // asked for, by recency
+// demandTotals are the totals that a served share is computed from. Tasks that are placed or recently completed count
+// as served.
+type demandTotals struct {
+	jobs, tasks             float64 // requested, weighted by recency
 	jobsServed, tasksServed float64
-	wants, uses             float64 // CPUs
+	wantedCPUs, usedCPUs    float64
 }
 
-func (t *tally) add(j *model.Job, now model.Time) {
+func (t *demandTotals) add(j *model.Job, now model.Time) {
 	weight := model.RecencyWeight(now - j.Observed.KnownSince)
 	taskCount, servedCount := float64(len(j.Tasks)), float64(j.Done+j.Live)
 	t.jobs += weight
 	t.tasks += weight * taskCount
 	t.jobsServed += weight * servedCount / taskCount
 	t.tasksServed += weight * servedCount
-	t.wants += (taskCount - float64(j.Done)) * j.Spec.CPUs
-	t.uses += float64(j.Live) * j.Spec.CPUs
+	t.wantedCPUs += (taskCount - float64(j.Done)) * j.Spec.CPUs
+	t.usedCPUs += float64(j.Live) * j.Spec.CPUs
 }
 
-// share is the worse of the two readings. That of tasks is held to a lower minimum: what waits is mostly large
-// arrays, since shortest first leaves them for when there is room, and on most days there is, later.
-func (t *tally) share(s *model.CompletionStats, now model.Time) float64 {
+// share returns the lower of the job share and the task share. The task share is held to a lower minimum: most waiting
+// tasks belong to large arrays, which shortest first defers until there is capacity, usually later on the same day.
+func (t *demandTotals) share(s *model.CompletionStats, now model.Time) float64 {
 	jobs, tasks := s.RecentlyCompleted(now)
 	if t.jobs+jobs == 0 {
 		return 1
@@ -75,10 +76,10 @@
 	return min(jobShare, taskShare*minimumJobShare/minimumTaskShare)
 }
 
-// recompute computes the standings anew.
+// recompute updates the shares of all classes and teams.
 func (s *minimumShare) recompute(m *model.Model, jobs []*model.Job, cpus float64, now model.Time) {
-	classes := make([]tally, len(m.ByClass))
-	teams := make([]tally, len(m.Teams))
+	classes := make([]demandTotals, len(m.ByClass))
+	teams := make([]demandTotals, len(m.Teams))
 	for _, j := range jobs {
 		if j.Cancelled || j.Observed.Faulty || j.Team == nil {
 			continue
@@ -87,37 +88,37 @@
 		teams[j.Team.Index].add(j, now)
 	}
 	for len(s.classes) < len(classes) {
-		s.classes = append(s.classes, standing{})
+		s.classes = append(s.classes, serviceShare{})
 	}
 	for len(s.teams) < len(teams) {
-		s.teams = append(s.teams, standing{})
+		s.teams = append(s.teams, serviceShare{})
 	}
 	limit := fairShare(classes, cpus)
 	for i := range classes {
 		s.classes[i].set(classes[i].share(&m.ByClass[i], now))
-		s.classes[i].overFairShare = classes[i].uses >= limit
+		s.classes[i].overFairShare = classes[i].usedCPUs >= limit
 	}
 	limit = fairShare(teams, cpus)
 	for i := range teams {
 		s.teams[i].set(teams[i].share(&m.ByTeam[i], now))
-		s.teams[i].overFairShare = m.Teams[i].UsedCPUs >= max(limit, min(m.Teams[i].CPUs, teams[i].wants))
+		s.teams[i].overFairShare = m.Teams[i].UsedCPUs >= max(limit, min(m.Teams[i].CPUs, teams[i].wantedCPUs))
 	}
 }
 
-func (s *standing) set(share float64) {
+func (s *serviceShare) set(share float64) {
 	s.underServed = share < minimumJobShare || s.underServed && share < recoveredShare
 	s.share = share
 }
 
-// fairShare is the most CPUs that a team may use so that no other has to have less: those who want less
-// have what they want, and the rest is divided in equal parts.
-func fairShare(teams []tally, cpus float64) float64 {
+// fairShare returns the max-min fair limit in CPUs: those who want less than the limit get all they want, and the
+// remaining CPUs are divided equally among the others. It is infinite if all demands fit.
+func fairShare(totals []demandTotals, cpus float64) float64 {
 	share := 0.0
-	for range len(teams) + 1 {
-		left, n := cpus, 0
-		for i := range teams {
-			if teams[i].wants <= share {
-				left -= teams[i].wants
+	for range len(totals) + 1 {
+		remaining, n := cpus, 0
+		for i := range totals {
+			if totals[i].wantedCPUs <= share {
+				remaining -= totals[i].wantedCPUs
 			} else {
 				n++
 			}
@@ -125,7 +126,7 @@
 		if n == 0 {
 			return math.Inf(1)
 		}
-		if nextShare := left / float64(n); nextShare > share {
+		if nextShare := remaining / float64(n); nextShare > share {
 			share = nextShare
 		} else {
 			break
@@ -134,9 +135,9 @@
 	return share
 }
 
-// underServed tells whether a job goes first for the minimum share's sake, and in which position: in steps of how badly
-// its class or team is served, those first that use less than their fair share. A class with ten times more work than
-// there is room for is served worst by the count of its tasks, and would go before all others for good.
+// underServed reports whether a job is prioritized by the minimum share, and at which position: in steps of the served
+// share of its class or team, with classes below their fair share first. Otherwise a class with ten times more work
+// than there is capacity would always have the lowest share by tasks and go before all others indefinitely.
 func (s *minimumShare) underServed(j *model.Job) (position int, ok bool) {
 	if j.Team == nil || int(j.Class) >= len(s.classes) || j.Team.Index >= len(s.teams) || j.Observed.Faulty {
 		return 0, false
@@ -155,20 +156,20 @@
 	return position, position < 2*shareSteps
 }
 
-// The ranks of what has no better right than to be placed when there is room. Between the tiers of
-// work beyond guarantees and those of work within them there is what is under-served, and behind it the low-priority
-// arrays that have a part of their team's guarantee though the team wants more than that.
+// Ranks of work that is placed only when there is capacity left. Under-served work ranks between the tiers of work
+// beyond guarantees and those of work within them; below it rank the low-priority arrays that hold part of a guarantee
+// while their team wants more than that.
 //
-// Of what is under-served the more urgent goes first, and only then who is served worse: what is preempted for
-// something more urgent is served worse by that, and would take its place again at once.
+// Under-served work is ordered by priority first and by served share second: preempted work has a lower share as a
+// result, and would otherwise immediately displace the more urgent work it was preempted for.
 const (
-	ranksPerTier     = 1000 // times a tier
+	ranksPerTier     = 1000
 	rankUnderServed  = ranksPerTier*int(model.Production) - 500
 	rankDeferrable   = ranksPerTier*int(model.Production) - 600
-	ranksPerPriority = 2*shareSteps + 2 // times a priority
+	ranksPerPriority = 2*shareSteps + 2
 )
 
-// rank orders jobs: by tier, and for the minimum share.
+// rank returns the rank of a job, from its tier and the minimum share. A higher rank is served first.
 func (s *minimumShare) rank(j *model.Job) int {
 	jobTier := tier(j)
 	deferrable := j.Scheduling.Guaranteed && j.Scheduling.Deferrable
@@ -184,37 +185,38 @@
 	return jobTier * ranksPerTier
 }
 
-// ClassStanding is how well a class is served, from 0 to 1, and whether it is under-served; what is unknown is served.
+// ClassStanding returns the served share of a class, from 0 to 1, and whether it is under-served. The share of an
+// unknown class is 1.
 func (s *Scheduler) ClassStanding(class int32) (share float64, underServed bool) {
-	return standingOf(s.minimumShare.classes, int(class))
+	return shareOf(s.minimumShare.classes, int(class))
 }
 
-// TeamStanding is the same of a team by its index.
+// TeamStanding returns the served share of a team by its index, like ClassStanding.
 func (s *Scheduler) TeamStanding(team int) (share float64, underServed bool) {
-	return standingOf(s.minimumShare.teams, team)
+	return shareOf(s.minimumShare.teams, team)
 }
 
-func standingOf(list []standing, i int) (share float64, underServed bool) {
-	if i >= len(list) {
+func shareOf(shares []serviceShare, i int) (share float64, underServed bool) {
+	if i >= len(shares) {
 		return 1, false
 	}
-	return list[i].share, list[i].underServed
+	return shares[i].share, shares[i].underServed
 }
 
-// WorstClass is how well the class that is served worst is, and how many are under-served.
+// WorstClass returns the lowest share of any class and the number of under-served classes.
 func (s *Scheduler) WorstClass() (share float64, underServed int) {
-	return worstStanding(s.minimumShare.classes)
+	return lowestShare(s.minimumShare.classes)
 }
 
-// WorstTeam is the same of teams.
+// WorstTeam returns the lowest share of any team and the number of under-served teams.
 func (s *Scheduler) WorstTeam() (share float64, underServed int) {
-	return worstStanding(s.minimumShare.teams)
+	return lowestShare(s.minimumShare.teams)
 }
 
-func worstStanding(list []standing) (share float64, underServed int) {
+func lowestShare(shares []serviceShare) (share float64, underServed int) {
 	share = 1
-	for i := range list {
-		if share = min(share, list[i].share); list[i].underServed {
+	for i := range shares {
+		if share = min(share, shares[i].share); shares[i].underServed {
 			underServed++
 		}
 	}
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -33,11 +33,11 @@
 func TestFairShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cpus := float64(rapid.IntRange(0, 100).Draw(rt, "cpus"))
-		var teams []tally
+		var teams []demandTotals
 		var wants []float64
 		for range rapid.IntRange(1, 6).Draw(rt, "teams") {
 			w := float64(rapid.IntRange(0, 80).Draw(rt, "wants"))
-			teams, wants = append(teams, tally{wants: w}), append(wants, w)
+			teams, wants = append(teams, demandTotals{wantedCPUs: w}), append(wants, w)
 		}
 		actual, want := min(1000, fairShare(teams, cpus)), searchFairShare(wants, cpus)
 		if actual < want-1e-9 || actual > want+0.25 {
--- a/internal/scheduling/scheduler/moves.go
+++ b/internal/scheduling/scheduler/moves.go
@@ -7,35 +7,37 @@
 	"fieldhill/internal/model"
 )
 
-// This file moves replicas off machines that are to go.
+// This file moves replicas off machines that are being drained or are about to be preempted.
 
 const (
-	// moveInterval paces the moves of replicas, each of which is down for a moment: of so many
-	// replicas one may move in this time. Without a measure for their number, a fleet of five
-	// thousand took four minutes to take its replicas off the expensive machines that gangs waited for.
+	// moveInterval paces the moves of replicas, each of which causes a short downtime: one replica may move per
+	// interval for every moveIntervalReplicas replicas. At one per interval regardless of the number, a fleet of 5000
+	// replicas took four minutes to leave the expensive machines that gangs were waiting for.
 	moveInterval         = model.Time(300e6)
 	moveIntervalReplicas = 1000
 	minMoveInterval      = model.Time(50e6)
-	// fetchMoveInterval paces those to where the image is not, each of which is down for as
-	// long as its fetch takes: one rare image used to keep an expensive machine for minutes.
+	// fetchMoveInterval is the time without a move to a machine that has the image after which a move to one without it
+	// is allowed. Such a replica is down while its image is fetched, so these moves are rarer; without them one rare
+	// image kept an expensive machine for minutes.
 	fetchMoveInterval = model.Time(5e9)
-	// reservationTTL is how long resources are reserved for a replica that is to move, maxReservations for how many.
+	// reservationTTL is how long resources are reserved for a replica that is to move; maxReservations limits the
+	// reservations.
 	reservationTTL  = model.Time(3e9)
 	maxReservations = 8
-	// maxEvacuations bounds how many runs a round tries to move off machines that are to go.
+	// maxEvacuations limits the runs that a round tries to evacuate.
 	maxEvacuations = 32
 )
 
-// moves is what lasts of the moves from round to round.
+// moves is the state of replica moves that is kept between rounds.
 type moves struct {
-	lastMoveAt   model.Time
-	localPlaceAt model.Time // when there last was a machine with its image for a replica that moves; 0: never looked
-	reservations map[*model.Machine]reservation
-	// evacuateFrom is where the next round begins to move runs off machines that are to go.
+	lastMoveAt         model.Time
+	localTargetFoundAt model.Time // when a target with the image was last found; 0: no search yet
+	reservations       map[*model.Machine]reservation
+	// evacuateFrom is where the next round resumes evacuating runs.
 	evacuateFrom evacuationCursor
 }
 
-// reservation is resources of a machine that less urgent work leaves to services for a while.
+// reservation holds resources of a machine that work below production priority leaves free until the given time.
 type reservation struct {
 	resources Resources
 	until     model.Time
@@ -45,7 +47,7 @@
 	maps.DeleteFunc(mv.reservations, func(_ *model.Machine, r reservation) bool { return now > r.until })
 }
 
-// dryRunCopy is for a round on a copy of a model.
+// dryRunCopy returns a copy for a dry run on m, a copy of the model.
 func (mv *moves) dryRunCopy(m *model.Model) moves {
 	copied := *mv
 	copied.reservations = map[*model.Machine]reservation{}
@@ -55,8 +57,8 @@
 	return copied
 }
 
-// drainReplicas moves one replica off the machine that is to be emptied, to where its
-// image is already if there is such a machine, and only while no other replica waits.
+// drainReplicas moves one replica off the drain target, preferably to a machine that has its image, and only while no
+// replica is waiting.
 func (mv *moves) drainReplicas(r *round, jobs []*model.Job) {
 	target, now := r.directives.DrainTarget, r.now
 	if target == nil || r.model.Machines[target.ID] != target || now-mv.lastMoveAt < minMoveInterval {
@@ -74,17 +76,16 @@
 		return
 	}
 	mv.lastMoveAt = now
-	if mv.moveReplica(r, true) || mv.localPlaceAt == 0 {
-		mv.localPlaceAt = max(now, 1)
-	} else if now-mv.localPlaceAt > fetchMoveInterval && mv.moveReplica(r, false) {
-		mv.localPlaceAt = now
+	if mv.moveReplica(r, true) || mv.localTargetFoundAt == 0 {
+		mv.localTargetFoundAt = max(now, 1)
+	} else if now-mv.localTargetFoundAt > fetchMoveInterval && mv.moveReplica(r, false) {
+		mv.localTargetFoundAt = now
 	}
 }
 
-// moveReplica moves a replica off the machine that is to be emptied, or has low-priority work make
-// room for one, which is reserved until it moves: otherwise replicas stayed where they are
-// for as long as there was low-priority work to fill every other machine. It tells whether there
-// was a machine.
+// moveReplica moves a replica off the drain target. If no machine has free resources, it preempts low-priority work for
+// a replica and reserves the resources until the replica moves; otherwise low-priority work that fills every other
+// machine would keep replicas on the drain target. It reports whether there was a suitable machine.
 func (mv *moves) moveReplica(r *round, withImage bool) bool {
 	var best preemptionChoice
 	var bestNeed Resources
@@ -119,7 +120,7 @@
 	return true
 }
 
-// mayMoveTo tells whether a replica may move off the machine that is to be emptied to another one, resources apart.
+// mayMoveTo reports whether a replica may move from the drain target to a machine, regardless of free resources.
 func (r *round) mayMoveTo(run *model.Run, view *machineView, need Resources, withImage bool) bool {
 	j, machine := run.Job, view.machine
 	return machine != r.directives.DrainTarget && r.mayUse(j, view, need) &&
@@ -127,61 +128,63 @@
 		(machine.Zone == run.Machine.Zone || j.ZoneAllows(machine.Zone))
 }
 
-// evacuee is a run on a machine that is to go, by its position among those of its machine.
-type evacuee struct {
+// evacuationCandidate is a run on a machine that is being vacated, with its position.
+type evacuationCandidate struct {
 	run    *model.Run
 	cursor evacuationCursor
 }
 
-// evacuationCursor is a machine, and a position among those of its runs that are to move.
+// evacuationCursor is the position of a run: its machine and its index among the runs of that machine.
 type evacuationCursor struct {
 	machine model.MachineID
 	run     int
 }
 
-// before tells whether a position comes before another one. Machines are in the order of their numbers.
+// before reports whether c precedes o in order of machine ID and run index.
 func (c evacuationCursor) before(o evacuationCursor) bool {
 	return c.machine < o.machine || c.machine == o.machine && c.run < o.run
 }
 
-// evacuees lists the runs that are to move off machines that are to go. A machine whose release is under way is
-// left alone: the cloud's answer is the end of what it holds.
-func evacuees(m *model.Model) (list []evacuee) {
+// evacuationCandidates lists the runs to move off machines that are being vacated. A machine that is being released is
+// skipped: the response of the cloud ends the runs on it.
+func evacuationCandidates(m *model.Model) (list []evacuationCandidate) {
 	for _, machine := range m.Order {
 		if !machine.IsLeaving() || !machine.Contact.Reported || machine.Releasing || machine.Suspect {
 			continue
 		}
 		for i, r := range machine.Runs {
 			if r.Job.Kind == model.Service || r.Job.Spec.CheckpointIntervalS != 0 {
-				list = append(list, evacuee{r, evacuationCursor{machine.ID, i}})
+				list = append(list, evacuationCandidate{r, evacuationCursor{machine.ID, i}})
 			}
 		}
 	}
 	return list
 }
 
-// evacuate moves replicas off machines that are to go, one of a job at a time and only where there is room for them.
-// Where there are more than a round tries, the next one goes on behind them: those that find no room must not keep
-// the others from theirs.
+// evacuate moves runs off machines that are being vacated, one task of a job at a time and only if another machine has
+// resources for it. If there are more candidates than maxEvacuations, the next round resumes after the last one tried,
+// so that runs that fit nowhere do not block the others.
 func (mv *moves) evacuate(r *round) {
-	list := evacuees(r.model)
-	from := max(0, slices.IndexFunc(list, func(e evacuee) bool { return !e.cursor.before(mv.evacuateFrom) }))
+	candidates := evacuationCandidates(r.model)
+	first := max(0, slices.IndexFunc(candidates, func(c evacuationCandidate) bool {
+		return !c.cursor.before(mv.evacuateFrom)
+	}))
 	mv.evacuateFrom = evacuationCursor{}
-	tries := 0
-	for i := range list {
-		e := list[(from+i)%len(list)]
-		if !e.run.IsWanted() || e.run.Job.Waiting() > 0 || hasStoppingTask(e.run.Job) {
-			continue // one at a time
+	attempts := 0
+	for i := range candidates {
+		c := candidates[(first+i)%len(candidates)]
+		if !c.run.IsWanted() || c.run.Job.Waiting() > 0 || hasStoppingTask(c.run.Job) {
+			continue // one task of a job at a time
 		}
-		if tries++; tries > maxEvacuations {
-			mv.evacuateFrom = e.cursor
+		if attempts++; attempts > maxEvacuations {
+			mv.evacuateFrom = c.cursor
 			return
 		}
-		r.evacuateRun(e.run)
+		r.evacuateRun(c.run)
 	}
 }
 
-// evacuateRun has a run stop, to go on elsewhere, if there is room for it.
+// evacuateRun preempts a run so that it continues on another machine, if one has resources for it.
 func (r *round) evacuateRun(run *model.Run) {
 	j, need := run.Job, TaskDemand(run.Job)
 	for i := range r.machines {
@@ -195,10 +198,10 @@
 	}
 }
 
-// hasStoppingTask tells whether a task of a job is being preempted.
+// hasStoppingTask reports whether a task of a job is being preempted.
 func hasStoppingTask(j *model.Job) bool {
 	for i := range j.Tasks {
-		if o := j.Tasks[i].Run; o != nil && o.Stop {
+		if run := j.Tasks[i].Run; run != nil && run.Stop {
 			return true
 		}
 	}
--- a/internal/scheduling/scheduler/placement.go
+++ b/internal/scheduling/scheduler/placement.go
@@ -8,85 +8,85 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// This file places the tasks of arrays and services, by turns.
+// This file places the tasks of arrays and services.
 
-// placeAll places the jobs of a queue: those of a rank by turns, but what is served shortest first one by one.
+// placeAll places the jobs of a queue: jobs of equal rank round-robin, except that jobs served shortest first are
+// placed one after the other.
 func (r *round) placeAll(queue []queuedJob) {
 	for len(queue) > 0 {
 		n := 1
 		for n < len(queue) && queue[n].rank == queue[0].rank && !queue[n].shortestFirst && !queue[0].shortestFirst {
 			n++
 		}
-		r.placeByTurns(queue[:n])
+		r.placeRoundRobin(queue[:n])
 		queue = queue[n:]
 	}
 }
 
-// placeByTurns lets the jobs of a rank take turns, a task each, until none can go on.
-func (r *round) placeByTurns(jobs []queuedJob) {
-	active := make([]*placementTurn, 0, len(jobs))
+// placeRoundRobin places one task of each job in turn until no job can continue.
+func (r *round) placeRoundRobin(jobs []queuedJob) {
+	active := make([]*jobPlacement, 0, len(jobs))
 	for i := range jobs {
-		active = append(active, &placementTurn{job: jobs[i].job, need: TaskDemand(jobs[i].job)})
+		active = append(active, &jobPlacement{job: jobs[i].job, need: TaskDemand(jobs[i].job)})
 	}
 	for len(active) > 0 {
 		rest := active[:0]
-		for _, t := range active {
-			if r.placeNext(t) {
-				rest = append(rest, t)
+		for _, p := range active {
+			if r.placeNext(p) {
+				rest = append(rest, p)
 			}
 		}
 		active = rest
 	}
 }
 
-// placementTurn is a job with the machines that have room for it, the lowest score first.
-// A score is looked at again when its machine is about to be taken: others may
-// have taken room there meanwhile, which only makes it worse.
-type placementTurn struct {
+// jobPlacement is the placement of a job in the current round, with a heap of candidate machines, lowest score first. A
+// score is checked again when its machine is about to be used: placements made since then can only have increased it.
+type jobPlacement struct {
 	job         *model.Job
 	need        Resources
-	built       bool // candidates are listed
+	built       bool // candidates has been filled
 	candidates  []candidate
-	zoneLimited bool // some machine was passed over for its zone
-	awaitLocal  bool // a busy machine is local
+	zoneLimited bool // some machine was excluded by the zone constraints
+	awaitLocal  bool // a busy machine has a local score
 }
 
-// candidate is a machine that has room for a task of a job.
+// candidate is a machine with free resources for a task of a job.
 type candidate struct {
 	view     *machineView
 	locality float64
 	score    float64
-	index    int // among the machines of the round: of equal scores the first one is taken
+	index    int // in round.machines; breaks ties between equal scores
 }
 
-// Len is for heap.Interface.
-func (t *placementTurn) Len() int { return len(t.candidates) }
+// Len implements heap.Interface.
+func (p *jobPlacement) Len() int { return len(p.candidates) }
 
-// Swap is for heap.Interface.
-func (t *placementTurn) Swap(i, k int) {
-	t.candidates[i], t.candidates[k] = t.candidates[k], t.candidates[i]
+// Swap implements heap.Interface.
+func (p *jobPlacement) Swap(i, k int) {
+	p.candidates[i], p.candidates[k] = p.candidates[k], p.candidates[i]
 }
 
-// Less is for heap.Interface.
-func (t *placementTurn) Less(i, k int) bool {
-	a, b := &t.candidates[i], &t.candidates[k]
+// Less implements heap.Interface.
+func (p *jobPlacement) Less(i, k int) bool {
+	a, b := &p.candidates[i], &p.candidates[k]
 	return a.score < b.score || a.score == b.score && a.index < b.index
 }
 
-// Push is for heap.Interface.
-func (t *placementTurn) Push(x any) { t.candidates = append(t.candidates, x.(candidate)) }
+// Push implements heap.Interface.
+func (p *jobPlacement) Push(x any) { p.candidates = append(p.candidates, x.(candidate)) }
 
-// Pop is for heap.Interface.
-func (t *placementTurn) Pop() any {
-	c := t.candidates[len(t.candidates)-1]
-	t.candidates = t.candidates[:len(t.candidates)-1]
+// Pop implements heap.Interface.
+func (p *jobPlacement) Pop() any {
+	c := p.candidates[len(p.candidates)-1]
+	p.candidates = p.candidates[:len(p.candidates)-1]
 	return c
 }
 
-// zoneCache tells which zones take one more task of a job, asking once for each.
+// zoneCache caches which zones allow one more task of a job.
 type zoneCache struct {
 	job   *model.Job
-	known [16]int8 // 0: not asked, 1: yes, 2: no
+	known [16]int8 // 0: unknown, 1: allowed, 2: not allowed
 }
 
 func (z *zoneCache) allow(zone int32) bool {
@@ -105,39 +105,39 @@
 	return z.known[zone] == 1
 }
 
-// buildCandidates finds the machines for a turn.
-func (r *round) buildCandidates(t *placementTurn) {
-	t.built = true
-	j := t.job
+// buildCandidates fills the candidates of a job.
+func (r *round) buildCandidates(p *jobPlacement) {
+	p.built = true
+	j := p.job
 	zones := zoneCache{job: j}
 	for i := range r.machines {
 		view := &r.machines[i]
-		if !r.mayUse(j, view, t.need) {
+		if !r.mayUse(j, view, p.need) {
 			continue
 		}
 		if !zones.allow(view.machine.Zone) {
-			t.zoneLimited = true
+			p.zoneLimited = true
 			continue
 		}
-		if !r.hasResources(j, view, t.need) {
-			if !t.awaitLocal && r.mayWait(j) {
-				t.awaitLocal = r.scoreOn(j, view.machine) < r.params.Threshold
+		if !r.hasResources(j, view, p.need) {
+			if !p.awaitLocal && r.mayWait(j) {
+				p.awaitLocal = r.scoreOn(j, view.machine) < r.params.Threshold
 			}
 			continue
 		}
 		c := candidate{view: view, locality: locality(r.model, j, view.machine), index: i}
 		c.score = r.params.score(c.locality, load(r.model, view.machine)) + r.gpuMismatchPenalty(j, view)
-		t.candidates = append(t.candidates, c)
+		p.candidates = append(p.candidates, c)
 	}
-	heap.Init(t)
+	heap.Init(p)
 }
 
-// placeNext tries to place the job's next task, or a whole gang. It tells whether the
-// job may go on this round.
-func (r *round) placeNext(t *placementTurn) bool {
-	j := t.job
+// placeNext tries to place the next task of a job, or a whole gang. It reports whether the job may continue in this
+// round.
+func (r *round) placeNext(p *jobPlacement) bool {
+	j := p.job
 	if j.Kind == model.Gang {
-		r.placeGang(t)
+		r.placeGang(p)
 		return false
 	}
 	task := j.NextWaiting()
@@ -151,28 +151,28 @@
 		}
 		return false
 	}
-	j.Scheduling.PendingReason = pending.Reason{Code: pending.NoCapacity, Unit: "CPUs", Need: t.need.CPUs}
-	best := r.chooseFeasible(t)
+	j.Scheduling.PendingReason = pending.Reason{Code: pending.NoCapacity, Unit: "CPUs", Need: p.need.CPUs}
+	best := r.findCandidate(p)
 	if best == nil {
-		r.preemptForTask(t)
+		r.preemptForTask(p)
 		return false
 	}
-	if r.shouldWait(t, best) {
+	if r.shouldWait(p, best) {
 		return false
 	}
-	startsOverdue := mustBegin(j, r.now)
+	startOverdue := isStartOverdue(j, r.now)
 	r.bind(j, best.view, task, j.Tasks[task].Attempt+1, best.score)
-	if startsOverdue {
-		r.lowPriorityDeferred = true // the rest of it has its turn in the next round
+	if startOverdue {
+		r.lowPriorityDeferred = true // the other tasks are placed in the next round, in the regular order
 		return false
 	}
 	best.locality = locality(r.model, j, best.view.machine)
 	best.score = r.params.score(best.locality, load(r.model, best.view.machine)) + r.gpuMismatchPenalty(j, best.view)
-	heap.Fix(t, 0)
+	heap.Fix(p, 0)
 	return !j.Observed.Faulty
 }
 
-// withinLowPriorityLimit counts a low-priority task against the limit of a round, and tells whether it holds it.
+// withinLowPriorityLimit counts a low-priority task against the limit of the round and reports whether it is within it.
 func (r *round) withinLowPriorityLimit(j *model.Job) bool {
 	limit := r.directives.LowPriorityLimit
 	if limit == 0 || j.Priority != model.Low {
@@ -187,26 +187,26 @@
 	return true
 }
 
-// chooseFeasible chooses a machine unless the same shape found none already, and remembers a shape that finds none.
-func (r *round) chooseFeasible(t *placementTurn) *candidate {
-	kind, failedBefore := kindOf(t.job), t.job.Observed.FailedOn != nil
-	if !failedBefore && !t.built && coveredBy(r.infeasible.unplaceable, kind, t.need) {
+// findCandidate returns the best candidate, or nil. Demands without one are recorded and not searched for again.
+func (r *round) findCandidate(p *jobPlacement) *candidate {
+	key, failedBefore := constraintKeyOf(p.job), p.job.Observed.FailedOn != nil
+	if !failedBefore && !p.built && isKnownInfeasible(r.infeasible.unplaceable, key, p.need) {
 		return nil
 	}
-	best := r.choose(t)
-	if best == nil && !failedBefore && !t.zoneLimited {
-		r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{kind, t.need})
+	best := r.bestCandidate(p)
+	if best == nil && !failedBefore && !p.zoneLimited {
+		r.infeasible.unplaceable = append(r.infeasible.unplaceable, demandShape{key, p.need})
 	}
 	return best
 }
 
-// shouldWait tells whether a task should not go to the best of the free machines, but wait for a better one.
-func (r *round) shouldWait(t *placementTurn, best *candidate) bool {
-	j := t.job
+// shouldWait reports whether a task should wait for a better machine instead of using the best free one.
+func (r *round) shouldWait(p *jobPlacement, best *candidate) bool {
+	j := p.job
 	switch {
 	case r.directives.AwaitingHeartbeats && r.isRemote(best.locality):
 		j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
-	case best.score >= r.params.Threshold && t.awaitLocal && r.mayWait(j):
+	case best.score >= r.params.Threshold && p.awaitLocal && r.mayWait(j):
 		if r.tick {
 			j.Scheduling.WaitedRounds++
 		}
@@ -214,7 +214,7 @@
 			Code:  pending.ImageBusy,
 			Count: r.params.WaitRounds - j.Scheduling.WaitedRounds,
 		}
-	case r.isRemote(best.locality) && r.preemptAtImage(t, best):
+	case r.isRemote(best.locality) && r.preemptForImageLocality(p, best):
 		j.Scheduling.PendingReason = pending.Reason{Code: pending.Preempting}
 	default:
 		return false
@@ -222,83 +222,82 @@
 	return true
 }
 
-// localRetryAfter is after how long a service may wait anew for room where its image is.
-const localRetryAfter = model.Time(60e9)
+// localWaitRetryInterval is the time after a service began to wait for a machine that has its image before it may do so
+// again.
+const localWaitRetryInterval = model.Time(60e9)
 
-// localWaitShare is the part of its time to start that a service waits for room where its image is.
-const localWaitShare = 0.6
+// serviceLocalWaitShare is the share of its start time limit that a service waits for a machine that has its image.
+const serviceLocalWaitShare = 0.6
 
-// preemptAtImage has low-priority work make room for a service where its image is, when the
-// free machines would have to fetch it for longer than the service may take to
-// start. Low-priority work that is preempted has left within a moment. It tells whether the
-// service should wait for that; it does so for a part of its time only.
-func (r *round) preemptAtImage(t *placementTurn, free *candidate) bool {
-	j := t.job
+// preemptForImageLocality preempts low-priority work for a service on machines that have its image if fetching it on a
+// free machine would take longer than the start time limit. Preempted low-priority work releases its resources quickly.
+// It reports whether the service should wait, which it does for a limited share of its start time limit.
+func (r *round) preemptForImageLocality(p *jobPlacement, free *candidate) bool {
+	j := p.job
 	if j.Kind != model.Service || !r.fetchTooLate(j, free.view.machine) {
 		return false
 	}
 	within, _ := r.params.startWithin(j)
-	roomSince := j.Scheduling.LocalRoomSince
-	if since := r.now - roomSince; roomSince != 0 && since < localRetryAfter &&
-		since > config.Seconds(within*localWaitShare) {
-		return false // once for all its tasks, not for each
+	waitingSince := j.Scheduling.LocalRoomSince
+	if since := r.now - waitingSince; waitingSince != 0 && since < localWaitRetryInterval &&
+		since > config.Seconds(within*serviceLocalWaitShare) {
+		return false // the time limit applies to the job, not to each task
 	}
 	zones := zoneCache{job: j}
 	var choices choiceHeap
 	for i := range r.machines {
 		view := &r.machines[i]
-		if !r.mayUse(j, view, t.need) || !view.machine.HasImage(j.Image) || !r.serviceAllowed(j, view) ||
-			!zones.allow(view.machine.Zone) || !view.unclaimedWithoutServices().Contains(t.need) {
+		if !r.mayUse(j, view, p.need) || !view.machine.HasImage(j.Image) || !r.serviceAllowed(j, view) ||
+			!zones.allow(view.machine.Zone) || !view.unclaimedWithoutServices().Contains(p.need) {
 			continue
 		}
-		if runs, cost, ok := r.victims(j, view, t.need, model.Normal); ok {
+		if runs, cost, ok := r.victims(j, view, p.need, model.Normal); ok {
 			choices = append(choices, preemptionChoice{view, cost, runs, i})
 		}
 	}
 	found := len(choices) > 0
-	r.claimBest(claim{
+	r.claimCheapest(claim{
 		job:         j,
-		need:        t.need,
+		need:        p.need,
 		maxPriority: model.Normal,
 		preempt:     true,
-		reason:      "room where its image is, for " + j.Spec.ID,
+		reason:      "image locality, for job " + j.Spec.ID,
 	}, choices)
-	if found && (roomSince == 0 || r.now-roomSince >= localRetryAfter) {
+	if found && (waitingSince == 0 || r.now-waitingSince >= localWaitRetryInterval) {
 		j.Scheduling.LocalRoomSince = r.now
 	}
 	return found
 }
 
-// mayWait tells whether a job may wait another round for a busy local machine.
+// mayWait reports whether a job may wait another round for a busy local machine.
 func (r *round) mayWait(j *model.Job) bool {
 	return j.Kind != model.Service && j.Scheduling.WaitedRounds < r.params.WaitRounds
 }
 
-// choose finds the free machine with the lowest score, which is then the first
-// candidate, or nil.
-func (r *round) choose(t *placementTurn) *candidate {
-	if !t.built {
-		r.buildCandidates(t)
+// bestCandidate returns the free machine with the lowest score, which is then the first of the heap, or nil.
+func (r *round) bestCandidate(p *jobPlacement) *candidate {
+	if !p.built {
+		r.buildCandidates(p)
 	}
-	j := t.job
+	j := p.job
 	zones := zoneCache{job: j}
-	for len(t.candidates) > 0 {
-		c := &t.candidates[0]
+	for len(p.candidates) > 0 {
+		c := &p.candidates[0]
 		if !zones.allow(c.view.machine.Zone) {
-			t.zoneLimited = true
-			heap.Pop(t)
+			p.zoneLimited = true
+			heap.Pop(p)
 			continue
 		}
 		r.examined++
 		score := r.params.score(c.locality, load(r.model, c.view.machine))
-		if !r.hasResources(j, c.view, t.need) {
-			t.awaitLocal = t.awaitLocal || score < r.params.Threshold
-			heap.Pop(t)
+		if !r.hasResources(j, c.view, p.need) {
+			p.awaitLocal = p.awaitLocal || score < r.params.Threshold
+			heap.Pop(p)
 			continue
 		}
 		if score += r.gpuMismatchPenalty(j, c.view); score > c.score {
 			c.score = score
-			heap.Fix(t, 0)
+			heap.Fix(p, 0)
 			continue
 		}
 		return c
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -8,24 +8,23 @@
 	"fieldhill/internal/model"
 )
 
-// This file makes room for urgent work: what may be preempted, and what is.
+// This file implements preemption for urgent work.
 
 const (
-	// minCostCPUs is the least number of CPUs that a task counts with where something is lost.
+	// minCostCPUs is the minimum number of CPUs assumed for a task when computing the cost of lost time.
 	minCostCPUs = 0.1
-	// maxClaims bounds for how many tasks of a job room is made at once.
+	// maxClaims limits the number of tasks of a job that resources are claimed for in one search.
 	maxClaims = 64
 )
 
-// mayPreempt tells whether a run may be preempted for a job: it is of lower priority,
-// or the job is within its team's guarantee and the run's team is beyond its own. What
-// a team has of its guarantee that wants more preempts nothing: whose turn it is changes with
-// every task that ends, and two teams once preempted each other's tasks thousands of times.
+// mayPreempt reports whether a run may be preempted for a job. The run must have a lower rank, and it must have a lower
+// priority, or the job must be within its team's guarantee and the run's team beyond its own. A deferrable share of a
+// guarantee, held by a team that wants more than its guarantee, does not preempt: which jobs hold it changes whenever a
+// task ends, and two teams would preempt each other's tasks in a loop, thousands of times.
 func mayPreempt(run *model.Run, j *model.Job) bool {
 	if run.Job == j || !run.IsWanted() || run.Job.Kind == model.Service ||
 		run.Job.Scheduling.Rank >= j.Scheduling.Rank {
-		// What is served before the job would be placed again before it, and
-		// preempted again, round after round.
+		// A run that is served before the job would be placed again before it and preempted again, round after round.
 		return false
 	}
 	if run.Job.Priority < j.Priority {
@@ -35,11 +34,12 @@
 		run.Job.Team == j.Team || run.Job.Team == nil {
 		return false
 	}
-	t := run.Job.Team
-	return t.UsedCPUs > t.CPUs+epsilon && t.CPUs > 0 || t.UsedGPUs > t.GPUs+epsilon && run.Job.Spec.GPUs > 0
+	team := run.Job.Team
+	return team.UsedCPUs > team.CPUs+epsilon && team.CPUs > 0 ||
+		team.UsedGPUs > team.GPUs+epsilon && run.Job.Spec.GPUs > 0
 }
 
-// preemptionCost is what preempting a run costs, in CPU seconds that are done again.
+// preemptionCost returns the cost of preempting a run: the work to be repeated, in CPU seconds.
 func preemptionCost(run *model.Run, now model.Time) float64 {
 	if run.StartedAt == 0 {
 		return 0.5
@@ -51,39 +51,38 @@
 	return 1 + lostSeconds*max(run.Job.Spec.CPUs, minCostCPUs)
 }
 
-// preemptionChoice is a machine on which a task would find room once some runs are preempted.
+// preemptionChoice is a machine that has resources for a task once some runs are preempted.
 type preemptionChoice struct {
 	view  *machineView
 	cost  float64
 	runs  []*model.Run
-	index int // among the machines of the round: of equal costs the first one is taken
+	index int // in round.machines; breaks ties between equal costs
 }
 
-// choiceHeap has the choice that costs least first.
+// choiceHeap is a min-heap of choices by cost.
 type choiceHeap []preemptionChoice
 
-// Len is for heap.Interface.
+// Len implements heap.Interface.
 func (h choiceHeap) Len() int { return len(h) }
 
-// Swap is for heap.Interface.
+// Swap implements heap.Interface.
 func (h choiceHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
 
-// Less is for heap.Interface.
+// Less implements heap.Interface.
 func (h choiceHeap) Less(i, k int) bool {
 	return h[i].cost < h[k].cost || h[i].cost == h[k].cost && h[i].index < h[k].index
 }
 
-// Push is for heap.Interface.
+// Push implements heap.Interface.
 func (h *choiceHeap) Push(x any) { *h = append(*h, x.(preemptionChoice)) }
 
-// Pop is for heap.Interface.
+// Pop implements heap.Interface.
 func (h *choiceHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// preemptAll preempts the runs of a choice.
 func (r *round) preemptAll(c *preemptionChoice, reason string) {
 	for _, run := range c.runs {
 		r.binder.Preempt(run, false, reason)
@@ -91,17 +90,16 @@
 	c.view.stoppingKnown = false
 }
 
-// preemptForTask claims room for tasks that find none: what is being freed
-// already, or else the machine where preempting others costs least, and
-// preempts them once the job has waited long enough. It tells whether there will be
-// room for all of them.
-func (r *round) preemptForTask(t *placementTurn) bool {
-	j := t.job
+// preemptForTask claims resources for tasks that have found none: resources that are being released already, or else
+// those where preemption costs least. It preempts once the job has waited for its preemption delay. It reports whether
+// there will be resources for all of them, up to maxClaims.
+func (r *round) preemptForTask(p *jobPlacement) bool {
+	j := p.job
 	if j.Priority == model.Low && (!j.Scheduling.Guaranteed || j.Scheduling.Deferrable) || j.Observed.Faulty {
 		return false
 	}
-	kind := preemptionKindOf(j)
-	if j.Observed.FailedOn == nil && coveredBy(r.infeasible.unpreemptable, kind, t.need) {
+	key := preemptionKeyOf(j)
+	if j.Observed.FailedOn == nil && isKnownInfeasible(r.infeasible.unpreemptable, key, p.need) {
 		return false
 	}
 	zones := zoneCache{job: j}
@@ -109,55 +107,55 @@
 	var choices choiceHeap
 	for i := range r.machines {
 		view := &r.machines[i]
-		if !r.mayUse(j, view, t.need) || !r.serviceAllowed(j, view) ||
-			!view.unclaimedWithoutServices().Contains(t.need) {
+		if !r.mayUse(j, view, p.need) || !r.serviceAllowed(j, view) ||
+			!view.unclaimedWithoutServices().Contains(p.need) {
 			continue
 		}
 		if !zones.allow(view.machine.Zone) {
 			zoneLimited = true
 			continue
 		}
-		if runs, cost, ok := r.victims(j, view, t.need, model.Production); ok {
+		if runs, cost, ok := r.victims(j, view, p.need, model.Production); ok {
 			choices = append(choices, preemptionChoice{view, cost + fetchIdleCost(r.model, j, view.machine), runs, i})
 		}
 	}
-	unclaimed := r.claimBest(claim{
+	unclaimed := r.claimCheapest(claim{
 		job:         j,
-		need:        t.need,
+		need:        p.need,
 		maxPriority: model.Production,
-		preempt:     !r.isPatient(j),
-		reason:      "room for " + j.Spec.ID,
+		preempt:     !r.preemptionDelayed(j),
+		reason:      "capacity for job " + j.Spec.ID,
 	}, choices)
 	if unclaimed > 0 && !zoneLimited && !j.Spec.Spread && j.Observed.FailedOn == nil {
-		r.infeasible.unpreemptable = append(r.infeasible.unpreemptable, demandShape{kind, t.need})
+		r.infeasible.unpreemptable = append(r.infeasible.unpreemptable, demandShape{key, p.need})
 	}
 	return unclaimed == 0
 }
 
-// claim is room that is to be made for the waiting tasks of a job.
+// claim describes resources to be claimed for the waiting tasks of a job.
 type claim struct {
 	job         *model.Job
 	need        Resources
-	maxPriority model.Priority // of what may be preempted
-	preempt     bool           // false: the room is only claimed, for when it is free
+	maxPriority model.Priority // highest priority that may be preempted
+	preempt     bool           // false: claim the resources without preempting
 	reason      string
 }
 
-// claimBest claims room where it costs least, and preempts what is in the way if it may. It returns for how many
-// tasks there was none.
-func (r *round) claimBest(c claim, choices choiceHeap) int {
+// claimCheapest claims resources where it costs least, and preempts the runs that occupy them if the claim permits it.
+// It returns the number of tasks, up to maxClaims, that nothing was claimed for.
+func (r *round) claimCheapest(c claim, choices choiceHeap) int {
 	j := c.job
 	heap.Init(&choices)
-	inZone := map[int32]int{} // claimed by this job
+	claimedInZone := map[int32]int{} // tasks of this job that a claim was made for, per zone
 	unclaimed := min(j.Waiting(), maxClaims)
 	for unclaimed > 0 && len(choices) > 0 {
 		best := &choices[0]
 		if zone := best.view.machine.Zone; j.Spec.Spread {
-			if in, _ := j.ZoneCount(zone); in+inZone[zone]+1 > (len(j.Tasks)+1)/2 {
+			if placed, _ := j.ZoneCount(zone); placed+claimedInZone[zone]+1 > (len(j.Tasks)+1)/2 {
 				heap.Pop(&choices)
 				continue
 			}
-			inZone[zone]++
+			claimedInZone[zone]++
 		}
 		unclaimed--
 		best.view.claim(c.need)
@@ -175,14 +173,15 @@
 	return unclaimed
 }
 
-// victim is a run that may be preempted.
+// victim is a run that may be preempted, with its preemption cost.
 type victim struct {
 	run  *model.Run
 	cost float64
 }
 
-// victims finds runs of at most a priority whose end makes room on a machine, the least cost first. Up to normal
-// priority these are tasks of arrays: they leave within a moment, and nobody waits for them.
+// victims selects the runs to preempt on a machine so that a task fits, lowest priority and then lowest cost first,
+// among runs up to maxPriority. Up to normal priority only array tasks are selected: they stop quickly and nobody waits
+// for them.
 func (r *round) victims(
 	j *model.Job,
 	view *machineView,
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -9,39 +9,38 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// This file is the order in which jobs are served.
+// This file defines the order in which jobs are served.
 
 const (
-	// maxStartSeconds is the time to start that counts for preemption where no objective sets a tighter one.
+	// maxStartSeconds is the start time limit used to derive the preemption delay if no objective sets a tighter one.
 	maxStartSeconds = 30.0
-	// The part of its time to start that a job waits before others are preempted for it.
-	preemptAfterShare, preemptAfterShareProduction = 0.15, 0.05
+	// The share of its start time limit that a job waits before other work is preempted for it.
+	preemptionDelayShare, productionPreemptionDelayShare = 0.15, 0.05
 )
 
-// startWithin is how soon a job's tasks are to start by the objectives.
+// startWithin returns the time within which tasks of a job must start according to the objectives, in seconds.
 func (p *Params) startWithin(j *model.Job) (float64, bool) {
 	return config.StartWithin(p.Objectives, j.Spec.Class)
 }
 
-// preemptAfter is how long a job may wait for room before others are preempted for it.
-func (p *Params) preemptAfter(j *model.Job) model.Time {
-	best := maxStartSeconds
+// preemptionDelay returns how long a job waits for resources before other work is preempted for it.
+func (p *Params) preemptionDelay(j *model.Job) model.Time {
+	limit := maxStartSeconds
 	if within, ok := p.startWithin(j); ok {
-		best = min(best, within)
+		limit = min(limit, within)
 	}
 	for _, o := range p.Objectives {
 		if o.Kind == "guarantee" && j.Scheduling.Guaranteed {
-			best = min(best, o.WithinS)
+			limit = min(limit, o.WithinS)
 		}
 	}
 	if j.Priority == model.Production {
-		return config.Seconds(best * preemptAfterShareProduction)
+		return config.Seconds(limit * productionPreemptionDelayShare)
 	}
-	return config.Seconds(best * preemptAfterShare)
+	return config.Seconds(limit * preemptionDelayShare)
 }
 
-// tier orders jobs: replicas of production services first, then work within a
-// guarantee, then the rest; inside each by priority.
+// tier ranks jobs: production work first, then work within a guarantee, then the rest, each ordered by priority.
 func tier(j *model.Job) int {
 	t := int(j.Priority)
 	if j.Scheduling.Guaranteed && j.Priority < model.Production {
@@ -52,29 +51,30 @@
 	return t
 }
 
-// isLowArray tells whether a job is a low-priority array, which keeps its team's guarantee for being early only while
-// it is new.
-func isLowArray(j *model.Job) bool {
+// isLowPriorityArray reports whether a job is a low-priority array. Such a job is entitled to its team's guarantee by
+// its submission order only while it is new.
+func isLowPriorityArray(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority == model.Low
 }
 
-// servedShortestFirst tells whether a job is an array that is not urgent. These are served shortest first instead of
-// by turns: when there is more work than room, turns make every job late, and this way most are in time.
+// servedShortestFirst reports whether a job is an array that is not urgent. These are served shortest first instead of
+// round-robin: with more work than capacity, round-robin makes every job late, whereas shortest first completes most of
+// them in time.
 func servedShortestFirst(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority < model.High
 }
 
-// remainingWork is the work of a job that still wants room, in CPU seconds as expected.
-// What is placed already takes none from others.
+// remainingWork returns the expected work of the waiting tasks of a job, in CPU seconds. Tasks that are placed already
+// do not compete for resources and are not counted.
 func remainingWork(m *model.Model, j *model.Job) float64 {
 	return float64(j.Waiting()) * max(1, m.ExpectedSeconds(j)) * max(0.01, j.Spec.CPUs)
 }
 
-// missedObjectives counts the times that the objectives set a job which it can't keep any more, if it were placed
-// now and took as long as is expected. A job that can't keep the last one is served
-// after all that can keep more; one that must begin is served before all.
+// missedObjectives returns how many objectives on its completion a job would miss if it were placed now and ran for the
+// expected time. Jobs that miss fewer objectives are served first. It returns -1 for a job whose start is overdue,
+// which is served before all others.
 func (p *Params) missedObjectives(m *model.Model, j *model.Job, now model.Time) (missed int) {
-	if mustBegin(j, now) {
+	if isStartOverdue(j, now) {
 		return -1
 	}
 	expectedEnd := (now - j.Observed.KnownSince).Seconds() + m.ExpectedSeconds(j)
@@ -89,28 +89,28 @@
 	return missed
 }
 
-// beginDeadline is after how long an array of which nothing has begun goes before the others, whatever its size: the
-// largest ones would be last for as long as smaller ones come.
-const beginDeadline = model.Time(120e9)
+// startDeadline is the waiting time after which an array without any started task is served before the others
+// regardless of its size. Without it the largest arrays would starve while smaller ones keep arriving.
+const startDeadline = model.Time(120e9)
 
-// mustBegin tells whether an array is to begin now: its first task is placed before those of others, and the rest in
-// its turn.
-func mustBegin(j *model.Job, now model.Time) bool {
-	return j.Live+j.Done == 0 && now-j.Observed.KnownSince > beginDeadline && servedShortestFirst(j)
+// isStartOverdue reports whether an array has passed startDeadline without starting. Its first task is then placed
+// before those of other arrays, and the rest in the regular order.
+func isStartOverdue(j *model.Job, now model.Time) bool {
+	return j.Live+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
 }
 
-// queuedJob is a job that wants room, with what its position in the queue follows from.
+// queuedJob is a job with waiting tasks and the sort keys of its queue position.
 type queuedJob struct {
 	job              *model.Job
 	rank             int
 	urgency          urgencyClass
 	shortestFirst    bool
 	missedObjectives int
-	workLeft         float64 // CPU seconds of work, where the smallest goes first
+	remainingWork    float64 // in CPU seconds; less goes first, 0 if the amount does not matter
 }
 
-// markOrder marks what a job's position in the queue follows from.
-func (s *Scheduler) markOrder(m *model.Model, jobs []*model.Job, now model.Time) {
+// updateSortInputs updates the job attributes that determine queue positions.
+func (s *Scheduler) updateSortInputs(m *model.Model, jobs []*model.Job, now model.Time) {
 	MarkGuarantees(m, jobs, now, s.Params.Objectives)
 	cpus := 0.0
 	for _, machine := range m.Order {
@@ -124,7 +124,7 @@
 	}
 }
 
-// queue lists the jobs that want room, in the order in which they are served.
+// queue returns the jobs with waiting tasks that take part in the round, in the order in which they are served.
 func (s *Scheduler) queue(m *model.Model, jobs []*model.Job, now model.Time) []queuedJob {
 	var queue []queuedJob
 	for _, j := range jobs {
@@ -146,12 +146,12 @@
 			j.Scheduling.PendingReason = pending.Reason{Code: pending.Faulty, Count: j.Observed.Errors}
 			continue
 		}
-		e := queuedJob{job: j, rank: j.Scheduling.Rank, shortestFirst: servedShortestFirst(j)}
-		e.urgency, e.workLeft = s.Params.urgencyOf(m, j, now)
-		if e.shortestFirst {
-			e.missedObjectives, e.workLeft = s.Params.missedObjectives(m, j, now), remainingWork(m, j)
+		entry := queuedJob{job: j, rank: j.Scheduling.Rank, shortestFirst: servedShortestFirst(j)}
+		entry.urgency, entry.remainingWork = s.Params.urgencyOf(m, j, now)
+		if entry.shortestFirst {
+			entry.missedObjectives, entry.remainingWork = s.Params.missedObjectives(m, j, now), remainingWork(m, j)
 		}
-		queue = append(queue, e)
+		queue = append(queue, entry)
 	}
 	slices.SortStableFunc(queue, func(a, b queuedJob) int {
 		switch {
@@ -162,16 +162,16 @@
 		case a.missedObjectives != b.missedObjectives:
 			return cmp.Compare(a.missedObjectives, b.missedObjectives)
 		}
-		return cmp.Compare(a.workLeft, b.workLeft)
+		return cmp.Compare(a.remainingWork, b.remainingWork)
 	})
 	return queue
 }
 
-// Waiting lists the jobs with waiting tasks: those that take part in a round, in the order in which
-// they are served, and the rest (paused, or one task at a time after failures).
+// Waiting returns the jobs with waiting tasks: active are those that take part in a round, in the order in which they
+// are served, and rest are the others, for example those backing off after failures.
 func (s *Scheduler) Waiting(m *model.Model, now model.Time) (active, rest []*model.Job) {
 	jobs := m.JobsInOrder()
-	s.markOrder(m, jobs, now)
+	s.updateSortInputs(m, jobs, now)
 	isActive := map[*model.Job]bool{}
 	for _, q := range s.queue(m, jobs, now) {
 		active, isActive[q.job] = append(active, q.job), true
@@ -184,7 +184,8 @@
 	return active, rest
 }
 
-// Ahead lists the jobs that are served before a waiting job, in their order; none if it does not take part.
+// Ahead returns the jobs that are served before a waiting job, in order, or none if the job does not take part in a
+// round.
 func (s *Scheduler) Ahead(m *model.Model, j *model.Job, now model.Time) []*model.Job {
 	active, _ := s.Waiting(m, now)
 	return active[:max(0, slices.Index(active, j))]
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -4,36 +4,36 @@
 	"fieldhill/internal/model"
 )
 
-// epsilon is the least difference of amounts that counts.
+// epsilon is the tolerance when comparing amounts of resources.
 const epsilon = 1e-6
 
-// Resources is what a task takes, or what a machine has.
+// Resources is an amount of resources of a task or machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Plus adds.
+// Plus returns a + b.
 func (a Resources) Plus(b Resources) Resources {
 	return Resources{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemoryGB + b.MemoryGB}
 }
 
-// Minus subtracts.
+// Minus returns a - b.
 func (a Resources) Minus(b Resources) Resources {
 	return Resources{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
-// times is so many of them.
-func (a Resources) times(n float64) Resources {
+// scaled returns a multiplied by n.
+func (a Resources) scaled(n float64) Resources {
 	return Resources{a.CPUs * n, a.GPUs * n, a.MemoryGB * n}
 }
 
-// Contains tells whether b fits into a.
+// Contains reports whether b fits into a.
 func (a Resources) Contains(b Resources) bool {
 	return a.CPUs+epsilon >= b.CPUs && a.GPUs+epsilon >= b.GPUs && a.MemoryGB+epsilon >= b.MemoryGB
 }
 
-// GPUDemand holds what the classes of work that uses GPUs need, as far as they were seen.
+// GPUDemand maps classes of GPU work to the largest task demand seen.
 type GPUDemand map[int32]Resources
 
-// FitsAny tells whether any of it fits a machine.
+// FitsAny reports whether the demand of any class fits on a machine.
 func (g GPUDemand) FitsAny(total Resources) bool {
 	for _, need := range g {
 		if total.Contains(need) {
@@ -43,7 +43,7 @@
 	return false
 }
 
-// BlockedBy tells whether some of it would fit a machine, but not beside what stays there.
+// BlockedBy reports whether the demand of some class fits on an empty machine but not beside the work that stays there.
 func (g GPUDemand) BlockedBy(total, staying Resources) bool {
 	for _, need := range g {
 		if total.Contains(need) && !total.Minus(staying).Contains(need) {
@@ -53,29 +53,29 @@
 	return false
 }
 
-// TaskDemand is what a task of a job takes.
+// TaskDemand returns the resources that a task of a job takes.
 func TaskDemand(j *model.Job) Resources { return Resources{j.Spec.CPUs, j.Spec.GPUs, j.Spec.MemoryGB} }
 
-// TypeCapacity is what an empty machine of a type has.
+// TypeCapacity returns the resources of an empty machine of a type.
 func TypeCapacity(t *model.Type) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// MachineCapacity is what a machine has.
+// MachineCapacity returns the total resources of a machine.
 func MachineCapacity(m *model.Model, machine *model.Machine) Resources {
 	return TypeCapacity(m.TypeOf(machine))
 }
 
-// used is what the tasks on a machine take.
+// used returns the resources taken by the tasks on a machine.
 func used(machine *model.Machine) Resources {
 	return Resources{machine.CPUs, machine.GPUs, machine.Mem}
 }
 
-// Reserved is what services without GPUs take of a machine.
+// Reserved returns the resources taken by services without GPUs on a machine.
 func Reserved(machine *model.Machine) Resources {
 	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
 }
 
-// MovableWork looks at what on a machine may run in another zone once it is gone: whether any of it is urgent, so
-// that room is made for it, and how much the rest needs.
+// MovableWork summarizes the work on a machine that could run in another zone if the machine were lost: whether any of
+// it is urgent, so that other work is preempted for it, and the demand of the low-priority rest.
 func MovableWork(machine *model.Machine) (urgent bool, low Resources) {
 	for _, r := range machine.Runs {
 		switch {
@@ -89,7 +89,7 @@
 	return urgent, low
 }
 
-// FreeOutsideZone is what machines outside a zone have free for new work.
+// FreeOutsideZone returns the resources that are free for new work on machines outside a zone.
 func FreeOutsideZone(m *model.Model, zone int32) (free Resources) {
 	for _, machine := range m.Order {
 		if machine.Zone != zone && machine.IsUsable() {
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -5,50 +5,50 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// round is what holds for the round at hand.
+// round is the state of one scheduling round.
 type round struct {
 	params     *Params
 	directives *Directives
 	gpuDemand  GPUDemand
 	model      *model.Model
 	now        model.Time
-	tick       bool // a DAD round has passed
+	tick       bool // a DAD round interval has passed
 	binder     Binder
 
-	machines            []machineView // the machines that may be given work
-	freeServiceCPUs     float64       // free CPUs where services go: ordinary machines without GPUs
-	maxServiceCPUs      float64       // the most CPUs that a service task takes
+	machines            []machineView // the machines available for placement
+	freeServiceCPUs     float64       // free CPUs on on-demand machines without GPUs
+	maxServiceCPUs      float64       // the largest CPU demand of a service task
 	quota               teamQuota
 	infeasible          infeasible
-	partialGangHeld     bool // a gang claims room that is too little for it
+	partialGangClaimed  bool // a gang holds claims that do not suffice for all its members
 	lowPriorityPlaced   int
 	lowPriorityDeferred bool
-	examined            int // machines looked at
+	examined            int // number of machine checks
 
-	searchEveryGang bool // infeasible gangs are not remembered; for tests
+	searchEveryGang bool // for tests: do not skip gangs known to be infeasible
 
-	// Lists that are used again from search to search.
+	// Buffers reused across searches.
 	victimPool     []victim
 	teamVictimPool []victim
 }
 
-// machineView is a machine that may be given work, as this round sees it.
+// machineView is a machine available for placement, with its state in this round.
 type machineView struct {
 	machine             *model.Machine
 	capacity            Resources
-	claimed             Resources // for waiting urgent work
-	stopping            Resources // what preempted tasks will leave
-	stoppingKnown       bool      // stopping is up to date
-	reservedForServices Resources // for a replica that is to move there
+	claimed             Resources // resources claimed for other waiting work
+	stopping            Resources // resources that preempted tasks are about to release
+	stoppingKnown       bool      // stopping has been computed
+	reservedForServices Resources // resources reserved for a replica that is to move there
 }
 
-// begin lists the machines of a round, and forgets what held for the last one.
-func (r *round) begin(jobs []*model.Job, reservations map[*model.Machine]reservation) {
+// reset prepares the state for a new round and lists the available machines.
+func (r *round) reset(jobs []*model.Job, reservations map[*model.Machine]reservation) {
 	r.machines = r.machines[:0]
 	r.freeServiceCPUs = 0
-	r.quota.begin(len(r.model.Teams))
-	r.infeasible.begin()
-	r.partialGangHeld = false
+	r.quota.reset(len(r.model.Teams))
+	r.infeasible.reset()
+	r.partialGangClaimed = false
 	r.lowPriorityPlaced = 0
 	r.lowPriorityDeferred = false
 	r.examined = 0
@@ -74,7 +74,7 @@
 	}
 }
 
-// mayUse tells whether a job may use a machine at all.
+// mayUse reports whether a job is eligible for a machine, regardless of free resources.
 func (r *round) mayUse(j *model.Job, view *machineView, need Resources) bool {
 	r.examined++
 	machine := view.machine
@@ -83,12 +83,12 @@
 		(j.Kind == model.Service || !machine.ServicesOnly(r.now))
 }
 
-// serviceAllowed tells whether a service may go to a machine, see Directives.
+// serviceAllowed reports whether a service may use a machine, see Directives.serviceAllowed.
 func (r *round) serviceAllowed(j *model.Job, view *machineView) bool {
 	return r.directives.serviceAllowed(j, view.machine, view.capacity, r.gpuDemand)
 }
 
-// stoppingResources is what tasks that are being preempted will leave.
+// stoppingResources returns the resources of tasks that are being preempted.
 func (view *machineView) stoppingResources() Resources {
 	if !view.stoppingKnown {
 		view.stoppingKnown, view.stopping = true, Resources{}
@@ -101,19 +101,19 @@
 	return view.stopping
 }
 
-// claim keeps resources of the machine for work that waits for them, in this round.
+// claim reserves resources of the machine for waiting work until the end of the round.
 func (view *machineView) claim(need Resources) { view.claimed = view.claimed.Plus(need) }
 
-// unclaimedWithoutServices is what the machine has beside its services and what is claimed.
+// unclaimedWithoutServices returns the capacity that is neither used by services nor claimed.
 func (view *machineView) unclaimedWithoutServices() Resources {
 	return view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed)
 }
 
-// maxExpectedServices bounds for how many expected services a machine's resources are left free.
+// maxExpectedServices limits the number of expected services for which a machine keeps CPUs free.
 const maxExpectedServices = 3
 
-// hasResources tells whether a task may take resources of a machine now: free, not claimed
-// for more urgent work, and not what services are to find free.
+// hasResources reports whether a machine has resources for a task now: free, not claimed for more urgent work, and not
+// kept free for services.
 func (r *round) hasResources(j *model.Job, view *machineView, need Resources) bool {
 	machine, total := view.machine, view.capacity
 	free := total.Minus(used(machine))
@@ -135,7 +135,7 @@
 		return false
 	}
 	if k := r.directives.ServiceSlots[machine]; k > 0 && j.Kind != model.Service && j.Spec.GPUs == 0 {
-		// Where services are expected, other work leaves some of their room free.
+		// Other work leaves CPUs free for the services expected on this machine.
 		if total.CPUs-machine.CPUs-need.CPUs < float64(min(k, maxExpectedServices))*r.maxServiceCPUs {
 			return false
 		}
@@ -143,17 +143,16 @@
 	return r.serviceAllowed(j, view)
 }
 
-// blocksGPUWork tells whether a gang that uses GPUs would not fit beside the services
-// of a machine, with the job's task or without it.
-func (r *round) blocksGPUWork(j *model.Job, view *machineView, with bool) bool {
+// blocksGPUWork reports whether the services on a machine prevent some GPU work from fitting, optionally counting one
+// more task of the job.
+func (r *round) blocksGPUWork(j *model.Job, view *machineView, includeTask bool) bool {
 	reserved := Reserved(view.machine)
-	if with {
+	if includeTask {
 		reserved = reserved.Plus(TaskDemand(j))
 	}
 	return r.gpuDemand.BlockedBy(view.capacity, reserved)
 }
 
-// bind places a task.
 func (r *round) bind(j *model.Job, view *machineView, task int32, attempt uint32, score float64) {
 	j.Scheduling.PendingReason = pending.Reason{}
 	r.binder.Bind(j, task, attempt, view.machine, score)
@@ -165,10 +164,10 @@
 	}
 }
 
-// isPatient tells whether a job still waits before others are preempted for it.
-func (r *round) isPatient(j *model.Job) bool {
-	return r.directives.AwaitingHeartbeats || r.now-j.Observed.KnownSince < r.params.preemptAfter(j)
+// preemptionDelayed reports whether it is too early to preempt other work for a job.
+func (r *round) preemptionDelayed(j *model.Job) bool {
+	return r.directives.AwaitingHeartbeats || r.now-j.Observed.KnownSince < r.params.preemptionDelay(j)
 }
 
-// isRemote tells whether a place is not local in the sense of DAD, load apart.
+// isRemote reports whether a locality value alone, without load, is not below the DAD threshold.
 func (r *round) isRemote(locality float64) bool { return locality*r.params.Beta >= r.params.Threshold }
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -1,11 +1,10 @@
-// Package scheduler decides what runs where. The ordinary path is DAD, data-aware
-// task dispatching (Li and Tatebe): the free machine with the lowest score takes
-// the task, and a task may wait some rounds for a busy machine that has its
-// image. Around it is what the paper does not treat: order among jobs, gangs,
-// quotas, headroom for urgent work, and preemption.
+// Package scheduler assigns tasks to machines. The core algorithm is DAD, data-aware task dispatching (Li and Tatebe):
+// a task is placed on the free machine with the lowest score, and may wait a bounded number of rounds for a busy
+// machine that already has its image. The package extends the paper with job ordering, gang scheduling, team quotas,
+// headroom for urgent work, and preemption.
 //
-// The package is pure: it reads the model and calls a Binder for each decision;
-// the Binder applies a placement to the model before it returns.
+// The package is pure: it reads the model and calls a Binder for each decision. The Binder must apply a placement to
+// the model before it returns.
 package scheduler
 
 import (
@@ -17,66 +16,68 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// Params are the parameters of DAD and the site's objectives.
+// Params holds the DAD parameters and the objectives of the site.
 type Params struct {
-	Beta       float64 // weight of locality against load
-	Threshold  float64 // scores below it count as local
-	WaitRounds int     // rounds that a task may wait for a busy local machine
+	Beta       float64 // weight of locality relative to load
+	Threshold  float64 // a machine with a lower score is local
+	WaitRounds int     // maximum number of rounds to wait for a busy local machine
 	Objectives []config.Objective
 }
 
-// Directives are what the leader has the scheduler respect until it changes them.
+// Directives are constraints that the leader sets. They apply until it changes them.
 type Directives struct {
-	// ServiceHeadroom is how many CPUs tasks of low urgency leave free for services
-	// that must start at once.
+	// ServiceHeadroom is the number of CPUs that tasks below production priority leave free for services that must
+	// start immediately.
 	ServiceHeadroom float64
 
-	// ServiceSlots are machines with GPUs that services may take, and how many tasks. Each one that is placed takes one
-	// of them.
+	// ServiceSlots maps machines with GPUs that services may use to the number of service tasks each may still take. A
+	// placement uses up one slot.
 	ServiceSlots map[*model.Machine]int
 
-	// LowPriorityAllowed are the machines with GPUs that low-priority work may use.
+	// LowPriorityAllowed is the set of machines with GPUs that low-priority work without GPUs may use.
 	LowPriorityAllowed map[*model.Machine]bool
 
-	// LowPriorityLimit bounds the low-priority tasks placed in a round; 0: any number.
+	// LowPriorityLimit is the maximum number of low-priority tasks placed in a round; 0 means no limit.
 	LowPriorityLimit int
 
-	// AwaitingHeartbeats says that not all machines with work have reported yet. Only what is urgent and finds its
-	// image on one that has is placed, and nothing is preempted.
+	// AwaitingHeartbeats is set while some machines with running work have not reported to this leader yet. Only urgent
+	// work whose image is on a machine that has reported is placed, and nothing is preempted.
 	AwaitingHeartbeats bool
 
-	// OnlyJob is the one job that is served, nil: all. It is for rounds on copies.
+	// OnlyJob restricts the round to a single job; nil means all jobs. It is used for dry runs on a copy of the model.
 	OnlyJob *model.Job
 
-	// DrainTarget is a machine whose replicas are to move, or nil.
+	// DrainTarget is the machine whose replicas are moved elsewhere, or nil.
 	DrainTarget *model.Machine
 }
 
-// Binder carries out decisions.
+// Binder executes scheduling decisions.
 type Binder interface {
-	// Bind places a task. The model has it when Bind returns.
+	// Bind places a task. It applies the placement to the model before it returns.
 	Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64)
-	// Preempt has a run stop; hard: without saving a checkpoint.
+	// Preempt stops a run; hard means without saving a checkpoint. If the preemption makes room for a job, the reason
+	// ends with a space and the ID of that job, which dry runs match.
 	Preempt(r *model.Run, hard bool, reason string)
 }
 
-// Scheduler holds what lasts from round to round.
+// Scheduler holds the state that is kept between rounds.
 type Scheduler struct {
 	Params Params
 	Directives
 
-	// LowPriorityDeferred says that the last round left low-priority tasks for the next one because of their limit.
+	// LowPriorityDeferred is set if the last round left work for the next one: low-priority tasks beyond
+	// LowPriorityLimit, or the rest of an array whose first task was placed because its start was overdue.
 	LowPriorityDeferred bool
-	// Examined counts the machines that the last round looked at, for tests of what a round costs.
+	// Examined is the number of machine checks in the last round. Tests use it to bound the cost of a round.
 	Examined int
 
 	minimumShare minimumShare
-	gpuDemand    GPUDemand // the largest need seen of each class
+	gpuDemand    GPUDemand // the largest demand seen per class
 	moves        moves
-	round        round // the last one; its lists are used again
+	round        round // state of the latest round; its slices are reused
 }
 
-// New makes a scheduler.
+// New creates a scheduler.
 func New(p Params) *Scheduler {
 	return &Scheduler{
 		Params:    p,
@@ -85,17 +86,17 @@
 	}
 }
 
-// Round places what can be placed. With tick, a DAD round has passed, and what
-// waits for a busy local machine has waited one more.
+// Round runs one scheduling round. tick tells that a DAD round interval has passed, so that jobs waiting for a busy
+// local machine have waited one more round.
 func (s *Scheduler) Round(m *model.Model, now model.Time, tick bool, binder Binder) {
 	jobs := m.JobsInOrder()
-	s.markOrder(m, jobs, now)
+	s.updateSortInputs(m, jobs, now)
 	s.observeGPUDemand(jobs)
 	r := &s.round
 	r.params, r.directives, r.gpuDemand = &s.Params, &s.Directives, s.gpuDemand
 	r.model, r.now, r.tick, r.binder = m, now, tick, binder
 	s.moves.expireReservations(now)
-	r.begin(jobs, s.moves.reservations)
+	r.reset(jobs, s.moves.reservations)
 	r.placeAll(s.queue(m, jobs, now))
 	if !s.AwaitingHeartbeats {
 		s.moves.evacuate(r)
@@ -107,7 +108,7 @@
 	s.LowPriorityDeferred, s.Examined = r.lowPriorityDeferred, r.examined
 }
 
-// observeGPUDemand notes the largest need of each class that uses GPUs.
+// observeGPUDemand updates the largest demand seen for each class that uses GPUs.
 func (s *Scheduler) observeGPUDemand(jobs []*model.Job) {
 	for _, j := range jobs {
 		if j.Spec.GPUs > 0 {
@@ -121,8 +122,8 @@
 	}
 }
 
-// DryRunCopy is a scheduler for a round on a copy of a model, whose machines it finds by number: it
-// decides what this one would, and changes nothing of it.
+// DryRunCopy returns a scheduler for a dry run on m, a copy of the model; machines are matched by ID. The copy makes
+// the same decisions as s and shares no state with it.
 func (s *Scheduler) DryRunCopy(m *model.Model) *Scheduler {
 	copied := New(s.Params)
 	copied.gpuDemand = maps.Clone(s.gpuDemand)
@@ -144,19 +145,18 @@
 	return copied
 }
 
-// TeamReason says how n more tasks of a job compare with their team's limit.
+// TeamReason returns the pending reason for n more tasks of a job with respect to the limit of its team.
 func (s *Scheduler) TeamReason(j *model.Job, n int) pending.Reason { return s.round.quota.reason(j, n) }
 
-// ServiceAllowedOn tells whether a service may go to a machine as far as work that uses GPUs is
-// concerned; everything else may.
+// ServiceAllowedOn reports whether the reservation of machines for GPU work permits a job on a machine. Only services
+// without GPUs are restricted.
 func (s *Scheduler) ServiceAllowedOn(m *model.Model, j *model.Job, machine *model.Machine) bool {
 	return s.serviceAllowed(j, machine, MachineCapacity(m, machine), s.gpuDemand)
 }
 
-// serviceAllowed tells whether a service may go to a machine. A service stays for
-// long: it would take what a gang needs, and keep an expensive machine from being
-// released. It goes to a machine that gangs use only as far as the autoscaler found
-// no other room for services.
+// serviceAllowed reports whether a service may use a machine. A service is long-lived: on a GPU machine it would take
+// resources that a gang needs and keep an expensive machine from being released. It may use a machine that fits GPU
+// work only where the autoscaler granted slots because services have no capacity elsewhere.
 func (d *Directives) serviceAllowed(j *model.Job, machine *model.Machine, capacity Resources, gpus GPUDemand) bool {
 	return j.Kind != model.Service || j.Spec.GPUs > 0 || capacity.GPUs == 0 || d.ServiceSlots[machine] > 0 ||
 		!gpus.FitsAny(capacity)
--- a/internal/scheduling/scheduler/score.go
+++ b/internal/scheduling/scheduler/score.go
@@ -4,30 +4,30 @@
 	"fieldhill/internal/model"
 )
 
-// This file is the paper's score and what was added to it.
+// This file implements the score of the DAD paper and its extensions.
 
 const (
-	// fetchingPresence is the part of an image that counts as present while it is being fetched.
-	fetchingPresence = 0.7
-	// worstFetchSeconds is the time to fetch an image that adds the most to a machine's locality.
-	worstFetchSeconds = 60
+	// fetchingPresentShare is the share of an image that counts as present while it is being fetched.
+	fetchingPresentShare = 0.7
+	// maxFetchSeconds is the fetch time at which the locality penalty for a missing image reaches its maximum.
+	maxFetchSeconds = 60
 
-	// Penalties for a machine with GPUs where a task needs none: usually, where no work needs them and the task would
-	// be late elsewhere, and where it would take the machine from the last gang that fits.
+	// Penalties for tasks without GPUs on a machine with GPUs: in general, where no work needs the GPUs and the task
+	// would be late elsewhere, and where the task would prevent GPU work from fitting.
 	gpuPenalty, unneededGPUPenalty, blockedGangPenalty = 2, 0.5, 4
 )
 
-// fileLocality is the paper's measure for one image, with the design's guard
-// against zero: about 0 when the image is there, about 1 when it is not.
+// fileLocality is the locality measure of the paper for one image: about 0 if the image is present, about 1 if it is
+// not. The 1 added to the size avoids a division by zero.
 func fileLocality(presentBytes, totalBytes float64) float64 {
 	missing := totalBytes - presentBytes
 	return (missing-presentBytes)/(2*(totalBytes+1)) + 0.5
 }
 
-// locality extends the paper's measure: an image that is being fetched counts as mostly there (it stays below the
-// threshold on a loaded machine too), and a missing one is worse the longer its fetch will take with the fetches that
-// share the line. Without it, tasks of a burst that needs one image wait for busy holders and then pile their fetches
-// on the idlest machines.
+// locality extends the measure of the paper. An image that is being fetched counts as mostly present, so that it stays
+// below the threshold on a loaded machine too. A missing image is worse the longer its fetch takes, including the
+// fetches that share the connection. Without this, a burst of tasks with the same image waits for busy machines that
+// have it and then starts all its fetches on the least loaded machines.
 func locality(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	size := j.Spec.ImageGB * 1e9
 	if machine.HasImage(j.Image) {
@@ -35,16 +35,16 @@
 	}
 	fetching, backlogGB := machine.FetchBacklog(j.Image)
 	if fetching {
-		return fileLocality(fetchingPresence*size, size)
+		return fileLocality(fetchingPresentShare*size, size)
 	}
 	value := fileLocality(0, size)
 	if rate := m.TypeOf(machine).FetchGBPerS; rate > 0 {
-		value += min(1, (backlogGB+j.Spec.ImageGB)/rate/worstFetchSeconds)
+		value += min(1, (backlogGB+j.Spec.ImageGB)/rate/maxFetchSeconds)
 	}
 	return value
 }
 
-// load is the part of a machine's CPUs that is taken.
+// load returns the fraction of the CPUs of a machine that is in use.
 func load(m *model.Model, machine *model.Machine) float64 {
 	t := m.TypeOf(machine)
 	if t.CPUs <= 0 {
@@ -53,43 +53,42 @@
 	return min(1, machine.CPUs/t.CPUs)
 }
 
-// score is the paper's: locality weighed against load.
+// score weighs locality against load as in the paper.
 func (p *Params) score(locality, load float64) float64 {
 	return locality*p.Beta + load*(1-p.Beta)
 }
 
-// scoreOn is the paper's score of a machine for a job.
+// scoreOn returns the score of a machine for a job, without penalties.
 func (r *round) scoreOn(j *model.Job, machine *model.Machine) float64 {
 	return r.params.score(locality(r.model, j, machine), load(r.model, machine))
 }
 
-// gpuMismatchPenalty makes machines with GPUs the last choice for work that uses none.
+// gpuMismatchPenalty makes machines with GPUs the last choice for work without GPUs.
 func (r *round) gpuMismatchPenalty(j *model.Job, view *machineView) float64 {
 	if j.Spec.GPUs > 0 || view.capacity.GPUs == 0 {
 		return 0
 	}
 	if j.Kind == model.Service && r.blocksGPUWork(j, view, true) && !r.blocksGPUWork(j, view, false) {
-		return blockedGangPenalty // better one that no gang fits any more
+		return blockedGangPenalty // prefer a machine that is blocked for GPU work already
 	}
 	if j.Kind == model.Service && view.machine.HasImage(j.Image) && !r.gpuDemand.FitsAny(view.capacity) &&
 		r.fetchTooLate(j, view.machine) {
-		// No work needs its GPUs, and elsewhere the service would be late. Low-priority work
-		// used to make room here, for which the service then did not come.
+		// No work needs the GPUs, and elsewhere the service would be late. Without the lower penalty, low-priority work
+		// was preempted here for a service that was then placed elsewhere.
 		return unneededGPUPenalty
 	}
 	return gpuPenalty
 }
 
-// fetchTooLate tells whether a job's tasks start later than they are to if a machine has
-// to fetch their image.
+// fetchTooLate reports whether fetching the image on a machine would take longer than the start time limit of a job.
 func (r *round) fetchTooLate(j *model.Job, machine *model.Machine) bool {
 	within, ok := r.params.startWithin(j)
 	rate := r.model.TypeOf(machine).FetchGBPerS
 	return ok && rate > 0 && j.Spec.ImageGB/rate > within
 }
 
-// fetchSeconds is how many seconds a machine takes to have a job's image, with the fetches that share the line; 0: it
-// has it.
+// fetchSeconds returns the time until a machine has the image of a job, in seconds, including the fetches that share
+// the connection; 0 if the image is present.
 func fetchSeconds(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	rate := m.TypeOf(machine).FetchGBPerS
 	if rate <= 0 || machine.HasImage(j.Image) {
@@ -102,9 +101,9 @@
 	return backlogGB / rate
 }
 
-// fetchIdleCost is what a task of a job costs, in CPU seconds, while its machine fetches its image: its resources are
-// taken and it does nothing. It is added to the cost of preempting others, so that room is made where the image is
-// unless that undoes more than the fetch takes.
+// fetchIdleCost returns the cost of a task occupying resources while its image is fetched, in CPU seconds. It is added
+// to the preemption cost, so that work is preempted on machines that have the image unless that loses more than the
+// fetch takes.
 func fetchIdleCost(m *model.Model, j *model.Job, machine *model.Machine) float64 {
 	return fetchSeconds(m, j, machine) * max(j.Spec.CPUs, minCostCPUs)
 }
--- a/internal/scheduling/scheduler/team_quota.go
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -8,17 +8,17 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// teamQuota is what of each team's limit is reserved, in this round, for its waiting urgent work.
+// teamQuota tracks how much of each team's limit is reserved in this round for its waiting urgent work.
 type teamQuota struct {
-	reserved []Resources // by the team's index
+	reserved []Resources // by team index
 }
 
-func (q *teamQuota) begin(teams int) {
+func (q *teamQuota) reset(teams int) {
 	q.reserved = append(q.reserved[:0], make([]Resources, teams)...)
 }
 
-// allows tells whether n more tasks keep the team's limit, and what of it is
-// reserved for the team's more urgent work.
+// allows reports whether n more tasks of a job stay within the team limit, less what is reserved for the team's more
+// urgent work.
 func (q *teamQuota) allows(j *model.Job, n int) bool {
 	t := j.Team
 	if t == nil || !j.TeamLimitAllows(n) {
@@ -31,14 +31,14 @@
 			t.UsedGPUs+reserved.GPUs+spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
 }
 
-// reserve reserves the part of the limit that n tasks of a job take.
+// reserve reserves the share of the team limit that n tasks of a job take.
 func (q *teamQuota) reserve(j *model.Job, n int) {
 	reserved := &q.reserved[j.Team.Index]
 	*reserved = reserved.Plus(Resources{CPUs: j.Spec.CPUs * float64(n), GPUs: j.Spec.GPUs * float64(n)})
 }
 
-// shortfall is by how much n tasks of a job are over their team's limit, beside what is
-// reserved for more urgent work.
+// shortfall returns by how much n tasks of a job would exceed the team limit, less what is reserved for more urgent
+// work. Negative values are spare.
 func (q *teamQuota) shortfall(j *model.Job, n int) (cpus, gpus float64) {
 	t, reserved := j.Team, q.reserved[j.Team.Index]
 	if t.CPUsMax > 0 {
@@ -50,7 +50,7 @@
 	return cpus, gpus
 }
 
-// reason says how n more tasks of a job compare with their team's limit.
+// reason returns the pending reason for n more tasks of a job with respect to the team limit.
 func (q *teamQuota) reason(j *model.Job, n int) pending.Reason {
 	t, reserved := j.Team, Resources{}
 	if t == nil {
@@ -72,29 +72,29 @@
 	return reason
 }
 
-// mayPreemptInTeam tells whether a run may be preempted for a job of its own team that finds
-// their limit in the way. What is served before the job would be placed again before
-// it, and preempted again, round after round: a gang that was behind its team's
-// guaranteed arrays once had 147,000 tasks preempted and never started.
+// mayPreemptInTeam reports whether a run may be preempted for a job of the same team that exceeds the team limit. The
+// run must have a lower rank, because otherwise it would be placed again before the job and preempted again, round
+// after round: a gang ranked below the guaranteed arrays of its team once caused 147,000 preemptions without ever
+// starting.
 func mayPreemptInTeam(run *model.Run, j *model.Job) bool {
 	return run.Job.Priority < j.Priority && run.Job.Kind != model.Service &&
 		run.Job.Scheduling.Rank < j.Scheduling.Rank
 }
 
-// teamShortfall is what is in the way of a job at its team's limit: by how much the team
-// is over it once all that is being preempted has left, and the runs that may be preempted.
+// teamShortfall is what keeps a job out of its team limit: the excess that remains once all stopping tasks have ended,
+// and the runs that may be preempted.
 type teamShortfall struct {
 	cpus, gpus float64
 	pool       []victim
 }
 
-// without is the shortfall once a task of a job has left.
-func (t *teamShortfall) without(j *model.Job) {
+// subtract reduces the shortfall by a task of a job that ends.
+func (t *teamShortfall) subtract(j *model.Job) {
 	t.cpus, t.gpus = t.cpus-j.Spec.CPUs, t.gpus-j.Spec.GPUs
 }
 
-// teamPreemption looks through the runs of a job's team, and tells whether its limit would hold
-// n tasks of the job once its less urgent work has left.
+// teamPreemption computes the shortfall for n tasks of a job, and reports whether they would be within the team limit
+// once all less urgent work of the team is preempted.
 func (r *round) teamPreemption(j *model.Job, n int) (shortfall teamShortfall, feasible bool) {
 	if j.Team == nil || j.Priority == model.Low || j.Observed.Faulty {
 		return shortfall, false
@@ -109,7 +109,7 @@
 			}
 			switch {
 			case !run.IsWanted():
-				shortfall.without(run.Job)
+				shortfall.subtract(run.Job)
 			case mayPreemptInTeam(run, j):
 				shortfall.pool = append(shortfall.pool, victim{run, preemptionCost(run, r.now)})
 			default:
@@ -122,16 +122,16 @@
 	return shortfall, cpus <= epsilon && gpus <= epsilon
 }
 
-// preemptInTeam preempts less urgent work of the job's own team when the team's limit
-// is in the way, and reserves what that leaves of the limit for the job.
+// preemptInTeam reserves the team limit for n tasks of a job, and preempts less urgent work of the team to get within
+// it once the job has waited for its preemption delay.
 func (r *round) preemptInTeam(j *model.Job, n int, shortfall teamShortfall) {
 	r.quota.reserve(j, n)
-	if r.isPatient(j) {
+	if r.preemptionDelayed(j) {
 		return
 	}
 	for _, v := range shortfall.pool {
-		if !v.run.IsWanted() { // preempted since, for room on its machine
-			shortfall.without(v.run.Job)
+		if !v.run.IsWanted() { // preempted in the meantime, for resources on its machine
+			shortfall.subtract(v.run.Job)
 		}
 	}
 	slices.SortStableFunc(shortfall.pool, func(a, b victim) int { return cmp.Compare(a.cost, b.cost) })
@@ -144,7 +144,7 @@
 			shortfall.cpus <= epsilon && spec.GPUs == 0 {
 			continue
 		}
-		shortfall.without(v.run.Job)
+		shortfall.subtract(v.run.Job)
 		r.binder.Preempt(v.run, false, "team quota, for job "+j.Spec.ID)
 	}
 }
