--- a/internal/scheduling/admission/admission_test.go
+++ b/internal/scheduling/admission/admission_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestGate: a burst, in which some wait and others do not, closes nothing; a standing queue does, for longer
-// pauses the longer it lasts; once it is gone, or nothing is asked any more, new work is taken again.
+// TestGate checks that a burst in which only some work is delayed does not close the gate, that a standing queue does,
+// with longer retry-after times the longer it lasts, and that the gate opens again once the queue is gone or no work
+// arrives.
 func TestGate(t *testing.T) {
 	var g Gate
 	now := Time(0)
@@ -19,7 +20,7 @@
 	expectAdmit := func(want bool, retry time.Duration) {
 		t.Helper()
 		if retryAfter, ok := g.Admit(now); ok != want || retryAfter != retry {
-			t.Errorf("at %v: %v, retry after %v; want %v, %v", now, ok, retryAfter, want, retry)
+			t.Errorf("at %v: admitted %v, retry after %v; want %v, %v", now, ok, retryAfter, want, retry)
 		}
 	}
 	expectAdmit(true, 0)
@@ -39,7 +40,7 @@
 	runSecond(time.Second, time.Second)
 	runSecond(time.Second, time.Second)
 	now += 2 * Interval
-	expectAdmit(false, 2*time.Second) // what waited last waited too long
+	expectAdmit(false, 2*time.Second) // the last observed interval was late
 	now += 2 * Interval
 	expectAdmit(true, 0)
 }
--- a/internal/scheduling/pending/golden_test.go
+++ b/internal/scheduling/pending/golden_test.go
@@ -10,14 +10,14 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenCodes: programs look for the codes' names, and people for their sentences.
+// TestGoldenCodes checks the names and sentences of the codes, which programs and people rely on.
 func TestGoldenCodes(t *testing.T) {
 	var lines []string
 	for c := range numCodes {
 		r := Reason{Code: c}
 		lines = append(lines, fmt.Sprintf("%s: %s\n", c, r.Summary()))
 		if found, ok := ParseCode(c.String()); !ok || found != c {
-			t.Errorf("%s is found as %s, %v", c, found, ok)
+			t.Errorf("ParseCode(%q) = %s, %v", c.String(), found, ok)
 		}
 	}
 	slices.Sort(lines)
--- a/internal/scheduling/pending/reason_test.go
+++ b/internal/scheduling/pending/reason_test.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// TestCodesHaveText: every code has a name of its own and a sentence, since programs and
-// operators look for them.
+// TestCodesHaveText checks that every code has a unique name and a sentence.
 func TestCodesHaveText(t *testing.T) {
 	names := map[string]Code{}
 	for c := range numCodes {
 		if texts[c].name == "" || texts[c].sentence == "" {
-			t.Errorf("code %d has no name or no sentence", c)
+			t.Errorf("code %d has no name or sentence", c)
 		}
 		if other, ok := names[c.String()]; ok {
-			t.Errorf("codes %d and %d are both called %s", other, c, c)
+			t.Errorf("codes %d and %d share the name %s", other, c, c)
 		}
 		names[c.String()] = c
 	}
@@ -30,6 +29,6 @@
 	}
 	want := "its team's limit: 3, 4 GPUs needed, 62 of 64 in use, first req-000007, for 1.5s"
 	if text := r.String(); text != want {
-		t.Errorf("%q, not %q", text, want)
+		t.Errorf("got %q, want %q", text, want)
 	}
 }
--- a/internal/scheduling/scheduler/moves_test.go
+++ b/internal/scheduling/scheduler/moves_test.go
@@ -8,13 +8,13 @@
 	"fieldhill/wire"
 )
 
-// TestEvacuationReachesAll: replicas on machines that are to go which find no room keep nobody from theirs, however
-// many they are, each on a machine of its own or all on one.
+// TestEvacuationReachesAll checks that replicas that fit on no other machine do not block the evacuation of others,
+// however many there are, whether they run on separate machines or all on one.
 func TestEvacuationReachesAll(t *testing.T) {
-	t.Run("each on its own", func(t *testing.T) { testEvacuationReachesAll(t, func(i int) int { return i }) })
-	t.Run("a machine of many", func(t *testing.T) {
+	t.Run("separate machines", func(t *testing.T) { testEvacuationReachesAll(t, func(i int) int { return i }) })
+	t.Run("one machine", func(t *testing.T) {
 		testEvacuationReachesAll(t, func(i int) int {
-			if i < stuckReplicas {
+			if i < immovableReplicas {
 				return 0
 			}
 			return i
@@ -22,41 +22,41 @@
 	})
 }
 
-// stuckReplicas have no room elsewhere, movableReplicas have.
-const stuckReplicas, movableReplicas = 40, 60
+// immovableReplicas do not fit on any other machine, movableReplicas do.
+const immovableReplicas, movableReplicas = 40, 60
 
 func testEvacuationReachesAll(t *testing.T, machineOf func(i int) int) {
-	const replicas = stuckReplicas + movableReplicas
-	w := newEnvironment(t, 2*replicas)
-	for _, machine := range w.model.Order[:replicas] {
+	const replicas = immovableReplicas + movableReplicas
+	env := newEnvironment(t, 2*replicas)
+	for _, machine := range env.model.Order[:replicas] {
 		machine.Lifecycle.PreemptionAt = 1
 	}
 	run := func(n uint64, machine *model.Machine, cpus float64) {
-		w.submit(n, func(s *wire.JobSpec) {
+		env.submit(n, func(s *wire.JobSpec) {
 			s.Shape, s.Priority, s.CPUs, s.Team, s.Spot = wire.Service, wire.Production, cpus, "guest", true
 		})
-		w.place(model.JobID(n), 0, machine)
+		env.place(model.JobID(n), 0, machine)
 		machine.Runs[len(machine.Runs)-1].Phase = model.Running
 	}
 	for i := range replicas {
 		cpus := 1.0
-		if i < stuckReplicas {
+		if i < immovableReplicas {
 			cpus = 4
 		}
-		run(uint64(1+i), w.model.Order[machineOf(i)], cpus)
-		run(uint64(1001+i), w.model.Order[replicas+i], 1) // there is room for one more, not for four
+		run(uint64(1+i), env.model.Order[machineOf(i)], cpus)
+		run(uint64(1001+i), env.model.Order[replicas+i], 1) // leaves 3 of 4 CPUs free
 	}
 	s := New(Params{})
 	for round := range 4 {
-		s.Round(w.model, model.Time(1e9)*model.Time(round+1), false, w)
+		s.Round(env.model, model.Time(1e9)*model.Time(round+1), false, env)
 	}
 	for i := range replicas {
-		moved := slices.Contains(w.stopped, wire.TaskID(uint64(1+i), 0))
-		if moved != (i >= stuckReplicas) {
-			t.Errorf("replica %d was moved: %v", i, moved)
+		moved := slices.Contains(env.stopped, wire.TaskID(uint64(1+i), 0))
+		if moved != (i >= immovableReplicas) {
+			t.Errorf("replica %d moved: %v, want %v", i, moved, i >= immovableReplicas)
 		}
 	}
-	if len(w.placed) > 0 {
-		t.Error(w.placed)
+	if len(env.placed) > 0 {
+		t.Errorf("placed %v, want none", env.placed)
 	}
 }
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -13,30 +13,30 @@
 	"fieldhill/wire"
 )
 
-// TestScoreMatchesPaper compares the score with a plain reading of the paper's
-// formulas (1) and (2) for one file.
+// TestScoreMatchesPaper compares the score with a direct implementation of formulas (1) and (2) of the paper for one
+// file.
 func TestScoreMatchesPaper(t *testing.T) {
 	s := New(Params{Beta: 0.8})
 	for _, size := range []float64{0, 1, 1e6, 6.2e9} {
-		for _, on := range []bool{true, false} {
+		for _, isPresent := range []bool{true, false} {
 			locality := size // access cost of the file
 			present := 0.0
-			if on {
+			if isPresent {
 				locality, present = -size, size
 			}
 			paper := locality/(size+1)/2 + 0.5
 			for _, load := range []float64{0, 0.3, 1} {
 				want := paper*0.8 + load*0.2
 				if actual := s.Params.score(fileLocality(present, size), load); math.Abs(actual-want) > 1e-12 {
-					t.Errorf("size %g, there %v, load %g: %g, the paper says %g", size, on, load, actual, want)
+					t.Errorf("size %g, present %v, load %g: score %g, want %g as in the paper",
+						size, isPresent, load, actual, want)
 				}
 			}
 		}
 	}
 }
 
-// environment applies decisions to a model, as the controller does, and checks each
-// against a plain reading of the rules.
+// environment applies decisions to a model, as the controller does, and checks each against the placement constraints.
 type environment struct {
 	test    *testing.T
 	model   *model.Model
@@ -45,32 +45,33 @@
 	stopped []string
 }
 
-func (w *environment) apply(e *model.Entry) {
-	w.seq++
-	if err := w.model.Apply(e, w.seq, model.Time(w.seq)); err != nil {
-		w.test.Fatal(err)
+func (env *environment) apply(e *model.Entry) {
+	env.seq++
+	if err := env.model.Apply(e, env.seq, model.Time(env.seq)); err != nil {
+		env.test.Fatal(err)
 	}
 }
 
-// place has a task run on a machine, whatever the scheduler would say.
-func (w *environment) place(job model.JobID, task int32, machine *model.Machine) {
-	w.apply(&model.Entry{Kind: model.EntryPlace, Job: job, Task: task, Attempt: 1, Machine: machine.ID,
+// place puts a task on a machine, bypassing the scheduler.
+func (env *environment) place(job model.JobID, task int32, machine *model.Machine) {
+	env.apply(&model.Entry{Kind: model.EntryPlace, Job: job, Task: task, Attempt: 1, Machine: machine.ID,
 		Session: machine.Contact.Session})
 }
 
-func (w *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
-	w.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID,
+func (env *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
+	env.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID,
 		Session: machine.Contact.Session})
-	w.placed = append(w.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
-	w.checkPlacement(j, machine)
+	env.placed = append(env.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
+	env.checkPlacement(j, machine)
 }
 
-// checkPlacement checks that a machine and a team hold what they have, and that the job allows where its tasks are.
-func (w *environment) checkPlacement(j *model.Job, machine *model.Machine) {
-	t := w.model.TypeOf(machine)
+// checkPlacement checks that the machine and the team are within their limits and that the job allows the placement of
+// its tasks.
+func (env *environment) checkPlacement(j *model.Job, machine *model.Machine) {
+	t := env.model.TypeOf(machine)
 	var cpus, mem, team float64
 	zones := map[string]int{}
-	for _, o := range w.model.Order {
+	for _, o := range env.model.Order {
 		for _, r := range o.Runs {
 			if o == machine {
 				cpus, mem = cpus+r.Job.Spec.CPUs, mem+r.Job.Spec.MemoryGB
@@ -86,65 +87,65 @@
 	zone := machine.Info.Zone
 	switch {
 	case cpus > t.CPUs || mem > t.MemoryGB:
-		w.test.Fatalf("%s holds %g CPUs and %g GB", machine.Info.Name, cpus, mem)
+		env.test.Fatalf("machine %s is overcommitted: %g CPUs and %g GB in use", machine.Info.Name, cpus, mem)
 	case j.Team.CPUsMax > 0 && team > j.Team.CPUsMax:
-		w.test.Fatalf("team %s uses %g CPUs", j.Team.Name, team)
+		env.test.Fatalf("team %s exceeds its limit: %g CPUs in use", j.Team.Name, team)
 	case machine.Spot && !j.Spec.Spot, j.Spec.Zone != nil && *j.Spec.Zone != zone, j.Spec.SameZone && len(zones) > 1:
-		w.test.Fatalf("job %d does not allow %s", j.ID, machine.Info.Name)
+		env.test.Fatalf("job %d was placed on %s, which its constraints exclude", j.ID, machine.Info.Name)
 	case j.Spec.Spread && zones[zone] > (len(j.Tasks)+1)/2:
-		w.test.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[zone], len(j.Tasks), zone)
+		env.test.Fatalf("job %d has %d of %d tasks in zone %s", j.ID, zones[zone], len(j.Tasks), zone)
 	}
 }
 
-func (w *environment) Preempt(r *model.Run, hard bool, reason string) {
+func (env *environment) Preempt(r *model.Run, hard bool, reason string) {
 	r.Stop = true
-	w.stopped = append(w.stopped, wire.TaskID(uint64(r.Job.ID), int(r.Task)))
+	env.stopped = append(env.stopped, wire.TaskID(uint64(r.Job.ID), int(r.Task)))
 }
 
-// endStopping ends what is preempted on a machine.
-func (w *environment) endStopping(machine *model.Machine) {
+// endStopping ends the preempted runs on a machine.
+func (env *environment) endStopping(machine *model.Machine) {
 	for _, r := range slices.Clone(machine.Runs) {
 		if r.Stop {
-			w.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+			env.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 		}
 	}
 }
 
-// finish ends a run as done.
-func (w *environment) finish(r *model.Run) {
-	w.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+// finish completes a run.
+func (env *environment) finish(r *model.Run) {
+	env.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 }
 
-// finishSome ends those runs of a machine as done for which it is asked whether to and the answer is yes.
-func (w *environment) finishSome(machine *model.Machine, isDone func() bool) {
+// finishSome completes the runs of a machine for which isDone, called once per run, returns true.
+func (env *environment) finishSome(machine *model.Machine, isDone func() bool) {
 	for _, r := range slices.Clone(machine.Runs) {
 		if isDone() {
-			w.finish(r)
+			env.finish(r)
 		}
 	}
 }
 
 func newEnvironment(t *testing.T, machines int) *environment {
 	t.Helper()
-	w := &environment{test: t, model: model.New(&config.Params{
+	env := &environment{test: t, model: model.New(&config.Params{
 		Zones: []string{"a", "b"},
 		Teams: []config.Team{{Name: "red", CPUs: 4, CPUsMax: 12}, {Name: "blue", CPUs: 8}},
 	})}
-	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
+	env.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
 		Name: "t", CPUs: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a", "b"},
 	}})
 	for i := range machines {
 		id, zone := model.MachineID(i+1), string(rune('a'+i%2))
 		info := &model.MachineInfo{Name: fmt.Sprint("m", i), Type: "t", Zone: zone, Spot: i%4 == 3}
-		w.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
-		machine := w.model.Machines[id]
+		env.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
+		machine := env.model.Machines[id]
 		machine.Contact.Reported, machine.Contact.Session = true, 1
 	}
-	return w
+	return env
 }
 
-// submit submits a small low-priority array, as changed.
-func (w *environment) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
+// submit submits a small low-priority array, modified by change.
+func (env *environment) submit(n uint64, change func(*wire.JobSpec)) *model.Job {
 	s := &wire.JobSpec{
 		ID: wire.JobID(n), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Low,
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1,
@@ -152,55 +153,54 @@
 	if change != nil {
 		change(s)
 	}
-	w.apply(model.Accepted(s, 0))
-	return w.model.Jobs[model.JobID(n)]
+	env.apply(model.Accepted(s, 0))
+	return env.model.Jobs[model.JobID(n)]
 }
 
-// webStartsSoon wants services of class web to start before web's image can be fetched.
-var webStartsSoon = Params{
+// webStartParams has a start time limit for services of class web that is shorter than the fetch of their image.
+var webStartParams = Params{
 	Beta:       0.8,
 	Threshold:  0.5,
 	Objectives: []config.Objective{{Kind: "wait", Class: "web", WithinS: 1, Share: 0.9}},
 }
 
-// submitWeb submits a service whose image takes 3 s to fetch.
-func (w *environment) submitWeb(n uint64, tasks int) *model.Job {
-	return w.submit(n, func(s *wire.JobSpec) {
+// submitWeb submits a service of class web whose image takes 3 s to fetch.
+func (env *environment) submitWeb(n uint64, tasks int) *model.Job {
+	return env.submit(n, func(s *wire.JobSpec) {
 		s.Tasks, s.Class, s.Shape, s.Priority, s.Image, s.ImageGB = tasks, "web", wire.Service, wire.Production, "w", 3
 	})
 }
 
-// TestRulesHoldAtRandom places random work, lets some of it end, and checks
-// every placement against the rules.
-func TestRulesHoldAtRandom(t *testing.T) {
+// TestPlacementConstraintsRandomized schedules random jobs, ends some of their runs, and checks every placement.
+func TestPlacementConstraintsRandomized(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		w := newEnvironment(t, 8)
+		env := newEnvironment(t, 8)
 		s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
 		n := uint64(0)
 		for round := range 60 {
 			for range rng.IntN(3) {
 				n++
-				w.submit(n, func(s *wire.JobSpec) { randomizeJob(rng, s) })
+				env.submit(n, func(s *wire.JobSpec) { randomizeJob(rng, s) })
 			}
-			s.Round(w.model, model.Time(round)*2e9, true, w)
-			for _, machine := range w.model.Order {
+			s.Round(env.model, model.Time(round)*2e9, true, env)
+			for _, machine := range env.model.Order {
 				for _, r := range slices.Clone(machine.Runs) {
 					if r.Stop {
-						w.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+						env.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 					} else if rng.IntN(4) == 0 {
-						w.finish(r)
+						env.finish(r)
 					}
 				}
 			}
 		}
-		if len(w.placed) < 20 {
-			t.Errorf("seed %d: only %d tasks were placed", seed, len(w.placed))
+		if len(env.placed) < 20 {
+			t.Errorf("seed %d: only %d tasks were placed", seed, len(env.placed))
 		}
 	}
 }
 
-// randomizeJob makes a job of any shape, priority, size and constraints.
+// randomizeJob sets a random shape, priority, size and constraints.
 func randomizeJob(rng *rand.Rand, s *wire.JobSpec) {
 	s.Shape = []string{wire.Array, wire.Gang, wire.Service}[rng.IntN(3)]
 	s.Priority = []string{wire.Low, wire.Normal, wire.High, wire.Production}[rng.IntN(4)]
@@ -214,142 +214,142 @@
 	}
 }
 
-// TestWaitForABusyHolder: a task waits the given rounds for a busy machine that
-// has its image, and no longer; a job waits once and not for each task.
-func TestWaitForABusyHolder(t *testing.T) {
-	w := newEnvironment(t, 2)
+// TestWaitForBusyLocalMachine checks that a task waits WaitRounds rounds, and no longer, for a busy machine that has
+// its image. The rounds are counted per job, not per task.
+func TestWaitForBusyLocalMachine(t *testing.T) {
+	env := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, WaitRounds: 2})
-	first := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 4 })
-	holder := w.model.Machines[1]
-	holder.TouchImage(w.model, first, 0)
-	s.Round(w.model, 0, true, w)
-	if len(holder.Runs) != 4 {
-		t.Fatalf("the holder of the image got %d of 4 tasks: %v", len(holder.Runs), w.placed)
-	}
-	second := w.submit(2, func(s *wire.JobSpec) { s.Tasks = 3 })
+	first := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 4 })
+	local := env.model.Machines[1]
+	local.TouchImage(env.model, first, 0)
+	s.Round(env.model, 0, true, env)
+	if len(local.Runs) != 4 {
+		t.Fatalf("the machine with the image got %d of 4 tasks: %v", len(local.Runs), env.placed)
+	}
+	second := env.submit(2, func(s *wire.JobSpec) { s.Tasks = 3 })
 	for round := 1; round <= 2; round++ {
 		for range 3 {
-			if s.Round(w.model, 0, false, w); second.Live != 0 {
-				t.Fatal("a round that an event woke counted as waiting")
+			if s.Round(env.model, 0, false, env); second.Live != 0 {
+				t.Fatal("a round without tick was counted as a wait round")
 			}
 		}
-		s.Round(w.model, 0, true, w)
+		s.Round(env.model, 0, true, env)
 		if reason := second.Scheduling.PendingReason; second.Live != 0 || reason.Code != pending.ImageBusy {
-			t.Fatalf("round %d: %d tasks were placed, it waits for %q", round, second.Live, reason)
+			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q", round, second.Live, reason)
 		}
 	}
-	s.Round(w.model, 0, true, w)
+	s.Round(env.model, 0, true, env)
 	if reason := second.Scheduling.PendingReason; second.Live != 3 || reason.IsSet() {
-		t.Errorf("after the wait %d of 3 tasks are placed, it waits for %q", second.Live, reason)
+		t.Errorf("after the wait: %d of 3 tasks placed; pending reason %q", second.Live, reason)
 	}
 }
 
-// TestGangAllOrNone: a gang starts when every member finds room in one round, and
-// with one attempt number.
+// TestGangAllOrNone checks that a gang starts only if all members fit in one round, and with a single attempt number.
 func TestGangAllOrNone(t *testing.T) {
-	w := newEnvironment(t, 2)
+	env := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	g := w.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
-	if s.Round(w.model, 0, true, w); g.Live != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
-		t.Fatalf("half a gang was placed: %v, or it waits for %q", w.placed, g.Scheduling.PendingReason)
+	g := env.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
+	if s.Round(env.model, 0, true, env); g.Live != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
+		t.Fatalf("a gang that does not fit: placed %v, pending reason %q", env.placed, g.Scheduling.PendingReason)
 	}
-	free := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
-	if s.Round(w.model, 0, true, w); free.Live != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
-		t.Errorf("%d of 2 members are placed: %v", free.Live, w.placed)
+	free := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
+	if s.Round(env.model, 0, true, env); free.Live != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
+		t.Errorf("%d of 2 members placed with the same attempt number: %v", free.Live, env.placed)
 	}
 }
 
-// TestPreemptionForUrgentWork: low-priority work gives way to a service, as little of it as will
-// do, and what is freed is not given to low-priority work again.
+// TestPreemptionForUrgentWork checks that no more low-priority work is preempted for a service than necessary, and that
+// the released resources are not given to low-priority work again.
 func TestPreemptionForUrgentWork(t *testing.T) {
-	w := newEnvironment(t, 1)
+	env := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 })
-	s.Round(w.model, 0, true, w)
-	web := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority, s.CPUs = wire.Service, wire.Production, 2 })
-	s.Round(w.model, 100e9, false, w)
-	s.Round(w.model, 101e9, false, w)
-	if len(w.stopped) != 2 {
-		t.Fatalf("stopped %v for a service of 2 CPUs", w.stopped)
-	}
-	for _, r := range append([]*model.Run(nil), w.model.Machines[1].Runs...) {
+	low := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 })
+	s.Round(env.model, 0, true, env)
+	web := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority, s.CPUs = wire.Service, wire.Production, 2 })
+	s.Round(env.model, 100e9, false, env)
+	s.Round(env.model, 101e9, false, env)
+	if len(env.stopped) != 2 {
+		t.Fatalf("preempted %v for a service of 2 CPUs, want 2 tasks", env.stopped)
+	}
+	for _, r := range append([]*model.Run(nil), env.model.Machines[1].Runs...) {
 		if r.Stop {
-			w.apply(&model.Entry{Kind: model.EntryEnded, Job: 1, Task: r.Task, Attempt: r.Attempt})
-			s.Round(w.model, 102e9, false, w)
+			env.apply(&model.Entry{Kind: model.EntryEnded, Job: 1, Task: r.Task, Attempt: r.Attempt})
+			s.Round(env.model, 102e9, false, env)
 		}
 	}
 	if reason := low.Scheduling.PendingReason; web.Live != 1 || low.Live != 2 || reason.Code != pending.NoCapacity {
-		t.Errorf("%d replicas and %d low-priority tasks are placed, the rest waits for %q", web.Live, low.Live, reason)
+		t.Errorf("%d replicas and %d low-priority tasks placed, want 1 and 2; pending reason %q",
+			web.Live, low.Live, reason)
 	}
 }
 
-// TestShortArraysFirst: when room is short, low-priority arrays are served shortest first,
-// and what is late for good comes last, but for one task of it: it begins. Arrays of normal priority are served
-// so as well; by turns all of them were late together.
+// TestShortArraysFirst checks that low-priority arrays are served shortest first when resources are short. An array
+// that misses all its objectives comes last, except for one task that is started after startDeadline. Arrays of normal
+// priority are ordered the same way: round-robin made all of them late.
 func TestShortArraysFirst(t *testing.T) {
-	w := newEnvironment(t, 1)
+	env := newEnvironment(t, 1)
 	finished := config.Objective{Kind: "finished", Class: "c", WithinS: 100, Share: 0.9}
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{finished}})
-	late := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 }) // more than its team is guaranteed
+	late := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 9 }) // exceeds the guarantee of its team
 	late.Observed.KnownSince = -200e9
-	long := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
-	short := w.submit(3, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 3, 30 })
-	s.Round(w.model, 0, true, w)
+	long := env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
+	short := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 3, 30 })
+	s.Round(env.model, 0, true, env)
 	if short.Live != 3 || long.Live != 0 || late.Live != 1 {
-		t.Errorf("placed %d of the short, %d of the long, %d of the late job", short.Live, long.Live, late.Live)
+		t.Errorf("tasks placed: short job %d, long job %d, late job %d; want 3, 0, 1", short.Live, long.Live, late.Live)
 	}
-	w.apply(&model.Entry{Kind: model.EntryDone, Job: 3, Task: 0, Attempt: 1})
-	s.Round(w.model, 1e9, true, w)
+	env.apply(&model.Entry{Kind: model.EntryDone, Job: 3, Task: 0, Attempt: 1})
+	s.Round(env.model, 1e9, true, env)
 	if long.Live != 1 || late.Live != 1 {
-		t.Errorf("then placed %d of the long, %d of the late job", long.Live, late.Live)
+		t.Errorf("after a task of the short job: long job %d, late job %d; want 1, 1", long.Live, late.Live)
 	}
 }
 
-// TestNormalArraysInTime: of arrays of normal priority with deadlines those that can keep theirs go first, the smallest
-// first.
-func TestNormalArraysInTime(t *testing.T) {
-	w := newEnvironment(t, 1)
+// TestNormalArraysByDeadline checks that among arrays of normal priority with deadlines, those that can meet theirs go
+// first, the smallest first.
+func TestNormalArraysByDeadline(t *testing.T) {
+	env := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
 		{Kind: "deadline", Class: "c", Share: 0.9},
 		{Kind: "deadline", Class: "c", Times: 1.5, Share: 0.9},
 	}})
 	submitArray := func(n uint64, tasks int, due float64) *model.Job {
-		j := w.submit(n, func(s *wire.JobSpec) {
+		j := env.submit(n, func(s *wire.JobSpec) {
 			s.Priority, s.Tasks, s.EstimateS, s.DeadlineS = wire.Normal, tasks, 30, &due
 		})
 		j.Scheduling.Guaranteed = false
 		return j
 	}
 	late, large, small := submitArray(1, 9, 20), submitArray(2, 20, 70), submitArray(3, 3, 70)
-	s.Round(w.model, 5e9, true, w)
+	s.Round(env.model, 5e9, true, env)
 	if small.Live != 3 || large.Live != 1 || late.Live != 0 {
-		t.Errorf("placed %d of the small, %d of the large, %d of the job that is late anyway",
+		t.Errorf("tasks placed: small job %d, large job %d, late job %d; want 3, 1, 0",
 			small.Live, large.Live, late.Live)
 	}
 }
 
-// TestGangsInTimeFirst: in a burst of gangs those that can still start in time go first, the
-// smallest work first, and none waits past the last objective for it. In the order of arrival
-// each waited for those that were late already, and nearly all were late.
-func TestGangsInTimeFirst(t *testing.T) {
-	w := newEnvironment(t, 1)
+// TestGangsOnTimeFirst checks that in a burst of gangs those that can still start in time go first, the least work
+// first, and that none is passed over beyond its last objective. In arrival order each gang waits for those that are
+// late already, and nearly all are late.
+func TestGangsOnTimeFirst(t *testing.T) {
+	env := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
 		{Kind: "wait", Class: "g", WithinS: 40},
 		{Kind: "wait", Class: "g", WithinS: 60},
 		{Kind: "wait", Class: "g", WithinS: 180},
 	}})
-	gang := func(n uint64, class string, estimate float64, began model.Time) *model.Job {
-		j := w.submit(n, func(s *wire.JobSpec) {
+	gang := func(n uint64, class string, estimate float64, submitted model.Time) *model.Job {
+		j := env.submit(n, func(s *wire.JobSpec) {
 			s.Shape, s.Priority, s.CPUs, s.Class, s.EstimateS = wire.Gang, wire.High, 4, class, estimate
 		})
-		j.Observed.KnownSince = began * 1e9
+		j.Observed.KnownSince = submitted * 1e9
 		return j
 	}
 	late, fresh, small, once := gang(1, "g", 120, 0), gang(2, "g", 100, 80), gang(3, "g", 50, 85), gang(4, "g", 10, 55)
 	other, again := gang(5, "h", 200, 99), gang(6, "g", 300, 0)
 	again.Tasks[0].Attempt = 1
 	order := func(at model.Time) (ids []model.JobID) {
-		for _, q := range s.queue(w.model, w.model.JobsInOrder(), at*1e9) {
+		for _, q := range s.queue(env.model, env.model.JobsInOrder(), at*1e9) {
 			ids = append(ids, q.job.ID)
 		}
 		return ids
@@ -358,30 +358,30 @@
 		at   model.Time
 		want []*model.Job
 	}{
-		{100, []*model.Job{other, again, small, fresh, once, late}}, // one is late for 40 s, one for 60 s too
+		{100, []*model.Job{other, again, small, fresh, once, late}}, // missed: once 40 s, late 40 s and 60 s
 		{119, []*model.Job{other, again, small, fresh, once, late}},
-		{120, []*model.Job{late, other, again, small, fresh, once}}, // its last objective is near
-		{190, []*model.Job{once, other, again, small, fresh, late}}, // it has missed that too
-		{541, []*model.Job{late, other, again, once, small, fresh}}, // it has waited for long
+		{120, []*model.Job{late, other, again, small, fresh, once}}, // the last objective of late is near
+		{190, []*model.Job{once, other, again, small, fresh, late}}, // late has missed all, once is near its last
+		{541, []*model.Job{late, other, again, once, small, fresh}}, // late has waited three times its last one
 	} {
 		var want []model.JobID
 		for _, j := range c.want {
 			want = append(want, j.ID)
 		}
 		if actual := order(c.at); !slices.Equal(actual, want) {
-			t.Errorf("after %d s the queue is %v, not %v", c.at, actual, want)
+			t.Errorf("queue after %d s: got %v, want %v", c.at, actual, want)
 		}
 	}
 }
 
-// referenceEnvironment checks each placement against a plain reading of DAD: no machine
-// with room has a lower score.
+// referenceEnvironment checks each placement against the definition of DAD: no machine with free resources has a lower
+// score.
 type referenceEnvironment struct {
 	*environment
 	scheduler *Scheduler
 }
 
-func (p *referenceEnvironment) Bind(
+func (env *referenceEnvironment) Bind(
 	j *model.Job,
 	task int32,
 	attempt uint32,
@@ -389,39 +389,40 @@
 	reportedScore float64,
 ) {
 	score := func(o *model.Machine) float64 {
-		return p.scheduler.Params.score(locality(p.model, j, o), load(p.model, o))
+		return env.scheduler.Params.score(locality(env.model, j, o), load(env.model, o))
 	}
 	best := score(machine)
 	if d := reportedScore - best; d > 1e-9 || d < -1e-9 {
-		p.test.Fatalf("job %d is said to go to %s with score %g, not %g", j.ID, machine.Info.Name, reportedScore, best)
+		env.test.Fatalf("job %d placed on %s with reported score %g, want %g",
+			j.ID, machine.Info.Name, reportedScore, best)
 	}
-	for _, o := range p.model.Order {
-		if o.IsUsable() && p.hasRoom(j, o) && score(o) < best-1e-9 {
-			p.test.Fatalf("job %d went to %s with score %g, %s has %g",
+	for _, o := range env.model.Order {
+		if o.IsUsable() && env.fits(j, o) && score(o) < best-1e-9 {
+			env.test.Fatalf("job %d placed on %s with score %g, but %s has %g",
 				j.ID, machine.Info.Name, best, o.Info.Name, score(o))
 		}
 	}
-	p.environment.Bind(j, task, attempt, machine, reportedScore)
+	env.environment.Bind(j, task, attempt, machine, reportedScore)
 }
 
-// hasRoom tells whether a task of a job may go to a machine and fits there, by the model's plain rules.
-func (w *environment) hasRoom(j *model.Job, machine *model.Machine) bool {
-	return j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && w.model.Fits(j, machine) &&
+// fits reports whether a task of a job may use a machine and fits on it, by the rules of the model.
+func (env *environment) fits(j *model.Job, machine *model.Machine) bool {
+	return j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) && env.model.Fits(j, machine) &&
 		j.ZoneAllows(machine.Zone)
 }
 
-// TestChoiceMatchesDAD compares the ordered candidates with a full scan at each
-// placement, and what is left waiting with whether anything fits.
-func TestChoiceMatchesDAD(t *testing.T) {
+// TestPlacementMatchesDAD compares each placement with a full scan of the machines, and checks that no task is left
+// waiting although it fits.
+func TestPlacementMatchesDAD(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		w := newEnvironment(t, 12)
+		env := newEnvironment(t, 12)
 		s := New(Params{Beta: 0.8, Threshold: 0.5})
 		n := uint64(0)
 		for round := range 30 {
 			for range rng.IntN(4) {
 				n++
-				w.submit(n, func(s *wire.JobSpec) {
+				env.submit(n, func(s *wire.JobSpec) {
 					s.Tasks, s.CPUs, s.MemoryGB = 1+rng.IntN(6), float64(1+rng.IntN(6))/2, float64(1+rng.IntN(3))
 					s.Image, s.ImageGB, s.Spread, s.Spot = fmt.Sprint(n), 1, rng.IntN(2) == 0, rng.IntN(2) == 0
 					if rng.IntN(3) == 0 {
@@ -429,25 +430,25 @@
 					}
 				})
 			}
-			s.Round(w.model, model.Time(round)*2e9, true, &referenceEnvironment{w, s})
-			if j, machine := w.waitsThoughItFits(); j != nil {
-				t.Fatalf("seed %d: job %d waits although %s has room", seed, j.ID, machine.Info.Name)
+			s.Round(env.model, model.Time(round)*2e9, true, &referenceEnvironment{env, s})
+			if j, machine := env.findPlaceableJob(); j != nil {
+				t.Fatalf("seed %d: job %d is waiting although it fits on %s", seed, j.ID, machine.Info.Name)
 			}
-			for _, machine := range w.model.Order {
-				w.finishSome(machine, func() bool { return rng.IntN(3) == 0 })
+			for _, machine := range env.model.Order {
+				env.finishSome(machine, func() bool { return rng.IntN(3) == 0 })
 			}
 		}
 	}
 }
 
-// waitsThoughItFits finds a job that waits though its team's limit allows a task and a machine has room for it.
-func (w *environment) waitsThoughItFits() (*model.Job, *model.Machine) {
-	for _, j := range w.model.JobsInOrder() {
+// findPlaceableJob finds a waiting job for which the team limit and a machine have resources.
+func (env *environment) findPlaceableJob() (*model.Job, *model.Machine) {
+	for _, j := range env.model.JobsInOrder() {
 		if j.Waiting() == 0 || !j.TeamLimitAllows(1) {
 			continue
 		}
-		for _, machine := range w.model.Order {
-			if w.hasRoom(j, machine) {
+		for _, machine := range env.model.Order {
+			if env.fits(j, machine) {
 				return j, machine
 			}
 		}
@@ -455,327 +456,326 @@
 	return nil, nil
 }
 
-// TestRoundCostsWhatChanged: on a large full site a round looks at the machines a
-// few times, not once for every job that waits. Every waiting job used to scan
-// them all, each time anything happened anywhere.
-func TestRoundCostsWhatChanged(t *testing.T) {
-	w := newEnvironment(t, 400)
+// TestRoundCostIsBounded checks that on a large, full site a round checks each machine a few times, not once for every
+// waiting job. Without the record of infeasible demands, every waiting job scans all machines in every round.
+func TestRoundCostIsBounded(t *testing.T) {
+	env := newEnvironment(t, 400)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Spot, s.Priority = 1600, true, wire.Normal })
-	s.Round(w.model, 0, true, w)
-	if len(w.placed) != 1600 {
-		t.Fatalf("%d tasks fill the machines", len(w.placed))
+	env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Spot, s.Priority = 1600, true, wire.Normal })
+	s.Round(env.model, 0, true, env)
+	if len(env.placed) != 1600 {
+		t.Fatalf("%d tasks placed, want 1600 to fill the machines", len(env.placed))
 	}
 	for n := range uint64(200) {
-		w.submit(2+n, func(s *wire.JobSpec) {
+		env.submit(2+n, func(s *wire.JobSpec) {
 			s.Tasks, s.Spot, s.CPUs = 50, true, 1+float64(n%5)/10
 			if n%4 == 0 {
-				s.Priority = wire.High // room is made for it
+				s.Priority = wire.High // preemption is considered
 			}
 		})
 	}
-	s.Round(w.model, 60e9, true, w)
-	s.Round(w.model, 62e9, false, w)
+	s.Round(env.model, 60e9, true, env)
+	s.Round(env.model, 62e9, false, env)
 	if limit := 40 * 400; s.Examined > limit {
-		t.Errorf("a round looked at machines %d times, for 400 machines and 200 waiting jobs", s.Examined)
+		t.Errorf("a round made %d machine checks for 400 machines and 200 waiting jobs", s.Examined)
 	}
-	placed := len(w.placed)
-	r := w.model.Machines[7].Runs[0]
-	w.apply(&model.Entry{Kind: model.EntryDone, Job: 1, Task: r.Task, Attempt: r.Attempt})
-	if s.Round(w.model, 64e9, false, w); len(w.placed) != placed+1 {
-		t.Errorf("%d tasks were placed in the room that one left", len(w.placed)-placed)
+	placed := len(env.placed)
+	r := env.model.Machines[7].Runs[0]
+	env.apply(&model.Entry{Kind: model.EntryDone, Job: 1, Task: r.Task, Attempt: r.Attempt})
+	if s.Round(env.model, 64e9, false, env); len(env.placed) != placed+1 {
+		t.Errorf("%d tasks placed after one completed, want 1", len(env.placed)-placed)
 	}
 }
 
-// TestHigherRankedIsNotPreempted: a job of high priority beyond its team's guarantee
-// does not preempt low-priority work within one, which is served before it: that was placed
-// again and preempted again many times a second.
+// TestHigherRankedIsNotPreempted checks that a high-priority job beyond its team's guarantee does not preempt
+// low-priority work within a guarantee, which ranks above it. Otherwise that work is placed again and preempted again
+// in a loop.
 func TestHigherRankedIsNotPreempted(t *testing.T) {
-	w := newEnvironment(t, 1)
-	w.model.Teams[0].CPUs = 3 // red's guarantee is for neither of its gangs
+	env := newEnvironment(t, 1)
+	env.model.Teams[0].CPUs = 3 // red's guarantee covers neither of its gangs
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 4, 1, 2 }) // blue: 4 of 8 CPUs guaranteed
-	high := w.submit(2, func(s *wire.JobSpec) {
+	low := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 4, 1, 2 }) // 4 of 8 CPUs of blue
+	high := env.submit(2, func(s *wire.JobSpec) {
 		s.Shape, s.Team, s.Priority, s.CPUs, s.Tasks = wire.Gang, "red", wire.High, 4, 3
 	})
-	one := w.submit(3, func(s *wire.JobSpec) { s.Shape, s.Team, s.Priority, s.CPUs = wire.Gang, "red", wire.High, 4 })
+	one := env.submit(3, func(s *wire.JobSpec) { s.Shape, s.Team, s.Priority, s.CPUs = wire.Gang, "red", wire.High, 4 })
 	for i := range 5 {
-		s.Round(w.model, model.Time(100+i)*1e9, true, w)
+		s.Round(env.model, model.Time(100+i)*1e9, true, env)
 	}
-	if low.Live != 4 || len(w.stopped) != 0 || high.Live+one.Live != 0 {
-		t.Errorf("%d low-priority tasks are placed, %v were preempted", low.Live, w.stopped)
+	if low.Live != 4 || len(env.stopped) != 0 || high.Live+one.Live != 0 {
+		t.Errorf("%d low-priority tasks placed, want 4; %v preempted, want none", low.Live, env.stopped)
 	}
 }
 
-// TestGangOfSeveralGetsRoom: low-priority work gives way to a gang that needs several
-// machines, and gangs of one machine do not take, one after the other, what the
-// first in the queue has waited for for long.
-func TestGangOfSeveralGetsRoom(t *testing.T) {
-	w := newEnvironment(t, 4) // a, b, a, b (spot)
+// TestMultiMachineGangGetsCapacity checks that low-priority work is preempted for a gang that needs several machines,
+// and that later single-machine gangs do not take the machines that the first gang in the queue has claimed.
+func TestMultiMachineGangGetsCapacity(t *testing.T) {
+	env := newEnvironment(t, 4) // a, b, a, b (spot)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	gang := func(n uint64, tasks int) *model.Job {
-		return w.submit(n, func(s *wire.JobSpec) {
+		return env.submit(n, func(s *wire.JobSpec) {
 			s.Shape, s.Priority, s.CPUs, s.Tasks, s.SameZone = wire.Gang, wire.High, 4, tasks, true
 		})
 	}
 	end := func(j *model.Job) {
 		for i := range j.Tasks {
 			if r := j.Tasks[i].Run; r != nil {
-				w.apply(&model.Entry{Kind: model.EntryDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
+				env.apply(&model.Entry{Kind: model.EntryDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
 			}
 		}
 	}
 	one, other := gang(1, 1), gang(2, 1)
-	s.Round(w.model, 0, true, w)
-	low := w.submit(3, func(s *wire.JobSpec) { s.Tasks, s.Team = 5, "red" }) // beyond its guarantee
-	s.Round(w.model, 1e9, true, w)
+	s.Round(env.model, 0, true, env)
+	low := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.Team = 5, "red" }) // exceeds its guarantee
+	s.Round(env.model, 1e9, true, env)
 	pair, late := gang(4, 2), gang(5, 1)
-	s.Round(w.model, 700e9, true, w)
-	if one.Live != 1 || other.Live != 1 || low.Live != 4 || pair.Live != 0 || len(w.stopped) != 0 {
-		t.Fatalf("placed %v, stopped %v for a part of a gang", w.placed, w.stopped)
+	s.Round(env.model, 700e9, true, env)
+	if one.Live != 1 || other.Live != 1 || low.Live != 4 || pair.Live != 0 || len(env.stopped) != 0 {
+		t.Fatalf("placed %v, preempted %v for an incomplete gang, want none", env.placed, env.stopped)
 	}
 	end(one)
-	s.Round(w.model, 701e9, true, w)
-	if late.Live != 0 || len(w.stopped) != 4 {
-		t.Fatalf("%d members of a later gang are placed, stopped %v", late.Live, w.stopped)
+	s.Round(env.model, 701e9, true, env)
+	if late.Live != 0 || len(env.stopped) != 4 {
+		t.Fatalf("%d members of a later gang placed, want 0; preempted %v, want 4", late.Live, env.stopped)
 	}
 	for i := range 4 {
-		w.apply(&model.Entry{Kind: model.EntryEnded, Job: 3, Task: int32(i), Attempt: 1})
+		env.apply(&model.Entry{Kind: model.EntryEnded, Job: 3, Task: int32(i), Attempt: 1})
 	}
-	if s.Round(w.model, 702e9, true, w); pair.Live != 2 {
-		t.Errorf("%d of 2 members are placed: %v", pair.Live, w.placed)
+	if s.Round(env.model, 702e9, true, env); pair.Live != 2 {
+		t.Errorf("%d of 2 members placed: %v", pair.Live, env.placed)
 	}
 }
 
-// TestDrainMakesRoom: replicas leave a machine that is to be released although low-priority
-// work fills every other one.
-func TestDrainMakesRoom(t *testing.T) {
-	w := newEnvironment(t, 2)
+// TestDrainPreemptsLowPriorityWork checks that replicas leave a machine that is to be released even if low-priority
+// work fills all other machines.
+func TestDrainPreemptsLowPriorityWork(t *testing.T) {
+	env := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	web := w.submit(1, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
-	s.Round(w.model, 0, true, w)
-	from, to := w.model.Machines[1], w.model.Machines[2]
+	web := env.submit(1, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
+	s.Round(env.model, 0, true, env)
+	from, to := env.model.Machines[1], env.model.Machines[2]
 	run := web.Tasks[0].Run
 	run.Phase = model.Running
-	to.TouchImage(w.model, web, 0)
-	from.Lifecycle.Draining = true // nothing else goes there
-	w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Image = 9, "red", "j" })
-	s.Round(w.model, 10e9, true, w)
+	to.TouchImage(env.model, web, 0)
+	from.Lifecycle.Draining = true // excludes it from placement
+	env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Image = 9, "red", "j" })
+	s.Round(env.model, 10e9, true, env)
 	if len(to.Runs) != 4 {
-		t.Fatalf("low-priority work does not fill the other machine: %v", w.placed)
+		t.Fatalf("low-priority work does not fill the other machine: placed %v", env.placed)
 	}
 	from.Lifecycle.Draining = false
 	s.DrainTarget = from
-	s.Round(w.model, 20e9, true, w)
-	if len(w.stopped) != 1 || run.Stop {
-		t.Fatalf("stopped %v", w.stopped)
+	s.Round(env.model, 20e9, true, env)
+	if len(env.stopped) != 1 || run.Stop {
+		t.Fatalf("preempted %v, want one low-priority task", env.stopped)
 	}
 	for _, r := range to.Runs {
 		if r.Stop {
-			w.apply(&model.Entry{Kind: model.EntryEnded, Job: 2, Task: r.Task, Attempt: r.Attempt})
+			env.apply(&model.Entry{Kind: model.EntryEnded, Job: 2, Task: r.Task, Attempt: r.Attempt})
 			break
 		}
 	}
 	from.Lifecycle.Draining = true
-	s.Round(w.model, 20.3e9, true, w)
+	s.Round(env.model, 20.3e9, true, env)
 	from.Lifecycle.Draining = false
 	if len(to.Runs) != 3 {
-		t.Fatalf("low-priority work took the room again: %v", w.placed)
+		t.Fatalf("low-priority work took the reserved resources: placed %v", env.placed)
 	}
-	if s.Round(w.model, 21e9, true, w); !run.Stop {
-		t.Error("the replica was not moved to the room made for it")
+	if s.Round(env.model, 21e9, true, env); !run.Stop {
+		t.Error("the replica did not move to the reserved resources")
 	}
 }
 
-// TestMovesArePacedByNumber: the more replicas there are, the sooner one of them may move. At one
-// in 0.3 s a fleet of five thousand took four minutes to leave the expensive machines that gangs waited for.
-func TestMovesArePacedByNumber(t *testing.T) {
-	w := newEnvironment(t, 700)
+// TestMoveRateScalesWithReplicas checks that the interval between moves shrinks with the number of replicas. At a fixed
+// 0.3 s, a fleet of 5000 replicas took four minutes to leave the expensive machines that gangs were waiting for.
+func TestMoveRateScalesWithReplicas(t *testing.T) {
+	env := newEnvironment(t, 700)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	web := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 2000, wire.Service, wire.Production })
-	s.Round(w.model, 0, true, w)
-	for _, machine := range w.model.Order {
-		machine.TouchImage(w.model, web, 0)
+	web := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 2000, wire.Service, wire.Production })
+	s.Round(env.model, 0, true, env)
+	for _, machine := range env.model.Order {
+		machine.TouchImage(env.model, web, 0)
 		for _, r := range machine.Runs {
 			r.Phase = model.Running
 		}
 	}
-	s.DrainTarget = w.model.Machines[1]
+	s.DrainTarget = env.model.Machines[1]
 	for at := model.Time(10e9); at < 10.6e9; at += 50e6 {
-		s.Round(w.model, at, false, w)
+		s.Round(env.model, at, false, env)
 	}
-	if web.Live != 2000 || len(w.stopped) != 4 {
-		t.Errorf("of %d replicas, %d were moved in 0.6 s", web.Live, len(w.stopped))
+	if web.Live != 2000 || len(env.stopped) != 4 {
+		t.Errorf("%d replicas live, want 2000; %d moved in 0.6 s, want 4", web.Live, len(env.stopped))
 	}
 }
 
-// TestLowWorkLeavesWhereTheImageIs: a service that must start sooner than an image is
-// fetched gets the place of a low-priority task on a machine that has it, and if that
-// takes too long any other place.
-func TestLowWorkLeavesWhereTheImageIs(t *testing.T) {
-	w := newEnvironment(t, 3)
-	s := New(webStartsSoon)
-	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image = 4, "j" })
-	s.Round(w.model, 0, true, w)
-	full := w.model.Machines[1]
+// TestServicePreemptsForImageLocality checks that a service with a start time limit shorter than its image fetch
+// preempts a low-priority task on a machine that has the image, and uses another machine if that task does not stop
+// soon enough.
+func TestServicePreemptsForImageLocality(t *testing.T) {
+	env := newEnvironment(t, 3)
+	s := New(webStartParams)
+	env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image = 4, "j" })
+	s.Round(env.model, 0, true, env)
+	full := env.model.Machines[1]
 	if len(full.Runs) != 4 {
-		t.Fatalf("placed %v", w.placed)
+		t.Fatalf("placed %v", env.placed)
 	}
-	first := w.submitWeb(2, 1)
-	full.TouchImage(w.model, first, 0)
-	s.Round(w.model, 10e9, false, w)
-	if first.Live != 0 || len(w.stopped) != 1 {
-		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
+	first := env.submitWeb(2, 1)
+	full.TouchImage(env.model, first, 0)
+	s.Round(env.model, 10e9, false, env)
+	if first.Live != 0 || len(env.stopped) != 1 {
+		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
-	w.endStopping(full)
-	if s.Round(w.model, 10.2e9, false, w); first.Live != 1 || first.Tasks[0].Run.Machine != full {
-		t.Fatalf("placed %v", w.placed)
+	env.endStopping(full)
+	if s.Round(env.model, 10.2e9, false, env); first.Live != 1 || first.Tasks[0].Run.Machine != full {
+		t.Fatalf("placed %v", env.placed)
 	}
-	second := w.submitWeb(3, 2)
-	s.Round(w.model, 20e9, false, w) // a low-priority task is preempted and does not answer
-	if s.Round(w.model, 20.3e9, false, w); second.Live != 0 || len(w.stopped) != 3 {
-		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
+	second := env.submitWeb(3, 2)
+	s.Round(env.model, 20e9, false, env) // low-priority tasks are preempted but do not stop
+	if s.Round(env.model, 20.3e9, false, env); second.Live != 0 || len(env.stopped) != 3 {
+		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
-	s.Round(w.model, 20.7e9, false, w)
-	if second.Live != 2 || second.Tasks[0].Run.Machine == full || len(w.stopped) != 3 {
-		t.Errorf("after waiting in vain: placed %v, stopped %v", w.placed, w.stopped)
+	s.Round(env.model, 20.7e9, false, env)
+	if second.Live != 2 || second.Tasks[0].Run.Machine == full || len(env.stopped) != 3 {
+		t.Errorf("after the wait timed out: placed %v, preempted %v", env.placed, env.stopped)
 	}
 }
 
-// TestTeamLimitIsReserved: a gang with its team's limit in the way has the team's less
-// urgent work preempted once, the limit is reserved for it, and it starts. Before, others of
-// the team took what was freed within the same round, for as long as there were any; and
-// work that is served before the gang was preempted for it and placed again before it.
+// TestTeamLimitIsReserved checks that for a gang beyond its team limit, less urgent work of the team is preempted once
+// and the released part of the limit stays reserved until the gang starts. Without the reservation other jobs of the
+// team take it within the same round. Work that ranks above the gang must not be preempted, since it would be placed
+// again before it.
 func TestTeamLimitIsReserved(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
-		w := newEnvironment(t, 16)
+		env := newEnvironment(t, 16)
 		s := New(Params{Beta: 0.8, Threshold: 0.5})
-		if guaranteed { // what is within it stays new
+		if guaranteed { // keeps jobs within the guarantee new
 			s.Params.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 100}}
 		}
-		w.submit(1, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Priority = "red", 4, wire.High }) // fills the guarantee
-		low := w.submit(2, func(s *wire.JobSpec) { s.Team, s.Tasks = "red", 40 })
+		env.submit(1, func(s *wire.JobSpec) { s.Team, s.Tasks, s.Priority = "red", 4, wire.High }) // uses it all
+		low := env.submit(2, func(s *wire.JobSpec) { s.Team, s.Tasks = "red", 40 })
 		if guaranteed {
-			w.model.Teams[0].CPUs = 60
+			env.model.Teams[0].CPUs = 60
 		}
-		s.Round(w.model, 0, true, w) // the team is at its limit of 12
-		cpus, reason := w.model.Teams[0].UsedCPUs, low.Scheduling.PendingReason
+		s.Round(env.model, 0, true, env) // the team reaches its limit of 12 CPUs
+		cpus, reason := env.model.Teams[0].UsedCPUs, low.Scheduling.PendingReason
 		if cpus != 12 || low.Live != 8 || reason.Code != pending.TeamLimit {
-			t.Fatalf("the team uses %g CPUs, the rest waits for %q", cpus, reason)
+			t.Fatalf("the team uses %g CPUs, want 12; pending reason %q", cpus, reason)
 		}
-		gang := w.submit(3, func(s *wire.JobSpec) {
+		gang := env.submit(3, func(s *wire.JobSpec) {
 			s.Team, s.Shape, s.Tasks, s.CPUs, s.Priority = "red", wire.Gang, 1, 4, wire.High
 		})
 		if guaranteed {
-			w.model.Teams[0].CPUs = 44 // the first two are within it, the gang is not
+			env.model.Teams[0].CPUs = 44 // covers the first two jobs but not the gang
 		}
 		for round := range 40 {
-			s.Round(w.model, model.Time(20+round)*1e9, true, w)
-			for _, machine := range w.model.Order { // what is preempted leaves
-				w.endStopping(machine)
+			s.Round(env.model, model.Time(20+round)*1e9, true, env)
+			for _, machine := range env.model.Order { // preempted tasks end
+				env.endStopping(machine)
 			}
 		}
 		if guaranteed {
-			if len(w.stopped) != 0 {
-				t.Errorf("%d tasks that go first were preempted", len(w.stopped))
+			if len(env.stopped) != 0 {
+				t.Errorf("%d tasks that rank above the gang were preempted, want 0", len(env.stopped))
 			}
 			continue
 		}
-		if gang.Live != 1 || len(w.stopped) != 4 {
-			t.Errorf("%d tasks of the gang run, %d tasks were preempted for its 4 CPUs", gang.Live, len(w.stopped))
+		if gang.Live != 1 || len(env.stopped) != 4 {
+			t.Errorf("%d gang members running, want 1; %d tasks preempted for its 4 CPUs, want 4",
+				gang.Live, len(env.stopped))
 		}
 	}
 }
 
-// TestServiceTakesSpareGPUs: a service that would be late after a fetch goes to a machine
-// whose GPUs no work needs, if its image is there. Low-priority work used to be preempted there for
-// it, and then the service went to where it had to fetch.
-func TestServiceTakesSpareGPUs(t *testing.T) {
-	w := newEnvironment(t, 2)
-	w.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
+// TestServiceUsesUnneededGPUs checks that a service that would be late after a fetch is placed on a GPU machine that
+// has its image and that no GPU work needs. A fault had low-priority work preempted there while the service was placed
+// on a machine that had to fetch the image.
+func TestServiceUsesUnneededGPUs(t *testing.T) {
+	env := newEnvironment(t, 2)
+	env.apply(&model.Entry{Kind: model.EntryType, Type: &wire.MachineType{
 		Name: "g", CPUs: 4, GPUs: 2, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1, Zones: []string{"a"},
 	}})
 	info := &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}
-	w.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: info})
-	spare := w.model.Machines[9]
+	env.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: info})
+	spare := env.model.Machines[9]
 	spare.Contact.Reported, spare.Contact.Session = true, 1
-	s := New(webStartsSoon)
+	s := New(webStartParams)
 	s.LowPriorityAllowed = map[*model.Machine]bool{spare: true}
-	w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image, s.Types = 4, "j", []string{"g"} })
-	s.Round(w.model, 0, true, w)
-	web := w.submitWeb(2, 1)
-	spare.TouchImage(w.model, web, 0)
-	s.Round(w.model, 10e9, false, w)
-	if web.Live != 0 || len(w.stopped) != 1 {
-		t.Fatalf("placed %v, stopped %v", w.placed, w.stopped)
+	env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image, s.Types = 4, "j", []string{"g"} })
+	s.Round(env.model, 0, true, env)
+	web := env.submitWeb(2, 1)
+	spare.TouchImage(env.model, web, 0)
+	s.Round(env.model, 10e9, false, env)
+	if web.Live != 0 || len(env.stopped) != 1 {
+		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
-	w.endStopping(spare)
-	if s.Round(w.model, 10.2e9, false, w); web.Live != 1 || web.Tasks[0].Run.Machine != spare {
-		t.Errorf("placed %v, stopped %v", w.placed, w.stopped)
+	env.endStopping(spare)
+	if s.Round(env.model, 10.2e9, false, env); web.Live != 1 || web.Tasks[0].Run.Machine != spare {
+		t.Errorf("placed %v, preempted %v", env.placed, env.stopped)
 	}
 }
 
-// TestLowWorkIsPaced: a bound on the low-priority tasks of a round leaves the rest for the next one,
-// and holds up nothing else. Starts of tiny tasks used to take a small controller's processor.
-func TestLowWorkIsPaced(t *testing.T) {
-	w := newEnvironment(t, 8)
+// TestLowPriorityLimit checks that LowPriorityLimit defers the remaining low-priority tasks to the next round and
+// delays nothing else. The limit keeps bursts of tiny tasks from using up the CPU of a small controller.
+func TestLowPriorityLimit(t *testing.T) {
+	env := newEnvironment(t, 8)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	s.LowPriorityLimit = 5
-	low := w.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 20, 0.5, 0.1 })
-	web := w.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
+	low := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.CPUs, s.MemoryGB = 20, 0.5, 0.1 })
+	web := env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
 	for round := range 4 {
-		s.Round(w.model, model.Time(round)*1e9, true, w)
+		s.Round(env.model, model.Time(round)*1e9, true, env)
 		if low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
-			t.Fatalf("round %d: %d low-priority tasks, %d replicas, deferred %v",
+			t.Fatalf("round %d: %d low-priority tasks and %d replicas placed, deferred %v",
 				round, low.Live, web.Live, s.LowPriorityDeferred)
 		}
 	}
 }
 
-// TestSlowMachineIsForServices: a machine that was found to be slow gets services, whose
-// work it does not slow down, and nothing else until it is tried again.
-func TestSlowMachineIsForServices(t *testing.T) {
-	w := newEnvironment(t, 1)
+// TestSlowMachineAcceptsOnlyServices checks that a machine marked slow accepts services, which the slowness does not
+// delay, and nothing else until the mark expires.
+func TestSlowMachineAcceptsOnlyServices(t *testing.T) {
+	env := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	w.model.Machines[1].Health.SlowUntil = 60e9
-	array := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 2 })
-	web := w.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
-	if s.Round(w.model, 1e9, true, w); array.Live != 0 || web.Live != 1 {
-		t.Errorf("%d tasks of the array and %d replicas are placed", array.Live, web.Live)
+	env.model.Machines[1].Health.SlowUntil = 60e9
+	array := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 2 })
+	web := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
+	if s.Round(env.model, 1e9, true, env); array.Live != 0 || web.Live != 1 {
+		t.Errorf("%d array tasks and %d replicas placed, want 0 and 1", array.Live, web.Live)
 	}
-	if s.Round(w.model, 61e9, true, w); array.Live != 2 {
-		t.Errorf("later %d tasks of the array are placed", array.Live)
+	if s.Round(env.model, 61e9, true, env); array.Live != 2 {
+		t.Errorf("after the mark expired: %d array tasks placed, want 2", array.Live)
 	}
 }
 
-// TestGangPreemptsAtImageHolders: low-priority work makes room for a gang where its image is, if less is undone by that
-// than the gang would lose while free machines fetch the image; it does not where the fetch is short.
-func TestGangPreemptsAtImageHolders(t *testing.T) {
+// TestGangPreemptsForImageLocality checks that low-priority work is preempted for a gang on machines that have its
+// image if that loses less work than the gang would lose while fetching, and not if the fetch is short.
+func TestGangPreemptsForImageLocality(t *testing.T) {
 	for _, c := range []struct {
-		gb   float64
-		stop bool
+		imageGB     float64
+		wantPreempt bool
 	}{{40, true}, {2, false}} {
-		w := newEnvironment(t, 6)
+		env := newEnvironment(t, 6)
 		wait := config.Objective{Kind: "wait", Class: "g", WithinS: 60, Share: 0.9}
 		s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{wait}})
-		gang := w.submit(9, func(s *wire.JobSpec) {
+		gang := env.submit(9, func(s *wire.JobSpec) {
 			s.Class, s.Shape, s.Priority, s.Tasks, s.CPUs = "g", wire.Gang, wire.High, 2, 4
-			s.Image, s.ImageGB = "big", c.gb
+			s.Image, s.ImageGB = "big", c.imageGB
 		})
-		low := w.submit(1, func(s *wire.JobSpec) { s.Tasks = 8 })
-		for i, id := range []model.MachineID{1, 2} { // both have the gang's image, and are full of low-priority work
-			machine := w.model.Machines[id]
-			machine.TouchImage(w.model, gang, 0)
+		low := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 8 })
+		for i, id := range []model.MachineID{1, 2} { // both have the image and are full of low-priority work
+			machine := env.model.Machines[id]
+			machine.TouchImage(env.model, gang, 0)
 			for k := range 4 {
 				task := int32(4*i + k)
-				w.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, Session: 1})
+				env.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, Session: 1})
 				low.Tasks[task].Run.StartedAt = 1e9
 			}
 		}
-		s.Round(w.model, 3e9, true, w)
-		if stopped := len(w.stopped) > 0; stopped != c.stop || c.stop != (gang.Live == 0) {
-			t.Errorf("image of %g GB: %d stopped, %d members placed, waits for %q",
-				c.gb, len(w.stopped), gang.Live, gang.Scheduling.PendingReason)
+		s.Round(env.model, 3e9, true, env)
+		if preempted := len(env.stopped) > 0; preempted != c.wantPreempt || c.wantPreempt != (gang.Live == 0) {
+			t.Errorf("image of %g GB: %d tasks preempted, %d members placed, pending reason %q",
+				c.imageGB, len(env.stopped), gang.Live, gang.Scheduling.PendingReason)
 		}
 	}
 }
