--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -227,7 +227,7 @@
 // gangCapacity is the capacity for members of a gang in a zone.
 type gangCapacity struct {
 	choices    []preemptionChoice // one per member; runs include those of earlier choices on the same machine
-	maxMembers int                // members that fit beside the services once all other work ends
+	maxMembers int                // members that fit once all work except services has ended
 }
 
 // cheapestCapacity finds the cheapest capacity for the gang, or for as many members as possible. The cost is the work
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -41,10 +41,11 @@
 	return Resources{CPUs: j.Spec.CPUs * n, GPUs: j.Spec.GPUs * n}
 }
 
-// guaranteeOrder returns the sort key by which a team's jobs of one priority receive what is left of its guarantee:
-// running gangs keep theirs, followed by under-served gangs that have waited for long, the other under-served gangs
-// with the smallest first, and then the rest in submission order. By submission order alone a few large gangs held the
-// whole guarantee, and the small gangs behind them, which make up half of the class, did not start.
+// guaranteeOrder returns the sort key by which a team's jobs of one priority receive the rest of its guarantee: running
+// gangs keep theirs, followed by under-served gangs that have waited for underServedMaxWaitSeconds, the other
+// under-served gangs with the smallest first, and then all others in submission order. By submission order alone a few
+// large gangs held the whole guarantee, and the small gangs behind them, enough to serve half of the class, did not
+// start.
 func guaranteeOrder(m *model.Model, j *model.Job, now model.Time) float64 {
 	switch {
 	case j.Kind != model.Gang:
@@ -106,7 +107,7 @@
 	order float64 // sort key among the team's jobs of equal priority
 }
 
-// distributeGuarantees assigns what is left of each guarantee, after what is spent, to the most urgent work first.
+// distributeGuarantees assigns the unspent part of each guarantee to the most urgent work first.
 func distributeGuarantees(claims []guaranteeClaim, spent []Resources) {
 	slices.SortStableFunc(claims, func(a, b guaranteeClaim) int {
 		if c := cmp.Compare(b.job.Priority, a.job.Priority); c != 0 {
--- a/internal/scheduling/scheduler/urgency.go
+++ b/internal/scheduling/scheduler/urgency.go
@@ -12,7 +12,7 @@
 type urgencyClass int8
 
 const (
-	// urgencyOverdue: the last objective is near, or the job has waited for long beyond it.
+	// urgencyOverdue: the last objective is near, or the job has waited far beyond it.
 	urgencyOverdue urgencyClass = iota
 	// urgencyOnTime: no objective is missed yet.
 	urgencyOnTime
