--- a/internal/scheduling/autoscaler/arrivals.go
+++ b/internal/scheduling/autoscaler/arrivals.go
@@ -7,110 +7,110 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// This file learns from the jobs that arrive what each class usually needs, and how often it comes.
+// This file keeps per-class statistics of arriving jobs: typical resources, size, run time and arrival rate.
 
 const (
-	// averagingSeconds is over how many seconds arrivals are averaged.
+	// averagingSeconds is the time constant of the exponentially decayed arrival counts.
 	averagingSeconds = 240.0
-	// minAveragingSeconds keeps the rate from being read off too short a time.
+	// minAveragingSeconds is the shortest averaging interval, so that no rate is derived from only a few seconds.
 	minAveragingSeconds = 30
-	// newestWeight is the weight of the newest job in the averages of its class.
-	newestWeight = 0.1
-	// The largest image and the largest job of a class shrink by these factors with each job that arrives.
+	// averageWeight is the weight of the newest job in the moving averages of its class.
+	averageWeight = 0.1
+	// Decay factors of a class's largest image and largest job, applied with each job that arrives.
 	imageDecay, largestJobDecay = 0.8, 0.98
 )
 
-// jobClass is what was learnt of a class of jobs. Its kind, needs and constraints are those of its newest job.
+// jobClass holds the statistics of a job class. Kind, resources and constraints are those of its newest job.
 type jobClass struct {
-	kind        model.Kind
-	need        scheduler.Resources
-	types       []int32
-	zone        int32
-	spot        bool
-	spread      bool
-	tasksPerJob float64 // averaged
-	runSeconds  float64 // for how long a task occupies its resources, averaged
-	imageGB     float64
-	largestJob  float64 // tasks of the largest job of late
-	arrived     float64 // tasks that arrived, the older ones counted for less
+	kind            model.Kind
+	taskResources   scheduler.Resources
+	types           []int32
+	zone            int32
+	spot            bool
+	spread          bool
+	tasksPerJob     float64 // moving average
+	runSeconds      float64 // moving average of the time for which a task occupies its resources
+	imageGB         float64 // largest image, decaying
+	largestJobTasks float64 // tasks of the largest job, decaying
+	decayedArrivals float64 // tasks that arrived, exponentially decayed
 }
 
-// arrivals is what was learnt of all classes.
+// arrivals holds the statistics of all classes.
 type arrivals struct {
 	classes map[int32]*jobClass
-	// gpuWork is the last need seen of each class that uses GPUs.
-	gpuWork   scheduler.GPUDemand
-	seen      map[model.JobID]bool
+	// gpuDemand is the newest task demand of each class that uses GPUs.
+	gpuDemand scheduler.GPUDemand
+	seenJobs  map[model.JobID]bool
 	started   bool
-	since     model.Time
+	startTime model.Time
 	lastDecay model.Time
 }
 
 func newArrivals() arrivals {
-	return arrivals{classes: map[int32]*jobClass{}, gpuWork: scheduler.GPUDemand{}, seen: map[model.JobID]bool{}}
+	return arrivals{classes: map[int32]*jobClass{}, gpuDemand: scheduler.GPUDemand{}, seenJobs: map[model.JobID]bool{}}
 }
 
-// observe takes in the jobs that are new.
+// observe adds the jobs that arrived since the last call.
 func (a *arrivals) observe(m *model.Model, jobs []*model.Job, now model.Time) {
 	if !a.started {
-		a.started, a.since, a.lastDecay = true, now, now
-		// What is there at the start says nothing of how often jobs come.
+		a.started, a.startTime, a.lastDecay = true, now, now
+		// Jobs that exist at the start say nothing about the arrival rate.
 		for _, j := range jobs {
-			a.seen[j.ID] = true
-			a.record(m, j)
+			a.seenJobs[j.ID] = true
+			a.updateClass(m, j)
 		}
 		return
 	}
 	decay := math.Exp(-(now - a.lastDecay).Seconds() / averagingSeconds)
 	a.lastDecay = now
 	for _, c := range a.classes {
-		c.arrived *= decay
+		c.decayedArrivals *= decay
 	}
 	for _, j := range jobs {
-		if !a.seen[j.ID] {
-			a.seen[j.ID] = true
-			a.record(m, j).arrived += float64(len(j.Tasks))
+		if !a.seenJobs[j.ID] {
+			a.seenJobs[j.ID] = true
+			a.updateClass(m, j).decayedArrivals += float64(len(j.Tasks))
 		}
 	}
-	a.forgetFinished(m)
+	a.pruneSeenJobs(m)
 }
 
-// forgetFinished drops the jobs that are gone once they are most of those seen.
-func (a *arrivals) forgetFinished(m *model.Model) {
-	if len(a.seen) <= 4*len(m.Jobs)+1000 {
+// pruneSeenJobs removes the IDs of jobs that have left the model once they far outnumber the remaining ones.
+func (a *arrivals) pruneSeenJobs(m *model.Model) {
+	if len(a.seenJobs) <= 4*len(m.Jobs)+1000 {
 		return
 	}
-	for id := range a.seen {
+	for id := range a.seenJobs {
 		if m.Jobs[id] == nil {
-			delete(a.seen, id)
+			delete(a.seenJobs, id)
 		}
 	}
 }
 
-// record brings the averages of a job's class up to date, and returns the class.
-func (a *arrivals) record(m *model.Model, j *model.Job) *jobClass {
+// updateClass updates the statistics of a job's class and returns the class.
+func (a *arrivals) updateClass(m *model.Model, j *model.Job) *jobClass {
 	c := a.classes[j.Class]
 	if c == nil {
 		c = &jobClass{tasksPerJob: float64(len(j.Tasks)), runSeconds: m.ExpectedSeconds(j)}
 		a.classes[j.Class] = c
 	}
-	c.kind, c.need = j.Kind, scheduler.TaskDemand(j)
+	c.kind, c.taskResources = j.Kind, scheduler.TaskDemand(j)
 	c.types, c.zone, c.spot, c.spread = j.Types, j.Zone, j.Spec.Spot, j.Spec.Spread
-	if c.need.GPUs > 0 {
-		a.gpuWork[j.Class] = c.need
+	if c.taskResources.GPUs > 0 {
+		a.gpuDemand[j.Class] = c.taskResources
 	} else {
-		delete(a.gpuWork, j.Class)
+		delete(a.gpuDemand, j.Class)
 	}
 	c.imageGB = max(j.Spec.ImageGB, imageDecay*c.imageGB)
-	c.tasksPerJob += (float64(len(j.Tasks)) - c.tasksPerJob) * newestWeight
-	c.runSeconds += (m.ExpectedSeconds(j) - c.runSeconds) * newestWeight
-	c.largestJob = max(c.largestJob*largestJobDecay, float64(len(j.Tasks)))
+	c.tasksPerJob += (float64(len(j.Tasks)) - c.tasksPerJob) * averageWeight
+	c.runSeconds += (m.ExpectedSeconds(j) - c.runSeconds) * averageWeight
+	c.largestJobTasks = max(c.largestJobTasks*largestJobDecay, float64(len(j.Tasks)))
 	return c
 }
 
-// rate is how many tasks of a class arrive in a second.
-func (a *arrivals) rate(c *jobClass, now model.Time) float64 {
-	elapsed := (now - a.since).Seconds()
-	span := averagingSeconds * (1 - math.Exp(-elapsed/averagingSeconds))
-	return c.arrived / max(span, minAveragingSeconds)
+// tasksPerSecond returns the arrival rate of a class.
+func (a *arrivals) tasksPerSecond(c *jobClass, now model.Time) float64 {
+	elapsed := (now - a.startTime).Seconds()
+	effectiveSeconds := averagingSeconds * (1 - math.Exp(-elapsed/averagingSeconds))
+	return c.decayedArrivals / max(effectiveSeconds, minAveragingSeconds)
 }
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -1,10 +1,10 @@
-// Package autoscaler decides which machines to provision and which to release. It is pure: it reads the model,
-// remembers what it has learnt of demand and of the cloud's capacity, and returns what to ask of the cloud.
+// Package autoscaler decides which machines to provision and which to release. It does no I/O: it reads the model,
+// keeps statistics of demand and of the cloud's capacity, and returns a plan.
 //
-// The size of the fleet follows demand: waiting work is packed onto the free resources there are, with machines that
-// are booting counted in full; what is left over asks for new machines, the cheapest per task first. Services that
-// must start sooner than a machine boots get headroom for the arrivals of that time, and gangs that can't wait for a
-// boot find machines kept for the usual number of them.
+// The fleet size follows demand. Waiting work is packed onto free resources, where booting machines count in full; for
+// the rest, machines are requested from the offer with the lowest cost per task. Services that must start sooner than a
+// machine boots get headroom for the arrivals expected during a boot, and gangs that cannot wait for a boot get standby
+// machines for the usual number of concurrent gangs.
 package autoscaler
 
 import (
@@ -15,7 +15,7 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// InstanceOffer is something that can be provisioned: a machine type in a zone, on demand or as a spot instance.
+// InstanceOffer is a machine type in a zone, on demand or as a spot instance.
 type InstanceOffer struct {
 	Type, Zone int32
 	Spot       bool
@@ -25,52 +25,52 @@
 type ScaleOut struct {
 	InstanceOffer
 	Count   int
-	Purpose string // the demand that the first of the machines serves, which is the most urgent one, for the log
+	Purpose string // demand served by the first, most urgent machine; logged
 }
 
-// Plan is what to ask of the cloud, and what the scheduler has to respect meanwhile.
+// Plan holds the machines to request and release, and the restrictions that the scheduler applies meanwhile.
 type Plan struct {
-	// ScaleOuts are in the order of the demand's urgency, the most urgent first.
+	// ScaleOuts are ordered by the urgency of their demand, most urgent first.
 	ScaleOuts []ScaleOut
-	// ScaleIn are machines that nothing needs and that have been idle for long enough.
+	// ScaleIn lists machines that no demand needs and that have been idle for the minimum time.
 	ScaleIn []*model.Machine
-	// Drain are machines that only low-priority work uses and that cost more than it is
-	// worth: they get nothing new and are released when empty.
+	// Drain holds machines that only low-priority work uses and that cost more than it justifies. They receive no new
+	// tasks and are released once empty.
 	Drain map[*model.Machine]bool
-	// Headroom is how many CPUs low-priority work must leave free for services.
+	// Headroom is the number of CPUs that low-priority work must leave free for services.
 	Headroom float64
-	// ForServices are the machines with GPUs that services need because there is no other room for them, with the
-	// number of tasks; the rest is kept whole for work that uses GPUs.
+	// ForServices maps machines with GPUs to the number of service tasks that may be placed there because no other
+	// machine has room. All other machines with GPUs stay reserved for work that uses GPUs.
 	ForServices map[*model.Machine]int
-	// LowPriorityAllowed are the machines with GPUs that low-priority work may use: it is worth them,
-	// or they are kept anyway. Elsewhere it would hold an expensive machine that its
-	// last gang has left, for as long as its longest task runs.
+	// LowPriorityAllowed holds the machines with GPUs that low-priority work may use, because it justifies their price
+	// or they are kept anyway. On other machines it would prolong the rental of an expensive machine after its last
+	// gang has ended, by up to the run time of its longest task.
 	LowPriorityAllowed map[*model.Machine]bool
-	// Vacate is an expensive machine that only services hold, whose replicas all have
-	// room elsewhere: they are moved, one at a time, and it is released.
+	// Vacate is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one at a
+	// time, and the machine is then released.
 	Vacate *model.Machine
 }
 
-// Autoscaler holds what lasts from plan to plan.
+// Autoscaler holds the state that is kept from one plan to the next.
 type Autoscaler struct {
 	Objectives []config.Objective
-	// InFlight are the machines that were asked for and are not answered yet.
+	// InFlight counts the machines that were requested and not yet granted or refused.
 	InFlight map[InstanceOffer]int
 
 	arrivals arrivals
 	refusals map[InstanceOffer]refusal
-	// vacating is the machine that the last plan had vacated.
-	vacating *model.Machine
-	// machineCounts are the machines of each offer, so that equal offers take turns.
+	// drainTarget is Vacate of the last plan.
+	drainTarget *model.Machine
+	// machineCounts is the number of machines of each offer; it spreads machines over offers of equal price.
 	machineCounts map[InstanceOffer]int
-	// partitionedZones are zones with suspect machines: what is provisioned there can't be reached.
+	// partitionedZones holds the zones with suspect machines. Machines provisioned there could not be reached.
 	partitionedZones map[int32]bool
 	bootTimes        map[typeZone]bootStats
-	// lateMachines are the machines that should be up by now.
-	lateMachines map[typeZone]int
+	// overdueMachines counts the machines whose boot is overdue.
+	overdueMachines map[typeZone]int
 }
 
-// New makes an autoscaler that has learnt nothing yet.
+// New returns an autoscaler without any statistics.
 func New(objectives []config.Objective) *Autoscaler {
 	return &Autoscaler{
 		Objectives:       objectives,
@@ -79,20 +79,20 @@
 		partitionedZones: map[int32]bool{},
 		machineCounts:    map[InstanceOffer]int{},
 		bootTimes:        map[typeZone]bootStats{},
-		lateMachines:     map[typeZone]int{},
+		overdueMachines:  map[typeZone]int{},
 	}
 }
 
-// RequestName makes the name of a scale-out request that no other controller, term or restart uses:
-// terms are never used twice.
+// RequestName returns a scale-out request name that no other controller, term or restart uses: term numbers are never
+// reused.
 func RequestName(term uint64, n int) string { return fmt.Sprintf("fh-%d-%d", term, n) }
 
-// isPreemptible tells whether a job is low-priority batch work, which gives way to everything else.
+// isPreemptible reports whether a job is low-priority batch work, which is preempted for any other work.
 func isPreemptible(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority == model.Low
 }
 
-// observeFleet notes which zones are partitioned, and how many machines of each offer there are.
+// observeFleet updates the partitioned zones and the machine count of each offer.
 func (a *Autoscaler) observeFleet(m *model.Model) {
 	clear(a.partitionedZones)
 	clear(a.machineCounts)
@@ -108,8 +108,8 @@
 	return InstanceOffer{machine.Type, machine.Zone, machine.Spot}
 }
 
-// isFragmented tells whether services took a machine with GPUs already, so that the
-// largest work that uses GPUs does not fit beside them.
+// isFragmented reports whether services occupy so much of a machine with GPUs that some GPU work that fits the empty
+// machine does not fit beside them.
 func (a *Autoscaler) isFragmented(s *slot) bool {
-	return s.machine != nil && a.arrivals.gpuWork.BlockedBy(s.total, scheduler.Reserved(s.machine))
+	return s.machine != nil && a.arrivals.gpuDemand.BlockedBy(s.total, scheduler.Reserved(s.machine))
 }
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -9,9 +9,9 @@
 	"fieldhill/wire"
 )
 
-// newTestModel is a model with two types of machines, the expensive one with GPUs, and an autoscaler
-// that has been refused more of the cheap one.
-func newTestModel(t *testing.T, cheap, dear int) (*model.Model, *Autoscaler, func(e *model.Entry)) {
+// newTestModel returns a model with a cheap machine type, an expensive one with GPUs, and the given number of machines
+// of each, and an autoscaler for which the cheap type is in backoff.
+func newTestModel(t *testing.T, cheap, expensive int) (*model.Model, *Autoscaler, func(e *model.Entry)) {
 	t.Helper()
 	m := model.New(&config.Params{Zones: []string{"a"}, Teams: []config.Team{{Name: "red", GPUs: 64}}})
 	seq := uint64(0)
@@ -27,16 +27,16 @@
 			Price: 0.5, SpotPrice: 0.1, BootS: 40, Zones: []string{"a"},
 		},
 		{
-			Name: "dear", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 80, FetchGBPerS: 0.8,
+			Name: "expensive", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 80, FetchGBPerS: 0.8,
 			Price: 25, SpotPrice: 6, BootS: 25, Zones: []string{"a"},
 		},
 	} {
 		apply(&model.Entry{Kind: model.EntryType, Type: &ty})
 	}
-	for i := range cheap + dear {
+	for i := range cheap + expensive {
 		name := "cheap"
 		if i >= cheap {
-			name = "dear"
+			name = "expensive"
 		}
 		id := model.MachineID(i + 1)
 		info := &model.MachineInfo{Name: fmt.Sprint("m", i), Type: name, Zone: "a"}
@@ -50,7 +50,7 @@
 	return m, a, apply
 }
 
-// webService is a service of small replicas.
+// webService returns a service of small replicas.
 func webService(id uint64, tasks int) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID: wire.JobID(id), Class: "web", Team: "red", Shape: wire.Service, Priority: wire.Production,
@@ -58,7 +58,7 @@
 	}
 }
 
-// wholeMachineGang is a gang of one member that fills an expensive machine.
+// wholeMachineGang returns a gang with one member that fills an expensive machine.
 func wholeMachineGang(id uint64) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID: wire.JobID(id), Class: "gang", Team: "red", Shape: wire.Gang, Priority: wire.High,
@@ -66,7 +66,7 @@
 	}
 }
 
-// placeServices accepts two services of a task each and places them on a machine.
+// placeServices accepts two services with one task each and places them on a machine.
 func placeServices(apply func(*model.Entry), from int, on model.MachineID) {
 	for i := range 2 {
 		id := uint64(from + i)
@@ -75,27 +75,25 @@
 	}
 }
 
-// TestNoGPUMachinesForStandby: no machine with GPUs is provisioned for services that are only
-// expected. It stood idle, was released, and the next one was provisioned, a minute's
-// price each time.
+// No machine with GPUs may be provisioned for standby services. Such a machine stays idle, is released, and the next
+// one is provisioned, each charged for a minute.
 func TestNoGPUMachinesForStandby(t *testing.T) {
 	m, a, apply := newTestModel(t, 1, 0)
 	a.Plan(m, 0)
-	placeServices(apply, 1, 1) // the only cheap machine is full, and more will come
+	placeServices(apply, 1, 1) // the only cheap machine is full, and more arrivals are expected
 	if p := a.Plan(m, 60e9); len(p.ScaleOuts) != 0 {
-		t.Errorf("provisions %+v for services that are expected", p.ScaleOuts)
+		t.Errorf("scale-outs for standby services: got %+v, want none", p.ScaleOuts)
 	}
 	gang := wholeMachineGang(9)
 	gang.Priority, gang.Tasks, gang.CPUs, gang.SameZone = wire.Normal, 2, 80, true
 	apply(model.Accepted(gang, 0))
 	p := a.Plan(m, 61e9)
-	if len(p.ScaleOuts) != 1 || p.ScaleOuts[0].Count != 2 || m.TypeNames.Name(p.ScaleOuts[0].Type) != "dear" {
-		t.Errorf("provisions %+v for a gang of two", p.ScaleOuts)
+	if len(p.ScaleOuts) != 1 || p.ScaleOuts[0].Count != 2 || m.TypeNames.Name(p.ScaleOuts[0].Type) != "expensive" {
+		t.Errorf("scale-outs for a gang of two: got %+v, want 2 expensive machines", p.ScaleOuts)
 	}
 }
 
-// TestReplacementsForExpiringLeases: while leases expire in a partitioned zone, machines for
-// what is there are provisioned already, in another zone.
+// While leases expire in a partitioned zone, replacement machines must already be provisioned in another zone.
 func TestReplacementsForExpiringLeases(t *testing.T) {
 	m, a, apply := newTestModel(t, 2, 0)
 	a.refusals = map[InstanceOffer]refusal{}
@@ -104,17 +102,17 @@
 	before := a.Plan(m, 60e9)
 	apply(&model.Entry{Kind: model.EntrySuspect, Machine: 1})
 	apply(&model.Entry{Kind: model.EntrySuspect, Machine: 2})
-	if n := scaledOut(a.Plan(m, 60e9)); n != 0 {
-		t.Errorf("provisions %d machines in the partitioned zone, the only one", n)
+	if n := requestedMachines(a.Plan(m, 60e9)); n != 0 {
+		t.Errorf("requested %d machines in the only zone, which is partitioned", n)
 	}
 	m.Types[0].ZoneIDs = append(m.Types[0].ZoneIDs, m.Zones.ID("b"))
-	if n, k := scaledOut(before), scaledOut(a.Plan(m, 60e9)); k < n+1 {
-		t.Errorf("provisions %d machines, %d before the only ones became suspect", k, n)
+	if nBefore, nSuspect := requestedMachines(before), requestedMachines(a.Plan(m, 60e9)); nSuspect < nBefore+1 {
+		t.Errorf("requested %d machines after all became suspect, want more than the %d before", nSuspect, nBefore)
 	}
 }
 
-// TestServicesDisplaceGangs: when nothing else is there and nothing can be provisioned, services
-// may go where a gang of lower priority has to leave, if they fill half of its room.
+// If there is no other room and nothing can be provisioned, services may use a machine whose gang has a lower priority,
+// provided that they fill at least half of it.
 func TestServicesDisplaceGangs(t *testing.T) {
 	m, a, apply := newTestModel(t, 0, 2)
 	for _, spot := range []bool{false, true} {
@@ -127,7 +125,7 @@
 		apply(&model.Entry{Kind: model.EntryPlace, Job: id, Task: 0, Attempt: 1, Machine: machine, Session: 1})
 	}
 	if p := a.Plan(m, 0); len(p.ForServices) != 0 {
-		t.Errorf("services may go to %d machines although none waits", len(p.ForServices))
+		t.Errorf("services allowed on %d machines, but none is waiting", len(p.ForServices))
 	}
 	for n := range 10 { // 3 replicas each, 23 fill a machine
 		apply(model.Accepted(webService(uint64(8+n), 3), 0))
@@ -136,26 +134,26 @@
 			want = 1
 		}
 		if p := a.Plan(m, model.Time(n+1)*1e9); len(p.ForServices) != want {
-			t.Errorf("%d replicas may go to %d machines of gangs", 3*n+3, len(p.ForServices))
+			t.Errorf("%d waiting replicas: allowed on %d machines of gangs, want %d", 3*n+3, len(p.ForServices), want)
 		}
 	}
 }
 
-func scaledOut(p Plan) (n int) {
-	for _, h := range p.ScaleOuts {
-		n += h.Count
+func requestedMachines(p Plan) (n int) {
+	for _, scaleOut := range p.ScaleOuts {
+		n += scaleOut.Count
 	}
 	return n
 }
 
-// TestLateBoots: a machine that does not come up while others do is covered anew, once,
-// and abandoned early; when none comes up, all may be slow, and they are waited for.
-func TestLateBoots(t *testing.T) {
-	t.Run("others are up", func(t *testing.T) { testLateBoots(t, true) })
-	t.Run("none is up", func(t *testing.T) { testLateBoots(t, false) })
+// If a machine is overdue while others are up, its demand is covered once by another machine, and it is abandoned
+// early. If none is up, all may be slow and are waited for.
+func TestOverdueBoots(t *testing.T) {
+	t.Run("others are up", func(t *testing.T) { testOverdueBoots(t, true) })
+	t.Run("none is up", func(t *testing.T) { testOverdueBoots(t, false) })
 }
 
-func testLateBoots(t *testing.T, others bool) {
+func testOverdueBoots(t *testing.T, others bool) {
 	m, a, apply := newTestModel(t, 0, 1)
 	a.refusals = map[InstanceOffer]refusal{}
 	a.Plan(m, 0)
@@ -164,81 +162,81 @@
 		apply(&model.Entry{Kind: model.EntryMachine, Machine: id, At: at, Info: info})
 		return m.Machines[id]
 	}
-	late := provision(10, 1000) // cheap machines boot for 40 s
+	late := provision(10, 1000) // cheap machines boot in 40 s
 	for id := model.MachineID(11); id < 13; id++ {
 		machine := provision(id, 1000)
 		machine.Contact.Reported = others
-		if others { // and they are taken
+		if others { // and are fully used
 			placeServices(apply, int(id)*10, id)
 		}
 	}
 	apply(model.Accepted(webService(1, 2), 0))
-	a.Objectives = nil // nothing is kept ready
+	a.Objectives = nil // no standby demand
 	checkAt := func(s int64) ([]*model.Machine, int) {
 		abandoned := a.CheckBoots(m, 1000+s*1000, model.Time(s)*1e9, 0)
-		return abandoned, scaledOut(a.Plan(m, model.Time(s)*1e9))
+		return abandoned, requestedMachines(a.Plan(m, model.Time(s)*1e9))
 	}
 	if abandoned, n := checkAt(60); len(abandoned) != 0 || n != 0 {
-		t.Errorf("after 60 s: %d abandoned, %d provisioned", len(abandoned), n)
+		t.Errorf("after 60 s: %d abandoned, %d requested, want none", len(abandoned), n)
 	}
 	abandoned, n := checkAt(80)
 	if overdue := late.Lifecycle.BootOverdue; len(abandoned) != 0 || overdue != others || (n == 1) != others {
-		t.Errorf("after 80 s: %d abandoned, overdue %v, %d provisioned", len(abandoned), overdue, n)
+		t.Errorf("after 80 s: %d abandoned, overdue %v, %d requested", len(abandoned), overdue, n)
 	}
 	if n == 1 {
 		provision(20, 81_000)
 	}
 	if abandoned, n = checkAt(110); (len(abandoned) == 1) != others || others && n != 0 {
-		t.Errorf("after 110 s: %d abandoned, %d provisioned", len(abandoned), n)
+		t.Errorf("after 110 s: %d abandoned, %d requested", len(abandoned), n)
 	}
 	if abandoned, _ = checkAt(160); !others && len(abandoned) != 3 {
-		t.Errorf("after 160 s %d of 3 are abandoned", len(abandoned))
+		t.Errorf("after 160 s: %d machines abandoned, want 3", len(abandoned))
 	}
-	late.Contact.Reported = true // it comes up all the same, and is of use
+	late.Contact.Reported = true // the machine comes up after it was abandoned
 	if checkAt(161); late.Lifecycle.BootOverdue {
-		t.Error("a machine that has come up counts as late")
+		t.Error("a machine that is up is marked as overdue")
 	}
 }
 
-// TestBootTimesAreLearnt: what machines took of late counts where it differs clearly from what the cloud says.
-func TestBootTimesAreLearnt(t *testing.T) {
+// Observed boot times are used where they clearly differ from the stated one.
+func TestObservedBootTimesReplaceStated(t *testing.T) {
 	m, a, _ := newTestModel(t, 1, 1)
 	for range 4 {
 		a.OnBooted(0, 0, 0.05)
 		a.OnBooted(1, 0, 1.2)
 	}
 	if s := a.bootSeconds(m, 0, 0); s > 3 {
-		t.Errorf("cheap machines that are up at once are expected after %g s", s)
+		t.Errorf("expected boot time of cheap machines that boot immediately is %g s, want at most 3", s)
 	}
 	if s := a.bootSeconds(m, 1, 0); s != 25 {
-		t.Errorf("expensive machines are expected after %g s", s)
+		t.Errorf("expected boot time of expensive machines is %g s, want 25", s)
 	}
 }
 
-// TestReleasedCapacityIsRetried: what the cloud took back it has again. While an offer was refused, the
-// replacement of a machine that had died waited out the pause.
+// A released machine ends the backoff of its offer. Otherwise the replacement of a machine that died waits out the
+// backoff although capacity is available.
 func TestReleasedCapacityIsRetried(t *testing.T) {
 	m, a, apply := newTestModel(t, 0, 0)
 	o := InstanceOffer{}
 	a.OnAvailable(o)
 	for range 4 {
-		a.OnRefused(o, 0) // a pause of 80 s
+		a.OnRefused(o, 0) // backoff of 80 s
 	}
 	spec := webService(1, 1)
 	spec.Types = []string{"cheap"}
 	apply(model.Accepted(spec, 0))
-	if n := scaledOut(a.Plan(m, 10e9)); n != 0 {
-		t.Fatalf("%d machines are asked for in the pause", n)
+	if n := requestedMachines(a.Plan(m, 10e9)); n != 0 {
+		t.Fatalf("requested %d machines during the backoff, want none", n)
 	}
 	a.OnAvailable(o)
-	if n := scaledOut(a.Plan(m, 10e9)); n != 1 {
-		t.Errorf("%d machines are asked for once the cloud took one back", n)
+	if n := requestedMachines(a.Plan(m, 10e9)); n != 1 {
+		t.Errorf("requested %d machines after one was released, want 1", n)
 	}
 }
 
-// TestGuaranteedArraysYieldToServices: low-priority arrays leave for services also when they are within their
-// team's guarantee, so an expensive machine that services hold is emptied though such arrays fill the cheap
-// one. Their room counted as taken, and after a partition gangs waited for expensive machines until the day's end.
+// Low-priority arrays are preempted for services even within their team's guarantee, so services are moved off an
+// expensive machine although such arrays fill the cheap one. If the arrays' resources count as taken, the services keep
+// the expensive machine, and gangs wait for one indefinitely after a partition.
 func TestGuaranteedArraysYieldToServices(t *testing.T) {
 	m, a, apply := newTestModel(t, 1, 1)
 	m.Teams[0].CPUs = 200
@@ -254,9 +252,9 @@
 	a.Objectives = nil // nothing is kept ready
 	p := a.Plan(m, 60e9)
 	if !m.Jobs[8].Scheduling.Guaranteed {
-		t.Fatal("the array is not within the guarantee")
+		t.Fatal("the array is not within its team's guarantee")
 	}
 	if p.Vacate != m.Machines[2] {
-		t.Errorf("the expensive machine is kept for two replicas, though eight low-priority tasks hold the cheap one")
+		t.Error("the expensive machine is not vacated, though low-priority tasks on the cheap one yield to its replicas")
 	}
 }
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -7,94 +7,98 @@
 	"fieldhill/internal/model"
 )
 
-// This file learns how long machines take to come up. What the cloud says of a type is
-// the usual time: some take several times as long, some never come up and are charged
-// until they are deleted, and at times a whole zone or type is slow, or all are up at
-// once. One that is late while others that were provisioned no earlier are up is a failure of its own,
-// and is replaced and abandoned early; where nothing has come up, everything may be slow,
-// and abandoning would only begin the wait anew.
+// This file tracks boot times. The cloud states the usual time for each type, but some machines take several times as
+// long, some never come up and are charged until they are deleted, and at times a whole zone or type is slow, or comes
+// up at once. A machine that is overdue while others that were provisioned no earlier are up has failed individually
+// and is replaced and abandoned early. Where no machine has come up, all of them may be slow, and abandoning them would
+// only restart the wait.
 
-// Multiples of the usual time to come up.
+// Thresholds as multiples of the usual boot time.
 const (
-	lateWhenOthersUp    = 1.7 // late, others that were provisioned no earlier came up
-	lateAlways          = 2.5 // late in any case
-	abandonWhenOthersUp = 2.5 // won't come, others came up
-	abandonAlways       = 3.5 // won't come, or not soon enough
+	overdueFactorOthersUp = 1.7 // overdue if others that were provisioned no earlier are up
+	overdueFactor         = 2.5 // overdue in any case
+	abandonFactorOthersUp = 2.5 // abandoned if others are up
+	abandonFactor         = 3.5 // abandoned in any case
 )
 
 const (
-	// minOvertakers is how many others have to be up for one to count as late on its own.
-	minOvertakers = 2
-	// bootSamples is how many of the last boots the average is over, and minBootSamples from how many on it counts.
-	bootSamples, minBootSamples = 6, 4
-	// An average between these is the usual time.
+	// minOthersUp is how many machines provisioned no earlier must be up for one to count as failed individually.
+	minOthersUp = 2
+	// The average covers about the last maxBootSamples boots and is used once there are minBootSamples.
+	maxBootSamples, minBootSamples = 6, 4
+	// An average ratio in this range is treated as the usual boot time.
 	nominalRatioMin, nominalRatioMax = 0.6, 1.5
-	// latePenaltyStep is by how much each late machine makes an offer count as more expensive, up to maxLatePenalized.
-	latePenaltyStep, maxLatePenalized = 0.5, 6
-	// sameTimeMS is how much earlier, in ms, another one may have been provisioned to count as no earlier.
-	sameTimeMS = 500
+	// overduePenaltyStep is the relative price penalty of an offer for each overdue machine, for at most
+	// maxPenalizedOverdue machines.
+	overduePenaltyStep, maxPenalizedOverdue = 0.5, 6
+	// provisionToleranceMS is how much earlier another machine may have been provisioned and still count as no earlier.
+	provisionToleranceMS = 500
 )
 
-// bootStats is what was learnt of a type in a zone.
+// bootStats holds the boot times seen of a machine type in a zone.
 type bootStats struct {
-	ratio   float64 // of the time taken to the usual time, averaged
-	samples int
+	meanRatio float64 // moving average of actual to usual boot time
+	samples   int
 }
 
 // typeZone is a machine type in a zone.
 type typeZone struct{ machineType, zone int32 }
 
-// OnBooted notes how long a machine took, as a multiple of its type's usual time.
+// OnBooted records how long a machine took to come up, as a multiple of its type's usual boot time.
 func (a *Autoscaler) OnBooted(typ, zone int32, ratio float64) {
 	b := a.bootTimes[typeZone{typ, zone}]
 	b.samples++
-	b.ratio += (ratio - b.ratio) / float64(min(b.samples, bootSamples))
+	b.meanRatio += (ratio - b.meanRatio) / float64(min(b.samples, maxBootSamples))
 	a.bootTimes[typeZone{typ, zone}] = b
 }
 
-// bootSeconds is how long a machine of a type takes to come up, as learnt: what the cloud
-// says, unless some that came up lately say something clearly different.
+// bootSeconds returns the expected boot time of a machine: the one that the cloud states, unless recent boots clearly
+// differ from it.
 func (a *Autoscaler) bootSeconds(m *model.Model, typ, zone int32) float64 {
 	nominal := m.Types[typ].BootS
 	b := a.bootTimes[typeZone{typ, zone}]
-	if b.samples >= minBootSamples && (b.ratio < nominalRatioMin || b.ratio > nominalRatioMax) {
-		return nominal * b.ratio
+	if b.samples >= minBootSamples && (b.meanRatio < nominalRatioMin || b.meanRatio > nominalRatioMax) {
+		return nominal * b.meanRatio
 	}
 	return nominal
 }
 
-// CheckBoots marks the machines that are late, so that demand is covered anew, and
-// returns those that won't come up; at is the time of day in ms, and settleTime how long a new
-// leader gives machines that are up to report to it.
-func (a *Autoscaler) CheckBoots(m *model.Model, at int64, now, settleTime model.Time) (abandoned []*model.Machine) {
-	var provisionTimes map[int32][]int64 // made when the first late machine is found
-	clear(a.lateMachines)
+// CheckBoots marks the machines whose boot is overdue, so that their demand is covered by new ones, and returns those
+// to be abandoned. wallClockMS is the time of day; settleTime is how long a new leader waits for running machines to
+// report to it.
+func (a *Autoscaler) CheckBoots(
+	m *model.Model,
+	wallClockMS int64,
+	now, settleTime model.Time,
+) (abandoned []*model.Machine) {
+	var provisionTimes map[int32][]int64 // computed when the first overdue machine is found
+	clear(a.overdueMachines)
 	for _, machine := range m.Order {
 		machine.Lifecycle.BootOverdue = false
-		boot := max(m.TypeOf(machine).BootS, 10)
-		age := float64(at-machine.At) / 1000
+		bootSeconds := max(m.TypeOf(machine).BootS, 10)
+		ageSeconds := float64(wallClockMS-machine.At) / 1000
 		if machine.Contact.Reported || len(machine.Runs) > 0 || machine.Suspect || machine.Releasing ||
-			age < lateWhenOthersUp*boot+3 || now-machine.Contact.KnownSince < settleTime {
+			ageSeconds < overdueFactorOthersUp*bootSeconds+3 || now-machine.Contact.KnownSince < settleTime {
 			continue
 		}
 		if provisionTimes == nil {
 			provisionTimes = provisionTimesOfReporting(m)
 		}
 		times := provisionTimes[machine.Type]
-		first, _ := slices.BinarySearch(times, machine.At-sameTimeMS)
-		alone := len(times)-first >= minOvertakers
-		machine.Lifecycle.BootOverdue = alone || age > lateAlways*boot+5
+		first, _ := slices.BinarySearch(times, machine.At-provisionToleranceMS)
+		othersUp := len(times)-first >= minOthersUp
+		machine.Lifecycle.BootOverdue = othersUp || ageSeconds > overdueFactor*bootSeconds+5
 		if machine.Lifecycle.BootOverdue {
-			a.lateMachines[typeZone{machine.Type, machine.Zone}]++
+			a.overdueMachines[typeZone{machine.Type, machine.Zone}]++
 		}
-		if alone && age > abandonWhenOthersUp*boot+5 || age > abandonAlways*boot+10 {
+		if othersUp && ageSeconds > abandonFactorOthersUp*bootSeconds+5 || ageSeconds > abandonFactor*bootSeconds+10 {
 			abandoned = append(abandoned, machine)
 		}
 	}
 	return abandoned
 }
 
-// provisionTimesOfReporting lists, for each type, when the machines that are up were provisioned, the earliest first.
+// provisionTimesOfReporting returns the provision times of the machines that are up, by type, in ascending order.
 func provisionTimesOfReporting(m *model.Model) map[int32][]int64 {
 	times := map[int32][]int64{}
 	for _, machine := range m.Order {
@@ -108,12 +112,12 @@
 	return times
 }
 
-// latePenalty is by how much an offer counts as more expensive because machines there are late.
-func (a *Autoscaler) latePenalty(o InstanceOffer) float64 {
-	return 1 + latePenaltyStep*float64(min(a.lateMachines[typeZone{o.Type, o.Zone}], maxLatePenalized))
+// overduePenalty returns the factor on an offer's price for overdue machines in its type and zone.
+func (a *Autoscaler) overduePenalty(o InstanceOffer) float64 {
+	return 1 + overduePenaltyStep*float64(min(a.overdueMachines[typeZone{o.Type, o.Zone}], maxPenalizedOverdue))
 }
 
-// BootRatio is how long a machine took to come up, as a multiple of the usual time.
+// BootRatio returns a machine's boot time as a multiple of its type's usual boot time.
 func BootRatio(m *model.Model, machine *model.Machine, now model.Time) float64 {
 	nominal := config.Seconds(max(m.TypeOf(machine).BootS, 1))
 	return float64(now-machine.Lifecycle.ProvisionedAt) / float64(nominal)
--- a/internal/scheduling/autoscaler/demand.go
+++ b/internal/scheduling/autoscaler/demand.go
@@ -9,30 +9,30 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// demand is a number of equal tasks that want room.
+// demand is a number of equal tasks to be placed.
 type demand struct {
-	need     scheduler.Resources
-	types    []int32 // nil: any
-	zone     int32   // below 0: any
-	spot     bool
-	count    int
-	service  bool
-	priority model.Priority
-	standby  bool   // room to keep free for what is expected, not work
-	purpose  string // for the log
-	// maxPriceFactor is how many times the cheapest price it is worth; 0: any.
+	taskResources scheduler.Resources
+	types         []int32 // nil: any
+	zone          int32   // negative: any
+	spot          bool
+	count         int
+	service       bool
+	priority      model.Priority
+	standby       bool   // room for expected arrivals, not waiting work
+	purpose       string // logged
+	// maxPriceFactor limits the price, as a multiple of the cheapest suitable offer; 0: no limit.
 	maxPriceFactor float64
-	// maxPerZone is how many may go to one zone, 0: any number; inZone is how many are there already.
-	maxPerZone int
-	inZone     map[int32]int
+	// maxPerZone limits the tasks in one zone, 0: no limit; countPerZone is how many are there already.
+	maxPerZone   int
+	countPerZone map[int32]int
 }
 
-// canUse tells whether a task may go to a slot's machine, resources apart.
+// canUse reports whether the constraints allow a task on a slot's machine, regardless of free resources.
 func (d *demand) canUse(s *slot) bool { return (!s.servicesOnly || d.service) && d.allows(s.offer) }
 
-// allows tells whether a task may go to a machine of an offer, resources apart.
+// allows reports whether the constraints allow a task on machines of an offer, regardless of resources.
 func (d *demand) allows(o InstanceOffer) bool {
-	if d.maxPerZone > 0 && d.inZone[o.Zone] >= d.maxPerZone {
+	if d.maxPerZone > 0 && d.countPerZone[o.Zone] >= d.maxPerZone {
 		return false
 	}
 	if o.Spot && !d.spot || d.zone >= 0 && d.zone != o.Zone {
@@ -41,39 +41,39 @@
 	return d.types == nil || slices.Contains(d.types, o.Type)
 }
 
-// placeOn takes a task's resources off a slot.
-func (d *demand) placeOn(s *slot) {
-	s.free = s.free.Minus(d.need)
+// placeTask subtracts a task's resources from a slot.
+func (d *demand) placeTask(s *slot) {
+	s.free = s.free.Minus(d.taskResources)
 	s.used = true
-	if d.inZone != nil {
-		d.inZone[s.offer.Zone]++
+	if d.countPerZone != nil {
+		d.countPerZone[s.offer.Zone]++
 	}
 }
 
-// applySpread makes a demand keep its job's spread over zones: without it a second
-// replica would count on room in a zone where it may not go.
+// applySpread applies the job's spread over zones. Without it a replica would be packed onto room in a zone where it
+// may not be placed.
 func (d *demand) applySpread(j *model.Job) {
 	if !j.Spec.Spread || len(j.Tasks) < 2 {
 		return
 	}
-	d.maxPerZone, d.inZone = (len(j.Tasks)+1)/2, map[int32]int{}
+	d.maxPerZone, d.countPerZone = (len(j.Tasks)+1)/2, map[int32]int{}
 	for i := range j.Tasks {
 		if r := j.Tasks[i].Run; r != nil {
-			d.inZone[r.Machine.Zone]++
+			d.countPerZone[r.Machine.Zone]++
 		}
 	}
 }
 
-// demands lists what wants room, most urgent first, and how many CPUs are to be left free for services.
+// demands returns all demand, most urgent first, and the number of CPUs to leave free for services.
 func (a *Autoscaler) demands(m *model.Model, jobs []*model.Job, now model.Time) (all []demand, headroom float64) {
 	var urgent, low []demand
 	expiring, preemptible := runningDemand(m)
 	for _, j := range jobs {
 		n := j.Waiting() + expiring[j]
 		if n == 0 && !isPreemptible(j) || j.Team == nil || j.Cancelled || j.Observed.Faulty {
-			continue // what fails everywhere is worth no machine
+			continue // a faulty job does not justify machines
 		}
-		n = min(n, teamAllowance(j, preemptible)+expiring[j])
+		n = min(n, remainingTeamQuota(j, preemptible)+expiring[j])
 		d := a.jobDemand(m, j, n, now)
 		if isPreemptible(j) {
 			low = append(low, d)
@@ -86,8 +86,9 @@
 	return slices.Concat(urgent, standby, low), headroom
 }
 
-// runningDemand looks at what runs: what is on suspect machines will want room elsewhere when their leases have
-// expired, and machines for it can boot meanwhile; and low-priority work, by team, could give way.
+// runningDemand returns, from the tasks that run, those on suspect machines by job and the resources of preemptible
+// work by team. The former need room elsewhere once their leases have expired, and machines for them can boot
+// meanwhile.
 func runningDemand(m *model.Model) (expiring map[*model.Job]int, preemptible []scheduler.Resources) {
 	expiring = map[*model.Job]int{}
 	preemptible = make([]scheduler.Resources, len(m.Teams))
@@ -104,18 +105,18 @@
 	return expiring, preemptible
 }
 
-// jobDemand is what a job wants with so many of its tasks waiting. Low-priority work counts in full, with what of it
-// runs: the slots count its resources as free.
+// jobDemand returns a job's demand for the given number of waiting tasks. Low-priority work also counts its running
+// tasks, since the slots treat their resources as free.
 func (a *Autoscaler) jobDemand(m *model.Model, j *model.Job, waiting int, now model.Time) demand {
 	d := demand{
-		need:     scheduler.TaskDemand(j),
-		types:    j.Types,
-		zone:     j.Zone,
-		spot:     j.Spec.Spot,
-		count:    waiting,
-		service:  j.Kind == model.Service,
-		priority: j.Priority,
-		purpose:  "demand of job " + j.Spec.ID,
+		taskResources: scheduler.TaskDemand(j),
+		types:         j.Types,
+		zone:          j.Zone,
+		spot:          j.Spec.Spot,
+		count:         waiting,
+		service:       j.Kind == model.Service,
+		priority:      j.Priority,
+		purpose:       "demand of job " + j.Spec.ID,
 	}
 	d.applySpread(j)
 	if j.Kind != model.Array {
@@ -129,10 +130,10 @@
 	return d
 }
 
-// teamAllowance is how many more tasks of a job its team's limit allows. Low-priority work of the
-// team is not in the way of what is more urgent: it is preempted once there are
-// machines, so they must be provisioned although the limit is full of it.
-func teamAllowance(j *model.Job, preemptible []scheduler.Resources) int {
+// remainingTeamQuota returns how many more tasks of a job its team's limit allows. For more urgent jobs the
+// low-priority work of the team does not count against the limit: it is preempted once there are machines, so these
+// must be provisioned even while it uses up the limit.
+func remainingTeamQuota(j *model.Job, preemptible []scheduler.Resources) int {
 	const epsilon, unlimited = 1e-6, 1e6
 	t, n := j.Team, math.Inf(1)
 	var lowPriority scheduler.Resources
@@ -152,30 +153,31 @@
 }
 
 const (
-	// defaultFinishSeconds is how long a job may take where neither an objective nor a deadline says so.
-	defaultFinishSeconds = 300
-	// finishShare is the part of that time that planning counts on.
-	finishShare = 0.6
-	// minTaskSeconds and taskOverheadSeconds are the least that a task takes, and what placing and starting it adds.
+	// defaultCompletionSeconds is the time to complete a job that has neither an objective nor a deadline.
+	defaultCompletionSeconds = 300
+	// completionBudgetShare is the part of the completion time that planning uses.
+	completionBudgetShare = 0.6
+	// minTaskSeconds is the lower bound of a task's run time; taskOverheadSeconds is added for placing and starting it.
 	minTaskSeconds, taskOverheadSeconds = 5, 8
-	// defaultOnTimeShare is the least share of jobs that are to be on time.
+	// defaultOnTimeShare is the minimum share of jobs that must complete in time.
 	defaultOnTimeShare = 0.75
 )
 
-// requiredParallelism is how many tasks of an array must run at once for it to be done
-// within a part of what its objective leaves.
+// requiredParallelism returns how many more tasks of an array must run concurrently for it to complete within
+// completionBudgetShare of its target.
 func (a *Autoscaler) requiredParallelism(m *model.Model, j *model.Job, now model.Time) int {
 	taskSeconds := max(minTaskSeconds, m.ExpectedSeconds(j)) + taskOverheadSeconds
-	left := a.finishWithin(j)*finishShare - (now - j.Observed.KnownSince).Seconds()
-	rounds := math.Floor(left / taskSeconds)
+	secondsLeft := a.completionTargetSeconds(j)*completionBudgetShare - (now - j.Observed.KnownSince).Seconds()
+	rounds := math.Floor(secondsLeft / taskSeconds)
 	if rounds < 1 {
 		return j.Waiting()
 	}
 	return max(0, int(math.Ceil(float64(j.Waiting()+j.Live)/rounds))-j.Live)
 }
 
-// finishWithin is how many seconds a job may take in all by the objectives.
-func (a *Autoscaler) finishWithin(j *model.Job) float64 {
+// completionTargetSeconds returns the total time in which the objectives, or else the job's deadline, require a job
+// to complete.
+func (a *Autoscaler) completionTargetSeconds(j *model.Job) float64 {
 	best := math.Inf(1)
 	for _, o := range a.Objectives {
 		if o.Class != j.Spec.Class {
@@ -192,14 +194,13 @@
 		if j.Spec.DeadlineS != nil {
 			return *j.Spec.DeadlineS
 		}
-		return defaultFinishSeconds
+		return defaultCompletionSeconds
 	}
 	return best
 }
 
-// maxPriceFactor is how many times the lowest price a task of an array may cost: the
-// fewer may be late by the objectives, the more. Where many may be late, expensive
-// machines are not provisioned for them.
+// maxPriceFactor returns the price limit for an array's tasks, as a multiple of the lowest price. The smaller the share
+// of jobs that may be late, the higher the limit: where many may be late, no expensive machines are provisioned.
 func (a *Autoscaler) maxPriceFactor(j *model.Job) float64 {
 	share := defaultOnTimeShare
 	for _, o := range a.Objectives {
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -5,17 +5,16 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// This file frees machines with GPUs: gangs that give way to services, and services that move together so that a
-// machine can be released.
+// This file frees machines with GPUs by displacing gangs for services and by consolidating services, so that a machine
+// can be released.
 
-// epsilonCPUs is the least difference of CPUs that counts.
+// epsilonCPUs is the tolerance for comparing CPU amounts.
 const epsilonCPUs = 1e-6
 
-// displaceGangs lets services onto machines of gangs that are less urgent, when there
-// is no other room and nothing to be provisioned: what is behind them in the queue has to
-// leave. A gang leaves only for services that fill half of its room: for a few, a place
-// is free elsewhere before long, and the gang would lose more than they gain.
-func (p *planning) displaceGangs() {
+// displaceGangs allows services onto machines of less urgent gangs if there is no other room and nothing can be
+// provisioned; the scheduler preempts the gangs. A gang is displaced only if the services fill at least half of the
+// freed room: for a few services room elsewhere soon becomes free, and the gang would lose more than they gain.
+func (p *planner) displaceGangs() {
 	for _, s := range p.slots {
 		if len(p.unplaced) == 0 {
 			return
@@ -34,7 +33,7 @@
 	}
 }
 
-// freeWithoutGangs is what would be free on a slot without the gangs below a priority.
+// freeWithoutGangs returns the free resources of a slot if gangs below a priority were preempted.
 func freeWithoutGangs(s *slot, priority model.Priority) scheduler.Resources {
 	free := s.free
 	for _, r := range s.machine.Runs {
@@ -45,27 +44,27 @@
 	return free
 }
 
-// fitUnplaced counts how many tasks of each unplaced demand would fit into what is free, and their CPUs together.
-func (p *planning) fitUnplaced(s *slot, free scheduler.Resources) (counts []int, cpus float64) {
+// fitUnplaced returns how many tasks of each unplaced demand fit into the free resources, and the sum of their CPUs.
+func (p *planner) fitUnplaced(s *slot, free scheduler.Resources) (counts []int, cpus float64) {
 	for _, u := range p.unplaced {
 		n := 0
-		for n < u.remaining && free.Contains(u.demand.need) && u.demand.canUse(s) {
-			free = free.Minus(u.demand.need)
+		for n < u.remaining && free.Contains(u.demand.taskResources) && u.demand.canUse(s) {
+			free = free.Minus(u.demand.taskResources)
 			n++
 		}
 		counts = append(counts, n)
-		cpus += float64(n) * u.demand.need.CPUs
+		cpus += float64(n) * u.demand.taskResources.CPUs
 	}
 	return counts, cpus
 }
 
-// placeUnplaced places so many tasks of each unplaced demand on a slot.
-func (p *planning) placeUnplaced(s *slot, counts []int) {
+// placeUnplaced places the given number of tasks of each unplaced demand on a slot.
+func (p *planner) placeUnplaced(s *slot, counts []int) {
 	rest := p.unplaced[:0]
 	for i, u := range p.unplaced {
 		for range counts[i] {
 			if u.demand.canUse(s) {
-				u.demand.placeOn(s)
+				u.demand.placeTask(s)
 				p.plan.ForServices[s.machine]++
 				u.remaining--
 			}
@@ -77,43 +76,44 @@
 	p.unplaced = rest
 }
 
-// findVacatable looks for the machine with GPUs that the fewest services hold, and for
-// room for all of them elsewhere, beside what waits and what is kept free. The
-// places on other such machines are allowed to services.
-func (p *planning) findVacatable() *model.Machine {
-	source := p.leastServices()
+// selectDrainTarget returns the machine with GPUs that runs only services, and the fewest, if all of them fit elsewhere
+// beside waiting and standby demand, and nil otherwise. Slots that this takes on other machines with GPUs are added to
+// ForServices.
+func (p *planner) selectDrainTarget() *model.Machine {
+	source := p.leastLoadedServiceMachine()
 	if source == nil {
 		return nil
 	}
-	move := relocation{planning: p, source: source, taken: map[*slot]scheduler.Resources{}}
-	extra := map[*model.Machine]int{}
+	trial := relocation{planner: p, source: source, claimed: map[*slot]scheduler.Resources{}}
+	gpuMachineSlots := map[*model.Machine]int{}
 	for _, r := range source.machine.Runs {
 		if r.Job.Kind != model.Service || !r.IsWanted() {
 			continue
 		}
-		target := move.targetFor(r.Job, extra)
+		target := trial.targetFor(r.Job, gpuMachineSlots)
 		if target == nil {
 			return nil
 		}
-		move.taken[target] = move.taken[target].Plus(scheduler.TaskDemand(r.Job))
+		trial.claimed[target] = trial.claimed[target].Plus(scheduler.TaskDemand(r.Job))
 	}
-	for machine, n := range extra {
+	for machine, n := range gpuMachineSlots {
 		p.plan.ForServices[machine] += n
 	}
 	return source.machine
 }
 
-// leastServices finds the machine with GPUs that only services hold, and the fewest of them; nil: there is none.
-func (p *planning) leastServices() *slot {
+// leastLoadedServiceMachine returns the machine with GPUs that runs only services and has the fewest CPUs reserved for
+// them, or nil.
+func (p *planner) leastLoadedServiceMachine() *slot {
 	var best *slot
 	for _, s := range p.slots {
 		if s.machine == nil || !s.machine.Contact.Reported || s.total.GPUs == 0 ||
-			!p.autoscaler.arrivals.gpuWork.FitsAny(s.total) || p.plan.ForServices[s.machine] > 0 {
+			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ForServices[s.machine] > 0 {
 			continue
 		}
 		reserved := scheduler.Reserved(s.machine)
-		if reserved.CPUs == 0 || s.total.Minus(reserved).Minus(s.free).CPUs > epsilonCPUs { // a gang is there, or comes
-			continue
+		if reserved.CPUs == 0 || s.total.Minus(reserved).Minus(s.free).CPUs > epsilonCPUs {
+			continue // other work, such as a gang, runs there or is packed onto it
 		}
 		if best == nil || reserved.CPUs < scheduler.Reserved(best.machine).CPUs {
 			best = s
@@ -122,16 +122,16 @@
 	return best
 }
 
-// relocation is a trial move of the services of a machine.
+// relocation is a trial move of a machine's services.
 type relocation struct {
-	*planning
-	source *slot
-	taken  map[*slot]scheduler.Resources // by the services moved so far
+	*planner
+	source  *slot
+	claimed map[*slot]scheduler.Resources // by the services relocated so far
 }
 
-// targetFor finds a machine for a replica: one without GPUs, with its image if there is one, or else one that services
-// fragment already, which is counted in extra. nil: there is none.
-func (r *relocation) targetFor(j *model.Job, extra map[*model.Machine]int) *slot {
+// targetFor returns a machine for a replica, or nil: a machine without GPUs, preferably one with the image, or else a
+// machine with GPUs that is fragmented by services already, which is counted in gpuMachineSlots.
+func (r *relocation) targetFor(j *model.Job, gpuMachineSlots map[*model.Machine]int) *slot {
 	var target *slot
 	for _, s := range r.slots {
 		if s.total.GPUs == 0 && r.fits(j, s) &&
@@ -145,16 +145,16 @@
 	r.eachServiceMachine(func(s *slot) {
 		if target == nil && r.autoscaler.isFragmented(s) && r.fits(j, s) {
 			target = s
-			extra[s.machine]++
+			gpuMachineSlots[s.machine]++
 		}
 	})
 	return target
 }
 
-// fits tells whether a replica may move to a slot.
+// fits reports whether a replica may move to a slot.
 func (r *relocation) fits(j *model.Job, s *slot) bool {
 	return s != r.source && s.machine != nil && s.machine.IsUsable() &&
 		j.AllowsMachine(s.machine.Type, s.machine.Zone, s.machine.Spot) &&
 		(s.machine.Zone == r.source.machine.Zone || j.ZoneAllows(s.machine.Zone)) &&
-		s.free.Minus(r.taken[s]).Contains(scheduler.TaskDemand(j))
+		s.free.Minus(r.claimed[s]).Contains(scheduler.TaskDemand(j))
 }
--- a/internal/scheduling/autoscaler/offers.go
+++ b/internal/scheduling/autoscaler/offers.go
@@ -7,32 +7,31 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// This file is what the cloud offers: what it refused of late, what a task costs on each offer, and which offers a
-// demand is worth.
+// This file tracks what the cloud offers: recent refusals, the cost per task on each offer, and which offers are
+// affordable for a demand.
 
-// The pauses after a refusal double from the first to the last of these.
+// The backoff after a refusal doubles from minRefusalBackoff to maxRefusalBackoff.
 const (
 	minRefusalBackoff = model.Time(10e9)
 	maxRefusalBackoff = model.Time(80e9)
 )
 
 const (
-	// spotRiskFactor is by how much spot instances count as more expensive: some are taken, and their work with them.
+	// spotRiskFactor scales the price of spot instances for the risk that they are preempted and their tasks lost.
 	spotRiskFactor = 1.3
-	// bootCostSeconds is the time to boot that doubles the price of an offer.
-	bootCostSeconds = 300
-	// machineCountPenalty is by how much each machine of an offer makes it count as more expensive.
+	// bootPriceDoublingSeconds is the boot time that doubles the price of an offer in comparisons.
+	bootPriceDoublingSeconds = 300
+	// machineCountPenalty is the relative price penalty of an offer for each machine of it that exists.
 	machineCountPenalty = 0.02
 )
 
-// refusal is until when an offer is not asked for again.
+// refusal is the backoff of an offer that the cloud refused.
 type refusal struct {
 	until   model.Time
 	backoff model.Time
 }
 
-// OnRefused notes that the cloud had nothing of an offer; it is asked again after
-// pauses that grow.
+// OnRefused records that the cloud had no capacity for an offer. It is requested again after an exponential backoff.
 func (a *Autoscaler) OnRefused(o InstanceOffer, now model.Time) {
 	r := a.refusals[o]
 	r.backoff = min(max(2*r.backoff, minRefusalBackoff), maxRefusalBackoff)
@@ -40,13 +39,13 @@
 	a.refusals[o] = r
 }
 
-// OnAvailable notes that the cloud has some of an offer: it filled a request, or took a machine back. When
-// machines died where it had no more, their replacements waited out a pause of up to 80 s that
-// had begun before.
+// OnAvailable ends the backoff of an offer: the cloud filled a request for it or took a machine of it back. Otherwise
+// the replacement of a machine that died in a zone without capacity would wait out a backoff of up to 80 s that had
+// begun before.
 func (a *Autoscaler) OnAvailable(o InstanceOffer) { delete(a.refusals, o) }
 
-// RefusalsFor returns how many offers that suit a job the cloud has refused lately, and in how long
-// the first of them is asked for again.
+// RefusalsFor returns how many offers that suit a job are in backoff, and the time until the first of them is requested
+// again.
 func (a *Autoscaler) RefusalsFor(m *model.Model, j *model.Job, now model.Time) (n int, retryIn model.Time) {
 	for o, r := range a.refusals {
 		t := &m.Types[o.Type]
@@ -61,7 +60,7 @@
 	return n, retryIn
 }
 
-// eachOffer calls a function for everything that the cloud may provision.
+// eachOffer calls a function for each offer of the cloud.
 func eachOffer(m *model.Model, each func(InstanceOffer)) {
 	for i := range m.Types {
 		for _, z := range m.Types[i].ZoneIDs {
@@ -71,13 +70,13 @@
 	}
 }
 
-// pricePerTask is what a task of a demand costs an hour on an offer, when so many of
-// them are to be placed; false: it does not fit or may not go there.
+// pricePerTask returns the hourly price per task on an offer if the given number of tasks remains to be placed, or
+// false if a task does not fit or may not run there. Spot risk and boot time are included.
 func pricePerTask(m *model.Model, d *demand, o InstanceOffer, remaining int) (float64, bool) {
 	t := &m.Types[o.Type]
 	fit := 0
-	for r := scheduler.TypeCapacity(t); fit < remaining && r.Contains(d.need); fit++ {
-		r = r.Minus(d.need)
+	for r := scheduler.TypeCapacity(t); fit < remaining && r.Contains(d.taskResources); fit++ {
+		r = r.Minus(d.taskResources)
 	}
 	if !t.Known || fit == 0 || !d.allows(o) {
 		return 0, false
@@ -86,14 +85,14 @@
 	if o.Spot {
 		price = t.SpotPrice * spotRiskFactor
 	}
-	return price / float64(fit) * (1 + t.BootS/bootCostSeconds), true
+	return price / float64(fit) * (1 + t.BootS/bootPriceDoublingSeconds), true
 }
 
-// offerFilter tells whether an offer will do.
+// offerFilter reports whether an offer is acceptable.
 type offerFilter func(InstanceOffer) bool
 
-// affordable tells which offers a demand is worth: those that cost, when full, no
-// more than so many times the cheapest one.
+// affordable returns a filter for the offers whose price per task, on a full machine, is within the demand's price
+// limit.
 func affordable(m *model.Model, d *demand) offerFilter {
 	cheapest := math.Inf(1)
 	eachOffer(m, func(o InstanceOffer) {
@@ -101,7 +100,7 @@
 			cheapest = min(cheapest, p)
 		}
 	})
-	// Asked for each machine, and the same for all of an offer: looked at once.
+	// The filter is called for each machine, and its result is the same for all machines of an offer, so it is cached.
 	zones := m.Zones.Len()
 	index := func(o InstanceOffer) int {
 		i := 2 * (int(o.Type)*zones + int(o.Zone))
@@ -110,21 +109,22 @@
 		}
 		return i
 	}
-	verdicts := make([]int8, 2*len(m.Types)*zones) // 0: not looked at, 1: yes, -1: no
+	cache := make([]int8, 2*len(m.Types)*zones) // 0: not computed, 1: affordable, -1: not affordable
 	return func(o InstanceOffer) bool {
-		verdict := &verdicts[index(o)]
-		if *verdict == 0 {
-			*verdict = -1
+		cached := &cache[index(o)]
+		if *cached == 0 {
+			*cached = -1
 			p, ok := pricePerTask(m, d, o, math.MaxInt32)
 			if ok && (d.maxPriceFactor == 0 || p <= cheapest*d.maxPriceFactor) {
-				*verdict = 1
+				*cached = 1
 			}
 		}
-		return *verdict > 0
+		return *cached > 0
 	}
 }
 
-// cheapest finds the offer that costs least for what is left of a demand, among those that can be had now.
+// cheapest returns the offer with the lowest cost for the remaining tasks of a demand, among those that can be
+// requested now.
 func (a *Autoscaler) cheapest(m *model.Model, d *demand, remaining int, now model.Time) (InstanceOffer, bool) {
 	var best InstanceOffer
 	found := false
@@ -135,7 +135,7 @@
 		if !ok || a.refusals[o].until > now || a.partitionedZones[o.Zone] || !isAffordable(o) {
 			return
 		}
-		cost *= (1 + machineCountPenalty*float64(a.machineCounts[o])) * a.latePenalty(o)
+		cost *= (1 + machineCountPenalty*float64(a.machineCounts[o])) * a.overduePenalty(o)
 		if cost < bestCost {
 			best, bestCost, found = o, cost, true
 		}
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -6,37 +6,37 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// unplacedServices is services for which there is no room and nothing to be provisioned.
+// unplacedServices are service tasks that have no room and for which nothing can be provisioned.
 type unplacedServices struct {
 	demand    *demand
 	remaining int
 }
 
-// packing is one demand on its way onto the slots.
+// packing is the state of packing one demand onto the slots.
 type packing struct {
-	*planning
+	*planner
 	demand    *demand
-	remaining int // tasks without a place
+	remaining int // tasks not yet placed
 }
 
-// slotFilter tells whether a slot will do.
+// slotFilter reports whether a slot is acceptable.
 type slotFilter func(*slot) bool
 
 func anySlot(*slot) bool { return true }
 
-// pack puts a demand's tasks onto slots, and plans machines for those that find no room.
-func (p *planning) pack(d *demand) {
-	k := packing{planning: p, demand: d, remaining: d.count}
-	k.fillSuitable()
-	k.fillGPUMachines()
-	k.scaleOut()
+// pack places a demand's tasks on slots, and plans machines for the remaining ones.
+func (p *planner) pack(d *demand) {
+	pk := packing{planner: p, demand: d, remaining: d.count}
+	pk.fillSuitable()
+	pk.fillGPUMachines()
+	pk.scaleOut()
 }
 
-// fillSlot places tasks on a slot for as long as they fit.
+// fillSlot places tasks on a slot while they fit.
 func (k *packing) fillSlot(s *slot, allowed slotFilter) {
 	d := k.demand
-	for k.remaining > 0 && allowed(s) && s.free.Contains(d.need) && d.canUse(s) {
-		d.placeOn(s)
+	for k.remaining > 0 && allowed(s) && s.free.Contains(d.taskResources) && d.canUse(s) {
+		d.placeTask(s)
 		k.remaining--
 		if d.service && !d.standby && s.machine != nil && s.total.GPUs > 0 {
 			k.plan.ForServices[s.machine]++
@@ -44,7 +44,7 @@
 	}
 }
 
-// fill places tasks on the slots in their order.
+// fill places tasks on the slots in order.
 func (k *packing) fill(allowed slotFilter) {
 	for _, s := range k.slots {
 		if k.remaining <= 0 {
@@ -54,24 +54,25 @@
 	}
 }
 
-// fillSuitable fills the machines that suit the demand: those with GPUs only if it uses them.
+// fillSuitable fills the machines that suit the demand: those with GPUs only if it uses GPUs.
 func (k *packing) fillSuitable() {
 	d := k.demand
-	suits := func(s *slot) bool { return d.need.GPUs > 0 || s.total.GPUs == 0 }
+	suits := func(s *slot) bool { return d.taskResources.GPUs > 0 || s.total.GPUs == 0 }
 	if d.maxPriceFactor == 0 {
 		k.fill(suits)
 		return
 	}
-	// First what is there anyway, then what it is worth paying for.
+	// Machines that are kept anyway come first, then affordable ones.
 	k.fill(func(s *slot) bool { return s.used && suits(s) })
-	worth := affordable(k.model, d)
-	k.fill(func(s *slot) bool { return (suits(s) || !d.standby) && worth(s.offer) })
+	isAffordable := affordable(k.model, d)
+	k.fill(func(s *slot) bool { return (suits(s) || !d.standby) && isAffordable(s.offer) })
 }
 
-// fillGPUMachines fills machines with GPUs that are in use with a demand that needs none: it is not to keep idle ones.
+// fillGPUMachines places a demand that needs no GPUs on machines with GPUs that are in use. Idle ones must not be kept
+// for it.
 func (k *packing) fillGPUMachines() {
 	d := k.demand
-	if d.need.GPUs > 0 {
+	if d.taskResources.GPUs > 0 {
 		return
 	}
 	if !d.service {
@@ -79,20 +80,20 @@
 		return
 	}
 	a := k.autoscaler
-	k.fill(func(s *slot) bool { return s.total.GPUs > 0 && !a.arrivals.gpuWork.FitsAny(s.total) && s.used })
+	k.fill(func(s *slot) bool { return s.total.GPUs > 0 && !a.arrivals.gpuDemand.FitsAny(s.total) && s.used })
 	k.eachServiceMachine(func(s *slot) {
 		before := k.remaining
 		k.fillSlot(s, a.isFragmented)
 		if d.standby && k.remaining < before {
-			k.plan.ForServices[s.machine] += before - k.remaining // it is theirs already
+			k.plan.ForServices[s.machine] += before - k.remaining // already in use by services
 		}
 	})
 }
 
-// scaleOut plans machines for the tasks that found no room, the cheapest first.
+// scaleOut plans machines for the remaining tasks, from the cheapest offer first.
 func (k *packing) scaleOut() {
 	d := k.demand
-	isWaitingService := d.need.GPUs == 0 && d.service && !d.standby
+	isWaitingService := d.taskResources.GPUs == 0 && d.service && !d.standby
 	for k.remaining > 0 {
 		o, ok := k.autoscaler.cheapest(k.model, d, k.remaining, k.now)
 		withGPUs := ok && k.model.Types[o.Type].GPUs > 0
@@ -102,8 +103,8 @@
 		if !ok && isWaitingService {
 			k.unplaced = append(k.unplaced, unplacedServices{d, k.remaining})
 		}
-		if !ok || d.need.GPUs == 0 && d.standby && withGPUs {
-			// Machines with GPUs are not provisioned to stand idle for work without.
+		if !ok || d.taskResources.GPUs == 0 && d.standby && withGPUs {
+			// Machines with GPUs are not provisioned as standby for work that needs none.
 			return
 		}
 		k.planMachine(o)
@@ -113,8 +114,8 @@
 	}
 }
 
-// fillAnyMachine puts services onto machines with GPUs when nothing without can be provisioned: those that hold
-// services already first, then those that are up, then all. It tells whether any found room.
+// fillAnyMachine places services on machines with GPUs when no machine without GPUs can be provisioned: first on
+// machines that run services already, then on those that are up, then on all. It reports whether any task was placed.
 func (k *packing) fillAnyMachine() bool {
 	before := k.remaining
 	k.eachServiceMachine(func(s *slot) { k.fillSlot(s, anySlot) })
@@ -123,13 +124,13 @@
 	return k.remaining < before
 }
 
-// planMachine plans a machine of an offer, and fills it.
+// planMachine adds a slot for a new machine of an offer, and fills it.
 func (k *packing) planMachine(o InstanceOffer) {
 	d := k.demand
 	total := scheduler.TypeCapacity(&k.model.Types[o.Type])
 	s := &slot{offer: o, total: total, free: total, used: true, planned: true, purpose: d.purpose}
-	for k.remaining > 0 && s.free.Contains(d.need) && d.allows(o) {
-		d.placeOn(s)
+	for k.remaining > 0 && s.free.Contains(d.taskResources) && d.allows(o) {
+		d.placeTask(s)
 		k.remaining--
 	}
 	k.slots = append(k.slots, s)
@@ -145,12 +146,12 @@
 	return n
 }
 
-// eachServiceMachine calls a function for the machines with GPUs that hold services, the
-// one with most of them first: the fewer machines they keep, the better.
-func (p *planning) eachServiceMachine(each func(*slot)) {
+// eachServiceMachine calls a function for the machines with GPUs that run services, in descending order of the CPUs
+// reserved for services, so that services occupy as few of them as possible.
+func (p *planner) eachServiceMachine(each func(*slot)) {
 	var candidates []*slot
 	for _, s := range p.slots {
-		if s.machine != nil && s.machine != p.autoscaler.vacating && s.total.GPUs > 0 &&
+		if s.machine != nil && s.machine != p.autoscaler.drainTarget && s.total.GPUs > 0 &&
 			scheduler.Reserved(s.machine).CPUs > 0 {
 			candidates = append(candidates, s)
 		}
--- a/internal/scheduling/autoscaler/plan.go
+++ b/internal/scheduling/autoscaler/plan.go
@@ -6,38 +6,38 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// maxPlannedMachines bounds the machines that one plan asks for; the next plan goes on from there.
+// maxPlannedMachines limits the machines that one plan requests. The next plan requests the rest.
 const maxPlannedMachines = 60
 
-// A machine that nothing needs is released once it has been idle for this part of its time to boot, and for so many
-// seconds at least: it takes a boot to get one back.
+// An unneeded machine is released after it has been idle for minIdleBootShare of its boot time, and at least for
+// minIdleSeconds, since replacing it takes a full boot.
 const (
 	minIdleBootShare = 0.6
 	minIdleSeconds   = 15
 )
 
-// planning is a plan in the making.
-type planning struct {
+// planner is the state of one call of Plan.
+type planner struct {
 	autoscaler *Autoscaler
 	model      *model.Model
 	now        model.Time
 	slots      []*slot
 	plan       Plan
-	// unplaced are services for which there is no room and nothing to be provisioned.
+	// unplaced are the service tasks that have no room and for which nothing can be provisioned.
 	unplaced []unplacedServices
-	// affordable are, for each demand of arrays so far, the offers that it is worth.
-	affordable []offerFilter
-	// reserved are the slots that more urgent demand than that of arrays uses.
-	reserved map[*slot]bool
+	// affordableOffers has the affordable offers of each array demand packed so far.
+	affordableOffers []offerFilter
+	// usedBeforeBatch holds the slots in use by demand that is more urgent than arrays.
+	usedBeforeBatch map[*slot]bool
 }
 
-// Plan looks at demand and machines, and decides what to ask of the cloud.
+// Plan determines which machines to request and release for the current demand.
 func (a *Autoscaler) Plan(m *model.Model, now model.Time) Plan {
 	jobs := m.JobsInOrder()
 	scheduler.MarkGuarantees(m, jobs, now, a.Objectives)
 	a.arrivals.observe(m, jobs, now)
 	a.observeFleet(m)
-	p := planning{autoscaler: a, model: m, now: now, slots: a.slots(m, now), reserved: map[*slot]bool{}}
+	p := planner{autoscaler: a, model: m, now: now, slots: a.slots(m, now), usedBeforeBatch: map[*slot]bool{}}
 	demands, headroom := a.demands(m, jobs, now)
 	p.plan = Plan{
 		Headroom:           headroom,
@@ -47,53 +47,52 @@
 	}
 	p.packAll(demands)
 	p.displaceGangs()
-	if p.affordable == nil {
-		p.plan.Vacate = p.findVacatable()
+	if p.affordableOffers == nil {
+		p.plan.Vacate = p.selectDrainTarget()
 	}
-	a.vacating = p.plan.Vacate
+	a.drainTarget = p.plan.Vacate
 	p.allowLowPriority()
 	p.requestPlanned()
 	p.releaseUnused()
 	return p.plan
 }
 
-// packAll packs the demands in their order. Which machine to vacate is decided when all that is more urgent than
-// arrays has its place: they don't keep a machine for themselves.
-func (p *planning) packAll(demands []demand) {
+// packAll packs the demands in order. The drain target is selected before the first array demand is packed, because
+// arrays do not justify keeping a machine.
+func (p *planner) packAll(demands []demand) {
 	for i := range demands {
 		d := &demands[i]
 		isBatch := d.maxPriceFactor > 0 && !d.standby
-		if isBatch && p.affordable == nil {
-			p.plan.Vacate = p.findVacatable()
+		if isBatch && p.affordableOffers == nil {
+			p.plan.Vacate = p.selectDrainTarget()
 			for _, s := range p.slots {
-				p.reserved[s] = s.used
+				p.usedBeforeBatch[s] = s.used
 			}
 		}
 		p.pack(d)
 		if isBatch {
-			p.affordable = append(p.affordable, affordable(p.model, d))
+			p.affordableOffers = append(p.affordableOffers, affordable(p.model, d))
 		}
 	}
 }
 
-// allowLowPriority decides which machines with GPUs low-priority work may use.
-func (p *planning) allowLowPriority() {
+// allowLowPriority determines which machines with GPUs low-priority work may use.
+func (p *planner) allowLowPriority() {
 	for _, s := range p.slots {
 		if s.machine == nil || s.total.GPUs == 0 {
 			continue
 		}
-		allowed := !p.autoscaler.arrivals.gpuWork.FitsAny(s.total) ||
-			p.reserved[s] && (!s.hasGPUWork() || scheduler.Reserved(s.machine).CPUs > 0)
-		for _, isAffordable := range p.affordable {
+		allowed := !p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) ||
+			p.usedBeforeBatch[s] && (!s.hasGPUWork() || scheduler.Reserved(s.machine).CPUs > 0)
+		for _, isAffordable := range p.affordableOffers {
 			allowed = allowed || isAffordable(s.offer)
 		}
 		p.plan.LowPriorityAllowed[s.machine] = allowed
 	}
 }
 
-// requestPlanned makes the requests for the planned machines, in the order in which the demand asked: the most urgent
-// first.
-func (p *planning) requestPlanned() {
+// requestPlanned adds the requests for the planned machines, in the order of their demand, most urgent first.
+func (p *planner) requestPlanned() {
 	index := map[InstanceOffer]int{}
 	for _, s := range p.slots {
 		if !s.planned {
@@ -109,9 +108,9 @@
 	}
 }
 
-// releaseUnused lists the machines that nothing was packed onto: those that low-priority work still uses are drained,
-// those that have been idle for long enough are released.
-func (p *planning) releaseUnused() {
+// releaseUnused drains the machines without packed demand that low-priority work still uses, and releases those that
+// have been idle for the minimum time.
+func (p *planner) releaseUnused() {
 	for _, s := range p.slots {
 		if s.machine == nil || s.used {
 			continue
@@ -125,7 +124,7 @@
 	}
 }
 
-// isReleasable tells whether an unneeded machine has been idle for long enough.
+// isReleasable reports whether an unneeded machine has been idle for the minimum time.
 func isReleasable(m *model.Model, machine *model.Machine, now model.Time) bool {
 	if len(machine.Runs) > 0 || machine.Releasing {
 		return false
--- a/internal/scheduling/autoscaler/slot.go
+++ b/internal/scheduling/autoscaler/slot.go
@@ -7,19 +7,19 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// slot is a machine that exists, boots or is to be asked for, with the resources that are left of it.
+// slot is a machine that is up, booting, requested or planned, with its remaining free resources.
 type slot struct {
-	machine      *model.Machine // nil: it does not exist yet
+	machine      *model.Machine // nil: not granted yet
 	offer        InstanceOffer
 	free         scheduler.Resources
 	total        scheduler.Resources
-	used         bool   // something that is worth the machine is there, or was packed onto it
-	planned      bool   // this plan asks for it
-	purpose      string // of a planned one
-	servicesOnly bool
+	used         bool   // runs or was assigned demand that justifies the machine
+	planned      bool   // to be requested by this plan
+	purpose      string // demand that a planned machine serves; logged
+	servicesOnly bool   // accepts only services
 }
 
-// slots lists the machines that demand may be packed onto.
+// slots returns the machines that demand may be packed onto.
 func (a *Autoscaler) slots(m *model.Model, now model.Time) []*slot {
 	var out []*slot
 	for _, machine := range m.Order {
@@ -36,19 +36,19 @@
 			out = append(out, &slot{offer: o, total: total, free: total})
 		}
 	}
-	// Fuller machines first, so that empty ones stay unused and can go.
+	// Machines in use come first, so that idle ones remain unused and can be released.
 	sort.SliceStable(out, func(i, k int) bool { return out[i].used && !out[k].used })
 	return out
 }
 
-// isPackable tells whether a machine counts as room for demand.
+// isPackable reports whether demand may be packed onto a machine.
 func (a *Autoscaler) isPackable(m *model.Model, machine *model.Machine) bool {
 	if !m.TypeOf(machine).Known || machine.Health.Quarantined || machine.Releasing ||
 		machine.Lifecycle.PreemptionAt != 0 || machine.Lifecycle.BootOverdue ||
 		machine.Suspect || machine.Contact.InboundPartitionSince != 0 {
 		return false
 	}
-	// In a partitioned zone it would boot for the end of the partition.
+	// A machine that boots in a partitioned zone cannot be reached until the partition ends.
 	return machine.Contact.Reported || !a.partitionedZones[machine.Zone]
 }
 
@@ -62,8 +62,8 @@
 		servicesOnly: machine.ServicesOnly(now),
 	}
 	for _, r := range machine.Runs {
-		// Low-priority work gives way, so its resources are not lost to what is more
-		// urgent; it is packed again behind it.
+		// Low-priority work is preempted for more urgent demand, so its resources count as free; it is packed again
+		// after that demand.
 		if !isPreemptible(r.Job) {
 			s.used = true
 			s.free = s.free.Minus(scheduler.TaskDemand(r.Job))
@@ -72,7 +72,7 @@
 	return s
 }
 
-// hasGPUWork tells whether work that uses GPUs runs on the slot's machine.
+// hasGPUWork reports whether tasks that use GPUs run on the slot's machine.
 func (s *slot) hasGPUWork() bool {
 	for _, r := range s.machine.Runs {
 		if r.Job.Spec.GPUs > 0 {
