--- a/internal/scheduling/provisioner/golden_test.go
+++ b/internal/scheduling/provisioner/golden_test.go
@@ -10,15 +10,14 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenOutcomes: the results between controllers are written and read as they always were, each kind by
-// its number.
-func TestGoldenOutcomes(t *testing.T) {
-	rows := []wire.ListedMachine{
+// The encoding of results between controllers, including the numbers of the kinds, must not change.
+func TestGoldenResults(t *testing.T) {
+	machines := []wire.ListedMachine{
 		{Name: "host-1", Addr: "10.1.0.1:1", Type: "small", Zone: "a", Spot: true, State: wire.MachineRunning,
 			AgeS: 61.5},
 		{Name: "host-2", Zone: "b", State: wire.MachineBooting},
 	}
-	offers := []wire.MachineType{
+	machineTypes := []wire.MachineType{
 		{Name: "small", CPUs: 4, GPUs: 0.5, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 0.25, Price: 0.18, SpotPrice: 0.06,
 			BootS: 25, Zones: []string{"a", "b"}},
 		{Name: "none", Zones: []string{}},
@@ -34,32 +33,32 @@
 		{"hired-none.hex", 1, Result{Kind: ScaledOut, Machines: []string{},
 			ScaleOut: ScaleOut{Name: "fh-3-2", Count: 50}}},
 		{"returned.hex", 2, Result{Kind: Released, Machines: []string{"host-1", "host-300"}}},
-		{"listed.hex", 3, Result{Kind: MachinesListed, Listing: rows}},
+		{"listed.hex", 3, Result{Kind: MachinesListed, Listing: machines}},
 		{"listed-none.hex", 3, Result{Kind: MachinesListed}},
-		{"types.hex", 4, Result{Kind: TypesListed, MachineTypes: offers}},
+		{"types.hex", 4, Result{Kind: TypesListed, MachineTypes: machineTypes}},
 		{"away.hex", 5, Result{Kind: CloudUnavailable}},
 	} {
-		write := func(o *Result) []byte { return o.Append(nil) }
+		write := func(result *Result) []byte { return result.Append(nil) }
 		golden.RoundTrip(t, c.file, &c.want, write, ReadResult)
 		if b := golden.Read(t, c.file); b[0] != c.number {
-			t.Errorf("%s is of kind %d, not %d", c.file, b[0], c.number)
+			t.Errorf("%s has kind %d, want %d", c.file, b[0], c.number)
 		}
 	}
 	for _, number := range []byte{0, 6} {
 		if _, err := ReadResult([]byte{number}); err == nil {
-			t.Errorf("a result of kind %d is read", number)
+			t.Errorf("no error for a result of unknown kind %d", number)
 		}
 	}
 }
 
-// TestGoldenRows: as many rows as a result may always carry are read.
-func TestGoldenRows(t *testing.T) {
+// A result with the maximum number of listed machines is read.
+func TestReadMaxListedMachines(t *testing.T) {
 	b := codec.Uint([]byte{3}, 300)
 	for i := range 300 {
 		b = codec.Float(append(codec.String(b, fmt.Sprint("host-", i)), 0, 0, 0, 0, 0), 1)
 	}
-	o, err := ReadResult(b)
-	if err != nil || len(o.Listing) != 300 || o.Listing[299].Name != "host-299" {
-		t.Errorf("300 rows are read as %+v, %v", o, err)
+	result, err := ReadResult(b)
+	if err != nil || len(result.Listing) != 300 || result.Listing[299].Name != "host-299" {
+		t.Errorf("read 300 machines: got %+v, %v", result, err)
 	}
 }
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -1,9 +1,9 @@
-// Package provisioner carries out at the cloud what was decided elsewhere: it provisions and releases machines, and
-// lists machines and types. A Provisioner knows nothing of why, nor who else may do so; it acts while it holds the
-// role, and reports the results.
+// Package provisioner carries out provisioning decisions at the cloud: it provisions and releases machines, and lists
+// machines and machine types. A Provisioner knows neither the reasons nor other holders of its role. It acts while it
+// holds the role, and reports the results.
 //
-// A scale-out is repeated under its name until its result is known, by whoever holds the role then: a name that was
-// answered provisions nothing twice. A release is repeated until the cloud has answered.
+// A scale-out is repeated under its name by the current holder of the role until its result is known; the cloud does
+// not provision machines twice for a name that it has answered. A release is repeated until the cloud has answered.
 package provisioner
 
 import (
@@ -18,92 +18,94 @@
 	"fieldhill/wire"
 )
 
-// ScaleOut is a request for machines. Its name is never used for another one.
+// ScaleOut is a request for machines. Its name is unique and never reused.
 type ScaleOut struct {
 	Name, Type, Zone string
 	Spot             bool
 	Count            int
 }
 
-// ResultKind is what a result is of.
+// ResultKind is the kind of a result.
 type ResultKind uint8
 
-// The kinds. Their numbers are part of the format between controllers.
+// Result kinds. Their numbers are part of the format between controllers.
 const (
-	ScaledOut        ResultKind = iota + 1 // ScaleOut and Machines: fewer than were asked for, perhaps none
-	Released                               // Machines: they and everything on them are gone
-	MachinesListed                         // Listing: rows of the machine list
-	TypesListed                            // MachineTypes
+	ScaledOut        ResultKind = iota + 1 // has ScaleOut and Machines; there may be fewer than requested, or none
+	Released                               // has Machines: they and everything on them are gone
+	MachinesListed                         // has Listing: part or all of the machine list
+	TypesListed                            // has MachineTypes
 	CloudUnavailable                       // the cloud did not list its machines
 )
 
-// Result is what came of a request.
+// Result is the result of a request.
 type Result struct {
 	Kind     ResultKind
 	ScaleOut ScaleOut
 	Machines []string
-	// Elapsed is, of a scale-out and of a list, how long it took; that of a list is for this process only.
+	// Elapsed is the duration of a scale-out or of a listing; that of a listing is not sent to other controllers.
 	Elapsed      time.Duration
 	Listing      []wire.ListedMachine
 	MachineTypes []wire.MachineType
 }
 
-// Desired is what is to be done at present.
+// Desired is the desired state that Reconcile works towards.
 type Desired struct {
-	ScaleOuts    []ScaleOut // in this order
-	Releases     []string   // machines that the log has as released
+	ScaleOuts    []ScaleOut // started in this order
+	Releases     []string   // machines that the log records as released
 	TypesUnknown bool       // the cloud's machine types are not known yet
 }
 
 const (
-	// typesInterval is between two lists of the machine types, typesRetryInterval while they are not known.
+	// typesInterval is the interval between listings of the machine types; typesRetryInterval applies while they are
+	// unknown.
 	typesInterval      = 60 * time.Second
 	typesRetryInterval = time.Second
-	// renotifyAfter is after how long a result that is still wanted is reported again.
-	renotifyAfter = time.Second
-	// releaseRetryAfter is how long after an answer a machine that is still to be released is released again.
-	releaseRetryAfter = 2 * time.Second
-	// The pauses after a request whose outcome is unknown double from the first to the last of these.
+	// reportInterval is the interval at which the result of a scale-out is reported again while it is still desired.
+	reportInterval = time.Second
+	// releaseRetryInterval is the time after a successful release at which a machine is released again if that is
+	// still desired.
+	releaseRetryInterval = 2 * time.Second
+	// The backoff after a request with unknown outcome doubles from minBackoff to maxBackoff.
 	minBackoff, maxBackoff = 500 * time.Millisecond, 4 * time.Second
 )
 
-// noCapacity is what the cloud says when it has none left of what was asked for.
+// noCapacity is the cloud's error text when it has no machines of the requested offer.
 const noCapacity = "no capacity"
 
-// Provisioner deals with the cloud. Reconcile, and all that post runs, must be called by one goroutine, which owns the
-// state; the goroutines that wait for the cloud hand their results over by post, and end with the context.
+// Provisioner sends requests to the cloud. Reconcile and all functions passed to post run in one goroutine, which owns
+// the state. The goroutines that wait for the cloud deliver their results through post, and end with the context.
 type Provisioner struct {
-	ctx          context.Context // of the leadership term or of the role: what goroutines that outlive a call end with
+	ctx          context.Context // of the leadership term or of the role; ends goroutines that outlive a call
 	cloud        *cloud.Client
-	trusted      func() bool
+	roleHeld     func() bool
 	post         func(func())
 	onResult     func(Result)
 	logger       *slog.Logger
-	maxInFlight  int           // scale-outs under way at once
-	listInterval time.Duration // between two lists
+	maxInFlight  int           // limit of concurrent scale-outs
+	listInterval time.Duration // between machine listings
 
 	scaleOuts              map[string]*scaleOutState // by name
 	inFlight               int
-	releasedAt             map[string]time.Time // when the cloud answered for them
+	releasedAt             map[string]time.Time // when the cloud acknowledged the release
 	releasing, listing     bool
 	fetchingTypes          bool
 	lastListing, lastTypes time.Time
 }
 
-// scaleOutState is a scale-out that is under way, or has a result that may have to be reported again.
+// scaleOutState is a scale-out that is in flight, or whose result may have to be reported again.
 type scaleOutState struct {
-	result     *Result // nil: under way
-	notifiedAt time.Time
+	result     *Result // nil: in flight
+	reportedAt time.Time
 }
 
-// New makes a provisioner that works until the context ends. trusted tells whether it may act; post runs something in
-// the goroutine of Reconcile; onResult is called there.
+// New returns a provisioner that works until the context ends. roleHeld reports whether it may act; post runs a
+// function in the goroutine of Reconcile, where onResult is called as well.
 func New(
 	ctx context.Context,
 	client *cloud.Client,
 	maxInFlight int,
 	listInterval time.Duration,
-	trusted func() bool,
+	roleHeld func() bool,
 	post func(func()),
 	onResult func(Result),
 	logger *slog.Logger,
@@ -111,7 +113,7 @@
 	return &Provisioner{
 		ctx:          ctx,
 		cloud:        client,
-		trusted:      trusted,
+		roleHeld:     roleHeld,
 		post:         post,
 		onResult:     onResult,
 		logger:       logger,
@@ -122,21 +124,21 @@
 	}
 }
 
-// ErrNotHolder says that nothing was asked, since this controller is not sure to hold the role.
-var ErrNotHolder = errors.New("provisioner: role not held for certain")
+// ErrRoleNotHeld means that no request was sent because this controller may no longer hold the role.
+var ErrRoleNotHeld = errors.New("provisioner: role may no longer be held")
 
-// ifTrusted asks for something if this controller holds the role now. Between a decision and its request any time may
-// have passed, and no fencing token goes with a request to the cloud. One that is sent late all the same does no harm:
-// what it provisions has a name that the log knows, or is adopted by whoever leads then; what it deletes had no work
-// since the log said so.
-func (p *Provisioner) ifTrusted(request func() error) error {
-	if !p.trusted() {
-		return ErrNotHolder
+// ifRoleHeld sends a request if this controller holds the role at this moment. Any amount of time may have passed since
+// the decision, and requests to the cloud carry no fencing token. A late request is harmless: the machines that it
+// provisions have a name that the log knows, or are adopted by the current leader, and the machines that it deletes had
+// no work since the log recorded their release.
+func (p *Provisioner) ifRoleHeld(request func() error) error {
+	if !p.roleHeld() {
+		return ErrRoleNotHeld
 	}
 	return request()
 }
 
-// Reconcile begins what is desired and not under way, and reports again what has a result and is still desired.
+// Reconcile starts what is desired and not in flight, and reports results again that are still desired.
 func (p *Provisioner) Reconcile(now time.Time, desired Desired) {
 	if now.Sub(p.lastTypes) > typesInterval || desired.TypesUnknown && now.Sub(p.lastTypes) > typesRetryInterval {
 		p.lastTypes = now
@@ -150,18 +152,18 @@
 	p.startRelease(now, desired.Releases)
 }
 
-func (p *Provisioner) reconcileScaleOuts(now time.Time, orders []ScaleOut) {
+func (p *Provisioner) reconcileScaleOuts(now time.Time, scaleOuts []ScaleOut) {
 	wanted := map[string]bool{}
-	for _, order := range orders {
-		wanted[order.Name] = true
-		switch state := p.scaleOuts[order.Name]; {
+	for _, scaleOut := range scaleOuts {
+		wanted[scaleOut.Name] = true
+		switch state := p.scaleOuts[scaleOut.Name]; {
 		case state == nil && p.inFlight < p.maxInFlight:
 			state = &scaleOutState{}
-			p.scaleOuts[order.Name] = state
+			p.scaleOuts[scaleOut.Name] = state
 			p.inFlight++
-			go p.runScaleOut(order, state)
-		case state != nil && state.result != nil && now.Sub(state.notifiedAt) > renotifyAfter:
-			state.notifiedAt = now
+			go p.runScaleOut(scaleOut, state)
+		case state != nil && state.result != nil && now.Sub(state.reportedAt) > reportInterval:
+			state.reportedAt = now
 			p.onResult(*state.result)
 		}
 	}
@@ -172,20 +174,20 @@
 	}
 }
 
-// runScaleOut repeats a request until the cloud has filled or refused it.
-func (p *Provisioner) runScaleOut(order ScaleOut, state *scaleOutState) {
+// runScaleOut repeats a request until the cloud has granted or refused it.
+func (p *Provisioner) runScaleOut(scaleOut ScaleOut, state *scaleOutState) {
 	request := &wire.ScaleOutRequest{
-		Request: order.Name,
-		Type:    order.Type,
-		Zone:    order.Zone,
-		Spot:    order.Spot,
-		Count:   order.Count,
+		Request: scaleOut.Name,
+		Type:    scaleOut.Type,
+		Zone:    scaleOut.Zone,
+		Spot:    scaleOut.Spot,
+		Count:   scaleOut.Count,
 	}
 	backoff := minBackoff
 	for {
 		sentAt := time.Now()
 		var names []string
-		err := p.ifTrusted(func() (err error) {
+		err := p.ifRoleHeld(func() (err error) {
 			names, err = p.cloud.Provision(p.ctx, request)
 			return err
 		})
@@ -197,11 +199,11 @@
 				p.inFlight--
 				state.result = &Result{
 					Kind:     ScaledOut,
-					ScaleOut: order,
+					ScaleOut: scaleOut,
 					Machines: names,
 					Elapsed:  time.Since(sentAt),
 				}
-				state.notifiedAt = time.Now()
+				state.reportedAt = time.Now()
 				p.onResult(*state.result)
 			})
 			return
@@ -214,7 +216,7 @@
 	}
 }
 
-// isRefused tells whether the cloud answered that it provisions nothing for a request.
+// isRefused reports whether the cloud answered that it provisions nothing for a request.
 func isRefused(err error) bool {
 	switch msgpackhttp.StatusCode(err) {
 	case http.StatusBadRequest:
@@ -225,7 +227,7 @@
 	return false
 }
 
-// sleep waits, and tells whether the context still holds.
+// sleep waits for a duration and returns false if the context ends first.
 func (p *Provisioner) sleep(duration time.Duration) bool {
 	select {
 	case <-p.ctx.Done():
@@ -241,11 +243,11 @@
 	return errors.As(err, &statusErr) && wire.Unmarshal(statusErr.Body, &problem) == nil && problem.Error == noCapacity
 }
 
-// startRelease releases machines, as many at a time as the protocol allows. The answer is the evidence that they and
+// startRelease releases machines, at most wire.MaxRelease per request. The cloud's answer is the evidence that they and
 // everything on them are gone.
 func (p *Provisioner) startRelease(now time.Time, machines []string) {
 	for name, at := range p.releasedAt {
-		if now.Sub(at) > releaseRetryAfter {
+		if now.Sub(at) > releaseRetryInterval {
 			delete(p.releasedAt, name)
 		}
 	}
@@ -263,7 +265,7 @@
 	}
 	p.releasing = true
 	go func() {
-		err := p.ifTrusted(func() error { return p.cloud.Release(p.ctx, names) })
+		err := p.ifRoleHeld(func() error { return p.cloud.Release(p.ctx, names) })
 		if err != nil && p.ctx.Err() == nil {
 			p.logger.Debug("machine release outcome unknown", "err", err)
 			p.sleep(minBackoff)
@@ -281,7 +283,7 @@
 	}()
 }
 
-// fetchTypes asks for the machine types, once at a time.
+// fetchTypes lists the machine types unless a listing is in flight.
 func (p *Provisioner) fetchTypes() {
 	if p.fetchingTypes {
 		return
@@ -300,11 +302,11 @@
 	}()
 }
 
-// fetchListing asks for the machine list.
+// fetchListing lists the machines.
 func (p *Provisioner) fetchListing() {
-	asked := time.Now()
+	startedAt := time.Now()
 	go func() {
-		rows, err := p.cloud.ListMachines(p.ctx)
+		machines, err := p.cloud.ListMachines(p.ctx)
 		p.post(func() {
 			p.listing = false
 			if err != nil {
@@ -312,7 +314,7 @@
 				p.onResult(Result{Kind: CloudUnavailable})
 				return
 			}
-			p.onResult(Result{Kind: MachinesListed, Listing: rows, Elapsed: time.Since(asked)})
+			p.onResult(Result{Kind: MachinesListed, Listing: machines, Elapsed: time.Since(startedAt)})
 		})
 	}()
 }
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// MaxListedMachines is how many rows of the machine list a result may carry between controllers.
+// MaxListedMachines is the maximum number of machines in one listing result between controllers.
 const MaxListedMachines = 300
 
-// Append encodes a result for another controller.
+// Append appends the encoding of a result for another controller.
 func (result *Result) Append(b []byte) []byte {
 	b = append(b, byte(result.Kind))
 	switch result.Kind {
@@ -27,49 +27,49 @@
 	case MachinesListed:
 		b = codec.Uint(b, uint64(len(result.Listing)))
 		for i := range result.Listing {
-			b = appendRow(b, &result.Listing[i])
+			b = appendListedMachine(b, &result.Listing[i])
 		}
 	case TypesListed:
 		b = codec.Uint(b, uint64(len(result.MachineTypes)))
 		for i := range result.MachineTypes {
-			b = appendType(b, &result.MachineTypes[i])
+			b = appendMachineType(b, &result.MachineTypes[i])
 		}
 	}
 	return b
 }
 
-// typeNumbers are the numbers of a machine type, in the order of the format.
-func typeNumbers(t *wire.MachineType) []*float64 {
+// numericFields returns the numeric fields of a machine type, in the order of the format.
+func numericFields(t *wire.MachineType) []*float64 {
 	return []*float64{
 		&t.CPUs, &t.GPUs, &t.MemoryGB, &t.CacheGB, &t.FetchGBPerS, &t.Price, &t.SpotPrice, &t.BootS,
 	}
 }
 
-func appendType(b []byte, t *wire.MachineType) []byte {
+func appendMachineType(b []byte, t *wire.MachineType) []byte {
 	b = codec.String(b, t.Name)
-	for _, f := range typeNumbers(t) {
+	for _, f := range numericFields(t) {
 		b = codec.Float(b, *f)
 	}
 	return appendNames(b, t.Zones)
 }
 
-func readType(r *codec.Reader) wire.MachineType {
+func readMachineType(r *codec.Reader) wire.MachineType {
 	t := wire.MachineType{Name: r.String()}
-	for _, f := range typeNumbers(&t) {
+	for _, f := range numericFields(&t) {
 		*f = r.Float()
 	}
 	t.Zones = readNames(r)
 	return t
 }
 
-func appendRow(b []byte, r *wire.ListedMachine) []byte {
-	for _, s := range []string{r.Name, r.Addr, r.Type, r.Zone, r.State} {
+func appendListedMachine(b []byte, m *wire.ListedMachine) []byte {
+	for _, s := range []string{m.Name, m.Addr, m.Type, m.Zone, m.State} {
 		b = codec.String(b, s)
 	}
-	return codec.Float(codec.Bool(b, r.Spot), r.AgeS)
+	return codec.Float(codec.Bool(b, m.Spot), m.AgeS)
 }
 
-func readRow(r *codec.Reader) wire.ListedMachine {
+func readListedMachine(r *codec.Reader) wire.ListedMachine {
 	return wire.ListedMachine{
 		Name:  r.String(),
 		Addr:  r.String(),
@@ -81,20 +81,20 @@
 	}
 }
 
-// SplitListed makes results of a machine list, each of MaxListedMachines rows and about so many bytes at most. An
-// empty list is one result too: it says that the cloud answers.
-func SplitListed(rows []wire.ListedMachine, maxBytes int) (parts []*Result) {
-	from, size := 0, 0
-	var row []byte
-	for i := range rows {
-		row = appendRow(row[:0], &rows[i])
-		if i > from && (i-from == MaxListedMachines || size+len(row) > maxBytes) {
-			parts = append(parts, &Result{Kind: MachinesListed, Listing: rows[from:i]})
-			from, size = i, 0
+// SplitListed splits a machine list into results of at most MaxListedMachines machines and about maxBytes bytes. An
+// empty list gives one result, as evidence that the cloud answered.
+func SplitListed(machines []wire.ListedMachine, maxBytes int) (parts []*Result) {
+	start, size := 0, 0
+	var encoded []byte
+	for i := range machines {
+		encoded = appendListedMachine(encoded[:0], &machines[i])
+		if i > start && (i-start == MaxListedMachines || size+len(encoded) > maxBytes) {
+			parts = append(parts, &Result{Kind: MachinesListed, Listing: machines[start:i]})
+			start, size = i, 0
 		}
-		size += len(row)
+		size += len(encoded)
 	}
-	return append(parts, &Result{Kind: MachinesListed, Listing: rows[from:]})
+	return append(parts, &Result{Kind: MachinesListed, Listing: machines[start:]})
 }
 
 func appendNames(b []byte, names []string) []byte {
@@ -114,7 +114,7 @@
 	return list
 }
 
-// ReadResult decodes a result. What is truncated or goes on is an error.
+// ReadResult decodes a result. Truncated input and trailing bytes are errors.
 func ReadResult(b []byte) (*Result, error) {
 	if len(b) == 0 {
 		return nil, codec.ErrShort
@@ -136,11 +136,11 @@
 		result.Machines = readNames(r)
 	case MachinesListed:
 		for range r.Max(MaxListedMachines) {
-			result.Listing = append(result.Listing, readRow(r))
+			result.Listing = append(result.Listing, readListedMachine(r))
 		}
 	case TypesListed:
 		for range r.Max(uint64(len(r.Data))) {
-			result.MachineTypes = append(result.MachineTypes, readType(r))
+			result.MachineTypes = append(result.MachineTypes, readMachineType(r))
 		}
 	case CloudUnavailable:
 	default:
--- a/internal/scheduling/provisioner/result_test.go
+++ b/internal/scheduling/provisioner/result_test.go
@@ -17,7 +17,7 @@
 	"fieldhill/wire"
 )
 
-// TestResultRoundTrip: what is written is read, and what is truncated anywhere, or goes on, is refused.
+// Results survive a round trip; truncated ones and trailing bytes are rejected.
 func TestResultRoundTrip(t *testing.T) {
 	for _, result := range []Result{
 		{Kind: ScaledOut, ScaleOut: ScaleOut{"fh-3-1", "small", "a", true, 12}, Machines: []string{"host-1", "host-2"},
@@ -40,61 +40,61 @@
 		}
 		for n := range encoded {
 			if _, err := ReadResult(encoded[:n]); err == nil {
-				t.Errorf("kind %d: %d of %d bytes are taken", result.Kind, n, len(encoded))
+				t.Errorf("kind %d: no error for %d of %d bytes", result.Kind, n, len(encoded))
 			}
 		}
 		if _, err := ReadResult(append(encoded, 0)); err == nil {
-			t.Errorf("kind %d: what goes on is taken", result.Kind)
+			t.Errorf("kind %d: no error for trailing bytes", result.Kind)
 		}
 	}
 }
 
-// TestListInParts: a list of any length is reported whole, each part is one that other controllers read, and an empty
-// one is reported.
-func TestListInParts(t *testing.T) {
-	const most = 64 << 10
-	for _, c := range []struct{ rows, letters, parts int }{
+// A list of any length is split into results that other controllers can read, without loss. An empty list gives one
+// result.
+func TestSplitListedRoundTrip(t *testing.T) {
+	const maxBytes = 64 << 10
+	for _, c := range []struct{ machines, nameLength, parts int }{
 		{0, 11, 1}, {1, 11, 1}, {300, 11, 1}, {301, 11, 2}, {4000, 11, 14}, {10_000, 11, 34}, {4000, 1000, 64},
 	} {
-		rows := make([]wire.ListedMachine, c.rows)
-		for i := range rows {
-			rows[i] = wire.ListedMachine{Name: fmt.Sprintf("%0*d", c.letters, i), Type: "small", Zone: "a",
+		machines := make([]wire.ListedMachine, c.machines)
+		for i := range machines {
+			machines[i] = wire.ListedMachine{Name: fmt.Sprintf("%0*d", c.nameLength, i), Type: "small", Zone: "a",
 				State: wire.MachineRunning}
 		}
-		parts := SplitListed(rows, most)
+		parts := SplitListed(machines, maxBytes)
 		if len(parts) != c.parts {
-			t.Errorf("%d rows: %d parts, not %d", c.rows, len(parts), c.parts)
+			t.Errorf("%d machines: %d parts, want %d", c.machines, len(parts), c.parts)
 		}
 		var all []wire.ListedMachine
-		for _, o := range parts {
-			b := o.Append(nil)
+		for _, part := range parts {
+			b := part.Append(nil)
 			got, err := ReadResult(b)
-			if err != nil || len(b) > most+16 {
-				t.Fatalf("%d rows: a part of %d bytes: %v", c.rows, len(b), err)
+			if err != nil || len(b) > maxBytes+16 {
+				t.Fatalf("%d machines: part of %d bytes: %v", c.machines, len(b), err)
 			}
 			all = append(all, got.Listing...)
 		}
-		if !slices.Equal(all, rows) {
-			t.Errorf("%d rows came back as %d", c.rows, len(all))
+		if !slices.Equal(all, machines) {
+			t.Errorf("%d machines: lost or changed in the round trip, got %d", c.machines, len(all))
 		}
 	}
 }
 
-// TestListIsTimed: a result says how long the whole list took to read, page after page.
-func TestListIsTimed(t *testing.T) {
+// The reported duration of a listing covers all its pages.
+func TestListingElapsedCoversAllPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const pages, each = 20, 1500 * time.Millisecond // 10,000 machines
+		const pages, pageDelay = 20, 1500 * time.Millisecond // as for 10,000 machines
 		network := emulator.NewNetwork()
 		ln, err := network.Host("cloud").Listen("cloud:1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		read := 0
+		pagesRead := 0
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(each)
-			read++
-			rows := []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", read)}}
-			b, _ := wire.Marshal(&wire.MachineList{More: read < pages, Machines: rows})
+			time.Sleep(pageDelay)
+			pagesRead++
+			machines := []wire.ListedMachine{{Name: fmt.Sprintf("host-%06d", pagesRead)}}
+			b, _ := wire.Marshal(&wire.MachineList{More: pagesRead < pages, Machines: machines})
 			_, _ = w.Write(b)
 		})}
 		go func() { _ = server.Serve(ln) }()
@@ -104,8 +104,10 @@
 		p := New(ctx, client, 1, time.Second, func() bool { return true }, func(f func()) { f() },
 			func(r Result) { results <- r }, slog.New(slog.DiscardHandler))
 		p.fetchListing()
-		if o := <-results; o.Kind != MachinesListed || len(o.Listing) != pages || o.Elapsed < pages*each {
-			t.Errorf("kind %d, %d rows, read in %v; it took %v and more", o.Kind, len(o.Listing), o.Elapsed, pages*each)
+		result := <-results
+		if result.Kind != MachinesListed || len(result.Listing) != pages || result.Elapsed < pages*pageDelay {
+			t.Errorf("kind %d, %d machines, elapsed %v, want at least %v",
+				result.Kind, len(result.Listing), result.Elapsed, pages*pageDelay)
 		}
 		stop()
 		client.Close()
