--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -255,6 +255,6 @@
 		t.Fatal("the array is not within its team's guarantee")
 	}
 	if p.Vacate != m.Machines[2] {
-		t.Error("the expensive machine is not vacated, though low-priority tasks on the cheap one yield to its replicas")
+		t.Error("the expensive machine is not vacated, though low-priority tasks yield to its replicas elsewhere")
 	}
 }
