--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -1,11 +1,12 @@
-// Package candidacy decides whether a controller may stand for election now. It is pure: the status of the others,
-// whether a leader is known, and the time go in; whether to be a candidate, or when to ask again, comes out.
+// Package candidacy decides whether a controller may stand for election now. It does no I/O: the inputs are the status
+// of the other controllers, whether a leader is known, and the time; the output is whether to stand, or when to ask
+// again.
 //
-// A process that has just ended is back within a fraction of a second, knows at once that its own leadership is over,
-// and would be the first to acquire it again: cold, while others run on that follow the log. So a fresh process
-// yields while there is a warm one, for longer each time that it has ended lately. No rule of safety depends on it:
-// who leads is decided by the key in the key-value store alone, and a node that has yielded too long stands after
-// all.
+// A process that restarts after a crash is back within a fraction of a second, knows at once that its own leadership is
+// over, and would be the first to acquire it again, with nothing loaded, while others run that follow the log. So a
+// fresh process yields while there is a warm one, for longer after each recent restart. Safety does not depend on these
+// rules: only the key in the key-value store decides who leads, and a node that has yielded for its maximum time
+// stands.
 //
 // Timeline measures the phases of a failover.
 package candidacy
@@ -17,25 +18,25 @@
 	"fieldhill/internal/codec"
 )
 
-// Time is monotonic time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Rules are the times for which a candidate yields.
+// Rules are the periods for which a candidate yields.
 type Rules struct {
-	FreshFor           Time // a process is fresh for so long, twice as long for each earlier one of its node lately
-	MaxFreshFor        Time
-	RestartMemory      Time // how long an ended process is remembered by the others
-	YieldToWarm        Time // a fresh process yields to a warm one for so long, longer after restarts as FreshFor is
-	MaxYield           Time // but for no longer than this: somebody has to lead
-	YieldToUnreachable Time // and to one that does not respond for so long
-	StatusTTL          Time // how long the status of a node counts
+	FreshPeriod        Time // how long a process is fresh; doubled for each recent restart of its node
+	MaxFreshPeriod     Time // upper bound of that
+	RestartMemory      Time // how long the other nodes remember an earlier process of a node
+	YieldToWarm        Time // how long a fresh process yields to a warm one; doubled like FreshPeriod
+	MaxYield           Time // upper bound of that, since some node has to lead
+	YieldToUnreachable Time // how long a fresh process yields to one that does not respond
+	StatusTTL          Time // how long a node's status is valid
 }
 
-// DefaultRules are the rules. A warm node that notices the vacancy leads within some 0.2 s; where the others don't
-// respond, that is waited for several times over, and no longer: they may all be gone.
+// DefaultRules are the rules in use. A warm node that notices the vacancy leads within about 0.2 s. YieldToUnreachable
+// is several times that, and no longer, since nodes that do not respond may all be down.
 var DefaultRules = Rules{
-	FreshFor:           2 * time.Second,
-	MaxFreshFor:        time.Minute,
+	FreshPeriod:        2 * time.Second,
+	MaxFreshPeriod:     time.Minute,
 	RestartMemory:      2 * time.Minute,
 	YieldToWarm:        1500 * time.Millisecond,
 	MaxYield:           6 * time.Second,
@@ -43,31 +44,31 @@
 	StatusTTL:          1500 * time.Millisecond,
 }
 
-// Status is what a node reports of itself in response to a ping.
+// Status is what a node reports about itself in response to a ping.
 type Status struct {
-	Warm               bool // it has the log to its end and reaches the key-value store, and is no longer fresh
-	RecentIncarnations int  // processes of the requester that it has seen lately, the one that asks among them
+	Warm               bool // it has read the log to its end, reaches the key-value store and is not fresh
+	RecentIncarnations int  // recent processes of the requester that it has seen, the requesting one included
 }
 
 const statusVersion = 1
 
 const (
-	// maxDoublings bounds how often the times of a fresh process double.
+	// maxDoublings bounds how often the periods of a fresh process double.
 	maxDoublings = 7
-	// retriesPerYield is how often a node that yields asks again at least within YieldToUnreachable.
+	// retriesPerYield is the minimum number of times that a yielding node asks again within YieldToUnreachable.
 	retriesPerYield = 8
 )
 
-// maxIncarnations bounds how many processes of a node are reported and remembered.
+// maxIncarnations bounds the number of processes of a node that are remembered and reported.
 const maxIncarnations = 16
 
-// Append encodes a status: version, warm, incarnations.
+// Append appends the encoded status: version, Warm, RecentIncarnations.
 func (s Status) Append(b []byte) []byte {
 	return codec.Uint(codec.Bool(append(b, statusVersion), s.Warm), uint64(s.RecentIncarnations))
 }
 
-// ErrMalformed says that a message of another node can't be decoded: it is of another version, or truncated.
-var ErrMalformed = errors.New("candidacy: not a message of this version")
+// ErrMalformed means that a message of another node is malformed or has an unsupported version.
+var ErrMalformed = errors.New("candidacy: malformed message or unsupported version")
 
 // ReadStatus decodes a status. Its error is ErrMalformed.
 func ReadStatus(b []byte) (status Status, err error) {
@@ -82,8 +83,8 @@
 	return status, nil
 }
 
-// AppendQuery encodes the body of a ping: version, the requester's node, and a number that tells this process of it
-// from earlier ones.
+// AppendQuery appends the encoded body of a ping: version, the requester's node, and a number that distinguishes the
+// requesting process from earlier ones of that node.
 func AppendQuery(b []byte, node string, incarnation uint64) []byte {
 	return codec.Uint(codec.String(append(b, statusVersion), node), incarnation)
 }
@@ -101,12 +102,12 @@
 	return node, incarnation, nil
 }
 
-// peerState is another node, as far as it is known.
+// peerState is what is known of another node.
 type peerState struct {
 	reachable    bool
 	status       Status
-	statusAt     Time          // when it came
-	incarnations []incarnation // its processes, the newest last
+	statusAt     Time          // when it was received
+	incarnations []incarnation // its recent processes, newest last
 }
 
 // incarnation is one process of a node.
@@ -115,42 +116,43 @@
 	firstSeen Time
 }
 
-// Eligibility is what a node knows that decides whether it may be a candidate. The other nodes go by numbers from 0.
+// Eligibility holds what decides whether a node may stand for election. The other nodes are identified by indices from
+// 0.
 type Eligibility struct {
 	rules       Rules
 	startedAt   Time
 	peers       []peerState
-	vacant      bool // there is no leader
-	vacantSince Time // when that was first seen
-	sawLeader   bool // there was one before that
+	vacant      bool // no leader is known
+	vacantSince Time // when that was first noted
+	sawLeader   bool // a leader was known at some time
 }
 
-// New makes the eligibility of a node beside so many others.
+// New returns the eligibility of a node that has the given number of peers.
 func New(rules Rules, peers int, now Time) *Eligibility {
 	return &Eligibility{rules: rules, startedAt: now, peers: make([]peerState, peers)}
 }
 
-// RecordStatus notes the status of a node.
+// RecordStatus records the status received from a node.
 func (e *Eligibility) RecordStatus(node int, status Status, now Time) {
 	peer := &e.peers[node]
 	peer.reachable, peer.statusAt, peer.status = true, now, status
 }
 
-// RecordUnreachable notes that a node is no longer reached.
+// RecordUnreachable records that a node can no longer be reached.
 func (e *Eligibility) RecordUnreachable(node int) { e.peers[node].reachable = false }
 
-// RecordIncarnation notes a process of another node, and tells how many of them were seen lately.
+// RecordIncarnation records a process of another node and returns how many of that node were seen recently.
 func (e *Eligibility) RecordIncarnation(node int, id uint64, now Time) int {
 	peer := &e.peers[node]
 	known := false
 	recent := peer.incarnations[:0]
-	for _, l := range peer.incarnations {
-		if l.id == id {
+	for _, inc := range peer.incarnations {
+		if inc.id == id {
 			known = true
-		} else if now-l.firstSeen > e.rules.RestartMemory {
+		} else if now-inc.firstSeen > e.rules.RestartMemory {
 			continue
 		}
-		recent = append(recent, l)
+		recent = append(recent, inc)
 	}
 	peer.incarnations = recent
 	if !known {
@@ -162,8 +164,8 @@
 	return len(peer.incarnations)
 }
 
-// RecordLeader notes whether a leader is known. An earlier process of this node, whose leadership this one ends,
-// counts.
+// RecordLeader records whether a leader is known. A leadership of an earlier process of this node, which this process
+// ends, counts as a known leader.
 func (e *Eligibility) RecordLeader(known bool, now Time) {
 	if !known && !e.vacant {
 		e.vacantSince = now
@@ -171,7 +173,7 @@
 	e.vacant, e.sawLeader = !known, e.sawLeader || known
 }
 
-// restartFactor is by how much longer this process yields for those of its node that ended before it.
+// restartFactor is the factor by which the periods of this process grow for recent earlier processes of its node.
 func (e *Eligibility) restartFactor() Time {
 	incarnations := 1
 	for i := range e.peers {
@@ -182,16 +184,16 @@
 	return 1 << (min(incarnations, maxDoublings+1) - 1)
 }
 
-// IsFresh tells whether this process has only just begun.
+// IsFresh tells whether this process started only recently.
 func (e *Eligibility) IsFresh(now Time) bool {
-	return now-e.startedAt < min(e.rules.MaxFreshFor, e.rules.FreshFor*e.restartFactor())
+	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
 
-// MayStand tells whether this node may be a candidate now; if not, retryAfter is in how long to ask again at the
-// latest.
+// MayStand tells whether this node may stand for election now. If not, retryAfter is the longest time until it must ask
+// again.
 func (e *Eligibility) MayStand(now Time) (ok bool, retryAfter Time) {
 	if !e.vacant {
-		return false, e.rules.FreshFor
+		return false, e.rules.FreshPeriod
 	}
 	if len(e.peers) == 0 || !e.IsFresh(now) {
 		return true, 0
@@ -207,24 +209,24 @@
 	}
 	wait := Time(0)
 	if unreachable && e.sawLeader {
-		// It may run, and be warm, and only not be reached: then it has just seen what this one saw. Where there was
-		// no leader to begin with, it would have been a candidate long ago.
+		// An unreachable node may be running and warm, and has then just seen the same vacancy. Without an earlier
+		// leader, it would have stood long ago.
 		wait = e.rules.YieldToUnreachable
 	}
 	if warm {
 		wait = max(wait, min(e.rules.MaxYield, e.rules.YieldToWarm*e.restartFactor()))
 	}
 	if waited := now - e.vacantSince; waited < wait {
-		// The status of the others may change before that.
+		// Ask again sooner than the end of the wait, since the status of the others may change.
 		return false, min(wait-waited, e.rules.YieldToUnreachable/retriesPerYield)
 	}
 	return true, 0
 }
 
-// VacantSince is when there was first seen to be no leader, if there is none.
+// VacantSince returns when the absence of a leader was first noted, if there is none.
 func (e *Eligibility) VacantSince() (Time, bool) { return e.vacantSince, e.vacant }
 
-// HasWarmPeer tells whether another node is known to be warm now.
+// HasWarmPeer tells whether another node currently reports that it is warm.
 func (e *Eligibility) HasWarmPeer(now Time) bool {
 	for i := range e.peers {
 		if peer := &e.peers[i]; peer.reachable && now-peer.statusAt <= e.rules.StatusTTL && peer.status.Warm {
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -111,7 +111,7 @@
 // known.
 func TestWarmProcessStandsAtOnce(t *testing.T) {
 	eligibility := New(DefaultRules, 1, 0)
-	now := DefaultRules.FreshFor
+	now := DefaultRules.FreshPeriod
 	eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 	eligibility.RecordLeader(true, now)
 	if ok, _ := eligibility.MayStand(now); ok {
--- a/internal/replication/candidacy/failover.go
+++ b/internal/replication/candidacy/failover.go
@@ -1,20 +1,20 @@
 package candidacy
 
-// Phase is a step of a failover: from the end of one leader to a next one that manages the whole fleet. They come in
-// this order, but for the last one, which may come before others.
+// Phase is a step of a failover, from the loss of a leader until the next one manages the whole fleet. Phases are
+// reached in the order of their values, except that the last one may be reached before others.
 type Phase uint8
 
-// The phases.
+// The phases of a failover.
 const (
-	LeaderLost      Phase = iota // this node saw that there is no leader
-	Elected                      // the key is its own
-	LogRead                      // it has read the log's end, under its term
-	Leading                      // and the intake; all is applied, and it answers requests and decides
-	FirstPlacement               // its first placement
-	FirstCommand                 // its first command to a machine
-	FirstExecution               // the first heartbeat that shows one executed
-	AgentsAccounted              // the last agent with work has sent a heartbeat, or was probed in vain
-	PhaseCount                   // how many there are
+	LeaderLost      Phase = iota // this node noticed that there is no leader
+	Elected                      // it acquired the leader key
+	LogRead                      // it has read the log to its end, under its own term
+	Leading                      // it has read the intake, applied everything, and serves requests and schedules
+	FirstPlacement               // it made its first placement
+	FirstCommand                 // it sent its first command to a machine
+	FirstExecution               // a heartbeat first reported a command as executed
+	AgentsAccounted              // every agent with work has sent a heartbeat or was probed without a response
+	PhaseCount                   // number of phases
 )
 
 var phaseNames = [...]string{
@@ -22,16 +22,16 @@
 	FirstCommand: "sent", FirstExecution: "executed", AgentsAccounted: "heard", PhaseCount: "?",
 }
 
-// String is the phase's name in the log and in the metrics.
+// String returns the phase's name in logs and metrics.
 func (p Phase) String() string { return phaseNames[min(p, PhaseCount)] }
 
-// Timeline is when a failover reached its phases.
+// Timeline records when a failover reached its phases.
 type Timeline struct {
 	reachedAt [PhaseCount]Time
 	reached   [PhaseCount]bool
 }
 
-// Mark notes that a phase is reached, and tells whether it is for the first time.
+// Mark records that a phase is reached, and tells whether it is for the first time.
 func (t *Timeline) Mark(p Phase, now Time) bool {
 	if t.reached[p] {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// ReachedAfter tells how long after the first phase that is known a phase was reached.
+// ReachedAfter returns how long after the first recorded phase the given one was reached, if it was.
 func (t *Timeline) ReachedAfter(p Phase) (Time, bool) {
 	for q := range PhaseCount {
 		if t.reached[q] {
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-// IsComplete tells whether all phases are reached.
+// IsComplete tells whether all phases were reached.
 func (t *Timeline) IsComplete() bool {
 	for _, reached := range t.reached {
 		if !reached {
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -151,9 +151,9 @@
 }
 
 func TestReportRoundTrip(t *testing.T) {
-	report := WatermarkReport{Age: 1234567 * time.Microsecond, Highest: 1 << 40}
+	report := WatermarkReport{Age: 1234567 * time.Microsecond, HighestSeq: 1 << 40}
 	decoded, err := ReadReport(report.Append(nil))
-	if err != nil || decoded.Age != 1234*time.Millisecond || decoded.Highest != report.Highest {
+	if err != nil || decoded.Age != 1234*time.Millisecond || decoded.HighestSeq != report.HighestSeq {
 		t.Errorf("%+v, %v", decoded, err)
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 6, 7}, {0xff}} {
--- a/internal/replication/commitfence/golden_test.go
+++ b/internal/replication/commitfence/golden_test.go
@@ -10,7 +10,7 @@
 // TestGoldenReport: the response to rpc.OpWatermark is written and read as it always was.
 func TestGoldenReport(t *testing.T) {
 	write := func(w WatermarkReport) []byte { return w.Append(nil) }
-	report := WatermarkReport{Age: 90*time.Minute + 7*time.Millisecond, Highest: 1 << 40}
+	report := WatermarkReport{Age: 90*time.Minute + 7*time.Millisecond, HighestSeq: 1 << 40}
 	golden.RoundTrip(t, "word.hex", report, write, ReadReport)
 	golden.RoundTrip(t, "word-none.hex", WatermarkReport{}, write, ReadReport)
 }
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -1,9 +1,9 @@
-// Package election elects one leader by a lease in the key-value store.
+// Package election elects a leader by means of a lease in the key-value store.
 //
-// The leader key is attached to the lease, so it is deleted when the lease ends; the node that creates it leads. The
-// lease can't end earlier than its time after the last renewal reached the store, which is not before the renewal was
-// sent; so a leader may trust its own monotonic clock until that long after sending, less the drift of two clocks,
-// and needs no answer of another node.
+// The leader key is attached to the lease, so it is deleted when the lease ends; the node that creates the key leads.
+// The lease lasts at least its TTL from the time at which the last renewal reached the store, which is not before the
+// renewal was sent. So a leader may trust its own monotonic clock for the TTL after sending, less the drift between two
+// clocks, and needs no response from another node.
 package election
 
 import (
@@ -21,30 +21,30 @@
 )
 
 const (
-	// leaseTTL is the time of the lease. A failover waits for its end, so it is short; several renewals fit in, so
-	// that a slow answer does not cost the leadership.
+	// leaseTTL is short because a failover waits for the lease to end; several renewals fit into it, so that a slow
+	// response does not cost the leadership.
 	leaseTTL      = 3000 * time.Millisecond
 	renewInterval = 600 * time.Millisecond
 	renewTimeout  = 1500 * time.Millisecond
-	// maxClockDriftDivisor is by how much two clocks may differ, as one part in so many, and trustMargin what is left
-	// beside that for the scheduling of this process.
+	// maxClockDriftDivisor gives the maximum drift between two clocks, as one part in this number; trustMargin is an
+	// additional margin for scheduling delays of this process.
 	maxClockDriftDivisor = 500
 	trustMargin          = 20 * time.Millisecond
 )
 
-// TrustPeriod is how long after sending a renewal the lease surely lasts.
+// TrustPeriod is the time after sending a renewal for which the lease is guaranteed to last.
 const TrustPeriod = leaseTTL - leaseTTL/maxClockDriftDivisor - trustMargin
 
-// ErrTaken says that another node holds the key.
-var ErrTaken = errors.New("the key is taken")
+// ErrTaken means that another node holds the key.
+var ErrTaken = errors.New("key is held by another node")
 
 // Leadership is one term of this node as leader.
 type Leadership struct {
 	oplog.Leader
-	TrustedUntil time.Time // trusted until here without a further renewal
+	TrustedUntil time.Time // when the trust ends without a further renewal
 }
 
-// Acquire tries to become the leader, once. The error is ErrTaken if another node is.
+// Acquire tries once to become the leader. The error is ErrTaken if another node leads.
 func Acquire(ctx context.Context, store *kvstore.Client, node string, logger *slog.Logger) (*Leadership, error) {
 	term, termVersion, err := readTerm(ctx, store)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// readTerm reads the number of the last term, and the version of its key; both are 0 before the first.
+// readTerm reads the number of the latest term and the version of its key; both are 0 before the first term.
 func readTerm(ctx context.Context, store *kvstore.Client) (term, version uint64, err error) {
 	item, err := store.Get(ctx, oplog.KeyTerm)
 	if msgpackhttp.StatusCode(err) == http.StatusNotFound {
@@ -87,10 +87,10 @@
 	return value.Term, item.Version, nil
 }
 
-// AcquireKey tries once to make a key that hangs on a lease of its own: the leader's, or that of a singleton role.
-// makeTxn gives the transaction that makes it, whose value names the node and the lease. It returns the key's
-// version. The lease may be trusted for its time from before the call. The error is ErrTaken if another node holds
-// the key.
+// AcquireKey tries once to create a key attached to a lease of its own: the leader key, or that of a singleton role.
+// makeTxn returns the transaction that creates it, whose value names the node and the lease. AcquireKey returns the
+// lease and the key's version. The lease may be trusted for its TTL, counted from before the call. The error is
+// ErrTaken if another node holds the key.
 func AcquireKey(
 	ctx context.Context,
 	store *kvstore.Client,
@@ -100,19 +100,19 @@
 	logger *slog.Logger,
 ) (lease, version uint64, err error) {
 	if lease, err = store.Grant(ctx, ttl); err != nil {
-		return 0, 0, fmt.Errorf("election: lease for %s: %w", key, err)
+		return 0, 0, fmt.Errorf("election: grant lease for %s: %w", key, err)
 	}
-	answer, err := store.Txn(ctx, makeTxn(lease))
+	response, err := store.Txn(ctx, makeTxn(lease))
 	if err == nil {
-		return lease, answer.Revision, nil
+		return lease, response.Revision, nil
 	}
 	switch msgpackhttp.StatusCode(err) {
 	case http.StatusConflict, http.StatusBadRequest, http.StatusTooManyRequests:
-		_ = store.Revoke(ctx, lease) // a courtesy: it ends by itself anyway
+		_ = store.Revoke(ctx, lease) // best effort: the lease ends by itself
 		return 0, 0, fmt.Errorf("election: acquire %s: %w", key, ErrTaken)
 	}
-	// No answer, or one that says nothing: the transaction may have been applied, or may be later. The key says so;
-	// if it is not there, ending the lease makes sure that a late copy is refused.
+	// Without a conclusive response the transaction may have been applied, or may be applied later. The key tells
+	// which; if it is absent, revoking the lease ensures that a late copy is refused.
 	logger.Debug("key acquisition outcome unknown", "key", key, "err", err)
 	if version, ok := heldVersion(ctx, store, key, node, lease); ok {
 		return lease, version, nil
@@ -121,7 +121,7 @@
 	return 0, 0, fmt.Errorf("election: acquire %s: %w", key, err)
 }
 
-// heldVersion reads the version of a key, if this node holds it under a lease.
+// heldVersion returns the version of a key if this node holds it under the given lease.
 func heldVersion(ctx context.Context, store *kvstore.Client, key, node string, lease uint64) (version uint64, ok bool) {
 	item, err := store.Get(ctx, key)
 	if err != nil {
@@ -134,8 +134,8 @@
 	return item.Version, true
 }
 
-// RenewUntilLost renews the lease until the context ends or the lease is over, then with oplog.ErrDeposed. It calls
-// onRenewed with the time until which the leadership may be trusted.
+// RenewUntilLost renews the lease until the context ends, or until the lease has ended; the error then wraps
+// oplog.ErrDeposed. After every renewal it calls onRenewed with the time until which the leadership may be trusted.
 func RenewUntilLost(
 	ctx context.Context, store *kvstore.Client, leadership *Leadership, onRenewed func(until time.Time),
 ) error {
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -10,20 +10,20 @@
 	"fieldhill/wire"
 )
 
-// Fence is the key that entitles to compact: the leader's, or that of the compaction role. It is required, at its
-// version, by every write. Term tells the snapshots of one holder from those of all others.
+// Fence is the key that authorizes compaction: the leader key, or the key of the compaction role. Every write of a
+// compaction requires it at its version. Term tells the snapshots of one holder from those of all others.
 type Fence struct {
 	Key     string
 	Version uint64
 	Term    uint64
 }
 
-// Fence is the leader's.
+// Fence returns the fence of the leader key.
 func (ld *Leader) Fence() Fence { return Fence{KeyLeader, ld.Version, ld.Term} }
 
 func (f Fence) condition() wire.Condition { return wire.Condition{Key: f.Key, Version: f.Version} }
 
-// deposed is ErrDeposed if the fence is among the conditions that failed.
+// deposed returns ErrDeposed if the fence is among the failed conditions.
 func (f Fence) deposed(failed []string) error {
 	if slices.Contains(failed, f.Key) {
 		return ErrDeposed
@@ -31,29 +31,29 @@
 	return nil
 }
 
-// Compactor compacts the log for one term of a leader, or of a holder of the compaction role.
+// Compactor compacts the log during one term of a leader, or of a holder of the compaction role.
 type Compactor struct {
 	store      *store
 	fence      Fence
-	sweptSince time.Time // since when what earlier terms left behind is deleted; zero: not yet
-	OnProgress func()    // if set, it is called whenever a write got through
+	lastSweep  time.Time // start of the latest complete compaction; zero before the first
+	OnProgress func()    // if set, called after every committed write
 }
 
-// NewCompactor makes a compactor. Which snapshot is in force it reads itself: between the time at which this node
-// read the log and its election others may have compacted it. Two that compact under different fences do no harm to
-// each other: the manifest is written under a condition on its own version, and only the one whose manifest is in
-// force then deletes, and only what that manifest has replaced.
+// NewCompactor returns a compactor. It reads the manifest itself rather than rely on what this node has loaded: others
+// may have compacted the log between that read and this node's election. Two compactors under different fences do not
+// harm each other: the manifest is written under a condition on its own version, and only the compactor whose manifest
+// is current deletes anything, and only what that manifest has replaced.
 func (l *Log) NewCompactor(fence Fence) *Compactor { return &Compactor{store: l.store, fence: fence} }
 
-// manifest is what the key of the snapshot in force says; all is 0 if there is none.
+// manifest is the content of the manifest key, which names the current snapshot; zero if there is none.
 type manifest struct {
-	seq     uint64 // the last batch that the snapshot covers
+	seq     uint64 // last batch covered by the snapshot
 	parts   int
-	term    uint64 // of who wrote it
-	version uint64 // of the key
+	term    uint64 // term of the writer
+	version uint64 // version of the key
 }
 
-// readManifest repeats the reading of the manifest until there is an answer.
+// readManifest reads the manifest, retrying until it succeeds or the context ends.
 func (c *Compactor) readManifest(ctx context.Context) (m manifest, err error) {
 	err = retryRead(ctx, func() error {
 		value, _, version, err := c.store.get(ctx, keyMeta)
@@ -65,7 +65,7 @@
 	return m, err
 }
 
-// SnapshotSeq tells to which number the snapshot in force is, 0 without one.
+// SnapshotSeq returns the last batch covered by the current snapshot, 0 if there is no snapshot.
 func (c *Compactor) SnapshotSeq(ctx context.Context) (seq uint64, err error) {
 	current, err := c.readManifest(ctx)
 	if err != nil {
@@ -74,13 +74,14 @@
 	return current.seq, nil
 }
 
-// Compact writes a snapshot taken at a number and deletes what it replaces, a few keys at a time. Each step leaves a
-// log that loads: parts first, then the manifest that names them, then the deletions. Nothing is deleted before the
-// manifest surely names this snapshot: a leader that took its predecessor's snapshot for an older one once had its
-// own refused and went on to delete the batches behind the one in force.
+// Compact writes a snapshot that covers the batches up to seq and deletes what it replaces, a few keys at a time. The
+// log can be loaded after every step: first the parts are written, then the manifest that names them, then replaced
+// keys are deleted. Nothing is deleted before the manifest is known to name this snapshot. Otherwise a leader that
+// mistakes its predecessor's snapshot for an older one, and so has its own refused, would delete batches that the
+// current snapshot does not cover.
 func (c *Compactor) Compact(ctx context.Context, seq uint64, snapshot []byte) error {
 	if err := c.compact(ctx, seq, snapshot); err != nil {
-		return fmt.Errorf("oplog: compact to %d: %w", seq, err)
+		return fmt.Errorf("oplog: compact up to batch %d: %w", seq, err)
 	}
 	return nil
 }
@@ -102,7 +103,7 @@
 	}
 	obsolete := replacedKeys(previous, seq)
 	start := time.Now()
-	if c.mustSweep() {
+	if c.needsSweep() {
 		leftovers, err := c.leftoverKeys(ctx, previous.seq, seq)
 		if err != nil {
 			return err
@@ -112,14 +113,14 @@
 	if err := c.deleteKeys(ctx, obsolete); err != nil {
 		return err
 	}
-	c.sweptSince = start
+	c.lastSweep = start
 	return nil
 }
 
-// writeParts writes the parts of a snapshot, which count for nothing until the manifest names them.
+// writeParts writes the parts of a snapshot, which readers ignore until the manifest names them.
 func (c *Compactor) writeParts(ctx context.Context, seq uint64, snapshot []byte) (parts int, err error) {
 	for remaining := snapshot; len(remaining) > 0; parts++ {
-		n := min(len(remaining), c.store.maxData)
+		n := min(len(remaining), c.store.maxDataBytes)
 		key := snapshotKey(seq, parts)
 		txn := &wire.Txn{
 			If: []wire.Condition{c.fence.condition(), {Key: key}},
@@ -135,7 +136,7 @@
 	return parts, nil
 }
 
-// replaceManifest puts a snapshot into force in place of the previous one.
+// replaceManifest makes a snapshot the current one, in place of the previous one.
 func (c *Compactor) replaceManifest(ctx context.Context, previous manifest, seq uint64, parts int) error {
 	err := c.store.commit(ctx, &wire.Txn{
 		If: []wire.Condition{c.fence.condition(), {Key: keyMeta, Version: previous.version}},
@@ -146,7 +147,7 @@
 		if err := c.fence.deposed(failed); err != nil {
 			return err
 		}
-		// An earlier copy of this write went through, or somebody else's did: the key says which.
+		// Either an earlier copy of this write was applied or another writer's was; the manifest tells which.
 		current, err := c.readManifest(ctx)
 		if err != nil {
 			return err
@@ -162,11 +163,12 @@
 	return nil
 }
 
-// replacedKeys lists what a snapshot replaces: the previous one, and the batches since.
+// replacedKeys lists the keys that a snapshot replaces: the previous snapshot, and the batches since.
 //
-// The last batch that the snapshot covers stays until the next one: a reader of the log's end that knows it to an
-// older number finds it there, and learns that what lies between is gone. A node that woke after a compaction found
-// nothing behind its own number, took that for the end, and called accepted jobs unknown.
+// The last batch covered by the snapshot is kept until the next compaction, so that a reader of the log's end that has
+// fallen behind finds it and learns that the batches in between are gone. Without it, a node that resumed after a
+// compaction read nothing after its own number, concluded that it had reached the end of the log, and reported accepted
+// jobs as unknown.
 func replacedKeys(previous manifest, seq uint64) (keys []string) {
 	for s := max(1, previous.seq); s < seq; s++ {
 		keys = append(keys, batchKey(s))
@@ -177,10 +179,10 @@
 	return keys
 }
 
-// deleteKeys deletes keys, as many at once as fit into a transaction and as half of a burst allows.
+// deleteKeys deletes keys, as many per transaction as the store and half of a write burst allow.
 func (c *Compactor) deleteKeys(ctx context.Context, keys []string) error {
 	for len(keys) > 0 {
-		n := min(len(keys), c.store.maxTxnOps, max(1, c.store.writes.Burst()/2))
+		n := min(len(keys), c.store.maxTxnOps, max(1, c.store.writeLimiter.Burst()/2))
 		txn := deleteTxn(c.fence.condition(), keys[:n])
 		if err := c.store.commitPaced(ctx, txn, c.fence.deposed); err != nil {
 			return fmt.Errorf("delete %s and %d more: %w", keys[0], n-1, err)
@@ -205,20 +207,20 @@
 	}
 }
 
-// lateWriteWindow is for how long after a write without an answer each compaction looks for what a late copy may have
-// brought back: a batch, or a part of a snapshot, that was deleted meanwhile. Nobody reads it, but it would stay for
-// good, and a leader may lead for months.
+// lateWriteWindow is how long after an unanswered write each compaction looks for keys that a late copy may have
+// recreated: a batch, or a part of a snapshot, that was deleted in the meantime. Readers ignore such a key, but nothing
+// else would delete it while the same leader leads, which may be for months.
 const lateWriteWindow = 5 * time.Minute
 
-// mustSweep tells whether there may be keys that are not known from the manifest: of earlier terms, before the first
-// sweep, or of late copies.
-func (c *Compactor) mustSweep() bool {
-	lastUnanswered := time.Unix(0, c.store.lastUnanswered.Load())
-	return c.sweptSince.IsZero() || c.sweptSince.Before(lastUnanswered.Add(lateWriteWindow))
+// needsSweep tells whether there may be obsolete keys that the manifest does not imply: those of earlier terms, before
+// the first sweep, or those recreated by late copies.
+func (c *Compactor) needsSweep() bool {
+	lastUnansweredWrite := time.Unix(0, c.store.lastUnansweredWrite.Load())
+	return c.lastSweep.IsZero() || c.lastSweep.Before(lastUnansweredWrite.Add(lateWriteWindow))
 }
 
-// leftoverKeys lists what compactions that ended early have left: batches that the previous snapshot covered, and
-// parts of snapshots other than it and the one that replaced it.
+// leftoverKeys lists the keys left behind by interrupted compactions: batches covered by the previous snapshot, and
+// parts of snapshots other than the previous and the current one.
 func (c *Compactor) leftoverKeys(ctx context.Context, previousSeq, currentSeq uint64) ([]string, error) {
 	batches, err := c.keysBefore(ctx, prefixLog, batchKey(previousSeq+1))
 	if err != nil {
@@ -234,10 +236,10 @@
 	return append(batches, parts...), nil
 }
 
-// sweepPageSize is how many keys a sweep reads at once, with their values of some kilobytes each.
+// sweepPageSize is the number of keys per page of a sweep. Their values, some kilobytes each, are read with them.
 const sweepPageSize = 64
 
-// keysBefore lists the keys with a prefix that come before another.
+// keysBefore lists the keys with a prefix that sort before end.
 func (c *Compactor) keysBefore(ctx context.Context, prefix, end string) (keys []string, err error) {
 	for after := ""; ; {
 		var page *wire.Items
@@ -260,10 +262,9 @@
 	}
 }
 
-// readRetryPause is between two tries of a read.
 const readRetryPause = 500 * time.Millisecond
 
-// retryRead repeats a read until it has an answer.
+// retryRead repeats a read until it succeeds or the context ends.
 func retryRead(ctx context.Context, read func() error) error {
 	err := read()
 	for err != nil {
--- a/internal/replication/oplog/errors.go
+++ b/internal/replication/oplog/errors.go
@@ -5,33 +5,33 @@
 	"fmt"
 )
 
-// Errors that callers tell apart. All come wrapped with the operation and the key or batch.
+// Errors that callers distinguish. All are wrapped with the operation and the key or batch.
 var (
-	// ErrDeposed says that the key that fences a write has changed: another node leads or holds the role, or none
-	// does.
-	ErrDeposed = errors.New("no longer the leader")
-	// ErrSnapshotReplaced says that another snapshot came into force than the one that was being written, which only
-	// another leader can bring about.
-	ErrSnapshotReplaced = errors.New("the snapshot in force was replaced by another leader")
-	// ErrBudgetExhausted says that a write that may be left out was, since the log needs the write rate.
-	ErrBudgetExhausted = errors.New("no room in the write budget")
-	// ErrWriteRejected says that the key-value store calls a write malformed: repeating it would not help.
+	// ErrDeposed means that the key that fences a write has changed: another node, or none, leads or holds the role
+	// now.
+	ErrDeposed = errors.New("no longer the leader or role holder")
+	// ErrSnapshotReplaced means that the manifest names a snapshot other than the one being written, which only a
+	// compactor under another fence can cause.
+	ErrSnapshotReplaced = errors.New("current snapshot was replaced by another compactor")
+	// ErrBudgetExhausted means that an optional write was skipped, since the log needs the write budget.
+	ErrBudgetExhausted = errors.New("write budget exhausted")
+	// ErrWriteRejected means that the key-value store rejected a write as malformed, so that a retry can't succeed.
 	ErrWriteRejected = errors.New("write rejected as malformed")
 )
 
-// MissingKeyError says that a key was not there that the others imply: the log changed under a reader, which must
-// begin again.
+// MissingKeyError means that a key is missing whose existence other keys imply: the log changed during a read, which
+// must be restarted.
 type MissingKeyError struct {
 	Key         string
-	SnapshotSeq uint64 // to which number the snapshot was that the reader saw
+	SnapshotSeq uint64 // last batch covered by the snapshot that the reader found
 }
 
 // Error implements error.
 func (e *MissingKeyError) Error() string {
-	return fmt.Sprintf("%s is missing, the snapshot is to %d", e.Key, e.SnapshotSeq)
+	return fmt.Sprintf("key %s is missing (snapshot covers batches up to %d)", e.Key, e.SnapshotSeq)
 }
 
-// CorruptBatchError says that a batch is there and can't be read.
+// CorruptBatchError means that a batch exists but can't be decoded.
 type CorruptBatchError struct {
 	Seq uint64
 	Err error
@@ -40,10 +40,10 @@
 // Error implements error.
 func (e *CorruptBatchError) Error() string { return fmt.Sprintf("corrupt batch %d: %v", e.Seq, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CorruptBatchError) Unwrap() error { return e.Err }
 
-// CorruptValueError says that the value of a key can't be read.
+// CorruptValueError means that the value of a key can't be decoded.
 type CorruptValueError struct {
 	Key string
 	Err error
@@ -54,13 +54,13 @@
 	return fmt.Sprintf("corrupt value of %s: %v", e.Key, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CorruptValueError) Unwrap() error { return e.Err }
 
-// FormatVersionError says that a value is of a version that this one does not read.
+// FormatVersionError means that a value has a format version that this program does not support.
 type FormatVersionError struct{ Version int }
 
 // Error implements error.
 func (e *FormatVersionError) Error() string {
-	return fmt.Sprintf("format version %d is unknown", e.Version)
+	return fmt.Sprintf("unsupported format version %d", e.Version)
 }
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -12,51 +12,50 @@
 	"fieldhill/wire"
 )
 
-// The intake takes jobs while the leader can't be reached: a node that has read the log writes the job under a key of
-// its own, and the leader, or the next one, enters it into the log and deletes the key. A job counts as accepted once
-// its key exists.
+// The intake accepts jobs while the leader is unreachable: a node that has read the log writes the job under a separate
+// key, and the current or next leader appends it to the log and deletes the key. A job is accepted once its key exists.
 //
-// So whoever is about to say that a job is unknown must look for its key first and at the log afterwards: the key is
-// deleted only when the log has the job, so one of the two looks finds it. A key that is written late, or again,
-// names a job that the log knows by then, and is deleted.
+// Before a job is reported as unknown, its intake key must be read first and the log afterwards: the key is deleted
+// only once the log has the job, so one of the two reads finds it. A key that is written late, or again, names a job
+// that is in the log by then, and is deleted.
 
 const prefixIntake = prefix + "in/"
 
 func intakeKey(job uint64) string { return fmt.Sprintf("%s%015d", prefixIntake, job) }
 
-// Intake is a job that waits for the leader.
+// Intake is an accepted job that the leader has yet to append to the log.
 type Intake struct {
 	Job  uint64
 	Data []byte
 }
 
-// intakeRecords are the jobs that were accepted beside the log.
+// intakeRecords reads and writes the jobs that were accepted beside the log.
 type intakeRecords struct{ store *store }
 
-// PutIntake writes a job. It is accepted if the error is nil; with another error it may be accepted all the same.
-func (r intakeRecords) PutIntake(ctx context.Context, in Intake) error {
-	key := intakeKey(in.Job)
+// PutIntake writes a job. A nil error means that it is accepted; after any other error it may still be accepted.
+func (r intakeRecords) PutIntake(ctx context.Context, intake Intake) error {
+	key := intakeKey(intake.Job)
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
 		If:   []wire.Condition{{Key: key}},
-		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Data: encodeData(in.Data)}}},
+		Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Data: encodeData(intake.Data)}}},
 	})
-	if err == nil || msgpackhttp.StatusCode(err) == http.StatusConflict { // in a conflict it is there already
+	if err == nil || msgpackhttp.StatusCode(err) == http.StatusConflict { // on a conflict the key exists already
 		return nil
 	}
 	return fmt.Errorf("oplog: write %s: %w", key, err)
 }
 
-// TryIntake writes a job beside the log, if the leader's budget has room for it and for the deletion, and some is
-// left for the log; else the error is ErrBudgetExhausted.
-func (r intakeRecords) TryIntake(ctx context.Context, in Intake) error {
-	writes := r.store.writes
+// TryIntake writes a job if the leader's write budget has room for it and for its deletion, with some left for the log.
+// Otherwise the error is ErrBudgetExhausted.
+func (r intakeRecords) TryIntake(ctx context.Context, intake Intake) error {
+	writes := r.store.writeLimiter
 	if writes.Tokens() < 2+float64(writes.Burst())/3 || !writes.AllowN(time.Now(), 1) {
-		return fmt.Errorf("oplog: write %s: %w", intakeKey(in.Job), ErrBudgetExhausted)
+		return fmt.Errorf("oplog: write %s: %w", intakeKey(intake.Job), ErrBudgetExhausted)
 	}
-	return r.PutIntake(ctx, in)
+	return r.PutIntake(ctx, intake)
 }
 
-// GetIntake reads a job's key; nil if there is none.
+// GetIntake reads a job's intake record; nil if there is none.
 func (r intakeRecords) GetIntake(ctx context.Context, job uint64) (*Intake, error) {
 	key := intakeKey(job)
 	value, data, _, err := r.store.get(ctx, key)
@@ -69,8 +68,8 @@
 	return &Intake{Job: job, Data: data}, nil
 }
 
-// ListIntake reads all waiting jobs and the revision from which to watch for more.
-func (r intakeRecords) ListIntake(ctx context.Context) (all []Intake, revision uint64, err error) {
+// ListIntake reads all waiting jobs, and the revision after which to watch for more.
+func (r intakeRecords) ListIntake(ctx context.Context) (intakes []Intake, revision uint64, err error) {
 	revision, err = r.store.rangeAll(ctx, prefixIntake, "", func(item *wire.Item) error {
 		job, err := strconv.ParseUint(strings.TrimPrefix(item.Key, prefixIntake), 10, 64)
 		if err != nil {
@@ -80,16 +79,16 @@
 		if err != nil {
 			return err
 		}
-		all = append(all, Intake{job, data})
+		intakes = append(intakes, Intake{job, data})
 		return nil
 	})
 	if err != nil {
 		return nil, 0, fmt.Errorf("oplog: list %s: %w", prefixIntake, err)
 	}
-	return all, revision, nil
+	return intakes, revision, nil
 }
 
-// WatchIntake waits until jobs came in after a revision.
+// WatchIntake waits up to hold for jobs written after a revision.
 func (r intakeRecords) WatchIntake(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (revision uint64, arrived bool, err error) {
@@ -103,11 +102,12 @@
 	return max(after, changes.Revision), arrived, nil
 }
 
-// DropIntake deletes jobs that the log has. Nobody waits for that, so it takes what the budget has left over.
+// DropIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
+// the spare write budget.
 func (r intakeRecords) DropIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
-		n := min(len(jobs), r.store.maxTxnOps, r.store.writes.Burst()/2)
+		n := min(len(jobs), r.store.maxTxnOps, r.store.writeLimiter.Burst()/2)
 		keys := make([]string, n)
 		for i, job := range jobs[:n] {
 			keys[i] = intakeKey(job)
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -1,21 +1,21 @@
-// Package oplog is the durable log in the key-value store: numbered batches of entries, snapshots that let old
-// batches go, and the leader key that fences every write.
+// Package oplog is the durable operation log in the key-value store: numbered batches of entries, snapshots that allow
+// old batches to be deleted, and the leader key that fences every write.
 //
-// Why an unanswered or late write is harmless. Every batch is written in one transaction that requires (a) the leader
-// key at the version under which its writer was elected, and (b) that the batch's own key does not exist. The writer
-// repeats the very same transaction until it knows its fate, and writes no later batch before. A copy that is applied
-// late either finds the key there, or the leader key changed, and fails; or it is the first copy applied, while its
-// writer still leads and still waits: then it is the write that was meant. A new leader reads the log after its own
-// election, when no older copy can pass (a) any more, so what it reads is final.
+// Unanswered and late writes are harmless. Every batch is written in one transaction that requires (a) the leader key
+// at the version under which its writer was elected, and (b) that the batch's own key does not exist. The writer
+// repeats that same transaction until its outcome is known, and writes no later batch before then. A copy that is
+// applied late finds the batch's key present or the leader key changed, and fails. Otherwise it is the first copy to be
+// applied, while its writer still leads and waits for it, and so it is the intended write. A new leader reads the log
+// after its own election, when no older copy can satisfy (a) any more, so what it reads is final.
 //
-// After compaction the batch's key is gone again (but for the last one that the snapshot covers), so a copy that is
-// applied very late could bring it back; its number is below the snapshot's and nobody reads it, and the compactions
-// of the next minutes delete it again (lateWriteWindow). The key that names the snapshot is written under a condition
-// on its own version, so it never goes back.
+// Compaction deletes the batch's key (except that of the last batch covered by the snapshot), so a copy that is applied
+// very late can recreate it. Its number is then covered by the snapshot, so no reader uses it, and the compactions of
+// the next few minutes delete it again (lateWriteWindow). The manifest, which names the current snapshot, is written
+// under a condition on its own version, so it never reverts to an older snapshot.
 //
-// The files: log.go appends, loads and follows; compaction.go replaces batches by snapshots; intake.go,
-// partitioned.go and roles.go are the records beside the log; store.go has the keys and values under all of them,
-// txn.go the writes.
+// Files: log.go appends, loads and follows; compaction.go replaces batches by snapshots; intake.go, partitioned.go and
+// roles.go hold the records stored beside the log; store.go holds the keys and values common to all of them, and txn.go
+// the writes.
 package oplog
 
 import (
@@ -33,29 +33,29 @@
 
 // Batch is a numbered group of entries, the unit in which the log is written.
 type Batch struct {
-	Seq  uint64 // counts from 1 without gaps
-	Term uint64 // of the leader that wrote it
+	Seq  uint64 // starts at 1, without gaps
+	Term uint64 // term of the leader that wrote it
 	Data []byte
 }
 
-// Leader is what the leader key says.
+// Leader is the content of the leader key.
 type Leader struct {
 	Node    string
 	Term    uint64
 	Lease   uint64 // the key is deleted when this lease ends
-	Version uint64 // of the key: the fencing token of every write of this leader
+	Version uint64 // version of the key: the fencing token of all writes of this leader
 }
 
-// Loaded is the whole log as read at start.
+// Loaded is the complete log, as read by Load.
 type Loaded struct {
-	SnapshotSeq uint64 // the last batch that the snapshot covers; 0: no snapshot
+	SnapshotSeq uint64 // last batch covered by the snapshot; 0 if there is no snapshot
 	Snapshot    []byte
-	Batches     []Batch // those behind the snapshot
-	Revision    uint64  // a watch from here sees every later change
-	Leader      *Leader // nil: there is none
+	Batches     []Batch // batches after the snapshot
+	Revision    uint64  // following from here reports every later change
+	Leader      *Leader // nil if there is no leader
 }
 
-// Log reads and writes the log, and the records beside it: intake, partitioned nodes and singleton roles.
+// Log reads and writes the log and the records beside it: intake, partitioned nodes and singleton roles.
 type Log struct {
 	store *store
 	intakeRecords
@@ -63,12 +63,12 @@
 	roleRecords
 }
 
-// New makes a log on a key-value store. writeRPS, valueKB and maxTxnOps are the store's limits: writes a second, the
-// size of a value, and the writes of a transaction.
+// New returns a log stored in a key-value store. writeRPS, valueKB and maxTxnOps are the limits of the store: writes
+// per second, size of a value, and writes per transaction.
 func New(client *kvstore.Client, writeRPS, valueKB float64, maxTxnOps int, logger *slog.Logger) *Log {
 	return newLog(&store{
-		client: client, writes: newWriteLimiter(writeRPS * DefaultWriteShare), logger: logger,
-		maxData: maxDataBytes(valueKB), maxTxnOps: maxTxnOps,
+		client: client, writeLimiter: newWriteLimiter(writeRPS * DefaultWriteShare), logger: logger,
+		maxDataBytes: maxDataBytes(valueKB), maxTxnOps: maxTxnOps,
 	})
 }
 
@@ -81,32 +81,32 @@
 	}
 }
 
-// DefaultWriteShare is the part of the write rate that a leader takes that compacts as well. Room is left for the
-// election of the next leader.
+// DefaultWriteShare is the share of the store's write rate used by a leader that also compacts. The rest is left for
+// the election of the next leader.
 const DefaultWriteShare = 0.85
 
-// SetWriteShare sets which part of the store's write rate the log and its compaction on this node may take.
+// SetWriteShare sets the share of the store's write rate that the log and its compaction on this node may use.
 func (l *Log) SetWriteShare(writeRPS, share float64) {
 	l.store.setWriteRate(writeRPS * share)
 }
 
-// WithWriteShare makes a log on the same store that takes a part of the write rate of its own, for a compactor that
-// does not lead.
+// WithWriteShare returns a log on the same store with its own share of the write rate, for a compactor that is not the
+// leader.
 func (l *Log) WithWriteShare(writeRPS, share float64, logger *slog.Logger) *Log {
 	return newLog(&store{
-		client: l.store.client, writes: newWriteLimiter(writeRPS * share), logger: logger,
-		maxData: l.store.maxData, maxTxnOps: l.store.maxTxnOps,
+		client: l.store.client, writeLimiter: newWriteLimiter(writeRPS * share), logger: logger,
+		maxDataBytes: l.store.maxDataBytes, maxTxnOps: l.store.maxTxnOps,
 	})
 }
 
-// MaxData is how many bytes a batch may hold.
-func (l *Log) MaxData() int { return l.store.maxData }
+// MaxData is the maximum size of a batch in bytes.
+func (l *Log) MaxData() int { return l.store.maxDataBytes }
 
-// loadAttempts is how often Load reads the log at most while compactions change it underneath.
+// loadAttempts is the maximum number of times that Load reads the log while concurrent compactions change it.
 const loadAttempts = 5
 
-// Load reads snapshot and batches. If a compaction runs meanwhile it begins again; if that happens every time the
-// error is a *MissingKeyError.
+// Load reads the snapshot and the batches after it. It restarts if a concurrent compaction deleted keys that it needs;
+// if that happens at every attempt, the error is a *MissingKeyError.
 func (l *Log) Load(ctx context.Context) (loaded *Loaded, err error) {
 	for range loadAttempts {
 		loaded, err = l.load(ctx)
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The revision is that of the first page: whatever changed since is seen again by a watch from there.
+	// The revision is that of the first page: following from there reports again whatever changed between the pages.
 	loaded := &Loaded{Revision: revision}
 	byKey := map[string]*wire.Item{}
 	for i := range items {
@@ -150,7 +150,7 @@
 	return loaded, nil
 }
 
-// readSnapshot joins the parts of the snapshot in force, if there is one.
+// readSnapshot joins the parts of the current snapshot, if there is one.
 func (l *Loaded) readSnapshot(byKey map[string]*wire.Item) error {
 	item := byKey[keyMeta]
 	if item == nil {
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// readBatches takes the batches behind the snapshot, which must follow each other without a gap.
+// readBatches decodes the batches after the snapshot, which must be numbered without gaps.
 func (l *Loaded) readBatches(items []wire.Item) error {
 	next := l.SnapshotSeq + 1
 	for i := range items {
@@ -197,17 +197,17 @@
 	return nil
 }
 
-// Update is what a watch saw.
+// Update holds the changes of the log that Follow reports.
 type Update struct {
 	Batches  []Batch
-	Revision uint64 // follow on from here
-	// LeaderChanged tells whether the leader key changed, and Leader what to; nil: it is gone.
+	Revision uint64 // revision from which to follow next
+	// LeaderChanged tells whether the leader key changed; Leader is its new content, nil if the key was deleted.
 	LeaderChanged bool
 	Leader        *Leader
 }
 
-// Follow waits for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the log must be
-// loaded again.
+// Follow waits up to hold for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the
+// revision is too old and the log must be loaded again.
 func (l *Log) Follow(ctx context.Context, after uint64, hold time.Duration) (*Update, error) {
 	changes, err := l.store.client.Follow(ctx, prefix, after, hold)
 	if err != nil {
@@ -222,7 +222,7 @@
 	return update, nil
 }
 
-// apply adds one event of the watch.
+// apply adds one event to the update.
 func (u *Update) apply(event *wire.Event) (err error) {
 	switch {
 	case event.Put == KeyLeader:
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// BatchesAfter reads the batches behind a number: all of them that were committed before the call. If they don't
-// begin with the next number, what lies between is in the snapshot, and the log must be loaded anew.
+// BatchesAfter reads all batches after a number that were committed before the call. If the first one is not the next
+// number, the batches in between are covered by the snapshot, and the log must be loaded again.
 func (l *Log) BatchesAfter(ctx context.Context, seq uint64) ([]Batch, error) {
 	var batches []Batch
 	_, err := l.store.rangeAll(ctx, prefixLog, batchKey(seq), func(item *wire.Item) error {
@@ -256,8 +256,8 @@
 	return batches, nil
 }
 
-// Append writes a batch and returns when it is committed. It repeats the same transaction until its fate is known.
-// The error is ErrDeposed once the leader key has changed.
+// Append writes a batch and returns once it is committed. It repeats the same transaction until its outcome is known.
+// The error is ErrDeposed if the leader key has changed.
 func (l *Log) Append(ctx context.Context, leader *Leader, b Batch) error {
 	key := batchKey(b.Seq)
 	err := l.store.commit(ctx, &wire.Txn{
@@ -268,8 +268,8 @@
 		if slices.Contains(failed, KeyLeader) {
 			return ErrDeposed
 		}
-		// Only this leader can have written this key under this leader version, and it never tries two different
-		// values: an earlier copy went through.
+		// The batch's key exists. Only this leader can have written it under this version of the leader key, and it
+		// never writes two different values, so an earlier copy of this transaction was applied.
 		return nil
 	})
 	if err != nil {
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -13,7 +13,8 @@
 
 const (
 	prefixPartitioned = prefix + "apart/"
-	// prefixPartitionedParts has what does not fit into a node's record under prefixPartitioned: NODE/0001 and on.
+	// prefixPartitionedParts holds what does not fit into a node's record under prefixPartitioned, as NODE/0001 and so
+	// on.
 	prefixPartitionedParts = prefix + "apartmore/"
 )
 
@@ -21,36 +22,36 @@
 	return fmt.Sprintf("%s%s/%04d", prefixPartitionedParts, node, part)
 }
 
-// PartitionedNode is a node that reads the log but does not reach the leader.
+// PartitionedNode is the record of a node that reads the log but can't reach the leader.
 type PartitionedNode struct {
 	Node    string
-	Seq     uint64 // how far it had read the log
-	Version uint64 // of the record: it grows with each
-	Data    []byte // what else it says, at most MaxData bytes
-	// Parts is what it says beyond that, MaxPartitionedNodeParts-1 parts at most. Each, and Data, is complete in
-	// itself: a reader may find parts that are newer than Data, and an older version reads Data alone.
+	Seq     uint64 // last batch that it had read
+	Version uint64 // version of the record, which grows with each write
+	Data    []byte // payload, at most MaxData bytes
+	// Parts is the payload beyond Data, at most MaxPartitionedNodeParts-1 parts. Data and each part can be decoded on
+	// their own: a reader may find parts that are newer than Data, and older versions read Data alone.
 	Parts [][]byte
 }
 
-// partitionRecords are the records of partitioned nodes: the way to the leader of nodes that only reach the store.
+// partitionRecords reads and writes the records by which nodes that reach only the store report to the leader.
 type partitionRecords struct{ store *store }
 
-// maxTxnBytes is less than what the key-value store takes as one transaction, which is 64 KiB, and valueOverhead more
-// than a value takes besides its data.
+// maxTxnBytes stays below the key-value store's limit of 64 KiB per transaction. valueOverhead is an upper bound for
+// what a value takes besides its data.
 const (
 	maxTxnBytes   = 60 << 10
 	valueOverhead = 256
 )
 
-// MaxPartitionedNodeParts is into how many parts of MaxData bytes a record may be divided: they are written in one
-// transaction.
+// MaxPartitionedNodeParts is the maximum number of values of MaxData bytes, Data included, in a record, which is
+// written in one transaction.
 func (p partitionRecords) MaxPartitionedNodeParts() int {
-	partBytes := base64.StdEncoding.EncodedLen(p.store.maxData) + valueOverhead
+	partBytes := base64.StdEncoding.EncodedLen(p.store.maxDataBytes) + valueOverhead
 	return max(1, min(p.store.maxTxnOps, maxTxnBytes/partBytes))
 }
 
-// PutPartitionedNode writes for the leader that this node does not reach it. Further parts of an earlier, longer
-// record stay and count for nothing.
+// PutPartitionedNode records for the leader that this node can't reach it. Further parts of an earlier, longer record
+// remain and are ignored.
 func (p partitionRecords) PutPartitionedNode(ctx context.Context, node PartitionedNode) error {
 	key := prefixPartitioned + node.Node
 	txn := &wire.Txn{Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Node: node.Node,
@@ -61,7 +62,7 @@
 	}
 	_, err := p.store.client.Txn(ctx, txn)
 	if msgpackhttp.StatusCode(err) == http.StatusBadRequest && len(node.Parts) > 0 {
-		node.Parts = nil // that it is written at all matters more
+		node.Parts = nil // too large: a record without parts is better than none
 		return p.PutPartitionedNode(ctx, node)
 	}
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// PartitionedNodes lists the nodes that at some time did not reach the leader.
+// PartitionedNodes lists the records of all nodes that have ever reported that they can't reach the leader.
 func (p partitionRecords) PartitionedNodes(ctx context.Context) ([]PartitionedNode, error) {
 	nodes, err := p.readRecords(ctx)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return nodes, nil
 }
 
-// readRecords reads the records, with as many empty parts as each has.
+// readRecords reads the records, each with as many empty parts as it declares.
 func (p partitionRecords) readRecords(ctx context.Context) (nodes []PartitionedNode, err error) {
 	_, err = p.store.rangeAll(ctx, prefixPartitioned, "", func(item *wire.Item) error {
 		value, data, err := decodeValue(item.Key, item.Value)
@@ -99,7 +100,7 @@
 	return nodes, err
 }
 
-// readParts fills in the parts, if any node has some.
+// readParts fills in the parts, if any record has some.
 func (p partitionRecords) readParts(ctx context.Context, nodes []PartitionedNode) error {
 	hasParts := func(node PartitionedNode) bool { return len(node.Parts) > 0 }
 	if !slices.ContainsFunc(nodes, hasParts) {
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -11,9 +11,9 @@
 	"fieldhill/wire"
 )
 
-// The keys of singleton roles. Who holds one: held/ROLE, on a lease. How many holders in a row made no progress:
-// stuck/ROLE. Which nodes know of roles and take part: part/NODE, for good; a node without one is an older one, or
-// was started without.
+// Keys of singleton roles. held/ROLE names the holder and is attached to the holder's lease. stuck/ROLE counts the
+// consecutive holders that made no progress. part/NODE marks a node that takes part in roles, and is permanent; a node
+// without one runs an older version or was started without roles.
 const (
 	prefixRole        = prefix + "duty/"
 	prefixHolder      = prefixRole + "held/"
@@ -21,26 +21,26 @@
 	prefixParticipant = prefixRole + "part/"
 )
 
-// RoleKey is the key of the holder of a role; its version is the holder's term.
+// RoleKey is the key that names the holder of a role; its version is the holder's term.
 func RoleKey(role string) string { return prefixHolder + role }
 
-// RoleUpdate is the state of one key of the roles, or that it was deleted. One of HeldRole, StalledRole and
-// Participant is set, and says what kind of key it is.
+// RoleUpdate is the state of one role key, or its deletion. Exactly one of HeldRole, StalledRole and Participant is
+// set, and tells the kind of key.
 type RoleUpdate struct {
-	HeldRole    string // a role that is held, or was
-	StalledRole string // a role whose holders made no progress
-	Participant string // a node that takes part
+	HeldRole    string // role whose holder key changed
+	StalledRole string // role whose count of stalled holders changed
+	Participant string // node whose participation changed
 	Deleted     bool
-	Node        string // the holder, or the participant
-	Term        uint64 // the revision of the change
-	Lease       uint64 // on which the key hangs
-	Count       int    // how many holders in a row made no progress
+	Node        string // holder or participant
+	Term        uint64 // revision of the change
+	Lease       uint64 // lease to which the key is attached
+	Count       int    // consecutive holders without progress
 }
 
-// roleRecords are the keys of singleton roles.
+// roleRecords reads and writes the keys of singleton roles.
 type roleRecords struct{ store *store }
 
-// decodeRoleUpdate reads a key of the roles; what it can't read is passed over.
+// decodeRoleUpdate decodes a role key. It is not ok for an unknown key or a value that can't be decoded.
 func decodeRoleUpdate(key string, raw msgpack.RawMessage, version uint64, deleted bool) (update RoleUpdate, ok bool) {
 	update.Term, update.Deleted = version, deleted
 	switch {
@@ -63,24 +63,24 @@
 	return update, true
 }
 
-// Roles reads all keys of the roles, and the revision from which to follow them.
-func (r roleRecords) Roles(ctx context.Context) (list []RoleUpdate, revision uint64, err error) {
+// Roles reads all role keys, and the revision after which to follow changes.
+func (r roleRecords) Roles(ctx context.Context) (updates []RoleUpdate, revision uint64, err error) {
 	revision, err = r.store.rangeAll(ctx, prefixRole, "", func(item *wire.Item) error {
 		if update, ok := decodeRoleUpdate(item.Key, item.Value, item.Version, false); ok {
-			list = append(list, update)
+			updates = append(updates, update)
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, 0, fmt.Errorf("oplog: list %s: %w", prefixRole, err)
 	}
-	return list, revision, nil
+	return updates, revision, nil
 }
 
-// FollowRoles waits for changes after a revision.
+// FollowRoles waits up to hold for changes of role keys after a revision.
 func (r roleRecords) FollowRoles(
 	ctx context.Context, after uint64, hold time.Duration,
-) (list []RoleUpdate, revision uint64, err error) {
+) (updates []RoleUpdate, revision uint64, err error) {
 	changes, err := r.store.client.Follow(ctx, prefixRole, after, hold)
 	if err != nil {
 		return nil, 0, fmt.Errorf("oplog: follow %s: %w", prefixRole, err)
@@ -91,13 +91,13 @@
 			key, deleted = event.Delete, true
 		}
 		if update, ok := decodeRoleUpdate(key, event.Value, event.Version, deleted); ok {
-			list = append(list, update)
+			updates = append(updates, update)
 		}
 	}
-	return list, max(after, changes.Revision), nil
+	return updates, max(after, changes.Revision), nil
 }
 
-// AcquireRoleTxn is the transaction that makes the key of a role's holder, if there is none.
+// AcquireRoleTxn returns the transaction that creates a role's holder key unless it exists.
 func AcquireRoleTxn(role, node string, lease uint64) *wire.Txn {
 	key := RoleKey(role)
 	return &wire.Txn{
@@ -108,7 +108,8 @@
 	}
 }
 
-// PutStalledHolders writes how many holders of a role in a row made no progress, if the one of a term still holds it.
+// PutStalledHolders stores the number of consecutive holders of a role that made no progress, provided that the holder
+// of the given term still holds it.
 func (r roleRecords) PutStalledHolders(ctx context.Context, role string, term uint64, holders int) error {
 	key := prefixStalled + role
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// SetParticipation says that a node takes part in roles, or that it does not any more.
+// SetParticipation records whether a node takes part in singleton roles.
 func (r roleRecords) SetParticipation(ctx context.Context, node string, participates bool) error {
 	key := prefixParticipant + node
 	write := wire.Write{Delete: key}
--- a/internal/replication/oplog/store.go
+++ b/internal/replication/oplog/store.go
@@ -18,19 +18,19 @@
 	"fieldhill/wire"
 )
 
-// Keys. Everything lives under one prefix, so that one watch sees all of it.
+// Keys. All share one prefix, so that a single watch covers them.
 const (
 	prefix = "f/"
-	// KeyLeader hangs on the leader's lease; its version fences the leader's writes.
+	// KeyLeader is attached to the leader's lease; its version fences the leader's writes.
 	KeyLeader = "f/leader"
-	// KeyTerm has the number of the last term, and stays when the leader key goes.
+	// KeyTerm holds the number of the latest term. It remains when the leader key is deleted.
 	KeyTerm        = "f/term"
-	keyMeta        = "f/meta" // the manifest: which snapshot is in force
+	keyMeta        = "f/meta" // the manifest, which names the current snapshot
 	prefixLog      = "f/log/"
 	prefixSnapshot = "f/snap/"
 )
 
-// FormatVersion is the version of every value under the prefix, those of the election too.
+// FormatVersion is the format version of every value under the prefix, including those of the election.
 const FormatVersion = 1
 
 func batchKey(seq uint64) string { return fmt.Sprintf("%s%015d", prefixLog, seq) }
@@ -43,15 +43,15 @@
 
 // store reads and writes the keys of the log within the limits of the key-value store.
 type store struct {
-	client         *kvstore.Client
-	writes         *rate.Limiter // the write budget
-	maxData        int           // bytes of a value, before its encoding
-	maxTxnOps      int
-	logger         *slog.Logger
-	lastUnanswered atomic.Int64 // when a write had no answer last, in nanoseconds; 0: none had
+	client              *kvstore.Client
+	writeLimiter        *rate.Limiter // write budget
+	maxDataBytes        int           // maximum data bytes in a value, before base64
+	maxTxnOps           int
+	logger              *slog.Logger
+	lastUnansweredWrite atomic.Int64 // time of the latest unanswered write in Unix nanoseconds; 0 if none
 }
 
-// Values are stored as base64 in an envelope: maxDataBytes leaves room for both.
+// Data is stored as base64 in an envelope; maxDataBytes leaves room for both.
 const (
 	envelopeBytes = 200
 	minDataBytes  = 256
@@ -61,11 +61,11 @@
 	return max(minDataBytes, (int(valueKB*1024)-envelopeBytes)/4*3)
 }
 
-// pageKeys is how many keys a read asks for at once. A page may have fewer, by its bytes.
+// pageKeys is the number of keys requested per page. The store may return fewer, since it also limits a page's bytes.
 const pageKeys = 1000
 
-// rangeAll reads every key with a prefix behind a key, page after page, and returns the revision of the first page: a
-// watch from there sees whatever changes meanwhile.
+// rangeAll visits every key with the prefix that sorts after the given key, page by page. It returns the revision of
+// the first page: following from there reports whatever changes during the read.
 func (s *store) rangeAll(
 	ctx context.Context, prefix, after string, visit func(item *wire.Item) error,
 ) (revision uint64, err error) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// get reads the value of a key, and the key's version; nil and 0 if there is no such key.
+// get reads the value of a key and the key's version; they are nil and 0 if the key does not exist.
 func (s *store) get(ctx context.Context, key string) (value *wire.LogValue, data []byte, version uint64, err error) {
 	item, err := s.client.Get(ctx, key)
 	switch {
@@ -104,7 +104,7 @@
 
 func encodeData(data []byte) string { return base64.StdEncoding.EncodeToString(data) }
 
-// decodeValue reads a value, and the data in it. Its error is a *CorruptValueError.
+// decodeValue decodes a value and the data in it. Its error is a *CorruptValueError.
 func decodeValue(key string, raw msgpack.RawMessage) (*wire.LogValue, []byte, error) {
 	var value wire.LogValue
 	if err := wire.Unmarshal(raw, &value); err != nil {
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -13,7 +13,7 @@
 	"fieldhill/wire"
 )
 
-// The write budget in transactions: a burst is what may go at once after a pause.
+// The write budget, in writes; the burst is what may be sent at once after a pause.
 const (
 	minWriteBurst     = 3
 	writeBurstSeconds = 0.7
@@ -26,22 +26,22 @@
 }
 
 func (s *store) setWriteRate(writeRPS float64) {
-	s.writes.SetLimit(rate.Limit(writeRPS))
-	s.writes.SetBurst(writeBurst(writeRPS))
+	s.writeLimiter.SetLimit(rate.Limit(writeRPS))
+	s.writeLimiter.SetBurst(writeBurst(writeRPS))
 }
 
-// The pauses between the repeats of a write whose outcome is unknown: they double from the first to the last.
+// Pauses between the retries of a write whose outcome is unknown: they double from the first to the maximum.
 const (
 	firstRetryPause = 20 * time.Millisecond
 	maxRetryPause   = 300 * time.Millisecond
 )
 
-// commit repeats a transaction, unchanged, until its fate is known. If conditions failed the result is that of
-// onConflict, which is given their keys.
+// commit repeats a transaction, unchanged, until its outcome is known. If conditions failed, it returns the result of
+// onConflict, which receives their keys.
 func (s *store) commit(ctx context.Context, txn *wire.Txn, onConflict func(failed []string) error) error {
 	pause := firstRetryPause
 	for {
-		if err := s.writes.WaitN(ctx, min(max(1, len(txn.Then)), s.writes.Burst())); err != nil {
+		if err := s.writeLimiter.WaitN(ctx, min(max(1, len(txn.Then)), s.writeLimiter.Burst())); err != nil {
 			return err
 		}
 		err := s.send(ctx, txn)
@@ -58,7 +58,7 @@
 			return ctx.Err()
 		}
 		s.logger.Debug("write outcome unknown, retrying", "err", err)
-		s.lastUnanswered.Store(time.Now().UnixNano())
+		s.lastUnansweredWrite.Store(time.Now().UnixNano())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -68,34 +68,35 @@
 	}
 }
 
-// failedConditions gives the keys of the conditions that failed, if that is what a transaction's error says.
+// failedConditions returns the keys of the failed conditions, if that is what a transaction's error reports.
 func (s *store) failedConditions(err error) []string {
 	var statusErr *msgpackhttp.StatusError
 	if !errors.As(err, &statusErr) || statusErr.Code != http.StatusConflict {
 		return nil
 	}
-	var answer wire.TxnResponse
-	if err := wire.Unmarshal(statusErr.Body, &answer); err != nil || len(answer.Failed) == 0 {
-		// It can't be told which condition failed: the transaction is sent again.
+	var response wire.TxnResponse
+	if err := wire.Unmarshal(statusErr.Body, &response); err != nil || len(response.Failed) == 0 {
+		// The response does not tell which condition failed: the transaction is sent again.
 		s.logger.Warn("write conflict without failed conditions", "err", err)
 		return nil
 	}
-	return answer.Failed
+	return response.Failed
 }
 
-// resendAfter is after how long without an answer a transaction is sent once more at the earliest,
-// resendLatencyFactor after how many times the usual time, and maxCopies how many copies may be under way.
+// A copy of a transaction is sent after resendAfter without a response, or after resendLatencyFactor times the usual
+// latency if that is longer; at most maxCopies are sent.
 const (
 	resendAfter         = 400 * time.Millisecond
 	resendLatencyFactor = 4
 	maxCopies           = 3
 )
 
-// send sends a transaction, and again, unchanged, if the answer is long in coming: it may be lost, and everybody who
-// waits for the log would wait for two seconds. The first answer that decides the transaction's fate counts; the
-// other copies are like any that come late. Every transaction that is sent here may be repeated, see commit.
+// send sends a transaction, and sends it again, unchanged, if there is no response for a while: the response may be
+// lost, and everything that waits for the log would wait for the request's time-out of two seconds. The first response
+// that decides the outcome counts; the other copies are handled like any late copy. Every transaction sent here may be
+// repeated, see commit.
 //
-// The copies end with the context, and find room in the channel of results also when nobody reads it any more.
+// The copies end with the context. The results channel holds all of them, so none blocks when it is no longer read.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,8 +117,8 @@
 			}
 			inFlight--
 		case <-resend.C:
-			if sent < maxCopies && s.writes.AllowN(time.Now(), max(1, len(txn.Then))) {
-				s.lastUnanswered.Store(time.Now().UnixNano())
+			if sent < maxCopies && s.writeLimiter.AllowN(time.Now(), max(1, len(txn.Then))) {
+				s.lastUnansweredWrite.Store(time.Now().UnixNano())
 				sent, inFlight = sent+1, inFlight+1
 				go attempt()
 			}
@@ -125,21 +126,21 @@
 	}
 }
 
-// isDecided tells whether a transaction's answer says that it was applied, or never will be.
+// isDecided tells whether a response proves that a transaction was applied or never will be.
 func isDecided(err error) bool {
 	code := msgpackhttp.StatusCode(err)
 	return err == nil || code == http.StatusConflict || code == http.StatusBadRequest
 }
 
-// commitPaced commits what nobody waits for: it takes only what the budget has left over, so that a batch for which
-// users wait finds room at once. When little is ever left over it goes on slowly all the same, or the log would grow
-// without bound.
+// commitPaced commits a write that nothing waits for. It uses only the spare write budget, so that a batch for which
+// users wait is sent at once. If there is never any to spare it still proceeds, slowly, since otherwise the log would
+// grow without bound.
 func (s *store) commitPaced(ctx context.Context, txn *wire.Txn, onConflict func(failed []string) error) error {
 	const pollInterval, maxWait = 100 * time.Millisecond, 3 * time.Second
-	burst := float64(s.writes.Burst())
+	burst := float64(s.writeLimiter.Burst())
 	needed := min(float64(len(txn.Then)), burst)
 	wantedTokens := min(burst, needed+burst/2)
-	for waited := time.Duration(0); s.writes.Tokens() < wantedTokens && waited < maxWait; waited += pollInterval {
+	for waited := time.Duration(0); s.writeLimiter.Tokens() < wantedTokens && waited < maxWait; waited += pollInterval {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -26,7 +26,9 @@
 	falseProgress                // a lease is renewed whether the role makes progress or not
 )
 
-var modelRules = Rules{TTL: 3, Trust: 2, RenewInterval: 1, Patience: 2, Backoff: 2, MaxBackoff: 4, SettleTime: 100}
+var modelRules = Rules{
+	TTL: 3, TrustPeriod: 2, RenewInterval: 1, Patience: 2, InitialBackoff: 2, MaxBackoff: 4, SettleTime: 100,
+}
 
 const wantedRequests = 1
 
@@ -133,8 +135,8 @@
 func (k *stateKey) role(r *Role) {
 	k.ints(int64(r.holder.Term), int64(r.stalledHolders), int64(r.lease), int64(r.term))
 	k.times(r.holder.Since, r.freeSince, r.trustedUntil, r.renewSentAt, r.heldSince, r.lastProgress)
-	k.times(r.betterSince, r.backoffUntil, r.backoff)
-	k.bools(r.observed, r.awaitingAnswer, r.progressed)
+	k.times(r.betterHolderSince, r.backoffUntil, r.backoff)
+	k.bools(r.observed, r.awaitingResponse, r.progressed)
 	k.strings(r.holder.Node, r.releaseReason)
 }
 
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -1,16 +1,18 @@
-// Package singleton decides which node holds a role that only one may hold at a time, besides leading: provisioning,
-// which deals with the cloud, and compaction, which cleans up in the key-value store. It is pure: what was seen of
-// the role's key, responses and the time go in; what to request of the store comes out.
+// Package singleton decides which node holds a role that only one node may hold at a time, other than leadership:
+// provisioning, which manages machines at the cloud, and compaction, which deletes obsolete records from the key-value
+// store. It does no I/O: the inputs are the observed state of the role's key, responses and the time; the output is the
+// request to send to the store.
 //
-// A role is held by a key in the store that hangs on a lease of its own. The key's version, which is the revision of
-// the change that made it, is the role's term: it only grows, and every write of the role requires it. The lease
-// can't end earlier than its time after the last renewal that was answered was sent, so a holder trusts its own clock
-// until that long after sending, less the drift of two clocks.
+// A role is held by means of a key in the store that is attached to a lease of its own. The key's version, which is the
+// revision at which it was created, is the role's term: it only grows, and every write of the role requires it. The
+// lease lasts at least its TTL from the sending of the last successful renewal, so a holder trusts its own clock
+// for that long after sending, less the drift between two clocks.
 //
-// A holder renews only while the role makes progress. Past its patience it releases the role and backs off for a
-// growing while, so that a node that reaches the other side better acquires it. How many holders in a row made no
-// progress stands in a key beside it (ObserveStalledHolders): when all did not, the other side is unavailable for
-// everybody, and patience grows.
+// A holder renews only while the role makes progress. After Rules.Patience without progress it releases the role and
+// backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it. The
+// number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when all
+// nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
+// progress grows.
 package singleton
 
 import (
@@ -20,20 +22,20 @@
 	"time"
 )
 
-// Time is monotonic time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Name is a role.
+// Name identifies a role.
 type Name uint8
 
-// The roles. Scheduling is the leader's, whose lease is that of package election.
+// The roles. Scheduling is not one of them: it belongs to the leader, whose lease is managed by package election.
 const (
-	Provisioning Name = iota // the cloud's machine types and list, scale out and scale in
-	Compaction               // snapshots, compaction, deletion of records that the log has
-	NameCount                // how many there are
+	Provisioning Name = iota // listing the cloud's machine types and machines, scale-out and scale-in
+	Compaction               // snapshots, log compaction, deletion of records that are in the log
+	NameCount                // number of roles
 )
 
-// String is the role's name in keys, the log and metrics.
+// String returns the role's name in keys, logs and metrics.
 func (n Name) String() string {
 	switch n {
 	case Provisioning:
@@ -44,115 +46,115 @@
 	return "?"
 }
 
-// Rules are a role's times.
+// Rules are the periods that govern a role.
 type Rules struct {
-	TTL           Time // of the lease
-	Trust         Time // how long after the sending of a renewal the lease surely lasts; below TTL
-	RenewInterval Time // between two renewals
-	Patience      Time // the longest time without progress
-	Backoff       Time // how long a holder without progress backs off at first; it doubles
-	MaxBackoff    Time // and does not get longer than this
-	TurnDelay     Time // a free role is acquired by the first in rank at once, by each next one so much later
-	SettleTime    Time // how long there must be a better holder before a good one releases the role
+	TTL            Time // duration of the lease
+	TrustPeriod    Time // how long after sending a renewal the lease is guaranteed to last; below TTL
+	RenewInterval  Time // between renewals
+	Patience       Time // maximum time without progress
+	InitialBackoff Time // initial backoff of a holder without progress; doubled each time
+	MaxBackoff     Time // upper bound of the backoff
+	RankDelay      Time // additional delay per rank before a node acquires a free role; none for the first
+	SettleTime     Time // how long a better holder must exist before a working one releases the role
 }
 
 const (
-	// maxClockDriftDivisor is by how much two clocks may differ, as one part in so many, and trustMargin what is left
-	// beside that for the scheduling of this process.
+	// maxClockDriftDivisor gives the maximum drift between two clocks, as one part in this number; trustMargin is an
+	// additional margin for scheduling delays of this process.
 	maxClockDriftDivisor = 500
 	trustMargin          = 20 * time.Millisecond
-	// settleTime is that of the first role; each next one's is so much longer, so that two are never released at
-	// once.
+	// settleTime is the SettleTime of the first role, and the increment for each further one, so that two roles are
+	// never released at once.
 	settleTime = 20 * time.Second
 )
 
-// DefaultRules are the rules of a role. The lease is twice as long as a leader's, since nothing that a user waits for
-// hangs on it.
+// DefaultRules returns the rules of a role. The lease is twice as long as a leader's, since no user request waits for a
+// role.
 func DefaultRules(n Name) Rules {
 	rules := Rules{
-		TTL:           6 * time.Second,
-		RenewInterval: 1500 * time.Millisecond,
-		Patience:      20 * time.Second,
-		Backoff:       10 * time.Second,
-		MaxBackoff:    5 * time.Minute,
-		TurnDelay:     500 * time.Millisecond,
-		SettleTime:    settleTime + settleTime*Time(n),
+		TTL:            6 * time.Second,
+		RenewInterval:  1500 * time.Millisecond,
+		Patience:       20 * time.Second,
+		InitialBackoff: 10 * time.Second,
+		MaxBackoff:     5 * time.Minute,
+		RankDelay:      500 * time.Millisecond,
+		SettleTime:     settleTime + settleTime*Time(n),
 	}
 	if n == Compaction {
 		rules.Patience = time.Minute
 	}
-	rules.Trust = rules.TTL - rules.TTL/maxClockDriftDivisor - trustMargin
+	rules.TrustPeriod = rules.TTL - rules.TTL/maxClockDriftDivisor - trustMargin
 	return rules
 }
 
-// RoleHolder is what the role's key says.
+// RoleHolder is the content of the role's key.
 type RoleHolder struct {
-	Node  string // "": nobody holds it
-	Term  uint64 // the key's version
-	Since Time   // since when this node knows it
+	Node  string // empty if no node holds it
+	Term  uint64 // version of the key
+	Since Time   // when this node observed it
 }
 
-// View is what a node knows of the others.
+// View is what a node knows of the other nodes.
 type View struct {
-	Ready  bool     // all members take part: with older nodes among them the leader does everything itself
-	Live   []string // nodes that respond, this one among them
-	Leader string   // "": unknown
+	Ready  bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
+	Live   []string // responding nodes, this one included
+	Leader string   // empty if unknown
 }
 
-// Decision is what to do next.
+// Decision is the next action of a node for a role.
 type Decision uint8
 
-// What to do. Acquire and Renew are requested once, and again only after their response.
+// The decisions. Acquire and Renew are returned once, and again only after their response.
 const (
 	NoAction Decision = iota
-	Acquire           // request a lease, and the key if there is none: then call Acquired
-	Renew             // renew the lease: then call Renewed
-	Release           // write what NoProgress says, end the lease, and with it the key: then call Released
+	Acquire           // request a lease, and create the key unless it exists; then call Acquired
+	Renew             // renew the lease; then call Renewed
+	Release           // store the count if NoProgress, and revoke the lease, which deletes the key; then call Released
 )
 
-// The reasons for which a role is released or lost. They are in the admin API and in the log.
+// Reasons for releasing or losing a role, as shown in the admin API and the log.
 const (
-	reasonSuperseded   = "another may hold it"
-	reasonLeaseExpired = "its lease was not renewed in time"
-	reasonLeaseEnded   = "its lease has ended"
-	reasonNoProgress   = "it gets nowhere"
-	reasonOlderNode    = "an older node is there"
-	reasonLeaderIsBusy = "others have less to do"
+	reasonSuperseded    = "another may hold it"
+	reasonLeaseExpired  = "its lease was not renewed in time"
+	reasonLeaseEnded    = "its lease has ended"
+	reasonNoProgress    = "it gets nowhere"
+	reasonOlderNode     = "an older node is there"
+	reasonLeaderOffload = "others have less to do"
 )
 
-// Role is one node's local state of one role.
+// Role is one node's local state of a role.
 type Role struct {
 	Name  Name
 	Node  string // this node
 	Rules Rules
 
-	// What was seen of the role's keys.
+	// Observed state of the role's keys.
 	holder         RoleHolder
-	observed       bool // anything at all
+	observed       bool // the key was observed at least once
 	freeSince      Time
-	stalledHolders int // holders in a row without progress
-
-	// This node's own hold.
-	awaitingAnswer bool   // an Acquire or Renew has no response yet
-	lease          uint64 // on which the key hangs
-	term           uint64 // 0: not held
-	trustedUntil   Time
-	renewSentAt    Time // when a renewal was last sent
-	heldSince      Time
-	lastProgress   Time
-	progressed     bool // it made progress in this term
-	betterSince    Time // since when another would be a better holder; 0: none would
-	backoffUntil   Time
-	backoff        Time
-	noProgress     bool   // it was released for that
-	releaseReason  string // why it was last released or lost
+	stalledHolders int // consecutive holders without progress
+
+	// State of this node as the holder.
+	awaitingResponse  bool   // an Acquire or Renew has no response yet
+	lease             uint64 // lease to which the key is attached
+	term              uint64 // 0 if this node does not hold the role
+	trustedUntil      Time
+	renewSentAt       Time // when the last successful renewal was sent
+	heldSince         Time
+	lastProgress      Time
+	progressed        bool // the role made progress in this term
+	betterHolderSince Time // since when another node would be a better holder; 0 if none would
+	backoffUntil      Time
+	backoff           Time
+	noProgress        bool   // the role was released for lack of progress
+	releaseReason     string // why the role was last released or lost
 }
 
-// New makes the state of a role that this node does not hold and knows nothing of.
+// New returns the state of a role that this node does not hold and has not observed.
 func New(n Name, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
-// Observe notes what the key says. Without a holder the term is the number of the change since which there is
-// none: terms and changes are counted alike, so an older message that came a slower way is told from a newer one.
+// Observe records the content of the role's key. Without a holder, Term is the revision at which the key was deleted.
+// Terms are revisions too, so the two are comparable, and an older message that arrives late is recognized.
 func (r *Role) Observe(holder RoleHolder, now Time) {
 	if r.observed && (holder.Term < r.holder.Term || holder.Term == r.holder.Term && holder.Node == r.holder.Node) {
 		return
@@ -166,49 +168,51 @@
 	}
 }
 
-// ObserveStalledHolders notes how many holders in a row made no progress.
+// ObserveStalledHolders records the number of consecutive holders that made no progress.
 func (r *Role) ObserveStalledHolders(n int) { r.stalledHolders = n }
 
-// lose ends this node's hold.
+// lose ends this node's hold of the role.
 func (r *Role) lose(reason string) {
-	r.term, r.lease, r.trustedUntil, r.betterSince, r.releaseReason = 0, 0, 0, 0, reason
+	r.term, r.lease, r.trustedUntil, r.betterHolderSince, r.releaseReason = 0, 0, 0, 0, reason
 }
 
-// Term is the term under which this node holds the role, 0 if it does not. To act, it must be Trusted as well.
+// Term returns the term under which this node holds the role, 0 if it does not. To act on it, the role must also be
+// Trusted.
 func (r *Role) Term() uint64 { return r.term }
 
-// Lease is the lease on which the key hangs.
+// Lease returns the lease to which the key is attached.
 func (r *Role) Lease() uint64 { return r.lease }
 
-// TrustedUntil tells until when the hold is trusted.
+// TrustedUntil returns the time until which the hold is trusted.
 func (r *Role) TrustedUntil() Time { return r.trustedUntil }
 
-// Trusted tells whether this node surely holds the role.
+// Trusted tells whether this node is guaranteed to hold the role.
 func (r *Role) Trusted(now Time) bool { return r.term != 0 && now < r.trustedUntil }
 
-// Holder is who holds the role, as far as was seen.
+// Holder returns the last observed holder.
 func (r *Role) Holder() RoleHolder { return r.holder }
 
-// HeldSince is when this node acquired the role.
+// HeldSince returns when this node acquired the role.
 func (r *Role) HeldSince() Time { return r.heldSince }
 
-// LastProgress is when the role last made progress at this node.
+// LastProgress returns when the role last made progress at this node.
 func (r *Role) LastProgress() Time { return r.lastProgress }
 
-// ReleaseReason is why this node last released or lost the role.
+// ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress tells whether the role was released since it made no progress, which is to be written for the next
-// holders.
+// NoProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
+// the next holders.
 func (r *Role) NoProgress() bool { return r.noProgress }
 
-// StalledHolders is how many holders in a row made no progress.
+// StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent tells whether what a holder reports under a term counts: it is no older than what was seen of the key.
+// IsCurrent tells whether a report made under a term is valid, that is, whether the term is not older than the observed
+// key.
 func (r *Role) IsCurrent(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience is the longest time without progress: longer when no other node made any either.
+// patience returns the maximum time without progress, which is longer if no other node made progress either.
 func (r *Role) patience(v *View) Time {
 	limit := r.Rules.Patience
 	for rounds := r.stalledHolders / max(1, len(v.Live)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
@@ -217,8 +221,8 @@
 	return limit
 }
 
-// RecordProgress notes that the role made progress. It tells whether that ends a row of holders that made none, which
-// is then to be written.
+// RecordProgress records that the role made progress. It tells whether that ends a series of holders without progress,
+// in which case the reset count must be stored.
 func (r *Role) RecordProgress(now Time) (endsStall bool) {
 	if r.term == 0 {
 		return false
@@ -229,15 +233,15 @@
 	return endsStall
 }
 
-// RecordIdle notes that there is nothing to do, which is no lack of progress.
+// RecordIdle records that the role has nothing to do, which does not count as a lack of progress.
 func (r *Role) RecordIdle(now Time) {
 	if r.term != 0 {
 		r.lastProgress = now
 	}
 }
 
-// rank is this node's place in the order in which nodes may acquire the role: by a hash of both, the leader last,
-// since it has most to do already.
+// rank returns this node's position in the order in which nodes may acquire the role: by a hash of role and node, with
+// the leader last, since it has the highest load already.
 func (r *Role) rank(v *View) int {
 	order := slices.Clone(v.Live)
 	weight := func(node string) uint64 {
@@ -257,10 +261,10 @@
 	return max(0, slices.Index(order, r.Node))
 }
 
-// Decide tells what to do.
+// Decide returns the next action for the role.
 func (r *Role) Decide(now Time, v *View) Decision {
 	switch {
-	case r.awaitingAnswer || !r.observed:
+	case r.awaitingResponse || !r.observed:
 		return NoAction
 	case r.term == 0:
 		return r.decideFree(now, v)
@@ -271,10 +275,10 @@
 // decideFree decides for a node that does not hold the role.
 func (r *Role) decideFree(now Time, v *View) Decision {
 	if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
-		now < r.freeSince+Time(r.rank(v))*r.Rules.TurnDelay {
+		now < r.freeSince+Time(r.rank(v))*r.Rules.RankDelay {
 		return NoAction
 	}
-	r.awaitingAnswer = true
+	r.awaitingResponse = true
 	return Acquire
 }
 
@@ -287,7 +291,7 @@
 	case now-r.lastProgress > r.patience(v):
 		r.stalledHolders++
 		r.noProgress = true
-		r.backoff = min(max(2*r.backoff, r.Rules.Backoff), r.Rules.MaxBackoff)
+		r.backoff = min(max(2*r.backoff, r.Rules.InitialBackoff), r.Rules.MaxBackoff)
 		r.backoffUntil = now + r.backoff
 		r.releaseReason = reasonNoProgress
 		return Release
@@ -295,50 +299,50 @@
 		r.releaseReason = reasonOlderNode
 		return Release
 	case r.Node == v.Leader && len(v.Live) > 1:
-		if r.betterSince == 0 {
-			r.betterSince = now
+		if r.betterHolderSince == 0 {
+			r.betterHolderSince = now
 		}
-		if now-r.betterSince > r.Rules.SettleTime {
-			r.releaseReason, r.backoffUntil = reasonLeaderIsBusy, now+2*r.Rules.TurnDelay
+		if now-r.betterHolderSince > r.Rules.SettleTime {
+			r.releaseReason, r.backoffUntil = reasonLeaderOffload, now+2*r.Rules.RankDelay
 			return Release
 		}
 	default:
-		r.betterSince = 0
+		r.betterHolderSince = 0
 	}
 	if now-r.renewSentAt < r.Rules.RenewInterval {
 		return NoAction
 	}
-	r.awaitingAnswer = true
+	r.awaitingResponse = true
 	return Renew
 }
 
-// Released notes that the key was released: the request for it was sent, or will not be.
+// Released records that the role was given up, whether or not the request to release it was sent.
 func (r *Role) Released() {
 	reason := r.releaseReason
 	r.lose(reason)
 }
 
-// Acquired is the response to Acquire: sent is when the lease was requested, term the key's version, 0 if it was not
-// won.
+// Acquired handles the response to Acquire: sent is when the lease was requested, and term the key's version, or 0 if
+// the key was not acquired.
 func (r *Role) Acquired(sent, now Time, lease, term uint64) {
-	r.awaitingAnswer = false
+	r.awaitingResponse = false
 	if term == 0 || term < r.holder.Term {
 		return
 	}
-	r.term, r.lease, r.trustedUntil, r.renewSentAt = term, lease, sent+r.Rules.Trust, sent
-	r.heldSince, r.lastProgress, r.progressed, r.noProgress, r.betterSince = now, now, false, false, 0
+	r.term, r.lease, r.trustedUntil, r.renewSentAt = term, lease, sent+r.Rules.TrustPeriod, sent
+	r.heldSince, r.lastProgress, r.progressed, r.noProgress, r.betterHolderSince = now, now, false, false, 0
 	r.holder, r.observed = RoleHolder{Node: r.Node, Term: term, Since: now}, true
 }
 
-// Renewed is the response to a Renew that was sent at a time: ok, or gone if the lease had ended. Without either its
-// fate is unknown, and it is sent again.
+// Renewed handles the response to a Renew sent at the given time: ok if the lease was renewed, gone if it had ended. If
+// neither is set, the outcome is unknown, and the renewal is sent again.
 func (r *Role) Renewed(sent Time, ok, gone bool) {
-	r.awaitingAnswer = false
+	r.awaitingResponse = false
 	switch {
 	case r.term == 0:
 	case gone:
 		r.lose(reasonLeaseEnded)
 	case ok:
-		r.trustedUntil, r.renewSentAt = max(r.trustedUntil, sent+r.Rules.Trust), sent
+		r.trustedUntil, r.renewSentAt = max(r.trustedUntil, sent+r.Rules.TrustPeriod), sent
 	}
 }
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -11,10 +11,10 @@
 	const drift = 0.0005 // each way
 	for n := range NameCount {
 		rules := DefaultRules(n)
-		if slow := float64(rules.Trust) * (1 + 2*drift); slow >= float64(rules.TTL) {
+		if slow := float64(rules.TrustPeriod) * (1 + 2*drift); slow >= float64(rules.TTL) {
 			t.Errorf("%v: trusted for %v of a lease of %v", n, time.Duration(slow), rules.TTL)
 		}
-		if rules.RenewInterval*2 >= rules.Trust {
+		if rules.RenewInterval*2 >= rules.TrustPeriod {
 			t.Errorf("%v: one renewal that is lost costs the lease", n)
 		}
 	}
@@ -32,7 +32,7 @@
 			at := acquiredAt(t, n, node, freeAt, &View{Ready: true, Live: nodes, Leader: "b"})
 			if order = append(order, at); at == freeAt {
 				first += node
-			} else if at == freeAt+2*DefaultRules(n).TurnDelay {
+			} else if at == freeAt+2*DefaultRules(n).RankDelay {
 				last += node
 			}
 		}
