--- a/internal/replication/candidacy/golden_test.go
+++ b/internal/replication/candidacy/golden_test.go
@@ -6,8 +6,8 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenPing: the query in a ping and the status in its response are written and read as they always were, and
-// those of another version are refused.
+// TestGoldenPing checks that the query in a ping and the status in its response are encoded and decoded as recorded,
+// and that other versions are rejected.
 func TestGoldenPing(t *testing.T) {
 	type query struct {
 		Node        string
@@ -19,12 +19,12 @@
 	write := func(s Status) []byte { return s.Append(nil) }
 	golden.RoundTrip(t, "word.hex", Status{Warm: true, RecentIncarnations: maxIncarnations}, write, ReadStatus)
 	golden.RoundTrip(t, "word-cold.hex", Status{}, write, ReadStatus)
-	later := golden.Read(t, "word.hex")
-	later[0] = 2
-	if _, err := ReadStatus(later); err == nil {
-		t.Error("a status of version 2 is read")
+	version2 := golden.Read(t, "word.hex")
+	version2[0] = 2
+	if _, err := ReadStatus(version2); err == nil {
+		t.Error("a status of version 2 was decoded")
 	}
 	if _, _, err := ReadQuery(append([]byte{2}, golden.Read(t, "ask.hex")[1:]...)); err == nil {
-		t.Error("a query of version 2 is read")
+		t.Error("a query of version 2 was decoded")
 	}
 }
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -11,142 +11,147 @@
 
 func TestMain(m *testing.M) { virtualtime.MainRapid(m, 3000) }
 
-// process is a plain account of one process of a controller, in true time: when it lived, how fast its clock is, and
-// when it learnt of each batch.
+// process is a reference model of one controller process, in true time: its lifetime, the rate of its clock, and the
+// batches that it has seen.
 type process struct {
-	node         int
-	begun, ended float64 // ended 0: it lives
-	rate         float64
-	watermarks   Watermarks
+	node               int
+	startedAt, endedAt float64 // in true seconds; endedAt is 0 while it runs
+	clockRate          float64
+	watermarks         Watermarks
 }
 
-// confirmation is that a process told somebody of a batch, at a true time.
+// confirmation records that a process confirmed a batch to a client at a true time.
 type confirmation struct {
 	at  float64
 	seq uint64
 }
 
-// history is a plain account of some controllers and of the asker, in true time.
+// history is a reference model of some controllers and of the requester, in true time.
 type history struct {
-	t         *rapid.T
-	now       float64
-	committed uint64
-	processes []*process
-	confirmed []confirmation
-
-	asker           *process
-	askerSeq        uint64  // the batches that it has
-	complete        float64 // when it was complete, in true time
-	askerCompleteAt Time    // and on its clock
-
-	proven, denied int // rounds
+	t             *rapid.T
+	now           float64
+	committed     uint64
+	processes     []*process
+	confirmations []confirmation
+
+	requester           *process
+	requesterSeq        uint64  // last batch that it has
+	completeAt          float64 // when it was last complete, in true time
+	requesterCompleteAt Time    // the same on its own clock
+
+	proven, unproven int // numbers of rounds by outcome
 }
 
 func newHistory(t *rapid.T) *history {
 	h := &history{t: t, processes: make([]*process, rapid.IntRange(0, 3).Draw(t, "others"))}
-	h.asker = &process{rate: h.clock()}
+	h.requester = &process{clockRate: h.drawClockRate()}
 	for i := range h.processes {
-		h.processes[i] = &process{node: i, rate: h.clock()}
+		h.processes[i] = &process{node: i, clockRate: h.drawClockRate()}
 	}
-	h.askerCompleteAt = h.askerTime()
+	h.requesterCompleteAt = h.requesterTime()
 	return h
 }
 
-func (h *history) clock() float64 {
+func (h *history) drawClockRate() float64 {
 	return 1 + rapid.SampledFrom([]float64{-0.0005, 0, 0.0005}).Draw(h.t, "drift")
 }
 
-func (h *history) askerTime() Time { return Time(h.now * h.asker.rate * 1e9) }
+func (h *history) requesterTime() Time { return Time(h.now * h.requester.clockRate * 1e9) }
 
-// delay lets a message take some time.
+// delay advances the time by the delay of a message.
 func (h *history) delay(name string) {
 	h.now += rapid.SampledFrom([]float64{0, 0.001, 1.9}).Draw(h.t, name)
 }
 
-func (h *history) confirm() { h.confirmed = append(h.confirmed, confirmation{h.now, h.committed}) }
+func (h *history) confirm() {
+	h.confirmations = append(h.confirmations, confirmation{h.now, h.committed})
+}
 
-// step is one event.
+// step performs one random event.
 func (h *history) step() {
-	h.now += rapid.SampledFrom([]float64{0.001, 0.3, 5, 60}).Draw(h.t, "later")
+	h.now += rapid.SampledFrom([]float64{0.001, 0.3, 5, 60}).Draw(h.t, "pause")
 	i := -1
 	if len(h.processes) > 0 {
 		i = rapid.IntRange(0, len(h.processes)-1).Draw(h.t, "node")
 	}
-	switch event := rapid.IntRange(0, 5).Draw(h.t, "what"); {
-	case event == 0 && i >= 0: // it commits a batch, having all before, and may confirm it at once
+	switch event := rapid.IntRange(0, 5).Draw(h.t, "event"); {
+	case event == 0 && i >= 0: // a controller that has all earlier batches commits one, and may confirm it at once
 		h.committed++
 		h.processes[i].watermarks.Observe(h.committed)
-		if rapid.Bool().Draw(h.t, "tells") {
+		if rapid.Bool().Draw(h.t, "confirms") {
 			h.confirm()
 		}
-	case event == 1 && i >= 0: // it reads the log, and confirms what is in it
+	case event == 1 && i >= 0: // a controller reads the log and confirms what is in it
 		h.processes[i].watermarks.Observe(h.committed)
 		h.confirm()
-	case event == 2 && i >= 0: // it ends, and is back
-		h.processes[i].ended = h.now
-		h.processes[i] = &process{node: i, begun: h.now + 0.02, rate: h.clock()}
+	case event == 2 && i >= 0: // a controller restarts
+		h.processes[i].endedAt = h.now
+		h.processes[i] = &process{node: i, startedAt: h.now + 0.02, clockRate: h.drawClockRate()}
 		h.now += 0.03
-	case event == 3: // the asker reads the log
-		h.asker.watermarks.Observe(h.committed)
-		h.askerSeq, h.complete, h.askerCompleteAt = h.committed, h.now, h.askerTime()
-	case event == 4: // the asker itself commits a batch and confirms it; its replica, read anew, is the one from before
+	case event == 3: // the requester reads the log
+		h.requester.watermarks.Observe(h.committed)
+		h.requesterSeq, h.completeAt, h.requesterCompleteAt = h.committed, h.now, h.requesterTime()
+	case event == 4: // the requester commits and confirms a batch, then reloads a replica without it
 		if rapid.IntRange(0, 9).Draw(h.t, "rare") == 0 {
 			h.committed++
-			h.asker.watermarks.Observe(h.committed)
+			h.requester.watermarks.Observe(h.committed)
 			h.confirm()
 		}
 	case event == 5:
-		h.ask()
+		h.runRound()
 	}
 }
 
-// ask is a round; if it proves anything, no batch may have been confirmed before that the asker lacks.
-func (h *history) ask() {
-	asked := h.now
-	round := h.asker.watermarks.BeginRound(h.askerTime(), h.askerCompleteAt, h.askerSeq, len(h.processes))
+// runRound performs one round. If the round is proven, no batch that the requester lacks may have been confirmed before
+// it began.
+func (h *history) runRound() {
+	startedAt := h.now
+	watermarks := &h.requester.watermarks
+	round := watermarks.BeginRound(h.requesterTime(), h.requesterCompleteAt, h.requesterSeq, len(h.processes))
 	for n, other := range h.processes {
-		h.delay("on the way")
+		h.delay("request delay")
 		if rapid.IntRange(0, 9).Draw(h.t, "lost") == 0 {
 			continue
 		}
-		age := Time((h.now - other.begun) * other.rate * 1e9)
+		age := Time((h.now - other.startedAt) * other.clockRate * 1e9)
 		report, err := ReadReport(other.watermarks.Report(age).Append(nil))
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		h.delay("back")
-		round.Record(n, report, h.askerTime())
+		h.delay("response delay")
+		round.Record(n, report, h.requesterTime())
 	}
 	at, ok := round.Proven()
 	if !ok {
-		h.denied++
+		h.unproven++
 		return
 	}
 	h.proven++
-	for _, c := range h.confirmed {
-		if c.seq > h.askerSeq && c.at <= asked {
-			h.t.Fatalf("batch %d was confirmed at %v; the asker has %d, was complete at %v, "+
-				"and was proven at %v as good as complete", c.seq, c.at, h.askerSeq, h.complete, asked)
+	for _, c := range h.confirmations {
+		if c.seq > h.requesterSeq && c.at <= startedAt {
+			h.t.Fatalf("batch %d was confirmed at %v; the requester has batch %d, was complete at %v, "+
+				"and a round started at %v proved it as good as complete",
+				c.seq, c.at, h.requesterSeq, h.completeAt, startedAt)
 		}
 	}
-	h.askerCompleteAt, h.complete = at, asked
+	h.requesterCompleteAt, h.completeAt = at, startedAt
 }
 
-// TestNothingConfirmedUnknown draws histories of some controllers: batches are committed, processes learn of them,
-// confirm them and end; the asker is complete at some time and asks later, while responses come late or not at all.
-// Whenever all confirm, a plain account of what was confirmed must have nothing confirmed before the requests that
-// the asker lacks.
+// TestNothingConfirmedUnknown draws histories of several controllers: batches are committed; processes see them,
+// confirm them and end; the requester is complete at some time and asks later, while responses are delayed or lost.
+// Whenever a round is proven, the reference model must hold no confirmation before the round of a batch that the
+// requester lacks.
 func TestNothingConfirmedUnknown(t *testing.T) {
-	proven, denied := 0, 0
+	proven, unproven := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(t)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			h.step()
 		}
-		proven, denied = proven+h.proven, denied+h.denied
+		proven, unproven = proven+h.proven, unproven+h.unproven
 	})
-	if proven < 100 || denied < 100 {
-		t.Errorf("%d rounds proved it and %d did not: too few of one kind", proven, denied)
+	if proven < 100 || unproven < 100 {
+		t.Errorf("%d rounds proven and %d not proven, want at least 100 of each", proven, unproven)
 	}
 }
 
@@ -154,11 +159,11 @@
 	report := WatermarkReport{Age: 1234567 * time.Microsecond, HighestSeq: 1 << 40}
 	decoded, err := ReadReport(report.Append(nil))
 	if err != nil || decoded.Age != 1234*time.Millisecond || decoded.HighestSeq != report.HighestSeq {
-		t.Errorf("%+v, %v", decoded, err)
+		t.Errorf("%+v was decoded as %+v, %v", report, decoded, err)
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 6, 7}, {0xff}} {
 		if _, err := ReadReport(b); err == nil {
-			t.Errorf("%v was read", b)
+			t.Errorf("malformed report %v was decoded", b)
 		}
 	}
 }
--- a/internal/replication/commitfence/golden_test.go
+++ b/internal/replication/commitfence/golden_test.go
@@ -7,7 +7,7 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenReport: the response to rpc.OpWatermark is written and read as it always was.
+// TestGoldenReport checks that the response to rpc.OpWatermark is encoded and decoded as recorded.
 func TestGoldenReport(t *testing.T) {
 	write := func(w WatermarkReport) []byte { return w.Append(nil) }
 	report := WatermarkReport{Age: 90*time.Minute + 7*time.Millisecond, HighestSeq: 1 << 40}
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -11,25 +11,26 @@
 	"fieldhill/internal/testing/modelcheck"
 )
 
-// This is a model of two nodes, the key-value store, the cloud and the log around the real Roles. Time is in whole
-// units. Whatever a node requests may be answered at once, or be in flight for any time, be lost, or lose its answer;
-// between the look at its trust and a request a node may be paused, for any time; it may end and start anew.
+// This file models two nodes, the key-value store, the cloud and the log around real Roles. Time advances in whole
+// units. A request may be answered at once, remain in flight for any time, be lost, or have its response lost. A node
+// may be paused for any time between checking its trust and sending a request, and it may end and restart.
 
-// fault is what is broken on purpose.
+// fault is a safety rule that the model deliberately breaks.
 type fault int
 
 const (
 	noFault                fault = iota
-	noGuard                      // writes of a role don't require its key
-	trustFromAnswer              // a lease is trusted from when the answer came
-	provisionBeforeLogging       // machines are provisioned before the request is in the log
-	falseProgress                // a lease is renewed whether the role makes progress or not
+	unfencedWrites               // writes of a role do not require its key
+	trustFromResponse            // a lease is trusted from the arrival of the response
+	provisionBeforeLogging       // machines are provisioned before the scale-out request is in the log
+	renewalWithoutProgress       // a lease is renewed even if the role makes no progress
 )
 
 var modelRules = Rules{
 	TTL: 3, TrustPeriod: 2, RenewInterval: 1, Patience: 2, InitialBackoff: 2, MaxBackoff: 4, SettleTime: 100,
 }
 
+// wantedRequests is the number of scale-out requests in the log at the start.
 const wantedRequests = 1
 
 type messageKind byte
@@ -44,14 +45,14 @@
 	writeRequest
 )
 
-// String is what traces call it.
+// String returns the description used in traces.
 func (k messageKind) String() string {
-	return [...]string{"the asking for the key", "the answer on the key", "a renewal", "the answer to a renewal",
-		"a scale-out", "the answer to the scale-out", "a write"}[k]
+	return [...]string{"acquire request", "acquire response", "renew request", "renew response",
+		"scale-out request", "scale-out response", "write request"}[k]
 }
 
-// message is a request or an answer in flight. term is the holder's, or what the answer says; ok tells that it
-// worked.
+// message is a request or a response in flight. term is the holder's term, or the term that the response reports; ok
+// reports success.
 type message struct {
 	kind  messageKind
 	node  int
@@ -63,29 +64,29 @@
 }
 
 type node struct {
-	role           Role
-	awaitingAnswer bool   // an Acquire or Renew is in flight
-	pendingAction  string // looked at its trust, and is about to: "provision NAME", "write"
-	actionTerm     uint64 // the term under which it looked
-	wrote          bool
-	provisioned    bool
-	restarts       int // how often it started
+	role             Role
+	awaitingResponse bool   // an Acquire or Renew is in flight
+	pendingAction    string // action about to be taken after the trust was checked: "provision NAME" or "write"
+	actionTerm       uint64 // term under which the trust was checked
+	wrote            bool
+	provisioned      bool
+	restarts         int
 }
 
 type modelState struct {
 	fault fault
-	// What is left out, so that the rest can be followed further: writes, provisioning, and that anything is in
-	// flight for long or lost.
+	// Restrictions that let the rest be explored to a greater depth: no writes, no provisioning, or no message that is
+	// delayed or lost.
 	noWrites, noProvisioning, promptDelivery bool
 
 	now             Time
 	nodes           [2]node
 	revision        uint64
-	holder          int // of the key; -1: none
+	holder          int // index of the node that holds the key; -1 if none
 	term            uint64
-	deletedRevision uint64 // the change that deleted the key
+	deletedRevision uint64 // revision at which the key was deleted
 	lease           uint64
-	leaseEnds       Time // of the key's lease
+	leaseEndsAt     Time // when the key's lease ends
 	messages        []message
 	openRequests    []string // scale-out requests in the log
 	provisioned     []string // names under which machines were provisioned
@@ -94,14 +95,14 @@
 
 func nodeName(i int) string { return string(rune('A' + i)) }
 
-func (w modelState) clone() modelState {
-	w.messages = slices.Clone(w.messages)
-	w.openRequests = slices.Clone(w.openRequests)
-	w.provisioned = slices.Clone(w.provisioned)
-	return w
+func (s modelState) clone() modelState {
+	s.messages = slices.Clone(s.messages)
+	s.openRequests = slices.Clone(s.openRequests)
+	s.provisioned = slices.Clone(s.provisioned)
+	return s
 }
 
-// stateKey is the encoding of a state that tells it from others.
+// stateKey is the encoding of a state that distinguishes it from other states.
 type stateKey []byte
 
 func (k *stateKey) ints(list ...int64) {
@@ -143,7 +144,7 @@
 func (k *stateKey) node(n *node) {
 	k.role(&n.role)
 	k.ints(int64(n.actionTerm), int64(n.restarts))
-	k.bools(n.awaitingAnswer, n.wrote, n.provisioned)
+	k.bools(n.awaitingResponse, n.wrote, n.provisioned)
 	k.strings(n.pendingAction)
 }
 
@@ -153,19 +154,19 @@
 	k.strings(m.name)
 }
 
-// Key leaves out the order of the messages.
-func (w modelState) Key() string {
+// Key encodes the state, ignoring the order of messages.
+func (s modelState) Key() string {
 	k := make(stateKey, 0, 256)
-	k.ints(int64(w.now), int64(w.holder), int64(w.term), int64(w.deletedRevision), int64(w.lease), int64(w.leaseEnds))
-	k.ints(int64(len(w.openRequests)))
-	k.strings(w.provisioned...)
-	for i := range w.nodes {
-		k.node(&w.nodes[i])
+	k.ints(int64(s.now), int64(s.holder), int64(s.term), int64(s.deletedRevision), int64(s.lease), int64(s.leaseEndsAt))
+	k.ints(int64(len(s.openRequests)))
+	k.strings(s.provisioned...)
+	for i := range s.nodes {
+		k.node(&s.nodes[i])
 	}
-	messages := make([]string, len(w.messages))
-	for i := range w.messages {
+	messages := make([]string, len(s.messages))
+	for i := range s.messages {
 		from := len(k)
-		k.message(&w.messages[i])
+		k.message(&s.messages[i])
 		messages[i], k = string(k[from:]), k[:from]
 	}
 	slices.Sort(messages)
@@ -173,113 +174,113 @@
 	return string(k)
 }
 
-func (w modelState) Violation() string {
-	if w.violation != "" {
-		return w.violation
+func (s modelState) Violation() string {
+	if s.violation != "" {
+		return s.violation
 	}
-	if w.nodes[0].role.Trusted(w.now) && w.nodes[1].role.Trusted(w.now) {
+	if s.nodes[0].role.Trusted(s.now) && s.nodes[1].role.Trusted(s.now) {
 		return "both nodes trust that they hold the role"
 	}
-	for i := range w.nodes {
-		n := &w.nodes[i]
-		holds := w.holder == i && n.role.Term() == w.term
-		heldFor := w.now - n.role.HeldSince()
+	for i := range s.nodes {
+		n := &s.nodes[i]
+		holds := s.holder == i && n.role.Term() == s.term
+		heldFor := s.now - n.role.HeldSince()
 		if holds && !n.provisioned && !n.wrote && heldFor > modelRules.Patience+modelRules.TTL+2 {
-			return nodeName(i) + " holds the role for long without progress"
+			return nodeName(i) + " holds the role too long without progress"
 		}
 	}
-	if len(w.provisioned) > wantedRequests {
-		return fmt.Sprintf("machines were provisioned %d times for %d request: %v",
-			len(w.provisioned), wantedRequests, w.provisioned)
+	if len(s.provisioned) > wantedRequests {
+		return fmt.Sprintf("machines were provisioned %d times for %d requests: %v",
+			len(s.provisioned), wantedRequests, s.provisioned)
 	}
 	return ""
 }
 
-// releaseKey deletes the key.
-func (w *modelState) releaseKey() {
-	w.revision++
-	w.holder, w.term, w.lease, w.deletedRevision = -1, 0, 0, w.revision
+// releaseKey deletes the role's key.
+func (s *modelState) releaseKey() {
+	s.revision++
+	s.holder, s.term, s.lease, s.deletedRevision = -1, 0, 0, s.revision
 }
 
-// serve carries out a request and gives the answer, nil if there is none.
-func (w *modelState) serve(m message) *message {
+// serve executes a request at the store or the cloud and returns the response, nil if there is none.
+func (s *modelState) serve(m message) *message {
 	switch m.kind {
 	case acquireRequest:
 		answer := message{kind: acquireResponse, node: m.node, sent: m.sent, lease: m.lease}
-		if w.holder < 0 {
-			w.revision++
-			w.holder, w.term, w.lease, w.leaseEnds = m.node, w.revision, m.lease, w.now+modelRules.TTL
-			answer.term = w.term
+		if s.holder < 0 {
+			s.revision++
+			s.holder, s.term, s.lease, s.leaseEndsAt = m.node, s.revision, m.lease, s.now+modelRules.TTL
+			answer.term = s.term
 		}
 		return &answer
 	case renewRequest:
-		ok := w.holder >= 0 && w.lease == m.lease
+		ok := s.holder >= 0 && s.lease == m.lease
 		if ok {
-			w.leaseEnds = w.now + modelRules.TTL
+			s.leaseEndsAt = s.now + modelRules.TTL
 		}
 		return &message{kind: renewResponse, node: m.node, sent: m.sent, lease: m.lease, ok: ok}
 	case provisionRequest:
-		if !slices.Contains(w.provisioned, m.name) {
-			w.provisioned = append(w.provisioned, m.name)
+		if !slices.Contains(s.provisioned, m.name) {
+			s.provisioned = append(s.provisioned, m.name)
 		}
 		return &message{kind: provisionResponse, node: m.node, term: m.term, name: m.name, ok: true}
 	case writeRequest:
-		if w.fault != noGuard && (w.holder < 0 || w.term != m.term) {
+		if s.fault != unfencedWrites && (s.holder < 0 || s.term != m.term) {
 			return nil
 		}
-		if w.holder < 0 || w.term != m.term {
-			w.violation = fmt.Sprintf("a write of %s under term %d is applied, the key is of term %d",
-				nodeName(m.node), m.term, w.term)
+		if s.holder < 0 || s.term != m.term {
+			s.violation = fmt.Sprintf("write of %s under term %d is applied, but the key has term %d",
+				nodeName(m.node), m.term, s.term)
 		}
 	}
 	return nil
 }
 
-// receive has a node take in an answer.
-func (w *modelState) receive(m message) {
-	n := &w.nodes[m.node]
+// receive delivers a response to its node.
+func (s *modelState) receive(m message) {
+	n := &s.nodes[m.node]
 	sent := m.sent
-	if w.fault == trustFromAnswer {
-		sent = w.now
+	if s.fault == trustFromResponse {
+		sent = s.now
 	}
 	switch m.kind {
 	case acquireResponse:
-		if n.awaitingAnswer {
-			n.awaitingAnswer = false
-			n.role.Acquired(sent, w.now, m.lease, m.term)
+		if n.awaitingResponse {
+			n.awaitingResponse = false
+			n.role.Acquired(sent, s.now, m.lease, m.term)
 		}
 	case renewResponse:
-		if n.awaitingAnswer && n.role.Lease() == m.lease {
-			n.awaitingAnswer = false
+		if n.awaitingResponse && n.role.Lease() == m.lease {
+			n.awaitingResponse = false
 			n.role.Renewed(sent, m.ok, !m.ok)
 		}
 	case provisionResponse:
-		// It is reported to the leader, which accepts it from the present holder alone.
+		// The result is reported to the leader, which accepts it only from the current holder.
 		if n.role.Term() == m.term && n.role.IsCurrent(m.term) {
 			n.provisioned = true
-			n.role.RecordProgress(w.now)
-			w.openRequests = slices.DeleteFunc(w.openRequests, func(s string) bool { return s == m.name })
+			n.role.RecordProgress(s.now)
+			s.openRequests = slices.DeleteFunc(s.openRequests, func(s string) bool { return s == m.name })
 		}
 	}
 }
 
-func (w modelState) NextSteps() (list []modelcheck.Step) {
-	step := func(name string, f func(w *modelState)) {
-		next := w.clone()
+func (s modelState) NextSteps() (list []modelcheck.Step) {
+	step := func(name string, f func(s *modelState)) {
+		next := s.clone()
 		f(&next)
-		list = append(list, modelcheck.Step{Name: fmt.Sprintf("at %d: %s", w.now, name), To: next})
+		list = append(list, modelcheck.Step{Name: fmt.Sprintf("at %d: %s", s.now, name), To: next})
 	}
-	if w.now < 16 {
-		step("time goes by", func(w *modelState) {
-			if w.now++; w.holder >= 0 && w.now > w.leaseEnds {
-				w.releaseKey() // leases end late by less than a unit
+	if s.now < 16 {
+		step("time advances", func(s *modelState) {
+			if s.now++; s.holder >= 0 && s.now > s.leaseEndsAt {
+				s.releaseKey() // a lease ends less than one unit late
 			}
 		})
 	}
-	if w.holder >= 0 && w.now >= w.leaseEnds {
-		step("the lease ends", func(w *modelState) { w.releaseKey() })
+	if s.holder >= 0 && s.now >= s.leaseEndsAt {
+		step("lease ends", func(s *modelState) { s.releaseKey() })
 	}
-	for i, m := range w.messages {
+	for i, m := range s.messages {
 		request := m.kind == acquireRequest || m.kind == renewRequest || m.kind == provisionRequest ||
 			m.kind == writeRequest
 		description := m.kind.String()
@@ -288,73 +289,74 @@
 		}
 		description += " of " + nodeName(m.node)
 		if request {
-			step(description+" is carried out", func(w *modelState) {
-				w.messages = slices.Delete(w.messages, i, i+1)
-				if answer := w.serve(m); answer != nil {
-					w.messages = append(w.messages, *answer)
+			step(description+" is executed", func(s *modelState) {
+				s.messages = slices.Delete(s.messages, i, i+1)
+				if answer := s.serve(m); answer != nil {
+					s.messages = append(s.messages, *answer)
 				}
 			})
 		} else {
-			step(description+" comes", func(w *modelState) {
-				w.messages = slices.Delete(w.messages, i, i+1)
-				w.receive(m)
+			step(description+" arrives", func(s *modelState) {
+				s.messages = slices.Delete(s.messages, i, i+1)
+				s.receive(m)
 			})
 		}
-		step(description+" is lost", func(w *modelState) { w.messages = slices.Delete(w.messages, i, i+1) })
+		step(description+" is lost", func(s *modelState) { s.messages = slices.Delete(s.messages, i, i+1) })
 	}
-	for i := range w.nodes {
-		w.nodeSteps(i, step)
+	for i := range s.nodes {
+		s.nodeSteps(i, step)
 	}
 	return list
 }
 
-// sendSteps gives the ways that a request may go.
-func sendSteps(step stepFunc, mayDelay bool, description string, m message, before func(w *modelState)) {
-	step(description+", answered at once", func(w *modelState) {
-		before(w)
-		if answer := w.serve(m); answer != nil {
-			w.receive(*answer)
+// sendSteps adds the possible outcomes of sending a request.
+func sendSteps(step stepFunc, mayDelay bool, description string, m message, before func(s *modelState)) {
+	step(description+", answered at once", func(s *modelState) {
+		before(s)
+		if answer := s.serve(m); answer != nil {
+			s.receive(*answer)
 		}
 	})
 	if mayDelay {
-		step(description+", under way", func(w *modelState) {
-			before(w)
-			w.messages = append(w.messages, m)
+		step(description+", in flight", func(s *modelState) {
+			before(s)
+			s.messages = append(s.messages, m)
 		})
 	}
 }
 
-// stepFunc adds a step that may happen next.
+// stepFunc adds a possible next step.
 type stepFunc func(name string, apply func(*modelState))
 
-func (w modelState) nodeSteps(i int, step stepFunc) {
-	n := &w.nodes[i]
+func (s modelState) nodeSteps(i int, step stepFunc) {
+	n := &s.nodes[i]
 	self := nodeName(i)
-	// The watch shows the key as it is; being late it shows what was, which changes nothing that is not seen later.
-	observed := RoleHolder{Term: w.deletedRevision}
-	if w.holder >= 0 {
-		observed = RoleHolder{Node: nodeName(w.holder), Term: w.term}
+	// The watch reports the current state of the key. A delayed watch would report an earlier state, which adds no
+	// behavior that is not also reached by observing later.
+	observed := RoleHolder{Term: s.deletedRevision}
+	if s.holder >= 0 {
+		observed = RoleHolder{Node: nodeName(s.holder), Term: s.term}
 	}
 	if n.role.Holder().Term != observed.Term || n.role.Holder().Node != observed.Node {
-		step(self+" sees the key", func(w *modelState) { w.nodes[i].role.Observe(observed, w.now) })
+		step(self+" observes the key", func(s *modelState) { s.nodes[i].role.Observe(observed, s.now) })
 	}
-	if n.awaitingAnswer {
-		step(self+" stops waiting", func(w *modelState) { w.nodes[i].stopWaiting(w.now) })
-	} else if len(w.messages) < 3 {
-		w.decisionSteps(i, step)
+	if n.awaitingResponse {
+		step(self+" times out", func(s *modelState) { s.nodes[i].timeOut(s.now) })
+	} else if len(s.messages) < 3 {
+		s.decisionSteps(i, step)
 	}
-	w.writeSteps(i, step)
-	w.provisionSteps(i, step)
-	if n.restarts == 0 && n.role.Term() != 0 && !w.promptDelivery {
-		step(self+" ends and starts anew", func(w *modelState) {
-			w.nodes[i] = node{role: *New(Provisioning, self, modelRules), restarts: 1}
+	s.writeSteps(i, step)
+	s.provisionSteps(i, step)
+	if n.restarts == 0 && n.role.Term() != 0 && !s.promptDelivery {
+		step(self+" restarts", func(s *modelState) {
+			s.nodes[i] = node{role: *New(Provisioning, self, modelRules), restarts: 1}
 		})
 	}
 }
 
-// stopWaiting has a node take a response that did not come for an unknown outcome.
-func (n *node) stopWaiting(now Time) {
-	n.awaitingAnswer = false
+// timeOut treats a missing response as an unknown outcome.
+func (n *node) timeOut(now Time) {
+	n.awaitingResponse = false
 	if n.role.Term() == 0 {
 		n.role.Acquired(0, now, 0, 0)
 	} else {
@@ -362,124 +364,124 @@
 	}
 }
 
-// decisionSteps are what a node may do of its own accord with the key.
-func (w modelState) decisionSteps(i int, step stepFunc) {
-	n, self := &w.nodes[i], nodeName(i)
+// decisionSteps adds the steps that a node's decision about the key allows.
+func (s modelState) decisionSteps(i int, step stepFunc) {
+	n, self := &s.nodes[i], nodeName(i)
 	next := n.role
-	if w.fault == falseProgress {
-		next.RecordIdle(w.now)
+	if s.fault == renewalWithoutProgress {
+		next.RecordIdle(s.now)
 	}
-	await := func(w *modelState) { w.nodes[i].role, w.nodes[i].awaitingAnswer = next, true }
-	switch next.Decide(w.now, &View{Ready: true, Live: []string{"A", "B"}, Leader: "?"}) {
+	await := func(s *modelState) { s.nodes[i].role, s.nodes[i].awaitingResponse = next, true }
+	switch next.Decide(s.now, &View{Ready: true, Live: []string{"A", "B"}, Leader: "?"}) {
 	case Acquire:
-		request := message{kind: acquireRequest, node: i, sent: w.now, lease: uint64(10*(i+1)) + uint64(w.now)}
-		sendSteps(step, !w.promptDelivery, self+" asks for the key", request, await)
+		request := message{kind: acquireRequest, node: i, sent: s.now, lease: uint64(10*(i+1)) + uint64(s.now)}
+		sendSteps(step, !s.promptDelivery, self+" requests the key", request, await)
 	case Renew:
-		request := message{kind: renewRequest, node: i, sent: w.now, lease: next.Lease()}
-		sendSteps(step, !w.promptDelivery, self+" renews its lease", request, await)
+		request := message{kind: renewRequest, node: i, sent: s.now, lease: next.Lease()}
+		sendSteps(step, !s.promptDelivery, self+" renews its lease", request, await)
 	case Release:
-		step(self+" releases the key: "+next.ReleaseReason(), func(w *modelState) {
-			if w.holder == i && w.lease == next.Lease() {
-				w.releaseKey()
+		step(self+" releases the key: "+next.ReleaseReason(), func(s *modelState) {
+			if s.holder == i && s.lease == next.Lease() {
+				s.releaseKey()
 			}
 			next.Released()
-			w.nodes[i].role, w.nodes[i].provisioned, w.nodes[i].wrote = next, false, false
+			s.nodes[i].role, s.nodes[i].provisioned, s.nodes[i].wrote = next, false, false
 		})
 	default:
 		if next != n.role {
-			step(self+" looks at the time", func(w *modelState) { w.nodes[i].role = next })
+			step(self+" re-evaluates its state", func(s *modelState) { s.nodes[i].role = next })
 		}
 	}
 }
 
-// writeSteps are the two halves of a write: the look at the trust, and the request.
-func (w modelState) writeSteps(i int, step stepFunc) {
-	n, self := &w.nodes[i], nodeName(i)
+// writeSteps adds the two halves of a write: checking the trust, and sending the request.
+func (s modelState) writeSteps(i int, step stepFunc) {
+	n, self := &s.nodes[i], nodeName(i)
 	switch {
-	case n.pendingAction == "" && n.role.Trusted(w.now) && !n.wrote && !w.noWrites:
-		step(self+" is about to write", func(w *modelState) {
-			w.nodes[i].pendingAction, w.nodes[i].actionTerm = "write", n.role.Term()
+	case n.pendingAction == "" && n.role.Trusted(s.now) && !n.wrote && !s.noWrites:
+		step(self+" is about to write", func(s *modelState) {
+			s.nodes[i].pendingAction, s.nodes[i].actionTerm = "write", n.role.Term()
 		})
 	case n.pendingAction == "write":
 		request := message{kind: writeRequest, node: i, term: n.actionTerm}
-		sendSteps(step, !w.promptDelivery, self+" writes", request, func(w *modelState) {
-			w.nodes[i].pendingAction, w.nodes[i].wrote = "", true
+		sendSteps(step, !s.promptDelivery, self+" writes", request, func(s *modelState) {
+			s.nodes[i].pendingAction, s.nodes[i].wrote = "", true
 		})
 	}
 }
 
-// provisionSteps are the two halves of a scale-out request: the look at the trust, and the request.
-func (w modelState) provisionSteps(i int, step stepFunc) {
-	n, self := &w.nodes[i], nodeName(i)
-	if n.pendingAction == "" && n.role.Trusted(w.now) && !n.provisioned && !w.noProvisioning {
-		if name := w.requestName(i); name != "" {
-			step(self+" is about to provision "+name, func(w *modelState) {
-				w.nodes[i].pendingAction, w.nodes[i].actionTerm = provisionAction+name, n.role.Term()
+// provisionSteps adds the two halves of a scale-out: checking the trust, and sending the request.
+func (s modelState) provisionSteps(i int, step stepFunc) {
+	n, self := &s.nodes[i], nodeName(i)
+	if n.pendingAction == "" && n.role.Trusted(s.now) && !n.provisioned && !s.noProvisioning {
+		if name := s.requestName(i); name != "" {
+			step(self+" is about to provision "+name, func(s *modelState) {
+				s.nodes[i].pendingAction, s.nodes[i].actionTerm = provisionAction+name, n.role.Term()
 			})
 		}
 	}
 	if name, ok := strings.CutPrefix(n.pendingAction, provisionAction); ok {
 		request := message{kind: provisionRequest, node: i, term: n.actionTerm, name: name}
-		sendSteps(step, !w.promptDelivery, self+" provisions "+name, request, func(w *modelState) {
-			w.nodes[i].pendingAction = ""
+		sendSteps(step, !s.promptDelivery, self+" provisions "+name, request, func(s *modelState) {
+			s.nodes[i].pendingAction = ""
 		})
 	}
 }
 
-// provisionAction is what a pending action that provisions begins with; the name of the request follows.
+// provisionAction is the prefix of a pending provisioning action; the name of the request follows.
 const provisionAction = "provision "
 
-// requestName is the name under which a node provisions next, "" if nothing is wanted.
-func (w modelState) requestName(i int) string {
+// requestName returns the name under which a node provisions next, empty if nothing is wanted.
+func (s modelState) requestName(i int) string {
 	switch {
-	case len(w.openRequests) == 0:
+	case len(s.openRequests) == 0:
 		return ""
-	case w.fault == provisionBeforeLogging: // its own name, which the log is to learn with the answer
-		return fmt.Sprint(nodeName(i), w.nodes[i].restarts)
+	case s.fault == provisionBeforeLogging: // a name of the node's own, recorded in the log only with the response
+		return fmt.Sprint(nodeName(i), s.nodes[i].restarts)
 	}
-	return w.openRequests[0]
+	return s.openRequests[0]
 }
 
-var maxStates = flag.Int("states", 50_000, "how many states to look at where nothing is to be found")
+var maxStates = flag.Int("states", 50_000, "maximum number of states to explore where no violation is expected")
 
-// TestNoInterleavingBreaksARole explores every order of what may happen to two nodes that want one role, and finds
-// each way in which its rules could be left out.
+// TestNoInterleavingBreaksARole explores all interleavings of two nodes that compete for one role, and checks that no
+// safety property is violated and that each deliberately broken rule is detected.
 func TestNoInterleavingBreaksARole(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		w     modelState
-		depth int
-		finds string // in what is broken
+		name          string
+		initial       modelState
+		depth         int
+		wantViolation string // expected violation; empty if none
 	}{
 		{"writes", modelState{noProvisioning: true}, 10, ""},
 		{"provisioning", modelState{noWrites: true}, 10, ""},
-		{"the lease alone", modelState{noProvisioning: true, noWrites: true}, 12, ""},
-		{"nothing late", modelState{noProvisioning: true, noWrites: true, promptDelivery: true}, 60, ""},
-		{"no guard", modelState{fault: noGuard, noProvisioning: true}, 12, "is applied"},
-		{"trust from the answer", modelState{fault: trustFromAnswer, noProvisioning: true, noWrites: true},
+		{"lease only", modelState{noProvisioning: true, noWrites: true}, 12, ""},
+		{"prompt delivery", modelState{noProvisioning: true, noWrites: true, promptDelivery: true}, 60, ""},
+		{"unfenced writes", modelState{fault: unfencedWrites, noProvisioning: true}, 12, "is applied"},
+		{"trust from the response", modelState{fault: trustFromResponse, noProvisioning: true, noWrites: true},
 			12, "both nodes trust"},
-		{"the log entry behind the request",
+		{"provisioning before logging",
 			modelState{fault: provisionBeforeLogging, noWrites: true, promptDelivery: true},
 			12, "provisioned 2 times"},
 		{"renewal without progress",
-			modelState{fault: falseProgress, noProvisioning: true, noWrites: true, promptDelivery: true},
+			modelState{fault: renewalWithoutProgress, noProvisioning: true, noWrites: true, promptDelivery: true},
 			60, "without progress"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := c.w
-			w.holder, w.openRequests = -1, []string{"request"}
-			for i := range w.nodes {
-				w.nodes[i].role = *New(Provisioning, nodeName(i), modelRules)
-				w.nodes[i].role.Observe(RoleHolder{}, 0)
+			state := c.initial
+			state.holder, state.openRequests = -1, []string{"request"}
+			for i := range state.nodes {
+				state.nodes[i].role = *New(Provisioning, nodeName(i), modelRules)
+				state.nodes[i].role.Observe(RoleHolder{}, 0)
 			}
 			limit := *maxStates
-			if c.finds != "" {
+			if c.wantViolation != "" {
 				limit = 200_000
 			}
-			r := modelcheck.Explore(w, c.depth, limit)
+			r := modelcheck.Explore(state, c.depth, limit)
 			t.Log(r)
-			if (r.Violation == "") != (c.finds == "") || !strings.Contains(r.Violation, c.finds) {
-				t.Errorf("found %q", r.Violation)
+			if (r.Violation == "") != (c.wantViolation == "") || !strings.Contains(r.Violation, c.wantViolation) {
+				t.Errorf("violation %q, want %q", r.Violation, c.wantViolation)
 			}
 		})
 	}
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// TestTrustEndsBeforeTheLease: a holder's trust, on a clock that is slow by as much as clocks may drift apart, ends
-// before the lease may end, on one that is fast.
+// TestTrustEndsBeforeTheLease checks that a holder's trust ends before its lease can end, if the holder's clock is slow
+// and the store's fast by the maximum drift.
 func TestTrustEndsBeforeTheLease(t *testing.T) {
-	const drift = 0.0005 // each way
+	const drift = 0.0005 // of each clock, in opposite directions
 	for n := range NameCount {
 		rules := DefaultRules(n)
 		if slow := float64(rules.TrustPeriod) * (1 + 2*drift); slow >= float64(rules.TTL) {
-			t.Errorf("%v: trusted for %v of a lease of %v", n, time.Duration(slow), rules.TTL)
+			t.Errorf("%v: trusted for up to %v, want less than the lease TTL of %v", n, time.Duration(slow), rules.TTL)
 		}
 		if rules.RenewInterval*2 >= rules.TrustPeriod {
-			t.Errorf("%v: one renewal that is lost costs the lease", n)
+			t.Errorf("%v: a single lost renewal ends the trust", n)
 		}
 	}
 }
 
-// TestFreeRoleIsAcquiredInTurn: a free role is acquired by one node at once and by the others in turn, the leader
-// last.
+// TestFreeRoleIsAcquiredInTurn checks that one node acquires a free role at once and the others in order of rank, the
+// leader last.
 func TestFreeRoleIsAcquiredInTurn(t *testing.T) {
 	const freeAt = 10 * time.Second
 	nodes := []string{"a", "b", "c"}
@@ -37,12 +37,12 @@
 			}
 		}
 		if len(first) != 1 || last != "b" {
-			t.Errorf("%v: acquired at %v", n, order)
+			t.Errorf("%v: acquired at %v by %v; want one node at once, and the leader b last", n, order, nodes)
 		}
 	}
 }
 
-// acquiredAt is when a node asks for a role that is free from a time on.
+// acquiredAt returns when a node requests a role that became free at a given time.
 func acquiredAt(t *testing.T, n Name, node string, freeAt Time, view *View) Time {
 	t.Helper()
 	role := New(n, node, DefaultRules(n))
@@ -50,26 +50,27 @@
 	at := freeAt
 	for role.Decide(at, view) != Acquire {
 		if at += 100 * time.Millisecond; at > time.Minute {
-			t.Fatalf("%v: %s never acquires it", n, node)
+			t.Fatalf("%v: node %s does not acquire the role within a minute", n, node)
 		}
 	}
 	return at
 }
 
-// TestLeaderReleasesRolesInTurn: a leader that holds roles releases them one after the other once there is another
-// node.
+// TestLeaderReleasesRolesInTurn checks that a leader that holds roles releases them one after the other once another
+// node is live.
 func TestLeaderReleasesRolesInTurn(t *testing.T) {
 	var releasedAt []Time
 	for n := range NameCount {
 		releasedAt = append(releasedAt, leaderReleasesAt(n, 5*time.Second, []string{"a", "b", "c"}))
 	}
 	if releasedAt[0] < 20*time.Second || releasedAt[1]-releasedAt[0] < 10*time.Second || releasedAt[1] > 2*time.Minute {
-		t.Errorf("the leader released its roles at %v", releasedAt)
+		t.Errorf("the leader released its roles at %v; want the first after 20s, the second 10s later or more, "+
+			"by 2m", releasedAt)
 	}
 }
 
-// leaderReleasesAt is when the leader b, which holds a role and makes progress, releases it if it is alone until a
-// time.
+// leaderReleasesAt returns when leader b, which holds a role and makes progress, releases it if no other node is live
+// until a given time.
 func leaderReleasesAt(n Name, aloneUntil Time, nodes []string) Time {
 	role := New(n, "b", DefaultRules(n))
 	role.Observe(RoleHolder{Term: 7}, 0)
@@ -90,43 +91,43 @@
 	}
 }
 
-// TestOlderUpdatesOfAKeyAreIgnored: updates of the key come several ways; an older one changes nothing, a newer one
-// ends the hold.
+// TestOlderUpdatesOfAKeyAreIgnored checks that an older update of the key, which may arrive late by another path,
+// changes nothing, and that a newer one ends the hold.
 func TestOlderUpdatesOfAKeyAreIgnored(t *testing.T) {
 	role := New(Provisioning, "a", DefaultRules(Provisioning))
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, time.Second, 1, 9)
 	for _, h := range []RoleHolder{{Term: 8}, {Node: "b", Term: 6}, {Node: "a", Term: 9}} {
 		if role.Observe(h, time.Second); !role.Trusted(time.Second) {
-			t.Fatalf("%+v ended a hold under term 9", h)
+			t.Fatalf("older update %+v ended a hold under term 9", h)
 		}
 	}
 	if !role.IsCurrent(9) || role.IsCurrent(8) || role.IsCurrent(0) {
-		t.Error("what is reported under term 9 is current, and nothing older")
+		t.Error("want reports under term 9 to be current, and none under older terms")
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
-		t.Error("the key is gone, and the hold goes on")
+		t.Error("the hold continues after the key was deleted")
 	}
 	if role.Acquired(2*time.Second, 2*time.Second, 2, 10); role.Term() != 0 {
-		t.Error("a late answer of a key that is gone counts")
+		t.Error("a late response acquired a key that was deleted since")
 	}
 }
 
-// TestLostWhileRenewing: a hold that ends while its renewal is in flight leaves the node able to acquire the role
-// again. The response used to be ignored, and the node waited for it for good.
+// TestLostWhileRenewing checks that a node whose hold ends while a renewal is in flight can acquire the role again. If
+// the response to that renewal were ignored, the node would wait for it forever.
 func TestLostWhileRenewing(t *testing.T) {
 	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &View{Ready: true, Live: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, 0, 1, 9)
 	if decision := role.Decide(2*time.Second, view); decision != Renew {
-		t.Fatalf("asked for %d, not a renewal", decision)
+		t.Fatalf("decision %d, want Renew", decision)
 	}
-	role.Observe(RoleHolder{Term: 12}, 3*time.Second) // the key is gone
+	role.Observe(RoleHolder{Term: 12}, 3*time.Second) // the key was deleted
 	if decision := role.Decide(4*time.Second, view); decision != NoAction {
-		t.Errorf("asked for %d while an answer is awaited", decision)
+		t.Errorf("decision %d while awaiting a response, want NoAction", decision)
 	}
 	role.Renewed(2*time.Second, false, true)
 	if decision := role.Decide(5*time.Second, view); decision != Acquire {
-		t.Errorf("asked for %d, not for the free key", decision)
+		t.Errorf("decision %d with a free key, want Acquire", decision)
 	}
 }
