--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -22,18 +22,18 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// store is an emulated key-value store with logs that use it, each as a node of its own.
+// store is an emulated key-value store, used by the logs of several nodes.
 type store struct {
-	test    *testing.T
+	t       *testing.T
 	ctx     context.Context
 	net     *emulator.Network
 	service *emulator.KVStore
-	lastSeq uint64 // batch appended
+	lastSeq uint64 // last batch appended
 }
 
 type node struct {
 	*oplog.Log
-	store      *kvstore.Client
+	client     *kvstore.Client
 	leadership *election.Leadership
 }
 
@@ -41,80 +41,82 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-func withStore(t *testing.T, f func(s *store)) {
+func withStore(t *testing.T, run func(s *store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		s := &store{test: t, ctx: ctx, net: emulator.NewNetwork(), service: emulator.NewKVStore(1)}
+		s := &store{t: t, ctx: ctx, net: emulator.NewNetwork(), service: emulator.NewKVStore(1)}
 		if err := s.service.Serve(ctx, s.net.Host("state"), stateAddr); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		f(s)
+		run(s)
 		stop()
 		time.Sleep(time.Minute)
 	})
 }
 
-// open makes a node that has read the log as it is now.
+// open returns a node that has read the current log.
 func (s *store) open(name string) *node {
-	n := &node{store: kvstore.New(s.net.Host(name), stateAddr, 1000)}
-	n.Log = oplog.New(n.store, 400, 8, 12, discardLogger)
+	n := &node{client: kvstore.New(s.net.Host(name), stateAddr, 1000)}
+	n.Log = oplog.New(n.client, 400, 8, 12, discardLogger)
 	if _, err := n.Load(s.ctx); err != nil {
-		s.test.Errorf("%s reads the log: %v", name, err)
+		s.t.Errorf("node %s could not read the log: %v", name, err)
 	}
 	return n
 }
 
 func (s *store) elect(n *node, name string) {
 	var err error
-	if n.leadership, err = election.Acquire(s.ctx, n.store, name, discardLogger); err != nil {
-		s.test.Fatal(err)
+	if n.leadership, err = election.Acquire(s.ctx, n.client, name, discardLogger); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
-func (s *store) depose(n *node) { _ = n.store.Revoke(s.ctx, n.leadership.Lease) }
+func (s *store) depose(n *node) { _ = n.client.Revoke(s.ctx, n.leadership.Lease) }
 
 func data(seq uint64) []byte { return fmt.Appendf(nil, "batch %d", seq) }
 
-// snapshot is some parts long.
+// snapshot returns a snapshot that is long enough for several parts.
 func snapshot(seq uint64) []byte { return bytes.Repeat(fmt.Appendf(nil, "to %d;", seq), 3000) }
 
-func (s *store) append(n *node, k int) {
-	for range k {
+func (s *store) append(n *node, count int) {
+	for range count {
 		s.lastSeq++
 		batch := oplog.Batch{Seq: s.lastSeq, Term: n.leadership.Term, Data: data(s.lastSeq)}
 		if err := n.Append(s.ctx, &n.leadership.Leader, batch); err != nil {
-			s.test.Fatal(err)
+			s.t.Fatal(err)
 		}
 	}
 }
 
-// requireComplete demands that a node which starts now finds everything that was appended.
+// requireComplete checks that a node that starts now reads everything that was appended. It returns the last batch
+// covered by the snapshot.
 func (s *store) requireComplete(stage string) (snapSeq uint64) {
-	s.test.Helper()
+	s.t.Helper()
 	n := oplog.New(kvstore.New(s.net.Host("new"), stateAddr, 1000), 400, 8, 12, discardLogger)
 	loaded, err := n.Load(s.ctx)
 	if err != nil {
-		s.test.Fatalf("%s: %v", stage, err)
+		s.t.Fatalf("%s: %v", stage, err)
 	}
 	if loaded.SnapshotSeq > 0 && !bytes.Equal(loaded.Snapshot, snapshot(loaded.SnapshotSeq)) {
-		s.test.Errorf("%s: the snapshot to %d is not what was written", stage, loaded.SnapshotSeq)
+		s.t.Errorf("%s: snapshot of batch %d differs from what was written", stage, loaded.SnapshotSeq)
 	}
 	next := loaded.SnapshotSeq
 	for _, b := range loaded.Batches {
 		if next++; b.Seq != next || !bytes.Equal(b.Data, data(next)) {
-			s.test.Errorf("%s: batch %d is %d, %q", stage, next, b.Seq, b.Data)
+			s.t.Errorf("%s: instead of batch %d, read batch %d with data %q", stage, next, b.Seq, b.Data)
 		}
 	}
 	if next != s.lastSeq {
-		s.test.Errorf("%s: the log ends at %d, not %d", stage, next, s.lastSeq)
+		s.t.Errorf("%s: log ends at batch %d, want %d", stage, next, s.lastSeq)
 	}
 	return loaded.SnapshotSeq
 }
 
-// TestCompactionAfterFailover: a follower that becomes leader compacts a log that its predecessor has compacted since
-// it read it. It took the predecessor's snapshot for the one that it had read itself, so that its own was refused,
-// and deleted the batches behind it all the same: until its next compaction no node that started could read the log.
+// TestCompactionAfterFailover checks the compaction of a new leader whose predecessor compacted the log after the new
+// leader had read it. If the new leader takes the manifest for the one that it read itself, its own snapshot is
+// refused, and deleting the replaced batches all the same leaves a log that no starting node can read until the next
+// compaction.
 func TestCompactionAfterFailover(t *testing.T) {
 	withStore(t, func(s *store) {
 		a, b := s.open("a"), s.open("b")
@@ -130,72 +132,76 @@
 			t.Fatal(err)
 		}
 		if seq := s.requireComplete("after the second leader's compaction"); seq != 9 {
-			t.Errorf("the snapshot in force is that to %d", seq)
+			t.Errorf("current snapshot covers up to batch %d, want 9", seq)
 		}
 	})
 }
 
-// TestCompactionCutAnywhere ends compactions of three leaders in turn at any moment: the log
-// is whole after each, and the last one, which is not cut, leaves nothing behind.
-func TestCompactionCutAnywhere(t *testing.T) {
+// TestCompactionInterruptedAnywhere interrupts the compactions of two successive leaders after every possible time: the
+// log must be complete after each, and the uninterrupted compaction of a third leader must leave no obsolete keys.
+func TestCompactionInterruptedAnywhere(t *testing.T) {
 	const step = time.Millisecond
-	cutCount := 0
-	for cutAfter := step; ; cutAfter += step {
+	interruptions := 0
+	for interruptAfter := step; ; interruptAfter += step {
 		done := false
 		withStore(t, func(s *store) {
 			nodes := []*node{s.open("a"), s.open("b"), s.open("c")}
 			for i, n := range nodes {
 				s.elect(n, string(rune('a'+i)))
-				cut := s.compactCut(n, i < 2, cutAfter, fmt.Sprintf("%v into compaction %d", cutAfter, i))
-				if cut {
-					cutCount++
+				stage := fmt.Sprintf("%v into compaction %d", interruptAfter, i)
+				interrupted := s.compactInterrupted(n, i < 2, interruptAfter, stage)
+				if interrupted {
+					interruptions++
 				}
-				done = done || i == 1 && !cut
+				done = done || i == 1 && !interrupted
 				s.depose(n)
 			}
 			remaining := s.keysOfLog(nodes[0])
 			part := nodes[0].MaxData()
 			if want := 4 + (len(snapshot(57))+part-1)/part; len(remaining) != want {
-				t.Errorf("cut after %v: %d keys are left instead of %d: %v", cutAfter, len(remaining), want, remaining)
+				t.Errorf("interrupted after %v: %d keys remain, want %d: %v",
+					interruptAfter, len(remaining), want, remaining)
 			}
 		})
 		if done || t.Failed() {
 			break
 		}
 	}
-	if cutCount < 20 {
-		t.Errorf("only %d compactions were cut", cutCount)
+	if interruptions < 20 {
+		t.Errorf("only %d compactions were interrupted, want at least 20", interruptions)
 	}
 }
 
-// compactCut has a leader append and compact, ends the compaction after a while if it is to be cut, and demands that
-// the log is whole then. It tells whether the compaction was cut.
-func (s *store) compactCut(n *node, mayCut bool, cutAfter time.Duration, stage string) (cut bool) {
-	s.test.Helper()
+// compactInterrupted lets a leader append batches and compact, interrupts the compaction after a while if it may be
+// interrupted, and checks that the log is complete afterwards. It tells whether the compaction was interrupted.
+func (s *store) compactInterrupted(
+	n *node, mayInterrupt bool, interruptAfter time.Duration, stage string,
+) (interrupted bool) {
+	s.t.Helper()
 	s.append(n, 20)
 	ctx, stop := context.WithCancel(s.ctx)
-	if mayCut {
-		time.AfterFunc(cutAfter, stop)
+	if mayInterrupt {
+		time.AfterFunc(interruptAfter, stop)
 	}
 	err := n.NewCompactor(n.leadership.Fence()).Compact(ctx, s.lastSeq-3, snapshot(s.lastSeq-3))
 	stop()
-	time.Sleep(3 * time.Second) // what was under way has arrived
+	time.Sleep(3 * time.Second) // requests in flight have been executed by then
 	s.requireComplete(stage)
-	if mayCut && errors.Is(err, context.Canceled) {
+	if mayInterrupt && errors.Is(err, context.Canceled) {
 		return true
 	}
 	if err != nil {
-		s.test.Errorf("%s: %v", stage, err)
+		s.t.Errorf("%s: %v", stage, err)
 	}
 	return false
 }
 
 // keysOfLog lists the keys of batches and snapshots.
 func (s *store) keysOfLog(n *node) (keys []string) {
-	s.test.Helper()
-	page, err := n.store.Range(s.ctx, "f/", "", 1000)
+	s.t.Helper()
+	page, err := n.client.Range(s.ctx, "f/", "", 1000)
 	if err != nil {
-		s.test.Fatal(err)
+		s.t.Fatal(err)
 	}
 	for _, item := range page.Items {
 		if strings.HasPrefix(item.Key, "f/log/") || strings.HasPrefix(item.Key, "f/snap/") {
@@ -205,9 +211,9 @@
 	return keys
 }
 
-// TestEndBehindCompaction: a reader that knows the log to a number that a compaction has passed learns, on reading
-// its end, that batches are missing. It used to read nothing, took that for the end, and a node that had been paused
-// for longer than a compaction called accepted jobs unknown.
+// TestEndBehindCompaction checks that a reader whose last batch was compacted learns, on reading the log's end, that
+// batches are missing. If it reads nothing, it takes that for the end of the log: a node that was paused for longer
+// than a compaction then reported accepted jobs as unknown.
 func TestEndBehindCompaction(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -228,9 +234,10 @@
 				}
 				switch behind := from < s.lastSeq; {
 				case !behind && len(batches) != 0:
-					t.Errorf("behind the end, %d, there are %d batches", from, len(batches))
+					t.Errorf("%[2]d batches after the end at %[1]d, want none", from, len(batches))
 				case behind && (len(batches) == 0 || batches[len(batches)-1].Seq != s.lastSeq):
-					t.Errorf("from %d the end at %d is not seen: %d batches", from, s.lastSeq, len(batches))
+					t.Errorf("a read after batch %d does not reach the end at %d: %d batches",
+						from, s.lastSeq, len(batches))
 				}
 			}
 		}
@@ -238,9 +245,10 @@
 	})
 }
 
-// TestLateCopyOfADeletedBatch: the first copy of a batch's write has no answer and is carried out after the repeat,
-// after newer batches and after the compaction that deleted the batch. A reader of the log does not take it for the
-// log's end, and the next compaction deletes it again: it used to stay until another leader compacted.
+// TestLateCopyOfADeletedBatch covers a batch whose first write has no response and is executed only after its
+// repetition, after newer batches, and after the compaction that deleted the batch. A reader must not take the
+// recreated batch for the log's end, and the next compaction must delete it again rather than leave it until another
+// leader compacts.
 func TestLateCopyOfADeletedBatch(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -254,8 +262,8 @@
 		if err := compactor.Compact(s.ctx, 11, snapshot(11)); err != nil {
 			t.Fatal(err)
 		}
-		batchNumbers := func() (keys []string) {
-			page, err := a.store.Range(s.ctx, "f/log/", "", 1000)
+		listBatches := func() (keys []string) {
+			page, err := a.client.Range(s.ctx, "f/log/", "", 1000)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -264,36 +272,37 @@
 			}
 			return keys
 		}
-		if actual := strings.Join(batchNumbers(), " "); actual != "11 12" {
-			t.Fatalf("after the compaction there are %s", actual)
+		if actual := strings.Join(listBatches(), " "); actual != "11 12" {
+			t.Fatalf("after the compaction the batches are %s, want 11 12", actual)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		if actual := strings.Join(batchNumbers(), " "); actual != "6 11 12" {
-			t.Fatalf("no late copy came: %s", actual)
+		if actual := strings.Join(listBatches(), " "); actual != "6 11 12" {
+			t.Fatalf("after the late copy the batches are %s, want 6 11 12", actual)
 		}
 		s.requireComplete("after the late copy")
 		actual, err := a.BatchesAfter(s.ctx, 5)
 		if err != nil || len(actual) < 2 || actual[0].Seq != 6 || actual[1].Seq == 7 {
-			t.Errorf("a reader that knows the log to 5 does not see that batches are missing: %v, %v", actual, err)
+			t.Errorf("a reader of batches after 5 can't tell that batches are missing: %v, %v", actual, err)
 		}
 		s.append(a, 4)
 		if err := compactor.Compact(s.ctx, 14, snapshot(14)); err != nil {
 			t.Fatal(err)
 		}
-		if actual := strings.Join(batchNumbers(), " "); actual != "14 15 16" {
-			t.Errorf("after the next compaction there are %s", actual)
+		if actual := strings.Join(listBatches(), " "); actual != "14 15 16" {
+			t.Errorf("after the next compaction the batches are %s, want 14 15 16", actual)
 		}
 		s.requireComplete("after the next compaction")
 	})
 }
 
-// TestLostAnswers: a write whose answer is lost is sent again soon, and holds up those behind it for half a second,
-// not for two; the log has each batch once, as it was first written.
-func TestLostAnswers(t *testing.T) {
+// TestLostResponses checks that a write whose response is lost is sent again soon, so that it delays the following
+// writes by about half a second rather than by the request's time-out of two seconds, and that the log has each batch
+// once, as it was first written.
+func TestLostResponses(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("n0")
 		s.elect(n, "n0")
-		go func() { _ = election.RenewUntilLost(s.ctx, n.store, n.leadership, func(time.Time) {}) }()
+		go func() { _ = election.RenewUntilLost(s.ctx, n.client, n.leadership, func(time.Time) {}) }()
 		s.service.DropResponses(0.3)
 		const batches = 60
 		start := time.Now()
@@ -306,15 +315,15 @@
 		}
 		elapsed, lost := time.Since(start), s.service.DroppedResponses()["put f/log"]
 		if lost < 10 {
-			t.Errorf("%d answers were lost: too few to test anything", lost)
+			t.Errorf("%d responses were lost, want at least 10", lost)
 		}
 		if limit := time.Duration(lost) * 600 * time.Millisecond; elapsed > limit {
-			t.Errorf("%d batches took %v; %d answers were lost", batches, elapsed, lost)
+			t.Errorf("%d batches took %v with %d lost responses, want at most %v", batches, elapsed, lost, limit)
 		}
 		s.service.DropResponses(0)
 		loaded, err := s.open("n1").Load(s.ctx)
 		if err != nil || len(loaded.Batches) != batches {
-			t.Errorf("not all batches are read: %v", err)
+			t.Errorf("not all batches were read: %v", err)
 			return
 		}
 		for i, b := range loaded.Batches {
@@ -325,10 +334,10 @@
 	})
 }
 
-// TestAllNodesAreRead: a reader of the partitioned nodes, or of those that take part in singleton roles, gets all of
-// them, also where they are more than one page: a zone whose node did not count was taken for a partitioned one.
+// TestAllNodesAreRead checks that the lists of partitioned nodes and of participants in singleton roles are complete
+// even if they span several pages. A node missing from them made its zone appear partitioned.
 func TestAllNodesAreRead(t *testing.T) {
-	const nodes = 60 // a page of the emulator has 50
+	const nodes = 60 // the emulator returns 50 keys per page
 	withStore(t, func(s *store) {
 		n := s.open("a")
 		for i := range nodes {
@@ -342,28 +351,28 @@
 		}
 		partitioned, err := n.PartitionedNodes(s.ctx)
 		if err != nil || len(partitioned) != nodes {
-			t.Errorf("%d of %d nodes that don't reach the leader are read: %v", len(partitioned), nodes, err)
+			t.Errorf("%d of %d partitioned nodes were read: %v", len(partitioned), nodes, err)
 		}
-		roles, rev, err := n.Roles(s.ctx)
-		if err != nil || len(roles) != nodes || rev == 0 {
-			t.Errorf("%d of %d nodes that take part are read, to %d: %v", len(roles), nodes, rev, err)
+		roles, revision, err := n.Roles(s.ctx)
+		if err != nil || len(roles) != nodes || revision == 0 {
+			t.Errorf("%d of %d participants were read, at revision %d: %v", len(roles), nodes, revision, err)
 		}
 	})
 }
 
-// TestLongPartitionRecord: a record that is longer than one value is read back whole, and nothing of it counts once a
-// shorter one was written.
+// TestLongPartitionRecord checks that a record longer than one value is read back completely, and that its parts are
+// ignored once a shorter record was written.
 func TestLongPartitionRecord(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("a")
 		if n.MaxPartitionedNodeParts() < 7 {
-			t.Errorf("%d parts", n.MaxPartitionedNodeParts())
+			t.Errorf("at most %d parts per record, want at least 7", n.MaxPartitionedNodeParts())
 		}
 		read := func() oplog.PartitionedNode {
 			t.Helper()
 			list, err := n.PartitionedNodes(s.ctx)
 			if err != nil || len(list) != 2 {
-				t.Fatalf("%v, %v", list, err)
+				t.Fatalf("partitioned nodes are %v, %v, want 2 nodes", list, err)
 			}
 			return list[1]
 		}
@@ -386,7 +395,7 @@
 			}
 		}
 		if _, err := n.Load(s.ctx); err != nil {
-			t.Errorf("the log is read with such keys: %v", err)
+			t.Errorf("the log could not be read beside partition records: %v", err)
 		}
 	})
 }
--- a/internal/replication/oplog/errors_test.go
+++ b/internal/replication/oplog/errors_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestErrorsNameTheKey: what can't be read, is missing or is refused comes as an error of its own type, which names
-// the batch or the key.
+// TestErrorsNameTheKey checks that values that can't be decoded, missing keys and refused writes are reported by errors
+// of distinct types that name the batch or the key.
 func TestErrorsNameTheKey(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -18,7 +18,7 @@
 		s.append(a, 3)
 		put := func(key string, value *wire.LogValue) {
 			t.Helper()
-			if _, err := a.store.Txn(s.ctx, &wire.Txn{Then: []wire.Write{{Put: key, Value: value}}}); err != nil {
+			if _, err := a.client.Txn(s.ctx, &wire.Txn{Then: []wire.Write{{Put: key, Value: value}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -28,27 +28,27 @@
 		var version *oplog.FormatVersionError
 		_, err := a.Load(s.ctx)
 		if !errors.As(err, &corrupt) || corrupt.Seq != 3 || !errors.As(err, &version) || version.Version != 9 {
-			t.Errorf("a batch of another version: %v", err)
+			t.Errorf("batch of an unsupported version: %v", err)
 		}
 		put(third, &wire.LogValue{Version: 1, Data: "?"})
 		if _, err := a.BatchesAfter(s.ctx, 1); !errors.As(err, &corrupt) || corrupt.Seq != 3 {
-			t.Errorf("a batch that is not base64: %v", err)
+			t.Errorf("batch that is not base64: %v", err)
 		}
 		put("f/in/000000000000300", &wire.LogValue{Version: 9})
 		var value *oplog.CorruptValueError
 		if _, err := a.GetIntake(s.ctx, 300); !errors.As(err, &value) || value.Key != "f/in/000000000000300" {
-			t.Errorf("an intake record of another version: %v", err)
+			t.Errorf("intake record of an unsupported version: %v", err)
 		}
 		put(third, &wire.LogValue{Version: 1})
 		put("f/log/000000000000005", &wire.LogValue{Version: 1})
 		var missing *oplog.MissingKeyError
 		if _, err := a.Load(s.ctx); !errors.As(err, &missing) || missing.Key != "f/log/000000000000004" {
-			t.Errorf("a gap: %v", err)
+			t.Errorf("gap in the batches: %v", err)
 		}
 		s.depose(a)
 		err = a.Append(s.ctx, &a.leadership.Leader, oplog.Batch{Seq: 6, Term: a.leadership.Term})
 		if !errors.Is(err, oplog.ErrDeposed) || !strings.Contains(err.Error(), "append batch 6") {
-			t.Errorf("an append without the leader key: %v", err)
+			t.Errorf("append without the leader key: %v", err)
 		}
 	})
 }
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -29,16 +29,16 @@
 	"fieldhill/wire"
 )
 
-// reply is what the fake key-value store answers: a status, if it is not 200, and a body.
+// reply is a response of the fake key-value store: a status, 0 for 200, and a body.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// fakeStore records the requests, and answers each with the next reply.
+// fakeStore records the requests and answers each with the next reply.
 type fakeStore struct {
 	t       *testing.T
-	log     bytes.Buffer // the requests
+	log     bytes.Buffer // recorded requests
 	replies []reply
 }
 
@@ -54,7 +54,7 @@
 		fmt.Fprintf(&f.log, "  %x\n  %s\n", body, text)
 	}
 	if len(f.replies) == 0 {
-		f.t.Errorf("nothing to answer to %s %s", r.Method, r.URL)
+		f.t.Errorf("unexpected request %s %s: no replies left", r.Method, r.URL)
 		return
 	}
 	next := f.replies[0]
@@ -63,8 +63,8 @@
 	_, _ = w.Write(next.body)
 }
 
-// with runs f with a log and a client that talk to the fake.
-func (f *fakeStore) with(run func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
+// run calls use, passing a log and a client that are connected to the fake store.
+func (f *fakeStore) run(use func(ctx context.Context, l *oplog.Log, svc *kvstore.Client)) {
 	synctest.Test(f.t, func(t *testing.T) {
 		network := emulator.NewNetwork()
 		ln, err := network.Host("state").Listen(stateAddr)
@@ -74,7 +74,7 @@
 		server := &http.Server{Handler: f}
 		go func() { _ = server.Serve(ln) }()
 		svc := kvstore.New(network.Host("node"), stateAddr, 1000)
-		run(t.Context(), oplog.New(svc, 400, 0, 12, discardLogger), svc)
+		use(t.Context(), oplog.New(svc, 400, 0, 12, discardLogger), svc)
 		svc.Close()
 		if err := server.Close(); err != nil {
 			t.Error(err)
@@ -83,14 +83,14 @@
 	})
 }
 
-func raw(v wire.LogValue) msgpack.RawMessage {
+func encodeValue(v wire.LogValue) msgpack.RawMessage {
 	b, _ := wire.Marshal(&v)
 	return b
 }
 
-func text(b string) string { return base64.StdEncoding.EncodeToString([]byte(b)) }
+func encodeData(b string) string { return base64.StdEncoding.EncodeToString([]byte(b)) }
 
-// answers are what the key-value store says, with everything that this service stores in it.
+// answers returns the responses of the key-value store, which include every kind of value that this program stores.
 func answers() map[string]any {
 	all := map[string]any{}
 	for _, group := range []map[string]any{
@@ -102,14 +102,16 @@
 }
 
 func storedLeader() msgpack.RawMessage {
-	return raw(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
+	return encodeValue(wire.LogValue{Version: 1, Term: 9, Node: "node-1", Lease: 1 << 40})
 }
 
 func storedBatch(term uint64, data string) msgpack.RawMessage {
-	return raw(wire.LogValue{Version: 1, Term: term, Data: text(data)})
+	return encodeValue(wire.LogValue{Version: 1, Term: term, Data: encodeData(data)})
 }
 
-func storedParticipant() msgpack.RawMessage { return raw(wire.LogValue{Version: 1, Node: "node-3"}) }
+func storedParticipant() msgpack.RawMessage {
+	return encodeValue(wire.LogValue{Version: 1, Node: "node-3"})
+}
 
 func logAnswers() map[string]any {
 	leader, batch := storedLeader(), storedBatch
@@ -121,10 +123,10 @@
 		}},
 		"load-2": &wire.Items{Revision: 501, Items: []wire.Item{
 			{Key: "f/log/000000000000043", Version: 12, Value: batch(9, "second")},
-			{Key: "f/meta", Version: 13, Value: raw(wire.LogValue{Version: 1, Term: 8, Seq: 41, Count: 2})},
+			{Key: "f/meta", Version: 13, Value: encodeValue(wire.LogValue{Version: 1, Term: 8, Seq: 41, Count: 2})},
 			{Key: "f/snap/000000000000041/0000", Version: 14, Value: batch(8, "snap")},
 			{Key: "f/snap/000000000000041/0001", Version: 15, Value: batch(8, "shot")},
-			{Key: "f/term", Version: 499, Value: raw(wire.LogValue{Version: 1, Term: 9})},
+			{Key: "f/term", Version: 499, Value: encodeValue(wire.LogValue{Version: 1, Term: 9})},
 		}},
 		"since": &wire.Items{Revision: 502, Items: []wire.Item{
 			{Key: "f/log/000000000000043", Version: 12, Value: batch(9, "second")}}},
@@ -140,7 +142,7 @@
 	batch := storedBatch
 	return map[string]any{
 		"meta": &wire.Item{Key: "f/meta", Version: 13, Lease: 1,
-			Value: raw(wire.LogValue{Version: 1, Term: 8, Seq: 3, Count: 2})},
+			Value: encodeValue(wire.LogValue{Version: 1, Term: 8, Seq: 3, Count: 2})},
 		"left-log": &wire.Items{Revision: 1, Items: []wire.Item{
 			{Key: "f/log/000000000000002", Version: 2, Value: batch(1, "late")},
 			{Key: "f/log/000000000000004", Value: batch(1, "")}}},
@@ -152,10 +154,10 @@
 }
 
 func txnAnswers() map[string]any {
-	taken := raw(wire.LogValue{Version: 1, Term: 10, Node: "node-1", Lease: 1 << 41})
+	acquiredLeader := encodeValue(wire.LogValue{Version: 1, Term: 10, Node: "node-1", Lease: 1 << 41})
 	return map[string]any{
-		"term":       &wire.Item{Key: "f/term", Version: 499, Value: raw(wire.LogValue{Version: 1, Term: 9})},
-		"leader":     &wire.Item{Key: "f/leader", Version: 600, Lease: 1 << 41, Value: taken},
+		"term":       &wire.Item{Key: "f/term", Version: 499, Value: encodeValue(wire.LogValue{Version: 1, Term: 9})},
+		"leader":     &wire.Item{Key: "f/leader", Version: 600, Lease: 1 << 41, Value: acquiredLeader},
 		"txn-there":  &wire.TxnResponse{Failed: []string{"f/log/000000000000044"}, Revision: 601},
 		"lease":      &wire.LeaseResponse{Lease: 1 << 41},
 		"txn":        &wire.TxnResponse{Revision: 600, Failed: []string{}},
@@ -164,8 +166,8 @@
 }
 
 func intakeAnswers() map[string]any {
-	first := raw(wire.LogValue{Version: 1, Data: text("accept 300")})
-	last := raw(wire.LogValue{Version: 1, Data: text("accept last")})
+	first := encodeValue(wire.LogValue{Version: 1, Data: encodeData("accept 300")})
+	last := encodeValue(wire.LogValue{Version: 1, Data: encodeData("accept last")})
 	return map[string]any{
 		"intake": &wire.Item{Key: "f/in/000000000000300", Version: 9, Value: first},
 		"intakes": &wire.Items{Revision: 520, More: true, Items: []wire.Item{
@@ -178,41 +180,41 @@
 }
 
 func partitionAnswers() map[string]any {
-	apart := raw(wire.LogValue{Version: 1, Node: "node-3", Seq: 40, Data: text("ids")})
+	partitioned := encodeValue(wire.LogValue{Version: 1, Node: "node-3", Seq: 40, Data: encodeData("ids")})
 	return map[string]any{
-		"apart": &wire.Items{Revision: 1, Items: []wire.Item{{Key: "f/apart/node-3", Version: 30, Value: apart}}},
+		"apart": &wire.Items{Revision: 1, Items: []wire.Item{{Key: "f/apart/node-3", Version: 30, Value: partitioned}}},
 	}
 }
 
 func roleAnswers() map[string]any {
-	held := raw(wire.LogValue{Version: 1, Node: "node-2", Lease: 12})
-	stuck := raw(wire.LogValue{Version: 1, Count: 3})
+	held := encodeValue(wire.LogValue{Version: 1, Node: "node-2", Lease: 12})
+	stalled := encodeValue(wire.LogValue{Version: 1, Count: 3})
 	return map[string]any{
 		"duties": &wire.Items{Revision: 530, Items: []wire.Item{
 			{Key: "f/duty/held/rent", Version: 31, Lease: 12, Value: held},
-			{Key: "f/duty/stuck/rent", Version: 32, Value: stuck},
+			{Key: "f/duty/stuck/rent", Version: 32, Value: stalled},
 			{Key: "f/duty/part/node-3", Version: 33, Value: storedParticipant()},
 		}},
 		"duties-follow": &wire.Events{Revision: 531, Events: []wire.Event{{Delete: "f/duty/held/rent", Version: 531}}},
 	}
 }
 
-func stored(t *testing.T, name string) []byte { return golden.Read(t, "answer-"+name+".hex") }
+func readAnswer(t *testing.T, name string) []byte { return golden.Read(t, "answer-"+name+".hex") }
 
-// use is what the program asks of the key-value store, the stored answers that it gets, and what it makes of them.
-type use struct {
+// operation is one access to the key-value store, the recorded responses that it receives, and the expected result.
+type operation struct {
 	name    string
-	answers string // names of stored answers; STATUS or STATUS:NAME for those that are not 200
+	answers string // names of recorded responses; STATUS or STATUS:NAME if the status is not 200
 	run     func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) (any, error)
 	want    any
-	fails   error // compared by errors.Is
+	wantErr error // compared with errors.Is
 }
 
-// carry runs one use against the fake, and gives the requests as text.
-func (u *use) carry(t *testing.T, body func(name string) []byte) (requests string, got any, err error) {
+// execute runs the operation against the fake store and returns the requests as text.
+func (op *operation) execute(t *testing.T, body func(name string) []byte) (requests string, got any, err error) {
 	t.Helper()
 	f := &fakeStore{t: t}
-	for _, a := range strings.Fields(u.answers) {
+	for _, a := range strings.Fields(op.answers) {
 		var r reply
 		if n, _ := fmt.Sscanf(a, "%d", &r.status); n == 1 {
 			_, a, _ = strings.Cut(a, ":")
@@ -222,9 +224,9 @@
 		}
 		f.replies = append(f.replies, r)
 	}
-	f.with(func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) { got, err = u.run(ctx, l, svc) })
+	f.run(func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) { got, err = op.run(ctx, l, svc) })
 	if len(f.replies) > 0 {
-		t.Errorf("%s: %d answers were not asked for", u.name, len(f.replies))
+		t.Errorf("%s: %d replies were not requested", op.name, len(f.replies))
 	}
 	return f.log.String(), got, err
 }
@@ -235,24 +237,25 @@
 
 func load(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) { return l.Load(ctx) }
 
-// uses are all ways in which the program uses the key-value store, in the order of the stored file.
-func uses() []use {
-	return slices.Concat(logUses(), compactionUses(), intakeUses(), partitionUses(), roleUses(), electionUses())
+// operations returns all operations that the program performs on the key-value store, in the order of the golden file.
+func operations() []operation {
+	return slices.Concat(logOperations(), compactionOperations(), intakeOperations(), partitionOperations(),
+		roleOperations(), electionOperations())
 }
 
 func goldenLeader() *oplog.Leader {
 	return &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499}
 }
 
-func logUses() []use {
+func logOperations() []operation {
 	batch := oplog.Batch{Seq: 44, Term: 9, Data: []byte{0, 1, 0xff, 'x'}}
-	add := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
+	appendBatch := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return nil, l.Append(ctx, goldenLeader(), batch)
 	}
 	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 500, 5*time.Second)
 	}
-	return []use{
+	return []operation{
 		{"load", "load-1 load-2", load, loaded, nil},
 		{"since", "since", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return l.BatchesAfter(ctx, 42)
@@ -261,14 +264,14 @@
 			Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 510},
 			Batches: []oplog.Batch{{Seq: 44, Term: 9, Data: []byte("third")}}}, nil},
 		{"follow, leader gone", "follow-gone", follow, &oplog.Update{Revision: 511, LeaderChanged: true}, nil},
-		{"append", "txn", add, nil, nil},
-		{"append, deposed", "409:txn-failed", add, nil, oplog.ErrDeposed},
-		{"append, there already", "409:txn-there", add, nil, nil},
+		{"append", "txn", appendBatch, nil, nil},
+		{"append, deposed", "409:txn-failed", appendBatch, nil, oplog.ErrDeposed},
+		{"append, there already", "409:txn-there", appendBatch, nil, nil},
 	}
 }
 
-func compactionUses() []use {
-	return []use{
+func compactionOperations() []operation {
+	return []operation{
 		{"compact", "meta txn txn txn left-log left-snap txn",
 			func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 				return nil, l.NewCompactor(goldenLeader().Fence()).Compact(ctx, 5, bytes.Repeat([]byte("snap."), 60))
@@ -281,14 +284,14 @@
 	}
 }
 
-func intakeUses() []use {
+func intakeOperations() []operation {
 	putIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return nil, l.PutIntake(ctx, oplog.Intake{Job: 300, Data: []byte("accept 300")})
 	}
 	getIntake := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.GetIntake(ctx, 300)
 	}
-	return []use{
+	return []operation{
 		{"put intake", "txn", putIntake, nil, nil},
 		{"put intake, there already", "409:txn-failed", putIntake, nil, nil},
 		{"get intake", "intake", getIntake, &oplog.Intake{Job: 300, Data: []byte("accept 300")}, nil},
@@ -299,8 +302,8 @@
 		}, []any{[]oplog.Intake{{Job: 300, Data: []byte("accept 300")},
 			{Job: 999_999_999_999_999, Data: []byte("accept last")}}, uint64(520)}, nil},
 		{"watch intake", "intake-follow", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-			revision, some, err := l.WatchIntake(ctx, 520, time.Second)
-			return []any{revision, some}, err
+			revision, arrived, err := l.WatchIntake(ctx, 520, time.Second)
+			return []any{revision, arrived}, err
 		}, []any{uint64(522), true}, nil},
 		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.DropIntake(ctx, goldenLeader(), []uint64{300, 7})
@@ -308,8 +311,8 @@
 	}
 }
 
-func partitionUses() []use {
-	return []use{
+func partitionOperations() []operation {
+	return []operation{
 		{"put apart", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutPartitionedNode(ctx, oplog.PartitionedNode{Node: "node-3", Seq: 40, Data: []byte("ids")})
 		}, nil, nil},
@@ -319,7 +322,7 @@
 	}
 }
 
-func roleUses() []use {
+func roleOperations() []operation {
 	participate := func(participates bool) func(context.Context, *oplog.Log, *kvstore.Client) (any, error) {
 		return func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.SetParticipation(ctx, "node-3", participates)
@@ -331,7 +334,7 @@
 		lease, version, err := election.AcquireKey(ctx, svc, 4*time.Second, key, "node-2", txn, discardLogger)
 		return []uint64{lease, version}, err
 	}
-	return []use{
+	return []operation{
 		{"take a duty", "lease txn", acquireRole, []uint64{1 << 41, 600}, nil},
 		{"put stuck", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 			return nil, l.PutStalledHolders(ctx, "rent", 31, 3)
@@ -353,34 +356,34 @@
 	}
 }
 
-func electionUses() []use {
+func electionOperations() []operation {
 	acquire := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-		won, err := election.Acquire(ctx, svc, "node-1", discardLogger)
+		leadership, err := election.Acquire(ctx, svc, "node-1", discardLogger)
 		if err != nil {
 			return nil, err
 		}
-		return won.Leader, nil
+		return leadership.Leader, nil
 	}
 	renew := func(ctx context.Context, _ *oplog.Log, svc *kvstore.Client) (any, error) {
-		times := 0
-		held := &election.Leadership{Leader: *goldenLeader()}
-		err := election.RenewUntilLost(ctx, svc, held, func(time.Time) { times++ })
-		return times, err
+		renewals := 0
+		leadership := &election.Leadership{Leader: *goldenLeader()}
+		err := election.RenewUntilLost(ctx, svc, leadership, func(time.Time) { renewals++ })
+		return renewals, err
 	}
-	wonWith := func(term uint64) oplog.Leader {
+	leaderOfTerm := func(term uint64) oplog.Leader {
 		return oplog.Leader{Node: "node-1", Term: term, Lease: 1 << 41, Version: 600}
 	}
-	return []use{
-		{"acquire", "term lease txn", acquire, wonWith(10), nil},
-		{"acquire the first term", "404 lease txn", acquire, wonWith(1), nil},
+	return []operation{
+		{"acquire", "term lease txn", acquire, leaderOfTerm(10), nil},
+		{"acquire the first term", "404 lease txn", acquire, leaderOfTerm(1), nil},
 		{"acquire, taken", "term lease 409:txn-failed 200", acquire, nil, election.ErrTaken},
-		{"acquire, no answer", "term lease 503 leader", acquire, wonWith(10), nil},
+		{"acquire, no answer", "term lease 503 leader", acquire, leaderOfTerm(10), nil},
 		{"keep", "200 404", renew, 1, oplog.ErrDeposed},
 	}
 }
 
-// TestGoldenTransactions: every request to the key-value store is the same as ever, and every stored answer, with
-// all that this service keeps there, is read as what it stands for.
+// TestGoldenTransactions checks that every request to the key-value store equals the recorded one, and that every
+// recorded response, which together hold every kind of stored value, is decoded correctly.
 func TestGoldenTransactions(t *testing.T) {
 	for name, answer := range answers() {
 		b, err := wire.Marshal(answer)
@@ -390,60 +393,60 @@
 		golden.Check(t, "answer-"+name+".hex", b)
 	}
 	var all strings.Builder
-	for _, u := range uses() {
-		requests, got, err := u.carry(t, func(name string) []byte { return stored(t, name) })
-		if !errors.Is(err, u.fails) {
-			t.Errorf("%s: %v, not %v", u.name, err, u.fails)
+	for _, op := range operations() {
+		requests, got, err := op.execute(t, func(name string) []byte { return readAnswer(t, name) })
+		if !errors.Is(err, op.wantErr) {
+			t.Errorf("%s: error %v, want %v", op.name, err, op.wantErr)
 		}
-		if diff := gocmp.Diff(u.want, got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", u.name, diff)
+		if diff := gocmp.Diff(op.want, got); diff != "" {
+			t.Errorf("%s (-want +got):\n%s", op.name, diff)
 		}
-		fmt.Fprintf(&all, "== %s\n%s", u.name, requests)
+		fmt.Fprintf(&all, "== %s\n%s", op.name, requests)
 	}
 	golden.Check(t, "requests.txt", []byte(all.String()))
 }
 
-// TestGoldenStatus: the statuses on which the program depends.
+// TestGoldenStatus checks the status code that the program relies on when a revision is no longer available.
 func TestGoldenStatus(t *testing.T) {
 	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 1, time.Second)
 	}
-	u := use{name: "too old", answers: "410", run: follow}
-	if _, _, err := u.carry(t, nil); msgpackhttp.StatusCode(err) != http.StatusGone {
-		t.Errorf("a watch of what is gone gives %v", err)
+	op := operation{name: "too old", answers: "410", run: follow}
+	if _, _, err := op.execute(t, nil); msgpackhttp.StatusCode(err) != http.StatusGone {
+		t.Errorf("following from a compacted revision returned %v, want status 410", err)
 	}
 }
 
-// TestGoldenFindsDifferences: what is stored is read as something else, or not at all, if a tag is renamed, or if a
-// byte of a value differs, its version among them.
+// TestGoldenFindsDifferences checks that a recorded response is decoded differently, or not at all, if a tag is renamed
+// or if any byte of a value, its version included, differs.
 func TestGoldenFindsDifferences(t *testing.T) {
-	find := func(what string, planted []byte) {
+	requireDifference := func(what string, corrupted []byte) {
 		t.Helper()
 		f := &fakeStore{t: t}
-		for range 5 { // a log with gaps is read again
-			f.replies = append(f.replies, reply{body: planted}, reply{body: stored(t, "load-2")})
+		for range 5 { // Load retries if the log has gaps
+			f.replies = append(f.replies, reply{body: corrupted}, reply{body: readAnswer(t, "load-2")})
 		}
-		f.with(func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) {
+		f.run(func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) {
 			if got, err := l.Load(ctx); err == nil && gocmp.Equal(loaded, got) {
-				t.Errorf("%s: nothing was found", what)
+				t.Errorf("%s: difference not detected", what)
 			}
 		})
 	}
-	good := stored(t, "load-1")
+	original := readAnswer(t, "load-1")
 	for _, tag := range []string{"items", "truncated", "ledger", "key", "stamp", "value", "v", "t", "n", "l", "d"} {
-		is, _ := msgpack.Marshal(tag)
-		other, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
-		find("tag "+tag, bytes.ReplaceAll(good, is, other))
+		encodedTag, _ := msgpack.Marshal(tag)
+		replacement, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
+		requireDifference("tag "+tag, bytes.ReplaceAll(original, encodedTag, replacement))
 	}
 	leader := storedLeader()
-	at := bytes.Index(good, leader)
+	at := bytes.Index(original, leader)
 	if at < 0 {
-		t.Fatal("the leader's value is not stored as it is written now")
+		t.Fatal("the recorded value of the leader key differs from the current encoding")
 	}
 	for i := range leader {
-		planted := bytes.Clone(good)
-		planted[at+i] ^= 1
-		find(fmt.Sprintf("byte %d of the leader's value", i), planted)
+		corrupted := bytes.Clone(original)
+		corrupted[at+i] ^= 1
+		requireDifference(fmt.Sprintf("byte %d of the leader's value", i), corrupted)
 	}
 	golden.FlipFinds(t, "answer-meta.hex", func(b []byte) ([]byte, error) {
 		var it wire.Item
