--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -109,4 +109,4 @@
 }
 
 // Proven tells whether all peers have confirmed, and if so, the time at which this node was as good as complete.
-func (r *BarrierRound) Proven() (complete Time, ok bool) { return r.startedAt, r.unconfirmed == 0 }
+func (r *BarrierRound) Proven() (completeAt Time, ok bool) { return r.startedAt, r.unconfirmed == 0 }
