--- a/internal/agents/lease/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -9,24 +9,24 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenReport: the answer to OpRenewed is written and read as it always was.
+// TestGoldenReport checks the wire format of the response to OpRenewed against the stored files.
 func TestGoldenReport(t *testing.T) {
-	write := func(r RenewalReport) []byte { return r.Append(nil) }
+	encode := func(r RenewalReport) []byte { return r.Append(nil) }
 	none := RenewalReport{Age: time.Hour, RenewalAges: map[string]Time{}}
-	golden.RoundTrip(t, "word-none.hex", none, write, ReadReport)
+	golden.RoundTrip(t, "word-none.hex", none, encode, ReadReport)
 	one := RenewalReport{Age: 2 * time.Second, RenewalAges: map[string]Time{"host-1": 1500 * time.Millisecond}}
-	golden.RoundTrip(t, "word-one.hex", one, write, ReadReport)
-	// The order of several is not part of the format: the file stands for one that was received.
+	golden.RoundTrip(t, "word-one.hex", one, encode, ReadReport)
+	// The order of machines is not part of the format, so the file stands for a received report.
 	several := RenewalReport{Age: 3 * time.Second,
 		RenewalAges: map[string]Time{"host-1": 0, "host-22": time.Millisecond, "h3": time.Minute}}
 	if golden.Updating() {
-		golden.Check(t, "word-three.hex", write(several))
+		golden.Check(t, "word-three.hex", encode(several))
 	}
 	got, err := ReadReport(golden.Read(t, "word-three.hex"))
 	if diff := cmp.Diff(several, got); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
-	if a, b := len(write(several)), len(golden.Read(t, "word-three.hex")); a != b {
-		t.Errorf("%d bytes are written, and were %d", a, b)
+	if a, b := len(encode(several)), len(golden.Read(t, "word-three.hex")); a != b {
+		t.Errorf("encoded report has %d bytes, stored one has %d", a, b)
 	}
 }
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -1,12 +1,13 @@
-// Package lease records who renewed which agent's lease when, and so when an agent's lease has surely expired. It is
-// pure.
+// Package lease records when controllers renewed agents' leases, and determines when a lease has certainly expired. It
+// performs no I/O.
 //
-// An agent's lease is renewed only by the answer of a controller, and counts from the sending of its heartbeat, which
-// was before any controller read it. So each controller has a table of whom it answered last. A leader that has made a
-// machine suspect by an entry asks the others: who has applied the entry renews that machine's lease no more, and
-// reports when it last did. Once all have reported, the lease ends no later than its length after the last of these
-// times. Where one of them can't be asked, only the bound that holds for any controller does: for how long it renews
-// without the log, and a lease.
+// Only a controller's response renews an agent's lease, and the lease runs from the time at which the agent sent the
+// heartbeat, which precedes its receipt by any controller. Each controller keeps a table of the renewals that it
+// granted. When a leader has marked a machine suspect in the log, it queries the other controllers. A controller that
+// has applied that log entry no longer renews the machine's lease, and reports when it last did. Once all have
+// reported, the lease ends at most one lease duration after the latest of these times. If a controller cannot be
+// reached, only the bound for an arbitrary controller applies: the time for which it renews leases without access to
+// the log, plus one lease duration.
 package lease
 
 import (
@@ -21,33 +22,34 @@
 	"fieldhill/internal/codec"
 )
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// maxEntries bounds a table. A fleet is smaller; beyond it the table begins anew, as that of a new process does.
+// maxEntries bounds the size of a table. It exceeds the size of a fleet; a table that reaches it is reset, as after a
+// restart of the process.
 const maxEntries = 20_000
 
-// maxAgeMilliseconds bounds the ages that are read: a year.
+// maxAgeMilliseconds bounds decoded ages to one year.
 const maxAgeMilliseconds = 365 * 24 * 3600 * 1000
 
-// What Expired allows for, beside the lease: a part of it for the drift of clocks, and a margin.
+// Allowance of Expired on top of the lease duration: a fraction of it for clock drift, and a fixed margin.
 const (
-	driftDivisor = 500
+	driftDivisor = 500 // 0.2 %: four times the specified clock drift of 0.05 %
 	expiryMargin = time.Second
 )
 
-// RenewalTable is when this process last renewed each machine's lease.
+// RenewalTable records when this process last renewed each machine's lease.
 type RenewalTable struct {
-	knownSince Time // what was before is not known: everything may have been renewed until then
+	knownSince Time // earlier renewals are unknown: any lease may have been renewed until then
 	renewedAt  map[string]Time
 }
 
-// NewRenewalTable makes an empty table: the process begins, and what an earlier one did is not known.
+// NewRenewalTable returns an empty table for a process that starts now. Renewals by an earlier process are unknown.
 func NewRenewalTable(now Time) *RenewalTable {
 	return &RenewalTable{knownSince: now, renewedAt: map[string]Time{}}
 }
 
-// Renewed notes that a machine's lease is renewed now.
+// Renewed records that a machine's lease is renewed now.
 func (r *RenewalTable) Renewed(machine string, now Time) {
 	if _, known := r.renewedAt[machine]; !known && len(r.renewedAt) >= maxEntries {
 		r.knownSince = now
@@ -56,13 +58,13 @@
 	r.renewedAt[machine] = now
 }
 
-// LastRenewal is when a machine's lease was last renewed by this controller, at the latest; retainedSince is since when
-// nothing was dropped.
+// LastRenewal returns the latest time at which this controller may have renewed a machine's lease. Renewals before
+// retainedSince may have been dropped from the table.
 func (r *RenewalTable) LastRenewal(machine string, retainedSince Time) Time {
 	return max(r.knownSince, r.renewedAt[machine], retainedSince)
 }
 
-// Forget drops what is older than a time.
+// Forget drops renewals before the given time.
 func (r *RenewalTable) Forget(before Time) {
 	for m, t := range r.renewedAt {
 		if t < before {
@@ -71,109 +73,109 @@
 	}
 }
 
-// RenewalReport is what a controller reports of a zone's machines.
+// RenewalReport is a controller's report on its renewals for the machines of a zone.
 type RenewalReport struct {
-	// Age is since when it has a table; what was before it does not know.
+	// Age is the age of the controller's table; earlier renewals are unknown.
 	Age Time
-	// RenewalAges are how long ago it last renewed each machine's lease; missing: not since its table began, or longer
-	// ago than it retains.
+	// RenewalAges is the age of the last renewal by machine. A machine is missing if its last renewal predates the
+	// table or the retention period.
 	RenewalAges map[string]Time
 }
 
-// reportEntry is a machine in a report that may be too large.
+// reportEntry is a machine that is a candidate for a report of limited size.
 type reportEntry struct {
 	machine string
 	age     Time
 	suspect bool
-	renewed bool // by this controller, as far as it knows
+	renewed bool // this controller has a record of renewing the lease
 }
 
-// Report makes what a controller reports now of the machines of a zone, in at most maxBytes. Exact ages matter for
-// those that are suspect, so these come first, then those renewed last. Retention is for how long the controller
-// retains what it did.
+// Report returns the report on a zone's machines as of now, encoded in at most maxBytes. Exact ages matter only for
+// suspect machines, so these take precedence, followed by the most recently renewed ones. retention is how long the
+// controller keeps records of renewals.
 func (r *RenewalTable) Report(suspects, others []string, now, retention Time, maxBytes int) RenewalReport {
 	age := now - r.knownSince
-	list := make([]reportEntry, 0, len(suspects)+len(others))
+	entries := make([]reportEntry, 0, len(suspects)+len(others))
 	for _, m := range suspects {
 		t, renewed := r.renewedAt[m]
-		s := reportEntry{machine: m, age: min(age, retention), suspect: true, renewed: renewed}
+		entry := reportEntry{machine: m, age: min(age, retention), suspect: true, renewed: renewed}
 		if renewed {
-			s.age = now - t
+			entry.age = now - t
 		}
-		list = append(list, s)
+		entries = append(entries, entry)
 	}
 	for _, m := range others {
 		if t, renewed := r.renewedAt[m]; renewed {
-			list = append(list, reportEntry{machine: m, age: now - t, renewed: true})
+			entries = append(entries, reportEntry{machine: m, age: now - t, renewed: true})
 		}
 	}
 	report := RenewalReport{Age: age, RenewalAges: map[string]Time{}}
 	size := 2 * binary.MaxVarintLen64
-	for _, s := range list {
-		if s.renewed {
-			report.RenewalAges[s.machine] = s.age
-			size += s.size()
+	for _, entry := range entries {
+		if entry.renewed {
+			report.RenewalAges[entry.machine] = entry.age
+			size += entry.size()
 		}
 	}
 	if size > maxBytes {
-		report.truncate(list, maxBytes)
+		report.truncate(entries, maxBytes)
 	}
 	return report
 }
 
-// size is how many bytes a machine takes in a report.
-func (s *reportEntry) size() int {
-	return varintLen(uint64(len(s.machine))) + len(s.machine) + varintLen(uint64(s.age/time.Millisecond))
+// size returns the encoded size of an entry in bytes.
+func (e *reportEntry) size() int {
+	return varintLen(uint64(len(e.machine))) + len(e.machine) + varintLen(uint64(e.age/time.Millisecond))
 }
 
-// varintLen is how many bytes a number takes.
+// varintLen returns the length of a number's varint encoding in bytes.
 func varintLen(v uint64) int {
-	const bitsEach = 7
-	return (bits.Len64(v|1) + bitsEach - 1) / bitsEach
+	const payloadBits = 7
+	return (bits.Len64(v|1) + payloadBits - 1) / payloadBits
 }
 
-// truncate fills a report anew with as many machines as go into maxBytes. Who reads it takes one that is missing for
-// renewed when the table began, or longer ago, so the report then says that it began when the youngest of those left
-// out was renewed: later than true, never earlier. The suspect ones that this controller never renewed are named, so
-// that this does not hold for them.
-func (r *RenewalReport) truncate(list []reportEntry, maxBytes int) {
-	rank := func(s reportEntry) int {
+// truncate refills a report with as many machines as fit into maxBytes. A reader assumes that a missing machine was
+// renewed no later than the start of the table, so Age is lowered to that of the most recently renewed machine that is
+// left out. This errs only towards later renewals. Suspect machines that this controller never renewed are listed
+// explicitly, so that the lowered Age does not apply to them.
+func (r *RenewalReport) truncate(entries []reportEntry, maxBytes int) {
+	rank := func(e reportEntry) int {
 		switch {
-		case s.suspect && s.renewed:
+		case e.suspect && e.renewed:
 			return 0
-		case s.suspect:
+		case e.suspect:
 			return 1
 		}
 		return 2
 	}
-	slices.SortFunc(list, func(a, b reportEntry) int {
+	slices.SortFunc(entries, func(a, b reportEntry) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.age, b.age), cmp.Compare(a.machine, b.machine))
 	})
 	clear(r.RenewalAges)
 	size := 2 * binary.MaxVarintLen64
-	for _, s := range list {
-		if size += s.size(); size <= maxBytes {
-			r.RenewalAges[s.machine] = s.age
-		} else if s.renewed {
-			r.Age = min(r.Age, s.age)
+	for _, e := range entries {
+		if size += e.size(); size <= maxBytes {
+			r.RenewalAges[e.machine] = e.age
+		} else if e.renewed {
+			r.Age = min(r.Age, e.age)
 		}
 	}
 }
 
-// LastRenewal is when a machine's lease was last renewed by the controller whose report this is, at the latest, if the
-// report was received at a time. Retention is for how long that controller retains what it did.
+// LastRenewal returns the latest time at which the reporting controller may have renewed a machine's lease, for a
+// report received at receivedAt. retention is how long that controller keeps records of renewals.
 func (r RenewalReport) LastRenewal(machine string, receivedAt, retention Time) Time {
 	if age, ok := r.RenewalAges[machine]; ok {
 		return receivedAt - age
 	}
-	return receivedAt - min(r.Age, retention) // so long ago, or longer
+	return receivedAt - min(r.Age, retention) // an upper bound
 }
 
-// ErrMalformed says that a report can't be read.
+// ErrMalformed is returned for a report that cannot be decoded.
 var ErrMalformed = errors.New("lease: malformed renewal report")
 
-// Append encodes a report: its age and each machine's, in milliseconds, rounded so that nothing seems longer ago than
-// it is, by name, so that a report is always the same bytes.
+// Append encodes a report. Ages are in milliseconds, rounded down so that no renewal appears older than it is. Machines
+// are sorted by name to make the encoding deterministic.
 func (r RenewalReport) Append(b []byte) []byte {
 	b = codec.Uint(codec.Uint(b, uint64(r.Age/time.Millisecond)), uint64(len(r.RenewalAges)))
 	for _, m := range slices.Sorted(maps.Keys(r.RenewalAges)) {
@@ -182,7 +184,6 @@
 	return b
 }
 
-// ReadReport decodes a report.
 func ReadReport(b []byte) (RenewalReport, error) {
 	r := codec.Reader{Data: b}
 	report := RenewalReport{Age: milliseconds(r.Uint()), RenewalAges: map[string]Time{}}
@@ -199,16 +200,17 @@
 	return report, nil
 }
 
-// milliseconds is so many milliseconds, a year at most.
+// milliseconds converts a decoded number of milliseconds, capped at maxAgeMilliseconds.
 func milliseconds(v uint64) Time { return time.Duration(min(v, maxAgeMilliseconds)) * time.Millisecond }
 
-// ExpiryProof gathers what the other controllers reported of a suspect machine. The zero value has no report yet.
+// ExpiryProof collects the other controllers' last renewals of a suspect machine's lease. The zero value contains no
+// reports.
 type ExpiryProof struct {
-	lastRenewals []Time // by the other controller; -1: it has not reported
+	lastRenewals []Time // indexed by controller; -1: has not reported
 }
 
-// Record notes that a controller, one of so many others, has applied the suspicion and renewed the lease last at a
-// time.
+// Record stores the last renewal by a controller that has applied the suspicion. controller is its index among the
+// others. Only the first report of each controller counts.
 func (p *ExpiryProof) Record(controller, others int, last Time) {
 	if len(p.lastRenewals) != others {
 		p.lastRenewals = make([]Time, others)
@@ -221,29 +223,28 @@
 	}
 }
 
-// CountsFrom is from when the lease counts at the latest, given when this controller renewed it last, if all others
-// have reported when they did.
-func (p *ExpiryProof) CountsFrom(others int, own Time) (from Time, complete bool) {
+// CountsFrom returns the latest possible start of the lease, given this controller's own last renewal. It is complete
+// only once all other controllers have reported.
+func (p *ExpiryProof) CountsFrom(others int, ownRenewal Time) (start Time, complete bool) {
 	if len(p.lastRenewals) != others {
 		return 0, others == 0
 	}
-	from = own
+	start = ownRenewal
 	for _, t := range p.lastRenewals {
 		if t < 0 {
 			return 0, false
 		}
-		from = max(from, t)
+		start = max(start, t)
 	}
-	return from, true
+	return start, true
 }
 
-// IsMissing tells whether a controller has not reported yet.
+// IsMissing reports whether a controller has yet to report.
 func (p *ExpiryProof) IsMissing(controller, others int) bool {
 	return len(p.lastRenewals) != others || p.lastRenewals[controller] < 0
 }
 
-// Expired tells whether a lease that counts from a time has surely expired: clocks differ by up to a twentieth of a
-// per cent, and four times that is allowed for.
-func Expired(from, lease, now Time) bool {
-	return now-from > lease+lease/driftDivisor+expiryMargin
+// Expired reports whether a lease that started at the given time has certainly expired, allowing for clock drift.
+func Expired(start, duration, now Time) bool {
+	return now-start > duration+duration/driftDivisor+expiryMargin
 }
