--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -9,11 +9,11 @@
 	"fieldhill/wire"
 )
 
-// ErrMalformed says that a message of another controller can't be read.
+// ErrMalformed is returned for a message from another controller that cannot be decoded.
 var ErrMalformed = errors.New("relay: malformed message")
 
-// knownTexts are the texts of heartbeats and commands that have a number of their own. Their order is part of the
-// format: new ones go to the end. Number 0 says that the text itself follows.
+// knownTexts are the texts of heartbeats and commands that are encoded as a number: their index plus one. The order is
+// part of the format, so append new texts at the end. The number 0 means that the text itself follows.
 var knownTexts = []string{
 	wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited,
 	wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
@@ -22,12 +22,12 @@
 }
 
 const (
-	// maxTasks and maxCommands bound what is read; a heartbeat of 64 KiB holds fewer.
+	// maxTasks and maxCommands bound the decoded lists; a heartbeat of 64 KiB holds fewer.
 	maxTasks    = 4096
 	maxCommands = 4096
 )
 
-// appendText encodes a text by its number, or in full if it has none.
+// appendText encodes a text as its number in knownTexts, or in full if it has none.
 func appendText(b []byte, s string) []byte {
 	i := slices.Index(knownTexts, s)
 	b = codec.Uint(b, uint64(i+1))
@@ -60,7 +60,7 @@
 	return &s
 }
 
-// AppendReport encodes an agent's heartbeat.
+// AppendReport appends the encoding of an agent's heartbeat to b.
 func AppendReport(b []byte, report *wire.Heartbeat) []byte {
 	for _, s := range []string{report.Machine, report.Addr, report.Type, report.Zone} {
 		b = codec.String(b, s)
@@ -117,7 +117,7 @@
 	return report
 }
 
-// AppendOrders encodes the commands that are sent to an agent directly.
+// AppendOrders appends the encoding of direct commands to an agent.
 func AppendOrders(b []byte, orders *wire.Orders) []byte {
 	b = codec.Uint(codec.Uint(b, orders.FencingToken), orders.AgentEpoch)
 	b = codec.Uint(b, uint64(len(orders.Commands)))
@@ -130,7 +130,7 @@
 	return b
 }
 
-// ReadOrders decodes the commands that are sent to an agent directly.
+// ReadOrders decodes direct commands to an agent.
 func ReadOrders(b []byte) (*wire.Orders, error) {
 	r := &codec.Reader{Data: b}
 	orders := &wire.Orders{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
@@ -153,14 +153,13 @@
 	return orders, nil
 }
 
-// CommandResult is what became of commands that another controller sent: their fate, as the client of the
-// agents' interface numbers it, and the agent's heartbeat if it answered with one.
+// CommandResult is the outcome of commands that another controller sent to an agent.
 type CommandResult struct {
-	Fate   uint8
-	Report *wire.Heartbeat
+	Fate   uint8           // an agent.CommandFate
+	Report *wire.Heartbeat // the agent's heartbeat; nil if its response had none
 }
 
-// Append encodes a result.
+// Append appends the encoding of a result to b.
 func (r CommandResult) Append(b []byte) []byte {
 	b = codec.Uint(b, uint64(r.Fate))
 	b = codec.Bool(b, r.Report != nil)
@@ -170,7 +169,7 @@
 	return b
 }
 
-// ReadCommandResult decodes a result.
+// ReadCommandResult decodes a CommandResult.
 func ReadCommandResult(b []byte) (CommandResult, error) {
 	r := &codec.Reader{Data: b}
 	result := CommandResult{Fate: uint8(r.Max(math.MaxUint8))}
@@ -183,16 +182,16 @@
 	return result, nil
 }
 
-// Offer is what a controller that does not lead sends to the leader: that it takes agents' heartbeats for it.
+// Offer is the message with which a follower offers the leader to relay agents' heartbeats.
 type Offer struct {
-	Node        string // the controller's name
-	HasCapacity bool   // it has room for more connections
+	Node        string // name of the controller
+	HasCapacity bool   // more connections can be accepted
 }
 
-// Append encodes an offer.
+// Append appends the encoding of an offer to b.
 func (o Offer) Append(b []byte) []byte { return codec.Bool(codec.String(b, o.Node), o.HasCapacity) }
 
-// ReadOffer decodes an offer.
+// ReadOffer decodes an Offer.
 func ReadOffer(b []byte) (Offer, error) {
 	r := &codec.Reader{Data: b}
 	offer := Offer{Node: r.String(), HasCapacity: r.Bool()}
@@ -202,10 +201,10 @@
 	return offer, nil
 }
 
-// AppendOfferAnswer encodes the answer to an offer: whether heartbeats are to be passed on.
+// AppendOfferAnswer appends the leader's response to an offer: whether the follower is to relay heartbeats.
 func AppendOfferAnswer(b []byte, accepted bool) []byte { return codec.Bool(b, accepted) }
 
-// ReadOfferAnswer decodes the answer to an offer.
+// ReadOfferAnswer decodes the response to an Offer.
 func ReadOfferAnswer(b []byte) (accepted bool, err error) {
 	r := &codec.Reader{Data: b}
 	accepted = r.Bool()
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -9,8 +9,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// TestGoldenMessages: what a relay and the leader send to each other is written and read as it always was: every text
-// with a number of its own by that number, and another in full.
+// TestGoldenMessages checks the wire format between a relay and the leader against the stored files. It covers each
+// text that is encoded as a number, and texts that are encoded in full.
 func TestGoldenMessages(t *testing.T) {
 	full := &wire.Heartbeat{Machine: "host-1", Addr: "10.1.0.1:9", Type: "small", Zone: "a", Spot: true,
 		AgentEpoch: 1 << 40, Seq: 300, FencingToken: 1<<63 + 5, NoticeS: ptr(12.5)}
@@ -25,9 +25,9 @@
 		full.Tasks = append(full.Tasks, exited)
 	}
 	short := &wire.Heartbeat{Machine: "host-2", Tasks: []wire.TaskStatus{}}
-	report := func(r *wire.Heartbeat) []byte { return AppendReport(nil, r) }
-	golden.RoundTrip(t, "report.hex", full, report, ReadReport)
-	golden.RoundTrip(t, "report-short.hex", short, report, ReadReport)
+	encodeReport := func(r *wire.Heartbeat) []byte { return AppendReport(nil, r) }
+	golden.RoundTrip(t, "report.hex", full, encodeReport, ReadReport)
+	golden.RoundTrip(t, "report-short.hex", short, encodeReport, ReadReport)
 
 	orders := &wire.Orders{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
 		{Verb: wire.Start, Task: "job-1.0", Attempt: 1},
@@ -36,13 +36,13 @@
 		{Verb: wire.Forget, Task: "job-3.4095", Attempt: 3},
 		{Verb: "another"},
 	}}
-	write := func(o *wire.Orders) []byte { return AppendOrders(nil, o) }
-	golden.RoundTrip(t, "orders.hex", orders, write, ReadOrders)
-	golden.RoundTrip(t, "orders-none.hex", &wire.Orders{Commands: []wire.Command{}}, write, ReadOrders)
+	encodeOrders := func(o *wire.Orders) []byte { return AppendOrders(nil, o) }
+	golden.RoundTrip(t, "orders.hex", orders, encodeOrders, ReadOrders)
+	golden.RoundTrip(t, "orders-none.hex", &wire.Orders{Commands: []wire.Command{}}, encodeOrders, ReadOrders)
 
-	outcome := func(o CommandResult) []byte { return o.Append(nil) }
-	golden.RoundTrip(t, "outcome.hex", CommandResult{Fate: 1, Report: short}, outcome, ReadCommandResult)
-	golden.RoundTrip(t, "outcome-alone.hex", CommandResult{Fate: 3}, outcome, ReadCommandResult)
+	encodeResult := func(o CommandResult) []byte { return o.Append(nil) }
+	golden.RoundTrip(t, "outcome.hex", CommandResult{Fate: 1, Report: short}, encodeResult, ReadCommandResult)
+	golden.RoundTrip(t, "outcome-alone.hex", CommandResult{Fate: 3}, encodeResult, ReadCommandResult)
 	golden.RoundTrip(t, "offer.hex", Offer{Node: "node-2", HasCapacity: true},
 		func(o Offer) []byte { return o.Append(nil) }, ReadOffer)
 	golden.RoundTrip(t, "terms.hex", true, func(on bool) []byte { return AppendOfferAnswer(nil, on) }, ReadOfferAnswer)
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -12,9 +12,9 @@
 	"fieldhill/wire"
 )
 
-// TestTableMatchesModel compares the table with a plain list of who reports where, over drawn heartbeats, machines that
-// fall silent and controllers that close: the counts are right, nobody is sent to a controller that is closed or
-// already has its share, and once agents follow, no open controller has more than its share and the slack.
+// TestTableMatchesModel compares the table with a reference model under random heartbeats, silent machines and
+// controllers that do not accept agents. The counts must match, and no agent may be redirected to a closed controller
+// or to one with no fewer agents.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := rapid.IntRange(1, 5).Draw(t, "controllers")
@@ -40,21 +40,22 @@
 	})
 }
 
-// referenceTable is a table, and a plain list of what it should say.
+// referenceTable is a table with a simple model of its expected contents.
 type referenceTable struct {
 	table        *Table
 	controllerOf map[string]int
 	lastReport   map[string]Time
 }
 
-// report has a machine report through a controller, and checks where it is sent.
+// report lets a machine report through a controller, and checks the redirection.
 func (r *referenceTable) report(t *rapid.T, machine string, controller int, open []bool, now Time) {
 	r.table.RecordReport(machine, controller, now)
 	r.controllerOf[machine], r.lastReport[machine] = controller, now
 	before := slices.Clone(r.table.Counts())
 	if to, redirect := r.table.Redirect(machine, controller, func(i int) bool { return open[i] }, now); redirect {
 		if to == controller || to != Leader && !open[to] || before[to] >= before[controller] {
-			t.Fatalf("moved from %d (%d) to %d (%d), open %v", controller, before[controller], to, before[to], open)
+			t.Fatalf("redirected from %d (%d agents) to %d (%d agents), open %v",
+				controller, before[controller], to, before[to], open)
 		}
 		r.controllerOf[machine] = to
 	}
@@ -75,7 +76,7 @@
 	for machine, at := range r.controllerOf {
 		counts[at]++
 		if r.table.NodeOf(machine) != at {
-			t.Fatalf("%s at %d, want %d", machine, r.table.NodeOf(machine), at)
+			t.Fatalf("%s is assigned to %d, want %d", machine, r.table.NodeOf(machine), at)
 		}
 	}
 	if diff := cmp.Diff(counts, r.table.Counts()); diff != "" {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestTableBalances: all agents come to the leader at once, and are spread within a few of their heartbeats; a
-// controller that is back gets its share again.
+// TestTableBalances checks that agents that all connect to the leader at once are spread within one heartbeat each,
+// that balanced agents stay, and that agents return to the leader once the cell is small.
 func TestTableBalances(t *testing.T) {
 	table, open := NewTable(3), func(int) bool { return true }
 	table.UpdateSpreading(3000, 2000)
@@ -102,19 +103,19 @@
 	round()
 	for i, c := range table.Counts() {
 		if c > 1125 || c < 850 {
-			t.Errorf("controller %d has %d of 3000 agents", i, c)
+			t.Errorf("controller %d has %d of 3000 agents, want 850 to 1125", i, c)
 		}
 	}
 	if moves := round(); moves != 0 {
-		t.Errorf("%d agents move though all controllers have their share", moves)
+		t.Errorf("%d agents are redirected although the controllers are balanced", moves)
 	}
 	table.UpdateSpreading(1700, 2000)
 	if !table.Spreading() {
-		t.Error("spreading ends at 1700 machines")
+		t.Error("spreading ended at 1700 machines, want below 1600")
 	}
 	table.UpdateSpreading(1500, 2000)
 	if to, redirect := table.Redirect("m1", 1, open, 2); !redirect || to != Leader {
-		t.Errorf("an agent is not sent back to the leader of a small cell: %d, %v", to, redirect)
+		t.Errorf("in a small cell: redirect to %d, %v; want to the leader", to, redirect)
 	}
 }
 
@@ -126,7 +127,7 @@
 		Type:         text.Draw(t, "type"),
 		Zone:         text.Draw(t, "zone"),
 		Spot:         rapid.Bool().Draw(t, "spot"),
-		AgentEpoch:   rapid.Uint64().Draw(t, "session"),
+		AgentEpoch:   rapid.Uint64().Draw(t, "epoch"),
 		Seq:          rapid.Uint64().Draw(t, "seq"),
 		FencingToken: rapid.Uint64().Draw(t, "token"),
 		Tasks:        []wire.TaskStatus{},
@@ -135,21 +136,21 @@
 		s := rapid.Float64Range(0, 1e6).Draw(t, "notice_s")
 		report.NoticeS = &s
 	}
-	knownOrText := rapid.OneOf(rapid.SampledFrom(knownTexts), text)
+	knownOrRandom := rapid.OneOf(rapid.SampledFrom(knownTexts), text)
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
 		report.Tasks = append(report.Tasks, wire.TaskStatus{
 			Task:         text.Draw(t, "task"),
 			Attempt:      rapid.Uint64().Draw(t, "attempt"),
-			State:        knownOrText.Draw(t, "state"),
-			Cause:        knownOrText.Draw(t, "cause"),
-			Checkpointed: rapid.Bool().Draw(t, "saved"),
+			State:        knownOrRandom.Draw(t, "state"),
+			Cause:        knownOrRandom.Draw(t, "cause"),
+			Checkpointed: rapid.Bool().Draw(t, "checkpointed"),
 		})
 	}
 	return report
 }
 
-// TestMessagesRoundTrip: what is encoded is decoded the same, and what is truncated or has something behind it is
-// refused.
+// TestMessagesRoundTrip checks that messages are decoded as encoded, and that truncated messages and ones with trailing
+// bytes are rejected.
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := drawReport(t)
@@ -164,10 +165,10 @@
 		}
 		result := CommandResult{Fate: uint8(len(report.Tasks)), Report: report}
 		offer := Offer{Node: report.Machine, HasCapacity: report.Spot}
-		for _, c := range []struct {
-			b    []byte
-			want any
-			read func([]byte) (any, error)
+		for _, test := range []struct {
+			encoded []byte
+			want    any
+			decode  func([]byte) (any, error)
 		}{
 			{AppendReport(nil, report), report, func(b []byte) (any, error) { return ReadReport(b) }},
 			{AppendOrders(nil, orders), orders, func(b []byte) (any, error) { return ReadOrders(b) }},
@@ -176,18 +177,19 @@
 			{AppendOfferAnswer(nil, report.Spot), report.Spot,
 				func(b []byte) (any, error) { return ReadOfferAnswer(b) }},
 		} {
-			decoded, err := c.read(c.b)
+			decoded, err := test.decode(test.encoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(c.want, decoded); diff != "" {
+			if diff := cmp.Diff(test.want, decoded); diff != "" {
 				t.Fatal(diff)
 			}
-			if _, err := c.read(append(c.b[:len(c.b):len(c.b)], 0)); err == nil {
-				t.Fatalf("%T with a byte behind it is read", c.want)
+			if _, err := test.decode(append(test.encoded[:len(test.encoded):len(test.encoded)], 0)); err == nil {
+				t.Fatalf("%T with a trailing byte is accepted", test.want)
 			}
-			if _, err := c.read(c.b[:rapid.IntRange(0, len(c.b)-1).Draw(t, "cut")]); err == nil {
-				t.Fatalf("%T truncated is read", c.want)
+			length := rapid.IntRange(0, len(test.encoded)-1).Draw(t, "truncated length")
+			if _, err := test.decode(test.encoded[:length]); err == nil {
+				t.Fatalf("truncated %T is accepted", test.want)
 			}
 		}
 	})
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -1,82 +1,81 @@
-// Package relay is the pure part of spreading agents' connections over the controllers of a cell: which controller
-// ends which agent's connection (Table), and the binary form in which heartbeats and commands travel between
-// controllers.
+// Package relay balances agents' connections over the controllers of a cell. It assigns each agent to a controller
+// (Table), and defines the binary format in which controllers exchange heartbeats and commands. It performs no I/O.
 //
-// A controller that does not lead may end agents' connections and pass each heartbeat on to the leader, and the
-// leader's answer back. Such a relay decides nothing: to the leader it is a part of the network, which may delay, lose
-// or repeat what it carries, and everything that the leader concludes from a heartbeat it concludes from the
-// heartbeat's own numbers.
+// A follower may terminate agents' connections, forward each heartbeat to the leader, and return the leader's response.
+// Such a relay makes no decisions. The leader treats it as part of the network, which may delay, lose or duplicate
+// messages, and relies only on the sequence numbers in the heartbeat itself.
 package relay
 
 import "time"
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Leader is the index of the leader itself in a Table; the other members of the cell follow from 1 on.
+// Leader is the index of the leader in a Table. The other controllers of the cell have the indices from 1.
 const Leader = 0
 
 const (
-	// offShare is the part of the threshold below which spreading ends again, so that it does not go on and off with
-	// every machine.
-	offShareNumerator, offShareDenominator = 4, 5
-	// slackDivisor and minSlack are how far above its fair share a controller may be before agents are moved away.
+	// Spreading ends below this fraction of the threshold at which it starts. The hysteresis keeps it from toggling
+	// with every machine.
+	spreadingEndNumerator, spreadingEndDenominator = 4, 5
+	// A controller may exceed its fair share by a fraction of 1/slackDivisor, and at least by minSlack agents, before
+	// agents are moved away.
 	slackDivisor = 8
 	minSlack     = 4
-	// firstPause is for how long no agents are sent to a controller after one that was sent there came through another:
-	// the agents may not reach it. The pause doubles up to maxPause until one does.
-	firstPause = 10 * time.Second
-	maxPause   = 160 * time.Second
+	// No agents are redirected to a controller for minPause after a redirected agent reported through another one,
+	// since agents may be unable to reach it. The pause doubles, up to maxPause, until a redirected agent reports
+	// through it.
+	minPause = 10 * time.Second
+	maxPause = 160 * time.Second
 )
 
-// assignment is the controller that ends an agent's connection.
+// assignment is the controller that terminates an agent's connection.
 type assignment struct {
 	controller int
 	lastReport Time
-	redirected bool // the agent was sent there and has not reported through it yet
+	redirected bool // the agent was redirected to the controller and has not reported through it yet
 }
 
-// Table is which controller ends each agent's connection, as far as the leader has seen in its term.
+// Table maps each agent that the leader heard from in its term to the controller that terminates its connection.
 type Table struct {
 	assignments map[string]assignment
 	counts      []int
-	nextPause   []Time // by controller: how long the next pause is
-	closedUntil []Time // by controller: no agents are sent there until then
+	lastPause   []Time // by controller: length of the last pause; 0 once an agent reached it
+	pausedUntil []Time // by controller: end of the last pause
 	spreading   bool
 }
 
-// NewTable makes an empty table for a cell of so many controllers.
+// NewTable returns an empty table for a cell with the given number of controllers.
 func NewTable(controllers int) *Table {
 	return &Table{
 		assignments: map[string]assignment{},
 		counts:      make([]int, controllers),
-		nextPause:   make([]Time, controllers),
-		closedUntil: make([]Time, controllers),
+		lastPause:   make([]Time, controllers),
+		pausedUntil: make([]Time, controllers),
 	}
 }
 
-// UpdateSpreading decides whether agents are spread: when the cell has more machines than the leader takes
-// connections.
+// UpdateSpreading enables the spreading of agents when the cell has more machines than the leader accepts connections.
 func (t *Table) UpdateSpreading(machines, maxConns int) {
 	if t.spreading {
-		t.spreading = machines*offShareDenominator >= maxConns*offShareNumerator
+		t.spreading = machines*spreadingEndDenominator >= maxConns*spreadingEndNumerator
 	} else {
 		t.spreading = machines > maxConns
 	}
 }
 
-// Spreading tells whether agents are spread over the controllers.
+// Spreading reports whether agents are spread over the controllers.
 func (t *Table) Spreading() bool { return t.spreading }
 
-// RecordReport notes that a machine's heartbeat came through a controller.
+// RecordReport records that a machine's heartbeat arrived through a controller.
 func (t *Table) RecordReport(machine string, controller int, now Time) {
 	previous, known := t.assignments[machine]
 	switch {
 	case previous.redirected && previous.controller == controller:
-		t.nextPause[controller] = 0
-	case previous.redirected && now >= t.closedUntil[previous.controller]:
-		t.nextPause[previous.controller] = min(maxPause, max(firstPause, 2*t.nextPause[previous.controller]))
-		t.closedUntil[previous.controller] = now + t.nextPause[previous.controller]
+		t.lastPause[controller] = 0
+	case previous.redirected && now >= t.pausedUntil[previous.controller]:
+		t.lastPause[previous.controller] = min(maxPause, max(minPause, 2*t.lastPause[previous.controller]))
+		t.pausedUntil[previous.controller] = now + t.lastPause[previous.controller]
 	}
 	if known {
 		t.counts[previous.controller]--
@@ -85,32 +84,32 @@
 	t.counts[controller]++
 }
 
-// NodeOf is the controller through which a machine last reported; the leader itself if there is none.
+// NodeOf returns the controller that a machine is assigned to, or Leader for an unknown machine.
 func (t *Table) NodeOf(machine string) int { return t.assignments[machine].controller }
 
-// Counts is how many machines report through each controller.
+// Counts returns the number of machines by controller.
 func (t *Table) Counts() []int { return t.counts }
 
-// Redirect decides whether a machine that reports through a controller is sent to another one. Open tells which
-// controllers take more agents now, and is asked only where agents are spread; the leader always does. The machine
-// counts as moved at once, so that no more are sent than needed.
+// Redirect decides whether a machine that reports through a controller is redirected to another one. open reports
+// whether a follower accepts more agents; it is called only while agents are spread, and never for the leader, which
+// always accepts. The machine counts towards its new controller at once, so that no more are redirected than needed.
 func (t *Table) Redirect(machine string, controller int, open func(int) bool, now Time) (to int, redirect bool) {
 	if !t.spreading {
 		return Leader, controller != Leader
 	}
 	controllers, to := 0, controller
 	for i := range t.counts {
-		if now < t.closedUntil[i] || i != Leader && !open(i) {
-			continue // the leader too is closed where agents that were sent to it came back
+		if now < t.pausedUntil[i] || i != Leader && !open(i) {
+			continue // a pause applies to the leader too
 		}
 		controllers++
 		if t.counts[i] < t.counts[to] {
 			to = i
 		}
 	}
-	fair := (len(t.assignments) + controllers - 1) / max(1, controllers)
-	slack := max(minSlack, fair/slackDivisor)
-	if to == controller || t.counts[controller] <= fair+slack || t.counts[to] >= fair {
+	fairShare := (len(t.assignments) + controllers - 1) / max(1, controllers)
+	slack := max(minSlack, fairShare/slackDivisor)
+	if to == controller || t.counts[controller] <= fairShare+slack || t.counts[to] >= fairShare {
 		return controller, false
 	}
 	t.counts[controller]--
@@ -119,12 +118,12 @@
 	return to, true
 }
 
-// Forget drops the machines that have not reported since a time.
+// Forget drops machines that have not reported since the given time.
 func (t *Table) Forget(before Time) {
-	for m, assigned := range t.assignments {
+	for machine, assigned := range t.assignments {
 		if assigned.lastReport < before {
 			t.counts[assigned.controller]--
-			delete(t.assignments, m)
+			delete(t.assignments, machine)
 		}
 	}
 }
