--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -184,6 +184,7 @@
 	return b
 }
 
+// ReadReport decodes a report.
 func ReadReport(b []byte) (RenewalReport, error) {
 	r := codec.Reader{Data: b}
 	report := RenewalReport{Age: milliseconds(r.Uint()), RenewalAges: map[string]Time{}}
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -58,8 +58,8 @@
 // drawTable simulates renewals of the lease of machine m by a controller that restarts once, up to the time until. It
 // returns the table of the current process and the time of the last renewal by either process.
 func drawTable(rt *rapid.T, until time.Duration) (table *RenewalTable, last time.Duration) {
-	began := drawDuration(rt, "began", 0, 60*time.Second)
-	for _, process := range []struct{ start, end time.Duration }{{0, began}, {began, until}} {
+	started := drawDuration(rt, "started", 0, 60*time.Second)
+	for _, process := range []struct{ start, end time.Duration }{{0, started}, {started, until}} {
 		table = NewRenewalTable(process.start)
 		at := process.start
 		for range rapid.IntRange(0, 3).Draw(rt, "renewals") {
@@ -84,12 +84,12 @@
 
 func drawLargeZone(rt *rapid.T) (zone largeZone) {
 	const machines = 10_000
-	began := time.Duration(rapid.IntRange(0, 3600).Draw(rt, "began")) * time.Second
-	zone.table = NewRenewalTable(began)
+	started := time.Duration(rapid.IntRange(0, 3600).Draw(rt, "started")) * time.Second
+	zone.table = NewRenewalTable(started)
 	suspectInterval := rapid.IntRange(2, 50).Draw(rt, "one suspect machine in")
 	unrenewedInterval := rapid.IntRange(2, 50).Draw(rt, "one machine without a renewal in")
 	step := time.Duration(rapid.IntRange(1, 97).Draw(rt, "step")) * time.Millisecond
-	oldest := max(step, zoneNow-began)
+	oldest := max(step, zoneNow-started)
 	for i := range machines {
 		name := fmt.Sprintf("host-of-a-zone-%05d", i*7919%machines)
 		if i%suspectInterval == 0 {
