--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -1,21 +1,26 @@
 // Package health decides what a leader does about machines whose agents are silent, partitioned or quarantined, and
-// whether it is the leader itself that is isolated. It is pure: observations go in, actions come out; the caller
-// gathers the observations, and carries out the actions for one machine before it has the next one judged.
+// whether the leader itself is isolated. It performs no I/O: the caller collects observations, and executes the actions
+// for one machine before it passes in the next one.
 //
-// Many machines of a zone that fall silent at once look like a partition, in which they go on working; one or two look
-// dead or hung. So a round of decisions counts silent machines by zone first (Census) and judges each machine (Round)
-// by that count. What is remembered from round to round is the Detector, one for each term of leadership.
+// When many machines of a zone fall silent at once, a partition is likely, and the machines keep working; one or two
+// silent machines are more likely dead or hung. Each round of decisions therefore first counts the silent machines by
+// zone (Census), and then judges each machine by these counts (Round). The Detector keeps state between the rounds of
+// one term of leadership.
 //
-// That a machine's lease has expired does not prove its tasks gone: an agent that hangs ends them only when it wakes,
-// and they count until then. The cloud's answer to a release proves it, hung or not, and the cloud belongs to no zone.
-// Before the lease has expired a machine of a partitioned zone is left alone, since work there goes on; afterwards it
-// is released if it holds urgent work that may run elsewhere, or low-priority work that finds free room there. Of the
-// others nothing would be gained, and they are there when the partition ends: when all of a zone were released, half of
-// them for low-priority work that then waited elsewhere, a third of the fleet had to boot anew. Tasks of a cancelled
-// job are ended by the agent in time, unless it hangs: such a machine is released before that time is over, also if its
-// zone is partitioned from the leader alone, unless the controller there has just heard that no such task is left.
-// While the cloud is unavailable nothing is proven, and nothing is released for these reasons: the partition may end
-// first.
+// An expired lease does not prove that a machine's tasks have ended: a hung agent ends them only when it resumes, and
+// they may run until then. The cloud's confirmation of a release proves it in any case, and the cloud is not part of
+// any zone. A machine in a partitioned zone is kept until its lease has expired, since its tasks keep running. After
+// that it is released if it runs urgent tasks that may run elsewhere, or low-priority tasks for which there is free
+// capacity elsewhere. Releasing the other machines gains nothing, and they are available again when the partition ends:
+// when all machines of a zone were released, half of them for low-priority tasks that then queued elsewhere, a third of
+// the fleet had to be booted again.
+//
+// An agent ends the tasks of a cancelled job within the permitted time, unless it hangs. A silent machine with such
+// tasks is therefore released before that time is over, even if its zone is partitioned from the leader only, unless
+// the controller in the zone has just heard that none of them is left.
+//
+// While the cloud is unavailable, it cannot confirm a release, and nothing is released for these reasons: the partition
+// may end first.
 package health
 
 import (
@@ -24,104 +29,106 @@
 	"fieldhill/internal/config"
 )
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Rules are the bounds by which machines are judged. They follow from the settings and don't change.
+// Rules are the time-outs by which machines are judged. They are derived from the settings and don't change.
 type Rules struct {
-	HeartbeatS     float64 // seconds between two heartbeats of an agent
-	ProbeAfter     Time    // for how long a machine may be silent before it is probed
-	SilentAfter    Time    // for how long it may be silent, also when probed, before it counts as lost
-	CancelPatience Time    // for how long tasks of a cancelled job may remain on a machine that is not heard of
-	Zones          int     // how many zones the settings name
+	HeartbeatS     float64 // heartbeat interval of agents in seconds
+	ProbeAfter     Time    // a machine that is silent for longer is probed
+	SilentAfter    Time    // a machine that is silent for longer, despite probes, is considered lost
+	CancelPatience Time    // how long tasks of a cancelled job may remain on a silent machine
+	Zones          int     // number of zones in the settings
 }
 
-// heartbeatMissed is the age of the last heartbeat from which the next one counts as missed.
-func (r *Rules) heartbeatMissed() Time { return config.Seconds(r.HeartbeatS * 1.25) }
+// missedHeartbeatAge returns the age of the last heartbeat above which the next one counts as missed.
+func (r *Rules) missedHeartbeatAge() Time { return config.Seconds(r.HeartbeatS * 1.25) }
 
 const (
-	// firstContactGrace is what an agent gets on top of SilentAfter before its first heartbeat in a term, as it may
-	// still be looking for the leader. One with tasks and a known address is probed as soon as a leader is elected,
-	// and is silent then only if it hangs or is gone.
-	firstContactGrace = 6 * time.Second
-	// latenessInterval paces what reads all runs of all machines, and the raising of tokens in a partitioned zone.
+	// firstHeartbeatGrace extends SilentAfter before an agent's first heartbeat in a term, as the agent may still be
+	// searching for the leader. It does not apply to an agent with tasks and a known address: that is probed as soon
+	// as a leader is elected, and stays silent only if it hangs or is gone.
+	firstHeartbeatGrace = 6 * time.Second
+	// latenessInterval is the interval of the checks that read all tasks of all machines, and of raising the fencing
+	// tokens in a zone that receives no responses.
 	latenessInterval = 5 * time.Second
-	// minInboundPartitioned is from how many machines of a zone that don't receive answers the others are tested, too.
+	// minInboundPartitioned is the number of machines without responses from which the rest of the zone is tested too.
 	minInboundPartitioned = 2
-	// minSilentInZone is from how many silent machines on a zone may count as partitioned.
+	// minSilentInZone is the minimum number of silent machines for a zone to be considered partitioned.
 	minSilentInZone = 3
-	// partitionAftermath is for how long after its last sign a zone counts as partitioned: agents need some time to
-	// find the leader again.
-	partitionAftermath = 15 * time.Second
-	// partitionPatience is after how long a silent machine is released although its zone looks partitioned.
-	partitionPatience = 100 * time.Second
+	// partitionRecovery is how long a zone is still considered partitioned after the last round that detected it:
+	// agents need some time to find the leader again.
+	partitionRecovery = 15 * time.Second
+	// maxPartitionSilence is the silence after which a machine is released even if its zone is considered partitioned.
+	maxPartitionSilence = 100 * time.Second
 )
 
-// Machine is what the leader has observed of one machine when it is judged.
+// Machine is the leader's observation of one machine.
 type Machine struct {
 	Zone               int32
-	Reported           bool // a heartbeat of it was received in this term
-	Occupied           bool // tasks are placed on it
-	HasAddr            bool // the address of its agent is known
-	Suspect            bool // the log forbids all but the leader to renew its lease
-	Releasing          bool // its release is decided and in the log
+	Reported           bool // a heartbeat was received in this term
+	Occupied           bool // tasks are placed on the machine
+	HasAddr            bool // the agent's address is known
+	Suspect            bool // by a log entry, only the leader may renew the lease
+	Releasing          bool // the decision to release it is in the log
 	Quarantined        bool
-	InboundPartitioned bool // answers to it are known not to arrive
+	InboundPartitioned bool // responses are known not to reach the agent
 	SinceHeartbeat     Time // age of the last heartbeat
-	SilentFor          Time // for how long nothing was received of it, or it is known not to receive answers
+	SilentFor          Time // time since the last message, or since responses are known not to arrive
 }
 
-// wasUp tells whether a machine has ever come up. A suspect one has, too, though a new leader finds no task on it: a
-// whole zone was once released as never having come up, just as its partition ended.
-func (m *Machine) wasUp() bool { return m.Reported || m.Occupied || m.Suspect }
+// hasBeenUp reports whether a machine has ever been up. A suspect machine has been, even if a new leader finds no task
+// on it: otherwise the new leader may release a whole zone as not booted, just as its partition ends.
+func (m *Machine) hasBeenUp() bool { return m.Reported || m.Occupied || m.Suspect }
 
-// isLost tells whether a machine that came up has been silent for longer than it may be.
+// isLost reports whether a machine that was up has exceeded the permitted silence.
 func (m *Machine) isLost(rules *Rules) bool {
 	limit := rules.SilentAfter
 	if !m.Reported && (!m.Occupied || !m.HasAddr) {
-		limit += firstContactGrace
+		limit += firstHeartbeatGrace
 	}
-	return m.wasUp() && m.SilentFor > limit
+	return m.hasBeenUp() && m.SilentFor > limit
 }
 
-// Room is what tasks need, or what machines have free.
+// Room is an amount of resources: what tasks need, or what is free on machines.
 type Room struct{ CPUs, GPUs float64 }
 
-// Evidence answers what is costly to find out about the machine that is being judged, and so is asked for only when a
-// decision turns on it. Nothing is changed by asking.
+// Evidence provides facts about the judged machine that are costly to determine, and therefore requested only when a
+// decision depends on them. Its methods have no side effects.
 type Evidence interface {
-	// CancelledFor is for how long a job with a task on the machine has been cancelled; of several the longest.
+	// CancelledFor returns the time since the earliest cancellation of a job with a task on the machine.
 	CancelledFor() Time
-	// Cleared tells whether a controller that does not reach the leader has just heard from the machine, and no task
-	// of a cancelled job was left there.
+	// Cleared reports whether a controller that is partitioned from the leader has just heard from the machine that
+	// no task of a cancelled job is left on it.
 	Cleared() bool
-	// LeaseExpired tells whether the lease of the machine, which is suspect, has surely expired.
+	// LeaseExpired reports whether the lease of a suspect machine has certainly expired.
 	LeaseExpired() bool
-	// MovableWork tells whether urgent tasks on the machine may run in another zone, and what the others that may need.
+	// MovableWork reports whether urgent tasks on the machine may run in another zone, and the resources needed by
+	// low-priority tasks that may.
 	MovableWork() (urgent bool, low Room)
-	// FreeOutsideZone is the room for low-priority work outside the machine's zone. It is asked for once a round and
-	// zone.
+	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called once
+	// per round and zone.
 	FreeOutsideZone() Room
-	// ZoneMayBeAlive tells whether work in the machine's zone may go on under a controller there.
+	// ZoneMayBeAlive reports whether a controller in the machine's zone may be keeping its tasks running.
 	ZoneMayBeAlive() bool
 }
 
-// ActionKind is what is to be done about a machine.
+// ActionKind is the type of an action on a machine.
 type ActionKind uint8
 
 // The kinds of action.
 const (
-	RaiseToken      ActionKind = iota + 1 // raise its fencing token: the next heartbeat shows whether answers arrive
-	Probe                                 // ask it for its status
-	MarkPartitioned                       // nothing is placed on it until it is heard of again
-	MarkSuspect                           // let its lease expire
-	Release                               // release it to the cloud, for a reason
+	RaiseToken      ActionKind = iota + 1 // raise the fencing token: the next heartbeat shows whether responses arrive
+	Probe                                 // request the agent's status
+	MarkPartitioned                       // place nothing on the machine until it is heard from again
+	MarkSuspect                           // let the lease expire
+	Release                               // release the machine to the cloud
 )
 
-// ReleaseReason is why a machine is released, as logged.
+// ReleaseReason is the reason for a release, as it is logged.
 type ReleaseReason string
 
-// The reasons for a release.
+// The release reasons.
 const (
 	HeartbeatsMissing ReleaseReason = "heartbeats missing"
 	Quarantined       ReleaseReason = "quarantined"
@@ -130,22 +137,22 @@
 	NeededElsewhere   ReleaseReason = "zone partitioned, lease expired, tasks needed elsewhere"
 )
 
-// Action is one thing to be done about a machine. Reason is set for a Release.
+// Action is an action on a machine. Reason is set for Release only.
 type Action struct {
 	Kind   ActionKind
 	Reason ReleaseReason
 }
 
-// Detector is what a leader remembers of machines' health from round to round of one term. The zero value is ready.
-// It belongs to one goroutine.
+// Detector is the state of a leader's failure detection between the rounds of one term. The zero value is ready to use.
+// It is not safe for concurrent use.
 type Detector struct {
-	nextLatenessCheck Time           // lateness is checked in the first round after it
-	partitionedUntil  map[int32]Time // zones that are partitioned, or were until recently
-	missingSince      Time           // since when hardly any heartbeat arrives; 0: heartbeats arrive
+	nextLatenessCheck Time           // the first round after this time checks lateness
+	partitionedUntil  map[int32]Time // by zone: end of its partition, including partitionRecovery
+	missingSince      Time           // since when most heartbeats are missing; 0: they arrive
 }
 
-// Round is one round of decisions. It holds what was counted before the first, and the room that earlier ones gave
-// away.
+// Round is one round of decisions about all machines. It holds the counts taken at its start, and tracks the free
+// resources that its decisions have used.
 type Round struct {
 	rules             *Rules
 	detector          *Detector
@@ -154,15 +161,15 @@
 	cloudUnavailable  bool
 	checksLateness    bool
 	queriesPartitions bool
-	roomOutside       map[int32]*Room // by zone: what is free in the others and not given away in this round
+	freeOutside       map[int32]*Room // by zone: resources free in other zones and not yet used in this round
 }
 
-// Begin begins a round with the count of all machines. While the cloud does not answer, nothing is released that a
-// partition may give back.
+// Begin starts a round with the counts of all machines. While the cloud is unavailable, no machine is released that may
+// return at the end of a partition.
 func (d *Detector) Begin(rules *Rules, census *Census, now Time, cloudUnavailable bool) *Round {
 	r := &Round{
 		rules: rules, detector: d, census: census, now: now, checksLateness: now > d.nextLatenessCheck,
-		roomOutside: map[int32]*Room{}, cloudUnavailable: cloudUnavailable,
+		freeOutside: map[int32]*Room{}, cloudUnavailable: cloudUnavailable,
 	}
 	if r.checksLateness {
 		d.nextLatenessCheck = now + latenessInterval
@@ -172,34 +179,34 @@
 	}
 	for zone, count := range census.zones {
 		if count.silent >= minSilentInZone && count.silent*2 > count.up {
-			d.partitionedUntil[zone] = now + partitionAftermath
+			d.partitionedUntil[zone] = now + partitionRecovery
 		}
 	}
 	return r
 }
 
-// ChecksLateness tells whether the tasks of machines are compared with their peers' in this round.
+// ChecksLateness reports whether tasks are compared with their peers on other machines in this round.
 func (r *Round) ChecksLateness() bool { return r.checksLateness }
 
-// QueriesPartitions tells whether a machine was judged for which it matters what its zone's controllers still reach.
+// QueriesPartitions reports whether a decision depended on which machines the controllers of a zone still reach.
 func (r *Round) QueriesPartitions() bool { return r.queriesPartitions }
 
-// ReleasesUnbooted tells whether a machine of a zone that did not come up in time is released: in a partitioned zone it
-// may be up and not be heard of.
+// ReleasesUnbooted reports whether machines of a zone that did not boot in time are released. In a partitioned zone
+// they may be up without being heard from.
 func (r *Round) ReleasesUnbooted(zone int32) bool { return !r.isPartitioned(zone) }
 
 func (r *Round) isPartitioned(zone int32) bool { return r.now < r.detector.partitionedUntil[zone] }
 
-// Judge is what is to be done about a machine, in this order, before the next one is observed.
+// Judge returns the actions on a machine. The caller executes them in this order before it observes the next machine.
 func (r *Round) Judge(m *Machine, evidence Evidence) []Action {
 	var actions []Action
 	if r.checksLateness && m.Reported && r.census.inboundPartitioned(m.Zone) >= minInboundPartitioned {
-		actions = append(actions, Action{Kind: RaiseToken}) // the others of its zone receive as little, most likely
+		actions = append(actions, Action{Kind: RaiseToken}) // likely to receive no responses either
 	}
 	if m.Releasing {
 		return actions
 	}
-	if m.wasUp() && m.SilentFor > r.rules.ProbeAfter {
+	if m.hasBeenUp() && m.SilentFor > r.rules.ProbeAfter {
 		actions = append(actions, Action{Kind: Probe})
 	}
 	lost := m.isLost(r.rules)
@@ -211,10 +218,10 @@
 		return append(actions, Action{Release, Quarantined})
 	case !lost:
 		return actions
-	case !r.isPartitioned(m.Zone) || m.SilentFor >= partitionPatience:
+	case !r.isPartitioned(m.Zone) || m.SilentFor >= maxPartitionSilence:
 		return append(actions, Action{Release, HeartbeatsMissing})
 	}
-	// Idle ones, too: what was placed on them would wait for the end of the partition.
+	// This includes idle machines: tasks placed on them would wait for the end of the partition.
 	actions = append(actions, Action{Kind: MarkPartitioned}, Action{Kind: RaiseToken})
 	if !m.Suspect && m.Occupied {
 		r.queriesPartitions = true
@@ -225,8 +232,8 @@
 	return actions
 }
 
-// releaseInPartition tells whether a machine that is suspect or lost is released for what it holds, and why. The
-// package comment has the reasons.
+// releaseInPartition decides whether a suspect or lost machine is released because of its tasks, and for which reason.
+// The package comment explains the rules.
 func (r *Round) releaseInPartition(m *Machine, lost bool, evidence Evidence) (reason ReleaseReason, due bool) {
 	switch {
 	case !m.Occupied || r.cloudUnavailable:
@@ -239,18 +246,18 @@
 	return "", false
 }
 
-// neededElsewhere tells whether what is on a machine is to go on in another zone now: urgent work at once, as room is
-// made for it, and the rest as far as there is room that was not given to that of other machines.
+// neededElsewhere reports whether a machine's tasks are to continue in another zone now. Urgent tasks always are, since
+// capacity is freed for them; low-priority tasks only if they fit into the resources that this round has left.
 func (r *Round) neededElsewhere(zone int32, evidence Evidence) bool {
 	urgent, low := evidence.MovableWork()
 	if urgent || low.CPUs == 0 && low.GPUs == 0 {
 		return urgent
 	}
-	free := r.roomOutside[zone]
+	free := r.freeOutside[zone]
 	if free == nil {
 		outside := evidence.FreeOutsideZone()
 		free = &outside
-		r.roomOutside[zone] = free
+		r.freeOutside[zone] = free
 	}
 	if low.CPUs > free.CPUs || low.GPUs > free.GPUs {
 		return false
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -6,21 +6,21 @@
 	"fieldhill/internal/config"
 )
 
-// Census counts by zone the machines that came up, and how many of them are silent. The zero value is empty.
+// Census counts, by zone, the machines that were up and the silent ones among them. The zero value is empty.
 type Census struct {
 	zones map[int32]*zoneCount
 }
 
 type zoneCount struct {
-	up                 int // machines that came up
-	silent             int // of these, those whose last heartbeat was missed, or that don't receive answers
-	inboundPartitioned int // of these, those that don't receive answers
+	up                 int // machines that were up
+	silent             int // of these, the ones that missed a heartbeat or don't receive responses
+	inboundPartitioned int // of these, the ones that don't receive responses
 }
 
-// Add counts a machine. When the first machine of a partitioned zone has been silent for too long, every other one has
-// missed a heartbeat too; outside a partition few have.
+// Add counts a machine. A single missed heartbeat makes a machine silent here: when the first machine of a partitioned
+// zone reaches SilentAfter, every other one has missed a heartbeat too, and outside a partition few have.
 func (c *Census) Add(rules *Rules, m *Machine) {
-	if !m.wasUp() {
+	if !m.hasBeenUp() {
 		return
 	}
 	if c.zones == nil {
@@ -32,7 +32,7 @@
 		c.zones[m.Zone] = count
 	}
 	count.up++
-	if m.InboundPartitioned || m.SinceHeartbeat > rules.heartbeatMissed() {
+	if m.InboundPartitioned || m.SinceHeartbeat > rules.missedHeartbeatAge() {
 		count.silent++
 	}
 	if m.InboundPartitioned {
@@ -47,7 +47,7 @@
 	return 0
 }
 
-// Totals are how many machines came up in all zones, and how many of these are silent.
+// Totals returns the number of machines that were up in all zones, and of the silent ones among them.
 func (c *Census) Totals() (up, silent int) {
 	for _, count := range c.zones {
 		up, silent = up+count.up, silent+count.silent
@@ -65,47 +65,48 @@
 }
 
 const (
-	// isolationGrace is for how long hardly any heartbeat may arrive, though some machines are probed, before the
-	// leader resigns: longer than they have to answer.
+	// isolationGrace is how long most heartbeats may be missing, after machines were probed, before the leader
+	// resigns. It exceeds the time-out of a probe.
 	isolationGrace = 1500 * time.Millisecond
-	// minIsolationMachines is from how many machines on the silence of most is no accident.
+	// minIsolationMachines is the minimum number of machines whose silence indicates isolation rather than coincidence.
 	minIsolationMachines = 3
-	// isolationProbes is about how many machines are probed when hardly any heartbeat arrives.
+	// isolationProbes is the approximate number of machines probed when most heartbeats are missing.
 	isolationProbes = 12
 )
 
-// silenceLimit is for how long no heartbeat at all may arrive from so many machines before that is no accident: a dozen
-// are missing by then.
+// silenceLimit returns how long no heartbeat at all may arrive from the given number of machines before this indicates
+// isolation: the time in which a dozen heartbeats are expected, and at least 1 s.
 func (r *Rules) silenceLimit(machines int) Time {
 	return max(time.Second, config.Seconds(12*r.HeartbeatS/float64(machines)))
 }
 
-// Reach is what a leader has observed of its own connections.
+// Reach is a leader's observation of its own connectivity.
 type Reach struct {
-	SinceHeartbeat Time // since any heartbeat arrived
-	SinceGrace     Time // since all machines should have found this leader; negative: they still have time
-	PeerReachable  bool // another controller answers
+	SinceHeartbeat Time // time since the last heartbeat of any machine
+	SinceGrace     Time // time since the machines' grace period for finding this leader ended; negative: until then
+	PeerReachable  bool // another controller responds
 }
 
-// IsolationAction is what a leader does about its own isolation.
+// IsolationAction is a leader's reaction to its own isolation.
 type IsolationAction uint8
 
-// The actions about the leader's own isolation.
+// The isolation actions.
 const (
-	NotIsolated   IsolationAction = iota // or not for long enough to tell
-	ProbeMachines                        // hardly any heartbeat arrives: probe some machines (ProbeStride)
-	Resign                               // probes were not answered either: another controller leads better
+	NotIsolated   IsolationAction = iota // not isolated, or not yet known to be
+	ProbeMachines                        // most heartbeats are missing: probe some machines (ProbeStride)
+	Resign                               // probes had no response either: let another controller lead
 )
 
-// CheckIsolation tells whether the machines of all zones are silent at once and don't answer when probed, while another
-// controller is reached. Then it is this leader that has lost them, and their leases would expire under it.
+// CheckIsolation detects that the machines of all zones are silent at once and don't respond to probes, while another
+// controller is reachable. In that case this leader has lost its connection to them, and their leases would expire if
+// it stayed the leader.
 func (d *Detector) CheckIsolation(rules *Rules, census *Census, reach Reach, now Time) IsolationAction {
 	total, silent := census.Totals()
-	minZones := min(2, rules.Zones) // where there is only one zone, its partition looks the same
+	minZones := min(2, rules.Zones) // a single zone cannot tell its partition from the leader's isolation
 	nothingReceived := total >= minIsolationMachines && len(census.zones) >= minZones &&
 		reach.SinceHeartbeat > rules.silenceLimit(total)
 	mostSilent := silent >= minIsolationMachines && silent*10 >= total*9 && census.zonesWithSilent() >= minZones
-	// Agents look for a new leader first.
+	// After an election, agents need time to find the new leader.
 	if !reach.PeerReachable || !nothingReceived && !mostSilent ||
 		reach.SinceGrace < 2*config.Seconds(rules.HeartbeatS) {
 		d.missingSince = 0
@@ -121,9 +122,9 @@
 	return Resign
 }
 
-// OnStall begins the detection of the leader's own isolation anew: its process stood still, and what machines sent
-// meanwhile is still to be read.
+// OnStall restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile are yet
+// to be read.
 func (d *Detector) OnStall() { d.missingSince = 0 }
 
-// ProbeStride is every how many of all machines one is probed when hardly any heartbeat arrives.
+// ProbeStride returns n such that every n-th machine is probed when most heartbeats are missing.
 func ProbeStride(machines int) int { return max(1, machines/isolationProbes) }
