--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -1,128 +1,129 @@
-// Package staleness judges what an agent's message proves about now, and whether what is sent to the agent arrives. It
-// is pure: numbers and fencing tokens go in, a judgement comes out. Everything that follows from a heartbeat asks here
-// first.
+// Package staleness determines whether an agent's message reflects its current state, and whether responses reach the
+// agent. It performs no I/O: it evaluates sequence numbers and fencing tokens only. Any use of a heartbeat's contents
+// requires its verdict first.
 //
-// An agent's messages carry two numbers that only grow, its epoch and its sequence, and the highest fencing token that
-// it has seen, which only grows as well. Copies of heartbeats come late, from seconds to well over a lease; machines
-// are back under the same name within a fraction of a second, and whether their numbers go on then or begin at 1 the
-// protocol does not say; and a leader that was just elected knows no numbers at all. So a heartbeat alone may be of any
-// time in the past:
+// An agent's messages carry an epoch, a sequence number, and the highest fencing token that the agent has seen, none of
+// which decreases while the agent runs. Duplicates of heartbeats may arrive late, by seconds to well over a lease
+// duration. Machines may return under the same name within a fraction of a second, and the protocol does not specify
+// whether their numbers then continue or restart at 1. A newly elected leader knows no numbers at all. A heartbeat on
+// its own may therefore be of any age:
 //
-//   - a heartbeat with a number or a token that goes back is a copy, was overtaken, or comes from an agent that has
-//     restarted. It proves nothing, and the machine is probed;
-//   - the first heartbeat of a term proves nothing either, unless it carries a token of the term, which the agent can
-//     only have from this leader;
-//   - the response to a probe was made after the probe. If it goes behind what was received before the probe was sent,
-//     the agent has restarted: what it ran before is over. From then on only heartbeats with a token that was
-//     given out later count, since copies from its earlier incarnation have the higher numbers.
+//   - A heartbeat with a lower number or token is a duplicate, was reordered, or comes from an agent that has
+//     restarted. It proves nothing, and the machine is probed.
+//   - The first heartbeat of a term proves nothing either, unless it carries a token of the term, which the agent can
+//     only have received from this leader.
+//   - The response to a probe was sent after the probe. If its number or token is lower than what was received before
+//     the probe was sent, the agent has restarted, and its earlier tasks have ended. From then on only heartbeats with
+//     a token issued later are accepted, since duplicates from the earlier incarnation have higher numbers.
 //
-// An agent that has taken the answer to a heartbeat has the answer's token when it sends the next one. If it has not,
-// the answer did not arrive. Raising the token costs nothing, so any doubt is settled by the next two heartbeats.
+// An agent that received the response to a heartbeat includes the response's token in the next one; otherwise the
+// response was lost. Raising the token costs nothing, so two further heartbeats settle any doubt.
 package staleness
 
-// Number orders an agent's messages: by its epoch, and within one by their sequence.
+// Number orders an agent's messages by epoch, and within an epoch by sequence number.
 type Number struct{ Session, Seq uint64 }
 
-// After tells whether a message is newer than another one of the same incarnation.
+// After reports whether a message is newer than another one of the same incarnation.
 func (a Number) After(b Number) bool {
 	return a.Session > b.Session || a.Session == b.Session && a.Seq > b.Seq
 }
 
-// Stamp is what a message says of itself: its number, and the highest fencing token that its agent had seen.
+// Stamp is a message's number, and the highest fencing token that the agent had seen when it sent the message.
 type Stamp struct {
 	Number
 	Token uint64
 }
 
-// behind tells whether a message's number or token goes behind those of another one.
+// behind reports whether a message's number is not newer, or its token is lower, than another message's.
 func (s Stamp) behind(other Stamp) bool { return !s.After(other.Number) || s.Token < other.Token }
 
-// Freshness is what a message proves.
+// Freshness is the verdict on a message.
 type Freshness uint8
 
 // The verdicts.
 const (
-	Stale     Freshness = iota // nothing about now: the machine is to be probed
-	Unproven                   // nothing about now: the first message of a term, which may as well be a copy
-	Fresh                      // newer than all that was received
-	Restarted                  // that the agent restarted, after all that was received
+	Stale     Freshness = iota // not proven current: the machine is to be probed
+	Unproven                   // not proven current: the first message of a term, which may be a late duplicate
+	Fresh                      // newer than all messages received before
+	Restarted                  // the agent restarted after all messages received before
 )
 
-// Question is what had been received when a probe was sent.
+// Question is the state of a Tracker when a probe was sent.
 type Question struct {
 	newest       Stamp
 	known        bool
 	incarnations int
 }
 
-// Tracker is what a leader has received from one machine in its term. The zero value has received nothing.
+// Tracker is the state of a leader's message exchange with one machine in its term. In the zero value, nothing was
+// received.
 type Tracker struct {
-	newest         Stamp  // of the newest message of the present incarnation
+	newest         Stamp  // of the newest message of the current incarnation
 	known          bool   // a message was received
-	incarnations   int    // how often the agent was seen to have restarted
-	fence          uint64 // only the present incarnation can have a token from this one on; 0: none was seen to end
-	lastAnswer     Stamp  // the last answer to a heartbeat: its token, and the heartbeat's number; token 0: none
-	unacknowledged int    // heartbeats in a row that show that the answer before did not arrive
+	incarnations   int    // number of detected restarts
+	fence          uint64 // lowest token that only the current incarnation can have; 0: no restart was detected
+	lastResponse   Stamp  // token of the last response to a heartbeat, and the heartbeat's number; token 0: none
+	unacknowledged int    // consecutive heartbeats that show that the previous response did not arrive
 }
 
-// Ask returns what is known as a probe is sent.
+// Ask returns the current state, to be kept with a probe that is sent now.
 func (t *Tracker) Ask() *Question { return &Question{t.newest, t.known, t.incarnations} }
 
-// Judge tells what a message proves; term is the lowest token of the leader's term, minSession an epoch that the agent
-// is known, by the log, to have reached, and question what was known when the message was asked for, nil for a
-// heartbeat, for which nobody asked.
-func (t *Tracker) Judge(stamp Stamp, term, minSession uint64, question *Question) Freshness {
+// Judge returns the verdict on a message. termBase is the lowest token of the leader's term, minEpoch an epoch that the
+// agent has reached according to the log, and question the result of Ask for the probe that the message responds to, or
+// nil for a heartbeat.
+func (t *Tracker) Judge(stamp Stamp, termBase, minEpoch uint64, question *Question) Freshness {
 	switch {
-	case !t.known && question == nil && stamp.Token < term:
+	case !t.known && question == nil && stamp.Token < termBase:
 		return Unproven
-	case !t.known && stamp.Session < minSession:
+	case !t.known && stamp.Session < minEpoch:
 		return Restarted
 	case !t.known:
 		return Fresh
 	case question != nil && question.known && question.incarnations == t.incarnations && stamp.behind(question.newest):
 		return Restarted
 	case !stamp.After(t.newest.Number), question == nil && stamp.Token < max(t.newest.Token, t.fence):
-		return Stale // a copy, or another answer was faster
+		return Stale // a duplicate, or overtaken by a later message
 	}
 	return Fresh
 }
 
-// Accept takes in a message that is Fresh or Restarted. Fence is the lowest token that nobody was given yet, for an
-// agent that restarted. It tells whether the message shows that an answer arrived.
-func (t *Tracker) Accept(stamp Stamp, freshness Freshness, fence uint64, report bool) (acknowledged bool) {
+// Accept records a message that is Fresh or Restarted, and reports whether it proves that a response arrived. fence is
+// the lowest token that has not been issued yet, and is used if the agent restarted. isHeartbeat is false for a probe
+// response.
+func (t *Tracker) Accept(stamp Stamp, freshness Freshness, fence uint64, isHeartbeat bool) (acknowledged bool) {
 	if freshness == Restarted {
 		t.incarnations++
-		t.fence, t.lastAnswer = fence, Stamp{}
+		t.fence, t.lastResponse = fence, Stamp{}
 	}
-	awaitingToken := t.lastAnswer.Token > t.newest.Token // the agent did not have it when it was sent
+	awaitingToken := t.lastResponse.Token > t.newest.Token // the agent did not have the token before
 	t.newest, t.known = stamp, true
 	switch {
 	case !awaitingToken:
-	case stamp.Token >= t.lastAnswer.Token:
+	case stamp.Token >= t.lastResponse.Token:
 		t.unacknowledged, acknowledged = 0, true
-	case report && stamp.After(t.lastAnswer.Number):
-		// It waits for an answer for a while before it sends its next heartbeat, so that one is not under way any
-		// more.
+	case isHeartbeat && stamp.After(t.lastResponse.Number):
+		// An agent waits for the response for a while before it sends the next heartbeat, so that the response cannot
+		// still be in transit.
 		t.unacknowledged++
 	}
 	return acknowledged
 }
 
-// RecordAnswer notes that the heartbeat taken in last is answered with a token.
-func (t *Tracker) RecordAnswer(token uint64) { t.lastAnswer = Stamp{t.newest.Number, token} }
+// RecordAnswer records that the response to the last accepted heartbeat carries the token.
+func (t *Tracker) RecordAnswer(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
 
-// Number is that of the newest message.
+// Number returns the number of the newest message.
 func (t *Tracker) Number() Number { return t.newest.Number }
 
-// Token is the highest token that the agent is known to have.
+// Token returns the highest token that the agent is known to have.
 func (t *Tracker) Token() uint64 { return t.newest.Token }
 
-// Fenced tells whether nothing that was sent to an earlier incarnation can be taken any more: the agent has a token
-// that is higher.
+// Fenced reports whether the agent has a token that makes it reject everything sent to an earlier incarnation.
 func (t *Tracker) Fenced() bool { return t.newest.Token >= t.fence }
 
-// OneWay tells whether answers do not arrive.
+// OneWay reports whether responses do not reach the agent although its heartbeats arrive.
 func (t *Tracker) OneWay() bool { return t.unacknowledged > 0 }
 
-// Incarnations counts how often the agent was seen to have restarted.
+// Incarnations returns the number of detected restarts of the agent.
 func (t *Tracker) Incarnations() int { return t.incarnations }
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -2,112 +2,111 @@
 
 import "testing"
 
-func newStamp(session, seq, token uint64) Stamp { return Stamp{Number{session, seq}, token} }
+func newStamp(epoch, seq, token uint64) Stamp { return Stamp{Number{epoch, seq}, token} }
 
-// TestJudge: what a message proves, by who asked for it and what was received before.
 func TestJudge(t *testing.T) {
-	const term = 100
-	trackerOf := func(stamps ...Stamp) *Tracker {
+	const termBase = 100
+	newTracker := func(stamps ...Stamp) *Tracker {
 		tracker := &Tracker{}
-		for _, w := range stamps {
-			tracker.Accept(w, Fresh, 0, true)
+		for _, stamp := range stamps {
+			tracker.Accept(stamp, Fresh, 0, true)
 		}
 		return tracker
 	}
-	for _, c := range []struct {
-		name       string
-		tracker    *Tracker
-		stamp      Stamp
-		minSession uint64
-		asked      bool
-		want       Freshness
+	for _, test := range []struct {
+		name     string
+		tracker  *Tracker
+		stamp    Stamp
+		minEpoch uint64
+		probed   bool
+		want     Freshness
 	}{
-		{"the first heartbeat of a term may be of any time",
-			trackerOf(), newStamp(3, 7, 99), 0, false, Unproven},
-		{"unless it has a token of the term",
-			trackerOf(), newStamp(3, 7, 100), 0, false, Fresh},
-		{"or was asked for",
-			trackerOf(), newStamp(3, 7, 0), 0, true, Fresh},
-		{"an agent that the log knows in a later epoch has restarted",
-			trackerOf(), newStamp(1, 2, 0), 5, true, Restarted},
-		{"which a heartbeat without a token of the term does not prove",
-			trackerOf(), newStamp(1, 2, 0), 5, false, Unproven},
-		{"a newer one",
-			trackerOf(newStamp(1, 4, 100)), newStamp(1, 5, 100), 0, false, Fresh},
-		{"the same again",
-			trackerOf(newStamp(1, 4, 100)), newStamp(1, 4, 100), 0, false, Stale},
-		{"an older epoch with a larger number",
-			trackerOf(newStamp(2, 4, 100)), newStamp(1, 90, 100), 0, false, Stale},
-		{"a token that goes back",
-			trackerOf(newStamp(1, 4, 101)), newStamp(1, 5, 100), 0, false, Stale},
-		{"an answer whose numbers go back",
-			trackerOf(newStamp(1, 4, 101)), newStamp(1, 2, 0), 0, true, Restarted},
-		{"an answer whose token alone goes back",
-			trackerOf(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
+		{"first heartbeat of a term",
+			newTracker(), newStamp(3, 7, 99), 0, false, Unproven},
+		{"first heartbeat with a token of the term",
+			newTracker(), newStamp(3, 7, 100), 0, false, Fresh},
+		{"first message is a probe response",
+			newTracker(), newStamp(3, 7, 0), 0, true, Fresh},
+		{"probe response with an epoch below that in the log",
+			newTracker(), newStamp(1, 2, 0), 5, true, Restarted},
+		{"heartbeat with an epoch below that in the log, without a token of the term",
+			newTracker(), newStamp(1, 2, 0), 5, false, Unproven},
+		{"newer heartbeat",
+			newTracker(newStamp(1, 4, 100)), newStamp(1, 5, 100), 0, false, Fresh},
+		{"duplicate heartbeat",
+			newTracker(newStamp(1, 4, 100)), newStamp(1, 4, 100), 0, false, Stale},
+		{"older epoch with a higher sequence number",
+			newTracker(newStamp(2, 4, 100)), newStamp(1, 90, 100), 0, false, Stale},
+		{"heartbeat with a lower token",
+			newTracker(newStamp(1, 4, 101)), newStamp(1, 5, 100), 0, false, Stale},
+		{"probe response with a lower number",
+			newTracker(newStamp(1, 4, 101)), newStamp(1, 2, 0), 0, true, Restarted},
+		{"probe response with a lower token only",
+			newTracker(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
 	} {
 		var question *Question
-		if c.asked {
-			question = c.tracker.Ask()
+		if test.probed {
+			question = test.tracker.Ask()
 		}
-		if freshness := c.tracker.Judge(c.stamp, term, c.minSession, question); freshness != c.want {
-			t.Errorf("%s: %d, want %d", c.name, freshness, c.want)
+		if freshness := test.tracker.Judge(test.stamp, termBase, test.minEpoch, question); freshness != test.want {
+			t.Errorf("%s: verdict %d, want %d", test.name, freshness, test.want)
 		}
 	}
 }
 
-// TestOvertaken: of two answers the later one counts, and one that a heartbeat overtook is no proof of a restart.
-func TestOvertaken(t *testing.T) {
+// TestOvertakenProbeResponse checks that a probe response that was overtaken by a later heartbeat is stale, and no
+// proof of a restart.
+func TestOvertakenProbeResponse(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
 	question := tracker.Ask()
 	tracker.Accept(newStamp(1, 12, 100), Fresh, 0, true)
 	if freshness := tracker.Judge(newStamp(1, 11, 100), 100, 0, question); freshness != Stale {
-		t.Errorf("an answer that was overtaken is %d", freshness)
+		t.Errorf("verdict on an overtaken probe response is %d, want %d", freshness, Stale)
 	}
 }
 
-// TestRestartedIncarnation: after an agent restarted, copies from its earlier incarnation have the higher numbers, and
-// don't count; heartbeats do once they show a token that was given out since.
+// TestRestartedIncarnation checks that after a restart of an agent, duplicates from its earlier incarnation are stale
+// although they have higher numbers, and that heartbeats with a token issued since the restart are fresh.
 func TestRestartedIncarnation(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 50, 100), Fresh, 0, true)
 	question := tracker.Ask()
-	answer := newStamp(1, 2, 0)
-	if freshness := tracker.Judge(answer, 100, 0, question); freshness != Restarted {
-		t.Fatalf("an answer that goes back is %d", freshness)
+	response := newStamp(1, 2, 0)
+	if freshness := tracker.Judge(response, 100, 0, question); freshness != Restarted {
+		t.Fatalf("verdict on a probe response with a lower number is %d, want %d", freshness, Restarted)
 	}
-	tracker.Accept(answer, Restarted, 101, false)
+	tracker.Accept(response, Restarted, 101, false)
 	if tracker.Fenced() {
-		t.Error("an incarnation that has not shown the new token is fenced")
+		t.Error("agent is fenced before it has shown the new token")
 	}
 	if freshness := tracker.Judge(newStamp(1, 60, 100), 100, 0, nil); freshness != Stale {
-		t.Errorf("a copy from the earlier incarnation is %d", freshness)
+		t.Errorf("verdict on a duplicate from the earlier incarnation is %d, want %d", freshness, Stale)
 	}
 	if freshness := tracker.Judge(newStamp(1, 3, 101), 100, 0, nil); freshness != Fresh {
-		t.Errorf("a heartbeat with the new token is %d", freshness)
+		t.Errorf("verdict on a heartbeat with the new token is %d, want %d", freshness, Fresh)
 	}
 	tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true)
 	if !tracker.Fenced() || tracker.Incarnations() != 1 {
-		t.Errorf("fenced %v, incarnations %d", tracker.Fenced(), tracker.Incarnations())
+		t.Errorf("fenced %v, %d restarts; want true, 1", tracker.Fenced(), tracker.Incarnations())
 	}
 }
 
-// TestInboundPartition: an agent that does not show the token it was sent, though it sent its next heartbeat, did not
-// get the answer.
+// TestInboundPartition checks that a response counts as lost if the agent's next heartbeat does not carry its token.
 func TestInboundPartition(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 1, 100), Fresh, 0, true)
 	tracker.RecordAnswer(101)
 	tracker.Accept(newStamp(1, 2, 100), Fresh, 0, true)
 	if !tracker.OneWay() {
-		t.Error("an answer that did not arrive is not noticed")
+		t.Error("lost response is not detected")
 	}
 	tracker.RecordAnswer(101)
 	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.OneWay() {
-		t.Errorf("an answer that arrived: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+		t.Errorf("after a received response: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
 	}
-	tracker.RecordAnswer(101) // it has it: nothing is tried
+	tracker.RecordAnswer(101) // the agent already has this token, so the response proves nothing
 	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.OneWay() {
-		t.Errorf("nothing was tried: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+		t.Errorf("without a new token: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
 	}
 }
