--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent is the client of the API of the agents, the processes that run tasks on the machines.
+// Package agent is the client of the API of agents, the processes that run tasks on machines.
 package agent
 
 import (
@@ -15,18 +15,18 @@
 	"fieldhill/wire"
 )
 
-// Client sends agents direct commands, and probes them.
+// Client sends direct commands and probes to agents.
 type Client struct {
 	transport *msgpackhttp.Client
 	timeout   time.Duration
-	slots     chan struct{} // for commands in flight
+	slots     chan struct{} // commands in flight
 }
 
-// New makes a client. A command that has no response fails after the timeout, and may be executed later all the same.
+// New returns a client. A command without a response fails after the timeout, and may still be executed later.
 //
-// conns bounds the connections: half of them may be idle, and half carry commands at once. When a thousand machines get
-// work in the same moment, or hundreds do not respond, the client must not use up the sockets of the process. Probes
-// beside them close idle connections where all together would be more.
+// conns bounds the connections: half of them may be idle, and half may carry commands at the same time. The client must
+// not use up the sockets of the process when a thousand machines get work at once, or when hundreds do not respond.
+// Probes come on top, and close idle connections if the total would exceed the bound.
 func New(network host.Net, timeout time.Duration, conns int) *Client {
 	c := &Client{timeout: timeout, slots: make(chan struct{}, max(1, conns/2))}
 	counted := &countingNetwork{Net: network, maxOpen: int64(conns), closeIdle: c.Close}
@@ -34,8 +34,8 @@
 	return c
 }
 
-// countingNetwork is a network whose connections, and tries to make one, are counted; before each one above maxOpen it
-// calls closeIdle.
+// countingNetwork counts established and pending connections, and calls closeIdle before it dials a connection above
+// maxOpen.
 type countingNetwork struct {
 	host.Net
 	maxOpen   int64
@@ -43,7 +43,7 @@
 	closeIdle func()
 }
 
-// Dial connects to an address.
+// Dial implements host.Net.
 func (n *countingNetwork) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	if n.open.Add(1) > n.maxOpen {
 		n.closeIdle()
@@ -56,41 +56,41 @@
 	return &countingConn{Conn: c, net: n}, nil
 }
 
-// countingConn counts until it is first closed.
+// countingConn is counted until it is closed for the first time.
 type countingConn struct {
 	net.Conn
 	net  *countingNetwork
 	once sync.Once
 }
 
-// Close closes the connection, which no longer counts.
+// Close closes the connection and removes it from the count.
 func (c *countingConn) Close() error {
 	c.once.Do(func() { c.net.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// slotTimeout is how long a command waits until there are fewer in flight. Then it is left to the response to the
-// agent's next heartbeat.
+// slotTimeout is how long a command waits while too many others are in flight. After that, it is left to the response
+// to the agent's next heartbeat.
 const slotTimeout = 500 * time.Millisecond
 
-// ErrTooManyInFlight says that a command was not sent since too many others have no response yet.
+// ErrTooManyInFlight is returned for a command that was not sent because too many others are awaiting responses.
 var ErrTooManyInFlight = errors.New("agent: too many commands in flight")
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// CommandFate is what became of a direct command.
+// CommandFate is the outcome of a direct command.
 type CommandFate int
 
-// What may become of a command.
+// The outcomes of a command. The numbers are part of the format between controllers.
 const (
 	Executed CommandFate = iota
-	Refused              // fencing token or agent epoch did not match: nothing was executed
-	Unsent               // it surely was not sent
-	Unknown              // it may be executed at any later time
+	Refused              // rejected, for example because of its fencing token or agent epoch: nothing was executed
+	Unsent               // certainly not sent
+	Unknown              // possibly executed, now or at any later time
 )
 
-// Probe asks an agent for its heartbeat.
+// Probe requests a heartbeat from an agent.
 func (c *Client) Probe(ctx context.Context, addr string, timeout time.Duration) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	return &heartbeat, c.transport.Do(ctx, http.MethodGet, addr, wire.PathShow, nil, &heartbeat, wire.MaxBody)
 }
 
-// SendOrders sends commands. The heartbeat is the agent's, if it sent one.
+// SendOrders sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
 func (c *Client) SendOrders(
 	ctx context.Context, addr string, orders *wire.Orders,
 ) (CommandFate, *wire.Heartbeat, error) {
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -21,19 +21,19 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// TestCommandsInFlightAreBounded: when hundreds of machines that do not respond are sent commands at once, those beyond
-// the bound are known not to have been sent, within half a second, instead of taking the process's last sockets.
+// TestCommandsInFlightAreBounded checks that when commands are sent to hundreds of unresponsive machines at once, those
+// above the bound fail as unsent within slotTimeout, instead of using up the sockets of the process.
 func TestCommandsInFlightAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns, machines = 20, 200
-		net := emulator.NewNetwork()
-		client := New(net.Host("node"), 3*time.Second, conns)
+		network := emulator.NewNetwork()
+		client := New(network.Host("node"), 3*time.Second, conns)
 		var mu sync.Mutex
 		fates := map[CommandFate]int{}
 		var wg sync.WaitGroup
 		for i := range machines {
 			addr := fmt.Sprintf("w%d:1", i)
-			ln, err := net.Host(addr).Listen(addr) // it accepts, and never answers
+			ln, err := network.Host(addr).Listen(addr) // accepts connections, and never responds
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,13 +46,13 @@
 				defer mu.Unlock()
 				fates[fate]++
 				if elapsed := time.Since(start); fate == Unsent && elapsed > slotTimeout+time.Millisecond {
-					t.Errorf("a command that was not sent took %v", elapsed)
+					t.Errorf("unsent command took %v, want at most %v", elapsed, slotTimeout+time.Millisecond)
 				}
 			})
 		}
 		wg.Wait()
 		if fates[Unknown] != conns/2 || fates[Unsent] != machines-conns/2 {
-			t.Errorf("%d commands without an answer and %d not sent, of %d with room for %d",
+			t.Errorf("%d commands without a response and %d unsent, of %d commands with a bound of %d in flight",
 				fates[Unknown], fates[Unsent], machines, conns/2)
 		}
 		client.Close()
@@ -60,7 +60,7 @@
 	})
 }
 
-// closeOrFail closes what a test has opened.
+// closeOrFail closes c, and fails the test on an error other than net.ErrClosed.
 func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -68,41 +68,41 @@
 	}
 }
 
-// sockets is a network that counts its open connections.
-type sockets struct {
+// socketCounter is a network that counts its open connections independently of the client.
+type socketCounter struct {
 	host.Net
-	open, most atomic.Int64
+	open, maxOpen atomic.Int64
 }
 
-func (s *sockets) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+func (s *socketCounter) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	c, err := s.Net.Dial(ctx, addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	s.most.Store(max(s.most.Load(), s.open.Add(1)))
-	return &socket{Conn: c, of: s}, nil
+	s.maxOpen.Store(max(s.maxOpen.Load(), s.open.Add(1)))
+	return &countedSocket{Conn: c, counter: s}, nil
 }
 
-type socket struct {
+type countedSocket struct {
 	net.Conn
-	of   *sockets
-	once sync.Once
+	counter *socketCounter
+	once    sync.Once
 }
 
-func (c *socket) Close() error {
-	c.once.Do(func() { c.of.open.Add(-1) })
+func (c *countedSocket) Close() error {
+	c.once.Do(func() { c.counter.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// TestProbesTakeIdleConnections: idle connections, commands and probes take no more sockets together than the client
-// was given: where probes come on top of as many commands and idle connections as there may be, idle ones close. Below
-// that bound they are kept.
-func TestProbesTakeIdleConnections(t *testing.T) {
+// TestProbesCloseIdleConnections checks that idle connections, commands and probes together stay within the client's
+// bound: probes on top of the maximum of commands and idle connections close idle ones. Below the bound, idle
+// connections are kept.
+func TestProbesCloseIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns = 40
 		network := emulator.NewNetwork()
-		count := &sockets{Net: network.Host("node")}
-		c := New(count, 3*time.Second, conns)
+		counter := &socketCounter{Net: network.Host("node")}
+		client := New(counter, 3*time.Second, conns)
 		listen := func(name string) (net.Listener, string) {
 			ln, err := network.Host(name).Listen(name + ":1")
 			if err != nil {
@@ -112,42 +112,42 @@
 		}
 		var wg sync.WaitGroup
 		for i := range conns / 2 {
-			ln, addr := listen(fmt.Sprint("well", i))
-			defer closeOrFail(t, ln)
+			listener, addr := listen(fmt.Sprint("responsive", i))
+			defer closeOrFail(t, listener)
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				b, _ := wire.Marshal(&wire.Heartbeat{Machine: "m", AgentEpoch: 1})
 				_, _ = w.Write(b)
 			})}
-			go func() { _ = srv.Serve(ln) }()
+			go func() { _ = srv.Serve(listener) }()
 			defer closeOrFail(t, srv)
 			wg.Go(func() {
-				if _, err := c.Probe(context.Background(), addr, time.Second); err != nil {
+				if _, err := client.Probe(context.Background(), addr, time.Second); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		wg.Wait()
-		if k := count.open.Load(); k != conns/2 {
-			t.Errorf("%d connections are kept, not %d", k, conns/2)
+		if open := counter.open.Load(); open != conns/2 {
+			t.Errorf("%d idle connections are kept, want %d", open, conns/2)
 		}
 		for i := range conns / 2 {
-			silent, addr := listen(fmt.Sprint("silent", i)) // it accepts, and never answers
+			silent, addr := listen(fmt.Sprint("silent", i)) // accepts connections, and never responds
 			defer closeOrFail(t, silent)
-			asked, askedAddr := listen(fmt.Sprint("asked", i))
-			defer closeOrFail(t, asked)
+			probed, probedAddr := listen(fmt.Sprint("probed", i))
+			defer closeOrFail(t, probed)
 			wg.Go(func() {
-				_, _, _ = c.SendOrders(context.Background(), addr, &wire.Orders{FencingToken: 1, AgentEpoch: 1})
+				_, _, _ = client.SendOrders(context.Background(), addr, &wire.Orders{FencingToken: 1, AgentEpoch: 1})
 			})
 			wg.Go(func() {
 				time.Sleep(time.Second)
-				_, _ = c.Probe(context.Background(), askedAddr, time.Second)
+				_, _ = client.Probe(context.Background(), probedAddr, time.Second)
 			})
 		}
 		wg.Wait()
-		if k := count.most.Load(); k > conns {
-			t.Errorf("%d connections were open, of %d", k, conns)
+		if maxOpen := counter.maxOpen.Load(); maxOpen > conns {
+			t.Errorf("%d connections were open, want at most %d", maxOpen, conns)
 		}
-		c.Close()
+		client.Close()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/platform/agent/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -11,8 +11,8 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenRequests: commands and probes are sent to agents as in the stored file, and each response is
-// taken for the same fate, by number, with the same heartbeat.
+// TestGoldenRequests compares commands and probes to agents, and the outcome and heartbeat derived from each response,
+// with the stored file.
 func TestGoldenRequests(t *testing.T) {
 	report, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", AgentEpoch: 1 << 40,
 		Seq: 3, FencingToken: 7,
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := golden.Record(t)
+	recorder := golden.Record(t)
 	c := New(host.Real{}, 10*time.Second, 4)
 	defer c.Close()
 	grace := 2.5
@@ -29,34 +29,34 @@
 		{Verb: wire.Start, Task: "req-000412/3", Attempt: 2},
 		{Verb: wire.Stop, Task: "req-000412/4", Attempt: 1, GraceS: &grace},
 		{Verb: wire.Forget, Task: "req-000412/5", Attempt: 9}}}
-	spelled := func(r *wire.Heartbeat) string {
-		if r == nil {
+	describe := func(heartbeat *wire.Heartbeat) string {
+		if heartbeat == nil {
 			return "none\n"
 		}
-		b, _ := wire.Marshal(r)
+		b, _ := wire.Marshal(heartbeat)
 		return golden.Body(b)
 	}
-	for _, a := range []struct {
+	for _, response := range []struct {
 		status int
 		body   []byte
 	}{{200, report}, {200, []byte("?")}, {200, nil}, {409, report}, {409, nil}, {400, nil}, {404, nil}, {500, nil},
 		{503, nil}} {
-		r.Reply(a.status, nil, a.body)
-		r.Note("=== orders, answered with %d and %d bytes", a.status, len(a.body))
-		fate, got, err := c.SendOrders(context.Background(), r.Addr, orders)
-		r.Note("fate %d, error %v, report %s", int(fate), err, spelled(got))
+		recorder.Reply(response.status, nil, response.body)
+		recorder.Note("=== orders, answered with %d and %d bytes", response.status, len(response.body))
+		fate, got, err := c.SendOrders(context.Background(), recorder.Addr, orders)
+		recorder.Note("fate %d, error %v, report %s", int(fate), err, describe(got))
 	}
-	for _, a := range []struct {
+	for _, response := range []struct {
 		status int
 		body   []byte
 	}{{200, report}, {200, nil}, {404, nil}} {
-		r.Reply(a.status, nil, a.body)
-		r.Note("=== show, answered with %d and %d bytes", a.status, len(a.body))
-		got, err := c.Probe(context.Background(), r.Addr, 10*time.Second)
-		r.Note("error %v, report %s", err, spelled(got))
+		recorder.Reply(response.status, nil, response.body)
+		recorder.Note("=== show, answered with %d and %d bytes", response.status, len(response.body))
+		got, err := c.Probe(context.Background(), recorder.Addr, 10*time.Second)
+		recorder.Note("error %v, report %s", err, describe(got))
 	}
 	fate, _, err := c.SendOrders(context.Background(), "127.0.0.1:0", orders) // no connection can be made
-	r.Note("=== orders to nobody\nfate %d, error %t", int(fate), err != nil)
-	r.Note("=== fates %s", fmt.Sprint(int(Executed), int(Refused), int(Unsent), int(Unknown)))
-	golden.Check(t, "requests.txt", r.Text())
+	recorder.Note("=== orders to nobody\nfate %d, error %t", int(fate), err != nil)
+	recorder.Note("=== fates %s", fmt.Sprint(int(Executed), int(Refused), int(Unsent), int(Unknown)))
+	golden.Check(t, "requests.txt", recorder.Text())
 }
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's API, with a budget of requests.
+// Package cloud is a rate-limited client of the cloud's API.
 package cloud
 
 import (
@@ -18,19 +18,19 @@
 const (
 	maxConns    = 4
 	dialTimeout = 2 * time.Second
-	// callTimeout includes the wait for the budget.
+	// callTimeout includes the wait for the request budget.
 	callTimeout      = 8 * time.Second
 	maxResponseBytes = 1 << 20
 )
 
-// Client talks to the cloud.
+// Client is a client of the cloud.
 type Client struct {
 	transport *msgpackhttp.Client
 	addr      string
 	budget    *rate.Limiter
 }
 
-// New makes a client that sends at most rps requests a second.
+// New returns a client that sends at most rps requests per second.
 func New(network host.Net, addr string, rps float64) *Client {
 	return &Client{
 		transport: msgpackhttp.New(network, maxConns, maxConns, dialTimeout),
@@ -48,29 +48,29 @@
 	return c.transport.Do(ctx, method, c.addr, path, in, out, maxResponseBytes)
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// MachineTypes asks which machine types can be provisioned.
+// MachineTypes returns the machine types that can be provisioned.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var types wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, wire.PathTypes, nil, &types)
 	return types.Types, err
 }
 
-// Provision asks for machines and gives their names. A refusal for lack of capacity is a status error with code 503.
+// Provision requests machines and returns their names. A lack of capacity results in a status error with code 503.
 func (c *Client) Provision(ctx context.Context, request *wire.ScaleOutRequest) ([]string, error) {
 	var names wire.MachineNames
 	err := c.do(ctx, http.MethodPost, wire.PathMachines, request, &names)
 	return names.Machines, err
 }
 
-// Release gives machines back to the cloud. When it succeeds they and everything on them are gone.
+// Release returns machines to the cloud. Once it succeeds, they and everything on them are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, wire.PathRelease, &wire.MachineNames{Machines: names}, nil)
 }
 
-// ListMachines reads the whole list of machines, page after page.
+// ListMachines returns all machines. It reads the list page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	after := ""
--- a/internal/platform/cloud/golden_test.go
+++ b/internal/platform/cloud/golden_test.go
@@ -11,24 +11,24 @@
 	"fieldhill/wire"
 )
 
-// TestGoldenRequests: the cloud is asked as in the stored file, and its answers, a list of two pages among
-// them, are read as they were.
+// TestGoldenRequests compares the requests to the cloud and the decoded responses, among them a list of two pages, with
+// the stored file.
 func TestGoldenRequests(t *testing.T) {
-	row := wire.ListedMachine{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true,
+	machine := wire.ListedMachine{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true,
 		State: wire.MachineRunning, AgeS: 7.25}
-	second := row
+	second := machine
 	second.Name, second.State = "m-8 &", wire.MachineFailed
-	r := golden.Record(t)
-	c := New(host.Real{}, r.Addr, 1000)
+	recorder := golden.Record(t)
+	c := New(host.Real{}, recorder.Addr, 1000)
 	defer c.Close()
 	ctx := context.Background()
 	machineType := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1,
 		Price: 3.5, SpotPrice: 1.25, BootS: 40, Zones: []string{"a", "b"}}
 	request := &wire.ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2}
 	for _, call := range []struct {
-		name string
-		do   func() (any, error)
-		of   []any
+		name      string
+		do        func() (any, error)
+		responses []any
 	}{
 		{"types", func() (any, error) {
 			types, err := c.MachineTypes(ctx)
@@ -44,26 +44,26 @@
 		{"list", func() (any, error) {
 			list, err := c.ListMachines(ctx)
 			return &wire.MachineList{Machines: list}, err
-		}, []any{&wire.MachineList{Machines: []wire.ListedMachine{row, second}, More: true},
-			&wire.MachineList{Machines: []wire.ListedMachine{row}}}},
+		}, []any{&wire.MachineList{Machines: []wire.ListedMachine{machine, second}, More: true},
+			&wire.MachineList{Machines: []wire.ListedMachine{machine}}}},
 	} {
-		var answers [][]byte
-		for _, answer := range call.of {
-			body, err := wire.Marshal(answer)
+		var bodies [][]byte
+		for _, response := range call.responses {
+			body, err := wire.Marshal(response)
 			if err != nil {
 				t.Fatal(err)
 			}
-			answers = append(answers, body)
+			bodies = append(bodies, body)
 		}
 		for _, status := range []int{http.StatusOK, http.StatusNotFound, http.StatusServiceUnavailable} {
-			if r.Reply(status, nil); status == http.StatusOK {
-				r.Reply(status, nil, answers...)
+			if recorder.Reply(status, nil); status == http.StatusOK {
+				recorder.Reply(status, nil, bodies...)
 			}
-			r.Note("=== %s, answered with %d", call.name, status)
+			recorder.Note("=== %s, answered with %d", call.name, status)
 			got, err := call.do()
 			body, _ := wire.Marshal(got)
-			r.Note("error %v, code %d, read %s", err, msgpackhttp.StatusCode(err), golden.Body(body))
+			recorder.Note("error %v, code %d, read %s", err, msgpackhttp.StatusCode(err), golden.Body(body))
 		}
 	}
-	golden.Check(t, "requests.txt", r.Text())
+	golden.Check(t, "requests.txt", recorder.Text())
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -1,5 +1,4 @@
-// Package host is the process's access to the network: listening and dialling. Tests put a network in memory in its
-// place.
+// Package host abstracts the network of the host. Tests substitute an in-memory network.
 package host
 
 import (
@@ -8,20 +7,20 @@
 	"time"
 )
 
-// Net listens and dials.
+// Net is a network on which a process listens and dials.
 type Net interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// Real is the machine's own network.
+// Real is the TCP network of the operating system.
 type Real struct{}
 
-// Listen listens on an address.
+// Listen implements Net.
 func (Real) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// Dial connects to an address. TCP keep-alives are off: all protocols over it have timeouts of their own.
+// Dial implements Net. TCP keep-alives are disabled, as all protocols on top have their own timeouts.
 func (Real) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
-	return d.DialContext(ctx, "tcp", addr)
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
 }
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -1,8 +1,7 @@
-// Package kvstore is the client of the key-value store, with a budget that bounds this node's share of its request
-// rate.
+// Package kvstore is the client of the key-value store. It limits this node to its share of the store's request rate.
 //
-// An answer other than 200 comes as a *msgpackhttp.StatusError, wrapped with the operation and the key; an error
-// without a status means that the fate of the request is unknown, unless msgpackhttp.IsUnsent.
+// A response other than 200 is returned as a *msgpackhttp.StatusError, wrapped with the operation and the key. After an
+// error without a status, the outcome of the request is unknown, unless msgpackhttp.IsUnsent reports true.
 package kvstore
 
 import (
@@ -25,25 +24,25 @@
 
 	dialTimeout  = 2 * time.Second
 	callTimeout  = 2 * time.Second
-	rangeTimeout = 4 * time.Second // a page has up to maxResponseBytes
-	// maxConns bounds the connections to the store. maxUserReads of them at most carry reads for users: the election
-	// and the log need some at any time.
+	rangeTimeout = 4 * time.Second // longer, since a page has up to maxResponseBytes
+	// maxConns bounds the connections to the store, and maxUserReads those in use for user requests: some must be free
+	// for the election and the log at any time.
 	maxConns     = 8
 	maxUserReads = 3
 )
 
-// Client talks to the key-value store.
+// Client is a client of the key-value store.
 type Client struct {
 	transport       *msgpackhttp.Client
 	addr            string
 	budget          *rate.Limiter
-	userBudget      *rate.Limiter // the part of it that reads for users may take
-	userSlots       chan struct{} // reads for users in flight
-	txnLatencyNanos atomic.Int64  // how long the store takes for a transaction, averaged
+	userBudget      *rate.Limiter // the part of budget that is available to user requests
+	userSlots       chan struct{} // reads for user requests in flight
+	txnLatencyNanos atomic.Int64  // moving average of the latency of transactions
 }
 
-// New makes a client that sends at most rps requests a second. Requests for leases are not held back by the budget: a
-// leader must not lose its lease since it reads much.
+// New returns a client that sends at most rps requests per second. Lease requests are exempt from the budget, so that a
+// leader does not lose its lease because of many other requests.
 func New(network host.Net, addr string, rps float64) *Client {
 	return &Client{
 		transport:  msgpackhttp.New(network, maxConns, maxConns, dialTimeout),
@@ -54,13 +53,13 @@
 	}
 }
 
-// ForUser runs a read that a user's request needs, within the part of the budget that users may take. Without it the
-// polls of a moment without a leader use up the budget, and the election of the next one waits behind them.
+// ForUser runs a read on behalf of a user request, within the part of the budget that is available to users. Otherwise
+// users that poll while there is no leader could exhaust the budget and delay the next election.
 func (c *Client) ForUser(ctx context.Context, timeout time.Duration, read func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.userBudget.Wait(ctx); err != nil {
-		return fmt.Errorf("kvstore: budget of users: %w", err)
+		return fmt.Errorf("kvstore: request budget for users: %w", err)
 	}
 	select {
 	case c.userSlots <- struct{}{}:
@@ -71,18 +70,18 @@
 	return read(ctx)
 }
 
-// request is one call; what says it in errors.
+// request is one call. operation describes it in errors.
 type request struct {
-	what         string
+	operation    string
 	method, path string
 	in, out      any
 	timeout      time.Duration
 }
 
-// do sends a request within the budget.
+// do sends a request once the budget permits it.
 func (c *Client) do(ctx context.Context, r request) error {
 	if err := c.budget.Wait(ctx); err != nil {
-		return fmt.Errorf("kvstore: %s: %w", r.what, err)
+		return fmt.Errorf("kvstore: %s: %w", r.operation, err)
 	}
 	return c.doUnbudgeted(ctx, r)
 }
@@ -91,23 +90,25 @@
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	if err := c.transport.Do(ctx, r.method, c.addr, r.path, r.in, r.out, maxResponseBytes); err != nil {
-		return fmt.Errorf("kvstore: %s: %w", r.what, err)
+		return fmt.Errorf("kvstore: %s: %w", r.operation, err)
 	}
 	return nil
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// Get reads a key. A missing key is a status error with code 404.
+// Get reads a key. A missing key results in a status error with code 404.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
 	var item wire.Item
 	return &item, c.do(ctx, request{
-		what: "get " + key, method: http.MethodGet, path: wire.PathKeys + "/" + key, out: &item, timeout: callTimeout,
+		operation: "get " + key, method: http.MethodGet, path: wire.PathKeys + "/" + key, out: &item,
+		timeout: callTimeout,
 	})
 }
 
-// Range reads a page of the keys with a prefix, those behind after: at most limit, fewer if they are long.
+// Range reads a page of the keys with a prefix that sort after the key after. The page has at most limit items, and
+// fewer if they are large.
 func (c *Client) Range(ctx context.Context, prefix, after string, limit int) (*wire.Items, error) {
 	query := url.Values{"starts": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
@@ -115,65 +116,66 @@
 	}
 	var page wire.Items
 	return &page, c.do(ctx, request{
-		what: "range " + prefix, method: http.MethodGet, path: wire.PathKeys + "?" + query.Encode(), out: &page,
+		operation: "range " + prefix, method: http.MethodGet, path: wire.PathKeys + "?" + query.Encode(), out: &page,
 		timeout: rangeTimeout,
 	})
 }
 
-// Txn runs a transaction. A failed condition is a status error with code 409.
+// Txn executes a transaction. A failed condition results in a status error with code 409.
 func (c *Client) Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
-	var answer wire.TxnResponse
+	var response wire.TxnResponse
 	if err := c.budget.Wait(ctx); err != nil {
-		return &answer, fmt.Errorf("kvstore: transaction: %w", err)
+		return &response, fmt.Errorf("kvstore: transaction: %w", err)
 	}
 	sent := time.Now()
 	err := c.doUnbudgeted(ctx, request{
-		what: "transaction", method: http.MethodPost, path: wire.PathTxn, in: txn, out: &answer, timeout: callTimeout,
+		operation: "transaction", method: http.MethodPost, path: wire.PathTxn, in: txn, out: &response,
+		timeout: callTimeout,
 	})
 	if err == nil || msgpackhttp.StatusCode(err) == http.StatusConflict {
 		previous := c.txnLatencyNanos.Load()
 		c.txnLatencyNanos.Store(previous + (int64(time.Since(sent))-previous)*3/10)
 	}
-	return &answer, err
+	return &response, err
 }
 
-// TxnLatency is how long the store takes for a transaction. What a transaction waits for the budget of this node does
-// not count: that is no reason to write more.
+// TxnLatency returns a moving average of the store's response time to transactions. It excludes the wait for the budget
+// of this node: callers send additional writes while the store is slow, and an exhausted budget must not cause these.
 func (c *Client) TxnLatency() time.Duration { return time.Duration(c.txnLatencyNanos.Load()) }
 
-// Grant asks for a lease.
+// Grant creates a lease and returns its ID.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var answer wire.LeaseResponse
+	var response wire.LeaseResponse
 	err := c.doUnbudgeted(ctx, request{
-		what: "grant a lease", method: http.MethodPost, path: wire.PathLeases,
-		in: &wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, out: &answer, timeout: callTimeout,
+		operation: "grant a lease", method: http.MethodPost, path: wire.PathLeases,
+		in: &wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, out: &response, timeout: callTimeout,
 	})
-	return answer.Lease, err
+	return response.Lease, err
 }
 
-// Renew renews a lease. An ended one is a status error with code 404.
+// Renew renews a lease. An expired lease results in a status error with code 404.
 func (c *Client) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
 	return c.doUnbudgeted(ctx, request{
-		what: fmt.Sprintf("renew lease %d", lease), method: http.MethodPost,
+		operation: fmt.Sprintf("renew lease %d", lease), method: http.MethodPost,
 		path: fmt.Sprintf("%s/%d/touch", wire.PathLeases, lease), timeout: timeout,
 	})
 }
 
-// Revoke ends a lease at once.
+// Revoke ends a lease immediately.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	return c.doUnbudgeted(ctx, request{
-		what: fmt.Sprintf("revoke lease %d", lease), method: http.MethodDelete,
+		operation: fmt.Sprintf("revoke lease %d", lease), method: http.MethodDelete,
 		path: fmt.Sprintf("%s/%d", wire.PathLeases, lease), timeout: callTimeout,
 	})
 }
 
-// Follow waits up to hold for changes under a prefix after a revision. A status error with code 410 means that the
-// store does not have them any more.
+// Follow waits for up to hold for changes under a prefix after a revision. A status error with code 410 means that the
+// store no longer has them.
 func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
 	query := url.Values{"starts": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
 	var events wire.Events
 	return &events, c.do(ctx, request{
-		what: "follow " + prefix, method: http.MethodGet, path: wire.PathWatch + "?" + query.Encode(), out: &events,
-		timeout: hold + callTimeout,
+		operation: "follow " + prefix, method: http.MethodGet, path: wire.PathWatch + "?" + query.Encode(),
+		out: &events, timeout: hold + callTimeout,
 	})
 }
--- a/internal/platform/kvstore/kvstore_test.go
+++ b/internal/platform/kvstore/kvstore_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// TestErrorsNameTheOperation: an error has the status of the response, and says what was asked of which key.
+// TestErrorsNameTheOperation checks that errors contain the response's status, the operation and the key.
 func TestErrorsNameTheOperation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -36,18 +36,18 @@
 			return err
 		}
 		renew := func() error { return client.Renew(ctx, 99, time.Second) }
-		for _, c := range []struct {
-			call func() error
-			code int
-			says string
+		for _, test := range []struct {
+			call      func() error
+			code      int
+			operation string
 		}{
 			{get, http.StatusNotFound, "get f/term"},
 			{txn, http.StatusConflict, "transaction"},
 			{renew, http.StatusNotFound, "renew lease 99"},
 		} {
-			err := c.call()
-			if msgpackhttp.StatusCode(err) != c.code || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s: %v, should have status %d", c.says, err, c.code)
+			err := test.call()
+			if msgpackhttp.StatusCode(err) != test.code || !strings.Contains(err.Error(), test.operation) {
+				t.Errorf("%s: got %v, want an error with status %d", test.operation, err, test.code)
 			}
 		}
 		client.Close()
--- a/internal/platform/msgpackhttp/msgpackhttp.go
+++ b/internal/platform/msgpackhttp/msgpackhttp.go
@@ -1,5 +1,5 @@
-// Package msgpackhttp is the client side of the platform's HTTP with MessagePack bodies, shared by the clients of the
-// key-value store, the cloud and the agents.
+// Package msgpackhttp is an HTTP client for MessagePack bodies, shared by the clients of the key-value store, the cloud
+// and the agents.
 package msgpackhttp
 
 import (
@@ -16,7 +16,7 @@
 	"fieldhill/wire"
 )
 
-// StatusError is a response with another status than 200.
+// StatusError is returned for a response with a status other than 200.
 type StatusError struct {
 	Code int
 	Body []byte
@@ -25,7 +25,7 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
 
-// StatusCode returns the status behind an error, or 0 if there was no response.
+// StatusCode returns the HTTP status of a StatusError in the chain of err, or 0 if there is none.
 func StatusCode(err error) int {
 	var statusErr *StatusError
 	if errors.As(err, &statusErr) {
@@ -34,35 +34,35 @@
 	return 0
 }
 
-// ErrTooLarge says that a response has more bytes than the caller takes.
+// ErrTooLarge is returned for a response that exceeds the caller's limit.
 var ErrTooLarge = errors.New("response too large")
 
-// IsUnsent tells whether a request surely was not sent: no connection was made.
+// IsUnsent reports whether a request was certainly not sent, because the connection could not be established.
 func IsUnsent(err error) bool {
 	var target unsentError
 	return errors.As(err, &target)
 }
 
-// unsentError marks the error of a connection that was not made.
+// unsentError marks an error as a failure to connect.
 type unsentError struct{ error }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e unsentError) Unwrap() error { return e.error }
 
-// Client talks to hosts over connections that are reused.
+// Client sends requests to any number of hosts and reuses connections.
 type Client struct {
 	httpClient *http.Client
 }
 
 const (
-	// idleTimeout is longer than any interval at which a host is called regularly.
+	// idleTimeout exceeds the interval of all periodic requests, so that their connections are reused.
 	idleTimeout = 2 * time.Minute
-	// Buffers are small since there may be a connection to each of thousands of machines.
+	// Buffers are small since there may be connections to thousands of machines.
 	bufferBytes    = 2 << 10
 	maxHeaderBytes = 8 << 10
 )
 
-// New makes a client that has up to maxPerHost connections to a host, and of all of them maxIdle that are idle.
+// New returns a client with up to maxPerHost connections per host, and up to maxIdle idle connections in total.
 func New(network host.Net, maxPerHost, maxIdle int, dialTimeout time.Duration) *Client {
 	return &Client{httpClient: &http.Client{
 		Transport: &http.Transport{
@@ -81,11 +81,12 @@
 	}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Do sends a request and decodes a 200 into out. Any other status is a *StatusError; an error without a status means
-// that the fate of the request is unknown, unless IsUnsent. limit bounds the bytes of the response, ErrTooLarge.
+// Do sends a request and decodes the body of a 200 response into out. Any other status results in a *StatusError. After
+// an error without a status, the outcome of the request is unknown, unless IsUnsent reports true. A response of more
+// than limit bytes results in ErrTooLarge.
 func (c *Client) Do(ctx context.Context, method, addr, path string, in, out any, limit int64) error {
 	var body io.Reader
 	if in != nil {
@@ -106,13 +107,13 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // all that is wanted of the body was read
+	defer func() { _ = resp.Body.Close() }() // errors don't matter once the body was read
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return err
 	}
 	if int64(len(data)) > limit {
-		return fmt.Errorf("%w: over %d bytes", ErrTooLarge, limit)
+		return fmt.Errorf("%w: more than %d bytes", ErrTooLarge, limit)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{resp.StatusCode, data}
