--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -34,7 +34,7 @@
 
 // Allowance of Expired on top of the lease duration: a fraction of it for clock drift, and a fixed margin.
 const (
-	driftDivisor = 500 // 0.2 %: four times the specified clock drift of 0.05 %
+	driftDivisor = 500 // 0.2 %: four times the maximum clock drift of 0.05 %
 	expiryMargin = time.Second
 )
 
