--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -10,21 +10,21 @@
 	"fieldhill/wire"
 )
 
-// maxForwards is to how many controllers the load balancer forwards a request at most.
+// maxForwards is the maximum number of controllers that the load balancer tries for a request.
 const maxForwards = 3
 
-// probeInterval is how often the load balancer asks a controller whether it is ready.
+// probeInterval is the interval between the readiness probes of a controller.
 const probeInterval = time.Second
 
-// ServeBalancer emulates the load balancer of a deployment that people try out: users send their requests to an
-// address, and the invariant checker sees every job and answer. It passes over controllers that are not ready.
-func (w *Environment) ServeBalancer(ctx context.Context, addr string) error {
-	ln, err := w.networkOf("balancer").Listen(addr)
+// ServeBalancer emulates the load balancer of a development deployment: users send their requests to an address, and
+// the invariant checker sees every job and response. Requests go only to controllers that are ready.
+func (e *Environment) ServeBalancer(ctx context.Context, addr string) error {
+	ln, err := e.networkOf("balancer").Listen(addr)
 	if err != nil {
 		return err
 	}
-	b := &balancer{environment: w, ready: make([]bool, len(w.processes))}
-	for i := range w.processes {
+	b := &loadBalancer{environment: e, ready: make([]bool, len(e.processes))}
+	for i := range e.processes {
 		go b.probe(ctx, i)
 	}
 	mux := http.NewServeMux()
@@ -35,9 +35,9 @@
 			return
 		}
 		id := ""
-		if s, err := wire.ParseJob(body); err == nil {
-			id = s.ID
-			w.Checker.RegisterJob(s)
+		if spec, err := wire.ParseJob(body); err == nil {
+			id = spec.ID
+			e.Checker.RegisterJob(spec)
 		}
 		b.forward(rw, r, operationSubmit, id, body)
 	})
@@ -56,15 +56,15 @@
 	return nil
 }
 
-type balancer struct {
+type loadBalancer struct {
 	environment *Environment
 	mu          sync.Mutex
 	ready       []bool // by controller
-	nextTurn    int    // where the search for a ready controller begins
+	nextIndex   int    // index at which the next search for a ready controller starts
 }
 
-// probe asks a controller every probeInterval whether it is ready.
-func (b *balancer) probe(ctx context.Context, i int) {
+// probe updates the readiness of a controller every probeInterval.
+func (b *loadBalancer) probe(ctx context.Context, i int) {
 	c := http.Client{
 		Transport: &http.Transport{DialContext: dialFunc(b.environment.networkOf("balancer"))},
 		Timeout:   probeInterval,
@@ -73,7 +73,7 @@
 		resp, err := c.Get("http://" + b.environment.UserAddr(i) + wire.PathReady)
 		ok := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
-			_ = resp.Body.Close() // the status is all that counts
+			_ = resp.Body.Close() // only the status is used
 		}
 		b.mu.Lock()
 		b.ready[i] = ok
@@ -85,21 +85,21 @@
 	}
 }
 
-// readyControllers lists the controllers that are ready, each time beginning with the next one.
-func (b *balancer) readyControllers() (ready []int) {
+// readyControllers returns the controllers that are ready, in round-robin order.
+func (b *loadBalancer) readyControllers() (ready []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.nextTurn++
+	b.nextIndex++
 	for k := range b.ready {
-		if i := (b.nextTurn + k) % len(b.ready); b.ready[i] {
+		if i := (b.nextIndex + k) % len(b.ready); b.ready[i] {
 			ready = append(ready, i)
 		}
 	}
 	return ready
 }
 
-// forward passes a request on until a controller answers.
-func (b *balancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
+// forward sends a request to one ready controller after the other until one answers, up to maxForwards.
+func (b *loadBalancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
 	ready := b.readyControllers()
 	for _, i := range ready[:min(len(ready), maxForwards)] {
 		response := b.environment.send(r.Context(), i, operation, id, body)
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -6,49 +6,49 @@
 	"fieldhill/wire"
 )
 
-// capacityUnusedFor is for how long a job may wait, once all faults are over, while a machine that fits has room
-// and its team is under its limit.
-const capacityUnusedFor = 90 * time.Second
+// maxUnusedCapacityDuration is how long a job may wait, once all faults are over, while there is room for it on the
+// machines and its team is below its limit.
+const maxUnusedCapacityDuration = 90 * time.Second
 
-// freeMachine is what is left of a machine.
-type freeMachine struct {
+// freeCapacity is the unused capacity of a machine.
+type freeCapacity struct {
 	machineType, zone string
 	spot              bool
 	cpus, memoryGB    float64
 }
 
-// freeMachines is what is left of the machines that are up, healthy and reachable.
-func (c *Cloud) freeMachines() (all []freeMachine) {
+// freeCapacities returns the unused capacity of each machine that is up, healthy and reachable.
+func (c *Cloud) freeCapacities() (all []freeCapacity) {
 	for _, worker := range c.Workers() {
-		if free, ok := worker.free(c.machineType(worker.Type)); ok {
+		if free, ok := worker.freeCapacity(c.machineType(worker.Type)); ok {
 			all = append(all, free)
 		}
 	}
 	return all
 }
 
-// free is what is left of a machine of a type; not ok if a fault keeps it from taking tasks.
-func (w *Worker) free(machineType *wire.MachineType) (left freeMachine, ok bool) {
+// freeCapacity returns the unused capacity of the machine; ok is false if a fault prevents it from accepting tasks.
+func (w *Worker) freeCapacity(machineType *wire.MachineType) (remaining freeCapacity, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	left = freeMachine{w.Type, w.Zone, w.Spot, machineType.CPUs, machineType.MemoryGB}
+	remaining = freeCapacity{w.Type, w.Zone, w.Spot, machineType.CPUs, machineType.MemoryGB}
 	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
-			left.cpus -= t.spec.CPUs
-			left.memoryGB -= t.spec.MemoryGB
+			remaining.cpus -= t.spec.CPUs
+			remaining.memoryGB -= t.spec.MemoryGB
 		}
 	}
 	reachable := !w.inboundPartitioned && !w.outboundPartitioned && w.commandDelay == 0
-	healthy := !w.terminated && !w.failsTasks && !time.Now().Before(w.hungUntil)
-	return left, w.epoch > 0 && reachable && healthy
+	healthy := !w.terminated && !w.failAllTasks && !time.Now().Before(w.hungUntil)
+	return remaining, w.epoch > 0 && reachable && healthy
 }
 
-// checkUnusedCapacity looks for jobs that wait though there is room for them.
-func (w *Environment) checkUnusedCapacity() {
-	if !w.Checker.areFaultsOver() {
+// checkUnusedCapacity checks, once all faults are over, that no job waits for long although there is room for it.
+func (e *Environment) checkUnusedCapacity() {
+	if !e.Checker.areFaultsOver() {
 		return
 	}
-	w.Checker.checkWaiting(w.Cloud.freeMachines())
+	e.Checker.checkPlaceableJobs(e.Cloud.freeCapacities())
 }
 
 func (c *InvariantChecker) areFaultsOver() bool {
@@ -57,8 +57,8 @@
 	return c.faultsOver
 }
 
-// checkWaiting checks that no job waits for long which could be placed on what is left of the machines.
-func (c *InvariantChecker) checkWaiting(free []freeMachine) {
+// checkPlaceableJobs checks that no job waits longer than maxUnusedCapacityDuration while it fits the free capacity.
+func (c *InvariantChecker) checkPlaceableJobs(free []freeCapacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	used := map[string]float64{}
@@ -67,68 +67,71 @@
 		spec := c.jobs[n].spec
 		used[spec.Team] += spec.CPUs * float64(len(machines))
 	}
-	for _, t := range c.jobs {
-		s := t.spec
-		quota := c.limits[s.Team][0]
-		waits := t.accepted && !t.cancelRequested && t.finalState == "" && len(t.taskZones)+len(t.done) < s.Tasks
+	for _, job := range c.jobs {
+		spec := job.spec
+		limit := c.limits[spec.Team][0]
+		open := job.accepted && !job.cancelRequested && job.finalState == ""
+		pending := open && len(job.taskZones)+len(job.done) < spec.Tasks
 		switch {
-		case !waits || !t.canPlaceNext(free, quota-used[s.Team], quota == 0):
-			t.placeableSince = time.Time{}
-		case t.placeableSince.IsZero():
-			t.placeableSince = time.Now()
-		case time.Since(t.placeableSince) > capacityUnusedFor:
-			c.violate("left_waiting", "%s (%s, %d tasks, %d there, %d done) waits for %v while there is room for it",
-				s.ID, s.Shape, s.Tasks, len(t.taskZones), len(t.done), time.Since(t.placeableSince))
-			t.placeableSince = time.Now()
+		case !pending || !job.canPlaceNext(free, limit-used[spec.Team], limit == 0):
+			job.placeableSince = time.Time{}
+		case job.placeableSince.IsZero():
+			job.placeableSince = time.Now()
+		case time.Since(job.placeableSince) > maxUnusedCapacityDuration:
+			c.recordViolation("left_waiting",
+				"%s (%s, %d tasks, %d on machines, %d done) waits for %v while there is room for it",
+				spec.ID, spec.Shape, spec.Tasks, len(job.taskZones), len(job.done), time.Since(job.placeableSince))
+			job.placeableSince = time.Now()
 		}
 	}
 }
 
-// canPlaceNext reports whether there is room for what is next of a job: a task, or all of a gang, which for this is
-// packed plainly: it is not said to fit where it does not, but may be said not to fit where it does.
-func (t *jobRecord) canPlaceNext(free []freeMachine, quotaLeft float64, unlimited bool) bool {
-	s := t.spec
-	need := 1
-	if s.Shape == wire.Gang {
-		if len(t.taskZones) > 0 {
-			return false // some of its tasks are there still, of this attempt or the last
+// canPlaceNext reports whether there is room for the next task of a job, or for all tasks of a gang. Gangs are packed
+// with a simple heuristic that may miss a possible placement but never reports an impossible one.
+func (j *jobRecord) canPlaceNext(free []freeCapacity, quotaLeft float64, unlimited bool) bool {
+	spec := j.spec
+	needed := 1
+	if spec.Shape == wire.Gang {
+		if len(j.taskZones) > 0 {
+			return false // some tasks of this or the previous attempt are still on machines
 		}
-		need = s.Tasks
+		needed = spec.Tasks
 	}
-	if !unlimited && s.CPUs*float64(need) > quotaLeft+capacityTolerance {
+	if !unlimited && spec.CPUs*float64(needed) > quotaLeft+capacityTolerance {
 		return false
 	}
-	placedIn := map[string]int{}
-	for _, zone := range t.taskZones {
-		placedIn[zone]++
+	placedByZone := map[string]int{}
+	for _, zone := range j.taskZones {
+		placedByZone[zone]++
 	}
-	bestZone, total := 0, 0
-	for zone, count := range t.fitsByZone(free, placedIn) {
-		if s.Spread {
-			count = min(count, maxTasksPerZone(s)-placedIn[zone])
+	maxInZone, total := 0, 0
+	for zone, count := range j.fittingByZone(free, placedByZone) {
+		if spec.Spread {
+			count = min(count, maxTasksPerZone(spec)-placedByZone[zone])
 		}
-		bestZone = max(bestZone, count)
+		maxInZone = max(maxInZone, count)
 		total += max(count, 0)
 	}
-	if s.SameZone && s.Shape == wire.Gang {
-		return bestZone >= need
+	if spec.SameZone && spec.Shape == wire.Gang {
+		return maxInZone >= needed
 	}
-	return total >= need
+	return total >= needed
 }
 
-// fitsByZone counts how many tasks of a job fit on what is left of the machines of each zone.
-func (t *jobRecord) fitsByZone(free []freeMachine, placedIn map[string]int) map[string]int {
-	s := t.spec
+// fittingByZone returns how many tasks of a job fit the free capacity of each zone.
+func (j *jobRecord) fittingByZone(free []freeCapacity, placedByZone map[string]int) map[string]int {
+	spec := j.spec
 	fits := map[string]int{}
-	for _, left := range free {
-		isElsewhere := s.SameZone && len(t.taskZones) > placedIn[left.zone]
-		if isElsewhere || !allowsMachine(s, left.machineType, left.zone, left.spot) {
+	for _, remaining := range free {
+		usesOtherZone := spec.SameZone && len(j.taskZones) > placedByZone[remaining.zone]
+		if usesOtherZone || !allowsMachine(spec, remaining.machineType, remaining.zone, remaining.spot) {
 			continue
 		}
-		for left.cpus >= s.CPUs-capacityTolerance && left.memoryGB >= s.MemoryGB-capacityTolerance && s.CPUs > 0 {
-			left.cpus -= s.CPUs
-			left.memoryGB -= s.MemoryGB
-			fits[left.zone]++
+		for remaining.cpus >= spec.CPUs-capacityTolerance &&
+			remaining.memoryGB >= spec.MemoryGB-capacityTolerance && spec.CPUs > 0 {
+			remaining.cpus -= spec.CPUs
+			remaining.memoryGB -= spec.MemoryGB
+			fits[remaining.zone]++
 		}
 	}
 	return fits
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// defaultMaxMachines is how many machines of each type, zone and kind there are, unless a test says otherwise.
+	// defaultMaxMachines is the default number of machines available per type, zone and kind (spot or on-demand).
 	defaultMaxMachines = 4
-	// listLag is how often the list of machines is brought up to date.
-	listLag = 3 * time.Second
-	// cloudLatency is how long the cloud takes for a request.
+	// listingInterval is how often the machine list is updated; the list lags behind by up to this time.
+	listingInterval = 3 * time.Second
+	// cloudLatency is the time that the cloud takes to answer a request.
 	cloudLatency = 80 * time.Millisecond
-	// neverBoots is the boot time of a machine that never comes up: longer than any test.
-	neverBoots = 24 * time.Hour
+	// neverBootsDuration is the boot time of a machine that never comes up; it is longer than any test.
+	neverBootsDuration = 24 * time.Hour
 )
 
-// Cloud emulates the cloud: it provisions machines and starts a Worker on each when it has booted.
+// Cloud emulates a cloud provider: it provisions machines and starts a Worker on each one when it has booted.
 type Cloud struct {
 	environment   *Environment
 	machineTypes  []wire.MachineType
-	pageSize      int                             // machines on a page of the list
-	maxMachinesOf func(typ string, spot bool) int // machines of each type, zone and kind; nil: maxMachines
+	pageSize      int                             // of the machine list
+	maxMachinesOf func(typ string, spot bool) int // per type, zone and kind; nil: maxMachines
 
 	mu                 sync.Mutex
-	Machines           map[string]*Worker // those that exist
+	Machines           map[string]*Worker // by name; those that exist
 	machinesByRequest  map[string][]string
 	bootedAt           map[string]time.Time
-	listing            []wire.ListedMachine // as it was at most listLag ago
+	listing            []wire.ListedMachine // at most listingInterval old
 	launched           int
 	maxMachines        int
 	outage             bool
-	dropResponseChance float64 // that a request is carried out and not answered
-	bootSlowdown       float64 // boots take so many times as long; 0: as usual
-	neverBootsEvery    int     // one in so many never comes up; 0: none
-	// deletionDelay is by how much deletions are carried out late, after their sender's timeout.
+	dropResponseChance float64 // that a request is executed and not answered
+	bootSlowdown       float64 // factor on boot times; 0: 1
+	neverBootsEvery    int     // every n-th machine never comes up; 0: none
+	// deletionDelay is the delay after which machines are deleted, without an answer to the request; 0: deletions are
+	// executed at once and answered.
 	deletionDelay time.Duration
 }
 
@@ -59,42 +60,42 @@
 	}
 }
 
-// SetCapacity sets how many machines of each type, zone and kind the cloud has; those that exist stay.
+// SetCapacity sets the maximum number of machines per type, zone and kind. Existing machines are kept.
 func (c *Cloud) SetCapacity(maxMachines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxMachines = maxMachines
 }
 
-// SetOutage has the cloud's interface refuse everything.
+// SetOutage starts or ends an outage, in which the cloud API answers all requests with 503.
 func (c *Cloud) SetOutage(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outage = on
 }
 
-// SetBootFaults sets how many times as long boots take, and that one in so many never ends.
+// SetBootFaults sets a factor on boot times, and makes every n-th machine never come up (0: none).
 func (c *Cloud) SetBootFaults(slowdown float64, neverBootsEvery int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bootSlowdown, c.neverBootsEvery = slowdown, neverBootsEvery
 }
 
-// DropResponses sets the probability that a request is carried out and not answered.
+// DropResponses sets the probability that a request is executed and not answered.
 func (c *Cloud) DropResponses(probability float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropResponseChance = probability
 }
 
-// DelayDeletions has deletions carried out late, and not answered.
+// DelayDeletions makes machine deletions be executed after a delay and not answered.
 func (c *Cloud) DelayDeletions(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deletionDelay = d
 }
 
-// CPUs counts the CPUs of the machines that have booted.
+// CPUs returns the total CPUs of the machines that have booted.
 func (c *Cloud) CPUs() (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,26 +107,26 @@
 	return sum
 }
 
-// Launched counts all machines that were ever provisioned.
+// Launched returns the number of machines ever provisioned.
 func (c *Cloud) Launched() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.launched
 }
 
-// Workers lists the workers of machines that exist, by name.
+// Workers returns the workers of the existing machines, sorted by name.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
+	var workers []*Worker
 	for _, worker := range c.Machines {
-		out = append(out, worker)
+		workers = append(workers, worker)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
-	return out
+	sort.Slice(workers, func(i, k int) bool { return workers[i].Name < workers[k].Name })
+	return workers
 }
 
-// Reclaim takes a machine away without notice, as the cloud does with spot instances.
+// Reclaim removes a machine without notice, as the cloud does with spot instances.
 func (c *Cloud) Reclaim(name string) {
 	c.mu.Lock()
 	worker := c.Machines[name]
@@ -162,7 +163,7 @@
 	},
 }
 
-// machineType finds a type by name; an unknown one has no resources.
+// machineType returns a type by name. An unknown type has no resources.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.machineTypes {
 		if c.machineTypes[i].Name == name {
@@ -174,7 +175,7 @@
 
 func (c *Cloud) hasBooted(machine string) bool { return !time.Now().Before(c.bootedAt[machine]) }
 
-// serve answers on the cloud's address until the context ends.
+// serve starts to serve the cloud API and returns; the server stops when the context ends.
 func (c *Cloud) serve(ctx context.Context) error {
 	ln, err := c.environment.networkOf("cloud").Listen(c.environment.addresses.Cloud)
 	if err != nil {
@@ -182,21 +183,21 @@
 	}
 	go func() {
 		for ctx.Err() == nil {
-			time.Sleep(listLag)
+			time.Sleep(listingInterval)
 			c.updateListing()
 		}
 	}()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathTypes, func(w http.ResponseWriter, _ *http.Request) {
-		c.answer(w, func() any { return &wire.MachineTypes{Types: c.machineTypes} })
+		c.handleRequest(w, func() any { return &wire.MachineTypes{Types: c.machineTypes} })
 	})
 	mux.HandleFunc("GET "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
-		c.answer(w, func() any { return c.listPage(r.URL.Query().Get("after")) })
+		c.handleRequest(w, func() any { return c.listPage(r.URL.Query().Get("after")) })
 	})
 	mux.HandleFunc("POST "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
 		var request wire.ScaleOutRequest
 		if readRequest(w, r, &request) {
-			c.answer(w, func() any { return c.scaleOut(ctx, &request) })
+			c.handleRequest(w, func() any { return c.scaleOut(ctx, &request) })
 		}
 	})
 	mux.HandleFunc("POST "+wire.PathRelease, func(w http.ResponseWriter, r *http.Request) {
@@ -209,9 +210,9 @@
 	return nil
 }
 
-// readRequest decodes a request's body, and answers itself if it is malformed.
+// readRequest decodes the body of a request. It responds with 400 and returns false if the body is malformed.
 func readRequest(w http.ResponseWriter, r *http.Request, request any) bool {
-	body, _ := io.ReadAll(r.Body) // a body cut short is malformed
+	body, _ := io.ReadAll(r.Body) // a truncated body fails to decode
 	if wire.Unmarshal(body, request) != nil {
 		respond(w, http.StatusBadRequest, payload{})
 		return false
@@ -219,9 +220,9 @@
 	return true
 }
 
-// answer carries a request out under the lock, unless there is an outage, and answers with what do returns; nil stands
-// for no capacity.
-func (c *Cloud) answer(w http.ResponseWriter, do func() any) {
+// handleRequest calls buildResponse under the lock, unless there is an outage, and responds with its result; nil means
+// that there is no capacity.
+func (c *Cloud) handleRequest(w http.ResponseWriter, buildResponse func() any) {
 	time.Sleep(cloudLatency)
 	c.mu.Lock()
 	if c.outage {
@@ -229,7 +230,7 @@
 		respond(w, http.StatusServiceUnavailable, payload{"error": "trouble"})
 		return
 	}
-	response := do()
+	response := buildResponse()
 	dropResponse := c.environment.random.chance(c.dropResponseChance)
 	c.mu.Unlock()
 	if dropResponse {
@@ -242,7 +243,7 @@
 	respond(w, http.StatusOK, response)
 }
 
-// updateListing brings the list of machines up to date, which lags behind what exists.
+// updateListing rebuilds the machine list from the existing machines.
 func (c *Cloud) updateListing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,7 +265,7 @@
 	sort.Slice(c.listing, func(i, k int) bool { return c.listing[i].Name < c.listing[k].Name })
 }
 
-// listPage is the page of the list that begins after a machine.
+// listPage returns the page of the machine list that starts after the given machine name.
 func (c *Cloud) listPage(after string) *wire.MachineList {
 	page := &wire.MachineList{}
 	for _, machine := range c.listing {
@@ -280,8 +281,8 @@
 	return page
 }
 
-// scaleOut launches as many of the machines that a request asks for as there is capacity, and answers a repeated
-// request with the same machines. It returns nil without capacity.
+// scaleOut launches as many of the requested machines as capacity allows. A repeated request gets the same machines as
+// the first. It returns nil if there is no capacity.
 func (c *Cloud) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) any {
 	if names, ok := c.machinesByRequest[request.Request]; ok {
 		return &wire.MachineNames{Machines: names}
@@ -308,7 +309,7 @@
 	return &wire.MachineNames{Machines: names}
 }
 
-// launch makes a machine, on which a worker starts when it has booted, and returns its name.
+// launch creates a machine, on which a worker starts when it has booted, and returns the machine's name.
 func (c *Cloud) launch(ctx context.Context, machineType, zone string, spot bool) string {
 	c.launched++
 	name := fmt.Sprintf("host-%06d", c.launched)
@@ -325,7 +326,7 @@
 		cachedImages: map[string]bool{},
 	}
 	c.Machines[name] = worker
-	bootDuration := c.drawBootDuration(worker)
+	bootDuration := c.randomBootDuration(worker)
 	c.bootedAt[name] = time.Now().Add(bootDuration)
 	go func() {
 		select {
@@ -337,19 +338,20 @@
 	return name
 }
 
-// drawBootDuration is how long the machine that was launched last boots: from 0.6 to 1.5 times its type's usual time.
-func (c *Cloud) drawBootDuration(worker *Worker) time.Duration {
+// randomBootDuration returns the boot time of the machine launched last: 0.6 to 1.5 times the usual one of its type, if
+// no boot fault applies.
+func (c *Cloud) randomBootDuration(worker *Worker) time.Duration {
 	d := time.Duration(c.machineType(worker.Type).BootS * (0.6 + 0.9*worker.rng.Float64()) * float64(time.Second))
 	if c.bootSlowdown > 0 {
 		d = time.Duration(float64(d) * c.bootSlowdown)
 	}
 	if c.neverBootsEvery > 0 && c.launched%c.neverBootsEvery == 0 {
-		d = neverBoots
+		d = neverBootsDuration
 	}
 	return d
 }
 
-// handleRelease takes machines away, at once or, with delayed deletions, after the sender's timeout.
+// handleRelease deletes machines, either at once or after deletionDelay and without a response.
 func (c *Cloud) handleRelease(w http.ResponseWriter, machines []string) {
 	c.mu.Lock()
 	delay := c.deletionDelay
@@ -363,7 +365,7 @@
 		}()
 		panic(http.ErrAbortHandler)
 	}
-	c.answer(w, func() any {
+	c.handleRequest(w, func() any {
 		c.remove(machines)
 		return payload{}
 	})
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -10,30 +10,30 @@
 	"fieldhill/internal/platform/host"
 )
 
-// ControllerFunc runs a controller until its context ends; callers pass the real one, or one that runs it as a process.
+// ControllerFunc runs a controller until its context ends, either in this process or as a child process.
 type ControllerFunc func(ctx context.Context, h host.Net, s *config.Settings) error
 
-// ControllerName is the name of a controller in its settings.
+// ControllerName returns the name of a controller in its settings.
 func ControllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// controllerGroup starts and ends the controllers of a deployment, each in a goroutine that stands for its process.
+// controllerGroup starts and stops the controllers of a deployment, each in a goroutine that represents its process.
 type controllerGroup struct {
 	ctx       context.Context // of the environment
 	run       ControllerFunc
 	networkOf networkFunc
 	addresses Addresses
-	params    *config.Params // of the environment; tests change them before a start
+	params    *config.Params // of the environment; tests may change them before a controller starts
 	processes []*controllerProcess
 }
 
-// controllerProcess is a controller and its present process, if it was started.
+// controllerProcess is a controller and, if it was started, its current process.
 type controllerProcess struct {
 	name, zone, userAddr, peerAddr string
 
 	host   host.Net
 	stop   context.CancelFunc
 	done   chan struct{}
-	killed *atomic.Bool // the process was ended between two statements
+	killed *atomic.Bool // ended by Kill
 }
 
 func newControllerGroup(
@@ -56,7 +56,7 @@
 	return g
 }
 
-// settings are those of a controller in a settings file.
+// settings returns the settings of a controller as if read from its settings file.
 func (g *controllerGroup) settings(process *controllerProcess) *config.Settings {
 	settings := &config.Settings{
 		Node:       process.name,
@@ -75,7 +75,6 @@
 	return settings
 }
 
-// Start starts a controller.
 func (g *controllerGroup) Start(i int) {
 	process := g.processes[i]
 	settings := g.settings(process)
@@ -92,48 +91,49 @@
 	}()
 }
 
-// Crash ends a controller at once, and waits until it has.
+// Crash cancels a controller's context and waits until the controller has returned.
 func (g *controllerGroup) Crash(i int) {
 	g.processes[i].stop()
 	<-g.processes[i].done
 }
 
-// Kill ends a controller between two statements, as a process is ended that gets no signal: nothing that it would do in
-// order reaches anybody, its leases and what it sent live on, and a new process may be started at once.
+// Kill ends a controller like an uncatchable signal, at any point of its execution: its shutdown has no effect on other
+// hosts, its leases stay valid and requests already sent are still processed. A new process may be started at once.
 func (g *controllerGroup) Kill(i int) {
 	process := g.processes[i]
-	process.killed.Store(true) // its listeners end before it does
+	process.killed.Store(true) // before its listeners close, so that their errors are ignored
 	if h, ok := process.host.(*Host); ok {
 		h.Terminate()
 	}
 	process.stop()
 }
 
-// Restart kills a controller, whose next process begins after a while.
+// Restart kills a controller and starts it again after a delay.
 func (g *controllerGroup) Restart(i int, after time.Duration) {
 	g.Kill(i)
 	time.Sleep(after)
 	g.Start(i)
 }
 
-// SetZone has a controller, which does not run, be in a zone from its next start on.
+// SetZone sets the zone of a controller, effective from its next start. The controller must not be running.
 func (g *controllerGroup) SetZone(controller int, zone string) { g.processes[controller].zone = zone }
 
-// UserAddr is where a controller takes requests.
+// UserAddr returns the address at which a controller serves users.
 func (g *controllerGroup) UserAddr(controller int) string { return g.processes[controller].userAddr }
 
-// process is the controller of an index, which workers count on without end.
+// process returns a controller by index modulo the number of controllers, since workers increment the index without
+// bound.
 func (g *controllerGroup) process(index int) *controllerProcess {
 	return g.processes[index%len(g.processes)]
 }
 
-// redirected is the index to which a worker turns that was redirected to a controller by name: that controller, or the
-// next one if the name is unknown or the one that it asked.
-func (g *controllerGroup) redirected(name string, last int) int {
+// redirectIndex returns the index of the controller to use after a redirect by name: the named controller, or the next
+// one if the name is unknown or is that of the controller that sent the redirect.
+func (g *controllerGroup) redirectIndex(name string, lastIndex int) int {
 	for i, process := range g.processes {
-		if process.name == name && i != last%len(g.processes) {
+		if process.name == name && i != lastIndex%len(g.processes) {
 			return i
 		}
 	}
-	return last + 1
+	return lastIndex + 1
 }
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -13,14 +13,14 @@
 	"fieldhill/wire"
 )
 
-// defaultFetchDuration is how long a machine takes to fetch an image, unless a test says otherwise.
+// defaultFetchDuration is the default time that a machine takes to fetch an image.
 const defaultFetchDuration = 1500 * time.Millisecond
 
-// Environment is a whole deployment: controllers, and emulators of everything around them. What controllers, users,
-// tasks and the network do is in the embedded types, each with its own state; their exported methods are the
-// environment's.
+// Environment is a whole deployment: controllers, and emulators of everything that they interact with. The embedded
+// types, each with its own state, implement the behavior of controllers, users, tasks and the network; their exported
+// methods are part of the environment's API.
 type Environment struct {
-	Network *Network // nil on any network but the one in memory
+	Network *Network // nil unless the in-memory network is used
 	Store   *KVStore
 	Cloud   *Cloud
 	Checker *InvariantChecker
@@ -30,7 +30,7 @@
 	*userGroup
 	*heartbeatCopier
 	*taskBehavior
-	gangs *gangTable
+	gangs *gangRegistry
 
 	ctx               context.Context // ends with the environment
 	networkOf         networkFunc
@@ -39,15 +39,15 @@
 	leaseDuration     time.Duration
 	heartbeatInterval time.Duration
 
-	mu                sync.Mutex
-	lateCommandChance float64       // that a direct command is executed only after its sender's timeout
-	maxCommandDelay   time.Duration // by how much at most
+	mu                   sync.Mutex
+	delayedCommandChance float64       // that a direct command is executed late and not answered
+	maxCommandDelay      time.Duration // of these commands
 }
 
-// networkFunc returns the network as a host of some name sees it.
+// networkFunc returns the network interface of the named host.
 type networkFunc func(name string) host.Net
 
-// Addresses are the addresses at which everything listens.
+// Addresses are the listen addresses of a deployment.
 type Addresses struct {
 	Store, Cloud string
 	Users, Peers func(controller int) string
@@ -61,7 +61,7 @@
 	Worker: func(i int) string { return fmt.Sprintf("10.1.0.%d:90", i) },
 }
 
-// DefaultParams are the settings of the deployment that tests run on.
+// DefaultParams returns the parameters of SmallDeployment.
 func DefaultParams() config.Params {
 	return config.Params{
 		InitialSize: 3,
@@ -80,38 +80,39 @@
 	}
 }
 
-// Deployment says what a deployment consists of.
+// Deployment describes a deployment.
 type Deployment struct {
 	Params config.Params
 	Types  []wire.MachineType
-	// MaxMachines is how many machines of a type and kind each zone has; nil: SetCapacity's number of each.
+	// MaxMachines returns the number of machines of a type and kind available in each zone; nil: the number set by
+	// Cloud.SetCapacity.
 	MaxMachines func(typ string, spot bool) int
-	// PageSize is how many machines a page of the cloud's list has.
+	// PageSize is the number of machines on a page of the cloud's machine list.
 	PageSize int
-	// OnTaskStart, if not nil, is called whenever a worker begins a task.
+	// OnTaskStart, if not nil, is called whenever a worker starts a task.
 	OnTaskStart func(s *wire.JobSpec)
 }
 
 // SmallDeployment is the deployment that tests run on.
 func SmallDeployment() Deployment {
-	// small pages, to have them tested
+	// small pages, so that tests exercise paging
 	return Deployment{Params: DefaultParams(), Types: smallDeploymentTypes, PageSize: 2}
 }
 
-// New makes an environment in memory with so many controllers, which are not started yet.
+// New creates an environment on an in-memory network. The controllers are not started yet.
 func New(ctx context.Context, controllers int, seed uint64, run ControllerFunc) *Environment {
 	network := NewNetwork()
 	networkOf := func(name string) host.Net { return network.Host(name) }
-	w, err := NewOnNetwork(ctx, networkOf, inMemoryAddresses, controllers, seed, run)
+	e, err := NewOnNetwork(ctx, networkOf, inMemoryAddresses, controllers, seed, run)
 	if err != nil {
 		panic(err)
 	}
-	w.Network = network
-	return w
+	e.Network = network
+	return e
 }
 
-// NewOnNetwork makes an environment of the small deployment on another network, on which nothing can be partitioned or
-// frozen.
+// NewOnNetwork creates an environment of the small deployment on any network. Unless it is the in-memory network,
+// partitions and freezes are not available.
 func NewOnNetwork(
 	ctx context.Context,
 	networkOf func(name string) host.Net,
@@ -123,8 +124,8 @@
 	return NewDeployment(ctx, networkOf, addresses, controllers, seed, run, SmallDeployment())
 }
 
-// NewDeployment makes an environment of any deployment on any network, and starts everything but the controllers. It
-// ends with the context.
+// NewDeployment creates an environment of any deployment on any network, and starts everything except the controllers.
+// It stops when the context ends.
 func NewDeployment(
 	ctx context.Context,
 	networkOf func(name string) host.Net,
@@ -135,12 +136,12 @@
 	deployment Deployment,
 ) (*Environment, error) {
 	params := deployment.Params
-	w := &Environment{
+	e := &Environment{
 		Store:             NewKVStore(seed),
 		Checker:           NewInvariantChecker(teamLimits(params.Teams), config.Seconds(params.Workers.CancelS)),
 		Params:            params,
 		taskBehavior:      newTaskBehavior(deployment.OnTaskStart),
-		gangs:             newGangTable(config.Seconds(params.Workers.GangWaitS)),
+		gangs:             newGangRegistry(config.Seconds(params.Workers.GangWaitS)),
 		ctx:               ctx,
 		networkOf:         networkOf,
 		addresses:         addresses,
@@ -148,36 +149,36 @@
 		leaseDuration:     config.Seconds(params.Workers.LeaseS),
 		heartbeatInterval: config.Seconds(params.Workers.HeartbeatS),
 	}
-	w.Cloud = newCloud(w, deployment)
-	w.controllerGroup = newControllerGroup(ctx, run, networkOf, addresses, controllers, &w.Params)
-	w.userGroup = &userGroup{
+	e.Cloud = newCloud(e, deployment)
+	e.controllerGroup = newControllerGroup(ctx, run, networkOf, addresses, controllers, &e.Params)
+	e.userGroup = &userGroup{
 		networkOf:   networkOf,
-		controllers: w.controllerGroup,
-		checker:     w.Checker,
-		random:      w.random,
+		controllers: e.controllerGroup,
+		checker:     e.Checker,
+		random:      e.random,
 	}
-	w.heartbeatCopier = &heartbeatCopier{
+	e.heartbeatCopier = &heartbeatCopier{
 		ctx:         ctx,
 		networkOf:   networkOf,
-		controllers: w.controllerGroup,
-		random:      w.random,
+		controllers: e.controllerGroup,
+		random:      e.random,
 	}
-	if err := w.Store.Serve(ctx, networkOf("state"), addresses.Store); err != nil {
+	if err := e.Store.Serve(ctx, networkOf("state"), addresses.Store); err != nil {
 		return nil, err
 	}
-	if err := w.Cloud.serve(ctx); err != nil {
+	if err := e.Cloud.serve(ctx); err != nil {
 		return nil, err
 	}
-	go w.checkLoop(ctx)
-	return w, nil
+	go e.checkLoop(ctx)
+	return e, nil
 }
 
-// checkLoop checks every checkInterval what can only be seen over time.
-func (w *Environment) checkLoop(ctx context.Context) {
+// checkLoop runs the invariant checks that depend on time every checkInterval.
+func (e *Environment) checkLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(checkInterval)
-		w.Checker.Check()
-		w.checkUnusedCapacity()
+		e.Checker.Check()
+		e.checkUnusedCapacity()
 	}
 }
 
@@ -189,22 +190,21 @@
 	return limits
 }
 
-// SetTeams gives the deployment other teams, before its controllers start.
-func (w *Environment) SetTeams(teams []config.Team) {
-	w.Params.Teams = teams
-	w.Checker.setLimits(teamLimits(teams))
+// SetTeams replaces the teams of the deployment. It must be called before the controllers start.
+func (e *Environment) SetTeams(teams []config.Team) {
+	e.Params.Teams = teams
+	e.Checker.setLimits(teamLimits(teams))
 }
 
-// Context ends with the environment.
-func (w *Environment) Context() context.Context { return w.ctx }
+// Context returns the context of the environment.
+func (e *Environment) Context() context.Context { return e.ctx }
 
-// ClientFor is a client for tests that call an emulator themselves, from a host of that name.
-func (w *Environment) ClientFor(name string) *msgpackhttp.Client {
-	return msgpackhttp.New(w.networkOf(name), 1, 4, time.Second)
+// ClientFor returns a client on the named host, for tests that send requests to an emulator directly.
+func (e *Environment) ClientFor(name string) *msgpackhttp.Client {
+	return msgpackhttp.New(e.networkOf(name), 1, 4, time.Second)
 }
 
-// randomSource is the source of everything that the environment leaves to chance, but for what the key-value store and
-// each worker draw for themselves: one seed gives one sequence.
+// randomSource is the seeded random source of the environment. The key-value store and each worker have their own.
 type randomSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -222,15 +222,15 @@
 	return r.rng.IntN(n)
 }
 
-// chance draws with a probability.
+// chance returns true with the given probability.
 func (r *randomSource) chance(probability float64) bool { return r.float64() < probability }
 
-// chanceIfSet is chance, but draws nothing for a probability of 0.
+// chanceIfSet is like chance, but consumes no random number if the probability is 0.
 func (r *randomSource) chanceIfSet(probability float64) bool {
 	return probability > 0 && r.chance(probability)
 }
 
-// delay draws a duration up to a bound.
-func (r *randomSource) delay(bound time.Duration) time.Duration {
-	return time.Duration(r.float64() * float64(bound))
+// delayUpTo returns a random duration below maxDelay.
+func (r *randomSource) delayUpTo(maxDelay time.Duration) time.Duration {
+	return time.Duration(r.float64() * float64(maxDelay))
 }
--- a/internal/emulator/heartbeat_copies.go
+++ b/internal/emulator/heartbeat_copies.go
@@ -9,13 +9,12 @@
 	"fieldhill/wire"
 )
 
-// maxRetainedHeartbeats bounds the copies of heartbeats that are retained for the next leader.
+// maxRetainedHeartbeats limits the heartbeat copies that are retained for replay to the next leader.
 const maxRetainedHeartbeats = 500
 
-// copyTimeout is how long a copy of a heartbeat waits for its answer.
 const copyTimeout = 4 * time.Second
 
-// heartbeatCopier is a network that delivers heartbeats once more, late, or to another controller.
+// heartbeatCopier emulates a network that delivers heartbeats more than once, late, or to another controller.
 type heartbeatCopier struct {
 	ctx         context.Context // of the environment
 	networkOf   networkFunc
@@ -23,21 +22,21 @@
 	random      *randomSource
 
 	mu                sync.Mutex
-	duplicateChance   float64 // that a heartbeat is sent again
+	duplicateChance   float64 // that a heartbeat is delivered twice
 	maxDuplicateDelay time.Duration
-	retainChance      float64 // that a copy of a heartbeat is retained for the next leader
+	retainChance      float64 // that a copy of a heartbeat is retained for replay to the next leader
 	retained          []*wire.Heartbeat
 }
 
-// DuplicateHeartbeats sets the probability that a copy of a heartbeat comes to the controller that it was sent to, and
-// by how much it may be late.
+// DuplicateHeartbeats sets the probability that a heartbeat is delivered twice to its controller, and the maximum delay
+// of the second delivery.
 func (c *heartbeatCopier) DuplicateHeartbeats(probability float64, maxDelay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.duplicateChance, c.maxDuplicateDelay = probability, maxDelay
 }
 
-// maybeDuplicate sends a heartbeat once more, perhaps. Nobody is there for the answer.
+// maybeDuplicate delivers a heartbeat a second time with the set probability. The response is discarded.
 func (c *heartbeatCopier) maybeDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
 	duplicate, delay := c.drawCopies(heartbeat)
 	if !duplicate {
@@ -52,7 +51,7 @@
 	}()
 }
 
-// drawCopies decides whether a heartbeat is retained, and whether and when it is sent again.
+// drawCopies randomly decides whether a heartbeat is retained, and whether and with what delay it is duplicated.
 func (c *heartbeatCopier) drawCopies(heartbeat *wire.Heartbeat) (duplicate bool, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,12 +61,12 @@
 	}
 	if c.duplicateChance > 0 {
 		duplicate = c.random.chance(c.duplicateChance)
-		delay = c.random.delay(c.maxDuplicateDelay)
+		delay = c.random.delayUpTo(c.maxDuplicateDelay)
 	}
 	return duplicate, delay
 }
 
-// SendDuplicate sends a heartbeat as a network might that retained a copy of it.
+// SendDuplicate sends a copy of a heartbeat from another host than its machine, and discards the response.
 func (c *heartbeatCopier) SendDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
 	client := msgpackhttp.New(c.networkOf("copies"), 1, 1, time.Second)
 	defer client.Close()
@@ -77,15 +76,15 @@
 	_ = client.Do(ctx, "POST", controllerAddr, wire.PathHeartbeat, heartbeat, &response, wire.MaxBody)
 }
 
-// RetainHeartbeats sets the probability that a copy of a heartbeat is retained for the next leader.
+// RetainHeartbeats sets the probability that a copy of a heartbeat is retained for replay to the next leader.
 func (c *heartbeatCopier) RetainHeartbeats(probability float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retainChance = probability
 }
 
-// ReplayRetained sends retained copies to every controller, all at once, and counts them: of each machine the oldest,
-// one in the middle and the newest.
+// ReplayRetained sends retained heartbeats to every controller, all concurrently: the oldest, middle and newest one of
+// each machine. It returns their number.
 func (c *heartbeatCopier) ReplayRetained() (sent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/invariant_queries.go
+++ b/internal/emulator/invariant_queries.go
@@ -6,119 +6,120 @@
 	"fieldhill/wire"
 )
 
-// Violations lists the violations so far, each with its time and rule.
+// Violations returns the violations so far, each with its time and rule.
 func (c *InvariantChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// isLastTask reports whether a task is the only one of its job that is not done.
+// isLastTask reports whether a task is the only one not done of an accepted job that its user did not cancel.
 func (c *InvariantChecker) isLastTask(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := c.jobs[n]
-	return t != nil && t.accepted && !t.cancelRequested && !t.done[k] && len(t.done) == t.spec.Tasks-1
+	job := c.jobs[n]
+	return job != nil && job.accepted && !job.cancelRequested && !job.done[k] && len(job.done) == job.spec.Tasks-1
 }
 
-// RacingReads counts the answers to questions that came within a moment after a user was answered that a job is
-// accepted, done or cancelled.
+// RacingReads returns the number of responses to requests that were sent within racingReadWindow after a user was first
+// told that the job is accepted, done or cancelled.
 func (c *InvariantChecker) RacingReads() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.racingReads
 }
 
-// OpenJobs lists some jobs that have tasks on machines, and that nobody has asked to cancel.
+// OpenJobs returns up to limit accepted jobs that have tasks on machines and are neither finished nor cancelled by
+// their users.
 func (c *InvariantChecker) OpenJobs(limit int) (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, t := range c.jobs {
-		if t.accepted && !t.cancelRequested && t.finalState == "" && len(t.taskZones) > 0 {
-			ids = append(ids, t.spec.ID)
+	for _, job := range c.jobs {
+		if job.accepted && !job.cancelRequested && job.finalState == "" && len(job.taskZones) > 0 {
+			ids = append(ids, job.spec.ID)
 		}
 	}
 	slices.Sort(ids)
 	return ids[:min(limit, len(ids))]
 }
 
-// isDone reports whether a task completed: its result is stored, and if it is started again it is done at once.
+// isDone reports whether a task has completed. Its result is stored, so it is done at once if it is started again.
 func (c *InvariantChecker) isDone(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := c.jobs[n]
-	return t != nil && t.done[k]
+	job := c.jobs[n]
+	return job != nil && job.done[k]
 }
 
-// StartsAfterCancel counts the tasks that were started after the cancellation of their job was confirmed, within the
-// time that the protocol leaves.
+// StartsAfterCancel returns the number of task starts after the cancellation of the job was confirmed. The protocol
+// allows them for a limited time; later ones are also recorded as violations.
 func (c *InvariantChecker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startsAfterCancel
 }
 
-// Starts counts the tasks that were started.
+// Starts returns the number of task starts.
 func (c *InvariantChecker) Starts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.starts
 }
 
-// StartsOf counts the tasks of a job that were started.
+// StartsOf returns the number of task starts of a job.
 func (c *InvariantChecker) StartsOf(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := c.jobs[n]; t != nil {
-		return t.starts
+	if job := c.jobs[n]; job != nil {
+		return job.starts
 	}
 	return 0
 }
 
-// Finished counts the jobs of which a user was answered that they are over, and all that were accepted.
+// Finished returns the number of jobs reported to users as done or cancelled, and the number of accepted jobs.
 func (c *InvariantChecker) Finished() (finished, accepted int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, t := range c.jobs {
-		if t.accepted {
+	for _, job := range c.jobs {
+		if job.accepted {
 			accepted++
 		}
-		if t.finalState != "" {
+		if job.finalState != "" {
 			finished++
 		}
 	}
 	return finished, accepted
 }
 
-// Running counts the tasks of a job that are on machines.
+// Running returns the number of tasks of a job that are on machines.
 func (c *InvariantChecker) Running(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := c.jobs[n]; t != nil {
-		return len(t.taskZones)
+	if job := c.jobs[n]; job != nil {
+		return len(job.taskZones)
 	}
 	return 0
 }
 
-// UsedCPUs is how many CPUs a team's tasks use.
+// UsedCPUs returns the number of CPUs that a team's tasks use.
 func (c *InvariantChecker) UsedCPUs(team string) (cpus float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.usage[team][0]
 }
 
-// Tasks counts all tasks that are on machines.
+// Tasks returns the number of tasks that are on machines.
 func (c *InvariantChecker) Tasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.placements)
 }
 
-// HasTasks reports whether any task is on a machine.
+// HasTasks reports whether any task is on the given machine.
 func (c *InvariantChecker) HasTasks(machine string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -11,115 +11,115 @@
 	"fieldhill/wire"
 )
 
-// InvariantChecker sees every task that is on a machine and every answer to a user, and records each violation of the
+// InvariantChecker observes every task on a machine and every response to a user, and records violations of the
 // protocol's rules.
 type InvariantChecker struct {
-	mu          sync.Mutex
-	limits      map[string][2]float64 // by team: CPUs and GPUs at most, 0 for no limit
-	cancelBound time.Duration         // within which a confirmed cancellation must take effect
-	jobs        map[uint64]*jobRecord
-	placements  map[string]map[string]bool // by task: machines that have its image and run it
-	usage       map[string][2]float64      // by team: CPUs and GPUs of the tasks in placements
-	violations  []string
-	starts      int
-	// racingReads counts the answers to questions that came within a moment after a job was accepted, ended or
-	// cancelled.
+	mu                sync.Mutex
+	limits            map[string][2]float64 // by team: maximum CPUs and GPUs, 0: unlimited
+	maxCancelDuration time.Duration         // within which a confirmed cancellation must take effect
+	jobs              map[uint64]*jobRecord
+	placements        map[string]map[string]bool // by task: machines on which it has started
+	usage             map[string][2]float64      // by team: CPUs and GPUs of the tasks in placements
+	violations        []string
+	starts            int
+	// racingReads counts the responses to requests sent within racingReadWindow after a response that first said that
+	// the job is accepted, done or cancelled.
 	racingReads       int
-	startsAfterCancel int  // starts of jobs whose cancellation was confirmed
-	faultsOver        bool // no fault is injected any more
+	startsAfterCancel int  // task starts after the cancellation of the job was confirmed
+	faultsOver        bool // no more faults are injected
 }
 
-// forgottenAfter is for how long all questions about an accepted job may stay unanswered once all faults are over.
-const forgottenAfter = 75 * time.Second
+// maxUnansweredDuration is how long all polls of an accepted job may stay unanswered once all faults are over.
+const maxUnansweredDuration = 75 * time.Second
 
-// setLimits replaces the teams' limits.
 func (c *InvariantChecker) setLimits(limits map[string][2]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limits = limits
 }
 
-// MarkFaultsOver has the checker demand progress: no fault is injected any more.
+// MarkFaultsOver tells the checker that no more faults are injected, so that it also checks for progress.
 func (c *InvariantChecker) MarkFaultsOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultsOver = true
 }
 
-// RecordUnanswered records a question about a job that got no answer: none at all, or a refusal, which is none.
+// RecordUnanswered records a poll of a job that failed: it got no response, or one with an error status.
 func (c *InvariantChecker) RecordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	t := c.jobs[n]
+	job := c.jobs[n]
 	switch {
-	case t == nil || !c.faultsOver || !t.accepted || t.cancelRequested:
-	case t.unansweredSince.IsZero():
-		t.unansweredSince = time.Now()
-	case time.Since(t.unansweredSince) > forgottenAfter:
-		c.violate("forgotten", "no question about %s was answered for %v", id, time.Since(t.unansweredSince))
-		t.unansweredSince = time.Now()
+	case job == nil || !c.faultsOver || !job.accepted || job.cancelRequested:
+	case job.unansweredSince.IsZero():
+		job.unansweredSince = time.Now()
+	case time.Since(job.unansweredSince) > maxUnansweredDuration:
+		c.recordViolation("forgotten", "no poll of %s was answered for %v", id, time.Since(job.unansweredSince))
+		job.unansweredSince = time.Now()
 	}
 }
 
-// jobRecord is what users were answered about a job, and what its tasks did.
+// jobRecord contains what users were told about a job, and what its tasks did.
 type jobRecord struct {
 	spec            *wire.JobSpec
 	starts          int
-	accepted        bool         // as a user was answered
-	done            map[int]bool // tasks
-	finalState      string       // as a user was answered; "" for none
-	cancelRequested bool         // its user asked to cancel it
-	cancelledAt     time.Time    // when that was confirmed
+	accepted        bool         // as told to a user
+	done            map[int]bool // by task index
+	finalState      string       // as told to a user; "": none
+	cancelRequested bool         // by its user
+	cancelledAt     time.Time    // when the cancellation was confirmed; zero: it was not
 	taskZones       map[int]string
-	stateChangedAt  time.Time // when a user was answered first that it is accepted, done or cancelled
-	submittedAt     time.Time // when its user began to submit it
-	startedAt       time.Time // when its first task started, of a gang all at once; zero: not yet
-	// unansweredSince is since when no question about it was answered, all faults over; zero: the last one was.
+	stateChangedAt  time.Time // when a user was first told that it is accepted, done or cancelled
+	submittedAt     time.Time // when its user first tried to submit it
+	startedAt       time.Time // when its first task started, or all tasks of a gang; zero: not yet
+	// unansweredSince is the time since which no poll was answered after all faults were over; zero: the last poll was
+	// answered.
 	unansweredSince time.Time
-	// placeableSince is since when a task of it waits, all faults over, though a machine that fits has room and its
-	// team is under its limit.
+	// placeableSince is the time since which a task waits, after all faults were over, although there is room for it
+	// and its team is below its limit; zero: none does.
 	placeableSince       time.Time
-	replicaUpSeconds     float64 // replicas' seconds, from replicaStartupGrace on
+	replicaUpSeconds     float64 // summed over replicas, after replicaStartupGrace
 	replicaWantedSeconds float64
 }
 
-// NewInvariantChecker makes a checker for teams' limits and a bound of cancellations.
-func NewInvariantChecker(limits map[string][2]float64, cancelBound time.Duration) *InvariantChecker {
+// NewInvariantChecker returns a checker, given the CPU and GPU limits of each team and the time within which a
+// confirmed cancellation must take effect.
+func NewInvariantChecker(limits map[string][2]float64, maxCancelDuration time.Duration) *InvariantChecker {
 	return &InvariantChecker{
-		limits:      limits,
-		cancelBound: cancelBound,
-		jobs:        map[uint64]*jobRecord{},
-		placements:  map[string]map[string]bool{},
-		usage:       map[string][2]float64{},
+		limits:            limits,
+		maxCancelDuration: maxCancelDuration,
+		jobs:              map[uint64]*jobRecord{},
+		placements:        map[string]map[string]bool{},
+		usage:             map[string][2]float64{},
 	}
 }
 
-// violate records a violation of a rule.
-func (c *InvariantChecker) violate(rule, format string, args ...any) {
+func (c *InvariantChecker) recordViolation(rule, format string, args ...any) {
 	c.violations = append(c.violations, time.Now().Format("15:04:05.000 ")+rule+": "+fmt.Sprintf(format, args...))
 }
 
-// RegisterJob records that a user begins to submit a job.
+// RegisterJob records that a user starts to submit a job.
 func (c *InvariantChecker) RegisterJob(s *wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
-	if t := c.jobs[n]; t != nil { // a repeat, or a new try after a refusal
-		if !t.accepted && t.starts == 0 {
-			t.spec = s
+	if job := c.jobs[n]; job != nil { // a repeated submission, or a new one after a refusal
+		if !job.accepted && job.starts == 0 {
+			job.spec = s
 		}
 		return
 	}
 	c.jobs[n] = &jobRecord{spec: s, done: map[int]bool{}, taskZones: map[int]string{}, submittedAt: time.Now()}
 }
 
-// RegisterFinishedJob records a job that was done long ago.
+// RegisterFinishedJob records a job that was done before the test started.
 func (c *InvariantChecker) RegisterFinishedJob(s *wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
-	t := &jobRecord{
+	job := &jobRecord{
 		spec:        s,
 		done:        map[int]bool{},
 		taskZones:   map[int]string{},
@@ -128,62 +128,62 @@
 		submittedAt: time.Now(),
 	}
 	for k := range s.Tasks {
-		t.done[k] = true
+		job.done[k] = true
 	}
-	c.jobs[n] = t
+	c.jobs[n] = job
 }
 
-// Spec is a job as it was submitted, for the workers; nil if nobody submitted it.
+// Spec returns a job as it was submitted, or nil if it was not.
 func (c *InvariantChecker) Spec(n uint64) *wire.JobSpec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.jobs[n]; t != nil {
-		return t.spec
+	if job := c.jobs[n]; job != nil {
+		return job.spec
 	}
 	return nil
 }
 
-// RecordStart records that a task has its image on a machine, and checks whether it may run there.
+// RecordStart records that a task starts on a machine, and checks whether it may run there.
 func (c *InvariantChecker) RecordStart(task string, worker *Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.starts++
 	n, k, _ := wire.ParseTaskID(task)
-	t := c.jobs[n]
-	if t == nil {
-		c.violate("invented", "%s starts, nobody submitted it", task)
+	job := c.jobs[n]
+	if job == nil {
+		c.recordViolation("invented", "%s starts, but was never submitted", task)
 		return
 	}
 	if len(c.placements[task]) > 0 {
-		c.violate("ran_twice", "%s starts on %s and is on %v", task, worker.Name, c.placements[task])
+		c.recordViolation("ran_twice", "%s starts on %s while it is on %v", task, worker.Name, c.placements[task])
 	}
 	if c.placements[task] == nil {
 		c.placements[task] = map[string]bool{}
 	}
-	c.checkPlacement(t, task, k, worker)
-	if !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > c.cancelBound {
-		c.violate("ran_cancelled", "%s starts %v after its cancellation", task, time.Since(t.cancelledAt))
+	c.checkPlacement(job, task, k, worker)
+	if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > c.maxCancelDuration {
+		c.recordViolation("ran_cancelled", "%s starts %v after its cancellation", task, time.Since(job.cancelledAt))
 	}
-	if !t.cancelledAt.IsZero() {
+	if !job.cancelledAt.IsZero() {
 		c.startsAfterCancel++
 	}
-	t.starts++
-	t.placeableSince = time.Time{}
+	job.starts++
+	job.placeableSince = time.Time{}
 	if !c.placements[task][worker.Name] {
 		c.placements[task][worker.Name] = true
-		c.adjustUsage(t.spec, 1)
+		c.adjustUsage(job.spec, 1)
 	}
-	t.taskZones[k] = worker.Zone
-	if t.startedAt.IsZero() && (t.spec.Shape != wire.Gang || len(t.taskZones) == t.spec.Tasks) {
-		t.startedAt = time.Now()
+	job.taskZones[k] = worker.Zone
+	if job.startedAt.IsZero() && (job.spec.Shape != wire.Gang || len(job.taskZones) == job.spec.Tasks) {
+		job.startedAt = time.Now()
 	}
-	c.checkQuota(t.spec.Team)
+	c.checkQuota(job.spec.Team)
 }
 
-// checkPlacement checks whether a machine is one that a task's job may use, beside the job's other tasks.
-func (c *InvariantChecker) checkPlacement(t *jobRecord, task string, index int, worker *Worker) {
+// checkPlacement checks whether a task's job may use a machine, given the zones of the job's other tasks.
+func (c *InvariantChecker) checkPlacement(job *jobRecord, task string, index int, worker *Worker) {
 	sameZone, otherZones := 0, 0
-	for other, zone := range t.taskZones {
+	for other, zone := range job.taskZones {
 		switch {
 		case other == index:
 		case zone == worker.Zone:
@@ -192,10 +192,11 @@
 			otherZones++
 		}
 	}
-	s := t.spec
-	if !allowsMachine(s, worker.Type, worker.Zone, worker.Spot) || s.SameZone && otherZones > 0 ||
-		s.Spread && sameZone+1 > maxTasksPerZone(s) {
-		c.violate("wrong_place", "%s on %s (%s, %s, spot %v) with %d there and %d elsewhere",
+	spec := job.spec
+	if !allowsMachine(spec, worker.Type, worker.Zone, worker.Spot) || spec.SameZone && otherZones > 0 ||
+		spec.Spread && sameZone+1 > maxTasksPerZone(spec) {
+		c.recordViolation("wrong_place",
+			"%s on %s (%s, %s, spot %v) with %d other tasks in the zone and %d in other zones",
 			task, worker.Name, worker.Type, worker.Zone, worker.Spot, sameZone, otherZones)
 	}
 }
@@ -207,182 +208,184 @@
 		(!spot || s.Spot)
 }
 
-// maxTasksPerZone is how many tasks of a spread job one zone may have.
+// maxTasksPerZone returns the maximum number of tasks of a spread job in one zone.
 func maxTasksPerZone(s *wire.JobSpec) int { return (s.Tasks + 1) / 2 }
 
-// adjustUsage adds the resources of so many tasks of a job to its team's.
+// adjustUsage adds the resources of the given number of tasks of a job to the usage of its team.
 func (c *InvariantChecker) adjustUsage(s *wire.JobSpec, tasks float64) {
-	u := c.usage[s.Team]
-	c.usage[s.Team] = [2]float64{u[0] + tasks*s.CPUs, u[1] + tasks*s.GPUs}
+	used := c.usage[s.Team]
+	c.usage[s.Team] = [2]float64{used[0] + tasks*s.CPUs, used[1] + tasks*s.GPUs}
 }
 
-// roundingTolerance is by how much a sum may be off after many changes.
+// roundingTolerance allows for rounding errors that accumulate in usage over many changes.
 const roundingTolerance = 1e-6
 
-// checkQuota checks whether a team uses more than its limit.
+// checkQuota checks that a team does not exceed its limits.
 func (c *InvariantChecker) checkQuota(team string) {
-	u := c.usage[team]
+	used := c.usage[team]
 	limit := c.limits[team]
-	if limit[0] > 0 && u[0] > limit[0]+roundingTolerance || limit[1] > 0 && u[1] > limit[1]+roundingTolerance {
-		c.violate("quota", "%s uses %g CPUs and %g GPUs", team, u[0], u[1])
+	if limit[0] > 0 && used[0] > limit[0]+roundingTolerance || limit[1] > 0 && used[1] > limit[1]+roundingTolerance {
+		c.recordViolation("quota", "%s uses %g CPUs and %g GPUs", team, used[0], used[1])
 	}
 }
 
-// recomputeUsage adds up plainly what the teams use, with which the sums in usage must agree.
+// recomputeUsage computes the usage of the teams from placements; the incrementally updated usage must agree with it.
 func (c *InvariantChecker) recomputeUsage() map[string][2]float64 {
 	sum := map[string][2]float64{}
 	for task, machines := range c.placements {
 		n, _, _ := wire.ParseTaskID(task)
 		s := c.jobs[n].spec
-		u, k := sum[s.Team], float64(len(machines))
-		sum[s.Team] = [2]float64{u[0] + k*s.CPUs, u[1] + k*s.GPUs}
+		used, machineCount := sum[s.Team], float64(len(machines))
+		sum[s.Team] = [2]float64{used[0] + machineCount*s.CPUs, used[1] + machineCount*s.GPUs}
 	}
 	return sum
 }
 
-// RecordExit records that a task is off a machine.
+// RecordExit records that a task has left a machine.
 func (c *InvariantChecker) RecordExit(task string, worker *Worker, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, k, _ := wire.ParseTaskID(task)
-	t := c.jobs[n]
-	if t == nil {
+	job := c.jobs[n]
+	if job == nil {
 		return
 	}
 	if c.placements[task][worker.Name] {
-		c.adjustUsage(t.spec, -1)
+		c.adjustUsage(job.spec, -1)
 	}
 	delete(c.placements[task], worker.Name)
 	if len(c.placements[task]) == 0 {
 		delete(c.placements, task)
-		delete(t.taskZones, k)
+		delete(job.taskZones, k)
 	}
 	if done {
-		t.done[k] = true
+		job.done[k] = true
 	}
 }
 
-// Check checks what can only be seen over time: tasks of cancelled jobs that are still there, and the checker's own
-// sums. It counts the time of replicas, and is called every checkInterval.
+// Check runs the checks that depend on time, of tasks of cancelled jobs that are still on machines, and verifies the
+// checker's own usage sums. It also accumulates the replica times, and must be called every checkInterval.
 func (c *InvariantChecker) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, t := range c.jobs {
-		if t.spec.Shape == wire.Service && t.accepted && !t.cancelRequested &&
-			time.Since(t.submittedAt) > replicaStartupGrace {
-			t.replicaWantedSeconds += checkInterval.Seconds() * float64(t.spec.Tasks)
-			t.replicaUpSeconds += checkInterval.Seconds() * float64(len(t.taskZones))
+	for _, job := range c.jobs {
+		if job.spec.Shape == wire.Service && job.accepted && !job.cancelRequested &&
+			time.Since(job.submittedAt) > replicaStartupGrace {
+			job.replicaWantedSeconds += checkInterval.Seconds() * float64(job.spec.Tasks)
+			job.replicaUpSeconds += checkInterval.Seconds() * float64(len(job.taskZones))
 		}
 	}
 	recomputed := c.recomputeUsage()
-	for team, u := range c.usage {
-		if p := recomputed[team]; math.Abs(u[0]-p[0]) > roundingTolerance || math.Abs(u[1]-p[1]) > roundingTolerance {
-			c.violate("miscounted", "%s uses %v, counted as %v", team, p, u)
+	for team, recorded := range c.usage {
+		actual := recomputed[team]
+		if math.Abs(recorded[0]-actual[0]) > roundingTolerance || math.Abs(recorded[1]-actual[1]) > roundingTolerance {
+			c.recordViolation("miscounted", "%s uses %v, but is recorded as using %v", team, actual, recorded)
 		}
 		c.usage[team] = recomputed[team]
 	}
 	for task, machines := range c.placements {
 		n, _, _ := wire.ParseTaskID(task)
-		t := c.jobs[n]
-		if late := time.Since(t.cancelledAt); !t.cancelledAt.IsZero() && late > c.cancelBound {
-			c.violate("ran_cancelled", "%s is on %v %v after its cancellation", task, machines, late)
-			t.cancelledAt = time.Now() // once is enough
+		job := c.jobs[n]
+		if sinceCancel := time.Since(job.cancelledAt); !job.cancelledAt.IsZero() && sinceCancel > c.maxCancelDuration {
+			c.recordViolation("ran_cancelled", "%s is on %v %v after its cancellation", task, machines, sinceCancel)
+			job.cancelledAt = time.Now() // restart the period, not to report it at every check
 		}
 	}
 }
 
-// RecordCancelRequest records that a user begins to ask for a cancellation.
+// RecordCancelRequest records that a user is about to request the cancellation of a job.
 func (c *InvariantChecker) RecordCancelRequest(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	if t := c.jobs[n]; t != nil {
-		t.cancelRequested = true
+	if job := c.jobs[n]; job != nil {
+		job.cancelRequested = true
 	}
 }
 
-// ClientView is what users had been answered about a job when a request began. Its answer may be compared with that
-// alone: what another user is answered meanwhile may be newer.
+// ClientView is what users had been told about a job when a request was sent. The response must be compared only with
+// that: what another user is told in the meantime may be newer.
 type ClientView struct {
 	accepted    bool
 	finalState  string
 	justChanged bool // within racingReadWindow
 }
 
-// racingReadWindow is within which time after a change a question counts as a racing read.
+// racingReadWindow is the time after a change of a job's state within which a request counts as a racing read.
 const racingReadWindow = 100 * time.Millisecond
 
-// ClientViewOf is what users have been answered about a job by now.
+// ClientViewOf returns what users have been told about a job so far.
 func (c *InvariantChecker) ClientViewOf(id string) ClientView {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	t := c.jobs[n]
-	if t == nil {
+	job := c.jobs[n]
+	if job == nil {
 		return ClientView{}
 	}
 	return ClientView{
-		accepted:    t.accepted,
-		finalState:  t.finalState,
-		justChanged: !t.stateChangedAt.IsZero() && time.Since(t.stateChangedAt) < racingReadWindow,
+		accepted:    job.accepted,
+		finalState:  job.finalState,
+		justChanged: !job.stateChangedAt.IsZero() && time.Since(job.stateChangedAt) < racingReadWindow,
 	}
 }
 
-// RecordResponse records an answer that a user got to a submission, a poll or a cancellation, and checks whether it
-// agrees with what users had been answered before and with what the tasks did.
+// RecordResponse records the response to a submission, poll or cancellation, and checks that it is consistent with what
+// users had been told before the request and with what the tasks did.
 func (c *InvariantChecker) RecordResponse(id, operation string, before ClientView, code int, status *wire.JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(id)
-	t := c.jobs[n]
+	job := c.jobs[n]
 	ok := code == http.StatusOK || code == http.StatusCreated
-	if t == nil {
+	if job == nil {
 		if ok {
-			c.violate("invented", "%s of %s got %d", operation, id, code)
+			c.recordViolation("invented", "%s of %s got %d", operation, id, code)
 		}
 		return
 	}
-	if forgets := isForgetful(operation, code); before.accepted && forgets {
-		c.violate("forgotten", "%s of %s got %d", operation, id, code)
+	if denied := deniesAcceptedJob(operation, code); before.accepted && denied {
+		c.recordViolation("forgotten", "%s of %s got %d", operation, id, code)
 	} else if !ok {
 		return
 	}
 	if before.justChanged {
 		c.racingReads++
 	}
-	t.unansweredSince = time.Time{}
-	if !t.accepted && (operation == operationSubmit || operation == operationPoll) {
-		t.accepted = true
-		t.stateChangedAt = time.Now()
+	job.unansweredSince = time.Time{}
+	if !job.accepted && (operation == operationSubmit || operation == operationPoll) {
+		job.accepted = true
+		job.stateChangedAt = time.Now()
 	}
-	c.recordState(t, operation, before, status)
+	c.recordState(job, operation, before, status)
 }
 
-// isForgetful reports whether an answer denies that a job exists that was accepted.
-func isForgetful(operation string, code int) bool {
+// deniesAcceptedJob reports whether a response is one that an accepted job must never get.
+func deniesAcceptedJob(operation string, code int) bool {
 	malformed := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
 	return code == http.StatusNotFound || operation == operationSubmit && malformed
 }
 
-// recordState checks and records the state of a job in an answer.
-func (c *InvariantChecker) recordState(t *jobRecord, operation string, before ClientView, status *wire.JobStatus) {
-	id := t.spec.ID
-	if status.State == wire.JobDone && len(t.done) < t.spec.Tasks {
-		c.violate("not_done", "%s of %s says done, %d of %d are", operation, id, len(t.done), t.spec.Tasks)
+// recordState checks and records the job state in a response.
+func (c *InvariantChecker) recordState(job *jobRecord, operation string, before ClientView, status *wire.JobStatus) {
+	id := job.spec.ID
+	if status.State == wire.JobDone && len(job.done) < job.spec.Tasks {
+		c.recordViolation("not_done", "%s of %s returned done with %d of %d tasks done",
+			operation, id, len(job.done), job.spec.Tasks)
 	}
 	if before.finalState != "" && status.State != before.finalState {
-		c.violate("went_back", "%s was called %s and now %s", id, before.finalState, status.State)
+		c.recordViolation("went_back", "%s was reported as %s and now as %s", id, before.finalState, status.State)
 	}
-	if status.State == wire.JobCancelled && !t.cancelRequested {
-		c.violate("went_back", "%s is called cancelled, its user did not cancel it", id)
+	if status.State == wire.JobCancelled && !job.cancelRequested {
+		c.recordViolation("went_back", "%s is reported as cancelled, but its user did not cancel it", id)
 	}
 	if status.State == wire.JobDone || status.State == wire.JobCancelled {
-		if t.finalState == "" {
-			t.stateChangedAt = time.Now()
+		if job.finalState == "" {
+			job.stateChangedAt = time.Now()
 		}
-		t.finalState = status.State
+		job.finalState = status.State
 	}
-	if status.State == wire.JobCancelled && t.cancelledAt.IsZero() {
-		t.cancelledAt = time.Now()
+	if status.State == wire.JobCancelled && job.cancelledAt.IsZero() {
+		job.cancelledAt = time.Now()
 	}
 }
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -8,9 +8,10 @@
 	"fieldhill/wire"
 )
 
-// TestInvariantCheckerFindsPlantedViolations: a task that starts on two machines, and a team that uses more than its
-// limit, also after many tasks came and went.
-func TestInvariantCheckerFindsPlantedViolations(t *testing.T) {
+// TestInvariantCheckerDetectsViolations checks that the checker detects a task that starts on two machines, a team that
+// exceeds its limit after many tasks started and ended, and a wrong sum of its own. A checker that misses them would
+// make every test that relies on it pass.
+func TestInvariantCheckerDetectsViolations(t *testing.T) {
 	checker := NewInvariantChecker(map[string][2]float64{"red": {10, 0}}, time.Minute)
 	checker.RegisterJob(&wire.JobSpec{ID: wire.JobID(1), Team: "red", Shape: wire.Array, Tasks: 200, CPUs: 0.1})
 	checker.RegisterJob(&wire.JobSpec{ID: wire.JobID(2), Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 0.2})
@@ -25,15 +26,15 @@
 	if violations := checker.Violations(); len(violations) != 0 {
 		t.Fatal(violations)
 	}
-	checker.RecordStart(wire.TaskID(2, 0), a) // 9.9 + 0.2
+	checker.RecordStart(wire.TaskID(2, 0), a) // 9.9 + 0.2 CPUs of 10
 	checker.RecordStart(wire.TaskID(1, 199), b)
 	violations := strings.Join(checker.Violations(), "\n")
 	if !strings.Contains(violations, "quota") || !strings.Contains(violations, "ran_twice") {
-		t.Errorf("found: %s", violations)
+		t.Errorf("want quota and ran_twice, got: %s", violations)
 	}
 	checker.usage["red"] = [2]float64{}
 	checker.Check()
 	if violations := strings.Join(checker.Violations(), "\n"); !strings.Contains(violations, "miscounted") {
-		t.Error("a wrong sum is not found")
+		t.Errorf("want miscounted after a wrong usage sum, got: %s", violations)
 	}
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -16,145 +16,143 @@
 )
 
 const (
-	// maxHistory is how many changes the store remembers for watches; those that need older ones get 410.
-	maxHistory = 10000
-	// expiryInterval is how often leases are checked for their expiry.
-	expiryInterval = 50 * time.Millisecond
-	// maxListPage is how many keys a page has at most: few, to have paging tested.
+	// maxHistory is the number of changes retained for watches; a watch that needs an older one is answered 410.
+	maxHistory          = 10000
+	leaseExpiryInterval = 50 * time.Millisecond
+	// maxListPage is the maximum number of keys on a page; low so that tests exercise paging.
 	maxListPage = 50
-	// minDelayedTxn is by how much a transaction is late at least that DelayTxns chose.
-	minDelayedTxn = 2 * time.Second
+	// minTxnDelay is the minimum delay of a transaction selected by DelayTxns.
+	minTxnDelay = 2 * time.Second
 )
 
 // KVStore emulates the consensus-backed key-value store: keys with versions, transactions, leases and watches. Its
 // HTTP interface is in kvstore_http.go.
 type KVStore struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	revision uint64
-	keys     map[string]*entry
-	leases   map[uint64]*leaseGrant
-	nextID   uint64 // of a lease
-	history  []change
-	changed  chan struct{} // closed at the next change
+	mu          sync.Mutex
+	rng         *rand.Rand
+	revision    uint64
+	keys        map[string]*entry
+	leases      map[uint64]*leaseState
+	lastLeaseID uint64
+	history     []change
+	changed     chan struct{} // closed at the next change
 
 	writes       int
 	requests     int
-	requestBytes int // of their bodies
-	peakKeys     int // most keys held at once
+	requestBytes int // size of all request bodies
+	peakKeys     int // highest number of keys held at once
 
 	outage       bool
-	refusedHosts map[string]bool // hosts that alone get what all get in an outage
-	latency      time.Duration   // of every answer
+	refusedHosts map[string]bool // hosts whose requests are refused as in an outage
+	latency      time.Duration   // of every response
 	txnFaults    txnFaults
-	delayedTxns  map[string]int // what was carried out late, by the kind of its first write
-	// droppedResponses counts the transactions that dropAfterCommitChance chose, by the kind of their first write.
+	delayedTxns  map[string]int // transactions applied late, by the kind of their first write
+	// droppedResponses counts the transactions selected by dropAfterCommitChance, by the kind of their first write.
 	droppedResponses              map[string]int
-	requestLimiter, changeLimiter *rate.Limiter // nil: any number
+	requestLimiter, changeLimiter *rate.Limiter // nil: unlimited
 }
 
-// txnFaults are the probabilities of what may become of a transaction other than an answer.
+// txnFaults are the probabilities of the faults injected into transactions.
 type txnFaults struct {
-	dropResponseChance float64 // it is applied late and not answered
-	dropRequestChance  float64 // it is neither applied nor answered
-	minDelay, maxExtra time.Duration
-	// dropAfterCommitChance is that it is applied at once and its answer alone is lost.
+	dropResponseChance      float64 // the transaction is applied late and not answered
+	dropRequestChance       float64 // the transaction is neither applied nor answered
+	minDelay, maxExtraDelay time.Duration
+	// dropAfterCommitChance is the probability that a transaction is applied at once and only its response is lost.
 	dropAfterCommitChance float64
 }
 
-// entry is a key's value.
 type entry struct {
 	value   msgpack.RawMessage
 	version uint64
-	lease   uint64 // 0 for none
+	lease   uint64 // 0: none
 }
 
-type leaseGrant struct {
+type leaseState struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// change is one event of a watch.
+// change is one watch event.
 type change struct {
 	key     string
 	value   msgpack.RawMessage // nil: deleted
 	version uint64
 }
 
-// NewKVStore makes an empty store.
+// NewKVStore returns an empty store.
 func NewKVStore(seed uint64) *KVStore {
 	return &KVStore{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		keys:    map[string]*entry{},
-		leases:  map[uint64]*leaseGrant{},
+		leases:  map[uint64]*leaseState{},
 		changed: make(chan struct{}),
 		latency: 3 * time.Millisecond,
 	}
 }
 
-// SetOutage begins or ends an outage; at its end all leases have their full time.
+// SetOutage starts or ends an outage. Leases do not expire during an outage, and have their full TTL when it ends.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.revokeExpiredLeases()
 	s.outage = on
-	for _, g := range s.leases {
-		g.expiresAt = time.Now().Add(g.ttl)
+	for _, lease := range s.leases {
+		lease.expiresAt = time.Now().Add(lease.ttl)
 	}
 }
 
-// DelayTxns has a share of the transactions get no answer, and carries each of them out later, after newer ones: from
-// two seconds on, up to so much more.
+// DelayTxns leaves a share of the transactions unanswered and applies each of them late, possibly after newer ones:
+// after minTxnDelay plus a random time of up to maxExtraDelay.
 func (s *KVStore) DelayTxns(share float64, maxExtraDelay time.Duration) {
-	s.setTxnFaults(share, 0, minDelayedTxn, maxExtraDelay)
+	s.setTxnFaults(share, 0, minTxnDelay, maxExtraDelay)
 }
 
-// setTxnFaults sets how often an answer or a whole request is lost, and by how much a transaction without an answer is
-// late.
+// setTxnFaults sets the probabilities that a response or a whole request is lost, and the delay after which a
+// transaction whose response is lost is applied.
 func (s *KVStore) setTxnFaults(dropResponse, dropRequest float64, minDelay, maxExtraDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnFaults.dropResponseChance = dropResponse
 	s.txnFaults.dropRequestChance = dropRequest
 	s.txnFaults.minDelay = minDelay
-	s.txnFaults.maxExtra = maxExtraDelay
+	s.txnFaults.maxExtraDelay = maxExtraDelay
 }
 
-// DropResponses has a share of the transactions carried out at once while their answers are lost: their sender waits
-// in vain, or its connection breaks.
+// DropResponses makes a share of the transactions lose their response after they were applied at once: the client runs
+// into its timeout, or its connection is closed.
 func (s *KVStore) DropResponses(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnFaults.dropAfterCommitChance = share
 }
 
-// DroppedResponses counts the answers that DropResponses lost, by kind as DelayedTxns does.
+// DroppedResponses returns the number of responses dropped by DropResponses, by transaction kind as in DelayedTxns.
 func (s *KVStore) DroppedResponses() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.droppedResponses)
 }
 
-// DelayedTxns counts what was carried out late, by kind: the operation and the start of the key that it wrote or
-// deleted first.
+// DelayedTxns returns the number of transactions applied late, by kind: the operation and the first two path segments
+// of the key that it wrote or deleted first.
 func (s *KVStore) DelayedTxns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.delayedTxns)
 }
 
-// txnKind is the kind of a transaction by its first write.
-func txnKind(put, del string) string {
-	key, operation := put, "put "
-	if put == "" {
-		key, operation = del, "delete "
+// txnKind returns the kind of a transaction, given the key that its first write puts, or else deletes.
+func txnKind(putKey, deletedKey string) string {
+	key, operation := putKey, "put "
+	if putKey == "" {
+		key, operation = deletedKey, "delete "
 	}
 	parts := strings.Split(key, "/")
 	return operation + strings.Join(parts[:min(2, len(parts))], "/")
 }
 
-// RefuseHost has a host get 503 while the others are served, or ends that. Its open watches wait meanwhile, and its
-// leases run out.
+// RefuseHost starts or stops answering the requests of one host with 503 while the other hosts are served. Meanwhile
+// the open watches of the host wait and its leases expire.
 func (s *KVStore) RefuseHost(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,52 +162,53 @@
 	s.refusedHosts[host] = on
 }
 
-// SetLatency sets how long every answer takes.
+// SetLatency sets the latency of every response.
 func (s *KVStore) SetLatency(latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = latency
 }
 
-// SetRateLimits bounds requests and changes a second, for all controllers together, with bursts of a second's worth.
-func (s *KVStore) SetRateLimits(rps, changes float64) {
+// SetRateLimits limits requests and changes per second for all controllers together, with bursts of up to one second's
+// worth.
+func (s *KVStore) SetRateLimits(requestsPerSecond, changesPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
-	s.changeLimiter = rate.NewLimiter(rate.Limit(changes), int(changes))
+	s.requestLimiter = rate.NewLimiter(rate.Limit(requestsPerSecond), int(requestsPerSecond))
+	s.changeLimiter = rate.NewLimiter(rate.Limit(changesPerSecond), int(changesPerSecond))
 }
 
-// Load counts the changes that were asked for, and the most keys held at once.
+// Load returns the number of changes requested and the highest number of keys held at once.
 func (s *KVStore) Load() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes, s.peakKeys
 }
 
-// StoreTraffic is what the store was asked for so far, and how many keys it holds.
+// StoreTraffic is the cumulative request load of the store and the number of keys it holds.
 type StoreTraffic struct{ Requests, Changes, Bytes, Keys int }
 
-// Traffic counts what was asked for so far.
+// Traffic returns the load since the store was created.
 func (s *KVStore) Traffic() StoreTraffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return StoreTraffic{s.requests, s.writes, s.requestBytes, len(s.keys)}
 }
 
-// expire revokes the leases that have expired; in an outage none does.
-func (s *KVStore) expire() {
+// revokeExpiredLeases does nothing during an outage, in which leases do not expire.
+func (s *KVStore) revokeExpiredLeases() {
 	if s.outage {
 		return
 	}
 	now := time.Now()
-	for id, g := range s.leases {
-		if now.After(g.expiresAt) {
+	for id, lease := range s.leases {
+		if now.After(lease.expiresAt) {
 			s.revokeLease(id)
 		}
 	}
 }
 
-// revokeLease ends a lease and deletes the keys attached to it, all at one revision.
+// revokeLease ends a lease and deletes the keys attached to it, all at the same revision.
 func (s *KVStore) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var attachedKeys []string
@@ -227,7 +226,7 @@
 	}
 }
 
-// recordChange sets or, with a nil value, deletes a key at the present revision, and wakes the watches.
+// recordChange sets a key, or deletes it if the value is nil, at the current revision and wakes the watches.
 func (s *KVStore) recordChange(key string, value msgpack.RawMessage, lease uint64) {
 	if value == nil {
 		delete(s.keys, key)
@@ -243,59 +242,59 @@
 	s.changed = make(chan struct{})
 }
 
-// list is a page of the keys with a prefix.
+// list returns one page of the keys with a prefix that sort after the given key.
 func (s *KVStore) list(prefix, after string, limit int) payload {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var names []string
+	var keys []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > after {
-			names = append(names, k)
+			keys = append(keys, k)
 		}
 	}
-	sort.Strings(names)
+	sort.Strings(keys)
 	items := []payload{}
-	for _, k := range names[:min(len(names), limit, maxListPage)] {
+	for _, k := range keys[:min(len(keys), limit, maxListPage)] {
 		e := s.keys[k]
 		items = append(items, payload{"key": k, "value": e.value, "stamp": e.version})
 	}
-	return payload{"items": items, "truncated": len(items) < len(names), "ledger": s.revision}
+	return payload{"items": items, "truncated": len(items) < len(keys), "ledger": s.revision}
 }
 
-// apply carries a transaction out, if its conditions hold, and returns its answer.
-func (s *KVStore) apply(t *rawTxn) (int, payload) {
+// apply commits a transaction if its conditions hold, and returns the status code and body of the response.
+func (s *KVStore) apply(txn *rawTxn) (int, payload) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage {
 		return http.StatusServiceUnavailable, payload{"error": "trouble"}
 	}
-	s.expire()
-	if s.changeLimiter != nil && !s.changeLimiter.AllowN(time.Now(), len(t.Writes)) {
+	s.revokeExpiredLeases()
+	if s.changeLimiter != nil && !s.changeLimiter.AllowN(time.Now(), len(txn.Writes)) {
 		return http.StatusTooManyRequests, payload{}
 	}
-	s.writes += len(t.Writes)
-	for _, p := range t.Writes {
-		if p.Lease != 0 && s.leases[p.Lease] == nil {
+	s.writes += len(txn.Writes)
+	for _, write := range txn.Writes {
+		if write.Lease != 0 && s.leases[write.Lease] == nil {
 			return http.StatusBadRequest, payload{"error": "no such lease"}
 		}
 	}
-	if failed := s.checkGuards(t.Guards); len(failed) > 0 {
+	if failed := s.checkGuards(txn.Guards); len(failed) > 0 {
 		return http.StatusConflict, payload{"failed": failed, "ledger": s.revision}
 	}
-	if len(t.Writes) > 0 {
+	if len(txn.Writes) > 0 {
 		s.revision++
 	}
-	for _, p := range t.Writes {
-		if p.Put != "" {
-			s.recordChange(p.Put, p.Value, p.Lease)
-		} else if s.keys[p.Delete] != nil {
-			s.recordChange(p.Delete, nil, 0)
+	for _, write := range txn.Writes {
+		if write.Put != "" {
+			s.recordChange(write.Put, write.Value, write.Lease)
+		} else if s.keys[write.Delete] != nil {
+			s.recordChange(write.Delete, nil, 0)
 		}
 	}
 	return http.StatusOK, payload{"ledger": s.revision}
 }
 
-// checkGuards lists the keys that are not at the version that a transaction demands.
+// checkGuards returns the keys that are not at the version required by a transaction.
 func (s *KVStore) checkGuards(guards []wire.Condition) (failed []string) {
 	failed = []string{}
 	for _, guard := range guards {
--- a/internal/emulator/kvstore_http.go
+++ b/internal/emulator/kvstore_http.go
@@ -16,30 +16,29 @@
 )
 
 const (
-	// lostResponseHold is for how long the sender of a transaction may wait whose answer is lost.
-	lostResponseHold = 5 * time.Second
-	// outageWatchPause is how often an open watch looks whether the outage is over.
-	outageWatchPause = 100 * time.Millisecond
-	// minLeaseMillis is the shortest time to live that a lease may have.
-	minLeaseMillis = 100
+	// droppedResponseHold is how long a request whose response is dropped stays open unless its client gives up first.
+	droppedResponseHold = 5 * time.Second
+	// outagePollInterval is how often an open watch checks whether an outage has ended.
+	outagePollInterval = 100 * time.Millisecond
+	minLeaseTTLMillis  = 100
 )
 
-// payload is a message with its keys spelled out, where package wire has no struct that the emulator could send.
+// payload is a message body for which package wire has no struct that the emulator can send.
 type payload = map[string]any
 
-// Serve answers on an address until the context ends.
+// Serve starts to serve requests on an address and returns; the server stops when the context ends.
 func (s *KVStore) Serve(ctx context.Context, h host.Net, addr string) error {
 	ln, err := h.Listen(addr)
 	if err != nil {
 		return err
 	}
-	go s.expireLoop(ctx)
+	go s.leaseExpiryLoop(ctx)
 	serve(ctx, ln, http.HandlerFunc(s.handle))
 	return nil
 }
 
-func (s *KVStore) expireLoop(ctx context.Context) {
-	t := time.NewTicker(expiryInterval)
+func (s *KVStore) leaseExpiryLoop(ctx context.Context) {
+	t := time.NewTicker(leaseExpiryInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -47,13 +46,13 @@
 			return
 		case <-t.C:
 			s.mu.Lock()
-			s.expire()
+			s.revokeExpiredLeases()
 			s.mu.Unlock()
 		}
 	}
 }
 
-// serve answers on a listener until the context ends.
+// serve starts an HTTP server on a listener and returns; the server is closed when the context ends.
 func serve(ctx context.Context, ln net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h}
 	go func() { _ = srv.Serve(ln) }()
@@ -63,10 +62,10 @@
 	}()
 }
 
-// remoteHost is the host that a request came from, where the network knows it.
+// remoteHost returns the name of the client host on the in-memory network, and its address and port on other networks.
 func remoteHost(r *http.Request) string { return r.RemoteAddr }
 
-// respond answers with a message; a client that is gone does not get it.
+// respond writes a message as the response. Write errors are ignored, since the client may have disconnected.
 func respond(w http.ResponseWriter, code int, message any) {
 	b, err := wire.Marshal(message)
 	if err != nil {
@@ -76,9 +75,9 @@
 	_, _ = w.Write(b)
 }
 
-// handle answers any request to the store, after its latency and if there is no outage.
+// handle serves any request to the store after the set latency, unless a rate limit or an outage prevents it.
 func (s *KVStore) handle(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a body cut short is malformed
+	body, _ := io.ReadAll(r.Body) // a truncated body fails to decode
 	s.mu.Lock()
 	s.requests++
 	s.requestBytes += len(body)
@@ -113,7 +112,7 @@
 	}
 }
 
-// isRefused reports whether there is an outage, for all or for the host that a request came from.
+// isRefused reports whether there is an outage for all hosts or for the client host of a request.
 func (s *KVStore) isRefused(r *http.Request) bool { return s.outage || s.refusedHosts[remoteHost(r)] }
 
 func (s *KVStore) handleGet(w http.ResponseWriter, key string) {
@@ -127,7 +126,7 @@
 	respond(w, http.StatusOK, payload{"key": "k", "value": e.value, "stamp": e.version, "permit": e.lease})
 }
 
-// rawTxn is a transaction with values of any form.
+// rawTxn is a transaction whose values are not decoded.
 type rawTxn struct {
 	Guards []wire.Condition `msgpack:"guards"`
 	Writes []struct {
@@ -138,13 +137,13 @@
 	} `msgpack:"writes"`
 }
 
-// kind is the kind of its first write, which it must have.
+// kind returns the kind of the first write; the transaction must have one.
 func (t *rawTxn) kind() string { return txnKind(t.Writes[0].Put, t.Writes[0].Delete) }
 
-// handleTxn carries a transaction out, or lets a fault happen to it.
+// handleTxn applies a transaction, or injects a fault.
 func (s *KVStore) handleTxn(w http.ResponseWriter, body []byte, clientGone <-chan struct{}) {
-	var t rawTxn
-	if err := wire.Unmarshal(body, &t); err != nil {
+	var txn rawTxn
+	if err := wire.Unmarshal(body, &txn); err != nil {
 		respond(w, http.StatusBadRequest, payload{"error": err.Error()})
 		return
 	}
@@ -152,7 +151,7 @@
 	faults := &s.txnFaults
 	dropResponse := s.rng.Float64() < faults.dropResponseChance
 	dropRequest := s.rng.Float64() < faults.dropRequestChance
-	delay := faults.minDelay + time.Duration(s.rng.Float64()*float64(faults.maxExtra))
+	delay := faults.minDelay + time.Duration(s.rng.Float64()*float64(faults.maxExtraDelay))
 	s.mu.Unlock()
 	if dropRequest {
 		panic(http.ErrAbortHandler)
@@ -163,25 +162,25 @@
 	s.mu.Unlock()
 	switch {
 	case dropAfterCommit:
-		s.applyUnanswered(&t)
+		s.applyWithoutResponse(&txn)
 		if !disconnect {
 			select {
 			case <-clientGone:
-			case <-time.After(lostResponseHold):
+			case <-time.After(droppedResponseHold):
 			}
 		}
 		panic(http.ErrAbortHandler)
 	case dropResponse:
-		go s.applyLate(&t, delay)
+		go s.applyDelayed(&txn, delay)
 		panic(http.ErrAbortHandler)
 	}
-	code, response := s.apply(&t)
+	code, response := s.apply(&txn)
 	respond(w, code, response)
 }
 
-// applyUnanswered carries out a transaction whose answer will be lost.
-func (s *KVStore) applyUnanswered(t *rawTxn) {
-	if code, _ := s.apply(t); code != http.StatusOK || len(t.Writes) == 0 {
+// applyWithoutResponse applies a transaction whose response will be dropped, and counts it.
+func (s *KVStore) applyWithoutResponse(txn *rawTxn) {
+	if code, _ := s.apply(txn); code != http.StatusOK || len(txn.Writes) == 0 {
 		return
 	}
 	s.mu.Lock()
@@ -189,14 +188,14 @@
 	if s.droppedResponses == nil {
 		s.droppedResponses = map[string]int{}
 	}
-	s.droppedResponses[t.kind()]++
+	s.droppedResponses[txn.kind()]++
 }
 
-// applyLate carries out a transaction after its sender's timeout.
-func (s *KVStore) applyLate(t *rawTxn, delay time.Duration) {
+// applyDelayed applies a transaction after a delay, when its client may have timed out already, and counts it.
+func (s *KVStore) applyDelayed(txn *rawTxn, delay time.Duration) {
 	time.Sleep(delay)
-	s.apply(t)
-	if len(t.Writes) == 0 {
+	s.apply(txn)
+	if len(txn.Writes) == 0 {
 		return
 	}
 	s.mu.Lock()
@@ -204,11 +203,11 @@
 	if s.delayedTxns == nil {
 		s.delayedTxns = map[string]int{}
 	}
-	s.delayedTxns[t.kind()]++
+	s.delayedTxns[txn.kind()]++
 }
 
-// handleWatch answers with the changes after a revision as soon as there are some, and without any at the end of the
-// hold. In an outage an open watch waits.
+// handleWatch is a long poll: it responds with the changes after a revision as soon as there are any, and with none
+// after hold_ms. During an outage an open watch waits.
 func (s *KVStore) handleWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -230,7 +229,7 @@
 		}
 		if outage {
 			changed = nil
-			deadline.Reset(outageWatchPause)
+			deadline.Reset(outagePollInterval)
 		}
 		select {
 		case <-changed:
@@ -246,7 +245,8 @@
 	}
 }
 
-// changesAfter lists the changes after a revision of the keys with a prefix; not ok if some are forgotten.
+// changesAfter returns the changes after a revision to keys with a prefix; ok is false if some have been discarded from
+// the history.
 func (s *KVStore) changesAfter(revision uint64, prefix string) (updates []payload, ok bool) {
 	if len(s.history) > 0 && s.history[0].version > revision+1 {
 		return nil, false
@@ -268,7 +268,7 @@
 func (s *KVStore) handleLease(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.revokeExpiredLeases()
 	path := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, wire.PathLeases), "/")
 	if path == "" {
 		s.grantLease(w, body)
@@ -291,12 +291,12 @@
 
 func (s *KVStore) grantLease(w http.ResponseWriter, body []byte) {
 	var request wire.LeaseRequest
-	if wire.Unmarshal(body, &request) != nil || request.TTLMillis < minLeaseMillis {
+	if wire.Unmarshal(body, &request) != nil || request.TTLMillis < minLeaseTTLMillis {
 		respond(w, http.StatusBadRequest, payload{})
 		return
 	}
-	s.nextID++
+	s.lastLeaseID++
 	ttl := time.Duration(request.TTLMillis) * time.Millisecond
-	s.leases[s.nextID] = &leaseGrant{ttl, time.Now().Add(ttl)}
-	respond(w, http.StatusOK, payload{"permit": s.nextID})
+	s.leases[s.lastLeaseID] = &leaseState{ttl, time.Now().Add(ttl)}
+	respond(w, http.StatusOK, payload{"permit": s.lastLeaseID})
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,7 +1,7 @@
-// Package emulator emulates the outside world, for tests and for trying the service out: a network in memory, the
-// key-value store, the cloud, the agents of machines, and users. Tests run it in virtual time; it delays, loses,
-// reorders and refuses as the protocol allows. An invariant checker sees every task and records violations; it is a
-// slow, plain reading of the protocol and shares no logic with the service.
+// Package emulator emulates the environment of the service, for tests and for development deployments: an in-memory
+// network, the key-value store, the cloud, the agents of machines, and users. Tests run it in virtual time; it delays,
+// drops, reorders and refuses messages as the protocol allows. An invariant checker observes every task and records
+// violations; it implements the protocol's rules in a simple, slow way and shares no logic with the service.
 package emulator
 
 import (
@@ -19,20 +19,20 @@
 	"fieldhill/internal/platform/host"
 )
 
-// Network connects hosts in memory.
+// Network is an in-memory network.
 type Network struct {
 	mu             sync.Mutex
-	ports          map[string]*listener
-	partitions     map[[2]string]bool   // host and address that it can't reach
-	routes         map[net.Conn]string  // host and address, of open connections
-	pendingDialers map[net.Conn]string  // who dialled, of connections that are not accepted yet
-	frozenUntil    map[string]time.Time // hosts that neither send nor receive
+	listeners      map[string]*listener
+	partitions     map[[2]string]bool   // by host and the address that it can't reach
+	routes         map[net.Conn]string  // "host>address" of open connections
+	pendingDialers map[net.Conn]string  // dialing hosts of connections that are not accepted yet
+	frozenUntil    map[string]time.Time // by host: neither sends nor receives until then
 }
 
-// NewNetwork makes an empty network.
+// NewNetwork returns a network without hosts, partitions or frozen hosts.
 func NewNetwork() *Network {
 	return &Network{
-		ports:          map[string]*listener{},
+		listeners:      map[string]*listener{},
 		partitions:     map[[2]string]bool{},
 		routes:         map[net.Conn]string{},
 		pendingDialers: map[net.Conn]string{},
@@ -40,15 +40,14 @@
 	}
 }
 
-// Freeze has a host neither send nor receive nor connect for a while, during which its clocks run on. What it was sent
-// waits.
+// Freeze stops a host from sending, receiving and connecting for a duration, while its clock continues. Data sent to it
+// is delivered afterwards.
 func (n *Network) Freeze(host string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozenUntil[host] = time.Now().Add(d)
 }
 
-// waitUntilThawed waits while a host is frozen.
 func (n *Network) waitUntilThawed(host string) {
 	for {
 		n.mu.Lock()
@@ -61,18 +60,18 @@
 	}
 }
 
-// hostConn is a connection as one host has it.
+// hostConn is one host's end of a connection.
 type hostConn struct {
 	net.Conn
 	network *Network
 	host    string
-	peer    string // the other host, as the listener sees it
+	peer    string // the dialing host at the listener's end, the dialed address at the other
 }
 
-// RemoteAddr is the name of the host that dialled.
+// RemoteAddr returns the name of the dialing host or, on its own end, the dialed address.
 func (c *hostConn) RemoteAddr() net.Addr { return memAddr(c.peer) }
 
-// Read holds back what arrives while the host is frozen.
+// Read delays data that arrives while the host is frozen.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.network.waitUntilThawed(c.host)
@@ -85,7 +84,6 @@
 	return c.Conn.Write(b)
 }
 
-// listener accepts the connections to an address.
 type listener struct {
 	host    string
 	network *Network
@@ -95,7 +93,7 @@
 	once    sync.Once
 }
 
-// memAddr is an address in memory: a host's name, or a host and port as the deployment spells it.
+// memAddr is an address on the in-memory network: a host name, or the host and port from Addresses.
 type memAddr string
 
 func (memAddr) Network() string  { return "mem" }
@@ -106,10 +104,10 @@
 	case c := <-l.conns:
 		l.network.waitUntilThawed(l.host)
 		l.network.mu.Lock()
-		from := l.network.pendingDialers[c]
+		dialer := l.network.pendingDialers[c]
 		delete(l.network.pendingDialers, c)
 		l.network.mu.Unlock()
-		return &hostConn{c, l.network, l.host, from}, nil
+		return &hostConn{c, l.network, l.host, dialer}, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
@@ -128,8 +126,8 @@
 			break
 		}
 		l.network.mu.Lock()
-		if l.network.ports[l.addr] == l {
-			delete(l.network.ports, l.addr)
+		if l.network.listeners[l.addr] == l {
+			delete(l.network.listeners, l.addr)
 		}
 		l.network.mu.Unlock()
 	})
@@ -138,26 +136,26 @@
 
 func (l *listener) Addr() net.Addr { return memAddr(l.addr) }
 
-// Host is the network as one host sees it, or rather one process on it.
+// Host is the network interface of one process on a host.
 type Host struct {
-	network *Network
-	name    string
-	ended   atomic.Bool
+	network    *Network
+	name       string
+	terminated atomic.Bool
 }
 
-// Host returns the network as a host sees it, for a new process on it.
+// Host returns the network interface of a new process on the named host.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// errProcessEnded is the error of everything that a terminated process still tries.
-var errProcessEnded = errors.New("this process has ended")
+// errProcessTerminated is returned by all network operations of a terminated process.
+var errProcessTerminated = errors.New("process terminated")
 
-// Terminate ends a process: its connections are reset, its listeners are gone, and nothing more that it does is seen by
-// anybody. What it sent before is still carried out.
+// Terminate ends a process as seen by the network: its connections and listeners are closed, and its later network
+// operations fail. Requests that it sent before are still processed.
 func (h *Host) Terminate() {
-	h.ended.Store(true)
+	h.terminated.Store(true)
 	h.network.mu.Lock()
 	var listeners []*listener
-	for _, l := range h.network.ports {
+	for _, l := range h.network.listeners {
 		if l.host == h.name {
 			listeners = append(listeners, l)
 		}
@@ -174,34 +172,40 @@
 	for _, l := range listeners {
 		_ = l.Close()
 	}
-	resetAll(resetConns)
+	closeAll(resetConns)
 }
 
-// Listen listens on an address.
-func (h *Host) Listen(a string) (net.Listener, error) {
-	if h.ended.Load() {
-		return nil, errProcessEnded
+// Listen fails if another listener has the address.
+func (h *Host) Listen(addr string) (net.Listener, error) {
+	if h.terminated.Load() {
+		return nil, errProcessTerminated
 	}
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	if h.network.ports[a] != nil {
+	if h.network.listeners[addr] != nil {
 		return nil, errors.New("address in use")
 	}
-	l := &listener{host: h.name, network: h.network, addr: a, conns: make(chan net.Conn, 16), done: make(chan struct{})}
-	h.network.ports[a] = l
+	l := &listener{
+		host:    h.name,
+		network: h.network,
+		addr:    addr,
+		conns:   make(chan net.Conn, 16),
+		done:    make(chan struct{}),
+	}
+	h.network.listeners[addr] = l
 	return l, nil
 }
 
-// Dial connects to an address. Behind a partition it hangs until the timeout.
-func (h *Host) Dial(ctx context.Context, a string, timeout time.Duration) (net.Conn, error) {
+// Dial connects to an address. If a partition separates the host from the address, it blocks until the timeout.
+func (h *Host) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	h.network.waitUntilThawed(h.name)
-	if h.ended.Load() {
-		return nil, errProcessEnded
+	if h.terminated.Load() {
+		return nil, errProcessTerminated
 	}
 	h.network.mu.Lock()
-	l := h.network.ports[a]
-	unreachable := h.network.partitions[[2]string{h.name, a}]
+	l := h.network.listeners[addr]
+	unreachable := h.network.partitions[[2]string{h.name, addr}]
 	h.network.mu.Unlock()
 	if unreachable {
 		t := time.NewTimer(timeout)
@@ -218,12 +222,12 @@
 	}
 	client, server := net.Pipe()
 	h.network.mu.Lock()
-	h.network.routes[client] = h.name + ">" + a
+	h.network.routes[client] = h.name + ">" + addr
 	h.network.pendingDialers[server] = h.name
 	h.network.mu.Unlock()
 	select {
 	case l.conns <- server:
-		return &hostConn{client, h.network, h.name, a}, nil
+		return &hostConn{client, h.network, h.name, addr}, nil
 	case <-l.done:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -231,37 +235,37 @@
 	}
 }
 
-// SetPartition partitions a host from an address, or ends that; open connections from the host to the address are reset
-// when the partition begins.
-func (n *Network) SetPartition(host, a string, partitioned bool) {
+// SetPartition starts or ends a partition of a host from an address. Open connections from the host to the address are
+// closed when the partition starts.
+func (n *Network) SetPartition(host, addr string, partitioned bool) {
 	n.mu.Lock()
-	n.partitions[[2]string{host, a}] = partitioned
+	n.partitions[[2]string{host, addr}] = partitioned
 	var resetConns []net.Conn
 	for c, route := range n.routes {
-		if partitioned && route == host+">"+a {
+		if partitioned && route == host+">"+addr {
 			resetConns = append(resetConns, c)
 			delete(n.routes, c)
 		}
 	}
 	n.mu.Unlock()
-	resetAll(resetConns)
+	closeAll(resetConns)
 }
 
-// resetAll closes connections in memory, which can't fail.
-func resetAll(conns []net.Conn) {
+// closeAll ignores errors, since closing an in-memory connection can't fail.
+func closeAll(conns []net.Conn) {
 	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// dialTimeout is how long users and the load balancer wait for a connection.
+// dialTimeout applies to users and the load balancer.
 const dialTimeout = 500 * time.Millisecond
 
 func dialFunc(h host.Net) func(context.Context, string, string) (net.Conn, error) {
-	return func(ctx context.Context, _, a string) (net.Conn, error) { return h.Dial(ctx, a, dialTimeout) }
+	return func(ctx context.Context, _, addr string) (net.Conn, error) { return h.Dial(ctx, addr, dialTimeout) }
 }
 
-// bodyReader is nil for no body, which an empty reader would not be.
+// bodyReader returns a nil reader for a nil body: a request with an empty reader would have a body.
 func bodyReader(b []byte) io.Reader {
 	if b == nil {
 		return nil
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -8,13 +8,13 @@
 	"fieldhill/wire"
 )
 
-// taskBehavior is how long tasks take and which fail, on all machines alike.
+// taskBehavior determines how long tasks take and which jobs fail, on all machines.
 type taskBehavior struct {
-	onTaskStart func(s *wire.JobSpec) // nil for none
+	onTaskStart func(s *wire.JobSpec) // may be nil
 
 	mu            sync.Mutex
 	fetchDuration time.Duration
-	runtimeFactor float64         // tasks run so many times as long as their owners say; 0: 1
+	runtimeFactor float64         // multiplies the estimated runtime of tasks; 0: 1
 	failingJobs   map[string]bool // jobs whose tasks fail on every machine
 }
 
@@ -26,7 +26,7 @@
 	}
 }
 
-// FailJob has every task of a job fail wherever it starts.
+// FailJob makes every task of a job fail on every machine.
 func (b *taskBehavior) FailJob(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,7 +39,7 @@
 	return b.failingJobs[id]
 }
 
-// SetFetchDuration sets how long a machine takes to fetch an image, from now on.
+// SetFetchDuration sets how long a machine takes to fetch an image.
 func (b *taskBehavior) SetFetchDuration(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,14 +52,14 @@
 	return b.fetchDuration
 }
 
-// SetRuntimeFactor has tasks run so many times as long as their owners say.
+// SetRuntimeFactor sets the factor by which the runtime of tasks differs from the owner's estimate.
 func (b *taskBehavior) SetRuntimeFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runtimeFactor = factor
 }
 
-// taskDuration is how long a task runs of which its owner expects so many seconds.
+// taskDuration returns how long a task runs, given its owner's estimate in seconds.
 func (b *taskBehavior) taskDuration(estimateS float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,17 +69,17 @@
 	return time.Duration(estimateS * float64(time.Second))
 }
 
-// gangTable is what the members of gangs know of each other: they begin together and end together.
-type gangTable struct {
-	timeout time.Duration // for which a member waits for the others
+// gangRegistry tracks the members of gangs, which start together and end together.
+type gangRegistry struct {
+	timeout time.Duration // for which a member waits for the others to arrive
 
 	mu       sync.Mutex
-	members  map[string]map[string]bool // job and attempt: the tasks that gathered
-	finished map[uint64]bool            // jobs
+	members  map[string]map[string]bool // tasks that have joined, by job and attempt
+	finished map[uint64]bool            // by job number
 }
 
-func newGangTable(timeout time.Duration) *gangTable {
-	return &gangTable{timeout: timeout, members: map[string]map[string]bool{}, finished: map[uint64]bool{}}
+func newGangRegistry(timeout time.Duration) *gangRegistry {
+	return &gangRegistry{timeout: timeout, members: map[string]map[string]bool{}, finished: map[uint64]bool{}}
 }
 
 func gangAttemptKey(task string, attempt uint64) string {
@@ -87,8 +87,8 @@
 	return fmt.Sprint(n, "#", attempt)
 }
 
-// join has a task gather with the others of its gang's attempt.
-func (g *gangTable) join(task string, attempt uint64) {
+// join adds a task to its gang's attempt.
+func (g *gangRegistry) join(task string, attempt uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := gangAttemptKey(task, attempt)
@@ -98,8 +98,8 @@
 	g.members[key][task] = true
 }
 
-// leave takes a task out of its gang's attempt; done says that the gang has finished with it.
-func (g *gangTable) leave(task string, attempt uint64, done bool) {
+// leave removes a task from its gang's attempt; done means that the whole gang has finished.
+func (g *gangRegistry) leave(task string, attempt uint64, done bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if done {
@@ -109,16 +109,16 @@
 	delete(g.members[gangAttemptKey(task, attempt)], task)
 }
 
-// isComplete reports whether all members of a gang's attempt are there.
-func (g *gangTable) isComplete(task string, attempt uint64, members int) bool {
+// isComplete reports whether all members of a gang's attempt have joined.
+func (g *gangRegistry) isComplete(task string, attempt uint64, gangSize int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.members[gangAttemptKey(task, attempt)]) == members
+	return len(g.members[gangAttemptKey(task, attempt)]) == gangSize
 }
 
-// isFinished reports whether a gang is done: its tasks complete together, and the result stays for those whose end no
-// controller has seen.
-func (g *gangTable) isFinished(task string) bool {
+// isFinished reports whether a gang is done. Its tasks complete together; the result is kept for members that a
+// controller restarts because it has not seen their completion.
+func (g *gangRegistry) isFinished(task string) bool {
 	n, _, _ := wire.ParseTaskID(task)
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -11,7 +11,7 @@
 	"fieldhill/wire"
 )
 
-// Operations of users on jobs, as the invariant checker records them.
+// Operations of users on jobs, as passed to InvariantChecker.RecordResponse.
 const (
 	operationSubmit = "submit"
 	operationPoll   = "poll"
@@ -19,14 +19,13 @@
 )
 
 const (
-	// userTimeout is how long a user waits for an answer.
 	userTimeout = 5 * time.Second
-	// maxUserAttempts is how often a user tries, a second apart, before giving up.
+	// maxUserAttempts is the maximum number of attempts, one second apart, of a request that is retried until final.
 	maxUserAttempts = 60
 )
 
-// userGroup sends the requests of users, each on a connection of its own, and has the invariant checker see every
-// answer.
+// userGroup sends the requests of users, each on its own connection, and passes every response to the invariant
+// checker.
 type userGroup struct {
 	networkOf   networkFunc
 	controllers *controllerGroup
@@ -34,31 +33,31 @@
 	random      *randomSource
 
 	mu                sync.Mutex
-	cancelAtEndChance float64 // that a job is cancelled at the moment of its end
-	cancelledAtEnd    int     // how often that was so
+	cancelAtEndChance float64 // that a job is cancelled as its last task ends
+	cancelledAtEnd    int     // number of these cancellations
 }
 
-// CancelAtEnd sets the probability that a user cancels a job at the moment at which its last task ends.
+// CancelAtEnd sets the probability that a user cancels a job as its last task ends.
 func (u *userGroup) CancelAtEnd(probability float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.cancelAtEndChance = probability
 }
 
-// CancelledAtEnd counts the jobs that were cancelled so.
+// CancelledAtEnd returns the number of jobs cancelled due to CancelAtEnd.
 func (u *userGroup) CancelledAtEnd() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.cancelledAtEnd
 }
 
-// onTaskEnding is called just before a task ends as done.
+// onTaskEnding is called just before a task completes.
 func (u *userGroup) onTaskEnding(task string) {
 	u.mu.Lock()
-	chosen := u.random.chanceIfSet(u.cancelAtEndChance)
+	selected := u.random.chanceIfSet(u.cancelAtEndChance)
 	u.mu.Unlock()
 	delay := time.Duration(u.random.intN(30)) * time.Millisecond
-	if !chosen || !u.checker.isLastTask(task) {
+	if !selected || !u.checker.isLastTask(task) {
 		return
 	}
 	u.mu.Lock()
@@ -71,8 +70,8 @@
 	}()
 }
 
-// PollRepeatedly has users ask for a job at all controllers, so many times with a short pause between them, and repeat
-// its submission.
+// PollRepeatedly polls a job at all controllers the given number of times with a pause after each, and repeats its
+// submission at every third.
 func (u *userGroup) PollRepeatedly(spec *wire.JobSpec, times int, pause time.Duration) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
@@ -89,20 +88,21 @@
 	}
 }
 
-// Submit submits a job until it is accepted or refused for good, for up to a minute. It returns the last status code.
+// Submit submits a job, retrying up to maxUserAttempts times until it is accepted or finally refused. It returns the
+// last status code.
 func (u *userGroup) Submit(spec *wire.JobSpec) int {
 	u.checker.RegisterJob(spec)
 	body, err := wire.Marshal(spec)
 	if err != nil {
 		panic(err)
 	}
-	return u.retryUntilDecided(operationSubmit, spec.ID, body)
+	return u.retryUntilFinal(operationSubmit, spec.ID, body)
 }
 
-// Cancel cancels a job, insisting like Submit.
-func (u *userGroup) Cancel(id string) int { return u.retryUntilDecided(operationCancel, id, nil) }
+// Cancel cancels a job, retrying like Submit.
+func (u *userGroup) Cancel(id string) int { return u.retryUntilFinal(operationCancel, id, nil) }
 
-func (u *userGroup) retryUntilDecided(operation, id string, body []byte) int {
+func (u *userGroup) retryUntilFinal(operation, id string, body []byte) int {
 	code := 0
 	for range maxUserAttempts {
 		code, _ = u.Request(operation, id, body)
@@ -116,19 +116,18 @@
 	return code
 }
 
-// Request sends a user's request to some controller, as the load balancer would. It returns the status code, 0 for no
-// answer.
+// Request sends a user's request to a random controller. It returns the status code, or 0 if there is no response.
 func (u *userGroup) Request(operation, id string, body []byte) (int, *wire.JobStatus) {
 	return u.RequestAt(u.random.intN(len(u.controllers.processes)), operation, id, body)
 }
 
-// RequestAt sends a user's request to a controller.
+// RequestAt is like Request, but sends to the given controller.
 func (u *userGroup) RequestAt(controller int, operation, id string, body []byte) (int, *wire.JobStatus) {
 	response := u.send(context.Background(), controller, operation, id, body)
 	return response.code, response.status
 }
 
-// userResponse is the answer to a user's request; the zero value stands for none.
+// userResponse is the response to a user's request; the zero value stands for no response.
 type userResponse struct {
 	code   int
 	header http.Header
@@ -136,7 +135,7 @@
 	status *wire.JobStatus
 }
 
-// send sends a user's request to a controller and has the invariant checker see the answer.
+// send sends a user's request to a controller and passes the response to the invariant checker.
 func (u *userGroup) send(
 	ctx context.Context, controller int, operation, id string, body []byte,
 ) (response userResponse) {
@@ -144,7 +143,7 @@
 		u.checker.RecordCancelRequest(id)
 	}
 	before := u.checker.ClientViewOf(id)
-	response = u.exchange(ctx, controller, operation, id, body)
+	response = u.roundTrip(ctx, controller, operation, id, body)
 	if response.code != 0 {
 		u.checker.RecordResponse(id, operation, before, response.code, response.status)
 	}
@@ -154,8 +153,8 @@
 	return response
 }
 
-// exchange sends a request and reads the whole answer.
-func (u *userGroup) exchange(ctx context.Context, controller int, operation, id string, body []byte) userResponse {
+// roundTrip sends a request and reads the response; any error counts as no response.
+func (u *userGroup) roundTrip(ctx context.Context, controller int, operation, id string, body []byte) userResponse {
 	transport := &http.Transport{DialContext: dialFunc(u.networkOf("user")), DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	client := http.Client{Transport: transport, Timeout: userTimeout}
@@ -175,7 +174,7 @@
 	if err != nil {
 		return userResponse{}
 	}
-	defer func() { _ = resp.Body.Close() }() // the body was read, or counts as lost
+	defer func() { _ = resp.Body.Close() }() // an incomplete body has already been handled
 	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return userResponse{}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -10,7 +10,7 @@
 	"fieldhill/wire"
 )
 
-// Worker emulates the agent of one machine and the tasks on it, which run nothing.
+// Worker emulates the agent of one machine and the execution of its tasks.
 type Worker struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
@@ -22,43 +22,43 @@
 	epoch           uint64
 	sequence        uint64
 	fencingToken    uint64
-	tasks           []*runningTask
-	leaseExpiry     time.Time // lease_s after the last answered heartbeat was sent
-	changed         bool      // a heartbeat is due at once
-	terminated      bool      // the machine is gone
-	incarnation     int       // how often it was rebooted
+	tasks           []*taskAttempt
+	leaseExpiry     time.Time // lease_s after the last acknowledged heartbeat was sent
+	heartbeatDue    bool      // the next heartbeat is to be sent without waiting for the interval
+	terminated      bool      // the machine was deleted
+	incarnation     int       // number of reboots
 	lastHeartbeat   *wire.Heartbeat
 	cachedImages    map[string]bool
-	controllerIndex int // of the controller that gets its heartbeats
+	controllerIndex int // controller that receives the heartbeats
 
-	hungUntil           time.Time // executes nothing until then
-	failsTasks          bool
-	inboundPartitioned  bool          // its heartbeats arrive, answers and commands don't reach it
-	outboundPartitioned bool          // it reaches no controller, direct commands and probes reach it
-	commandDelay        time.Duration // by which direct commands are delayed, with no answer to their senders
-	delayedCommands     int           // how many were
+	hungUntil           time.Time // the agent and the tasks make no progress until then
+	failAllTasks        bool
+	inboundPartitioned  bool          // heartbeats arrive; responses and commands are lost
+	outboundPartitioned bool          // heartbeats are lost; commands and probes arrive
+	commandDelay        time.Duration // direct commands are executed late and not answered; 0: none
+	delayedCommands     int           // number of delayed command requests
 }
 
-// runningTask is one attempt of a task on a machine, until the controller has it forgotten.
-type runningTask struct {
-	id           string
-	attempt      uint64
-	spec         *wire.JobSpec
-	state        string
-	cause        string
-	checkpointed bool
-	stateSince   time.Time
-	remaining    time.Duration // until it is done
-	onMachine    bool          // the invariant checker counts it as being on the machine
+// taskAttempt is one attempt of a task on a machine. It is kept until a controller sends a forget command.
+type taskAttempt struct {
+	id                string
+	attempt           uint64
+	spec              *wire.JobSpec
+	state             string
+	cause             string
+	checkpointed      bool
+	stateSince        time.Time
+	remaining         time.Duration // runtime until completion
+	recordedOnMachine bool          // RecordStart was called, RecordExit not yet
 }
 
-// isGang reports whether the task runs only together with others.
-func (t *runningTask) isGang() bool { return t.spec.Shape == wire.Gang }
+// isGang reports whether the task belongs to a job whose tasks run only all together.
+func (t *taskAttempt) isGang() bool { return t.spec.Shape == wire.Gang }
 
-// tickInterval is the length of the steps in which tasks move on.
+// tickInterval is the step by which task execution advances.
 const tickInterval = 100 * time.Millisecond
 
-// run serves the machine's address, sends its heartbeats and moves its tasks on until the context ends.
+// run serves the agent's API, sends heartbeats and advances the tasks until the context ends.
 func (w *Worker) run(ctx context.Context) {
 	h := w.environment.networkOf(w.Name)
 	ln, err := h.Listen(w.Addr)
@@ -82,14 +82,14 @@
 		case <-t.C:
 			w.mu.Lock()
 			if time.Now().After(w.hungUntil) {
-				w.advance() //nolint:contextcheck // a user cancels a job whether or not its machine goes on
+				w.advance() //nolint:contextcheck // a cancellation by a user is independent of the machine's context
 			}
 			w.mu.Unlock()
 		}
 	}
 }
 
-// terminate takes the machine away with everything on it.
+// terminate ends the machine and all tasks on it.
 func (w *Worker) terminate() {
 	w.mu.Lock()
 	w.terminated = true
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// Hang makes the machine execute nothing for a while. One that hangs already is left alone, and between two hangs it
-// comes to run: two in a row once kept it for longer than the time within which a cancellation must take effect, which
-// no service can prevent while the key-value store is unavailable, and which the protocol excludes, since a machine
-// that hangs goes on within its lease or not at all.
+// Hang suspends the machine for a duration. It does nothing if the machine hangs already, and it advances the tasks
+// before each hang. Otherwise consecutive hangs could exceed the time within which a cancellation must take effect: no
+// service can prevent that while the key-value store is unavailable, and the protocol excludes it, since a machine that
+// hangs resumes within its lease or not at all.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -21,50 +21,52 @@
 	w.hungUntil = time.Now().Add(d)
 }
 
-// isHung reports whether a machine that exists hangs.
+// isHung reports whether the machine hangs; a terminated one does not.
 func (w *Worker) isHung() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.terminated && time.Now().Before(w.hungUntil)
 }
 
-// SetInboundPartition has the machine's heartbeats arrive while answers and commands don't reach it, or ends that.
+// SetInboundPartition starts or ends a partition in which the machine's heartbeats arrive at controllers, while
+// responses and commands don't reach the machine.
 func (w *Worker) SetInboundPartition(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inboundPartitioned = on
 }
 
-// SetOutboundPartition has the machine reach no controller, while direct commands and probes reach it, or ends that.
+// SetOutboundPartition starts or ends a partition in which the machine reaches no controller, while direct commands and
+// probes reach the machine.
 func (w *Worker) SetOutboundPartition(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outboundPartitioned = on
 }
 
-// DelayCommands has direct commands to the machine delayed from now on: their senders get no answer, and they are
-// carried out so much later if fencing token and epoch still match. 0 ends that for those that come from then on.
+// DelayCommands delays direct commands to the machine that arrive from now on: they are not answered, and are executed
+// after the delay if fencing token and epoch still match. A delay of 0 ends this for later commands.
 func (w *Worker) DelayCommands(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.commandDelay = d
 }
 
-// DelayedCommands counts the direct commands that were delayed.
+// DelayedCommands returns the number of requests with direct commands that were delayed.
 func (w *Worker) DelayedCommands() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.delayedCommands
 }
 
-// inboundPartitionTicks is for how many ticks a request waits for the end of an inbound partition: for longer than its
-// sender does.
-const inboundPartitionTicks = 50
+// inboundPartitionHoldTicks is the number of ticks for which a request waits for the end of an inbound partition. It
+// exceeds the sender's timeout.
+const inboundPartitionHoldTicks = 50
 
-// dropIfInboundPartitioned loses a request to a machine that can't be reached, unless the partition ends while its
-// sender waits for the answer.
+// dropIfInboundPartitioned drops a request to a machine in an inbound partition, unless the partition ends while the
+// request waits.
 func (w *Worker) dropIfInboundPartitioned() {
-	for range inboundPartitionTicks {
+	for range inboundPartitionHoldTicks {
 		w.mu.Lock()
 		partitioned := w.inboundPartitioned
 		w.mu.Unlock()
@@ -76,9 +78,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Reboot ends the machine's agent with everything on it, and starts it again under the same name. The protocol does not
-// say what its counters begin with: they go on in a new epoch or, if they are reset, begin at 1 as those of a new
-// machine do.
+// Reboot ends the machine's agent and all tasks, and starts the agent again under the same name. The protocol does not
+// define the values of its counters after a reboot: they continue in a new epoch or, with resetCounters, start again as
+// on a new machine, with epoch 1.
 func (w *Worker) Reboot(resetCounters bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +90,7 @@
 	for _, t := range w.tasks {
 		w.removeTask(t, false)
 	}
-	w.tasks, w.changed, w.cachedImages = nil, true, map[string]bool{}
+	w.tasks, w.heartbeatDue, w.cachedImages = nil, true, map[string]bool{}
 	w.leaseExpiry = time.Now().Add(w.environment.leaseDuration)
 	w.incarnation++
 	if w.epoch++; resetCounters {
@@ -96,16 +98,16 @@
 	}
 }
 
-// LastHeartbeat is the last heartbeat that the machine sent.
+// LastHeartbeat returns the heartbeat that the machine sent last.
 func (w *Worker) LastHeartbeat() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lastHeartbeat
 }
 
-// FailAllTasks makes every task that runs on the machine fail.
+// FailAllTasks makes every task fail that runs on the machine from now on.
 func (w *Worker) FailAllTasks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failsTasks = true
+	w.failAllTasks = true
 }
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// heartbeatTimeout is how long an agent waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// minHeartbeatPause keeps heartbeats at least half a second apart, and failurePause somewhat less after a failure.
-	minHeartbeatPause = 400 * time.Millisecond
-	failurePause      = 300 * time.Millisecond
-	// dialPause is how long it takes to find that no connection can be made.
-	dialPause = 500 * time.Millisecond
-	// commandLatency is how long direct commands take to be looked at.
+	// minHeartbeatPause and the other delays of the heartbeat loop keep heartbeats at least half a second apart;
+	// heartbeatRetryPause keeps them somewhat less far apart after a failure.
+	minHeartbeatPause   = 400 * time.Millisecond
+	heartbeatRetryPause = 300 * time.Millisecond
+	// failedDialDuration is how long a connection attempt takes to fail during an outbound partition.
+	failedDialDuration = 500 * time.Millisecond
+	// commandLatency is the delay before direct commands are processed.
 	commandLatency = time.Millisecond
 )
 
-// errNoAnswer is what an agent sees whose answers are lost.
-var errNoAnswer = errors.New("no answer")
+// errNoResponse is the error of a heartbeat whose response is lost in an inbound partition.
+var errNoResponse = errors.New("no response to heartbeat")
 
-// buildHeartbeat is the machine's next heartbeat, which also answers probes and direct commands.
+// buildHeartbeat returns the machine's next heartbeat, which also serves as the response to probes and direct commands.
 func (w *Worker) buildHeartbeat() *wire.Heartbeat {
 	w.sequence++
 	heartbeat := &wire.Heartbeat{
@@ -52,7 +52,7 @@
 	return heartbeat
 }
 
-// handleProbe answers a controller that asks for the machine's state.
+// handleProbe answers a controller's request for the machine's state.
 func (w *Worker) handleProbe(rw http.ResponseWriter, _ *http.Request) {
 	for w.isHung() {
 		time.Sleep(tickInterval)
@@ -63,43 +63,43 @@
 	respond(rw, http.StatusOK, w.buildHeartbeat())
 }
 
-// handleCommands executes direct commands, sometimes late, after their sender's timeout.
+// handleCommands executes direct commands, either at once or after a delay and without a response.
 func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	time.Sleep(commandLatency)
-	body, _ := io.ReadAll(r.Body) // a body cut short is malformed
-	var orders wire.Orders
-	if err := wire.Unmarshal(body, &orders); err != nil {
+	body, _ := io.ReadAll(r.Body) // a truncated body fails to decode
+	var batch wire.Orders
+	if err := wire.Unmarshal(body, &batch); err != nil {
 		respond(rw, http.StatusBadRequest, payload{})
 		return
 	}
-	late, delay := w.environment.drawCommandDelay()
+	delayed, delay := w.environment.drawCommandDelay()
 	w.mu.Lock()
 	if w.commandDelay > 0 {
-		late, delay = true, w.commandDelay
+		delayed, delay = true, w.commandDelay
 		w.delayedCommands++
 	}
 	w.mu.Unlock()
-	if late {
-		w.executeLater(&orders, delay)
+	if delayed {
+		w.executeDelayed(&batch, delay)
 		panic(http.ErrAbortHandler)
 	}
 	w.dropIfInboundPartitioned()
 	w.lockWhenNotHung()
 	defer w.mu.Unlock()
 	code := http.StatusOK
-	w.advance() //nolint:contextcheck // a user cancels a job whether or not its machine goes on
-	if orders.FencingToken < w.fencingToken || orders.AgentEpoch != w.epoch {
+	w.advance() //nolint:contextcheck // a cancellation by a user is independent of the machine's context
+	if batch.FencingToken < w.fencingToken || batch.AgentEpoch != w.epoch {
 		code = http.StatusConflict
 	} else {
-		w.fencingToken = orders.FencingToken
-		w.execute(orders.Commands)
+		w.fencingToken = batch.FencingToken
+		w.execute(batch.Commands)
 	}
 	respond(rw, code, w.buildHeartbeat())
 }
 
-// executeLater executes direct commands after a delay, if they are still valid then. Those on their way to an earlier
-// incarnation of the agent end with its connections.
-func (w *Worker) executeLater(orders *wire.Orders, delay time.Duration) {
+// executeDelayed executes direct commands after a delay, if they are still valid then. Commands sent to an earlier
+// incarnation of the agent are lost with its connections.
+func (w *Worker) executeDelayed(batch *wire.Orders, delay time.Duration) {
 	w.mu.Lock()
 	incarnation := w.incarnation
 	w.mu.Unlock()
@@ -108,15 +108,15 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.terminated || w.inboundPartitioned || w.incarnation != incarnation ||
-			orders.FencingToken < w.fencingToken || orders.AgentEpoch != w.epoch {
+			batch.FencingToken < w.fencingToken || batch.AgentEpoch != w.epoch {
 			return
 		}
-		w.fencingToken = orders.FencingToken
-		w.execute(orders.Commands)
+		w.fencingToken = batch.FencingToken
+		w.execute(batch.Commands)
 	}()
 }
 
-// lockWhenNotHung takes the lock as soon as the machine does not hang, or is gone.
+// lockWhenNotHung waits until the machine does not hang, or is terminated, and returns with w.mu locked.
 func (w *Worker) lockWhenNotHung() {
 	for {
 		w.mu.Lock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// heartbeatAttempt is a heartbeat that is due, and what the agent was when it was built.
+// heartbeatAttempt is a heartbeat to send, and the state of the agent when it was built.
 type heartbeatAttempt struct {
 	heartbeat      *wire.Heartbeat
 	controllerAddr string
@@ -137,7 +137,6 @@
 	partitioned    bool // outbound
 }
 
-// heartbeatLoop sends the agent's heartbeats until the context ends.
 func (w *Worker) heartbeatLoop(ctx context.Context, h host.Net) {
 	client := msgpackhttp.New(h, 1, 4, 2*time.Second)
 	defer client.Close()
@@ -148,28 +147,28 @@
 		switch {
 		case attempt == nil:
 		case attempt.partitioned:
-			time.Sleep(dialPause)
+			time.Sleep(failedDialDuration)
 			w.mu.Lock()
 			w.controllerIndex++
 			w.mu.Unlock()
 		default:
-			//nolint:contextcheck // the network delivers a copy whether or not the machine goes on
+			//nolint:contextcheck // the delivery of a duplicate is independent of the machine's context
 			w.environment.maybeDuplicate(attempt.controllerAddr, attempt.heartbeat)
 			w.sendHeartbeat(ctx, client, attempt, &next)
 		}
 	}
 }
 
-// prepareHeartbeat builds a heartbeat if one is due, and sets when the next one is.
+// prepareHeartbeat builds a heartbeat if one is due, and schedules the next one. It returns nil if none is due.
 func (w *Worker) prepareHeartbeat(next *time.Time) *heartbeatAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if now.Before(w.hungUntil) || now.Before(*next) && !w.changed {
+	if now.Before(w.hungUntil) || now.Before(*next) && !w.heartbeatDue {
 		return nil
 	}
 	w.advance()
-	w.changed = false
+	w.heartbeatDue = false
 	attempt := &heartbeatAttempt{
 		heartbeat:      w.buildHeartbeat(),
 		controllerAddr: w.environment.process(w.controllerIndex).userAddr,
@@ -184,7 +183,7 @@
 	return attempt
 }
 
-// sendHeartbeat sends a heartbeat, takes its answer and pauses.
+// sendHeartbeat sends a heartbeat, handles the response and pauses.
 func (w *Worker) sendHeartbeat(
 	ctx context.Context, client *msgpackhttp.Client, attempt *heartbeatAttempt, next *time.Time,
 ) {
@@ -198,23 +197,23 @@
 		w.mu.Unlock()
 		time.Sleep(heartbeatTimeout - time.Since(attempt.sentAt))
 		w.mu.Lock()
-		err = errNoAnswer
+		err = errNoResponse
 	}
-	if w.incarnation != attempt.incarnation { // the answer was lost with the connections of the earlier one
+	if w.incarnation != attempt.incarnation { // the response was lost with the connections of the earlier incarnation
 		w.mu.Unlock()
 		return
 	}
-	w.takeResponse(attempt, &response, err, next)
+	w.handleResponse(attempt, &response, err, next)
 	w.mu.Unlock()
 	if err != nil {
-		time.Sleep(failurePause)
+		time.Sleep(heartbeatRetryPause)
 	} else {
 		time.Sleep(minHeartbeatPause)
 	}
 }
 
-// takeResponse renews the lease and executes commands, or turns to another controller.
-func (w *Worker) takeResponse(
+// handleResponse renews the lease and executes commands or, after an error, selects another controller.
+func (w *Worker) handleResponse(
 	attempt *heartbeatAttempt, response *wire.HeartbeatResponse, err error, next *time.Time,
 ) {
 	switch {
@@ -225,7 +224,7 @@
 			w.execute(response.Commands)
 		}
 	case msgpackhttp.StatusCode(err) == http.StatusMisdirectedRequest:
-		w.controllerIndex = w.environment.redirected(redirectTarget(err), w.controllerIndex)
+		w.controllerIndex = w.environment.redirectIndex(redirectTarget(err), w.controllerIndex)
 		*next = attempt.sentAt.Add(300 * time.Millisecond)
 	default:
 		w.controllerIndex++
@@ -233,11 +232,11 @@
 	}
 }
 
-// redirectTarget is the controller that a redirect names, "" for none.
+// redirectTarget returns the controller named by a redirect response, or "" if there is none.
 func redirectTarget(err error) string {
 	var redirect wire.Redirect
 	if status := (*msgpackhttp.StatusError)(nil); errors.As(err, &status) {
-		_ = wire.Unmarshal(status.Body, &redirect) // a body that can't be read names nobody
+		_ = wire.Unmarshal(status.Body, &redirect) // a malformed body names no controller
 	}
 	return redirect.Node
 }
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// capacityTolerance is by how much the resources of a machine's tasks may exceed the machine's through rounding.
+// capacityTolerance is by how much the summed resources of tasks may exceed a machine's due to rounding.
 const capacityTolerance = 1e-9
 
-// advance moves tasks on by a step, and begins a new epoch when the lease has expired.
+// advance advances the tasks by one tick. If the lease has expired, it ends all tasks and starts a new epoch instead.
 func (w *Worker) advance() {
 	if w.terminated {
 		return
@@ -20,7 +20,7 @@
 		for _, t := range w.tasks {
 			w.removeTask(t, false)
 		}
-		w.tasks, w.changed = nil, true
+		w.tasks, w.heartbeatDue = nil, true
 		w.epoch++
 		w.leaseExpiry = now.Add(w.environment.leaseDuration)
 	}
@@ -44,13 +44,13 @@
 	}
 }
 
-// advanceFetching begins a task as soon as its image is there. One that has completed before is done at once.
-func (w *Worker) advanceFetching(t *runningTask, now time.Time) {
+// advanceFetching starts a task once its image is fetched. A task that has completed before is done at once.
+func (w *Worker) advanceFetching(t *taskAttempt, now time.Time) {
 	if !w.cachedImages[t.spec.Image] && now.Sub(t.stateSince) <= w.environment.imageFetchDuration() {
 		return
 	}
 	w.cachedImages[t.spec.Image] = true
-	t.onMachine = true
+	t.recordedOnMachine = true
 	w.environment.Checker.RecordStart(t.id, w)
 	switch {
 	case w.environment.Checker.isDone(t.id) || t.isGang() && w.environment.gangs.isFinished(t.id):
@@ -63,10 +63,10 @@
 	}
 }
 
-// advanceRunning ends a task that fails, whose gang has ended, or that is done.
-func (w *Worker) advanceRunning(t *runningTask) {
+// advanceRunning ends a task that is done or fails, or whose gang has finished or lost a member.
+func (w *Worker) advanceRunning(t *taskAttempt) {
 	switch {
-	case w.failsTasks || w.environment.isFailing(t.spec.ID):
+	case w.failAllTasks || w.environment.isFailing(t.spec.ID):
 		w.exitTask(t, wire.CauseError, false)
 	case t.isGang() && w.environment.gangs.isFinished(t.id):
 		w.exitTask(t, wire.CauseDone, false)
@@ -80,21 +80,21 @@
 	}
 }
 
-func (w *Worker) setTaskState(t *runningTask, state string) {
-	t.state, t.stateSince, w.changed = state, time.Now(), true
+func (w *Worker) setTaskState(t *taskAttempt, state string) {
+	t.state, t.stateSince, w.heartbeatDue = state, time.Now(), true
 }
 
-// exitTask ends a task, which the heartbeats contain until it is forgotten.
-func (w *Worker) exitTask(t *runningTask, cause string, checkpointed bool) {
+// exitTask ends a task. Heartbeats report it until a forget command arrives.
+func (w *Worker) exitTask(t *taskAttempt, cause string, checkpointed bool) {
 	w.setTaskState(t, wire.TaskExited)
 	t.cause, t.checkpointed = cause, checkpointed
 	w.removeTask(t, cause == wire.CauseDone)
 }
 
-// removeTask takes a task off the machine, as the invariant checker and the other members of its gang see it.
-func (w *Worker) removeTask(t *runningTask, done bool) {
-	if t.onMachine {
-		t.onMachine = false
+// removeTask reports to the invariant checker and the gang registry that a task is no longer on the machine.
+func (w *Worker) removeTask(t *taskAttempt, done bool) {
+	if t.recordedOnMachine {
+		t.recordedOnMachine = false
 		w.environment.Checker.RecordExit(t.id, w, done)
 	}
 	if t.spec != nil && t.isGang() {
@@ -102,7 +102,7 @@
 	}
 }
 
-// execute carries out commands. Those that don't fit the state of their task have no effect, as when they are repeated.
+// execute executes commands. It ignores those that don't apply to the state of their task, such as repeated ones.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		t := w.findTask(command.Task, command.Attempt)
@@ -112,13 +112,13 @@
 		case command.Verb == wire.Stop && t != nil && t.state != wire.TaskExited:
 			w.stopTask(t, command.GraceS)
 		case command.Verb == wire.Forget && t != nil && t.state == wire.TaskExited:
-			w.tasks = slices.DeleteFunc(slices.Clone(w.tasks), func(other *runningTask) bool { return other == t })
-			w.changed = true
+			w.tasks = slices.DeleteFunc(slices.Clone(w.tasks), func(other *taskAttempt) bool { return other == t })
+			w.heartbeatDue = true
 		}
 	}
 }
 
-func (w *Worker) findTask(id string, attempt uint64) (found *runningTask) {
+func (w *Worker) findTask(id string, attempt uint64) (found *taskAttempt) {
 	for _, t := range w.tasks {
 		if t.id == id && t.attempt == attempt {
 			found = t
@@ -127,9 +127,9 @@
 	return found
 }
 
-// stopTask ends a task, after it has saved its progress if the grace is long enough for that. A stop without grace ends
-// also a task that is about to save.
-func (w *Worker) stopTask(t *runningTask, graceS *float64) {
+// stopTask ends a task, after writing a checkpoint if the grace period is long enough for that. A stop without a grace
+// period also ends a task that is writing a checkpoint.
+func (w *Worker) stopTask(t *taskAttempt, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
@@ -144,10 +144,10 @@
 	}
 }
 
-// startTask begins to fetch a task's image, unless the machine can't run the task.
+// startTask starts to fetch a task's image, unless the machine can't run the task.
 func (w *Worker) startTask(command wire.Command) {
-	w.changed = true
-	t := &runningTask{
+	w.heartbeatDue = true
+	t := &taskAttempt{
 		id:         command.Task,
 		attempt:    command.Attempt,
 		stateSince: time.Now(),
@@ -164,14 +164,14 @@
 		w.environment.onTaskStart(t.spec)
 	}
 	t.remaining = time.Duration(float64(w.environment.taskDuration(t.spec.EstimateS)) * (0.7 + w.rng.Float64()))
-	if cause := w.startRefusal(t); cause != "" {
+	if cause := w.refusalCause(t); cause != "" {
 		w.exitTask(t, cause, false)
 	}
 }
 
-// startRefusal is the cause for which a machine can't run a task that is among its tasks already: another attempt of it
-// is there, or the machine is too small for all of them. It is "" if the machine can.
-func (w *Worker) startRefusal(t *runningTask) string {
+// refusalCause returns why the machine can't run a task that was just added to w.tasks: another attempt of the task is
+// still on the machine, or the machine lacks resources. It returns "" if the machine can run the task.
+func (w *Worker) refusalCause(t *taskAttempt) string {
 	cpus, gpus, memory := 0.0, 0.0, 0.0
 	for _, other := range w.tasks {
 		if other.state == wire.TaskExited {
