--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -14,51 +14,57 @@
 	protocolVersion = 1
 	lengthSize      = 4
 	headerSize      = 10 // version, kind and request number
-	// maxPayload fits the largest request of a user with room for its envelope.
+	// maxPayload fits the largest user request (wire.MaxBody) with room for its envelope.
 	maxPayload = 80 << 10
-	// MaxBody is how many bytes the ID and body of a request, or the body of a response, have at most: the other side
-	// ends the connection over a larger frame, and all requests on it are lost with it. The rest is for the envelope.
+	// MaxBody limits the bytes of a request's ID and body, or of a response's body; the rest of the payload is for the
+	// envelope. The peer closes the connection on a larger frame, which fails every request in flight on it.
 	MaxBody = maxPayload - 1<<10
 )
 
-// The kinds of frames.
+// Frame kinds.
 const (
 	kindRequest  = 1
 	kindResponse = 2
 )
 
-// Bounds of a connection.
+// Connection limits.
 const (
-	// maxPending is more than the heartbeats that a relay of a third of 10,000 machines has in flight.
+	// maxPending limits the requests in flight. It exceeds the heartbeats that a controller relaying for a third of
+	// 10,000 machines has in flight at once.
 	maxPending = 4096
-	// pingSlots is how many pings find room beside that: a link is not to count as down because it is busy.
+	// pingSlots is the queue space reserved for pings beyond maxPending, so that a busy link is not taken for a dead
+	// one.
 	pingSlots = 16
-	// maxBatchBytes is about how many bytes one write carries at most, and bufferSize how many one read takes.
-	maxBatchBytes = 32 << 10
-	bufferSize    = 16 << 10
-	// writeGap is between two writes at least, so that on a busy link more frames share one.
-	writeGap = 2 * time.Millisecond
-	// writeTimeout is after how long a peer that does not take what is written loses the connection.
+	// maxBatchBytes is the size at which a write takes no further queued frames; the last one may exceed it.
+	maxBatchBytes  = 32 << 10
+	readBufferSize = 16 << 10
+	// minWriteInterval separates consecutive writes, so that on a busy link several frames share one write.
+	minWriteInterval = 2 * time.Millisecond
+	// writeTimeout closes the connection of a peer that has stopped reading.
 	writeTimeout = 5 * time.Second
 )
 
-// FrameSizeError says that the length of a frame is impossible.
+// FrameSizeError reports a frame length that is below the header size or above the limit.
 type FrameSizeError struct{ Bytes uint32 }
 
 // Error implements error.
-func (e *FrameSizeError) Error() string { return fmt.Sprintf("rpc: frame of %d bytes", e.Bytes) }
+func (e *FrameSizeError) Error() string {
+	return fmt.Sprintf("rpc: invalid frame length of %d bytes", e.Bytes)
+}
 
-// FrameVersionError says that a frame is of a version that this one does not read.
+// FrameVersionError reports a frame of an unsupported protocol version.
 type FrameVersionError struct{ Version byte }
 
 // Error implements error.
-func (e *FrameVersionError) Error() string { return fmt.Sprintf("rpc: frame of version %d", e.Version) }
+func (e *FrameVersionError) Error() string {
+	return fmt.Sprintf("rpc: unsupported frame version %d", e.Version)
+}
 
-// FrameKindError says that a frame is not of the kind that the other side may send.
+// FrameKindError reports a frame of a kind that the peer must not send in this direction.
 type FrameKindError struct{ Kind byte }
 
 // Error implements error.
-func (e *FrameKindError) Error() string { return fmt.Sprintf("rpc: frame of kind %d", e.Kind) }
+func (e *FrameKindError) Error() string { return fmt.Sprintf("rpc: unexpected frame kind %d", e.Kind) }
 
 func appendFrame(b []byte, kind byte, id uint64, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(headerSize+len(payload)))
@@ -68,11 +74,11 @@
 }
 
 func readFrame(r io.Reader) (kind byte, id uint64, payload []byte, err error) {
-	var head [lengthSize + headerSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [lengthSize + headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, 0, nil, err
 	}
-	size, version := binary.BigEndian.Uint32(head[:lengthSize]), head[lengthSize]
+	size, version := binary.BigEndian.Uint32(header[:lengthSize]), header[lengthSize]
 	if size < headerSize || size > headerSize+maxPayload {
 		return 0, 0, nil, &FrameSizeError{Bytes: size}
 	}
@@ -81,33 +87,33 @@
 	}
 	payload = make([]byte, size-headerSize)
 	_, err = io.ReadFull(r, payload)
-	return head[lengthSize+1], binary.BigEndian.Uint64(head[lengthSize+2:]), payload, err
+	return header[lengthSize+1], binary.BigEndian.Uint64(header[lengthSize+2:]), payload, err
 }
 
-// Traffic counts what is written to other controllers.
+// Traffic counts the frames, bytes and write calls sent to other controllers.
 type Traffic struct{ Frames, Bytes, Writes atomic.Int64 }
 
-// writeFrames writes frames until the context ends or the other side stops taking them. Nobody else writes to the
-// connection, so that nobody holds a lock while waiting for a peer that has stopped reading.
+// writeFrames writes queued frames until the context is done or a write fails. It is the connection's only writer, so
+// no lock is held while a write blocks on a peer that has stopped reading.
 func writeFrames(ctx context.Context, conn net.Conn, outgoing <-chan []byte, traffic *Traffic) {
-	var last time.Time
-	gapTimer := time.NewTimer(0)
-	defer gapTimer.Stop()
+	var lastWrite time.Time
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case b := <-outgoing:
-			if gap := writeGap - time.Since(last); gap > 0 {
-				gapTimer.Reset(gap)
+			if wait := minWriteInterval - time.Since(lastWrite); wait > 0 {
+				timer.Reset(wait)
 				select {
 				case <-ctx.Done():
 					return
-				case <-gapTimer.C:
+				case <-timer.C:
 				}
 			}
-			last = time.Now()
-			_ = conn.SetWriteDeadline(last.Add(writeTimeout)) // fails on a closed connection, as the write then does
+			lastWrite = time.Now()
+			_ = conn.SetWriteDeadline(lastWrite.Add(writeTimeout)) // on a closed connection the write fails as well
 			b, frames := appendQueued(b, outgoing)
 			if _, err := conn.Write(b); err != nil {
 				return
@@ -119,13 +125,13 @@
 	}
 }
 
-// appendQueued appends the frames that wait already, so that a busy link carries several in one write.
-func appendQueued(b []byte, outgoing <-chan []byte) (all []byte, frames int64) {
+// appendQueued appends the frames already queued, so that a busy link sends several in one write.
+func appendQueued(b []byte, outgoing <-chan []byte) (batch []byte, frames int64) {
 	frames = 1
 	for len(b) < maxBatchBytes {
 		select {
-		case more := <-outgoing:
-			b = append(b, more...)
+		case frame := <-outgoing:
+			b = append(b, frame...)
 			frames++
 		default:
 			return b, frames
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -9,15 +9,15 @@
 	"fieldhill/internal/golden"
 )
 
-// frame is one frame in the terms of the package.
+// frame is one decoded frame.
 type frame[T any] struct {
 	Kind    byte
 	Number  uint64
 	Message *T
 }
 
-// frames goes through a stream of frames, as the files hold them.
-func frames[T any](t *testing.T, name string, want []frame[T], write func([]byte, *T) []byte,
+// checkFrames checks that a sequence of checkFrames is encoded as in a golden file and decoded from it.
+func checkFrames[T any](t *testing.T, name string, want []frame[T], write func([]byte, *T) []byte,
 	read func([]byte) (*T, error)) {
 	t.Helper()
 	golden.RoundTrip(t, name, want, func(all []frame[T]) (b []byte) {
@@ -41,21 +41,21 @@
 	})
 }
 
-// TestGoldenFrames: requests with every operation, and responses, are written and read as they always were.
+// TestGoldenFrames checks the encoding of requests with every operation, and of responses, against the golden files.
 func TestGoldenFrames(t *testing.T) {
 	ops := []Op{OpPing, OpSubmit, OpStatus, OpCancel, OpPendingReasons, OpQueue, OpRoleResult, OpRenewals, OpWatermark,
 		OpRelayOffer, OpRelayReport, OpRelayOrders, OpRelayProbe}
 	var requests []frame[Request]
 	for i, op := range ops {
 		if int(op) != i+1 {
-			t.Errorf("operation %d has number %d", i+1, op)
+			t.Errorf("got number %d for operation %d", op, i+1)
 		}
 		request := &Request{Op: op, ID: fmt.Sprint("id-", i), Body: []byte{byte(i)}}
 		requests = append(requests, frame[Request]{kindRequest, uint64(i) << 32, request})
 	}
 	requests = append(requests, frame[Request]{kindRequest, 1<<64 - 1, &Request{Op: OpPing, Body: []byte{}}},
 		frame[Request]{kindRequest, 1, &Request{Op: OpSubmit, ID: "long", Body: []byte(strings.Repeat("body", 75))}})
-	frames(t, "calls.hex", requests, appendRequest, readRequest)
+	checkFrames(t, "calls.hex", requests, appendRequest, readRequest)
 
 	var responses []frame[Response]
 	for i, status := range []int{200, 201, 400, 404, 409, 410, 421, 429, 500, 501, 503, 504} {
@@ -65,21 +65,21 @@
 	short := &Response{Status: 429, RetryAfter: 7, Body: []byte("seven")}
 	long := &Response{Status: 503, RetryAfter: 3600, Body: []byte(strings.Repeat("body", 75))}
 	responses = append(responses, frame[Response]{kindResponse, 13, short}, frame[Response]{kindResponse, 14, long})
-	frames(t, "replies.hex", responses, appendResponse, readResponse)
+	checkFrames(t, "replies.hex", responses, appendResponse, readResponse)
 }
 
-// TestGoldenRefused: a frame of another version, and one over the limit, end the connection.
-func TestGoldenRefused(t *testing.T) {
+// TestGoldenInvalidFrames checks that reading a frame of another version, or one over the size limit, is an error.
+func TestGoldenInvalidFrames(t *testing.T) {
 	good := golden.Read(t, "replies.hex")
 	if _, _, _, err := readFrame(bytes.NewReader(good)); err != nil {
 		t.Fatal(err)
 	}
-	later, long := bytes.Clone(good), bytes.Clone(good)
-	later[4]++
-	long[0] = 1 // 16 MiB
-	for what, b := range map[string][]byte{"a frame of version 2": later, "a frame of 16 MiB": long} {
+	otherVersion, oversized := bytes.Clone(good), bytes.Clone(good)
+	otherVersion[4]++
+	oversized[0] = 1 // a length of more than 16 MiB
+	for name, b := range map[string][]byte{"frame of version 2": otherVersion, "frame of 16 MiB": oversized} {
 		if _, _, _, err := readFrame(bytes.NewReader(b)); err == nil {
-			t.Errorf("%s is read", what)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
--- a/internal/rpc/link.go
+++ b/internal/rpc/link.go
@@ -13,41 +13,39 @@
 	"fieldhill/internal/platform/host"
 )
 
-// Times of a link.
 const (
 	pingInterval = 500 * time.Millisecond
 	dialTimeout  = time.Second
-	// The pauses between two tries to connect double from firstBackoff, which is short since controllers that start
-	// together don't all listen yet, to a ping's interval.
-	firstBackoff = 30 * time.Millisecond
-	maxBackoff   = pingInterval
-	// silenceTimeout is after how long without any response a connection counts as dead: a peer without power sends
-	// nothing at all.
-	silenceTimeout = 2500 * time.Millisecond
+	// The delay between connection attempts doubles from initialBackoff to maxBackoff. It starts short because
+	// controllers that start together are not all listening yet.
+	initialBackoff = 30 * time.Millisecond
+	maxBackoff     = pingInterval
+	// keepaliveTimeout is the time without any response after which a connection is closed: a peer that lost power
+	// never closes it.
+	keepaliveTimeout = 2500 * time.Millisecond
 )
 
-// Link is the connection to one other controller. Run keeps it up.
+// Link is the client side of the connection to one other controller. Run establishes and re-establishes it.
 type Link struct {
-	// Node and Addr say which controller it is and where it listens.
+	// Node is the name of the controller, and Addr the address that it listens on.
 	Node, Addr string
-	// PingBody gives the body of each ping, nil for an empty one. OnPong, if set, is called with the body of each
-	// response to one, and OnDown whenever a connection has ended. They are set before Run.
+	// PingBody, if set, returns the body of each ping. OnPong, if set, is called with the body of each ping response,
+	// and OnDown, if set, whenever a connection has ended. They must be set before Run.
 	PingBody func() []byte
 	OnPong   func(body []byte)
 	OnDown   func()
-	// Traffic counts what is written.
-	Traffic *Traffic
-	network host.Net
-	logger  *slog.Logger
+	Traffic  *Traffic
+	network  host.Net
+	logger   *slog.Logger
 
 	mu           sync.Mutex
-	outgoing     chan []byte // frames for the writer; nil: not connected
+	outgoing     chan []byte // frames for the writer; nil while not connected
 	lastID       uint64
-	pending      map[uint64]chan *Response // closed when the connection ends
-	lastResponse time.Time                 // over this connection
+	pending      map[uint64]chan *Response // by request number; closed when the connection ends
+	lastResponse time.Time                 // on the current connection
 }
 
-// NewLink makes a link that is down.
+// NewLink returns a link that is not connected yet.
 func NewLink(network host.Net, node, addr string, logger *slog.Logger) *Link {
 	return &Link{
 		Node:    node,
@@ -59,23 +57,23 @@
 	}
 }
 
-// LastResponse tells when the other side last answered anything; the zero time while the link is down.
+// LastResponse returns when the last response of any kind was received, and the zero time while not connected.
 func (l *Link) LastResponse() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastResponse
 }
 
-// Run connects, pings and reconnects until the context ends.
+// Run connects, sends pings and reconnects until the context is done.
 func (l *Link) Run(ctx context.Context) {
-	backoff := firstBackoff
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		start := time.Now()
 		conn, err := l.network.Dial(ctx, l.Addr, dialTimeout)
 		if err == nil {
 			l.runConn(ctx, conn)
-			if time.Since(start) > pingInterval { // not one that is accepted and closed at once
-				backoff = firstBackoff
+			if time.Since(start) > pingInterval { // the peer did not accept it only to close it at once
+				backoff = initialBackoff
 			}
 		}
 		select {
@@ -86,16 +84,16 @@
 	}
 }
 
-// errMalformedResponse says that the other side does not keep to the protocol.
+// errMalformedResponse reports a protocol violation by the peer.
 var errMalformedResponse = errors.New("malformed response")
 
-// runConn uses a connection until it ends, and waits for the goroutines that write and ping.
+// runConn reads responses from a connection until it ends, and waits for its writer and keepalive goroutines.
 func (l *Link) runConn(ctx context.Context, conn net.Conn) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // makes reads and writes return
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks reads and writes
 	defer stop()
 	outgoing := l.connect()
 	defer l.disconnect(conn)
@@ -105,7 +103,7 @@
 	})
 	wg.Go(func() {
 		defer cancel()
-		l.pingUntilSilent(ctx, &wg)
+		l.runKeepalive(ctx, &wg)
 	})
 	if err := l.readResponses(conn); errors.Is(err, errMalformedResponse) {
 		l.logger.Warn("malformed peer response", "node", l.Node)
@@ -114,7 +112,7 @@
 	}
 }
 
-// connect lets requests through.
+// connect creates the queue of outgoing frames, from which point Do accepts requests.
 func (l *Link) connect() (outgoing <-chan []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +120,7 @@
 	return l.outgoing
 }
 
-// disconnect fails the requests that wait for a response, and all until the next connection.
+// disconnect closes the connection and fails the pending requests. Do fails until the next connection.
 func (l *Link) disconnect(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,21 +130,21 @@
 		close(waiter)
 		delete(l.pending, id)
 	}
-	_ = conn.Close() // what ended the connection is known by now
+	_ = conn.Close() // the cause of the disconnect is known from the failed read
 	if l.OnDown != nil {
 		l.OnDown()
 	}
 }
 
-// pingUntilSilent pings until the context ends or no response has come for too long. Its pings belong to a wait group,
-// and end with the context.
-func (l *Link) pingUntilSilent(ctx context.Context, pings *sync.WaitGroup) {
+// runKeepalive sends pings until the context is done or no response has been received for keepaliveTimeout. The pings
+// run in the wait group and end with the context.
+func (l *Link) runKeepalive(ctx context.Context, pings *sync.WaitGroup) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	activeSince := time.Now()
 	for {
 		pingedAt := time.Now()
-		pingCtx, cancelPing := context.WithTimeout(ctx, silenceTimeout)
+		pingCtx, cancelPing := context.WithTimeout(ctx, keepaliveTimeout)
 		pings.Go(func() {
 			defer cancelPing()
 			l.ping(pingCtx)
@@ -157,9 +155,9 @@
 		case <-ticker.C:
 		}
 		if time.Since(pingedAt) > 2*pingInterval {
-			activeSince = time.Now() // this process was paused: responses wait to be read
+			activeSince = time.Now() // the process was suspended: responses may still be unread
 		}
-		if last := l.LastResponse(); time.Since(last) > silenceTimeout && time.Since(activeSince) > silenceTimeout {
+		if last := l.LastResponse(); time.Since(last) > keepaliveTimeout && time.Since(activeSince) > keepaliveTimeout {
 			return
 		}
 	}
@@ -175,9 +173,9 @@
 	}
 }
 
-// readResponses hands responses to the requests that wait for them, until the connection ends.
+// readResponses delivers responses to the pending requests until the connection ends.
 func (l *Link) readResponses(conn net.Conn) error {
-	r := bufio.NewReaderSize(conn, bufferSize)
+	r := bufio.NewReaderSize(conn, readBufferSize)
 	for {
 		kind, id, payload, err := readFrame(r)
 		if err != nil {
@@ -192,14 +190,14 @@
 		waiter := l.pending[id]
 		delete(l.pending, id)
 		l.mu.Unlock()
-		if waiter != nil { // else it came after its request's context had ended
+		if waiter != nil { // nil if the request's context ended first
 			waiter <- response
 		}
 	}
 }
 
-// Do sends a request and waits for its response. An error for which IsNotSent holds means that the request surely was
-// not sent; another one that its fate is unknown.
+// Do sends a request and waits for its response. If IsNotSent holds for the error, the request was certainly not sent;
+// after any other error the peer may or may not have handled it.
 func (l *Link) Do(ctx context.Context, request *Request) (*Response, error) {
 	response, err := l.do(ctx, request)
 	if err != nil {
@@ -227,7 +225,7 @@
 	}
 }
 
-// send hands a request to the writer. Its response comes over the channel, which is closed when the connection ends.
+// send queues a request for the writer. The response arrives on the channel, which is closed if the connection ends.
 func (l *Link) send(request *Request) (id uint64, waiter <-chan *Response, err error) {
 	if len(request.ID)+len(request.Body) > MaxBody {
 		return 0, nil, ErrTooLarge
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -1,10 +1,10 @@
-// Package rpc carries requests between controllers in binary frames over one connection in each direction, which is
-// kept up.
+// Package rpc implements request-response calls between controllers: binary frames over one persistent connection in
+// each direction.
 //
-// A frame is: length (4 bytes, big endian, of what follows), version (1), kind (1), request number (8, big endian),
-// payload. Frames of another version or over the size limit end the connection.
+// A frame is: length of the rest (4 bytes, big endian), version (1), kind (1), request number (8, big endian), payload.
+// A frame of another version or over the size limit closes the connection.
 //
-// Serve answers the requests of other controllers, a Link sends requests to one of them.
+// Serve handles the requests of other controllers; a Link sends requests to one of them.
 package rpc
 
 import (
@@ -13,58 +13,59 @@
 	"fieldhill/internal/codec"
 )
 
-// Op tells what a request asks for.
+// Op identifies the operation of a request.
 type Op uint8
 
-// The operations. Their numbers are on the wire. A node that does not know one answers 501.
+// Operations. Their numbers are part of the protocol. A node that does not know one responds with status 501.
 const (
 	OpPing           Op = iota + 1
-	OpSubmit            // a submission, for the leader
-	OpStatus            // the status of a job
-	OpCancel            // a cancellation, for the leader
-	OpPendingReasons    // why a job waits
-	OpQueue             // what waits
-	OpRoleResult        // the result of a singleton role, under its term
-	OpRenewals          // when the leases of a zone's machines were last renewed, by a node that has applied a batch
-	OpWatermark         // how old a process is, and what it has ever seen of the log
-	OpRelayOffer        // to relay heartbeats of agents
-	OpRelayReport       // a heartbeat that is relayed; ID is the node that does it
-	OpRelayOrders       // a direct command to the agent at the address ID
-	OpRelayProbe        // a probe of the agent at the address ID
+	OpSubmit            // submits a job to the leader
+	OpStatus            // returns the status of a job
+	OpCancel            // cancels a job at the leader
+	OpPendingReasons    // explains why a job is pending
+	OpQueue             // lists the pending jobs
+	OpRoleResult        // reports the result of a singleton role, under the role's term
+	OpRenewals          // returns when the leases of a zone's machines were last renewed, once a log batch is applied
+	OpWatermark         // returns the process's age and the highest log position that it has seen
+	OpRelayOffer        // offers to relay agents' heartbeats
+	OpRelayReport       // relays a heartbeat; ID is the relaying node
+	OpRelayOrders       // relays commands to the agent at the address ID
+	OpRelayProbe        // probes the agent at the address ID
 )
 
 // Request is a request to another controller.
 type Request struct {
 	Op   Op
-	ID   string // of what the operation is about
-	Body []byte // as the operation has it
+	ID   string // job, node or address, depending on the operation
+	Body []byte // encoding depends on the operation
 }
 
-// Response is its answer. Most are passed on to a user, so it is an HTTP response without headers.
+// Response is the response to a Request. It mirrors an HTTP response without headers, because most are passed on to a
+// user.
 type Response struct {
 	Status     int
-	RetryAfter int // seconds; 0: not given
+	RetryAfter int // seconds; 0 for none
 	Body       []byte
 }
 
-// The limits of a response's numbers.
+// Valid ranges of a response's numbers.
 const (
 	minStatus     = 100
 	maxStatus     = 599
 	maxRetryAfter = 3600
 )
 
-// Errors of a request.
+// Errors returned by Link.Do.
 var (
-	// ErrNotConnected says that the other controller can't be reached now, or that too many requests wait for it.
+	// ErrNotConnected means that the peer is currently unreachable, or that too many requests to it are pending.
 	ErrNotConnected = errors.New("not connected")
-	// ErrTooLarge says that a request was not sent since it does not fit into a frame.
-	ErrTooLarge = errors.New("too large for a frame")
-	// ErrConnectionLost says that the connection ended before the response came.
+	// ErrTooLarge means that the request was not sent because it exceeds MaxBody.
+	ErrTooLarge = errors.New("request too large for a frame")
+	// ErrConnectionLost means that the connection ended before the response was received.
 	ErrConnectionLost = errors.New("connection lost")
 )
 
-// IsNotSent tells whether a request's error means that it surely was not sent.
+// IsNotSent reports whether an error of Do means that the request was certainly not sent.
 func IsNotSent(err error) bool { return errors.Is(err, ErrNotConnected) || errors.Is(err, ErrTooLarge) }
 
 func appendRequest(b []byte, request *Request) []byte {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -17,18 +17,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-type pipes chan net.Conn
+// pipeNetwork is a network on which each Dial makes an in-memory connection and sends its remote end on the channel.
+type pipeNetwork chan net.Conn
 
-func (p pipes) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
-func (p pipes) Dial(context.Context, string, time.Duration) (net.Conn, error) {
+func (p pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (p pipeNetwork) Dial(context.Context, string, time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
 	p <- b
 	return a, nil
 }
 
-// runLink runs a link until the context ends, and gives the far ends of its connections.
-func runLink(ctx context.Context) (pipes, *Link) {
-	conns := make(pipes, 8)
+// runLink runs a link until the context is done, and returns the remote ends of its connections.
+func runLink(ctx context.Context) (pipeNetwork, *Link) {
+	conns := make(pipeNetwork, 8)
 	link := NewLink(conns, "b", "b:1", slog.New(slog.DiscardHandler))
 	go link.Run(ctx)
 	return conns, link
@@ -41,9 +42,9 @@
 	}
 }
 
-// TestStuckPeer: a peer that stops reading fails the requests to it in bounded time and does not block those that use
-// the link meanwhile.
-func TestStuckPeer(t *testing.T) {
+// TestUnresponsivePeer checks that requests to a peer that has stopped reading fail within their timeout, and that
+// other uses of the link are not blocked meanwhile.
+func TestUnresponsivePeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		conns, link := runLink(ctx)
@@ -52,12 +53,12 @@
 		start := time.Now()
 		timeoutCtx, cancel := context.WithTimeout(ctx, time.Second)
 		if _, err := link.Do(timeoutCtx, &Request{Op: OpPing}); err == nil {
-			t.Error("a peer that says nothing answered")
+			t.Error("Do succeeded on a peer that never responds")
 		}
 		cancel()
 		link.LastResponse()
 		if elapsed := time.Since(start); elapsed > 1100*time.Millisecond {
-			t.Errorf("the call took %v", elapsed)
+			t.Errorf("Do took %v with a timeout of 1 s", elapsed)
 		}
 		stop()
 		closeConn(t, remote)
@@ -92,45 +93,46 @@
 	})
 }
 
-// TestPingsBesideAFlood: as many requests as a large fleet's heartbeats are in flight at once, and beside them, and
-// beside one more that is refused, pings are answered.
-func TestPingsBesideAFlood(t *testing.T) {
-	const calls = 4096 // a relay of 4,000 machines and more
+// TestPingsAnsweredAtRequestLimit checks that pings are answered while maxPending requests are in flight, and that a
+// further request fails without being sent.
+func TestPingsAnsweredAtRequestLimit(t *testing.T) {
+	const requestCount = 4096 // one heartbeat of each of 4,096 machines
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		p, l := runLink(ctx)
-		held := make(chan struct{})
-		go func() { _ = serveConn(ctx, <-p, heldHandler(held), &Traffic{}) }()
+		conns, link := runLink(ctx)
+		release := make(chan struct{})
+		go func() { _ = serveConn(ctx, <-conns, blockingHandler(release), &Traffic{}) }()
 		time.Sleep(10 * time.Millisecond)
-		flood := startFlood(ctx, l, calls)
+		counts := startHeartbeats(ctx, link, requestCount)
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			if ago := time.Since(l.LastResponse()); ago > time.Second {
-				t.Fatalf("no response has come for %v beside %d requests", ago, calls)
+			if silence := time.Since(link.LastResponse()); silence > time.Second {
+				t.Fatalf("no response for %v while %d requests are in flight", silence, requestCount)
 			}
 		}
-		if _, err := l.Do(ctx, &Request{Op: OpRelayReport}); !IsNotSent(err) {
-			t.Errorf("one request more than there may be got %v", err)
+		if _, err := link.Do(ctx, &Request{Op: OpRelayReport}); !IsNotSent(err) {
+			t.Errorf("request over the limit: got %v, want an error that means not sent", err)
 		}
-		if a, err := l.Do(ctx, &Request{Op: OpPing}); err != nil || a.Status != http.StatusOK {
-			t.Errorf("a ping beside them got %+v, %v", a, err)
+		if response, err := link.Do(ctx, &Request{Op: OpPing}); err != nil || response.Status != http.StatusOK {
+			t.Errorf("ping at the limit: got %+v, %v, want status 200", response, err)
 		}
-		close(held)
-		flood.wg.Wait()
-		if flood.answered.Load() != calls {
-			t.Errorf("%d of %d requests were answered, %d not sent", flood.answered.Load(), calls, flood.unsent.Load())
+		close(release)
+		counts.wg.Wait()
+		if counts.answered.Load() != requestCount {
+			t.Errorf("%d of %d requests answered, %d not sent",
+				counts.answered.Load(), requestCount, counts.unsent.Load())
 		}
 		stop()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// heldHandler answers pings at once, and everything else when held is closed.
-func heldHandler(held <-chan struct{}) Handler {
-	return func(ctx context.Context, c *Request) *Response {
-		if c.Op != OpPing {
+// blockingHandler answers pings at once, and everything else after release is closed.
+func blockingHandler(release <-chan struct{}) Handler {
+	return func(ctx context.Context, request *Request) *Response {
+		if request.Op != OpPing {
 			select {
-			case <-held:
+			case <-release:
 			case <-ctx.Done():
 			}
 		}
@@ -138,90 +140,92 @@
 	}
 }
 
-// flood is many relayed heartbeats at once.
-type flood struct {
+// requestCounts counts the outcomes of many concurrent heartbeat requests.
+type requestCounts struct {
 	wg               sync.WaitGroup
 	unsent, answered atomic.Int64
 }
 
-func startFlood(ctx context.Context, l *Link, calls int) *flood {
-	f := &flood{}
-	for range calls {
-		f.wg.Go(func() {
-			a, err := l.Do(ctx, &Request{Op: OpRelayReport, ID: "n1", Body: make([]byte, 500)})
+func startHeartbeats(ctx context.Context, link *Link, count int) *requestCounts {
+	counts := &requestCounts{}
+	for range count {
+		counts.wg.Go(func() {
+			response, err := link.Do(ctx, &Request{Op: OpRelayReport, ID: "n1", Body: make([]byte, 500)})
 			switch {
 			case IsNotSent(err):
-				f.unsent.Add(1)
-			case err == nil && a.Status == http.StatusOK:
-				f.answered.Add(1)
+				counts.unsent.Add(1)
+			case err == nil && response.Status == http.StatusOK:
+				counts.answered.Add(1)
 			}
 		})
 	}
-	return f
+	return counts
 }
 
-// TestLargeAnswerEndsNothing: a response or a request that does not fit into a frame fails alone. The other side ended
-// the connection over it, and every request in flight was lost.
-func TestLargeAnswerEndsNothing(t *testing.T) {
+// TestOversizedMessageKeepsConnection checks that a request or response over MaxBody fails alone. If it were sent, the
+// receiver would close the connection and every request in flight would be lost.
+func TestOversizedMessageKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		p, l := runLink(ctx)
+		conns, link := runLink(ctx)
 		const slow = "slow"
 		go func() {
-			_ = serveConn(ctx, <-p, func(_ context.Context, c *Request) *Response {
+			_ = serveConn(ctx, <-conns, func(_ context.Context, request *Request) *Response {
 				switch {
-				case c.ID == slow:
+				case request.ID == slow:
 					time.Sleep(time.Second)
-				case c.Op == OpQueue:
+				case request.Op == OpQueue:
 					return &Response{Status: http.StatusOK, Body: make([]byte, 100<<10)}
 				}
-				return &Response{Status: http.StatusOK, Body: c.Body}
+				return &Response{Status: http.StatusOK, Body: request.Body}
 			}, &Traffic{})
 		}()
 		time.Sleep(10 * time.Millisecond)
 		inFlight := make(chan error, 1)
 		go func() {
-			_, err := l.Do(ctx, &Request{Op: OpSubmit, ID: slow})
+			_, err := link.Do(ctx, &Request{Op: OpSubmit, ID: slow})
 			inFlight <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
-		if a, err := l.Do(ctx, &Request{Op: OpQueue}); err != nil || a.Status != http.StatusInternalServerError {
-			t.Errorf("a large answer: %+v, %v", a, err)
+		response, err := link.Do(ctx, &Request{Op: OpQueue})
+		if err != nil || response.Status != http.StatusInternalServerError {
+			t.Errorf("oversized response: got %+v, %v, want status 500", response, err)
 		}
-		a, err := l.Do(ctx, &Request{Op: OpSubmit, Body: make([]byte, 100<<10)})
+		response, err = link.Do(ctx, &Request{Op: OpSubmit, Body: make([]byte, 100<<10)})
 		if !errors.Is(err, ErrTooLarge) || !IsNotSent(err) {
-			t.Errorf("a large call: %+v, %v", a, err)
+			t.Errorf("oversized request: got %+v, %v, want ErrTooLarge", response, err)
 		}
 		fitting := &Request{Op: OpSubmit, Body: make([]byte, MaxBody)}
-		if a, err := l.Do(ctx, fitting); err != nil || len(a.Body) != MaxBody {
-			t.Errorf("what just fits: %v", err)
+		if response, err := link.Do(ctx, fitting); err != nil || len(response.Body) != MaxBody {
+			t.Errorf("request of MaxBody bytes: %v", err)
 		}
 		if err := <-inFlight; err != nil {
-			t.Errorf("the request in flight: %v", err)
+			t.Errorf("request in flight: %v", err)
 		}
-		if len(p) > 0 {
-			t.Error("the link connected anew")
+		if len(conns) > 0 {
+			t.Error("the link reconnected")
 		}
 		stop()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// TestErrorsOfARequest: an error says what became of the request, and names the node.
-func TestErrorsOfARequest(t *testing.T) {
+// TestRequestErrors checks that an error distinguishes a request that was not sent from one of unknown outcome, and
+// names the node.
+func TestRequestErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		link := NewLink(make(pipes, 1), "node-2", "b:1", slog.New(slog.DiscardHandler))
+		link := NewLink(make(pipeNetwork, 1), "node-2", "b:1", slog.New(slog.DiscardHandler))
 		_, err := link.Do(ctx, &Request{Op: OpStatus})
 		if !errors.Is(err, ErrNotConnected) || !IsNotSent(err) || !strings.Contains(err.Error(), "node-2") {
-			t.Errorf("a link that is down: %v", err)
+			t.Errorf("link not connected: got %v, want ErrNotConnected with the node's name", err)
 		}
 		conns, link := runLink(ctx)
 		remote := <-conns
 		time.Sleep(10 * time.Millisecond)
 		time.AfterFunc(time.Second, func() { closeConn(t, remote) })
 		if _, err := link.Do(ctx, &Request{Op: OpStatus}); !errors.Is(err, ErrConnectionLost) || IsNotSent(err) {
-			t.Errorf("a connection that ends: %v", err)
+			t.Errorf("connection closed by the peer: got %v, want ErrConnectionLost", err)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -243,11 +247,11 @@
 		if request, err := readRequest(payload); err == nil {
 			decoded, err := readRequest(appendRequest(nil, request))
 			if err != nil || !cmp.Equal(request.ID, decoded.ID) || !bytes.Equal(request.Body, decoded.Body) {
-				t.Errorf("%+v became %+v, %v", request, decoded, err)
+				t.Errorf("request %+v was decoded as %+v, %v", request, decoded, err)
 			}
 		}
 		if response, err := readResponse(payload); err == nil && (response.Status < 100 || response.Status > 599) {
-			t.Errorf("status %d", response.Status)
+			t.Errorf("accepted a response with invalid status %d", response.Status)
 		}
 	})
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -13,19 +13,20 @@
 	"time"
 )
 
-// Handler answers requests.
+// Handler handles one request. It is called concurrently.
 type Handler func(context.Context, *Request) *Response
 
 const (
-	// acceptPause is between two tries to accept a connection after one that failed.
-	acceptPause = 100 * time.Millisecond
-	// idleTimeout ends a connection over which nothing came for long: pings come often.
+	// acceptBackoff is the delay after a failed Accept.
+	acceptBackoff = 100 * time.Millisecond
+	// idleTimeout closes a connection without requests; a live peer sends a ping every pingInterval.
 	idleTimeout = 30 * time.Second
 )
 
-// Serve answers other controllers until the context ends. It waits for its connections and closes the listener.
+// Serve handles the requests of other controllers until the context is done. It closes the listener, and returns after
+// all connections have ended.
 func Serve(ctx context.Context, ln net.Listener, handler Handler, traffic *Traffic, logger *slog.Logger) error {
-	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // makes Accept return
+	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // unblocks Accept
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -39,7 +40,7 @@
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(acceptPause):
+			case <-time.After(acceptBackoff):
 			}
 			continue
 		}
@@ -52,12 +53,13 @@
 	}
 }
 
-// serverConn is a connection from another controller.
+// serverConn is the server side of a connection from another controller.
 type serverConn struct {
 	conn     net.Conn
 	handler  Handler
 	outgoing chan []byte // frames for the writer
-	// Requests in flight, and pings, which have room of their own: a full channel keeps the next from being read.
+	// Semaphores for the requests in flight. While one is full, no further request is read. Pings have their own, so
+	// that they are handled while maxPending requests are in flight.
 	requests, pings chan struct{}
 }
 
@@ -70,14 +72,14 @@
 	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // makes reads and writes return
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks reads and writes
 	defer stop()
-	defer func() { _ = conn.Close() }() // what ended the connection is known by now
+	defer func() { _ = conn.Close() }() // the cause of the disconnect is known from the failed read
 	wg.Go(func() {
 		defer cancel()
 		writeFrames(ctx, conn, s.outgoing, traffic)
 	})
-	r := bufio.NewReaderSize(conn, bufferSize)
+	r := bufio.NewReaderSize(conn, readBufferSize)
 	for {
 		id, request, err := s.readRequest(r)
 		if err != nil {
@@ -94,14 +96,13 @@
 		}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			s.answer(ctx, id, request)
+			s.handle(ctx, id, request)
 		})
 	}
 }
 
-// readRequest reads the next request.
 func (s *serverConn) readRequest(r io.Reader) (id uint64, request *Request, err error) {
-	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, as the read then does
+	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // on a closed connection the read fails as well
 	kind, id, payload, err := readFrame(r)
 	if err != nil {
 		return 0, nil, err
@@ -116,9 +117,9 @@
 	return id, request, nil
 }
 
-// answer has a request handled and hands its response to the writer. One that does not fit into a frame becomes an
-// error of this request alone.
-func (s *serverConn) answer(ctx context.Context, id uint64, request *Request) {
+// handle calls the handler and queues the response for the writer. A response over MaxBody is replaced by status 500,
+// because an oversized frame would close the connection.
+func (s *serverConn) handle(ctx context.Context, id uint64, request *Request) {
 	response := s.handler(ctx, request)
 	if len(response.Body) > MaxBody {
 		response = &Response{Status: http.StatusInternalServerError}
