--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config reads the settings file that the platform hands over.
-// Fields that it does not know are ignored, so that a newer platform can add some; a missing or invalid one is a
-// FieldError that names it.
+// Package config reads and validates the settings file that the platform provides. Unknown fields are ignored, so that
+// newer platform versions can add some. A missing or invalid field is reported as a FieldError.
 package config
 
 import (
@@ -12,12 +11,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the whole file. Its keys are the platform's; the fields have the terms of the code.
+// Settings is the whole file. The platform defines the keys; where they differ, the Go names are the terms that the
+// rest of the code uses.
 type Settings struct {
 	Node       string    `toml:"node"`        // this controller's name
-	Zone       string    `toml:"zone"`        // where this controller is
-	Bind       string    `toml:"bind"`        // address for users and agents
-	PeerListen string    `toml:"peer_listen"` // address for the other controllers
+	Zone       string    `toml:"zone"`        // this controller's zone
+	Bind       string    `toml:"bind"`        // listen address for users and agents
+	PeerListen string    `toml:"peer_listen"` // listen address for the other controllers
 	Members    []Member  `toml:"members"`
 	Endpoints  Endpoints `toml:"endpoints"`
 	Params     Params    `toml:"params"`
@@ -30,17 +30,17 @@
 	Addr string `toml:"endpoint"`
 }
 
-// Endpoints are the addresses of the outside services.
+// Endpoints are the addresses of the external services.
 type Endpoints struct {
 	Cloud   string `toml:"cloud"`
 	KVStore string `toml:"state"`
 }
 
-// Params is what the deployment sets.
+// Params are the parameters of the deployment.
 type Params struct {
-	InitialSize int         `toml:"initial_size"` // machines at the start
+	InitialSize int         `toml:"initial_size"` // number of machines at the start
 	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"` // by how much the time of day may differ from true time
+	TimeBoundMS float64     `toml:"time_bound_ms"` // maximum error of the wall clock
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     Workers     `toml:"workers"`
@@ -49,7 +49,7 @@
 	Limits      Limits      `toml:"machine_limits"`
 }
 
-// Team is a team's guarantee and limit; a limit of 0 is none.
+// Team is a team's guaranteed resources and its limits (the fields that end in Max); a limit of 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -58,18 +58,19 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective on starting or finishing.
+// Objective is a service-level objective on the start or completion of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`     // wait, finished, deadline or guarantee
-	Class   string  `toml:"class"`    // the class of jobs that it is for
-	WithinS float64 `toml:"within_s"` // the time to keep, in seconds
-	Times   float64 `toml:"times"`    // the time to keep, as a multiple of the job's deadline
-	Share   float64 `toml:"share"`    // the part of the jobs that is to keep it
+	Class   string  `toml:"class"`    // the job class that it applies to
+	WithinS float64 `toml:"within_s"` // time limit in seconds
+	Times   float64 `toml:"times"`    // time limit as a multiple of the job's deadline
+	Share   float64 `toml:"share"`    // fraction of the jobs that must meet the limit
 }
 
-// StartWithin is the tightest time that objectives give the tasks of a class to start; false: they give none.
-func StartWithin(all []Objective, class string) (seconds float64, ok bool) {
-	for _, o := range all {
+// StartWithin returns the shortest time within which the objectives require tasks of a class to start; ok is false if
+// no objective applies.
+func StartWithin(objectives []Objective, class string) (seconds float64, ok bool) {
+	for _, o := range objectives {
 		if o.Kind == "wait" && o.Class == class && (!ok || o.WithinS < seconds) {
 			seconds, ok = o.WithinS, true
 		}
@@ -77,37 +78,37 @@
 	return seconds, ok
 }
 
-// Workers are the agents' times in seconds.
+// Workers are the timing parameters of the agents.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`    // between two heartbeats
-	LeaseS     float64 `toml:"lease_s"`     // after the last renewal an agent stops its tasks
-	GangWaitS  float64 `toml:"gang_wait_s"` // how long a member of a gang waits for the others to start
-	GangPeerS  float64 `toml:"gang_peer_s"` // within which a running gang notices that a member is gone
-	CancelS    float64 `toml:"cancel_s"`    // by when a cancelled job's tasks must have ended
+	HeartbeatS float64 `toml:"report_s"`    // heartbeat interval
+	LeaseS     float64 `toml:"lease_s"`     // time after the last lease renewal at which an agent stops its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the other tasks to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // time within which a running gang detects the loss of a task
+	CancelS    float64 `toml:"cancel_s"`    // time within which the tasks of a cancelled job must have ended
 }
 
-// KVStore is what the key-value store allows.
+// KVStore has the limits of the key-value store.
 type KVStore struct {
-	RPS      float64 `toml:"rps"`       // requests a second
-	WriteRPS float64 `toml:"write_rps"` // writes a second
-	ValueKB  float64 `toml:"value_kb"`  // the largest value
-	TxnOps   int     `toml:"txn_ops"`   // conditions and writes of one compare-and-swap
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // writes per second
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value
+	TxnOps   int     `toml:"txn_ops"`   // maximum number of conditions and writes in one transaction
 }
 
-// Cloud is what the cloud allows.
+// Cloud has the limits and properties of the cloud's API.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`        // requests a second
-	ListLagS float64 `toml:"list_lag_s"` // by how much its list of machines is usually behind
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // usual staleness of its machine list
 }
 
-// Limits are the limits of the controller's machine.
+// Limits are the resources that a controller may use on its machine.
 type Limits struct {
 	CPUShare   float64 `toml:"cpu_share"`
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -120,10 +121,10 @@
 	return s, nil
 }
 
-// Parse reads and checks settings.
-func Parse(b []byte) (*Settings, error) {
+// Parse decodes and validates settings.
+func Parse(data []byte) (*Settings, error) {
 	var s Settings
-	if err := toml.Unmarshal(b, &s); err != nil {
+	if err := toml.Unmarshal(data, &s); err != nil {
 		var decodeErr *toml.DecodeError
 		if errors.As(err, &decodeErr) {
 			row, col := decodeErr.Position()
@@ -134,19 +135,20 @@
 	return &s, s.validate()
 }
 
-// Seconds turns a setting into a duration.
+// Seconds converts a setting in seconds into a duration.
 func Seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-// clockDriftShare is how much of cancel_s is left for clocks: twice what the platform allows two of them to differ by.
+// clockDriftShare is the fraction of cancel_s reserved for clock drift: twice the difference in rate that the platform
+// allows between two clocks.
 const clockDriftShare = 0.001
 
-// maxUnmeasuredSeconds bounds what is left of cancel_s for what nobody measures.
+// maxUnmeasuredSeconds limits the part of cancel_s reserved for delays that nothing measures.
 const maxUnmeasuredSeconds = 2
 
-// StaleRenewalLimit is how long a controller that is partitioned from the log may keep renewing agents'
-// leases: a cancellation that it can't know of must still take effect in time.
-// docs/DESIGN.md has the sum. What is left of cancel_s is for what nobody measures, at most two seconds,
-// and for the drift of this controller's clock and the agent's.
+// StaleRenewalLimit is how long a controller that is partitioned from the log may keep renewing agents' leases. A
+// cancellation that it has not seen must still take effect within cancel_s, so the limit is what remains of cancel_s
+// after the lease, a margin for unmeasured delays (a third of the remainder, at most two seconds), and the drift of the
+// controller's clock and the agent's. docs/DESIGN.md has the derivation.
 func (s *Settings) StaleRenewalLimit() time.Duration {
 	w := &s.Params.Workers
 	slack := w.CancelS - w.LeaseS
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,7 +4,6 @@
 	"math"
 	"strings"
 	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 
@@ -59,12 +58,12 @@
 		t.Fatal(err)
 	}
 	if s.Members[0].Addr != "10.0.0.2:81" || s.Params.Workers.CancelS != 49 || s.Params.Teams[0].CPUsMax != 0 {
-		t.Errorf("read %+v", s)
+		t.Errorf("parsed as %+v", s)
 	}
-	// Agents that are partitioned for the whole limit still end in time for a cancellation.
+	// Tasks of agents that are partitioned for the whole limit must still end within cancel_s.
 	if limit := s.StaleRenewalLimit(); limit <= 0 ||
 		limit+Seconds(s.Params.Workers.LeaseS) >= Seconds(s.Params.Workers.CancelS) {
-		t.Errorf("leases are kept for %v", time.Duration(limit))
+		t.Errorf("stale renewal limit of %v does not leave room for the lease within cancel_s", limit)
 	}
 }
 
@@ -83,46 +82,48 @@
 		{`zones = ["a", "b"]`, ``, "params.zones"},
 		{`zones = ["a", "b"]`, `zones = ["a", "a"]`, "params.zones[1]"},
 		{`cancel_s = 49.0`, `cancel_s = 20.0`, "cancel_s"},
-		{`cancel_s = 49.0`, `cancel_s = 24.03`, "params.workers.cancel_s: 24.03 leaves no room over lease_s"},
+		{`cancel_s = 49.0`, `cancel_s = 24.03`, "params.workers.cancel_s: 24.03 is too close to lease_s"},
 		{`rps = 100.0`, `rps = 0.0`, "state.rps"},
 		{`cpu_share = 0.5`, `cpu_share = "half"`, "CPUShare"},
 		{`rps = 100.0`, `rps = 1.0.0`, "line "},
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) {
-			t.Errorf("%s: got %v", c[1], err)
+			t.Errorf("%s: got error %v, want one that contains %q", c[1], err, c[2])
 		}
 	}
 }
 
-// TestLeasesEndInTime adds up, for settings drawn at random, the longest that a task of a job can live that was
-// cancelled just after a controller last knew of all that was confirmed: the controller looks at its limit by its own
-// clock when it reads a heartbeat, which was sent before; the agent counts the lease by its own from the sending. Both
-// clocks are as slow as the platform allows. The sum is in docs/DESIGN.md.
+// TestLeasesEndInTime computes, for random settings, the longest time that a task can outlive the cancellation of its
+// job, and checks that it stays below cancel_s. In the worst case the job is cancelled just after a controller lost
+// contact with the log. The controller then renews leases until its limit, measured on its own clock when it reads a
+// heartbeat; the agent counts the lease on its own clock from when it sent the heartbeat, which is earlier. Both clocks
+// are as slow as the platform allows. docs/DESIGN.md has the derivation.
 func TestLeasesEndInTime(t *testing.T) {
-	refused, narrow := 0, 0
+	rejected, tight := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Settings{}
 		w := &s.Params.Workers
 		w.LeaseS = rapid.Float64Range(0.5, 600).Draw(t, "lease")
-		w.CancelS = w.LeaseS + math.Pow(10, rapid.Float64Range(-3, 3).Draw(t, "room, as a power of ten"))
+		w.CancelS = w.LeaseS + math.Pow(10, rapid.Float64Range(-3, 3).Draw(t, "log10 of cancel_s - lease_s"))
 		limit := s.StaleRenewalLimit()
-		if limit <= 0 { // refused at the start
-			refused++
+		if limit <= 0 { // rejected by validate
+			rejected++
 			return
 		}
 		if w.CancelS-w.LeaseS < 2 {
-			narrow++
+			tight++
 		}
 		const clockRate = 1 - 0.0005
-		last := limit.Seconds()/clockRate + w.LeaseS/clockRate
-		if margin := w.CancelS - last; margin <= 0 {
-			t.Fatalf("the last task is gone %v s after the cancellation has to be through", -margin)
+		lastEnd := limit.Seconds()/clockRate + w.LeaseS/clockRate
+		if margin := w.CancelS - lastEnd; margin <= 0 {
+			t.Fatalf("the last task ends %v s after cancel_s", -margin)
 		} else if required := min(1.9, (w.CancelS-w.LeaseS)/4); margin < required {
-			t.Fatalf("%v s are left for what nobody measures", margin)
+			t.Fatalf("margin for unmeasured delays is %v s, want at least %v s", margin, required)
 		}
 	})
-	if refused == 0 || narrow == 0 {
-		t.Errorf("%d settings were refused, %d left less than two seconds: not all kinds were drawn", refused, narrow)
+	if rejected == 0 || tight == 0 {
+		t.Errorf("drew %d rejected settings and %d with less than 2 s between lease_s and cancel_s, want some of each",
+			rejected, tight)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,7 +13,7 @@
 	"fieldhill/internal/golden"
 )
 
-// fullSettings is what settings.toml says.
+// fullSettings is the content of settings.toml.
 var fullSettings = &Settings{
 	Node: "n0", Zone: "a", Bind: "10.0.0.1:80", PeerListen: "10.0.0.1:81",
 	Members:   []Member{{Node: "n1", Zone: "b", Addr: "10.0.0.2:81"}, {Node: "n2", Zone: "c", Addr: "[fd00::3]:81"}},
@@ -27,33 +27,34 @@
 		Limits:     Limits{CPUShare: 0.5, MemoryMB: 100, MaxSockets: 100}},
 }
 
-// TestGoldenSettings: the stored settings, which have every key, are read as they were, and written with the same keys;
-// a key of another name is found.
+// TestGoldenSettings checks that settings.toml, which has every key, is decoded as fullSettings and that encoding uses
+// the same keys. Renaming any key in the file must change the result, so that a wrong tag in a struct is detected.
 func TestGoldenSettings(t *testing.T) {
 	stored := golden.Read(t, "settings.toml")
 	got, err := Parse(stored)
 	if d := cmp.Diff(fullSettings, got); d != "" || err != nil {
-		t.Errorf("read as\n%s, %v", d, err)
+		t.Errorf("settings.toml was decoded wrongly (-want +got):\n%s, %v", d, err)
 	}
 	written, err := toml.Marshal(got)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "written.toml", written)
-	again, err := Parse(golden.Read(t, "written.toml"))
-	if d := cmp.Diff(fullSettings, again); d != "" || err != nil {
-		t.Errorf("what was written is read as\n%s, %v", d, err)
+	reparsed, err := Parse(golden.Read(t, "written.toml"))
+	if d := cmp.Diff(fullSettings, reparsed); d != "" || err != nil {
+		t.Errorf("written.toml was decoded wrongly (-want +got):\n%s, %v", d, err)
 	}
-	for _, at := range regexp.MustCompile(`(?m)^(\[+(params\.)?)?\w+( =|\]+$)`).FindAllIndex(stored, -1) {
-		planted := bytes.Clone(stored)
-		planted[at[0]+bytes.LastIndexAny(stored[at[0]:at[1]], "[.")+1] = 'q'
-		if got, err := Parse(planted); err == nil && cmp.Equal(fullSettings, got) {
-			t.Errorf("the key at byte %d was renamed and nothing was found:\n%s", at[0], planted[at[0]:at[1]])
+	for _, key := range regexp.MustCompile(`(?m)^(\[+(params\.)?)?\w+( =|\]+$)`).FindAllIndex(stored, -1) {
+		renamed := bytes.Clone(stored)
+		renamed[key[0]+bytes.LastIndexAny(stored[key[0]:key[1]], "[.")+1] = 'q'
+		if got, err := Parse(renamed); err == nil && cmp.Equal(fullSettings, got) {
+			t.Errorf("renaming the key at byte %d went undetected:\n%s", key[0], renamed[key[0]:key[1]])
 		}
 	}
 }
 
-// TestGoldenErrors: people who write settings get the same error for each line that is left out or has another value.
+// TestGoldenErrors compares the error for each line of the settings that is missing or has another value with the
+// golden file.
 func TestGoldenErrors(t *testing.T) {
 	lines := strings.SplitAfter(string(golden.Read(t, "settings.toml")), "\n")
 	var b strings.Builder
@@ -64,24 +65,24 @@
 			section = key
 			continue
 		}
-		try := func(what, instead string) {
+		check := func(label, replacement string) {
 			changed := append([]string(nil), lines...)
-			changed[i] = instead
+			changed[i] = replacement
 			_, err := Parse([]byte(strings.Join(changed, "")))
-			fmt.Fprintf(&b, "%s %s %s: %v\n", section, key, what, err)
+			fmt.Fprintf(&b, "%s %s %s: %v\n", section, key, label, err)
 		}
-		others := []string{"-1", "0", "1e9", "nan"}
+		alternatives := []string{"-1", "0", "1e9", "nan"}
 		switch {
 		case value[0] == '"':
-			others = []string{`""`, `"n0"`, `"red"`}
+			alternatives = []string{`""`, `"n0"`, `"red"`}
 		case value[0] == '[':
-			others = []string{"[]", `["a", "a"]`, `[""]`}
+			alternatives = []string{"[]", `["a", "a"]`, `[""]`}
 		case !strings.Contains(value, "."):
-			others = []string{"-1", "0", "2"}
+			alternatives = []string{"-1", "0", "2"}
 		}
-		try("left out", "")
-		for _, other := range others {
-			try("= "+other, key+" = "+other+"\n")
+		check("left out", "")
+		for _, alternative := range alternatives {
+			check("= "+alternative, key+" = "+alternative+"\n")
 		}
 	}
 	for _, text := range []string{"", "node = ", "node = 1.0.0", "[[params", "x = 1\nx = 2"} {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,26 +7,26 @@
 	"slices"
 )
 
-// FieldError says which setting is missing or invalid, by its name in the file.
+// FieldError reports a missing or invalid setting.
 type FieldError struct {
-	Field   string
+	Field   string // name in the file
 	Problem string
 }
 
-// Error names the setting first.
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// What the key-value store must allow at the least: a log entry in a value, and a fenced write in a transaction.
+// Minimum limits of the key-value store: a value must fit a log entry, and a transaction a fenced write.
 const (
 	minValueKB = 1
 	minTxnOps  = 3
 )
 
-// validate checks the sections in order, and returns the first error.
+// validate runs the checks in order and returns the first error.
 func (s *Settings) validate() error {
 	for _, check := range []func() error{
 		s.validateIdentity,
@@ -36,7 +36,7 @@
 		s.Params.validateZones,
 		s.Params.validateTeams,
 		s.Params.validateObjectives,
-		s.Params.validateAmounts,
+		s.Params.validateNumbers,
 		s.validateTimes,
 		s.Params.KVStore.validate,
 	} {
@@ -47,18 +47,18 @@
 	return nil
 }
 
-// namedText is a text setting and its name in the file.
-type namedText struct{ field, text string }
+// namedString is a string setting and its name in the file.
+type namedString struct{ field, value string }
 
-// namedAmount is a setting that is a number and its name in the file.
-type namedAmount struct {
+// namedNumber is a numeric setting and its name in the file.
+type namedNumber struct {
 	field  string
-	amount float64
+	number float64
 }
 
 func (s *Settings) validateIdentity() error {
-	for _, f := range []namedText{{"node", s.Node}, {"zone", s.Zone}} {
-		if f.text == "" {
+	for _, f := range []namedString{{"node", s.Node}, {"zone", s.Zone}} {
+		if f.value == "" {
 			return fieldErrorf(f.field, "missing")
 		}
 	}
@@ -69,7 +69,7 @@
 	names := map[string]bool{s.Node: true}
 	for i, m := range s.Members {
 		if m.Node == "" || names[m.Node] {
-			return fieldErrorf(fmt.Sprintf("members[%d].node", i), "missing or given twice")
+			return fieldErrorf(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
 		}
 		names[m.Node] = true
 	}
@@ -77,21 +77,21 @@
 }
 
 func (s *Settings) validateAddresses() error {
-	addrs := []namedText{
+	addrs := []namedString{
 		{"bind", s.Bind},
 		{"peer_listen", s.PeerListen},
 		{"endpoints.cloud", s.Endpoints.Cloud},
 		{"endpoints.state", s.Endpoints.KVStore},
 	}
 	for i, m := range s.Members {
-		addrs = append(addrs, namedText{fmt.Sprintf("members[%d].endpoint", i), m.Addr})
+		addrs = append(addrs, namedString{fmt.Sprintf("members[%d].endpoint", i), m.Addr})
 	}
 	for _, f := range addrs {
-		if f.text == "" {
+		if f.value == "" {
 			return fieldErrorf(f.field, "missing")
 		}
-		if _, err := netip.ParseAddrPort(f.text); err != nil {
-			return fieldErrorf(f.field, "%q is not an address with a port", f.text)
+		if _, err := netip.ParseAddrPort(f.value); err != nil {
+			return fieldErrorf(f.field, "%q is not an address with a port", f.value)
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 func (p *Params) validateZones() error {
 	for i, z := range p.Zones {
 		if z == "" || slices.Contains(p.Zones[:i], z) {
-			return fieldErrorf(fmt.Sprintf("params.zones[%d]", i), "empty or given twice")
+			return fieldErrorf(fmt.Sprintf("params.zones[%d]", i), "empty or duplicate")
 		}
 	}
 	return nil
@@ -121,14 +121,14 @@
 	for i, t := range p.Teams {
 		field := fmt.Sprintf("params.teams[%d].", i)
 		if t.Name == "" || names[t.Name] {
-			return fieldErrorf(field+"name", "missing or given twice")
+			return fieldErrorf(field+"name", "missing or duplicate")
 		}
 		names[t.Name] = true
-		for _, f := range []namedAmount{
+		for _, f := range []namedNumber{
 			{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax},
 		} {
-			if !isAmount(f.amount) {
-				return fieldErrorf(field+f.field, "%v is not an amount", f.amount)
+			if !isNonNegative(f.number) {
+				return fieldErrorf(field+f.field, "%v is not a finite number of at least 0", f.number)
 			}
 		}
 	}
@@ -137,16 +137,17 @@
 
 func (p *Params) validateObjectives() error {
 	for i, o := range p.Objectives {
-		if !isAmount(o.WithinS) || !isAmount(o.Share) || o.Share > 1 || !isFinite(o.Times) {
-			return fieldErrorf(fmt.Sprintf("params.objectives[%d]", i), "invalid")
+		if !isNonNegative(o.WithinS) || !isNonNegative(o.Share) || o.Share > 1 || !isFinite(o.Times) {
+			return fieldErrorf(fmt.Sprintf("params.objectives[%d]", i),
+				"within_s must be finite and at least 0, share from 0 to 1, times finite")
 		}
 	}
 	return nil
 }
 
-// validateAmounts checks the numbers that must be given and above 0, and those that may be 0.
-func (p *Params) validateAmounts() error {
-	for _, f := range []namedAmount{
+// validateNumbers checks the numbers that must be greater than 0, and those that may be 0.
+func (p *Params) validateNumbers() error {
+	for _, f := range []namedNumber{
 		{"workers.report_s", p.Workers.HeartbeatS},
 		{"workers.lease_s", p.Workers.LeaseS},
 		{"workers.gang_wait_s", p.Workers.GangWaitS},
@@ -161,39 +162,42 @@
 		{"machine_limits.memory_mb", p.Limits.MemoryMB},
 		{"machine_limits.max_sockets", float64(p.Limits.MaxSockets)},
 	} {
-		if !isAmount(f.amount) || f.amount == 0 {
-			return fieldErrorf("params."+f.field, "missing or not above 0")
+		if !isNonNegative(f.number) || f.number == 0 {
+			return fieldErrorf("params."+f.field, "missing or not greater than 0")
 		}
 	}
-	if !isAmount(p.Cloud.ListLagS) || !isAmount(p.TimeBoundMS) {
-		return fieldErrorf("params.cloud.list_lag_s or params.time_bound_ms", "invalid")
+	if !isNonNegative(p.Cloud.ListLagS) || !isNonNegative(p.TimeBoundMS) {
+		return fieldErrorf("params.cloud.list_lag_s or params.time_bound_ms",
+			"must be finite and at least 0")
 	}
 	return nil
 }
 
-// validateTimes checks that the agents' times leave room for each other.
+// validateTimes checks that heartbeat interval, lease and cancellation time are consistent.
 func (s *Settings) validateTimes() error {
 	w := &s.Params.Workers
 	switch {
 	case w.LeaseS <= w.HeartbeatS:
-		return fieldErrorf("params.workers.lease_s", "must be above report_s")
+		return fieldErrorf("params.workers.lease_s", "must be greater than report_s")
 	case w.CancelS <= w.LeaseS:
-		return fieldErrorf("params.workers.cancel_s", "must be above lease_s")
+		return fieldErrorf("params.workers.cancel_s", "must be greater than lease_s")
 	case s.StaleRenewalLimit() <= 0:
 		return fieldErrorf("params.workers.cancel_s",
-			"%v leaves no room over lease_s of %v: what clocks may differ by takes it up", w.CancelS, w.LeaseS)
+			"%v is too close to lease_s of %v: the allowance for clock drift uses up the difference",
+			w.CancelS, w.LeaseS)
 	}
 	return nil
 }
 
 func (k *KVStore) validate() error {
 	if k.ValueKB < minValueKB || k.TxnOps < minTxnOps {
-		return fieldErrorf("params.state", "value_kb under %d or txn_ops under %d", minValueKB, minTxnOps)
+		return fieldErrorf("params.state", "value_kb must be at least %d and txn_ops at least %d",
+			minValueKB, minTxnOps)
 	}
 	return nil
 }
 
 func isFinite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
 
-// isAmount tells whether a number is finite and not below 0.
-func isAmount(f float64) bool { return isFinite(f) && f >= 0 }
+// isNonNegative reports whether a number is finite and at least 0.
+func isNonNegative(f float64) bool { return isFinite(f) && f >= 0 }
