--- a/wire/admin.go
+++ b/wire/admin.go
@@ -1,15 +1,15 @@
 package wire
 
-// Paths of the admin API, on the operators' address (--operate). It is this service's own, not the platform's, and
-// speaks JSON; docs/schema has its schemas, which are generated from the structs here.
+// Paths of the admin API, which listens on the operators' address (--operate). It is defined by this service, not by
+// the platform, and uses JSON. The schemas in docs/schema are generated from the structs in this file.
 const (
-	PathAdminJobs  = "/v1/jobs" // with /{id}/why behind it
+	PathAdminJobs  = "/v1/jobs" // followed by /{id}/why
 	WhySuffix      = "/why"
 	PathAdminQueue = "/v1/queue" // ?team=&class=&reason=&most=
 	PathAdminRoles = "/v1/duties"
 )
 
-// RoleList names the holders of the singleton roles, as the controller that was asked knows them.
+// RoleList lists the singleton roles and their holders, as known to the controller that responds.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type RoleList struct {
@@ -33,10 +33,10 @@
 	ReleaseReason     string  `json:"why" jsonschema:"description=why the controller that tells last let it go"`
 }
 
-// MaxQueued is how many jobs a Queue lists at most.
+// MaxQueued is the maximum number of jobs in a Queue.
 const MaxQueued = 500
 
-// Explanation says for what a job waits, at one state of the leader.
+// Explanation lists the reasons why tasks of a job are pending, evaluated on one state of the leader.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type Explanation struct {
@@ -56,7 +56,7 @@
 	History     []ReasonPeriod `json:"past" jsonschema:"description=what the scheduler gave as the reason, the present one first"`
 }
 
-// Reason is one cause for which tasks of a job wait, and what would change without it.
+// Reason is one reason why tasks of a job are pending, and what the next round would do without it.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type Reason struct {
@@ -74,13 +74,13 @@
 	Limit            float64 `json:"limit,omitempty"`
 }
 
-// ReasonPeriod is a reason that the scheduler gave for some time.
+// ReasonPeriod is a pending reason in a job's history, and when it began to apply.
 type ReasonPeriod struct {
 	Code   string  `json:"code"`
 	SinceS float64 `json:"since_s" jsonschema:"description=seconds ago when it began"`
 }
 
-// Queue lists jobs with waiting tasks, in the order in which they are served.
+// Queue lists jobs with waiting tasks in scheduling order.
 type Queue struct {
 	Node     string      `json:"node"`
 	LogBatch uint64      `json:"log"`
@@ -89,7 +89,7 @@
 	More     int         `json:"more" jsonschema:"description=jobs that match and are not listed"`
 }
 
-// QueuedJob is a job with waiting tasks and the reason that the scheduler last gave for it.
+// QueuedJob is a job with waiting tasks, and the reason that the scheduler last recorded for it.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type QueuedJob struct {
@@ -105,7 +105,7 @@
 	AgeS     float64 `json:"age_s" jsonschema:"description=seconds since this leader knows the job"`
 }
 
-// AdminProblem is the body of a refusal of the admin API.
+// AdminProblem is the body of an error response of the admin API.
 type AdminProblem struct {
 	Error string `json:"error"`
 }
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -1,6 +1,7 @@
 package wire
 
-// Paths between controllers and agents: a controller takes heartbeats, an agent takes commands.
+// Paths between controllers and agents. Controllers serve PathHeartbeat; agents serve PathOrders for commands and
+// PathShow, which returns their current state as a heartbeat.
 const (
 	PathHeartbeat = "/v1/report"
 	PathOrders    = "/orders"
@@ -10,18 +11,18 @@
 // States of a task on its machine.
 const (
 	TaskFetching      = "pulling"   // its image is being fetched
-	TaskWaiting       = "gathering" // for the other members of its gang
+	TaskWaiting       = "gathering" // it waits for the other tasks of its gang
 	TaskRunning       = "running"
-	TaskCheckpointing = "flushing" // it was stopped and saves its progress
-	TaskExited        = "exited"   // it is reported until the controller has it forgotten
+	TaskCheckpointing = "flushing" // it was stopped and is saving its progress
+	TaskExited        = "exited"   // reported until the controller sends Forget
 )
 
 // Causes of a task's exit.
 const (
 	CauseDone           = "done"
-	CauseStopped        = "halted"     // a command stopped it
-	CausePeers          = "peers"      // another member of its gang ended
-	CauseGangIncomplete = "incomplete" // its gang did not gather in time
+	CauseStopped        = "halted"     // stopped by a command
+	CausePeers          = "peers"      // another task of its gang ended
+	CauseGangIncomplete = "incomplete" // the other tasks of its gang did not start in time
 	CauseError          = "error"
 	CauseNoCapacity     = "no_room"
 	CauseBusy           = "busy"
@@ -35,57 +36,57 @@
 	Forget = "reap" // drops an exited task from the agent's heartbeats
 )
 
-// Heartbeat is an agent's account of its machine. It renews the agent's lease, and the state that it carries is
-// compared with the replicated one (reconciliation).
+// Heartbeat reports the state of an agent's machine. It renews the agent's lease, and its task states are reconciled
+// with the replicated state.
 type Heartbeat struct {
 	Machine string `msgpack:"box"`
-	Addr    string `msgpack:"endpoint"` // where the agent takes commands
+	Addr    string `msgpack:"endpoint"` // listen address of the agent, for commands
 	Type    string `msgpack:"model"`
 	Zone    string `msgpack:"hall"`
 	Spot    bool   `msgpack:"loaners"`
-	// AgentEpoch grows with each start of the agent and Seq with each heartbeat, so that those which are late or
-	// repeated by the network are recognised.
+	// AgentEpoch increases with each start of the agent and Seq with each heartbeat, so that delayed and duplicated
+	// heartbeats are detected.
 	AgentEpoch uint64 `msgpack:"shift"`
 	Seq        uint64 `msgpack:"tick"`
-	// FencingToken is the highest that the agent has seen; it takes no commands under a lower one.
+	// FencingToken is the highest token that the agent has seen; it rejects commands with a lower one.
 	FencingToken uint64 `msgpack:"baton"`
-	// NoticeS is when the cloud will reclaim the machine; nil if it gave no notice.
+	// NoticeS is the time until the cloud reclaims the machine; nil if it has given no notice.
 	NoticeS *float64     `msgpack:"recall_s"`
 	Tasks   []TaskStatus `msgpack:"pieces"`
 }
 
 // TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
-	Task    string `msgpack:"piece"` // as TaskID spells it
+	Task    string `msgpack:"piece"` // formatted by TaskID
 	Attempt uint64 `msgpack:"try"`
 	State   string `msgpack:"status"`
-	Cause   string `msgpack:"cause,omitempty"` // of an exit
-	// Checkpointed says that the progress of an exited task was saved.
+	Cause   string `msgpack:"cause,omitempty"` // of the exit; empty before it
+	// Checkpointed reports that the progress of an exited task was saved.
 	Checkpointed bool `msgpack:"stored,omitempty"`
 }
 
-// Command is one order to an agent.
+// Command instructs an agent to start, stop or forget a task.
 type Command struct {
 	Verb    string `msgpack:"verb"` // Start, Stop or Forget
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"try"`
-	// GraceS is how long a stopped task may take to save its progress; nil for commands other than Stop.
+	// GraceS is the time that a stopped task has to save its progress; nil for commands other than Stop.
 	GraceS *float64 `msgpack:"windup_s,omitempty"`
 }
 
-// HeartbeatResponse is the answer to a heartbeat that was taken.
+// HeartbeatResponse is the response to an accepted heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `msgpack:"baton"`
 	Commands     []Command `msgpack:"orders"`
 }
 
-// Redirect is the answer of a controller that sends an agent to another one, or to none in particular.
+// Redirect is the response that sends an agent to another controller.
 type Redirect struct {
-	Node string `msgpack:"foreman,omitempty"`
+	Node string `msgpack:"foreman,omitempty"` // empty for any other controller
 }
 
-// Orders is the body of commands that a controller sends without waiting for the next heartbeat. An agent refuses
-// them if it has seen a higher fencing token or has another epoch.
+// Orders is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects it if
+// it has seen a higher fencing token or has another epoch.
 type Orders struct {
 	FencingToken uint64    `msgpack:"baton"`
 	AgentEpoch   uint64    `msgpack:"shift"`
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,20 +1,20 @@
 package wire
 
-// Paths of the cloud's interface.
+// Paths of the cloud API.
 const (
 	PathTypes    = "/flavors"
 	PathMachines = "/hosts"
 	PathRelease  = "/hosts/release"
 )
 
-// Limits of the cloud's interface.
+// Limits of the cloud API.
 const (
-	MaxScaleOut = 50  // machines in one ScaleOutRequest
-	MaxRelease  = 100 // machines released by one request
-	MaxList     = 500 // machines on one page of a MachineList
+	MaxScaleOut = 50  // machines per ScaleOutRequest
+	MaxRelease  = 100 // machines per release request
+	MaxList     = 500 // machines per page of a MachineList
 )
 
-// States of a machine in the cloud's list.
+// States of a machine in a MachineList.
 const (
 	MachineBooting = "starting"
 	MachineRunning = "running"
@@ -27,34 +27,34 @@
 	CPUs        float64  `msgpack:"cores"`
 	GPUs        float64  `msgpack:"gpus"`
 	MemoryGB    float64  `msgpack:"mem_gb"`
-	CacheGB     float64  `msgpack:"cache_gb"` // for images
+	CacheGB     float64  `msgpack:"cache_gb"` // size of the image cache
 	FetchGBPerS float64  `msgpack:"fetch_gb_per_s"`
 	Price       float64  `msgpack:"price"`
 	SpotPrice   float64  `msgpack:"low_price"`
-	BootS       float64  `msgpack:"ready_s"` // how long a machine usually takes to boot
+	BootS       float64  `msgpack:"ready_s"` // usual boot time
 	Zones       []string `msgpack:"halls"`
 }
 
-// MachineTypes lists what the cloud offers.
+// MachineTypes lists the instance types that the cloud offers.
 type MachineTypes struct {
 	Types []MachineType `msgpack:"models"`
 }
 
-// ScaleOutRequest asks the cloud for machines. A repeated one with the same name is answered with the same machines.
+// ScaleOutRequest requests machines from the cloud. Repeating it with the same Request returns the same machines.
 type ScaleOutRequest struct {
-	Request string `msgpack:"hire"` // its idempotency key
+	Request string `msgpack:"hire"` // idempotency key
 	Type    string `msgpack:"model"`
 	Zone    string `msgpack:"hall"`
 	Spot    bool   `msgpack:"loaners"`
 	Count   int    `msgpack:"number"`
 }
 
-// MachineNames lists machines by name: those that were provisioned, or those to be released.
+// MachineNames lists machines by name: in a response those that were provisioned, in a request those to release.
 type MachineNames struct {
 	Machines []string `msgpack:"boxes"`
 }
 
-// ListedMachine is one row of the cloud's machine list.
+// ListedMachine is one machine in a MachineList.
 type ListedMachine struct {
 	Name  string  `msgpack:"name_id"`
 	Addr  string  `msgpack:"endpoint"`
@@ -65,7 +65,8 @@
 	AgeS  float64 `msgpack:"held_s"` // since it was provisioned
 }
 
-// MachineList is a page of the cloud's machine list, which lags behind what was provisioned and released.
+// MachineList is a page of the cloud's machine list. The list is eventually consistent: provisioned and released
+// machines show up late.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"boxes"`
 	More     bool            `msgpack:"truncated"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -9,14 +9,15 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is how deeply maps and lists may be nested in a message; no message of the protocol comes near it.
+// maxDepth is the maximum nesting depth of maps and lists, far above that of any message of the protocol.
 const maxDepth = 16
 
 // Marshal encodes a message.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Unmarshal decodes one message: a map with nothing behind it, nested no deeper than maxDepth. The depth is checked
-// first, because skipping unknown fields recurses and a hostile body could otherwise grow the stack at will.
+// Unmarshal decodes one message: a single map without trailing bytes, nested no deeper than maxDepth. The depth is
+// checked first, because skipping unknown fields recurses and a malicious body could otherwise grow the stack without
+// limit.
 func Unmarshal(b []byte, v any) error {
 	if err := checkNesting(b); err != nil {
 		return err
@@ -24,7 +25,7 @@
 	return msgpack.Unmarshal(b, v)
 }
 
-// checkNesting reports whether the bytes are one map and nothing else, without decoding its values.
+// checkNesting returns an error unless the bytes are a single map that is nested no deeper than maxDepth.
 func checkNesting(b []byte) error {
 	r := bytes.NewReader(b)
 	d := msgpack.NewDecoder(r)
@@ -52,8 +53,8 @@
 	return msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32
 }
 
-// checkDepth skips one value that stands inside so many maps and lists, and refuses what no message contains: maps
-// with keys that are not text, binary data, and extensions.
+// checkDepth skips one value at the given nesting depth. It rejects what no message contains: maps with keys that are
+// not strings, binary data and extensions.
 func checkDepth(d *msgpack.Decoder, depth int) error {
 	if depth > maxDepth {
 		return errors.New("nested too deeply")
@@ -110,8 +111,8 @@
 	return err == nil && c == msgpcode.Nil
 }
 
-// decodeText reads text, where the library would also take binary data or nil.
-func decodeText(d *msgpack.Decoder) (string, error) {
+// decodeString decodes a string. The library would also accept binary data and nil.
+func decodeString(d *msgpack.Decoder) (string, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return "", err
@@ -122,8 +123,8 @@
 	return d.DecodeString()
 }
 
-// decodeTexts reads a list of texts; nil stands for none.
-func decodeTexts(d *msgpack.Decoder) ([]string, error) {
+// decodeStrings decodes a list of strings; nil is decoded as a nil slice.
+func decodeStrings(d *msgpack.Decoder) ([]string, error) {
 	c, err := d.PeekCode()
 	if err != nil {
 		return nil, err
@@ -138,15 +139,15 @@
 	if err != nil {
 		return nil, err
 	}
-	out := []string{}
+	list := []string{}
 	for range n {
-		t, err := decodeText(d)
+		s, err := decodeString(d)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, t)
+		list = append(list, s)
 	}
-	return out, nil
+	return list, nil
 }
 
 func decodeBool(d *msgpack.Decoder) (bool, error) {
@@ -164,7 +165,7 @@
 	return msgpcode.IsFixedNum(c) || (c >= msgpcode.Uint8 && c <= msgpcode.Int64)
 }
 
-// decodeAmount reads a finite number of at least 0.
+// decodeAmount decodes a finite number of at least 0.
 func decodeAmount(d *msgpack.Decoder) (float64, error) {
 	c, err := d.PeekCode()
 	if err != nil {
@@ -183,7 +184,7 @@
 	return f, nil
 }
 
-// decodeCount reads an integer from 0 to MaxTasks, however many bytes it is encoded in.
+// decodeCount decodes an integer from 0 to MaxTasks in any of the integer encodings.
 func decodeCount(d *msgpack.Decoder) (int, error) {
 	c, err := d.PeekCode()
 	if err != nil {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -15,10 +15,10 @@
 	"fieldhill/internal/golden"
 )
 
-func set[T any](v T) *T { return &v }
+func ptr[T any](v T) *T { return &v }
 
-// fullMessages has every message of the platform's interfaces with no field at its zero value, so that a tag or a byte
-// that is not read shows.
+// fullMessages has every message of the platform's interfaces with no field at its zero value, so that the tests detect
+// a tag or a byte that is not decoded.
 func fullMessages() map[string]any {
 	all := map[string]any{}
 	for _, messages := range []map[string]any{
@@ -44,14 +44,14 @@
 			Image:               "img-07",
 			ImageGB:             6.2,
 			Types:               []string{"g8", "c4"},
-			Zone:                set("a"),
+			Zone:                ptr("a"),
 			SameZone:            true,
 			Spread:              true,
 			Spot:                true,
 			EstimateS:           240,
 			CheckpointIntervalS: 30,
 			CheckpointWriteS:    4,
-			DeadlineS:           set(900.0),
+			DeadlineS:           ptr(900.0),
 		},
 		"job-status": &JobStatus{ID: "req-000412", State: JobRunning, Done: 3, Running: 13},
 		"problem":    &Problem{Error: "pieces: out of range"},
@@ -59,7 +59,7 @@
 }
 
 func fullAgentMessages() map[string]any {
-	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: set(2.5)}
+	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: ptr(2.5)}
 	return map[string]any{
 		"report": &Heartbeat{
 			Machine:      "m-7",
@@ -70,7 +70,7 @@
 			AgentEpoch:   1 << 40,
 			Seq:          300,
 			FencingToken: 7,
-			NoticeS:      set(30.5),
+			NoticeS:      ptr(30.5),
 			Tasks: []TaskStatus{
 				{Task: "req-000412/3", Attempt: 2, State: TaskExited, Cause: CauseStopped, Checkpointed: true},
 			},
@@ -116,14 +116,14 @@
 	}
 }
 
-// sparseMessages has messages as they are sent with fields left out, null or empty.
+// sparseMessages has messages with fields that are omitted, null or empty.
 func sparseMessages() map[string]any {
 	raw, _ := Marshal(&LogValue{Version: 1})
 	all := map[string]any{
 		"job-spec-nulls": &JobSpec{ID: "req-1000000", Class: "web", Team: "red", Shape: Service,
 			Priority: Production, Tasks: 1, Image: "i"},
 		"job-spec-empty": &JobSpec{ID: "req-000001", Shape: Array, Priority: Low, Types: []string{},
-			Zone: set("")},
+			Zone: ptr("")},
 		"problem-empty": &Problem{},
 		"report-idle":   &Heartbeat{Machine: "m-7", AgentEpoch: 1, Tasks: []TaskStatus{}},
 		"report-nulls":  &Heartbeat{Machine: "m-7", AgentEpoch: 1},
@@ -137,7 +137,7 @@
 		"orders-no-grace": &Orders{
 			FencingToken: 1,
 			AgentEpoch:   2,
-			Commands:     []Command{{Verb: Stop, GraceS: set(0.0)}},
+			Commands:     []Command{{Verb: Stop, GraceS: ptr(0.0)}},
 		},
 		"machine-types-nulls": &MachineTypes{Types: []MachineType{{}}},
 		"hire-zeros":          &ScaleOutRequest{},
@@ -161,18 +161,18 @@
 	return all
 }
 
-// rewriter reads a message of the kind of value and writes it again.
-func rewriter(value any) func(b []byte) ([]byte, error) {
+// reencoder returns a function that decodes a message of value's type and encodes it again.
+func reencoder(value any) func(b []byte) ([]byte, error) {
 	return func(b []byte) ([]byte, error) {
-		again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-		if err := Unmarshal(b, again); err != nil {
+		message := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+		if err := Unmarshal(b, message); err != nil {
 			return nil, err
 		}
-		return Marshal(again)
+		return Marshal(message)
 	}
 }
 
-func rewriteJob(b []byte) ([]byte, error) {
+func reencodeJob(b []byte) ([]byte, error) {
 	job, err := ParseJob(b)
 	if err != nil {
 		return nil, err
@@ -180,99 +180,99 @@
 	return Marshal(job)
 }
 
-// TestGoldenMessages: every message is written as in the stored files and read from them; one byte that
-// differs and one tag of another name are found in each. messages.txt spells all of them with their tags.
+// TestGoldenMessages checks that every message is encoded as in its golden file and decoded from it, and that changing
+// any byte or renaming any tag in the file changes the result. messages.txt has all messages as JSON with their tags.
 func TestGoldenMessages(t *testing.T) {
 	messages, full := fullMessages(), fullMessages()
 	maps.Copy(messages, sparseMessages())
-	var spelled strings.Builder
+	var listing strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(messages)) {
 		want, file := messages[name], "messages/"+name+".hex"
-		written, err := Marshal(want)
+		encoded, err := Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Check(t, file, written)
+		golden.Check(t, file, encoded)
 		stored := golden.Read(t, file)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := Unmarshal(stored, got); err != nil {
-			t.Errorf("%s isn't read: %v", name, err)
+			t.Errorf("decoding %s: %v", name, err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
-			t.Errorf("%s was read as\n%s", name, d)
+			t.Errorf("%s was decoded wrongly (-want +got):\n%s", name, d)
 		}
-		if again, err := rewriter(want)(stored); err != nil || string(again) != string(stored) {
-			t.Errorf("%s was written again as %x, %v", name, again, err)
+		if reencoded, err := reencoder(want)(stored); err != nil || string(reencoded) != string(stored) {
+			t.Errorf("%s was re-encoded as %x, %v", name, reencoded, err)
 		}
 		var tagged map[string]any
-		if err := msgpack.Unmarshal(written, &tagged); err != nil {
+		if err := msgpack.Unmarshal(encoded, &tagged); err != nil {
 			t.Fatal(err)
 		}
 		b, err := json.Marshal(tagged)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&spelled, "%s %s\n", name, b)
+		fmt.Fprintf(&listing, "%s %s\n", name, b)
 		if full[name] != nil {
-			golden.FlipFinds(t, file, rewriter(want))
-			golden.TagFinds(t, name, stored, rewriter(want))
+			golden.FlipFinds(t, file, reencoder(want))
+			golden.TagFinds(t, name, stored, reencoder(want))
 		}
 	}
-	golden.Check(t, "messages.txt", []byte(spelled.String()))
+	golden.Check(t, "messages.txt", []byte(listing.String()))
 
 	for _, name := range []string{"job-spec", "job-spec-nulls"} {
 		stored := golden.Read(t, "messages/"+name+".hex")
 		job, err := ParseJob(stored)
 		if d := cmp.Diff(messages[name], any(job)); d != "" || err != nil {
-			t.Errorf("%s was parsed as\n%s, %v", name, d, err)
+			t.Errorf("ParseJob of %s (-want +got):\n%s, %v", name, d, err)
 		}
 		if number, err := PeekJobID(stored); err != nil || JobID(number) != job.ID {
-			t.Errorf("%s is of job %d, %v", name, number, err)
+			t.Errorf("PeekJobID of %s: got job %d, %v", name, number, err)
 		}
 	}
-	golden.FlipFinds(t, "messages/job-spec.hex", rewriteJob)
-	golden.TagFinds(t, "job-spec", golden.Read(t, "messages/job-spec.hex"), rewriteJob)
+	golden.FlipFinds(t, "messages/job-spec.hex", reencodeJob)
+	golden.TagFinds(t, "job-spec", golden.Read(t, "messages/job-spec.hex"), reencodeJob)
 }
 
-// TestGoldenRefusals: what users hear of a malformed submission, by the protocol's names of fields.
-func TestGoldenRefusals(t *testing.T) {
+// TestGoldenParseErrors compares the errors for malformed submissions, which are sent to users, with the golden file.
+func TestGoldenParseErrors(t *testing.T) {
 	var b strings.Builder
-	try := func(what string, body []byte) {
+	check := func(label string, body []byte) {
 		_, err := ParseJob(body)
-		_, peeked := PeekJobID(body)
-		fmt.Fprintf(&b, "%s: %v; id: %v\n", what, err, peeked)
+		_, peekErr := PeekJobID(body)
+		fmt.Fprintf(&b, "%s: %v; id: %v\n", label, err, peekErr)
 	}
-	for _, field := range slices.Sorted(maps.Keys(goodJob())) {
-		job := goodJob()
+	for _, field := range slices.Sorted(maps.Keys(validJob())) {
+		job := validJob()
 		for _, value := range []any{nil, "?", "", -1, 1 << 40, -0.5, true, []any{1}} {
 			job[field] = value
-			body, _ := Marshal(sorted(job))
-			try(fmt.Sprintf("%s %#v", field, value), body)
+			body, _ := Marshal(sortedMap(job))
+			check(fmt.Sprintf("%s %#v", field, value), body)
 		}
 		delete(job, field)
-		body, _ := Marshal(sorted(job))
-		try(field+" left out", body)
+		body, _ := Marshal(sortedMap(job))
+		check(field+" left out", body)
 	}
-	body, _ := Marshal(sorted(goodJob()))
-	try("empty", nil)
-	try("list", []byte{0x90})
-	try("trailing", append(body[:len(body):len(body)], 0xc0))
-	try("deep", append([]byte{0x81, 0xa1, 'x'}, nestedLists(100)...))
-	try("binary", []byte{0x81, 0xa1, 'x', 0xc4, 0})
-	try("key", []byte{0x81, 1, 1})
+	body, _ := Marshal(sortedMap(validJob()))
+	check("empty", nil)
+	check("list", []byte{0x90})
+	check("trailing", append(body[:len(body):len(body)], 0xc0))
+	check("deep", append([]byte{0x81, 0xa1, 'x'}, nestedLists(100)...))
+	check("binary", []byte{0x81, 0xa1, 'x', 0xc4, 0})
+	check("key", []byte{0x81, 1, 1})
 	golden.Check(t, "refusals.txt", []byte(b.String()))
 }
 
-// sorted writes a map in one order, so that the first field at fault is the same in each run.
-type sorted map[string]any
+// sortedMap is a map that is encoded in key order, so that the first invalid field is the same in each run.
+type sortedMap map[string]any
 
-// EncodeMsgpack is called by the encoder.
-func (s sorted) EncodeMsgpack(e *msgpack.Encoder) error {
+// EncodeMsgpack implements msgpack.CustomEncoder.
+func (s sortedMap) EncodeMsgpack(e *msgpack.Encoder) error {
 	e.SetSortMapKeys(true)
 	return e.EncodeMapSorted(s)
 }
 
-// TestGoldenConstants: paths, words and limits of the protocol are spelled as in the stored file.
+// TestGoldenConstants compares the paths, names and limits of the protocol with the golden file.
 func TestGoldenConstants(t *testing.T) {
 	var b strings.Builder
 	for _, group := range []struct {
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -8,12 +8,12 @@
 
 const (
 	jobIDPrefix = "req-"
-	// maxJobNumber is the largest number of at most fifteen digits, which a float64 holds exactly.
+	// maxJobNumber is the largest number with fifteen digits, all of which a float64 represents exactly.
 	maxJobNumber = 999_999_999_999_999
 )
 
-// JobNumber reads a job id: the prefix and six digits, or more without a leading zero, so that exactly one id belongs
-// to a number and the service can store the number alone.
+// JobNumber parses a job id: the prefix and six digits, or more without a leading zero. Each number has exactly one id,
+// so that the service can store the number alone.
 func JobNumber(id string) (uint64, bool) {
 	s, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || len(s) < 6 || len(s) > 15 || (len(s) > 6 && s[0] == '0') {
@@ -29,15 +29,15 @@
 	return n, n <= maxJobNumber
 }
 
-// JobID is the id of the job with a number, the inverse of JobNumber.
+// JobID formats the id of a job, the inverse of JobNumber.
 func JobID(n uint64) string { return fmt.Sprintf("%s%06d", jobIDPrefix, n) }
 
-// TaskID is the name of a task: its job's id and its index.
+// TaskID formats the id of a task: its job's id, a slash and its index in the job.
 func TaskID(job uint64, task int) string {
 	return JobID(job) + "/" + strconv.Itoa(task)
 }
 
-// ParseTaskID splits a task's name into its job's number and its index, the inverse of TaskID.
+// ParseTaskID parses a task id into the job's number and the task's index, the inverse of TaskID.
 func ParseTaskID(s string) (job uint64, task int, ok bool) {
 	id, t, found := strings.Cut(s, "/")
 	if !found {
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -10,29 +10,31 @@
 const (
 	// fieldID is the key of a submission's job id.
 	fieldID = "name_id"
-	// maxTextLength is how many bytes a class, team or image name may have.
-	maxTextLength = 200
-	// maxTypes is how many machine types a job may name.
+	// maxNameLength is the maximum length in bytes of a class, team or image name.
+	maxNameLength = 200
+	// maxTypes is the maximum number of machine types in a submission.
 	maxTypes = 64
 )
 
-// FieldError says which field of a submission is malformed. Its text is sent to the user.
+// FieldError reports a malformed field of a submission. Its text is sent to the user.
 type FieldError struct {
-	Field string // as spelled on the wire
+	Field string // name in the protocol
 	Err   error
 }
 
-// Error names the field and what is wrong with it.
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap gives the cause, such as an error of the decoder.
+// Unwrap returns the cause, such as an error of the decoder.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-func fieldError(field, text string) error { return &FieldError{Field: field, Err: errors.New(text)} }
+func fieldError(field, problem string) error {
+	return &FieldError{Field: field, Err: errors.New(problem)}
+}
 
-// ParseJob decodes and validates a submission. Every error means that the body is malformed, and is a *FieldError where
-// a field is to blame; whether the job can ever run is decided elsewhere. Numbers and texts are decoded one by one,
-// because the library would turn one kind into another where the protocol demands a refusal.
+// ParseJob decodes and validates a submission. Every error means that the body is malformed; it is a *FieldError if the
+// cause is one field. ParseJob does not check whether any machine can run the job. Fields are decoded one by one,
+// because the library converts between types where the protocol requires that the submission is rejected.
 func ParseJob(b []byte) (*JobSpec, error) {
 	if err := checkNesting(b); err != nil {
 		return nil, err
@@ -62,8 +64,8 @@
 	return &s, s.validate()
 }
 
-// PeekJobID finds the job id in a submission, well formed otherwise or not, so that the repetition of a known job is
-// recognised as an idempotent request before anything else is checked.
+// PeekJobID returns the job id of a submission without validating the other fields, so that a repeated submission of a
+// known job is recognized as idempotent before anything else is checked.
 func PeekJobID(b []byte) (uint64, error) {
 	if err := checkNesting(b); err != nil {
 		return 0, err
@@ -85,7 +87,7 @@
 			}
 			continue
 		}
-		id, err := decodeText(d)
+		id, err := decodeString(d)
 		if err != nil {
 			return 0, &FieldError{Field: fieldID, Err: err}
 		}
@@ -97,23 +99,23 @@
 	return found, nil
 }
 
-// requiredFields are those that a submission must have; one that may be null may also be left out.
+// requiredFields must be present in a submission. Fields that may be null may also be omitted.
 var requiredFields = []string{"name_id", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "mem_gb",
 	"bundle", "image_gb", "same_place", "spread", "loaners", "runtime_s", "snapshot_s", "flush_s"}
 
-// decodeField reads the value of one key; unknown keys are skipped, so that the protocol can grow.
+// decodeField decodes the value of one key. Unknown keys are skipped, so that fields can be added to the protocol.
 func (s *JobSpec) decodeField(d *msgpack.Decoder, key string) (err error) {
 	switch key {
 	case "name_id":
-		s.ID, err = decodeText(d)
+		s.ID, err = decodeString(d)
 	case "jobclass":
-		s.Class, err = decodeText(d)
+		s.Class, err = decodeString(d)
 	case "owner":
-		s.Team, err = decodeText(d)
+		s.Team, err = decodeString(d)
 	case "shape":
-		s.Shape, err = decodeText(d)
+		s.Shape, err = decodeString(d)
 	case "rank":
-		s.Priority, err = decodeText(d)
+		s.Priority, err = decodeString(d)
 	case "pieces":
 		s.Tasks, err = decodeCount(d)
 	case "cores":
@@ -123,17 +125,17 @@
 	case "mem_gb":
 		s.MemoryGB, err = decodeAmount(d)
 	case "bundle":
-		s.Image, err = decodeText(d)
+		s.Image, err = decodeString(d)
 	case "image_gb":
 		s.ImageGB, err = decodeAmount(d)
 	case "models":
-		s.Types, err = decodeTexts(d)
+		s.Types, err = decodeStrings(d)
 	case "hall":
 		if isNil(d) {
 			return d.DecodeNil()
 		}
 		var z string
-		z, err = decodeText(d)
+		z, err = decodeString(d)
 		s.Zone = &z
 	case "same_place":
 		s.SameZone, err = decodeBool(d)
@@ -160,18 +162,18 @@
 	return err
 }
 
-// validate checks what the type of a value does not rule out.
+// validate checks the values of decoded fields.
 func (s *JobSpec) validate() error {
 	if _, ok := JobNumber(s.ID); !ok {
 		return fieldError(fieldID, "not a job id")
 	}
-	for _, text := range []struct{ field, value string }{
+	for _, name := range []struct{ field, value string }{
 		{"jobclass", s.Class},
 		{"owner", s.Team},
 		{"bundle", s.Image},
 	} {
-		if text.value == "" || len(text.value) > maxTextLength {
-			return fieldError(text.field, "empty or too long")
+		if name.value == "" || len(name.value) > maxNameLength {
+			return fieldError(name.field, "empty or too long")
 		}
 	}
 	switch s.Shape {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,22 +1,21 @@
 // Package wire defines the messages of the platform's interfaces: the user API, the agents' heartbeats and commands,
-// the cloud, the key-value store, and this service's own admin API. It owns spellings, protocol limits and the check
-// whether a message is well formed, and knows nothing of what the service does with one, so that clients can import it
-// by itself.
+// the cloud, the key-value store, and this service's own admin API. It defines names, limits and the validation of
+// messages, and does not depend on the rest of the service, so that clients can import it.
 //
-// The platform spells many things in words of its own ("baton" for a fencing token, "shift" for an agent epoch). These
-// appear here alone, in struct tags and constants; the Go names are the terms of the field that docs/GLOSSARY.md lists.
-// Times and durations are seconds in fields that end in S, and sizes are gigabytes in those that end in GB.
+// The platform has its own names for many concepts ("baton" for a fencing token, "shift" for an agent epoch). They
+// occur only here, in struct tags and constants; the Go names are the usual terms, which docs/GLOSSARY.md lists. Fields
+// that end in S are in seconds, and those that end in GB in gigabytes.
 //
-// Messages are MessagePack maps, except for the admin API, which speaks JSON.
+// Messages are MessagePack maps, except in the admin API, which uses JSON.
 package wire
 
 // ContentType is the media type of every message but those of the admin API.
 const ContentType = "application/msgpack"
 
-// MaxBody is how many bytes of a message are read at most, in either direction.
+// MaxBody is the maximum size of a message in bytes, in either direction.
 const MaxBody = 64 << 10
 
-// Problem is the body of a refusal on every interface but the admin API.
+// Problem is the body of an error response on every interface but the admin API.
 type Problem struct {
 	Error string `msgpack:"error"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func goodJob() map[string]any {
+func validJob() map[string]any {
 	return map[string]any{
 		"name_id":    "req-000412",
 		"jobclass":   "train",
@@ -33,7 +33,7 @@
 }
 
 func TestParseJobAcceptsProtocolExample(t *testing.T) {
-	j := goodJob()
+	j := validJob()
 	b, _ := Marshal(j)
 	s, err := ParseJob(b)
 	if err != nil {
@@ -41,15 +41,15 @@
 	}
 	if s.ID != "req-000412" || s.Tasks != 16 || s.CPUs != 8 || len(s.Types) != 1 || s.Zone != nil ||
 		*s.DeadlineS != 900 || !s.SameZone {
-		t.Errorf("read %+v", s)
+		t.Errorf("parsed as %+v", s)
 	}
-	// Amounts may come as integers, and what may be null may be left out.
+	// Amounts may be encoded as integers, and fields that may be null may be omitted.
 	j["cores"] = 8
 	delete(j, "due_s")
 	delete(j, "models")
 	b, _ = Marshal(j)
 	if s, err = ParseJob(b); err != nil || s.CPUs != 8 || s.DeadlineS != nil || s.Types != nil {
-		t.Errorf("read %+v, %v", s, err)
+		t.Errorf("parsed as %+v, %v", s, err)
 	}
 }
 
@@ -69,38 +69,38 @@
 	}
 	for field, values := range bad {
 		for _, v := range values {
-			j := goodJob()
+			j := validJob()
 			j[field] = v
 			b, err := Marshal(j)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := ParseJob(b); err == nil {
-				t.Errorf("%s = %v was taken", field, v)
+				t.Errorf("%s = %v was accepted", field, v)
 			}
 		}
 	}
 	for _, f := range requiredFields {
-		j := goodJob()
+		j := validJob()
 		delete(j, f)
 		b, _ := Marshal(j)
 		if _, err := ParseJob(b); err == nil || !strings.Contains(err.Error(), f) {
-			t.Errorf("without %s: %v", f, err)
+			t.Errorf("without %s: got error %v, want one that names the field", f, err)
 		}
 	}
-	b, _ := Marshal(goodJob())
+	b, _ := Marshal(validJob())
 	for name, body := range map[string][]byte{"empty": nil, "list": {0x90}, "trailing": append(b[:len(b):len(b)], 0xc0),
 		"cut": b[:len(b)-1], "text": []byte("hello"), "deep": append([]byte{0x81, 0xa1, 'x'}, nestedLists(60_000)...)} {
 		if _, err := ParseJob(body); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("ParseJob accepted body %q", name)
 		}
 		if _, err := PeekJobID(body); err == nil {
-			t.Errorf("%s gave an id", name)
+			t.Errorf("PeekJobID accepted body %q", name)
 		}
 	}
 }
 
-// nestedLists nests lists; a reader that recursed into them would use stack at will.
+// nestedLists encodes nested lists, which would exhaust the stack of a decoder that recurses without a limit.
 func nestedLists(n int) []byte {
 	b := []byte(strings.Repeat("\x91", n))
 	return append(b, 0xc0)
@@ -110,32 +110,32 @@
 	for _, id := range []string{"req-000000", "req-000412", "req-999999", "req-1000000"} {
 		n, ok := JobNumber(id)
 		if !ok || JobID(n) != id {
-			t.Errorf("%s became %d, %v", id, n, ok)
+			t.Errorf("JobNumber(%q) = %d, %v", id, n, ok)
 		}
 		j, k, ok := ParseTaskID(TaskID(n, 31))
 		if !ok || j != n || k != 31 {
-			t.Errorf("task of %s became %d/%d", id, j, k)
+			t.Errorf("task 31 of %s was parsed as %d/%d", id, j, k)
 		}
 	}
 	for _, s := range []string{"req-000412", "req-000412/", "req-000412/-1", "req-000412/100000", "x/1"} {
 		if _, _, ok := ParseTaskID(s); ok {
-			t.Errorf("%q was read as a task", s)
+			t.Errorf("ParseTaskID accepted %q", s)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	b, _ := Marshal(goodJob())
+	b, _ := Marshal(validJob())
 	f.Add(b)
 	f.Add([]byte{0x81, 0xa7, 'n', 'a', 'm', 'e', '_', 'i', 'd', 0xc0})
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ParseJob(b); err == nil {
 			if _, ok := JobNumber(s.ID); !ok || s.Tasks < 1 || !(s.CPUs >= 0) {
-				t.Errorf("took %+v", s)
+				t.Errorf("accepted invalid job %+v", s)
 			}
 			if _, err := PeekJobID(b); err != nil {
-				t.Errorf("no id in a good job: %v", err)
+				t.Errorf("PeekJobID failed on a valid job: %v", err)
 			}
 		}
 		var r Heartbeat
