--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,5 +1,5 @@
-// Package adminapi is the operators' interface of a controller: read-only questions about jobs and roles, in JSON, on
-// an address of its own. It bounds and routes requests and spells results; a Service answers.
+// Package adminapi is the HTTP interface of a controller for operators: read-only queries about jobs and roles, in
+// JSON, on a separate address. It validates and routes requests and encodes the results; a Service handles them.
 package adminapi
 
 import (
@@ -18,49 +18,49 @@
 	"fieldhill/wire"
 )
 
-// Filter picks jobs of the queue; empty fields pick all. It is part of the frames between controllers as well.
+// Filter selects jobs of the queue; empty fields match all. Its JSON encoding is also used between controllers.
 type Filter struct {
 	Team   string `json:"team,omitempty"`
 	Class  string `json:"class,omitempty"`
-	Reason string `json:"reason,omitempty"` // a code's name
-	Limit  int    `json:"most"`             // how many jobs to list, 1 to wire.MaxQueued
+	Reason string `json:"reason,omitempty"` // name of a pending reason code
+	Limit  int    `json:"most"`             // maximum number of jobs to list, from 1 to wire.MaxQueued
 }
 
-// Service answers questions. Its methods are called by many goroutines.
+// Service handles requests. Its methods are called concurrently.
 type Service interface {
-	// Explain says why a job is pending.
+	// Explain returns the reasons why a job is pending.
 	Explain(ctx context.Context, id string) result.Result
-	// Queue lists the pending jobs that a filter picks.
+	// Queue lists the pending jobs that match a filter.
 	Queue(ctx context.Context, filter Filter) result.Result
 	// Roles lists the singleton roles and their holders.
 	Roles(ctx context.Context) result.Result
 }
 
-// MaxConns bounds the connections to the operators' address, and with them the questions at once.
+// MaxConns limits the connections to the operators' address, and thereby the concurrent requests.
 const MaxConns = 8
 
 const (
-	// defaultLimit is how many jobs of the queue are listed where the query does not say.
+	// defaultLimit is the Filter.Limit of a query without one.
 	defaultLimit = 50
-	// maxQueryValue bounds the length of a value of a query.
+	// maxQueryValue is the maximum length in bytes of a query parameter's value.
 	maxQueryValue = 200
 )
 
-// Serve answers on a listener until the context ends.
+// Serve serves HTTP on a listener until the context is done.
 func Serve(ctx context.Context, listener net.Listener, service Service, logger *slog.Logger) error {
 	return api.Serve(ctx, listener, &api.ConnLimiter{MaxConns: MaxConns}, Handler(service), logger)
 }
 
-// encoding is that of operators, and of the calls between controllers that are made for them.
+// encoding is used for operators, and for requests between controllers on their behalf.
 var encoding = api.Encoding{
 	Marshal: json.Marshal,
 	Problem: func(reason string) any { return &wire.AdminProblem{Error: reason} },
 }
 
-// Respond spells a result for operators.
+// Respond converts a result into a response for operators.
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
-// Handler routes questions to a service.
+// Handler routes requests to a service.
 func Handler(service Service) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, answer func(r *http.Request) result.Result) {
@@ -86,13 +86,14 @@
 	return mux
 }
 
-// queryError says what is wrong with a field of a query; its text is part of the answer.
+// queryError reports an invalid query parameter. Its text is part of the response.
 type queryError struct{ field, problem string }
 
-// Error names the field first.
+// Error implements error.
 func (e *queryError) Error() string { return e.field + ": " + e.problem }
 
-// readFilter reads a query; what it does not know is an error, or a misspelt filter would list all.
+// readFilter decodes the query parameters. Unknown ones are errors, because a misspelled filter would otherwise match
+// all jobs.
 func readFilter(r *http.Request) (filter Filter, err error) {
 	filter.Limit = defaultLimit
 	for field, values := range r.URL.Query() {
@@ -123,7 +124,7 @@
 	return filter, nil
 }
 
-// writeResponse writes a response, and ends its line for whoever reads it in a terminal.
+// writeResponse writes a response, followed by a newline for display in a terminal.
 func writeResponse(w http.ResponseWriter, response *rpc.Response) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,7 +19,7 @@
 	"fieldhill/wire"
 )
 
-// stubService answers with what it was given, and notes what it was asked.
+// stubService returns fixed results and records the requests that it received.
 type stubService struct {
 	explanation *wire.Explanation
 	queue       *wire.Queue
@@ -52,8 +52,8 @@
 	return w
 }
 
-// publishedName is the name under which a schema defines a type: definitions keep the names under which they were
-// first published, whatever the type is called in Go.
+// publishedName returns the name of a type's definition in a schema. Definitions keep the names under which they were
+// first published, even if the Go type has been renamed since.
 func publishedName(t reflect.Type) string {
 	published := map[string]string{
 		"RoleList":     "Duties",
@@ -67,8 +67,8 @@
 	return t.Name()
 }
 
-// answering is a service with an answer to each question.
-func answering() *stubService {
+// newStubService returns a service with a result for each request.
+func newStubService() *stubService {
 	reason := wire.Reason{
 		Code:    "team-limit",
 		Text:    "its team's limit",
@@ -91,45 +91,45 @@
 	}
 }
 
-// TestPublishedSchemas: the schemas in docs/schema are those of the messages, answers are valid by
-// them, and an answer with a field that is missing or of another kind is not.
+// TestPublishedSchemas checks that the schemas in docs/schema match the Go types and accept the responses, and that
+// they reject a response with a field that is missing or of the wrong type.
 func TestPublishedSchemas(t *testing.T) {
 	for _, c := range []struct {
 		file, path string
-		of         any
+		message    any
 	}{
 		{"why.json", wire.PathAdminJobs + "/req-000412" + wire.WhySuffix, &wire.Explanation{}},
 		{"queue.json", wire.PathAdminQueue, &wire.Queue{}},
 		{"duties.json", wire.PathAdminRoles, &wire.RoleList{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			schema := publishedSchema(t, c.file, c.of)
-			w := get(answering(), c.path)
+			schema := publishedSchema(t, c.file, c.message)
+			w := get(newStubService(), c.path)
 			doc, err := validate.UnmarshalJSON(w.Body)
 			if err != nil || w.Code != 200 {
 				t.Fatal(w.Code, err)
 			}
 			if err := schema.Validate(doc); err != nil {
-				t.Errorf("the answer at %s is not valid: %v", c.path, err)
+				t.Errorf("invalid response at %s: %v", c.path, err)
 			}
 			m := doc.(map[string]any)
 			m["node"] = 7
 			if schema.Validate(m) == nil {
-				t.Errorf("%s allows a node that is a number", c.file)
+				t.Errorf("%s accepts a number as the node", c.file)
 			}
 			if delete(m, "node"); schema.Validate(m) == nil {
-				t.Errorf("%s allows an answer without a node", c.file)
+				t.Errorf("%s accepts a response without a node", c.file)
 			}
 		})
 	}
 }
 
-// publishedSchema is the schema in a file of docs/schema, which must be that of a message.
-func publishedSchema(t *testing.T, file string, of any) *validate.Schema {
+// publishedSchema returns the schema in a file of docs/schema, and checks that it is the one generated from a type.
+func publishedSchema(t *testing.T, file string, message any) *validate.Schema {
 	t.Helper()
-	// Newer versions may add fields, which clients ignore.
+	// Newer versions may add fields, which clients must ignore.
 	reflector := generate.Reflector{AllowAdditionalProperties: true, Anonymous: true, Namer: publishedName}
-	generated, err := json.MarshalIndent(reflector.Reflect(of), "", "  ")
+	generated, err := json.MarshalIndent(reflector.Reflect(message), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,8 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(bytes.TrimSpace(published), generated) {
-		t.Errorf("%s is not the schema of %T: run go test ./internal/adminapi -update", schemaPath, of)
+		t.Errorf("%s is not the schema of %T; to update it, run go test ./internal/adminapi -update",
+			schemaPath, message)
 	}
 	schema, err := validate.NewCompiler().Compile(schemaPath)
 	if err != nil {
@@ -153,7 +154,8 @@
 	return schema
 }
 
-// TestMalformedQueries: what is malformed is refused with the field's name before anybody is asked.
+// TestMalformedQueries checks that a malformed request is rejected with the name of the invalid field and does not
+// reach the service.
 func TestMalformedQueries(t *testing.T) {
 	s := &stubService{explanation: &wire.Explanation{}, queue: &wire.Queue{}}
 	for path, want := range map[string]string{
@@ -169,17 +171,17 @@
 		w := get(s, path)
 		var p wire.AdminProblem
 		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil || w.Code != 400 || !strings.HasPrefix(p.Error, want) {
-			t.Errorf("%.40s: %d %q, not 400 and %s", path, w.Code, p.Error, want)
+			t.Errorf("%.40s: got %d %q, want 400 and an error with prefix %q", path, w.Code, p.Error, want)
 		}
 	}
 	if len(s.requests) != 0 {
-		t.Errorf("somebody was asked: %v", s.requests)
+		t.Errorf("malformed requests reached the service: %v", s.requests)
 	}
 	get(s, "/v1/queue?team=red&reason=paced&most=500")
 	if len(s.requests) != 1 || s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
-		t.Errorf("asked %+v", s.requests)
+		t.Errorf("the service received %+v", s.requests)
 	}
 	if w := get(s, "/api/jobs"); w.Code != 404 {
-		t.Errorf("the users' interface is here too: %d", w.Code)
+		t.Errorf("path of the user API: got status %d, want 404", w.Code)
 	}
 }
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -20,7 +20,7 @@
 	"fieldhill/wire"
 )
 
-// operatorMessages has every message of the operators' interface, no field at its zero value.
+// operatorMessages has every message of the admin API with no field at its zero value.
 func operatorMessages() map[string]any {
 	return map[string]any{
 		"why.json": &wire.Explanation{
@@ -56,34 +56,34 @@
 			},
 		},
 		"problem.json": &wire.AdminProblem{Error: "unknown"},
-		"filter.json":  &Filter{Team: "red", Class: "train", Reason: "paced", Limit: 500}, // between controllers
+		"filter.json":  &Filter{Team: "red", Class: "train", Reason: "paced", Limit: 500}, // sent between controllers
 	}
 }
 
-// TestGoldenMessages: the messages are written as in the stored files and read from them; one byte that
-// differs and one name that differs are found in each.
+// TestGoldenMessages checks that each message is encoded as in its golden file and decoded from it, and that changing
+// any field name in the file is detected.
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range operatorMessages() {
 		golden.Check(t, file, encoding.Message(http.StatusOK, want).Body)
 		stored := golden.Read(t, file)
-		rewrite := func(b []byte) ([]byte, error) {
-			again := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-			if err := json.Unmarshal(b, again); err != nil {
+		reencode := func(b []byte) ([]byte, error) {
+			message := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+			if err := json.Unmarshal(b, message); err != nil {
 				return nil, err
 			}
-			if d := cmp.Diff(want, again); d != "" {
-				return nil, fmt.Errorf("read as\n%s", d)
+			if d := cmp.Diff(want, message); d != "" {
+				return nil, fmt.Errorf("decoded wrongly (-want +got):\n%s", d)
 			}
-			return json.Marshal(again)
+			return json.Marshal(message)
 		}
-		if again, err := rewrite(stored); err != nil || !bytes.Equal(again, stored) {
-			t.Errorf("%s was written again as %s, %v", file, again, err)
+		if reencoded, err := reencode(stored); err != nil || !bytes.Equal(reencoded, stored) {
+			t.Errorf("%s was re-encoded as %s, %v", file, reencoded, err)
 		}
-		for _, at := range regexp.MustCompile(`[{,]"\w+":`).FindAllIndex(stored, -1) {
-			planted := bytes.Clone(stored)
-			planted[at[0]+2] = '~'
-			if _, err := rewrite(planted); err == nil {
-				t.Errorf("%s: the name at byte %d was changed and nothing was found", file, at[0])
+		for _, name := range regexp.MustCompile(`[{,]"\w+":`).FindAllIndex(stored, -1) {
+			changed := bytes.Clone(stored)
+			changed[name[0]+2] = '~'
+			if _, err := reencode(changed); err == nil {
+				t.Errorf("%s: changing the field name at byte %d went undetected", file, name[0])
 			}
 		}
 	}
@@ -92,41 +92,41 @@
 	golden.Check(t, "why-empty.json", encoding.Message(http.StatusOK, emptyReason).Body)
 }
 
-// scripted gives one answer to everything, and notes what it was asked.
-type scripted struct {
-	answer result.Result
-	asked  string
+// scriptedService is a service that returns a fixed result and records the request that it received.
+type scriptedService struct {
+	result   result.Result
+	received string
 }
 
-func (s *scripted) Explain(_ context.Context, id string) result.Result {
-	s.asked = "why " + id
-	return s.answer
+func (s *scriptedService) Explain(_ context.Context, id string) result.Result {
+	s.received = "why " + id
+	return s.result
 }
 
-func (s *scripted) Queue(_ context.Context, f Filter) result.Result {
-	s.asked = "queue " + string(encoding.Message(http.StatusOK, f).Body)
-	return s.answer
+func (s *scriptedService) Queue(_ context.Context, f Filter) result.Result {
+	s.received = "queue " + string(encoding.Message(http.StatusOK, f).Body)
+	return s.result
 }
 
-func (s *scripted) Roles(context.Context) result.Result {
-	s.asked = "duties"
-	return s.answer
+func (s *scriptedService) Roles(context.Context) result.Result {
+	s.received = "duties"
+	return s.result
 }
 
-// TestGoldenHTTP: routes, queries, statuses, headers and refusals are those of the stored file.
+// TestGoldenHTTP compares routes, queries, statuses, headers and error responses with the golden file.
 func TestGoldenHTTP(t *testing.T) {
 	ok := result.Forwarded{Response: encoding.Message(http.StatusOK, &wire.AdminProblem{})}
-	unwritable := result.Forwarded{Response: encoding.Message(http.StatusOK, func() {})}
+	unencodable := result.Forwarded{Response: encoding.Message(http.StatusOK, func() {})}
 	why := wire.PathAdminJobs + "/req-000412" + wire.WhySuffix
 	var b strings.Builder
 	for _, c := range []struct {
 		method, path string
-		answer       result.Result
+		result       result.Result
 	}{
 		{"GET", why, ok},
 		{"GET", why, result.Unknown{Reason: "unknown"}},
 		{"GET", why, result.Unavailable{Reason: "no leader", RetryAfter: 2 * time.Second}},
-		{"GET", why, unwritable}, // can't be written
+		{"GET", why, unencodable}, // cannot be encoded
 		{"POST", why, ok},
 		{"GET", wire.PathAdminJobs + "/x" + wire.WhySuffix, ok},
 		{"GET", wire.PathAdminJobs + "/req-000412", ok},
@@ -140,9 +140,9 @@
 		{"GET", wire.PathAdminRoles, ok},
 		{"GET", "/", ok},
 	} {
-		s, w := &scripted{answer: c.answer}, httptest.NewRecorder()
+		s, w := &scriptedService{result: c.result}, httptest.NewRecorder()
 		Handler(s).ServeHTTP(w, httptest.NewRequest(c.method, c.path, nil))
-		fmt.Fprintf(&b, "=== %s %s\nasked: %s\n%d\n%s", c.method, c.path, s.asked, w.Code,
+		fmt.Fprintf(&b, "=== %s %s\nasked: %s\n%d\n%s", c.method, c.path, s.received, w.Code,
 			golden.Message(w.Header(), w.Body.Bytes()))
 	}
 	golden.Check(t, "http.txt", []byte(b.String()))
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface of a controller for users, agents and health checks. It decodes and bounds requests
-// and spells results; a Service decides what comes of them.
+// Package api is the HTTP interface of a controller for users, agents and health checks. It decodes requests, limits
+// their size and encodes the results; a Service handles them.
 package api
 
 import (
@@ -21,21 +21,21 @@
 	"fieldhill/wire"
 )
 
-// Service decides what comes of requests. Its methods are called by many goroutines.
+// Service handles requests. Its methods are called concurrently.
 type Service interface {
-	// Submit accepts the job that the body has, each job once.
+	// Submit accepts the job in the body. Submitting a job again has no further effect.
 	Submit(ctx context.Context, body []byte) result.Result
-	// Status returns the state of a job.
+	// Status returns the status of a job.
 	Status(ctx context.Context, id string) result.Result
-	// Cancel cancels a job and returns its state.
+	// Cancel cancels a job and returns its status.
 	Cancel(ctx context.Context, id string) result.Result
-	// Heartbeat takes in an agent's heartbeat and renews its lease.
+	// Heartbeat processes an agent's heartbeat and renews its lease.
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) result.Result
-	// Ready tells whether the load balancer may send requests here.
+	// Ready reports whether the load balancer may send requests to this controller.
 	Ready() bool
 }
 
-// The kinds of requests, as metrics name them.
+// Request kinds, which are labels of metrics.
 const (
 	kindSubmit    = "submit"
 	kindStatus    = "status"
@@ -43,21 +43,21 @@
 	kindHeartbeat = "report"
 )
 
-// RequestKinds are the kinds of requests that Handler reports to its observer.
+// RequestKinds are the kinds of requests that Handler reports to onResponse.
 var RequestKinds = []string{kindSubmit, kindStatus, kindCancel, kindHeartbeat}
 
-// ConnLimiter bounds and counts a server's open connections.
+// ConnLimiter limits and counts the open connections of a server.
 type ConnLimiter struct {
-	MaxConns int // connections at once; further ones are not accepted until some have ended
+	MaxConns int // further connections wait to be accepted until others are closed
 	open     atomic.Int64
 }
 
-// NearLimit tells whether so many connections are open that agents are to close theirs: they come every few seconds,
-// while users and health checks need to get in at any time. A leader with more agents than connections used to accept
-// nobody else until they closed theirs.
+// NearLimit reports whether more than 7/8 of the connections are in use, so that agents must close theirs after each
+// heartbeat. Otherwise a leader with more agents than connections could not accept users and health checks, because
+// agents keep their connections between heartbeats.
 func (c *ConnLimiter) NearLimit() bool { return c.open.Load()*8 > int64(c.MaxConns)*7 }
 
-// onConnState is for http.Server.ConnState.
+// onConnState counts connections; it is the http.Server.ConnState hook.
 func (c *ConnLimiter) onConnState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -67,8 +67,8 @@
 	}
 }
 
-// Handler routes requests to a service, and reports each answer with the time that it took. The limiter is that of the
-// server that it will serve.
+// Handler routes requests to a service and calls onResponse with the status and duration of each. The limiter must be
+// the one of the server that uses the handler.
 func Handler(
 	service Service,
 	logger *slog.Logger,
@@ -76,10 +76,10 @@
 	onResponse func(kind string, status int, took time.Duration),
 ) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(kind, pattern string, answer func(w http.ResponseWriter, r *http.Request) result.Result) {
+	handle := func(kind, pattern string, serve func(w http.ResponseWriter, r *http.Request) result.Result) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			start := time.Now()
-			response := Respond(answer(w, r))
+			response := Respond(serve(w, r))
 			onResponse(kind, response.Status, time.Since(start))
 			writeResponse(w, response)
 		})
@@ -119,13 +119,13 @@
 	return mux
 }
 
-// What is wrong with a body; the texts are part of the answer.
+// Errors of request bodies. Their texts are part of the response.
 var (
-	errBodyTooLarge = errors.New("body too large")
-	errNoSender     = errors.New("no machine or session")
+	errBodyTooLarge     = errors.New("body too large")
+	errNoMachineOrEpoch = errors.New("no machine or session")
 )
 
-// readBody reads the body of a request, of no more than wire.MaxBody bytes.
+// readBody reads a request body of at most wire.MaxBody bytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > wire.MaxBody {
 		return nil, errBodyTooLarge
@@ -138,7 +138,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 }
 
-// readHeartbeat reads a heartbeat that says whose it is.
+// readHeartbeat decodes a heartbeat and checks that it identifies its sender.
 func readHeartbeat(w http.ResponseWriter, r *http.Request) (*wire.Heartbeat, error) {
 	body, err := readBody(w, r)
 	if err != nil {
@@ -149,15 +149,15 @@
 		return nil, err
 	}
 	if heartbeat.Machine == "" || heartbeat.AgentEpoch == 0 {
-		return nil, errNoSender
+		return nil, errNoMachineOrEpoch
 	}
 	return heartbeat, nil
 }
 
 var contentType = []string{wire.ContentType}
 
-// writeResponse writes a response. Header values are set without canonicalization: heartbeats make it the busiest
-// function of a server.
+// writeResponse writes a response. It sets headers without canonicalizing their names, because it is on the hot path of
+// heartbeats.
 func writeResponse(w http.ResponseWriter, response *rpc.Response) {
 	header := w.Header()
 	header["Content-Type"] = contentType
@@ -166,10 +166,10 @@
 		header["Retry-After"] = []string{strconv.Itoa(response.RetryAfter)}
 	}
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // who does not take the answer asks again
+	_, _ = w.Write(response.Body) // a client that did not receive the response retries
 }
 
-// Time and size limits of a server. Requests are small, and answers come within seconds.
+// Time and size limits of a server. Requests are small, and responses take at most seconds.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 15 * time.Second
@@ -178,7 +178,7 @@
 	maxHeaderBytes    = 8 << 10
 )
 
-// Serve answers on a listener until the context ends, with a bounded number of connections.
+// Serve serves HTTP on a listener until the context is done, with the limiter's maximum number of connections.
 func Serve(
 	ctx context.Context, listener net.Listener, limiter *ConnLimiter, handler http.Handler, logger *slog.Logger,
 ) error {
@@ -192,7 +192,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(trimmingHandler{logger.Handler()}, slog.LevelDebug),
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the listener's error ends Serve below
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // makes server.Serve below return
 	defer stop()
 	err := server.Serve(netutil.LimitListener(listener, limiter.MaxConns))
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
@@ -201,10 +201,10 @@
 	return err
 }
 
-// trimmingHandler trims the server's own messages, which clients cause.
+// trimmingHandler trims white space around the messages of http.Server, which report errors caused by clients.
 type trimmingHandler struct{ slog.Handler }
 
-// Handle passes a record on.
+// Handle implements slog.Handler.
 func (h trimmingHandler) Handle(ctx context.Context, record slog.Record) error {
 	record.Message = strings.TrimSpace(record.Message)
 	return h.Handler.Handle(ctx, record)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// stubService answers everything at once.
+// stubService responds to every request at once.
 type stubService struct{}
 
 func (stubService) Submit(context.Context, []byte) result.Result { return result.Accepted{} }
@@ -31,9 +31,9 @@
 }
 func (stubService) Ready() bool { return true }
 
-// TestAgentsReleaseConnections: three times as many agents as the server takes connections
-// are all answered, and so are health checks and users, who come in between. Agents used to
-// keep their connections from one report to the next, and nobody else got in.
+// TestAgentsReleaseConnections checks that a server whose connection limit is a third of the number of agents still
+// answers all agents and health checks. It guards against agents that keep their connections between heartbeats and
+// thereby lock out all other clients.
 func TestAgentsReleaseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const maxConns, agents, every = 20, 60, 5 * time.Second
@@ -48,7 +48,7 @@
 		handler := Handler(stubService{}, log, limiter, func(string, int, time.Duration) {})
 		go func() {
 			if err := Serve(ctx, ln, limiter, handler, log); !errors.Is(err, context.Canceled) {
-				failed <- fmt.Errorf("the server ended: %w", err)
+				failed <- fmt.Errorf("Serve returned: %w", err)
 			}
 		}()
 		for i := range agents {
@@ -69,7 +69,7 @@
 		}
 		for i := range 30 {
 			time.Sleep(time.Second)
-			c := msgpackhttp.New(net.Host("balancer"), 1, 1, time.Second) // a connection of its own each time
+			c := msgpackhttp.New(net.Host("balancer"), 1, 1, time.Second) // a new connection each time
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := c.Do(cctx, "GET", "node:80", wire.PathReady, nil, nil, 100); err != nil {
 				t.Errorf("health check %d: %v", i, err)
@@ -86,7 +86,8 @@
 	})
 }
 
-// TestBodies: what is too long or malformed is refused with its reason, and not read on.
+// TestBodies checks that a body of the maximum size is accepted, and that larger and malformed ones are rejected with
+// status 400.
 func TestBodies(t *testing.T) {
 	limiter, onResponse := &ConnLimiter{MaxConns: 10}, func(string, int, time.Duration) {}
 	h := Handler(stubService{}, slog.New(slog.DiscardHandler), limiter, onResponse)
@@ -106,7 +107,8 @@
 			t.Fatal(err)
 		}
 		if h.ServeHTTP(w, r); w.status != c.want {
-			t.Errorf("%d bytes to %s got %d %q, not %d", len(c.body), c.path, w.status, w.body.Bytes(), c.want)
+			t.Errorf("%d bytes to %s: got status %d, body %q, want status %d",
+				len(c.body), c.path, w.status, w.body.Bytes(), c.want)
 		}
 	}
 }
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -9,29 +9,29 @@
 	"fieldhill/wire"
 )
 
-// Encoding spells results as the answers of one interface: statuses are the same for users, operators and other
-// controllers, bodies are not.
+// Encoding converts results into responses of one interface. Users, operators and other controllers get the same
+// statuses, but different bodies.
 type Encoding struct {
 	Marshal func(message any) ([]byte, error)
-	Problem func(reason string) any // the message that gives a reason
+	Problem func(reason string) any // returns the message of an error response
 }
 
-// encoding is that of users and agents, and of the calls between controllers that are made for them.
+// encoding is used for users and agents, and for requests between controllers on their behalf.
 var encoding = Encoding{
 	Marshal: wire.Marshal,
 	Problem: func(reason string) any { return &wire.Problem{Error: reason} },
 }
 
-// Respond spells a result for users, agents and other controllers.
+// Respond converts a result into a response for users, agents and other controllers.
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
-// noLeaderReason and noLeaderRetry are the answer to all requests that need the leader.
+// noLeaderReason and noLeaderRetryAfter are the response to result.NoLeader.
 const (
-	noLeaderReason = "no leader at the moment"
-	noLeaderRetry  = time.Second
+	noLeaderReason     = "no leader at the moment"
+	noLeaderRetryAfter = time.Second
 )
 
-// Respond spells a result: the only place where results become HTTP statuses.
+// Respond converts a result into a response. It is the only place that maps results to HTTP statuses.
 func (e *Encoding) Respond(r result.Result) *rpc.Response {
 	switch r := r.(type) {
 	case result.Forwarded:
@@ -53,37 +53,37 @@
 	case result.Redirected:
 		return e.Message(http.StatusMisdirectedRequest, &wire.Redirect{Node: r.Node})
 	}
-	return e.refuse(r)
+	return e.respondError(r)
 }
 
-// refuse spells a result that says why the request was not carried out.
-func (e *Encoding) refuse(r result.Result) *rpc.Response {
+// respondError converts a result of a request that was not carried out.
+func (e *Encoding) respondError(r result.Result) *rpc.Response {
 	switch r := r.(type) {
 	case result.Invalid:
-		return e.problem(http.StatusBadRequest, r.Reason, 0)
+		return e.errorResponse(http.StatusBadRequest, r.Reason, 0)
 	case result.Unschedulable:
-		return e.problem(http.StatusUnprocessableEntity, r.Reason, 0)
+		return e.errorResponse(http.StatusUnprocessableEntity, r.Reason, 0)
 	case result.Unknown:
-		return e.problem(http.StatusNotFound, r.Reason, 0)
+		return e.errorResponse(http.StatusNotFound, r.Reason, 0)
 	case result.Superseded:
-		return e.problem(http.StatusConflict, r.Reason, 0)
+		return e.errorResponse(http.StatusConflict, r.Reason, 0)
 	case result.Unsupported:
-		return e.problem(http.StatusNotImplemented, r.Reason, 0)
+		return e.errorResponse(http.StatusNotImplemented, r.Reason, 0)
 	case result.NotLeader:
 		return &rpc.Response{Status: http.StatusGone}
 	case result.Overloaded:
-		return e.problem(http.StatusTooManyRequests, r.Reason, r.RetryAfter)
+		return e.errorResponse(http.StatusTooManyRequests, r.Reason, r.RetryAfter)
 	case result.NoLeader:
-		return e.problem(http.StatusServiceUnavailable, noLeaderReason, noLeaderRetry)
+		return e.errorResponse(http.StatusServiceUnavailable, noLeaderReason, noLeaderRetryAfter)
 	case result.Unavailable:
-		return e.problem(http.StatusServiceUnavailable, r.Reason, r.RetryAfter)
+		return e.errorResponse(http.StatusServiceUnavailable, r.Reason, r.RetryAfter)
 	case result.NotHandled:
-		return e.problem(http.StatusServiceUnavailable, r.Reason, r.RetryAfter)
+		return e.errorResponse(http.StatusServiceUnavailable, r.Reason, r.RetryAfter)
 	}
-	return &rpc.Response{Status: http.StatusInternalServerError} // no result at all: a fault of this program
+	return &rpc.Response{Status: http.StatusInternalServerError} // nil or an unknown type, which is a bug
 }
 
-// Message is a response that carries a message.
+// Message returns a response with an encoded message as its body.
 func (e *Encoding) Message(status int, message any) *rpc.Response {
 	body, err := e.Marshal(message)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return &rpc.Response{Status: status, Body: body}
 }
 
-// problem is a response that gives a reason, or no body where there is none.
-func (e *Encoding) problem(status int, reason string, retryAfter time.Duration) *rpc.Response {
+// errorResponse returns a response with the reason in its body, or without a body if the reason is empty.
+func (e *Encoding) errorResponse(status int, reason string, retryAfter time.Duration) *rpc.Response {
 	response := &rpc.Response{Status: status}
 	if reason != "" {
 		response = e.Message(status, e.Problem(reason))
--- a/internal/api/encode_test.go
+++ b/internal/api/encode_test.go
@@ -10,14 +10,14 @@
 	"fieldhill/wire"
 )
 
-// TestRespond: each type of result has its status, its time to come back and a body, or none where nothing is to be
-// said beyond the status; and nothing that is no result is taken for one.
+// TestRespond checks the status, Retry-After and body of the response for each type of result, and that a nil result
+// gives status 500.
 func TestRespond(t *testing.T) {
-	forwarded := &rpc.Response{Status: 299, RetryAfter: 5, Body: []byte("as it came")}
+	forwarded := &rpc.Response{Status: 299, RetryAfter: 5, Body: []byte("unchanged")}
 	for _, c := range []struct {
 		result             result.Result
 		status, retryAfter int
-		reason             string // in the body; "": there is no wire.Problem in it
+		reason             string // of the wire.Problem in the body; "" if the body is none
 		empty              bool
 	}{
 		{result.Accepted{}, 201, 0, "", false},
@@ -47,12 +47,12 @@
 		t.Run(fmt.Sprintf("%T %d", c.result, c.status), func(t *testing.T) {
 			got := Respond(c.result)
 			if got.Status != c.status || got.RetryAfter != c.retryAfter || (len(got.Body) == 0) != c.empty {
-				t.Errorf("%+v became %+v", c.result, got)
+				t.Errorf("%+v was converted into %+v", c.result, got)
 			}
 			var problem wire.Problem
 			err := wire.Unmarshal(got.Body, &problem)
 			if c.reason != "" && (err != nil || problem.Error != c.reason) {
-				t.Errorf("%+v gives the reason %q, %v", c.result, problem.Error, err)
+				t.Errorf("%+v: got reason %q, %v, want %q", c.result, problem.Error, err, c.reason)
 			}
 		})
 	}
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -19,69 +19,69 @@
 	"fieldhill/wire"
 )
 
-// scripted gives one answer to everything, and notes what it was asked.
-type scripted struct {
-	answer result.Result
-	ready  bool
-	asked  string
+// scriptedService is a service that returns a fixed result and records the request that it received.
+type scriptedService struct {
+	result   result.Result
+	ready    bool
+	received string
 }
 
-func (s *scripted) Submit(_ context.Context, body []byte) result.Result {
-	s.asked = fmt.Sprintf("submit, %d bytes %.16x", len(body), body)
-	return s.answer
+func (s *scriptedService) Submit(_ context.Context, body []byte) result.Result {
+	s.received = fmt.Sprintf("submit, %d bytes %.16x", len(body), body)
+	return s.result
 }
 
-func (s *scripted) Status(_ context.Context, id string) result.Result {
-	s.asked = "status of " + id
-	return s.answer
+func (s *scriptedService) Status(_ context.Context, id string) result.Result {
+	s.received = "status of " + id
+	return s.result
 }
 
-func (s *scripted) Cancel(_ context.Context, id string) result.Result {
-	s.asked = "cancel " + id
-	return s.answer
+func (s *scriptedService) Cancel(_ context.Context, id string) result.Result {
+	s.received = "cancel " + id
+	return s.result
 }
 
-func (s *scripted) Heartbeat(_ context.Context, r *wire.Heartbeat) result.Result {
+func (s *scriptedService) Heartbeat(_ context.Context, r *wire.Heartbeat) result.Result {
 	body, _ := wire.Marshal(r)
-	s.asked = "report\n" + golden.Body(body)
-	return s.answer
+	s.received = "report\n" + golden.Body(body)
+	return s.result
 }
 
-func (s *scripted) Ready() bool { return s.ready }
+func (s *scriptedService) Ready() bool { return s.ready }
 
-// exchange is a request, and the answer of the service that it may reach.
+// exchange is a request and the result that the service returns if it receives the request.
 type exchange struct {
 	method, path string
 	body         io.Reader
-	answer       result.Result // nil: the service is not ready
-	open         int           // connections
+	result       result.Result // nil if the service is not ready
+	open         int           // number of open connections
 }
 
-// goldenStatus is the state of a job that the service answers with.
+// goldenStatus is the job status that the service returns.
 var goldenStatus = wire.JobStatus{ID: "req-000412", State: wire.JobPending}
 
-// jobExchanges has each kind of answer to users, and what is refused before the service is asked.
+// jobExchanges has each kind of response to users, and requests that are rejected before they reach the service.
 func jobExchanges() []exchange {
 	ok := result.JobState{Status: goldenStatus}
-	slow := result.Overloaded{Reason: "not now", RetryAfter: 2 * time.Second}
+	overloaded := result.Overloaded{Reason: "not now", RetryAfter: 2 * time.Second}
 	noLeader := result.Unavailable{Reason: "no leader", RetryAfter: time.Second}
-	unwritable := result.Forwarded{Response: encoding.Message(http.StatusOK, func() {})}
+	unencodable := result.Forwarded{Response: encoding.Message(http.StatusOK, func() {})}
 	unsupported := result.Forwarded{Response: &rpc.Response{Status: http.StatusNotImplemented}}
 	job := wire.PathJobs + "/req-000412"
-	long := make([]byte, wire.MaxBody+1)
+	oversized := make([]byte, wire.MaxBody+1)
 	return []exchange{
 		{"POST", wire.PathJobs, strings.NewReader("body"), result.Accepted{Status: goldenStatus}, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), ok, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), result.Invalid{Reason: "pieces: out of range"}, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), result.Unschedulable{Reason: "can never run"}, 0},
-		{"POST", wire.PathJobs, strings.NewReader("body"), slow, 0},
+		{"POST", wire.PathJobs, strings.NewReader("body"), overloaded, 0},
 		{"POST", wire.PathJobs, strings.NewReader("body"), noLeader, 0},
 		{"POST", wire.PathJobs, strings.NewReader(""), ok, 0},
-		{"POST", wire.PathJobs, bytes.NewReader(long[1:]), ok, 0},
-		{"POST", wire.PathJobs, bytes.NewReader(long), ok, 0},
-		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(long[1:])), ok, 0}, // of unknown length
-		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(long)), ok, 0},
-		{"POST", wire.PathJobs, strings.NewReader("body"), unwritable, 0}, // can't be written
+		{"POST", wire.PathJobs, bytes.NewReader(oversized[1:]), ok, 0},
+		{"POST", wire.PathJobs, bytes.NewReader(oversized), ok, 0},
+		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized[1:])), ok, 0}, // of unknown length
+		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized)), ok, 0},
+		{"POST", wire.PathJobs, strings.NewReader("body"), unencodable, 0}, // cannot be encoded
 		{"POST", wire.PathJobs, strings.NewReader("body"), unsupported, 0},
 		{"GET", wire.PathJobs, nil, ok, 0},
 		{"GET", job, nil, ok, 0},
@@ -97,45 +97,45 @@
 	}
 }
 
-// heartbeatExchanges has each kind of answer to agents, and what is refused before the service is asked.
+// heartbeatExchanges has each kind of response to agents, and requests that are rejected before they reach the service.
 func heartbeatExchanges(t *testing.T) []exchange {
 	t.Helper()
-	report, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
+	heartbeat, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
 		AgentEpoch: 1 << 40, Seq: 3,
 		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, State: wire.TaskRunning}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7"})
+	noEpoch, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.Start,
+	renewed := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.Start,
 		Task: "req-000412/3", Attempt: 2}}}
 	return []exchange{
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 0},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 7},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), taken, 8},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), result.Redirected{Node: "n2"}, 0},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), result.Redirected{}, 0},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report), result.NotLeader{}, 0},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(report[:20]), taken, 0},
-		{"POST", wire.PathHeartbeat, bytes.NewReader(nobody), taken, 0},
-		{"POST", wire.PathHeartbeat, strings.NewReader("?"), taken, 0},
-		{"GET", wire.PathHeartbeat, nil, taken, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), renewed, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), renewed, 7},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), renewed, 8},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), result.Redirected{Node: "n2"}, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), result.Redirected{}, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), result.NotLeader{}, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat[:20]), renewed, 0},
+		{"POST", wire.PathHeartbeat, bytes.NewReader(noEpoch), renewed, 0},
+		{"POST", wire.PathHeartbeat, strings.NewReader("?"), renewed, 0},
+		{"GET", wire.PathHeartbeat, nil, renewed, 0},
 	}
 }
 
-// TestGoldenHTTP: routes, statuses, headers and bodies are those of the stored file, for each kind of answer and for
-// what is refused before anybody is asked.
+// TestGoldenHTTP compares routes, statuses, headers and bodies with the golden file, for each kind of response and for
+// requests that are rejected before they reach the service.
 func TestGoldenHTTP(t *testing.T) {
-	elsewhere := []exchange{
+	unknownPaths := []exchange{
 		{"GET", "/", nil, result.JobState{Status: goldenStatus}, 0},
 		{"GET", wire.PathAdminQueue, nil, result.JobState{Status: goldenStatus}, 0},
 	}
 	var b strings.Builder
-	for _, c := range slices.Concat(jobExchanges(), heartbeatExchanges(t), elsewhere) {
-		s, limiter := &scripted{answer: c.answer, ready: c.answer != nil}, &ConnLimiter{MaxConns: 8}
+	for _, c := range slices.Concat(jobExchanges(), heartbeatExchanges(t), unknownPaths) {
+		s, limiter := &scriptedService{result: c.result, ready: c.result != nil}, &ConnLimiter{MaxConns: 8}
 		for range c.open {
 			limiter.onConnState(nil, http.StateNew)
 		}
@@ -143,16 +143,16 @@
 		if c.open > 0 {
 			fmt.Fprintf(&b, " with %d of %d connections open", c.open, limiter.MaxConns)
 		}
-		counted := ""
+		observed := ""
 		h := Handler(s, slog.New(slog.DiscardHandler), limiter, func(kind string, status int, _ time.Duration) {
-			counted = fmt.Sprintf("counted as %s %d\n", kind, status)
+			observed = fmt.Sprintf("counted as %s %d\n", kind, status)
 		})
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, c.body))
-		if s.asked != "" {
-			fmt.Fprintf(&b, "\nasked: %s", strings.TrimSuffix(s.asked, "\n"))
+		if s.received != "" {
+			fmt.Fprintf(&b, "\nasked: %s", strings.TrimSuffix(s.received, "\n"))
 		}
-		fmt.Fprintf(&b, "\n%s%d\n%s", counted, w.Code, golden.Message(w.Header(), w.Body.Bytes()))
+		fmt.Fprintf(&b, "\n%s%d\n%s", observed, w.Code, golden.Message(w.Header(), w.Body.Bytes()))
 	}
 	fmt.Fprintf(&b, "=== kinds %q\n", RequestKinds)
 	golden.Check(t, "http.txt", []byte(b.String()))
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,6 +1,5 @@
-// Package result has the types of what comes of a request to a controller, so that the components of the program
-// return what happened instead of how it will be spelled. The HTTP statuses, headers and bodies that stand for
-// them begin at the edge, in packages api and adminapi.
+// Package result defines the possible results of a request to a controller, so that components do not depend on how a
+// result is transmitted. Packages api and adminapi convert results into HTTP statuses, headers and bodies.
 package result
 
 import (
@@ -11,69 +10,72 @@
 	"fieldhill/wire"
 )
 
-// Result is what came of a request: one of the types of this package, and of no other.
+// Result is the result of a request. Only the types of this package implement it.
 type Result interface{ isResult() }
 
-// Accepted says that the job was recorded for good, and that this request did it.
+// Accepted means that this request recorded the job durably.
 type Accepted struct{ Status wire.JobStatus }
 
-// JobState is the state of a job that was known already.
+// JobState is the status of a job that was already known.
 type JobState struct{ Status wire.JobStatus }
 
-// Invalid says that the request is malformed. For a job it is final, so it is never given for one that was accepted.
+// Invalid means that the request is malformed. For a submission it is final, so it is never returned for a job that was
+// accepted before.
 type Invalid struct{ Reason string }
 
-// Unschedulable says that no machine type could ever run the job. It is final as Invalid is.
+// Unschedulable means that no machine type can run the job. Like Invalid, it is final.
 type Unschedulable struct{ Reason string }
 
-// Unknown says that nothing is known by the name that was asked for.
+// Unknown means that the requested id is not known.
 type Unknown struct{ Reason string }
 
-// Overloaded says that the request was refused because of the load, not for what it asks. Between controllers it has
-// no reason.
+// Overloaded means that the request was rejected because of the load and not because of its content. Between
+// controllers it has no reason.
 type Overloaded struct {
 	Reason     string
-	RetryAfter time.Duration // in whole seconds on the wire; 0: not said
+	RetryAfter time.Duration // transmitted in whole seconds; 0 for none
 }
 
-// NoLeader says that only the leader can answer, and that this controller neither leads for sure nor reaches one.
+// NoLeader means that only the leader can handle the request, and that this controller neither holds a valid leader
+// lease nor can reach the leader.
 type NoLeader struct{}
 
-// Unavailable says that the request can't be answered now. Between controllers it may have no reason.
+// Unavailable means that the request cannot be handled at the moment. Between controllers it may have no reason.
 type Unavailable struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// NotHandled says that the controller did not get to the request, or not through with it, in time. It is Unavailable
-// to whoever asked, but a relay of heartbeats may act on it by itself, as on no other refusal.
+// NotHandled means that the controller did not start or finish handling the request in time. Clients see it as
+// Unavailable. It is the only failure after which a relay of heartbeats may answer the heartbeat itself.
 type NotHandled struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
 // Redirected sends an agent to another controller.
-type Redirected struct{ Node string } // "": to any other
+type Redirected struct{ Node string } // empty for any other controller
 
-// Renewed renews the lease of an agent under a fencing token, and gives it commands.
+// Renewed renews the lease of an agent under a fencing token and carries commands for it.
 type Renewed struct {
 	FencingToken uint64
 	Commands     []wire.Command
 }
 
-// NotLeader tells another controller that this one does not lead, whatever it believed.
+// NotLeader tells another controller that this one is not the leader.
 type NotLeader struct{}
 
-// Superseded tells the holder of a singleton role that its term in it is over.
+// Superseded tells the holder of a singleton role that its term has ended.
 type Superseded struct{ Reason string }
 
-// Unsupported says that this controller does not know the operation, or does not take part in it.
+// Unsupported means that this controller does not know the operation, or that it is disabled here.
 type Unsupported struct{ Reason string }
 
-// Done is the answer of one controller to another for what was done: a body in the operation's own encoding, or none.
+// Done is the successful result of an operation between controllers. The encoding of the body depends on the operation;
+// it may be empty.
 type Done struct{ Body []byte }
 
-// Explanation is the answer to why a job is pending.
+// Explanation explains why a job is pending.
 type Explanation struct{ *wire.Explanation }
 
 // Queue lists pending jobs.
@@ -82,7 +84,7 @@
 // RoleList lists the singleton roles and their holders.
 type RoleList struct{ *wire.RoleList }
 
-// Forwarded is the answer of another controller, which is passed on as it came.
+// Forwarded is the response of another controller, passed on unchanged.
 type Forwarded struct{ *rpc.Response }
 
 func (Accepted) isResult()      {}
@@ -105,8 +107,7 @@
 func (RoleList) isResult()      {}
 func (Forwarded) isResult()     {}
 
-// IsUnavailable tells whether a result decides nothing about what was asked: the same request may be answered by
-// another controller, or later.
+// IsUnavailable reports whether the request was not decided, so that it may succeed later or at another controller.
 func IsUnavailable(r Result) bool {
 	switch r := r.(type) {
 	case NoLeader, Unavailable, NotHandled:
@@ -117,7 +118,7 @@
 	return false
 }
 
-// IsDone tells whether the controller that was asked did what it was asked for.
+// IsDone reports whether an operation between controllers succeeded.
 func IsDone(r Result) bool {
 	switch r := r.(type) {
 	case Done:
@@ -128,8 +129,8 @@
 	return false
 }
 
-// IsRejection tells whether a result is a final refusal of a job that is not known: it is never given for a job that
-// was accepted.
+// IsRejection reports whether the result is the final rejection of a submission. It is never returned for a job that
+// was accepted before.
 func IsRejection(r Result) bool {
 	switch r.(type) {
 	case Invalid, Unschedulable:
@@ -138,7 +139,8 @@
 	return false
 }
 
-// IsUnsupported tells whether the controller that was asked does not know the operation: it is of an older version.
+// IsUnsupported reports whether the controller that responded does not support the operation, for example because it
+// runs an older version.
 func IsUnsupported(r Result) bool {
 	switch r := r.(type) {
 	case Unsupported:
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -6,8 +6,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// TestForwardedPredicates: the answer of another controller counts as what it stands for, whatever its type.
-func TestForwardedPredicates(t *testing.T) {
+// TestPredicates checks the predicates on results, and that they classify a forwarded response by its status.
+func TestPredicates(t *testing.T) {
 	for _, c := range []struct {
 		result                                   Result
 		unavailable, done, rejected, unsupported bool
@@ -23,14 +23,15 @@
 		{Unschedulable{}, false, false, true, false},
 		{Unsupported{}, false, false, false, true},
 		{Forwarded{&rpc.Response{Status: 200}}, false, true, false, false},
-		{Forwarded{&rpc.Response{Status: 400}}, false, false, false, false}, // of what was known there
+		// A rejection by another controller is not final: it is based on the state known there.
+		{Forwarded{&rpc.Response{Status: 400}}, false, false, false, false},
 		{Forwarded{&rpc.Response{Status: 429}}, false, false, false, false},
 		{Forwarded{&rpc.Response{Status: 501}}, false, false, false, true},
 		{Forwarded{&rpc.Response{Status: 503}}, true, false, false, false},
 	} {
 		got := [4]bool{IsUnavailable(c.result), IsDone(c.result), IsRejection(c.result), IsUnsupported(c.result)}
 		if got != [4]bool{c.unavailable, c.done, c.rejected, c.unsupported} {
-			t.Errorf("%T%+v is unavailable, done, rejected, unsupported: %v", c.result, c.result, got)
+			t.Errorf("%T%+v: got unavailable, done, rejected, unsupported = %v", c.result, c.result, got)
 		}
 	}
 }
