--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,7 +1,6 @@
-// Package codec holds the primitives of the hand-written binary formats: the
-// frames between controllers and the records in the log. Lengths and counts are
-// varints; a Reader keeps its first error and reads zero values from then on, so
-// that a record is read straight through and checked once.
+// Package codec implements the primitives of the binary formats of frames between controllers and of log records.
+// Lengths and counts are varints. After an error, a Reader returns only zero values, so that callers can decode a whole
+// record and check for an error once at the end.
 package codec
 
 import (
@@ -10,28 +9,28 @@
 	"math"
 )
 
-// ErrShort says that a record ended early or holds an impossible length.
+// ErrShort reports a record that is truncated or has an invalid value.
 var ErrShort = errors.New("codec: truncated or malformed")
 
-// Uint appends a number as a varint.
+// Uint appends an unsigned varint.
 func Uint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// Float appends a float, in eight bytes.
+// Float appends a float64 in eight bytes, little endian.
 func Float(b []byte, f float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(f))
 }
 
-// String appends a length and text.
+// String appends a length-prefixed string.
 func String(b []byte, s string) []byte {
 	return append(Uint(b, uint64(len(s))), s...)
 }
 
-// Bytes appends a length and bytes.
+// Bytes appends a length-prefixed byte slice.
 func Bytes(b, s []byte) []byte {
 	return append(Uint(b, uint64(len(s))), s...)
 }
 
-// Bool appends one byte.
+// Bool appends one byte, 0 or 1.
 func Bool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
@@ -39,19 +38,19 @@
 	return append(b, 0)
 }
 
-// Reader reads what the functions above wrote.
+// Reader decodes what the functions of this package appended.
 type Reader struct {
-	Data []byte // what is not read yet
-	Err  error  // the first error; nil: all was read well so far
+	Data []byte // not yet decoded
+	Err  error  // set by the first failure
 }
 
-// fail ends the reading: nothing after a malformed field can be told apart.
+// fail sets the error and discards the rest, because the field boundaries after a malformed field are unknown.
 func (r *Reader) fail() {
 	r.Err = ErrShort
 	r.Data = nil
 }
 
-// Uint reads a varint.
+// Uint decodes an unsigned varint.
 func (r *Reader) Uint() uint64 {
 	v, n := binary.Uvarint(r.Data)
 	if n <= 0 {
@@ -62,7 +61,7 @@
 	return v
 }
 
-// Max reads a varint that must not exceed a limit, such as a count that memory is made for.
+// Max decodes a varint and fails if it exceeds the limit, for example for a count of elements to allocate.
 func (r *Reader) Max(limit uint64) int {
 	v := r.Uint()
 	if v > limit {
@@ -72,7 +71,7 @@
 	return int(v)
 }
 
-// Float reads a float.
+// Float decodes a float64.
 func (r *Reader) Float() float64 {
 	if len(r.Data) < 8 {
 		r.fail()
@@ -83,7 +82,7 @@
 	return v
 }
 
-// Bytes reads a length and bytes; they alias the input.
+// Bytes decodes a length-prefixed byte slice, which aliases the input.
 func (r *Reader) Bytes() []byte {
 	n := r.Uint()
 	if r.Err != nil || n > uint64(len(r.Data)) {
@@ -95,10 +94,10 @@
 	return v
 }
 
-// String reads a length and text.
+// String decodes a length-prefixed string.
 func (r *Reader) String() string { return string(r.Bytes()) }
 
-// Byte reads one byte.
+// Byte decodes one byte.
 func (r *Reader) Byte() byte {
 	if len(r.Data) < 1 {
 		r.fail()
@@ -109,7 +108,7 @@
 	return v
 }
 
-// Bool reads one byte, which must be 0 or 1.
+// Bool decodes one byte, which must be 0 or 1.
 func (r *Reader) Bool() bool {
 	if len(r.Data) < 1 || r.Data[0] > 1 {
 		r.fail()
@@ -120,5 +119,5 @@
 	return v
 }
 
-// Done tells whether everything was read without an error.
+// Done reports whether all data was decoded without an error.
 func (r *Reader) Done() bool { return r.Err == nil && len(r.Data) == 0 }
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// record writes one of each.
-func record() []byte {
+// encodeRecord encodes one value of each type.
+func encodeRecord() []byte {
 	b := Uint(nil, 300)
 	b = Float(b, -0.5)
 	b = String(b, "x")
@@ -17,48 +17,48 @@
 	return append(b, 7)
 }
 
-// TestRoundTrip: what was written is read, and nothing is left.
+// TestRoundTrip checks that a record is decoded as it was encoded, without remaining data.
 func TestRoundTrip(t *testing.T) {
-	r := &Reader{Data: record()}
+	r := &Reader{Data: encodeRecord()}
 	if v := r.Max(300); v != 300 {
-		t.Errorf("a varint is read as %d", v)
+		t.Errorf("varint decoded as %d, want 300", v)
 	}
 	if v := r.Float(); v != -0.5 {
-		t.Errorf("a float is read as %g", v)
+		t.Errorf("float decoded as %g, want -0.5", v)
 	}
 	if v := r.String(); v != "x" {
-		t.Errorf("a text is read as %q", v)
+		t.Errorf("string decoded as %q, want \"x\"", v)
 	}
 	if v := r.Bytes(); !bytes.Equal(v, []byte{1, 2}) {
-		t.Errorf("bytes are read as %v", v)
+		t.Errorf("bytes decoded as %v, want [1 2]", v)
 	}
 	if !r.Bool() {
-		t.Error("true is read as false")
+		t.Error("true decoded as false")
 	}
 	if v := r.Byte(); v != 7 || !r.Done() {
-		t.Errorf("the last byte is read as %d, the end is reached %v, %v", v, r.Done(), r.Err)
+		t.Errorf("last byte decoded as %d, want 7; done %v, error %v", v, r.Done(), r.Err)
 	}
 }
 
-// TestMalformed: a record that ends early or holds what can't be makes an error, which stays.
+// TestMalformed checks that a truncated or invalid record gives an error, after which only zero values are decoded.
 func TestMalformed(t *testing.T) {
 	for name, read := range map[string]func(r *Reader){
 		"varint over its limit": func(r *Reader) { r.Max(299) },
 		"length past the end":   func(r *Reader) { r.Data = []byte{2, 0}; r.Bytes() },
 		"float past the end":    func(r *Reader) { r.Data = r.Data[:7]; r.Float() },
 		"byte past the end":     func(r *Reader) { r.Data = nil; r.Byte() },
-		"truth past the end":    func(r *Reader) { r.Data = nil; r.Bool() },
-		"truth of 2":            func(r *Reader) { r.Data = []byte{2}; r.Bool() },
+		"bool past the end":     func(r *Reader) { r.Data = nil; r.Bool() },
+		"bool of 2":             func(r *Reader) { r.Data = []byte{2}; r.Bool() },
 		"varint past the end":   func(r *Reader) { r.Data = []byte{0x80}; r.Uint() },
 		"varint of 65 bits":     func(r *Reader) { r.Data = bytes.Repeat([]byte{0xff}, 10); r.Uint() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &Reader{Data: record()}
+			r := &Reader{Data: encodeRecord()}
 			if read(r); !errors.Is(r.Err, ErrShort) || r.Done() {
-				t.Fatalf("read with %v", r.Err)
+				t.Fatalf("got error %v, want ErrShort; done %v", r.Err, r.Done())
 			}
 			if v := r.Uint() + uint64(r.Byte()) + math.Float64bits(r.Float()); v != 0 || len(r.String()) != 0 {
-				t.Errorf("after the error %d is read", v)
+				t.Errorf("decoded %d after the error, want zero values", v)
 			}
 		})
 	}
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -12,8 +12,7 @@
 	"fieldhill/internal/replication/candidacy"
 )
 
-// fullRegistry counts something in every series, a value of its own in each, so that names that changed places are
-// found too.
+// fullRegistry returns a registry with a distinct value in every series, so that swapped names are detected too.
 func fullRegistry() *Registry {
 	r := New(api.RequestKinds...)
 	r.Placed.Set(101)
@@ -33,8 +32,8 @@
 		r.ObserveFailover(phase, 0.25*float64(phase+1))
 	}
 	for i, kind := range api.RequestKinds {
-		for status, times := range map[int]int{200: 1, 201: 1, 400: 2, 404: 1, 429: 2, 503: 2} {
-			for range times + i {
+		for status, count := range map[int]int{200: 1, 201: 1, 400: 2, 404: 1, 429: 2, 503: 2} {
+			for range count + i {
 				r.ObserveRequest(kind, status, time.Duration(i+1)*time.Second/8)
 			}
 		}
@@ -42,7 +41,7 @@
 	return r
 }
 
-// fullSnapshot has a value of its own in every field.
+// fullSnapshot returns a snapshot with a distinct value in every number.
 func fullSnapshot() Snapshot {
 	return Snapshot{
 		IsLeader:           true,
@@ -68,14 +67,14 @@
 	}
 }
 
-// TestGoldenPage: dashboards look for the names, labels and buckets on the page. Each counter and each part of the
-// snapshot has a value of its own.
+// TestGoldenPage compares the names, labels, buckets and values on the page with the golden file, because dashboards
+// and alerts depend on them. The first page is requested while no snapshot is available.
 func TestGoldenPage(t *testing.T) {
-	ok := false
+	snapshotOK := false
 	page := fullRegistry().Handler(func() (Snapshot, bool) {
 		s := fullSnapshot()
-		s.HoldsProvisioning, s.HoldsCompaction = ok, !ok
-		return s, ok
+		s.HoldsProvisioning, s.HoldsCompaction = snapshotOK, !snapshotOK
+		return s, snapshotOK
 	})
 	var b strings.Builder
 	for _, path := range []string{Path, Path, "/"} {
@@ -83,12 +82,12 @@
 		page.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
 		fmt.Fprintf(&b, "=== GET %s\n%d %s\n", path, w.Code, w.Header().Get("Content-Type"))
 		for line := range strings.Lines(w.Body.String()) {
-			// The library's series about the process differ from run to run.
+			// The library's process metrics differ between runs.
 			if !strings.HasPrefix(line, "process_") && !strings.HasPrefix(line, "go_") {
 				b.WriteString(line)
 			}
 		}
-		ok = true
+		snapshotOK = true
 	}
 	fmt.Fprintf(&b, "=== profile at %s\n", ProfilePath)
 	golden.Check(t, "page.txt", []byte(b.String()))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,9 @@
-// Package metrics owns a controller's counters and latency histograms, and the page on which Prometheus and operators
-// read them. Counting takes no lock that a reader of the page holds for long, and no series is named after a job, class
-// or machine, so that the page stays small however large the fleet is.
+// Package metrics holds a controller's counters and latency histograms, and serves them in the Prometheus text format.
+// Updating a metric takes no lock that serving the page holds for long. No label has a job, class or machine as its
+// value, so that the size of the page does not depend on that of the fleet.
 //
-// The names of the series are an interface of people's dashboards and alerts: they stay as they are, also where the
-// code uses another term.
+// Dashboards and alerts depend on the names of the series, so they must not change even where the code uses another
+// term.
 package metrics
 
 import (
@@ -17,70 +17,70 @@
 	"fieldhill/internal/replication/candidacy"
 )
 
-// Path is where the page is.
+// Path is the path of the metrics page.
 const Path = "/metrics"
 
-// ProfilePath is where a processor profile is, for as many seconds as asked for.
+// ProfilePath is the path of the CPU profile; the seconds parameter sets its duration.
 const ProfilePath = "/debug/pprof/profile"
 
-// Registry holds the counters and histograms of one controller since its process started. Its fields are written by the
-// components that they count; the gauges are those of the last Snapshot.
+// Registry holds the counters and histograms of one controller since its process started. The instrumented components
+// update its fields; the gauges show the last Snapshot.
 type Registry struct {
 	set      *metrics.Set
 	snapshot atomic.Pointer[Snapshot]
-	requests map[string]*requestMetrics
+	requests map[string]*requestSeries
 
-	// Placed and Stopped count tasks: decisions to start one, and to stop one.
+	// Placed and Stopped count decisions to start and to stop a task.
 	Placed, Stopped *metrics.Counter
-	// Provisioned and ScaledIn count machines, ProvisionRefused the scale-out requests that the cloud refused.
+	// Provisioned and ScaledIn count machines, ProvisionRefused the scale-out requests that the cloud rejected.
 	Provisioned, ProvisionRefused, ScaledIn *metrics.Counter
-	// Terms counts the leadership terms of this controller.
+	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
-	// Relayed counts the agents' heartbeats that were passed on to the leader and answered by it, AnsweredLocally those
-	// that this controller answered itself because the leader did not in time, and Reassigned the agents that it
+	// Relayed counts agents' heartbeats that were forwarded to the leader and answered by it, AnsweredLocally those
+	// that this controller answered because the leader did not answer in time, and Reassigned the agents that it
 	// redirected to another controller.
 	Relayed, AnsweredLocally, Reassigned *metrics.Counter
-	// NotAdmitted counts the new jobs that were refused because this controller was overloaded.
+	// NotAdmitted counts new jobs that were rejected because this controller was overloaded.
 	NotAdmitted *metrics.Counter
-	// LogBytes counts what was written into the replicated log.
+	// LogBytes counts the bytes written to the replicated log.
 	LogBytes *metrics.Counter
-	// SchedulingRound is how long the scheduler takes for a round, LogWrite how long the key-value store takes for a
-	// batch of the log, in seconds.
+	// SchedulingRound is the duration of a scheduling round, and LogWrite that of writing a batch of the log to the
+	// key-value store, in seconds.
 	SchedulingRound, LogWrite *metrics.PrometheusHistogram
 
 	failovers [candidacy.PhaseCount]*metrics.PrometheusHistogram
 }
 
-// requestMetrics are the series of one kind of request.
-type requestMetrics struct {
-	duration               *metrics.PrometheusHistogram
-	ok, refused, retryable *metrics.Counter
+// requestSeries are the series of one kind of request.
+type requestSeries struct {
+	duration                *metrics.PrometheusHistogram
+	ok, rejected, retryable *metrics.Counter
 }
 
-// Snapshot is the state of a controller when the page is read. What only a leader knows is 0 elsewhere.
+// Snapshot is the state of a controller when the page is served. Values that only the leader knows are 0 elsewhere.
 type Snapshot struct {
 	IsLeader                              bool
 	Term, Applied                         uint64
 	Jobs, Waiting, Running                int
 	Up, Booting, Idle, Suspect, Releasing int // machines
-	// WorstClass and WorstTeam say how well the worst served class and team are served, from 0 to 1; how many are below
-	// their minimum share is in UnderServedClasses and UnderServedTeams.
+	// WorstClass and WorstTeam are the service levels of the worst-served class and team, from 0 to 1.
+	// UnderServedClasses and UnderServedTeams count those below their minimum share.
 	WorstClass, WorstTeam                float64
 	UnderServedClasses, UnderServedTeams int
-	// HoldsProvisioning and HoldsCompaction say which singleton roles this controller holds, and OpenProvisioning how
-	// many scale-out requests have no result yet.
+	// HoldsProvisioning and HoldsCompaction report which singleton roles this controller holds; OpenProvisioning is the
+	// number of scale-out requests without a result.
 	HoldsProvisioning, HoldsCompaction bool
 	OpenProvisioning                   int
-	// PeerFrames, PeerBytes and PeerWrites are what was written to other controllers, and AssignedAgents how many
-	// agents send their heartbeats to this controller.
+	// PeerFrames, PeerBytes and PeerWrites count what was written to other controllers; AssignedAgents is the number of
+	// agents that send their heartbeats to this controller.
 	PeerFrames, PeerBytes, PeerWrites int64
 	AssignedAgents                    int
 }
 
-// bucketBounds are the upper bounds of the histograms' buckets in seconds.
+// bucketBounds are the upper bounds of the histogram buckets in seconds.
 var bucketBounds = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
-// gauges are the series that show a part of the last snapshot.
+// gauges maps each series that shows the last snapshot to its value.
 var gauges = map[string]func(s *Snapshot) float64{
 	"fieldhill_leads":                        func(s *Snapshot) float64 { return boolValue(s.IsLeader) },
 	`fieldhill_holds{duty="rent"}`:           func(s *Snapshot) float64 { return boolValue(s.HoldsProvisioning) },
@@ -106,12 +106,12 @@
 	`fieldhill_owed{of="team"}`:              func(s *Snapshot) float64 { return float64(s.UnderServedTeams) },
 }
 
-// New makes a registry for these kinds of requests, with every series on the page from the beginning.
+// New returns a registry for the given kinds of requests. Every series is on the page from the start.
 func New(requestKinds ...string) *Registry {
 	set := metrics.NewSet()
 	r := &Registry{
 		set:              set,
-		requests:         make(map[string]*requestMetrics, len(requestKinds)),
+		requests:         make(map[string]*requestSeries, len(requestKinds)),
 		Placed:           set.NewCounter("fieldhill_tasks_placed_total"),
 		Stopped:          set.NewCounter("fieldhill_tasks_stopped_total"),
 		Provisioned:      set.NewCounter("fieldhill_machines_rented_total"),
@@ -131,7 +131,7 @@
 		r.failovers[phase] = set.NewPrometheusHistogramExt(name, bucketBounds)
 	}
 	for _, kind := range requestKinds {
-		r.requests[kind] = newRequestMetrics(set, kind)
+		r.requests[kind] = newRequestSeries(set, kind)
 	}
 	r.snapshot.Store(&Snapshot{})
 	for name, value := range gauges {
@@ -140,15 +140,15 @@
 	return r
 }
 
-func newRequestMetrics(set *metrics.Set, kind string) *requestMetrics {
-	responses := func(outcome string) *metrics.Counter {
+func newRequestSeries(set *metrics.Set, kind string) *requestSeries {
+	newCounter := func(outcome string) *metrics.Counter {
 		return set.NewCounter(`fieldhill_answers_total{request="` + kind + `",answer="` + outcome + `"}`)
 	}
-	return &requestMetrics{
+	return &requestSeries{
 		duration:  set.NewPrometheusHistogramExt(`fieldhill_request_seconds{request="`+kind+`"}`, bucketBounds),
-		ok:        responses("ok"),
-		refused:   responses("refused"),
-		retryable: responses("later"),
+		ok:        newCounter("ok"),
+		rejected:  newCounter("refused"),
+		retryable: newCounter("later"),
 	}
 }
 
@@ -159,13 +159,14 @@
 	return 0
 }
 
-// ObserveFailover records that this controller completed a phase of a failover so many seconds after it noticed that
-// there was no leader.
+// ObserveFailover records the time from when this controller detected the loss of the leader until it completed a phase
+// of the failover.
 func (r *Registry) ObserveFailover(phase candidacy.Phase, seconds float64) {
 	r.failovers[phase].Update(seconds)
 }
 
-// ObserveRequest counts the response to a request of one of New's kinds, by whether the client may try again.
+// ObserveRequest records the outcome and duration of a request of one of the kinds passed to New. Statuses 429 and 503,
+// after which clients retry, are counted separately from other errors.
 func (r *Registry) ObserveRequest(kind string, status int, duration time.Duration) {
 	request := r.requests[kind]
 	request.duration.Update(duration.Seconds())
@@ -175,12 +176,12 @@
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		request.retryable.Inc()
 	default:
-		request.refused.Inc()
+		request.rejected.Inc()
 	}
 }
 
-// Handler serves all series in Prometheus' text format, and processor profiles. It calls snapshot for each page, which
-// reports false if the controller is too busy to take one; the page is then refused rather than shown with old values.
+// Handler serves all series in the Prometheus text format, and CPU profiles. It calls snapshot for each page. If the
+// controller is too busy to take one, ok is false and the response is status 503 rather than a page with old values.
 func (r *Registry) Handler(snapshot func() (s Snapshot, ok bool)) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
