--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -138,8 +138,7 @@
 func (p *Params) validateObjectives() error {
 	for i, o := range p.Objectives {
 		if !isNonNegative(o.WithinS) || !isNonNegative(o.Share) || o.Share > 1 || !isFinite(o.Times) {
-			return fieldErrorf(fmt.Sprintf("params.objectives[%d]", i),
-				"within_s must be finite and at least 0, share from 0 to 1, times finite")
+			return fieldErrorf(fmt.Sprintf("params.objectives[%d]", i), "invalid")
 		}
 	}
 	return nil
@@ -167,8 +166,7 @@
 		}
 	}
 	if !isNonNegative(p.Cloud.ListLagS) || !isNonNegative(p.TimeBoundMS) {
-		return fieldErrorf("params.cloud.list_lag_s or params.time_bound_ms",
-			"must be finite and at least 0")
+		return fieldErrorf("params.cloud.list_lag_s or params.time_bound_ms", "invalid")
 	}
 	return nil
 }
