--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale runs real controllers among thousands of hollow workers, which send heartbeats and run nothing, on
-// loopback, and measures what each role of a controller costs. It is no deployment.
+// Command scale is a scale test: it runs real controllers with thousands of hollow (simulated) workers on loopback and
+// measures the resource usage of a controller in each role. Hollow workers send heartbeats but execute nothing.
 package main
 
 import (
@@ -18,29 +18,29 @@
 	"fieldhill/internal/scale"
 )
 
-// cli has a field for each command.
+// cli defines the commands.
 type cli struct {
-	Run    runCmd    `cmd:"" help:"Carry out a profile and print what it measured."`
-	Sweep  sweepCmd  `cmd:"" help:"Carry out a profile at several sizes, one thing changed at a time."`
+	Run    runCmd    `cmd:"" help:"Run a profile and print the measurements."`
+	Sweep  sweepCmd  `cmd:"" help:"Run a profile at several sizes, varying one parameter at a time."`
 	Report reportCmd `cmd:"" help:"Print the tables of docs/CAPACITY.md from stored measurements."`
 }
 
-// commonFlags are the flags of all commands that run something.
+// commonFlags are the flags shared by the commands that run a profile.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type commonFlags struct {
-	Program string `default:"target/fieldhill" type:"path" help:"The controller's program."`
-	Dir     string `type:"path" help:"Where the controllers' settings and logs are written; a new directory by default."`
-	Net     int    `default:"10" help:"Second byte of the loopback addresses of the first region; two runs at a time need different ones."`
+	Program string `default:"target/fieldhill" type:"path" help:"Path of the controller executable."`
+	Dir     string `type:"path" help:"Directory for the controllers' settings and logs; a new temporary directory by default."`
+	Net     int    `default:"10" help:"Second byte of the first region's loopback addresses; concurrent runs need different values."`
 }
 
-// options checks the flags, and makes a directory if none is given.
+// options validates the flags, and creates a temporary directory if none is given.
 func (c *commonFlags) options() (scale.Options, error) {
 	if _, err := os.Stat(c.Program); errors.Is(err, fs.ErrNotExist) {
-		return scale.Options{}, fmt.Errorf("program: %s is not built yet, see README.md", c.Program)
+		return scale.Options{}, fmt.Errorf("program: %s does not exist; build it as described in README.md", c.Program)
 	}
 	if c.Net < 1 || c.Net > 200 {
-		return scale.Options{}, errors.New("net: not from 1 to 200")
+		return scale.Options{}, errors.New("net must be from 1 to 200")
 	}
 	dir := c.Dir
 	if dir == "" {
@@ -57,14 +57,14 @@
 	}, nil
 }
 
-// runCmd carries out one profile.
+// runCmd runs one profile.
 type runCmd struct {
 	commonFlags
-	Profile string `arg:"" type:"existingfile" help:"What to run, see deploy/scale."`
-	JSON    string `name:"json" type:"path" help:"Where the report is written as well."`
+	Profile string `arg:"" type:"existingfile" help:"Profile file (TOML), see deploy/scale."`
+	JSON    string `name:"json" type:"path" help:"File to which the report is also written as JSON."`
 }
 
-// Run carries out the command.
+// Run executes the command. It returns an error if a rule was broken.
 func (c *runCmd) Run(ctx context.Context) error {
 	profile, err := scale.LoadProfile(c.Profile)
 	if err != nil {
@@ -105,23 +105,24 @@
 
 func main() {
 	var c cli
-	description := "Run fieldhill's controllers among hollow workers on loopback, and measure what each role costs."
-	k := kong.Parse(&c, kong.Description(description))
+	description := "Run fieldhill controllers with simulated workers on loopback and measure their resource usage."
+	parser := kong.Parse(&c, kong.Description(description))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	k.BindTo(ctx, (*context.Context)(nil))
-	k.FatalIfErrorf(k.Run())
+	parser.BindTo(ctx, (*context.Context)(nil))
+	parser.FatalIfErrorf(parser.Run())
 }
 
-// sweepCmd carries out a profile at several sizes.
+// sweepCmd runs a profile at several sizes.
 type sweepCmd struct {
 	commonFlags
-	Sweep string `arg:"" type:"existingfile" help:"What to vary, see deploy/scale/sweep.toml."`
-	Only  string `help:"Only the series that varies this."`
-	Out   string `required:"" type:"path" help:"Where one line of JSON is added for each run."`
+	Sweep string `arg:"" type:"existingfile" help:"Sweep file (TOML), see deploy/scale/sweep.toml."`
+	Only  string `help:"Run only the series that varies this parameter."`
+	Out   string `required:"" type:"path" help:"File to which one line of JSON is appended for each run."`
 }
 
-// Run carries out the command. What was measured before an error is in the file.
+// Run executes the command. Each measurement is written as soon as its run ends, so an error loses none of the earlier
+// ones.
 func (c *sweepCmd) Run(ctx context.Context) (err error) {
 	sweep, err := scale.LoadSweep(c.Sweep)
 	if err != nil {
@@ -142,18 +143,18 @@
 		region := &report.Regions[0]
 		fmt.Printf("%s: leader %.3f of a core, others %.3f, %.0f starts/s, %d rules broken %s\n",
 			measurement.Run, region.Leader.CPU, region.Others.CPU, region.StartsPerS,
-			measurement.Violations, measurement.MachineLimit)
+			measurement.Violations, measurement.HostBottleneck)
 		return encoder.Encode(measurement)
 	})
 }
 
-// reportCmd prints the tables of docs/CAPACITY.md.
+// reportCmd prints the tables of docs/CAPACITY.md, computed from stored measurements.
 type reportCmd struct {
-	Dir   string `default:"docs/scale" type:"existingdir" help:"Where measurements are stored."`
-	Sweep string `default:"deploy/scale/sweep.toml" type:"existingfile" help:"The sweep that they are of."`
+	Dir   string `default:"docs/scale" type:"existingdir" help:"Directory of the stored measurements."`
+	Sweep string `default:"deploy/scale/sweep.toml" type:"existingfile" help:"Sweep file of the measurements."`
 }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *reportCmd) Run() error {
 	text, err := scale.CapacityTables(c.Dir, c.Sweep)
 	if err != nil {
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -10,33 +10,33 @@
 	"strings"
 )
 
-// regionSize is how large a region is: the figures that the series of a sweep vary.
+// regionSize is the size of a region: a value for each of sizeParameters.
 type regionSize map[string]float64
 
-// capacityPlan is the operators' plan, of all regions together.
+// capacityPlan is the size that the operators plan for, the total of all regions.
 var capacityPlan = struct {
-	regions                  int
-	workers, running, starts float64
-	teams, finishedADay      float64
+	regions                           int
+	workers, runningTasks, startsPerS float64
+	teams, finishedPerDay             float64
 }{4, 4700, 26_000, 2200, 55, 21_000}
 
-// plannedControllers is how many controllers a region has, of the sixteen machines that are reserved for them.
+// plannedControllers is the number of controllers per region; sixteen machines in all are reserved for controllers.
 const plannedControllers = 4
 
-// plannedRegion is a region of the plan, with its part of the peak of starts or all of it.
-func plannedRegion(starts float64) regionSize {
+// plannedRegion returns the size of a region of the plan at a start rate.
+func plannedRegion(startsPerS float64) regionSize {
 	regions := float64(capacityPlan.regions)
 	return regionSize{
 		"workers":         capacityPlan.workers / regions,
-		"tasks_running":   capacityPlan.running / regions,
-		"starts_per_s":    starts,
+		"tasks_running":   capacityPlan.runningTasks / regions,
+		"starts_per_s":    startsPerS,
 		"teams":           capacityPlan.teams,
-		"finished_before": capacityPlan.finishedADay / regions,
+		"finished_before": capacityPlan.finishedPerDay / regions,
 		"controllers":     plannedControllers,
 	}
 }
 
-// profileSize is the size of a sweep's profile.
+// profileSize returns the size of a region of a sweep's base profile.
 func profileSize(p *Profile) regionSize {
 	return regionSize{
 		"workers":         float64(p.Workers),
@@ -48,19 +48,19 @@
 	}
 }
 
-// variedSizes are the fields that are varied, in the order of the tables.
-var variedSizes = []string{"workers", "tasks_running", "starts_per_s", "finished_before", "teams", "controllers"}
+// sizeParameters are the parameters that a sweep varies, in the order of the tables.
+var sizeParameters = []string{"workers", "tasks_running", "starts_per_s", "finished_before", "teams", "controllers"}
 
-// guessRangeFactor is from how many times the measured range on a figure is called a guess.
-const guessRangeFactor = 4
+// maxExtrapolationFactor is the extrapolation factor above which an estimate is labelled a guess.
+const maxExtrapolationFactor = 4
 
-// readMeasurements reads all stored measurements of a folder, by file.
+// readMeasurements reads all stored measurements in a directory, by file name without extension.
 func readMeasurements(dir string) (map[string][]Measurement, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil {
 		return nil, err
 	}
-	out := map[string][]Measurement{}
+	byFile := map[string][]Measurement{}
 	for _, f := range files {
 		content, err := os.ReadFile(f)
 		if err != nil {
@@ -72,84 +72,85 @@
 				return nil, fmt.Errorf("%s: %w", f, err)
 			}
 			name := strings.TrimSuffix(filepath.Base(f), ".jsonl")
-			out[name] = append(out[name], measured)
+			byFile[name] = append(byFile[name], measured)
 		}
 	}
-	return out, nil
+	return byFile, nil
 }
 
-// fitFigure fits a line to a figure over the runs in which one field was varied.
-func fitFigure(measurements []Measurement, vary, figure string) (Line, error) {
+// fitMetric fits a line to a metric over the runs in which a parameter was varied.
+func fitMetric(measurements []Measurement, parameter, metric string) (Line, error) {
 	var points []Point
 	for _, m := range measurements {
-		if m.Varied == vary {
-			points = append(points, Point{m.Value, m.Figures[figure]})
+		if m.Parameter == parameter {
+			points = append(points, Point{m.Value, m.Metrics[metric]})
 		}
 	}
 	l, err := FitLine(points)
 	if err != nil {
-		return l, fmt.Errorf("%s by %s: %w", figure, vary, err)
+		return l, fmt.Errorf("%s by %s: %w", metric, parameter, err)
 	}
 	return l, nil
 }
 
-// estimate is a figure at a size: that at the sweep's size, and the slopes times what the sizes differ by.
+// estimate is an estimated metric at a region size.
 type estimate struct {
-	value, stdErr float64
-	rangeFactor   float64 // the largest of the sizes, in times of what was measured, of those that matter
+	value, stdErr       float64
+	extrapolationFactor float64 // the largest of the parameters that contribute noticeably
 }
 
-// isMemory reports whether a figure is of what is stored, not of what is done a second.
-func isMemory(figure string) bool {
-	return strings.HasSuffix(figure, " MB") || strings.HasSuffix(figure, " keys")
+// isStorageMetric reports whether a metric is an amount of stored data rather than a rate.
+func isStorageMetric(metric string) bool {
+	return strings.HasSuffix(metric, " MB") || strings.HasSuffix(metric, " keys")
 }
 
-// estimateFigure estimates a figure at a size: that at the size of the sweep, and what each slope adds.
+// estimateMetric estimates a metric at a target size: its value at the base size of the sweep plus, for each parameter,
+// the slope times the difference in size.
 //
-// A slope that is not shown to be above zero is left out, so that nothing is estimated to become cheaper with size. So
-// are the rates by finished jobs: these end just before the measurement, and cleaning up after them falls into it,
-// which is no cost of remembering them.
-func estimateFigure(stored map[string][]Measurement, target, base regionSize, figure string) (estimate, error) {
+// A slope that isn't significantly above zero is ignored, so that no cost is estimated to fall with size. The slopes of
+// rates over finished jobs are ignored too: these jobs end just before the measurement, which then includes their
+// cleanup, and that isn't a cost of keeping finished jobs.
+func estimateMetric(stored map[string][]Measurement, target, base regionSize, metric string) (estimate, error) {
 	var result estimate
 	lines := map[string]Line{}
-	for _, vary := range variedSizes {
-		l, err := fitFigure(stored["sweep"], vary, figure)
+	for _, parameter := range sizeParameters {
+		l, err := fitMetric(stored["sweep"], parameter, metric)
 		if err != nil {
 			return result, err
 		}
-		lines[vary] = l
-		result.value += l.CostAt(base[vary])
+		lines[parameter] = l
+		result.value += l.CostAt(base[parameter])
 	}
-	result.value /= float64(len(variedSizes))
-	for _, vary := range variedSizes {
-		l := lines[vary]
-		if l.Slope < 2*l.SlopeErr || vary == "finished_before" && !isMemory(figure) {
+	result.value /= float64(len(sizeParameters))
+	for _, parameter := range sizeParameters {
+		l := lines[parameter]
+		if l.Slope < 2*l.SlopeErr || parameter == "finished_before" && !isStorageMetric(metric) {
 			continue
 		}
-		change := target[vary] - base[vary]
+		change := target[parameter] - base[parameter]
 		result.value += l.Slope * change
 		result.stdErr += (l.SlopeErr * change) * (l.SlopeErr * change)
 		if math.Abs(l.Slope*change) > 0.02*math.Abs(result.value) {
-			result.rangeFactor = max(result.rangeFactor, l.RangeFactor(target[vary]))
+			result.extrapolationFactor = max(result.extrapolationFactor, l.ExtrapolationFactor(target[parameter]))
 		}
 	}
 	result.stdErr = math.Sqrt(result.stdErr)
 	return result, nil
 }
 
-// confidence says how an estimate is known, by how far its size lies beyond the measured ones.
+// confidence describes how far beyond the measured range an estimate lies.
 func (e estimate) confidence() string {
 	switch {
-	case e.rangeFactor <= 1:
+	case e.extrapolationFactor <= 1:
 		return "measured range"
-	case e.rangeFactor <= guessRangeFactor:
-		return fmt.Sprintf("extrapolated, %.1f times the range", e.rangeFactor)
+	case e.extrapolationFactor <= maxExtrapolationFactor:
+		return fmt.Sprintf("extrapolated, %.1f times the range", e.extrapolationFactor)
 	}
-	return fmt.Sprintf("a guess, %.1f times the range", e.rangeFactor)
+	return fmt.Sprintf("a guess, %.1f times the range", e.extrapolationFactor)
 }
 
-// slopeFigures are the figures whose slopes are printed.
-var slopeFigures = []string{
+// slopeMetrics are the metrics whose slopes are printed.
+var slopeMetrics = []string{
 	"leader cpu",
 	"other cpu",
 	"leader resident MB",
@@ -162,8 +163,8 @@
 	"worker KB/s",
 }
 
-// planFigures are the figures that are estimated at the plan's size.
-var planFigures = []string{
+// planMetrics are the metrics that are estimated at the planned size.
+var planMetrics = []string{
 	"leader cpu",
 	"leader resident MB",
 	"leader sockets",
@@ -180,7 +181,7 @@
 	"worker sockets",
 }
 
-// CapacityTables recomputes the tables of docs/CAPACITY.md from the measurements stored in a folder and the sweep's
+// CapacityTables computes the tables of docs/CAPACITY.md from the measurements stored in a directory and the sweep
 // file.
 func CapacityTables(dir, sweep string) (string, error) {
 	stored, err := readMeasurements(dir)
@@ -197,32 +198,32 @@
 		return "", err
 	}
 	var b strings.Builder
-	if err := writeSlopes(&b, stored); err != nil {
+	if err := writeSlopeTables(&b, stored); err != nil {
 		return "", err
 	}
 	base := profileSize(&s.Profile)
-	if err := writePlan(&b, stored, base); err != nil {
+	if err := writePlanTable(&b, stored, base); err != nil {
 		return "", err
 	}
 	return b.String(), nil
 }
 
-// slopeTables are the files of measurements whose slopes are printed, and the fields that they vary.
+// slopeTables are the measurement files whose slopes are printed, with the parameters that they vary.
 var slopeTables = []struct {
-	file, note string
-	varied     []string
+	file, suffix string
+	parameters   []string
 }{
-	{"sweep", "", variedSizes},
+	{"sweep", "", sizeParameters},
 	{"alone", ", without relays", []string{"workers"}},
 	{"gangs", "", []string{"gang_size"}},
 }
 
-func writeSlopes(b *strings.Builder, stored map[string][]Measurement) error {
+func writeSlopeTables(b *strings.Builder, stored map[string][]Measurement) error {
 	writeTableHeader(b, "cost", "by", "a", "b", "error of b", "R²", "range", "bend", "runs")
 	for _, table := range slopeTables {
-		for _, varied := range table.varied {
-			for _, figure := range slopeFigures {
-				l, err := fitFigure(stored[table.file], varied, figure)
+		for _, parameter := range table.parameters {
+			for _, metric := range slopeMetrics {
+				l, err := fitMetric(stored[table.file], parameter, metric)
 				if err != nil {
 					return err
 				}
@@ -230,8 +231,8 @@
 					continue
 				}
 				fmt.Fprintf(b, "| %s | %s%s | %.4g | %.4g | %.2g | %.2f | %g to %g | %+.0f%% | %d |\n",
-					figure, varied, table.note, l.Intercept, l.Slope, l.SlopeErr, l.RSquared,
-					l.MinSize, l.MaxSize, 100*l.Bend, l.PointCount)
+					metric, parameter, table.suffix, l.Intercept, l.Slope, l.SlopeErr, l.RSquared,
+					l.MinSize, l.MaxSize, 100*l.SlopeChange, l.PointCount)
 			}
 		}
 	}
@@ -239,28 +240,29 @@
 	return nil
 }
 
-// writeTableHeader writes the header of a table in Markdown.
+// writeTableHeader writes the header of a Markdown table.
 func writeTableHeader(b *strings.Builder, columns ...string) {
 	b.WriteString("| " + strings.Join(columns, " | ") + " |\n|" + strings.Repeat(" --- |", len(columns)) + "\n")
 }
 
-func writePlan(b *strings.Builder, stored map[string][]Measurement, base regionSize) error {
-	mean := plannedRegion(capacityPlan.starts / float64(capacityPlan.regions))
-	peak := plannedRegion(capacityPlan.starts)
+func writePlanTable(b *strings.Builder, stored map[string][]Measurement, base regionSize) error {
+	mean := plannedRegion(capacityPlan.startsPerS / float64(capacityPlan.regions))
+	peak := plannedRegion(capacityPlan.startsPerS)
 	b.WriteString("\n")
 	writeTableHeader(b, "a region of the plan", "550 starts a second", "how it is known",
 		"2,200 starts a second, all in this region", "how it is known")
-	for _, figure := range planFigures {
-		m, err := estimateFigure(stored, mean, base, figure)
+	for _, metric := range planMetrics {
+		meanEstimate, err := estimateMetric(stored, mean, base, metric)
 		if err != nil {
 			return err
 		}
-		p, err := estimateFigure(stored, peak, base, figure)
+		peakEstimate, err := estimateMetric(stored, peak, base, metric)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(b, "| %s | %.3g ± %.2g | %s | %.3g ± %.2g | %s |\n",
-			figure, m.value, m.stdErr, m.confidence(), p.value, p.stdErr, p.confidence())
+			metric, meanEstimate.value, meanEstimate.stdErr, meanEstimate.confidence(),
+			peakEstimate.value, peakEstimate.stdErr, peakEstimate.confidence())
 	}
 	return nil
 }
--- a/internal/scale/linefit.go
+++ b/internal/scale/linefit.go
@@ -7,30 +7,28 @@
 	"slices"
 )
 
-// Line is cost = Intercept + Slope·size, fitted by least squares, with the standard errors of both.
+// Line is the least-squares fit cost = Intercept + Slope·size, with the standard errors of both coefficients.
 type Line struct {
 	Intercept    float64 `json:"a"`
 	Slope        float64 `json:"b"`
 	InterceptErr float64 `json:"err_a"`
 	SlopeErr     float64 `json:"err_b"`
-	// RSquared is the share of the variance that the line explains, PointCount how many points there were, and MinSize
-	// and MaxSize their range.
-	RSquared   float64 `json:"r2"`
-	PointCount int     `json:"n"`
-	MinSize    float64 `json:"from"`
-	MaxSize    float64 `json:"to"`
-	// Bend is by how much the slope of the upper half of the range differs from that of the lower half, as a share of
-	// Slope.
-	Bend float64 `json:"bend"`
+	RSquared     float64 `json:"r2"` // share of the variance that the line explains
+	PointCount   int     `json:"n"`
+	MinSize      float64 `json:"from"`
+	MaxSize      float64 `json:"to"`
+	// SlopeChange is the slope of the upper half of the sizes minus that of the lower half, as a share of Slope.
+	SlopeChange float64 `json:"bend"`
 }
 
-// ErrTooFewSizes is returned by FitLine: a slope with an error needs three sizes at least.
+// ErrTooFewSizes is returned by FitLine for points of fewer than three sizes, to which a line can't be fitted with a
+// meaningful error.
 var ErrTooFewSizes = errors.New("scale: fewer than three sizes")
 
 // Point is a measured cost at a size.
 type Point struct{ Size, Cost float64 }
 
-// FitLine fits a line to points of at least three sizes.
+// FitLine fits a line to points, which must have at least three distinct sizes.
 func FitLine(points []Point) (Line, error) {
 	sizes := map[float64]bool{}
 	for _, p := range points {
@@ -51,12 +49,12 @@
 		}
 	}
 	if distinctSizes(low) > 1 && distinctSizes(high) > 1 && l.Slope != 0 {
-		l.Bend = (leastSquares(high).Slope - leastSquares(low).Slope) / l.Slope
+		l.SlopeChange = (leastSquares(high).Slope - leastSquares(low).Slope) / l.Slope
 	}
 	return l, nil
 }
 
-// medianSize is the size in the middle of all, the larger one of two.
+// medianSize returns the median, the larger of the two middle sizes if their number is even.
 func medianSize(sizes map[float64]bool) float64 {
 	all := slices.Sorted(maps.Keys(sizes))
 	return all[len(all)/2]
@@ -70,7 +68,7 @@
 	return len(sizes)
 }
 
-// leastSquares fits a line without its bend.
+// leastSquares fits a line but leaves SlopeChange zero.
 func leastSquares(points []Point) Line {
 	n := float64(len(points))
 	l := Line{PointCount: len(points), MinSize: math.Inf(1), MaxSize: math.Inf(-1)}
@@ -101,8 +99,8 @@
 	return l
 }
 
-// CostAt is the cost at a size.
-func (l Line) CostAt(x float64) float64 { return l.Intercept + l.Slope*x }
+// CostAt returns the fitted cost at a size.
+func (l Line) CostAt(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// RangeFactor is how many times the largest measured size a size is.
-func (l Line) RangeFactor(x float64) float64 { return x / l.MaxSize }
+// ExtrapolationFactor returns the ratio of a size to the largest measured size.
+func (l Line) ExtrapolationFactor(size float64) float64 { return size / l.MaxSize }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -17,13 +17,13 @@
 	"fieldhill/internal/emulator"
 )
 
-// metricValues are a controller's metrics, by the names on its page.
-type metricValues map[string]float64
+// metricSamples are the samples of a controller's metrics page by name, labels included.
+type metricSamples map[string]float64
 
 var scraper = http.Client{Timeout: 5 * time.Second}
 
-// scrapeMetrics reads a controller's metrics; nil if it does not answer.
-func scrapeMetrics(ctx context.Context, addr string) metricValues {
+// scrapeMetrics reads a controller's metrics page. It returns nil if the controller doesn't answer.
+func scrapeMetrics(ctx context.Context, addr string) metricSamples {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
 		return nil
@@ -32,11 +32,11 @@
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = resp.Body.Close() }() // the values that were read count
+	defer func() { _ = resp.Body.Close() }() // the samples that were read are valid even if closing fails
 	if resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	values := metricValues{}
+	values := metricSamples{}
 	for s := bufio.NewScanner(resp.Body); s.Scan(); {
 		name, value, ok := strings.Cut(s.Text(), " ")
 		if v, err := strconv.ParseFloat(value, 64); ok && err == nil {
@@ -46,13 +46,13 @@
 	return values
 }
 
-// snapshot is what a region's counters say at one moment.
+// snapshot is a sample of the counters of a region.
 type snapshot struct {
 	at          time.Time
-	controllers []metricValues
+	controllers []metricSamples
 	store       emulator.StoreTraffic
 	starts      int
-	workerBytes [2]int64 // bytes in and out on the workers' side
+	workerBytes [2]int64 // bytes received and sent by the workers
 }
 
 func (r *region) takeSnapshot(ctx context.Context) snapshot {
@@ -60,7 +60,7 @@
 		at:          time.Now(),
 		store:       r.environment.Store.Traffic(),
 		starts:      r.environment.Checker.Starts(),
-		workerBytes: [2]int64{r.network.workers.in.Load(), r.network.workers.out.Load()},
+		workerBytes: [2]int64{r.network.workerTraffic.in.Load(), r.network.workerTraffic.out.Load()},
 	}
 	for i := range r.profile.ControllersPerRegion {
 		s.controllers = append(s.controllers, scrapeMetrics(ctx, metricsAddr(r.netByte, i)))
@@ -68,7 +68,7 @@
 	return s
 }
 
-// countLostLeases counts the lease expiries of the workers that exist: each began a new epoch.
+// countLostLeases counts the lease expiries of the current workers. Each expiry starts a new agent epoch.
 func (r *region) countLostLeases() (expired int) {
 	for _, w := range r.environment.Cloud.Workers() {
 		if heartbeat := w.LastHeartbeat(); heartbeat != nil {
@@ -78,31 +78,31 @@
 	return expired
 }
 
-// ownUsage is what this process, the hollow side, has used.
-func ownUsage() (cpuS, residentMB float64) {
+// processUsage returns the CPU time and the resident memory of this process, which runs the hollow workers.
+func processUsage() (cpuS, residentMB float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
 		cpuS = float64(usage.Utime.Sec+usage.Stime.Sec) + float64(usage.Utime.Usec+usage.Stime.Usec)/1e6
 	}
-	return cpuS, float64(statusKB("/proc/self/status", "VmRSS:")) / 1024
+	return cpuS, float64(readProcKB("/proc/self/status", "VmRSS:")) / 1024
 }
 
-// statusKB reads a line of a file of /proc, in KB; 0 if there is none.
-func statusKB(path, name string) int {
+// readProcKB reads a value in KB from a file in /proc. It returns 0 if the file has no line with that name.
+func readProcKB(path, name string) int {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return 0
 	}
 	for line := range strings.SplitSeq(string(b), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == name {
-			n, _ := strconv.Atoi(f[1]) // what the kernel writes is a number
+			n, _ := strconv.Atoi(f[1]) // the kernel writes a number here
 			return n
 		}
 	}
 	return 0
 }
 
-// cpuTimes are the machine's processor times as /proc/stat has them.
+// cpuTimes are the CPU times of the host from /proc/stat, in clock ticks.
 type cpuTimes struct{ total, idle, steal float64 }
 
 func readCPUTimes() (times cpuTimes) {
@@ -114,7 +114,7 @@
 	for i, f := range strings.Fields(line)[1:] {
 		v, _ := strconv.ParseFloat(f, 64)
 		switch {
-		case i >= 8: // guests' time is in the others
+		case i >= 8: // guest times are included in user and nice
 			continue
 		case i == 3 || i == 4:
 			times.idle += v
@@ -126,13 +126,13 @@
 	return times
 }
 
-// lagInterval is how long the timers run whose lag is measured.
+// lagInterval is the duration of the timers whose lag is measured.
 const lagInterval = 20 * time.Millisecond
 
-// timerLag measures how late this process's own timers fire, which is how late hollow workers are.
+// timerLag records how late the timers of this process fire, and so how late the hollow workers act.
 type timerLag struct {
 	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // in microseconds
+	histogram *hdrhistogram.Histogram // microseconds
 }
 
 func measureTimerLag(ctx context.Context) *timerLag {
@@ -142,7 +142,7 @@
 			startedAt := time.Now()
 			time.Sleep(lagInterval)
 			l.mu.Lock()
-			// a minute is beyond any run
+			// fails only for a lag of more than a minute, longer than in any run
 			_ = l.histogram.RecordValue(max(1, (time.Since(startedAt) - lagInterval).Microseconds()))
 			l.mu.Unlock()
 		}
@@ -156,16 +156,16 @@
 	l.histogram.Reset()
 }
 
-func (l *timerLag) p99Millis() float64 {
+func (l *timerLag) p99MS() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return float64(l.histogram.ValueAtQuantile(99)) / 1000
 }
 
-// checkMemoryShare is an error if a run takes more than half of the machine's memory.
+// checkMemoryShare returns an error if a run uses more than half of the host's memory.
 func checkMemoryShare(residentMB float64) error {
-	if total := float64(statusKB("/proc/meminfo", "MemTotal:")) / 1024; total > 0 && residentMB > total/2 {
-		return fmt.Errorf("the run takes %.0f MB, more than half of the machine's %.0f MB", residentMB, total)
+	if total := float64(readProcKB("/proc/meminfo", "MemTotal:")) / 1024; total > 0 && residentMB > total/2 {
+		return fmt.Errorf("the run uses %.0f MB, more than half of the host's %.0f MB of memory", residentMB, total)
 	}
 	return nil
 }
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -15,39 +15,39 @@
 
 const (
 	workerPort  = 9000
-	statePort   = 7000
+	storePort   = 7000
 	cloudPort   = 7001
-	usersPort   = 8080
-	peersPort   = 8081
+	userAPIPort = 8080
+	peerPort    = 8081
 	metricsPort = 8082
-	// defaultNetByte is the second byte of the first region's loopback addresses, unless the options have another.
+	// defaultNetByte is the default second byte of the first region's loopback addresses.
 	defaultNetByte = 10
-	// workersPerSubnet is how many workers share the third byte of an address.
+	// workersPerSubnet is the number of workers whose addresses share the third byte.
 	workersPerSubnet = 250
 )
 
-// regionAddresses are the addresses of a region, all in 127.net.0.0/16.
+// regionAddresses returns the addresses of a region, all in 127.netByte.0.0/16.
 func regionAddresses(netByte int) emulator.Addresses {
 	return emulator.Addresses{
-		Store: fmt.Sprintf("127.%d.255.1:%d", netByte, statePort),
+		Store: fmt.Sprintf("127.%d.255.1:%d", netByte, storePort),
 		Cloud: fmt.Sprintf("127.%d.255.1:%d", netByte, cloudPort),
-		Users: func(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", netByte, i+1, usersPort) },
-		Peers: func(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", netByte, i+1, peersPort) },
+		Users: func(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", netByte, i+1, userAPIPort) },
+		Peers: func(i int) string { return fmt.Sprintf("127.%d.254.%d:%d", netByte, i+1, peerPort) },
 		Worker: func(i int) string {
 			return fmt.Sprintf("127.%d.%d.%d:%d", netByte, i/workersPerSubnet, i%workersPerSubnet+1, workerPort+netByte)
 		},
 	}
 }
 
-// metricsAddr is where a controller has its metrics page.
+// metricsAddr returns the address of a controller's metrics page.
 func metricsAddr(netByte, controller int) string {
 	return fmt.Sprintf("127.%d.254.%d:%d", netByte, controller+1, metricsPort)
 }
 
-// traffic counts the bytes of one kind of connection, headers included, and the connections that are open.
+// traffic counts the transferred bytes, protocol headers included, and the open connections of a group of connections.
 type traffic struct{ in, out, open atomic.Int64 }
 
-// countedConn counts its bytes and itself.
+// countedConn is a connection that is counted in a traffic.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -59,33 +59,33 @@
 	return &countedConn{Conn: c, traffic: t}
 }
 
-// Read counts what is received.
+// Read implements net.Conn.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.in.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is sent.
+// Write implements net.Conn.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.out.Add(int64(n))
 	return n, err
 }
 
-// Close counts the connection as closed, once.
+// Close implements net.Conn. The connection is counted as closed once, however often it is closed.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.traffic.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// network is a region's part of the loopback network as the emulators see it. Workers listen at addresses of their
-// own behind one socket, because thousands of listeners would use up this process's files.
+// network is the loopback network of a region as the emulators see it. All workers listen on one shared socket, at
+// different addresses, because thousands of sockets would exceed this process's limit of open files.
 type network struct {
-	workers, others traffic
-	mu              sync.Mutex
-	listeners       map[string]*workerListener
-	shared          net.Listener
+	workerTraffic, otherTraffic traffic
+	mu                          sync.Mutex
+	listeners                   map[string]*workerListener
+	sharedListener              net.Listener
 }
 
 func newNetwork(ctx context.Context, netByte int) (*network, error) {
@@ -93,29 +93,29 @@
 	if err != nil {
 		return nil, err
 	}
-	created := &network{listeners: map[string]*workerListener{}, shared: shared}
+	n := &network{listeners: map[string]*workerListener{}, sharedListener: shared}
 	context.AfterFunc(ctx, func() { _ = shared.Close() })
-	go created.accept()
-	return created, nil
+	go n.accept()
+	return n, nil
 }
 
-// accept hands each connection to the worker at whose address it was made.
+// accept dispatches each connection to the worker that listens on its local address.
 func (n *network) accept() {
 	for {
-		c, err := n.shared.Accept()
+		c, err := n.sharedListener.Accept()
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
 		l := n.listeners[c.LocalAddr().String()]
 		n.mu.Unlock()
-		if l == nil || !l.enqueue(countConn(c, &n.workers)) {
-			_ = c.Close() // nobody listens: the dialler sees it closed
+		if l == nil || !l.enqueue(countConn(c, &n.workerTraffic)) {
+			_ = c.Close() // no listener, or its queue is full: the client sees a closed connection
 		}
 	}
 }
 
-// hostNetwork is the network as a host sees it.
+// hostNetwork returns the network as the host with a name sees it.
 func (n *network) hostNetwork(name string) host.Net {
 	return &hostNet{network: n, worker: strings.HasPrefix(name, "host-")}
 }
@@ -128,12 +128,12 @@
 
 func (h *hostNet) traffic() *traffic {
 	if h.worker {
-		return &h.network.workers
+		return &h.network.workerTraffic
 	}
-	return &h.network.others
+	return &h.network.otherTraffic
 }
 
-// Listen listens on an address.
+// Listen implements host.Net.
 func (h *hostNet) Listen(addr string) (net.Listener, error) {
 	if !h.worker {
 		return host.Real{}.Listen(addr)
@@ -145,7 +145,7 @@
 	return l, nil
 }
 
-// Dial connects to an address.
+// Dial implements host.Net.
 func (h *hostNet) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	c, err := host.Real{}.Dial(ctx, addr, timeout)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return countConn(c, h.traffic()), nil
 }
 
-// workerListener gets the connections to one worker's address from the shared socket.
+// workerListener receives the connections to one worker's address from the shared socket.
 type workerListener struct {
 	network *network
 	addr    string
@@ -163,7 +163,7 @@
 	once    sync.Once
 }
 
-// enqueue hands a connection to the worker, and reports false if it does not keep up.
+// enqueue queues a connection for the worker and reports false if the queue is full.
 func (l *workerListener) enqueue(c net.Conn) bool {
 	select {
 	case l.conns <- c:
@@ -173,7 +173,7 @@
 	}
 }
 
-// Accept waits for a connection.
+// Accept implements net.Listener.
 func (l *workerListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -183,7 +183,7 @@
 	}
 }
 
-// Close ends the listener.
+// Close implements net.Listener.
 func (l *workerListener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -194,10 +194,10 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr implements net.Listener.
 func (l *workerListener) Addr() net.Addr { return workerAddr(l.addr) }
 
-// workerAddr is an address behind the shared socket.
+// workerAddr is a worker's address on the shared socket.
 type workerAddr string
 
 func (workerAddr) Network() string  { return "tcp" }
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -1,6 +1,6 @@
-// Package scale runs real controllers among thousands of hollow workers on loopback, and measures what each role of a
-// controller costs. Hollow workers speak the agents' protocol over real connections, many to a process, and their tasks
-// compute nothing.
+// Package scale is a scale test: it runs real controllers with thousands of hollow workers on loopback and measures the
+// resource usage of a controller in each role. Hollow workers are simulated agents that share one process, speak the
+// agent protocol over real connections, and run tasks that compute nothing.
 package scale
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Profile says what a run is made of. Amounts are for all regions together unless they say otherwise.
+// Profile describes a run. Amounts are totals over all regions unless stated otherwise.
 type Profile struct {
 	Name string `toml:"name" json:"name"`
 	Seed uint64 `toml:"seed" json:"seed"`
-	// WarmupS is until when nothing is measured, RunS for how long it is then.
+	// WarmupS is the time before the measurement begins, and RunS the duration of the measurement.
 	WarmupS float64 `toml:"warm_s" json:"warm_s"`
 	RunS    float64 `toml:"run_s" json:"run_s"`
 
@@ -23,10 +23,10 @@
 	ZonesPerRegion       int `toml:"zones_each" json:"zones_each"`
 	ControllersPerRegion int `toml:"controllers_each" json:"controllers_each"`
 	Workers              int `toml:"workers" json:"workers"`
-	Accelerators         int `toml:"accelerators" json:"accelerators"`
+	GPUs                 int `toml:"accelerators" json:"accelerators"`
 	Teams                int `toml:"teams" json:"teams"`
 	TasksRunning         int `toml:"tasks_running" json:"tasks_running"`
-	// FinishedBefore is how many short jobs are done before the measurement begins.
+	// FinishedBefore is the number of short jobs that finish before the measurement begins.
 	FinishedBefore int `toml:"finished_before" json:"finished_before"`
 
 	Starts   Starts   `toml:"starts" json:"starts"`
@@ -36,29 +36,29 @@
 	Limits   Limits   `toml:"limits" json:"limits"`
 }
 
-// Starts is the rate of task starts that is asked for, over time.
+// Starts is the requested rate of task starts over time.
 type Starts struct {
 	PerS float64 `toml:"per_s" json:"per_s"`
 	// Shape is shapeSteady, shapeRamp or shapeBurst.
 	Shape string `toml:"shape" json:"shape"`
-	// FirstRegionShare is the share of the rate that goes to the first region; 0: all have the same.
+	// FirstRegionShare is the first region's share of the rate; 0 means that all regions have equal shares.
 	FirstRegionShare float64 `toml:"one_share" json:"one_share"`
 }
 
 // Shapes of the rate over time.
 const (
 	shapeSteady = "steady"
-	shapeRamp   = "ramp"  // from nothing to the rate
-	shapeBurst  = "burst" // the rate in the middle third, a fifth of it else
+	shapeRamp   = "ramp"  // grows linearly from 0 to the full rate
+	shapeBurst  = "burst" // the full rate in the middle third of the measurement, a fifth of it otherwise
 )
 
-// Gangs are the gangs that run on the machines with accelerators.
+// Gangs are the gangs that run on the GPU machines.
 type Gangs struct {
 	Sizes []int   `toml:"sizes" json:"sizes"`
 	RunS  float64 `toml:"run_s" json:"run_s"`
 }
 
-// Failures are how many failures of each kind come a minute.
+// Failures are the rates of injected failures by kind, per minute.
 type Failures struct {
 	WorkerStops    float64 `toml:"worker_stops" json:"worker_stops"`
 	WorkerRestarts float64 `toml:"worker_restarts" json:"worker_restarts"`
@@ -71,32 +71,32 @@
 // Workload describes the jobs.
 type Workload struct {
 	TasksPerJob int     `toml:"tasks_per_job" json:"tasks_per_job"`
-	UrgentPerS  float64 `toml:"urgent_per_s" json:"urgent_per_s"` // jobs of one task and high priority
-	ColdShare   float64 `toml:"cold_share" json:"cold_share"`     // share of jobs whose image no machine has
+	UrgentPerS  float64 `toml:"urgent_per_s" json:"urgent_per_s"` // high-priority jobs of one task
+	ColdShare   float64 `toml:"cold_share" json:"cold_share"`     // share of jobs whose image no machine has cached
 }
 
-// Limits are the platform's, as the controllers' settings have them.
+// Limits are the platform limits in the controllers' settings.
 type Limits struct {
-	ReportS        float64 `toml:"report_s" json:"report_s"`
+	HeartbeatS     float64 `toml:"report_s" json:"report_s"`
 	LeaseS         float64 `toml:"lease_s" json:"lease_s"`
 	CancelS        float64 `toml:"cancel_s" json:"cancel_s"`
 	MaxSockets     int     `toml:"max_sockets" json:"max_sockets"`
-	StateRPS       float64 `toml:"state_rps" json:"state_rps"`
+	StoreRPS       float64 `toml:"state_rps" json:"state_rps"`
 	WriteRPS       float64 `toml:"write_rps" json:"write_rps"`
 	ValueKB        float64 `toml:"value_kb" json:"value_kb"`
 	TxnOps         int     `toml:"txn_ops" json:"txn_ops"`
-	StateLatencyMS float64 `toml:"state_ms" json:"state_ms"` // the latency of the key-value store
+	StoreLatencyMS float64 `toml:"state_ms" json:"state_ms"` // latency of the key-value store
 	CloudRPS       float64 `toml:"cloud_rps" json:"cloud_rps"`
 }
 
 const (
-	// maxProcesses bounds the controllers and this process together.
+	// maxProcesses limits the number of controllers plus this process.
 	maxProcesses = 200
 	maxWorkers   = 20_000
 	maxGangSize  = 64
 )
 
-// DefaultProfile has the values of what a profile's file leaves out.
+// DefaultProfile returns the default values of the fields of a profile.
 func DefaultProfile() Profile {
 	return Profile{
 		Seed:                 1,
@@ -112,21 +112,21 @@
 		Gangs:                Gangs{RunS: 30},
 		Workload:             Workload{TasksPerJob: 20, UrgentPerS: 1},
 		Limits: Limits{
-			ReportS:        3,
+			HeartbeatS:     3,
 			LeaseS:         24,
 			CancelS:        49,
 			MaxSockets:     3526,
-			StateRPS:       250,
+			StoreRPS:       250,
 			WriteRPS:       40,
 			ValueKB:        16,
 			TxnOps:         24,
-			StateLatencyMS: 3,
+			StoreLatencyMS: 3,
 			CloudRPS:       8,
 		},
 	}
 }
 
-// LoadProfile reads a profile's file and checks it.
+// LoadProfile reads and validates a profile file.
 func LoadProfile(path string) (Profile, error) {
 	p := DefaultProfile()
 	b, err := os.ReadFile(path)
@@ -136,7 +136,7 @@
 	return ParseProfile(b)
 }
 
-// ParseProfile reads a profile and checks it.
+// ParseProfile decodes and validates a profile in TOML.
 func ParseProfile(b []byte) (Profile, error) {
 	p := DefaultProfile()
 	if err := toml.Unmarshal(b, &p); err != nil {
@@ -145,13 +145,13 @@
 	return p, p.Check()
 }
 
-// fieldRange is the range of a field of a profile.
+// fieldRange is a field of a profile with its value and its valid range.
 type fieldRange struct {
 	name            string
 	value, min, max float64
 }
 
-// ranges are the ranges of all fields that have one.
+// ranges lists the fields that have a valid range.
 func (p *Profile) ranges() []fieldRange {
 	workers := float64(p.Workers)
 	failures := &p.Failures
@@ -162,7 +162,7 @@
 		{"zones_each", float64(p.ZonesPerRegion), 1, 16},
 		{"controllers_each", float64(p.ControllersPerRegion), 1, 16},
 		{"workers", workers, float64(p.Regions), maxWorkers},
-		{"accelerators", float64(p.Accelerators), 0, 8 * workers},
+		{"accelerators", float64(p.GPUs), 0, 8 * workers},
 		{"teams", float64(p.Teams), 1, 1000},
 		{"tasks_running", float64(p.TasksRunning), workers, 64 * workers},
 		{"finished_before", float64(p.FinishedBefore), 0, 1e6},
@@ -178,43 +178,43 @@
 		{"workload.tasks_per_job", float64(p.Workload.TasksPerJob), 1, 10_000},
 		{"workload.urgent_per_s", p.Workload.UrgentPerS, 0, 1000},
 		{"workload.cold_share", p.Workload.ColdShare, 0, 1},
-		{"limits.state_ms", p.Limits.StateLatencyMS, 0, 1000},
+		{"limits.state_ms", p.Limits.StoreLatencyMS, 0, 1000},
 	}
 }
 
-// Check returns an error that begins with the name of the first field that is wrong.
+// Check validates the profile. The error begins with the name of the first invalid field.
 func (p *Profile) Check() error {
 	for _, field := range p.ranges() {
 		if math.IsNaN(field.value) || field.value < field.min || field.value > field.max {
-			return fmt.Errorf("%s: %v is not from %v to %v", field.name, field.value, field.min, field.max)
+			return fmt.Errorf("%s: %v is not in the range %v to %v", field.name, field.value, field.min, field.max)
 		}
 	}
 	switch p.Starts.Shape {
 	case shapeSteady, shapeRamp, shapeBurst:
 	default:
-		return fmt.Errorf("starts.shape: %q is not steady, ramp or burst", p.Starts.Shape)
+		return fmt.Errorf("starts.shape: %q is not one of steady, ramp, burst", p.Starts.Shape)
 	}
 	gpuMachines := p.gpuMachines() / p.Regions
 	for i, size := range p.Gangs.Sizes {
 		if size < 1 || size > maxGangSize || size > gpuMachines {
 			return fmt.Errorf(
-				"gangs.sizes[%d]: %d is not from 1 to %d and the %d machines with accelerators of a region",
+				"gangs.sizes[%d]: %d is not in the range 1 to %d, or exceeds a region's %d GPU machines",
 				i, size, maxGangSize, gpuMachines)
 		}
 	}
 	if n := p.Regions*p.ControllersPerRegion + 1; n > maxProcesses {
-		return fmt.Errorf("controllers_each: %d processes are more than %d", n, maxProcesses)
+		return fmt.Errorf("controllers_each: %d processes exceed the limit of %d", n, maxProcesses)
 	}
 	return nil
 }
 
-// gpusPerMachine is how many accelerators a machine has that has any.
+// gpusPerMachine is the number of GPUs of each GPU machine.
 const gpusPerMachine = 8
 
-func (p *Profile) gpuMachines() int { return p.Accelerators / gpusPerMachine }
+func (p *Profile) gpuMachines() int { return p.GPUs / gpusPerMachine }
 
-// share is a region's part of a number.
-func (p *Profile) share(total, region int) int {
+// regionShare returns a region's share of a total; the first regions get the remainder.
+func (p *Profile) regionShare(total, region int) int {
 	n := total / p.Regions
 	if region < total%p.Regions {
 		n++
@@ -222,8 +222,8 @@
 	return n
 }
 
-// rate is how many starts a second a region is asked for, so many seconds after the run began.
-func (p *Profile) rate(region int, sinceStart float64) float64 {
+// startRate returns the requested task starts per second of a region, elapsedS seconds after the run began.
+func (p *Profile) startRate(region int, elapsedS float64) float64 {
 	regionRate := p.Starts.PerS / float64(p.Regions)
 	if firstShare := p.Starts.FirstRegionShare; firstShare > 0 && p.Regions > 1 {
 		if region == 0 {
@@ -235,9 +235,9 @@
 	end := p.WarmupS + p.RunS
 	switch p.Starts.Shape {
 	case shapeRamp:
-		return regionRate * min(1, sinceStart/end)
+		return regionRate * min(1, elapsedS/end)
 	case shapeBurst:
-		if measuredFor := sinceStart - p.WarmupS; measuredFor < p.RunS/3 || measuredFor > 2*p.RunS/3 {
+		if measuredS := elapsedS - p.WarmupS; measuredS < p.RunS/3 || measuredS > 2*p.RunS/3 {
 			return regionRate / 5
 		}
 	}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	machineCPUs  = 8.0
-	machineGB    = 64.0
-	baseTaskCPUs = 4.1 // of a task that keeps a machine from being released: two do not fit
-	cpuType      = "cpu"
-	gpuType      = "gpu"
-	baseTeam     = "base"
-	baseClass    = "base"
-	gangClass    = "gang"
-	churnClass   = "churn"
-	urgentClass  = "urgent"
-	shortClass   = "short"
-	// outlivesRunS is how long a task runs that outlives the run.
-	outlivesRunS = 100_000
-	// churnShare is how much of what the base leaves of the machines the short tasks take.
+	machineCPUs     = 8.0
+	machineMemoryGB = 64.0
+	baseTaskCPUs    = 4.1 // just over half of machineCPUs, so that each machine gets one base task and stays in use
+	cpuType         = "cpu"
+	gpuType         = "gpu"
+	baseTeam        = "base"
+	baseClass       = "base"
+	gangClass       = "gang"
+	churnClass      = "churn"
+	urgentClass     = "urgent"
+	shortClass      = "short"
+	// baseRuntimeS is the runtime of base tasks, longer than any run.
+	baseRuntimeS = 100_000
+	// churnShare is the share of the CPUs left by the base tasks that the short tasks use.
 	churnShare = 0.85
-	// runtimeFactor is how many times as long as their owners say the emulator's tasks run on average.
-	runtimeFactor = 1.2
-	// warmImages is how many images the jobs share that are not cold.
-	warmImages   = 20
-	restartDelay = 3 * time.Second
+	// meanRuntimeFactor is the emulator's mean ratio of actual to estimated runtime of a task.
+	meanRuntimeFactor = 1.2
+	// warmImageCount is the number of images shared by the jobs whose image isn't cold.
+	warmImageCount = 20
+	restartDelay   = 3 * time.Second
 )
 
-// latencyRecorder is a histogram of latencies in milliseconds, up to an hour.
+// latencyRecorder is a histogram of latencies of up to an hour, in milliseconds.
 type latencyRecorder struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -56,29 +56,29 @@
 func (l *latencyRecorder) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // it refuses more than an hour, which no run has
+	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // fails only above an hour, longer than any run
 }
 
-// region is a region that runs: its controllers, emulators and hollow workers.
+// region is a running region: its controllers, emulators and hollow workers.
 type region struct {
-	profile           *Profile
-	index             int
-	netByte           int
-	network           *network
-	environment       *emulator.Environment
-	supervisor        *supervisor.Supervisor
-	rng               *rand.Rand
-	rngMu             sync.Mutex
-	lastJobNumber     atomic.Int64
-	measuring         atomic.Bool
-	submittedAt       sync.Map // job id: when its user began to submit it
-	startLatencies    map[string]*latencyRecorder
-	submitLatency     *latencyRecorder
-	accepted, refused atomic.Int64
+	profile             *Profile
+	index               int
+	netByte             int
+	network             *network
+	environment         *emulator.Environment
+	supervisor          *supervisor.Supervisor
+	rng                 *rand.Rand
+	rngMu               sync.Mutex
+	lastJobNumber       atomic.Int64
+	measuring           atomic.Bool
+	submittedAt         sync.Map // time of the first submission attempt by job ID
+	startLatencies      map[string]*latencyRecorder
+	submitLatency       *latencyRecorder
+	accepted, abandoned atomic.Int64
 }
 
-// startRegion starts a region's controllers and emulators; nothing is submitted yet. With an error the region is not
-// nil if some of it runs.
+// startRegion starts a region's controllers and emulators, without submitting jobs. If it fails after some of them were
+// started, it also returns the region.
 func startRegion(ctx context.Context, profile *Profile, index, netByte int, program, dir string) (*region, error) {
 	regionNetwork, err := newNetwork(ctx, netByte)
 	if err != nil {
@@ -90,10 +90,10 @@
 	}
 	r := newRegion(profile, index, regionNetwork, netByte)
 	r.supervisor = &supervisor.Supervisor{Executable: program, Dir: dir, RestartDelay: restartDelay}
-	failed, fail := context.WithCancelCause(ctx)
+	startCtx, failStart := context.WithCancelCause(ctx)
 	runController := func(_ context.Context, _ host.Net, s *config.Settings) error {
 		if err := r.supervisor.Run(ctx, s, "--metrics", metricsAddr(netByte, r.controllerIndex(s.Node))); err != nil {
-			fail(err)
+			failStart(err)
 		}
 		return nil
 	}
@@ -109,12 +109,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r.environment.Store.SetRateLimits(profile.Limits.StateRPS, profile.Limits.WriteRPS)
-	r.environment.Store.SetLatency(time.Duration(profile.Limits.StateLatencyMS * float64(time.Millisecond)))
+	r.environment.Store.SetRateLimits(profile.Limits.StoreRPS, profile.Limits.WriteRPS)
+	r.environment.Store.SetLatency(time.Duration(profile.Limits.StoreLatencyMS * float64(time.Millisecond)))
 	for i := range profile.ControllersPerRegion {
 		r.environment.Start(i) //nolint:contextcheck // the environment has the context
 	}
-	return r, context.Cause(failed)
+	return r, context.Cause(startCtx)
 }
 
 func newRegion(profile *Profile, index int, regionNetwork *network, netByte int) *region {
@@ -133,7 +133,7 @@
 	return r
 }
 
-// controllerIndex is the index of a controller by its name.
+// controllerIndex returns the index of the controller with a name.
 func (r *region) controllerIndex(name string) int {
 	for i := range r.profile.ControllersPerRegion {
 		if emulator.ControllerName(i) == name {
@@ -144,21 +144,21 @@
 }
 
 func (r *region) cpuMachines() int {
-	return r.profile.share(r.profile.Workers-r.profile.gpuMachines(), r.index)
+	return r.profile.regionShare(r.profile.Workers-r.profile.gpuMachines(), r.index)
 }
 
-func (r *region) gpuMachines() int { return r.profile.share(r.profile.gpuMachines(), r.index) }
+func (r *region) gpuMachines() int { return r.profile.regionShare(r.profile.gpuMachines(), r.index) }
 
-// deployment has as many machines of each type as the profile, spread over the zones, and teams of equal shares.
+// deployment describes the emulated environment: the profile's machines of each type, spread evenly over the zones.
 func (r *region) deployment() emulator.Deployment {
 	profile := r.profile
 	params := r.params()
-	machine := func(name string, gpus float64) wire.MachineType {
+	machineType := func(name string, gpus float64) wire.MachineType {
 		return wire.MachineType{
 			Name:        name,
 			CPUs:        machineCPUs,
 			GPUs:        gpus,
-			MemoryGB:    machineGB,
+			MemoryGB:    machineMemoryGB,
 			CacheGB:     1000,
 			FetchGBPerS: 1,
 			Price:       1 + gpus,
@@ -171,7 +171,7 @@
 	maxMachines := map[string]int{cpuType: perZone(r.cpuMachines()), gpuType: perZone(r.gpuMachines())}
 	return emulator.Deployment{
 		Params:   params,
-		Types:    []wire.MachineType{machine(cpuType, 0), machine(gpuType, gpusPerMachine)},
+		Types:    []wire.MachineType{machineType(cpuType, 0), machineType(gpuType, gpusPerMachine)},
 		PageSize: wire.MaxList,
 		MaxMachines: func(typ string, spot bool) int {
 			if spot {
@@ -183,8 +183,8 @@
 	}
 }
 
-// params are the controllers' settings. Each team is guaranteed its part of a quarter of the machines, and may use
-// twice its part of all.
+// params returns the controllers' settings. The teams are guaranteed equal parts of a quarter of all CPUs; the limit of
+// each is twice its equal part of all CPUs.
 func (r *region) params() config.Params {
 	profile, limits := r.profile, r.profile.Limits
 	params := emulator.DefaultParams()
@@ -202,11 +202,11 @@
 		})
 	}
 	params.Objectives = []config.Objective{{Kind: "wait", Class: urgentClass, WithinS: 6.8, Share: 0.99}}
-	params.Workers.HeartbeatS = limits.ReportS
+	params.Workers.HeartbeatS = limits.HeartbeatS
 	params.Workers.LeaseS = limits.LeaseS
 	params.Workers.CancelS = limits.CancelS
 	params.KVStore = config.KVStore{
-		RPS:      limits.StateRPS,
+		RPS:      limits.StoreRPS,
 		WriteRPS: limits.WriteRPS,
 		ValueKB:  limits.ValueKB,
 		TxnOps:   limits.TxnOps,
@@ -218,21 +218,21 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// onTaskStart records the start latency of a job whose user is there, during the measurement.
-func (r *region) onTaskStart(s *wire.JobSpec) {
-	if submittedAt, ok := r.submittedAt.Load(s.ID); ok && r.measuring.Load() {
-		r.startLatencies[s.Class].add(time.Since(submittedAt.(time.Time)))
+// onTaskStart records the start latency of a job that has an active user, if the measurement is in progress.
+func (r *region) onTaskStart(spec *wire.JobSpec) {
+	if submittedAt, ok := r.submittedAt.Load(spec.ID); ok && r.measuring.Load() {
+		r.startLatencies[spec.Class].add(time.Since(submittedAt.(time.Time)))
 	}
 }
 
-// randomFloat draws from 0 to 1.
+// randomFloat returns a random number in [0, 1).
 func (r *region) randomFloat() float64 {
 	r.rngMu.Lock()
 	defer r.rngMu.Unlock()
 	return r.rng.Float64()
 }
 
-// newJob is a job array with a number of its own; runS is how long its owner says that a task runs.
+// newJob creates a job array with a new ID; runS is the estimated runtime of a task.
 func (r *region) newJob(class, priority, team string, tasks int, cpus, runS float64) *wire.JobSpec {
 	n := r.lastJobNumber.Add(1)
 	return &wire.JobSpec{
@@ -244,57 +244,55 @@
 		Tasks:     tasks,
 		CPUs:      cpus,
 		MemoryGB:  0.1,
-		Image:     fmt.Sprintf("img-%d", n%warmImages),
+		Image:     fmt.Sprintf("img-%d", n%warmImageCount),
 		ImageGB:   0.1,
 		EstimateS: runS,
 	}
 }
 
 const (
-	// pollInterval is how long users wait between two questions about a job, retryDelay between two attempts to submit
-	// it, and submitTimeout is after how long they give up.
-	pollInterval  = 5 * time.Second
-	retryDelay    = time.Second
-	submitTimeout = time.Minute
+	pollInterval  = 5 * time.Second // between status requests for a job
+	retryDelay    = time.Second     // between attempts to submit a job
+	submitTimeout = time.Minute     // after which a user abandons a submission
 )
 
-// runUser submits a job, insisting as users do, and asks about it until it is over.
-func (r *region) runUser(ctx context.Context, s *wire.JobSpec) {
+// simulateUser submits a job, with retries, and polls its status until it ends.
+func (r *region) simulateUser(ctx context.Context, spec *wire.JobSpec) {
 	startedAt := time.Now()
-	r.submittedAt.Store(s.ID, startedAt)
-	defer r.submittedAt.Delete(s.ID)
-	r.environment.Checker.RegisterJob(s)
-	body, err := wire.Marshal(s)
+	r.submittedAt.Store(spec.ID, startedAt)
+	defer r.submittedAt.Delete(spec.ID)
+	r.environment.Checker.RegisterJob(spec)
+	body, err := wire.Marshal(spec)
 	if err != nil {
 		return
 	}
 	for {
-		//nolint:contextcheck // a request that was sent is answered or times out, as a user's
-		code, _ := r.environment.Request("submit", s.ID, body)
+		//nolint:contextcheck // users don't cancel a request: it is answered or times out
+		code, _ := r.environment.Request("submit", spec.ID, body)
 		if code == http.StatusOK || code == http.StatusCreated {
 			break
 		}
 		if ctx.Err() != nil || time.Since(startedAt) > submitTimeout {
-			r.refused.Add(1)
+			r.abandoned.Add(1)
 			return
 		}
-		wait(ctx, retryDelay)
+		sleep(ctx, retryDelay)
 	}
 	if r.measuring.Load() {
 		r.submitLatency.add(time.Since(startedAt))
 	}
 	r.accepted.Add(1)
 	for ctx.Err() == nil {
-		wait(ctx, pollInterval)
-		code, status := r.environment.Request("poll", s.ID, nil) //nolint:contextcheck // as the submission
+		sleep(ctx, pollInterval)
+		code, status := r.environment.Request("poll", spec.ID, nil) //nolint:contextcheck // as for the submission
 		if code == http.StatusOK && (status.State == wire.JobDone || status.State == wire.JobCancelled) {
 			return
 		}
 	}
 }
 
-// wait pauses until the context ends at the latest.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -9,27 +9,28 @@
 	"text/tabwriter"
 )
 
-// Report is what a run measured. Rates are by second of the measured time.
+// Report is the result of a run. Rates are averages over the measured time.
 type Report struct {
-	Profile    Profile  `json:"profile"`
-	MeasuredS  float64  `json:"measured_s"`
-	Regions    []Region `json:"regions"`
-	Machine    Machine  `json:"machine"`
-	Violations []string `json:"rules_broken"`
-	// MachineLimit says why the figures are the machine's and not the service's; "" if they are the service's.
-	MachineLimit string `json:"machine_was_the_limit,omitempty"`
+	Profile    Profile   `json:"profile"`
+	MeasuredS  float64   `json:"measured_s"`
+	Regions    []Region  `json:"regions"`
+	Host       HostUsage `json:"machine"`
+	Violations []string  `json:"rules_broken"`
+	// HostBottleneck says why the host limited the run, in which case the report doesn't show what the service can do.
+	// It is empty if the host had capacity to spare.
+	HostBottleneck string `json:"machine_was_the_limit,omitempty"`
 }
 
-// Region is what one region did.
+// Region is the part of a report that concerns one region.
 type Region struct {
 	Leader  ControllerCost `json:"leader"`
-	Others  ControllerCost `json:"others"` // the mean of the controllers that do not lead
-	Peak    ControllerCost `json:"most"`   // of each figure the largest of any controller
+	Others  ControllerCost `json:"others"` // mean over the controllers other than the leader
+	Peak    ControllerCost `json:"most"`   // maximum of each value over all controllers
 	Store   StoreLoad      `json:"state_service"`
 	Workers struct {
 		Up         int     `json:"up"`
-		BytesS     float64 `json:"bytes_per_s"` // of one worker, both ways, headers included
-		Sockets    float64 `json:"sockets"`     // of one worker
+		BytesPerS  float64 `json:"bytes_per_s"` // per worker, both directions, headers included
+		Sockets    float64 `json:"sockets"`     // per worker
 		LostLeases int     `json:"leases_lost"`
 	} `json:"workers"`
 	StartsPerS       float64            `json:"starts_per_s"`
@@ -39,13 +40,13 @@
 	StartLatency     map[string]Latency `json:"start_latency_ms"`
 	SubmitLatency    Latency            `json:"submit_latency_ms"`
 	Accepted         int64              `json:"submissions_accepted"`
-	GivenUp          int64              `json:"submissions_given_up"`
+	Abandoned        int64              `json:"submissions_given_up"`
 	Failovers        map[string]float64 `json:"takeovers"`
 }
 
-// ControllerCost is what a controller costs.
+// ControllerCost is the resource usage and the request rates of a controller.
 type ControllerCost struct {
-	CPU                           float64 `json:"cpu"` // processor seconds a second
+	CPU                           float64 `json:"cpu"` // cores
 	ResidentMB                    float64 `json:"resident_mb"`
 	HeapMB                        float64 `json:"heap_mb"`
 	Sockets                       float64 `json:"sockets"`
@@ -60,7 +61,7 @@
 	BatchesPerS                   float64 `json:"log_batches_per_s"`
 }
 
-// StoreLoad is what the key-value store was asked for.
+// StoreLoad is the load on the key-value store.
 type StoreLoad struct {
 	RequestsPerS float64 `json:"requests_per_s"`
 	ChangesPerS  float64 `json:"changes_per_s"`
@@ -68,7 +69,7 @@
 	Keys         int     `json:"keys"`
 }
 
-// Latency is a distribution in milliseconds.
+// Latency summarizes a latency distribution, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   int64   `json:"p50"`
@@ -77,15 +78,15 @@
 	Mean  float64 `json:"mean"`
 }
 
-// Machine is what the run took of the machine it ran on. The hollow side is this process: all hollow workers and
-// emulators.
-type Machine struct {
-	HollowCPU    float64 `json:"hollow_cpu"` // processor seconds a second
-	HollowMB     float64 `json:"hollow_mb"`
-	HollowLagP99 float64 `json:"hollow_lag_p99_ms"`
-	Idle         float64 `json:"idle_share"`
-	Steal        float64 `json:"steal_share"`
-	CPUPerWorker float64 `json:"hollow_cpu_per_worker"`
+// HostUsage is the load of a run on the machine that it ran on. The hollow values are those of this process, which runs
+// all hollow workers and the emulators.
+type HostUsage struct {
+	HollowCPU      float64 `json:"hollow_cpu"` // cores
+	HollowMB       float64 `json:"hollow_mb"`
+	HollowLagP99MS float64 `json:"hollow_lag_p99_ms"`
+	IdleShare      float64 `json:"idle_share"`
+	StealShare     float64 `json:"steal_share"`
+	CPUPerWorker   float64 `json:"hollow_cpu_per_worker"`
 }
 
 func (l *latencyRecorder) summary() Latency {
@@ -100,15 +101,15 @@
 	}
 }
 
-// perSecond is the rate at which counters grew together; one that was reset by a restart counts as 0.
-func perSecond(before, after metricValues, seconds float64, names ...string) (sum float64) {
+// perSecond returns the summed rate of counters. A counter that a restart has reset counts as 0.
+func perSecond(before, after metricSamples, seconds float64, names ...string) (sum float64) {
 	for _, name := range names {
 		sum += max(0, after[name]-before[name]) / seconds
 	}
 	return sum
 }
 
-// responseCounters names the counters of the responses to some kinds of requests.
+// responseCounters returns the names of the counters of the responses to some kinds of requests.
 func responseCounters(kinds ...string) (names []string) {
 	for _, kind := range kinds {
 		for _, outcome := range []string{"ok", "refused", "later"} {
@@ -123,8 +124,8 @@
 	bytesPerKB = 1 << 10
 )
 
-// controllerCost is the cost of a controller between two readings of its metrics.
-func controllerCost(before, after metricValues, seconds float64) ControllerCost {
+// controllerCost computes the cost of a controller from two samples of its metrics.
+func controllerCost(before, after metricSamples, seconds float64) ControllerCost {
 	rate := func(names ...string) float64 { return perSecond(before, after, seconds, names...) }
 	return ControllerCost{
 		CPU:                           rate("process_cpu_seconds_total"),
@@ -143,26 +144,26 @@
 	}
 }
 
-// fields are the figures, for means and maxima.
-func (r *ControllerCost) fields() []*float64 {
+// values returns pointers to all fields, to compute means and maxima.
+func (c *ControllerCost) values() []*float64 {
 	return []*float64{
-		&r.CPU,
-		&r.ResidentMB,
-		&r.HeapMB,
-		&r.Sockets,
-		&r.Threads,
-		&r.HeartbeatsPerS,
-		&r.HeartbeatsRelayedPerS,
-		&r.HeartbeatsAnsweredLocallyPerS,
-		&r.UserRequestsPerS,
-		&r.FramesPerS,
-		&r.PeerBytesPerS,
-		&r.LogBytesPerS,
-		&r.BatchesPerS,
+		&c.CPU,
+		&c.ResidentMB,
+		&c.HeapMB,
+		&c.Sockets,
+		&c.Threads,
+		&c.HeartbeatsPerS,
+		&c.HeartbeatsRelayedPerS,
+		&c.HeartbeatsAnsweredLocallyPerS,
+		&c.UserRequestsPerS,
+		&c.FramesPerS,
+		&c.PeerBytesPerS,
+		&c.LogBytesPerS,
+		&c.BatchesPerS,
 	}
 }
 
-// summarize makes a region's report of what was counted before and after the measurement.
+// summarize computes a region's report from the snapshots before and after the measurement.
 func (r *region) summarize(before, after snapshot) Region {
 	seconds := after.at.Sub(before.at).Seconds()
 	summary := Region{
@@ -173,20 +174,20 @@
 			Keys:         after.store.Keys,
 		},
 		StartsPerS:       float64(after.starts-before.starts) / seconds,
-		TargetStartsPerS: r.profile.rate(r.index, r.profile.WarmupS+r.profile.RunS/2),
+		TargetStartsPerS: r.profile.startRate(r.index, r.profile.WarmupS+r.profile.RunS/2),
 		TasksRunning:     r.environment.Checker.Tasks(),
 		StartLatency:     map[string]Latency{},
 		SubmitLatency:    r.submitLatency.summary(),
 		Accepted:         r.accepted.Load(),
-		GivenUp:          r.refused.Load(),
+		Abandoned:        r.abandoned.Load(),
 		Failovers:        map[string]float64{},
 	}
 	summary.addControllers(before.controllers, after.controllers, seconds)
 	workers := max(1, len(r.environment.Cloud.Workers()))
 	workerBytes := after.workerBytes[0] + after.workerBytes[1] - before.workerBytes[0] - before.workerBytes[1]
 	summary.Workers.Up = workers
-	summary.Workers.BytesS = float64(workerBytes) / seconds / float64(workers)
-	summary.Workers.Sockets = float64(r.network.workers.open.Load()) / float64(workers)
+	summary.Workers.BytesPerS = float64(workerBytes) / seconds / float64(workers)
+	summary.Workers.Sockets = float64(r.network.workerTraffic.open.Load()) / float64(workers)
 	summary.Workers.LostLeases = r.countLostLeases()
 	for class, latencies := range r.startLatencies {
 		summary.StartLatency[class] = latencies.summary()
@@ -194,34 +195,34 @@
 	return summary
 }
 
-// addControllers adds what the controllers cost that answered before and after.
-func (s *Region) addControllers(before, after []metricValues, seconds float64) {
+// addControllers adds the costs of the controllers whose metrics were read both before and after the measurement.
+func (r *Region) addControllers(before, after []metricSamples, seconds float64) {
 	others := 0.0
 	for i, values := range after {
 		if values == nil || before[i] == nil {
 			continue
 		}
 		cost := controllerCost(before[i], values, seconds)
-		s.Failovers["terms"] += max(0, values["fieldhill_terms_total"]-before[i]["fieldhill_terms_total"])
-		for k, figure := range cost.fields() {
-			peak := s.Peak.fields()[k]
-			*peak = max(*peak, *figure)
+		r.Failovers["terms"] += max(0, values["fieldhill_terms_total"]-before[i]["fieldhill_terms_total"])
+		for k, value := range cost.values() {
+			peak := r.Peak.values()[k]
+			*peak = max(*peak, *value)
 		}
 		if values["fieldhill_leads"] == 1 {
-			s.Leader, s.JobsKnown = cost, int(values["fieldhill_jobs"])
+			r.Leader, r.JobsKnown = cost, int(values["fieldhill_jobs"])
 			continue
 		}
 		others++
-		for k, figure := range cost.fields() {
-			*s.Others.fields()[k] += *figure
+		for k, value := range cost.values() {
+			*r.Others.values()[k] += *value
 		}
 	}
-	for _, figure := range s.Others.fields() {
-		*figure /= max(1, others)
+	for _, value := range r.Others.values() {
+		*value /= max(1, others)
 	}
 }
 
-// The columns of the printed tables.
+// Columns of the printed tables.
 var (
 	controllerColumns = []string{
 		"region", "role", "cpu", "resident MB", "heap MB", "sockets", "threads", "reports/s", "relayed/s", "kept/s",
@@ -234,7 +235,7 @@
 	}
 )
 
-// Print writes the report for people.
+// Print writes the report as text tables.
 func (r *Report) Print(w io.Writer) error {
 	var b strings.Builder
 	writeRow(&b, controllerColumns...)
@@ -250,10 +251,10 @@
 		writeRow(&b, regionCells(i, &r.Regions[i])...)
 	}
 	fmt.Fprintf(&b, "\nhollow side: %.2f cores, %.0f MB, timers late by %.1f ms (p99); ",
-		r.Machine.HollowCPU, r.Machine.HollowMB, r.Machine.HollowLagP99)
-	fmt.Fprintf(&b, "machine idle %.2f, stolen %.3f\n", r.Machine.Idle, r.Machine.Steal)
-	if r.MachineLimit != "" {
-		fmt.Fprintf(&b, "THE MACHINE WAS THE LIMIT: %s\n", r.MachineLimit)
+		r.Host.HollowCPU, r.Host.HollowMB, r.Host.HollowLagP99MS)
+	fmt.Fprintf(&b, "machine idle %.2f, stolen %.3f\n", r.Host.IdleShare, r.Host.StealShare)
+	if r.HostBottleneck != "" {
+		fmt.Fprintf(&b, "THE MACHINE WAS THE LIMIT: %s\n", r.HostBottleneck)
 	}
 	fmt.Fprintf(&b, "rules broken: %d\n", len(r.Violations))
 	for _, violation := range r.Violations {
@@ -291,7 +292,7 @@
 	return []string{
 		strconv.Itoa(index),
 		strconv.Itoa(region.Workers.Up),
-		fmt.Sprintf("%.2f", region.Workers.BytesS/bytesPerKB),
+		fmt.Sprintf("%.2f", region.Workers.BytesPerS/bytesPerKB),
 		strconv.Itoa(region.Workers.LostLeases),
 		fmt.Sprintf("%.0f", region.StartsPerS),
 		fmt.Sprintf("%.0f", region.TargetStartsPerS),
@@ -301,7 +302,7 @@
 		quantiles(region.StartLatency[churnClass]),
 		strconv.FormatInt(region.SubmitLatency.P99, 10),
 		strconv.FormatInt(region.Accepted, 10),
-		strconv.FormatInt(region.GivenUp, 10),
+		strconv.FormatInt(region.Abandoned, 10),
 		fmt.Sprintf("%.0f", region.Store.RequestsPerS),
 		fmt.Sprintf("%.1f", region.Store.ChangesPerS),
 	}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -7,20 +7,20 @@
 	"fieldhill/internal/golden"
 )
 
-// distinctCost has a value of its own in every field.
-func distinctCost(base float64) (cost ControllerCost) {
-	for i, field := range cost.fields() {
+// costWithDistinctValues returns a cost whose fields all differ.
+func costWithDistinctValues(base float64) (cost ControllerCost) {
+	for i, field := range cost.values() {
 		*field = base + 1000*float64(i) + 0.125
 	}
 	return cost
 }
 
-// TestGoldenReport: scripts and people read the printed tables; each figure stays in its column, with its digits.
+// TestGoldenReport checks the printed report, whose columns and number formats scripts rely on.
 func TestGoldenReport(t *testing.T) {
 	region := Region{
-		Leader:           distinctCost(1),
-		Others:           distinctCost(20),
-		Peak:             distinctCost(300),
+		Leader:           costWithDistinctValues(1),
+		Others:           costWithDistinctValues(20),
+		Peak:             costWithDistinctValues(300),
 		Store:            StoreLoad{RequestsPerS: 41.5, ChangesPerS: 42.25, BytesPerS: 43, Keys: 44},
 		StartsPerS:       51.5,
 		TargetStartsPerS: 52,
@@ -32,17 +32,17 @@
 		},
 		SubmitLatency: Latency{Count: 81, P50: 82, P99: 83, Max: 84, Mean: 85},
 		Accepted:      91,
-		GivenUp:       92,
+		Abandoned:     92,
 		Failovers:     map[string]float64{"terms": 93},
 	}
 	region.Workers.Up = 101
-	region.Workers.BytesS = 10_240
+	region.Workers.BytesPerS = 10_240
 	region.Workers.Sockets = 1.5
 	region.Workers.LostLeases = 102
 	report := &Report{
 		MeasuredS: 20,
 		Regions:   []Region{region, {}},
-		Machine: Machine{HollowCPU: 1.25, HollowMB: 512, HollowLagP99: 2.5, Idle: 0.5, Steal: 0.125,
+		Host: HostUsage{HollowCPU: 1.25, HollowMB: 512, HollowLagP99MS: 2.5, IdleShare: 0.5, StealShare: 0.125,
 			CPUPerWorker: 0.001},
 		Violations: []string{"region 0: quota: one", "region 1: forgotten: another"},
 	}
@@ -54,7 +54,7 @@
 		}
 	}
 	print()
-	report.MachineLimit, report.Violations = "its processors", nil
+	report.HostBottleneck, report.Violations = "its processors", nil
 	print()
 	golden.Check(t, "report.txt", []byte(b.String()))
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Options are how a run is carried out.
+// Options configures how a run is executed.
 type Options struct {
-	Program      string // the controllers' program
-	Dir          string // for their settings and logs
-	FirstNetByte int    // second byte of the first region's loopback addresses; 0: defaultNetByte
-	// OnProgress, if not nil, is called with a line for people every progressInterval.
+	Program      string // path of the controller executable
+	Dir          string // directory for the controllers' settings and logs
+	FirstNetByte int    // second byte of the first region's loopback addresses; 0 means defaultNetByte
+	// OnProgress, if not nil, is called with a line of text every progressInterval.
 	OnProgress func(string)
 }
 
 const (
 	progressInterval    = 5 * time.Second
 	memoryCheckInterval = 2 * time.Second
-	// For the figures to be the service's, hollow workers may be at most so late, so much of the machine must be idle,
-	// and so much of it may be taken by others.
-	maxLagMillis  = 50.0
+	// Beyond these limits the host is the bottleneck, and the measured values aren't those of the service.
+	maxTimerLagMS = 50.0
 	minIdleShare  = 0.05
 	maxStealShare = 0.1
 )
 
-// Run carries out a profile. It ends by itself, and ends all that it started, also when the context does.
+// Run executes a profile. Before it returns, also because the context was cancelled, it stops everything that it
+// started.
 func Run(ctx context.Context, p Profile, o Options) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		go r.generateLoad(ctx, startedAt)
 	}
 	go watchMemory(ctx, cancel, regions)
-	if err := waitReporting(ctx, regions, seconds(p.WarmupS), o.OnProgress); err != nil {
+	if err := waitWithProgress(ctx, regions, secondsToDuration(p.WarmupS), o.OnProgress); err != nil {
 		return nil, err
 	}
 	for _, r := range regions {
@@ -57,14 +57,14 @@
 	}
 	lag.reset()
 	before := readUsage(ctx, regions)
-	if err := waitReporting(ctx, regions, seconds(p.RunS), o.OnProgress); err != nil {
+	if err := waitWithProgress(ctx, regions, secondsToDuration(p.RunS), o.OnProgress); err != nil {
 		return nil, err
 	}
 	after := readUsage(ctx, regions)
 	return newReport(p, regions, before, after, lag), nil
 }
 
-// startRegions starts all regions. With an error it returns those that run already.
+// startRegions starts all regions. If it fails, it also returns the regions that are running.
 func startRegions(ctx context.Context, p *Profile, o Options) (regions []*region, err error) {
 	if o.FirstNetByte == 0 {
 		o.FirstNetByte = defaultNetByte
@@ -81,24 +81,24 @@
 	return regions, nil
 }
 
-// usage is what all counters say at one moment: the regions' and the machine's.
-type usage struct {
+// usageSample is a sample of the counters of all regions and of the host.
+type usageSample struct {
 	at         time.Time
 	regions    []snapshot
-	machine    cpuTimes
+	host       cpuTimes
 	hollowCPU  float64 // seconds
 	residentMB float64 // of this process
 }
 
-func readUsage(ctx context.Context, regions []*region) usage {
-	u := usage{regions: takeSnapshots(ctx, regions), machine: readCPUTimes()}
-	u.hollowCPU, u.residentMB = ownUsage()
+func readUsage(ctx context.Context, regions []*region) usageSample {
+	u := usageSample{regions: takeSnapshots(ctx, regions), host: readCPUTimes()}
+	u.hollowCPU, u.residentMB = processUsage()
 	u.at = time.Now()
 	return u
 }
 
-// newReport makes the report of what was counted before and after the measurement.
-func newReport(p Profile, regions []*region, before, after usage, lag *timerLag) *Report {
+// newReport computes the report from the samples before and after the measurement.
+func newReport(p Profile, regions []*region, before, after usageSample, lag *timerLag) *Report {
 	measuredS := after.at.Sub(before.at).Seconds()
 	report := &Report{Profile: p, MeasuredS: measuredS}
 	workers := 0
@@ -110,31 +110,31 @@
 			report.Violations = append(report.Violations, fmt.Sprintf("region %d: %s", i, violation))
 		}
 	}
-	total := max(1, after.machine.total-before.machine.total)
+	total := max(1, after.host.total-before.host.total)
 	hollowCPU := (after.hollowCPU - before.hollowCPU) / measuredS
-	report.Machine = Machine{
-		HollowCPU:    hollowCPU,
-		HollowMB:     after.residentMB,
-		HollowLagP99: lag.p99Millis(),
-		Idle:         (after.machine.idle - before.machine.idle) / total,
-		Steal:        (after.machine.steal - before.machine.steal) / total,
-		CPUPerWorker: hollowCPU / float64(max(1, workers)),
+	report.Host = HostUsage{
+		HollowCPU:      hollowCPU,
+		HollowMB:       after.residentMB,
+		HollowLagP99MS: lag.p99MS(),
+		IdleShare:      (after.host.idle - before.host.idle) / total,
+		StealShare:     (after.host.steal - before.host.steal) / total,
+		CPUPerWorker:   hollowCPU / float64(max(1, workers)),
 	}
-	report.MachineLimit = limitingCause(report.Machine)
+	report.HostBottleneck = hostBottleneck(report.Host)
 	return report
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// limitingCause says why the figures are the machine's and not the service's, "" if they are the service's.
-func limitingCause(m Machine) string {
+// hostBottleneck says why the host limited the run, or returns "" if it didn't.
+func hostBottleneck(host HostUsage) string {
 	switch {
-	case m.HollowLagP99 > maxLagMillis:
-		return fmt.Sprintf("hollow workers' timers are %.0f ms late", m.HollowLagP99)
-	case m.Idle < minIdleShare:
-		return fmt.Sprintf("only %.0f%% of its processors are idle", 100*m.Idle)
-	case m.Steal > maxStealShare:
-		return fmt.Sprintf("%.0f%% of its processors' time is taken by others", 100*m.Steal)
+	case host.HollowLagP99MS > maxTimerLagMS:
+		return fmt.Sprintf("timers of the hollow workers fire %.0f ms late (p99)", host.HollowLagP99MS)
+	case host.IdleShare < minIdleShare:
+		return fmt.Sprintf("only %.0f%% of the CPU time is idle", 100*host.IdleShare)
+	case host.StealShare > maxStealShare:
+		return fmt.Sprintf("%.0f%% of the CPU time is stolen by the hypervisor", 100*host.StealShare)
 	}
 	return ""
 }
@@ -146,11 +146,11 @@
 	return all
 }
 
-// watchMemory cancels a run that takes too much of the machine's memory.
+// watchMemory cancels a run that uses too much of the host's memory.
 func watchMemory(ctx context.Context, cancel context.CancelCauseFunc, regions []*region) {
 	for ctx.Err() == nil {
-		wait(ctx, memoryCheckInterval)
-		_, resident := ownUsage()
+		sleep(ctx, memoryCheckInterval)
+		_, resident := processUsage()
 		for _, r := range regions {
 			for i := range r.profile.ControllersPerRegion {
 				resident += scrapeMetrics(ctx, metricsAddr(r.netByte, i))["process_resident_memory_bytes"] / bytesPerMB
@@ -163,11 +163,11 @@
 	}
 }
 
-// waitReporting waits for a while, and reports progress meanwhile.
-func waitReporting(ctx context.Context, regions []*region, duration time.Duration, onProgress func(string)) error {
+// waitWithProgress waits and reports progress periodically. It returns the cause if the context ends.
+func waitWithProgress(ctx context.Context, regions []*region, duration time.Duration, onProgress func(string)) error {
 	deadline := time.Now().Add(duration)
 	for time.Now().Before(deadline) {
-		wait(ctx, min(progressInterval, time.Until(deadline)))
+		sleep(ctx, min(progressInterval, time.Until(deadline)))
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
@@ -181,7 +181,7 @@
 			starts += r.environment.Checker.Starts()
 			violations += len(r.environment.Checker.Violations())
 		}
-		onProgress(fmt.Sprintf("%d workers, %d tasks on them, %d starts so far, %d rules broken",
+		onProgress(fmt.Sprintf("%d workers, %d tasks running, %d tasks started, %d rules broken",
 			workers, running, starts, violations))
 	}
 	return nil
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestFitLineRecoversSlope: the slope of drawn points with noise lies within some errors of the true one, and a bend
-// is seen.
-func TestFitLineRecoversSlope(t *testing.T) {
+// TestFitLineRecoversSlopeAndCurvature checks that the coefficients fitted to noisy points lie within four standard
+// errors of the true ones, and that a change of slope is detected.
+func TestFitLineRecoversSlopeAndCurvature(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var points, bent []Point
 	for x := 100.0; x <= 1000; x += 100 {
@@ -25,15 +25,15 @@
 		l.SlopeErr > 0.002 || l.MinSize != 100 || l.MaxSize != 1000 || l.PointCount != 30 {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if l, err := FitLine(bent); err != nil || l.Bend < 0.5 {
-		t.Errorf("a bend is not seen: %+v, %v", l, err)
+	if l, err := FitLine(bent); err != nil || l.SlopeChange < 0.5 {
+		t.Errorf("change of slope not detected: %+v, %v", l, err)
 	}
 	if _, err := FitLine(points[:6]); err == nil {
-		t.Error("a slope of two sizes")
+		t.Error("fitted a line to points of only two sizes")
 	}
 }
 
-// TestProfileErrorsNameTheField: each wrong setting gets one error that begins with the field's name.
+// TestProfileErrorsNameTheField checks that the error for an invalid value begins with the name of its field.
 func TestProfileErrorsNameTheField(t *testing.T) {
 	for text, field := range map[string]string{
 		"workers = 0":                            "workers:",
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestDeployedProfilesLoad: the profiles and sweeps in deploy/scale are valid.
+// TestDeployedProfilesLoad checks that the profiles and sweeps in deploy/scale are valid.
 func TestDeployedProfilesLoad(t *testing.T) {
 	files, err := os.ReadDir("../../deploy/scale")
 	if err != nil || len(files) < 5 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestCapacityPageIsCurrent: the tables of docs/CAPACITY.md are those that the stored measurements give.
+// TestCapacityPageIsCurrent checks that docs/CAPACITY.md contains the tables computed from the stored measurements.
 func TestCapacityPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -9,31 +9,33 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Sweep is a profile and what is varied of it, one field at a time.
+// Sweep is a base profile and the series of runs that each vary one of its parameters.
 type Sweep struct {
 	Profile Profile  `toml:"profile"`
 	Repeat  int      `toml:"repeat"`
 	Series  []Series `toml:"series"`
 }
 
-// Series is one field that is varied, and its values.
+// Series is a parameter of the profile and the values that it takes.
 type Series struct {
-	Varied string    `toml:"vary"`
-	Values []float64 `toml:"values"`
+	Parameter string    `toml:"vary"`
+	Values    []float64 `toml:"values"`
 }
 
-// workerStartsPerS is how many workers a second come up at least, so that all are there when the measurement begins.
+// workerStartsPerS is a lower bound of the rate at which workers start. The warm-up is extended accordingly, so that
+// all workers are up when the measurement begins.
 const workerStartsPerS = 40
 
-// A series has at least so many sizes, each run at least so often, for slopes with an error that can be trusted.
+// Fewer sizes per series or fewer runs per size would give unreliable standard errors of the slopes.
 const (
 	minSizes   = 4
 	minRepeats = 3
 )
 
-// variations are the fields that a series may vary.
+// variations sets each parameter that a series may vary to a value.
 var variations = map[string]func(p *Profile, v float64){
-	// A long task runs on each worker; the starts and the short tasks stay, and sockets grow with the workers.
+	// Each worker runs one long task; the start rate and the number of short tasks stay constant, and the socket limit
+	// grows with the number of workers.
 	"workers": func(p *Profile, v float64) {
 		p.Limits.MaxSockets = int(float64(p.Limits.MaxSockets) * v / float64(p.Workers))
 		p.WarmupS += v / workerStartsPerS
@@ -44,12 +46,12 @@
 	"starts_per_s":    func(p *Profile, v float64) { p.Starts.PerS = v },
 	"finished_before": func(p *Profile, v float64) { p.FinishedBefore = int(v); p.WarmupS += v / finishedJobsPerS },
 	"teams":           func(p *Profile, v float64) { p.Teams = int(v) },
-	// As many machines run gangs, of another size.
+	// The number of machines that run gangs stays constant.
 	"gang_size":   func(p *Profile, v float64) { p.Gangs.Sizes = []int{int(v)} },
 	"controllers": func(p *Profile, v float64) { p.ControllersPerRegion = int(v) },
 }
 
-// LoadSweep reads a sweep's file and checks it.
+// LoadSweep reads and validates a sweep file.
 func LoadSweep(path string) (*Sweep, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -64,21 +66,21 @@
 
 func (s *Sweep) check() error {
 	if s.Repeat < minRepeats {
-		return fmt.Errorf("repeat: %d is under %d", s.Repeat, minRepeats)
+		return fmt.Errorf("repeat: %d is less than %d", s.Repeat, minRepeats)
 	}
 	if err := s.Profile.Check(); err != nil {
 		return fmt.Errorf("profile.%w", err)
 	}
-	for i, x := range s.Series {
-		if variations[x.Varied] == nil {
-			return fmt.Errorf("series[%d].vary: %q can't be varied", i, x.Varied)
+	for i, series := range s.Series {
+		if variations[series.Parameter] == nil {
+			return fmt.Errorf("series[%d].vary: unknown parameter %q", i, series.Parameter)
 		}
-		if distinctSizes(sizePoints(x.Values)) < minSizes {
-			return fmt.Errorf("series[%d].values: under %d sizes", i, minSizes)
+		if distinctSizes(pointsAtSizes(series.Values)) < minSizes {
+			return fmt.Errorf("series[%d].values: fewer than %d distinct values", i, minSizes)
 		}
-		for _, v := range x.Values {
+		for _, v := range series.Values {
 			p := s.Profile
-			variations[x.Varied](&p, v)
+			variations[series.Parameter](&p, v)
 			if err := p.Check(); err != nil {
 				return fmt.Errorf("series[%d].values: at %v: %w", i, v, err)
 			}
@@ -87,75 +89,76 @@
 	return nil
 }
 
-func sizePoints(sizes []float64) (points []Point) {
+func pointsAtSizes(sizes []float64) (points []Point) {
 	for _, x := range sizes {
 		points = append(points, Point{Size: x})
 	}
 	return points
 }
 
-// Measurement is what a sweep stores of one run: the figures that slopes are fitted to.
+// Measurement is the stored result of one run of a sweep: the metrics that lines are fitted to.
 type Measurement struct {
-	Varied       string             `json:"vary"`
-	Value        float64            `json:"x"`
-	Run          string             `json:"run"`
-	MachineLimit string             `json:"machine_was_the_limit,omitempty"`
-	Violations   int                `json:"rules_broken"`
-	Figures      map[string]float64 `json:"figures"`
+	Parameter      string             `json:"vary"`
+	Value          float64            `json:"x"`
+	Run            string             `json:"run"`
+	HostBottleneck string             `json:"machine_was_the_limit,omitempty"`
+	Violations     int                `json:"rules_broken"`
+	Metrics        map[string]float64 `json:"figures"`
 }
 
-// figureDigits is to what fraction figures are rounded.
-const figureDigits = 1e5
+// Metrics are rounded to multiples of 1/metricScale.
+const metricScale = 1e5
 
-// figures are what slopes are fitted to, of a run of one region.
-func figures(r *Report) map[string]float64 {
-	g := r.Regions[0]
-	out := map[string]float64{
-		"leader cpu":         g.Leader.CPU,
-		"leader resident MB": g.Leader.ResidentMB,
-		"leader heap MB":     g.Leader.HeapMB,
-		"leader sockets":     g.Leader.Sockets,
-		"leader reports/s":   g.Leader.HeartbeatsPerS,
-		"leader peer KB/s":   g.Leader.PeerBytesPerS / bytesPerKB,
-		"leader log KB/s":    g.Leader.LogBytesPerS / bytesPerKB,
-		"leader batches/s":   g.Leader.BatchesPerS,
-		"other cpu":          g.Others.CPU,
-		"other resident MB":  g.Others.ResidentMB,
-		"other sockets":      g.Others.Sockets,
-		"other peer KB/s":    g.Others.PeerBytesPerS / bytesPerKB,
-		"state requests/s":   g.Store.RequestsPerS,
-		"state changes/s":    g.Store.ChangesPerS,
-		"state KB/s":         g.Store.BytesPerS / bytesPerKB,
-		"state keys":         float64(g.Store.Keys),
-		"worker KB/s":        g.Workers.BytesS / bytesPerKB,
-		"worker sockets":     g.Workers.Sockets,
-		"hollow cpu":         r.Machine.HollowCPU,
-		"hollow MB":          r.Machine.HollowMB,
-		"starts/s":           g.StartsPerS,
-		"urgent p99 s":       float64(g.StartLatency[urgentClass].P99) / 1000,
-		"submit p99 s":       float64(g.SubmitLatency.P99) / 1000,
-		"leases lost":        float64(g.Workers.LostLeases),
+// reportMetrics returns the metrics of the first region of a run.
+func reportMetrics(r *Report) map[string]float64 {
+	region := r.Regions[0]
+	metrics := map[string]float64{
+		"leader cpu":         region.Leader.CPU,
+		"leader resident MB": region.Leader.ResidentMB,
+		"leader heap MB":     region.Leader.HeapMB,
+		"leader sockets":     region.Leader.Sockets,
+		"leader reports/s":   region.Leader.HeartbeatsPerS,
+		"leader peer KB/s":   region.Leader.PeerBytesPerS / bytesPerKB,
+		"leader log KB/s":    region.Leader.LogBytesPerS / bytesPerKB,
+		"leader batches/s":   region.Leader.BatchesPerS,
+		"other cpu":          region.Others.CPU,
+		"other resident MB":  region.Others.ResidentMB,
+		"other sockets":      region.Others.Sockets,
+		"other peer KB/s":    region.Others.PeerBytesPerS / bytesPerKB,
+		"state requests/s":   region.Store.RequestsPerS,
+		"state changes/s":    region.Store.ChangesPerS,
+		"state KB/s":         region.Store.BytesPerS / bytesPerKB,
+		"state keys":         float64(region.Store.Keys),
+		"worker KB/s":        region.Workers.BytesPerS / bytesPerKB,
+		"worker sockets":     region.Workers.Sockets,
+		"hollow cpu":         r.Host.HollowCPU,
+		"hollow MB":          r.Host.HollowMB,
+		"starts/s":           region.StartsPerS,
+		"urgent p99 s":       float64(region.StartLatency[urgentClass].P99) / 1000,
+		"submit p99 s":       float64(region.SubmitLatency.P99) / 1000,
+		"leases lost":        float64(region.Workers.LostLeases),
 	}
-	for k, v := range out {
-		out[k] = math.Round(v*figureDigits) / figureDigits
+	for k, v := range metrics {
+		metrics[k] = math.Round(v*metricScale) / metricScale
 	}
-	return out
+	return metrics
 }
 
-// Run carries the sweep out, one run after the other, and calls onMeasurement after each.
+// Run executes the runs of the sweep sequentially and calls onMeasurement after each. Unless onlyParameter is empty, it
+// executes only the series of that parameter.
 func (s *Sweep) Run(
 	ctx context.Context,
 	o Options,
-	onlyVaried string,
+	onlyParameter string,
 	onMeasurement func(Measurement, *Report) error,
 ) error {
 	for _, series := range s.Series {
-		if onlyVaried != "" && series.Varied != onlyVaried {
+		if onlyParameter != "" && series.Parameter != onlyParameter {
 			continue
 		}
 		for repeat := range s.Repeat {
 			for _, value := range series.Values {
-				measurement, report, err := s.measure(ctx, o, series.Varied, value, repeat)
+				measurement, report, err := s.measure(ctx, o, series.Parameter, value, repeat)
 				if err != nil {
 					return err
 				}
@@ -168,24 +171,24 @@
 	return nil
 }
 
-// measure carries out one run of a sweep.
+// measure executes one run of a sweep.
 func (s *Sweep) measure(
-	ctx context.Context, o Options, varied string, value float64, repeat int,
+	ctx context.Context, o Options, parameter string, value float64, repeat int,
 ) (Measurement, *Report, error) {
 	p := s.Profile
 	p.Seed += uint64(repeat)
-	p.Name = fmt.Sprintf("%s-%g-%d", varied, value, repeat+1)
-	variations[varied](&p, value)
+	p.Name = fmt.Sprintf("%s-%g-%d", parameter, value, repeat+1)
+	variations[parameter](&p, value)
 	report, err := Run(ctx, p, o)
 	if err != nil {
 		return Measurement{}, nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
 	return Measurement{
-		Varied:       varied,
-		Value:        value,
-		Run:          p.Name,
-		MachineLimit: report.MachineLimit,
-		Violations:   len(report.Violations),
-		Figures:      figures(report),
+		Parameter:      parameter,
+		Value:          value,
+		Run:            p.Name,
+		HostBottleneck: report.HostBottleneck,
+		Violations:     len(report.Violations),
+		Metrics:        reportMetrics(report),
 	}, report, nil
 }
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -9,7 +9,8 @@
 	"fieldhill/wire"
 )
 
-// generateLoad submits what the profile asks for until the context ends; the run began at a time.
+// generateLoad submits the profile's workload and injects its failures until the context ends. startedAt is the start
+// of the run.
 func (r *region) generateLoad(ctx context.Context, startedAt time.Time) {
 	r.submitBaseLoad(ctx)
 	go r.submitUrgent(ctx)
@@ -18,49 +19,50 @@
 	r.submitShortTasks(ctx, startedAt)
 }
 
-// submitBaseLoad keeps every machine from being released: a long task on each, or gangs on those with accelerators.
+// submitBaseLoad submits a long-running task for each machine, or gangs for the GPU machines, so that no machine is
+// released as idle.
 func (r *region) submitBaseLoad(ctx context.Context) {
 	if n := r.cpuMachines(); n > 0 {
-		s := r.newJob(baseClass, wire.High, baseTeam, n, baseTaskCPUs, outlivesRunS)
+		s := r.newJob(baseClass, wire.High, baseTeam, n, baseTaskCPUs, baseRuntimeS)
 		s.Types = []string{cpuType}
-		go r.runUser(ctx, s)
+		go r.simulateUser(ctx, s)
 	}
-	left := r.gpuMachines()
-	if len(r.profile.Gangs.Sizes) == 0 && left > 0 {
-		s := r.newJob(baseClass, wire.High, baseTeam, left, baseTaskCPUs, outlivesRunS)
+	remaining := r.gpuMachines()
+	if len(r.profile.Gangs.Sizes) == 0 && remaining > 0 {
+		s := r.newJob(baseClass, wire.High, baseTeam, remaining, baseTaskCPUs, baseRuntimeS)
 		s.Types = []string{gpuType}
-		go r.runUser(ctx, s)
+		go r.simulateUser(ctx, s)
 		return
 	}
-	for k := 0; left > 0; k++ {
-		size := min(left, r.profile.Gangs.Sizes[k%len(r.profile.Gangs.Sizes)])
-		left -= size
+	for k := 0; remaining > 0; k++ {
+		size := min(remaining, r.profile.Gangs.Sizes[k%len(r.profile.Gangs.Sizes)])
+		remaining -= size
 		go r.submitGangs(ctx, size)
 	}
 }
 
-// submitGangs submits a gang, and another of its size whenever one is over.
+// submitGangs submits a gang, and another one of the same size each time the previous one ends.
 func (r *region) submitGangs(ctx context.Context, size int) {
 	for ctx.Err() == nil {
-		s := r.newJob(gangClass, wire.High, baseTeam, size, baseTaskCPUs, r.profile.Gangs.RunS/runtimeFactor)
+		s := r.newJob(gangClass, wire.High, baseTeam, size, baseTaskCPUs, r.profile.Gangs.RunS/meanRuntimeFactor)
 		s.Shape = wire.Gang
 		s.Types = []string{gpuType}
 		s.GPUs = 4
 		s.CheckpointIntervalS = 10
 		s.CheckpointWriteS = 1
-		r.runUser(ctx, s)
+		r.simulateUser(ctx, s)
 	}
 }
 
-// submitInterval is how often the short tasks that are due are submitted.
+// submitInterval is the interval at which due short tasks are submitted.
 const submitInterval = 50 * time.Millisecond
 
-// submitShortTasks submits arrays of short tasks at the rate that is asked for.
+// submitShortTasks submits arrays of short tasks at the profile's start rate.
 func (r *region) submitShortTasks(ctx context.Context, startedAt time.Time) {
 	p := r.profile
 	machines := float64(r.cpuMachines() + r.gpuMachines())
 	running := float64(p.TasksRunning-p.Workers) / float64(p.Regions)
-	steadyRate := p.rate(r.index, p.WarmupS+p.RunS/2)
+	steadyRate := p.startRate(r.index, p.WarmupS+p.RunS/2)
 	if running < 1 || steadyRate <= 0 {
 		return
 	}
@@ -69,51 +71,51 @@
 	dueTasks := 0.0
 	last := time.Now()
 	for k := 0; ctx.Err() == nil; {
-		wait(ctx, submitInterval)
+		sleep(ctx, submitInterval)
 		now := time.Now()
-		dueTasks += p.rate(r.index, now.Sub(startedAt).Seconds()) * now.Sub(last).Seconds()
+		dueTasks += p.startRate(r.index, now.Sub(startedAt).Seconds()) * now.Sub(last).Seconds()
 		last = now
 		for tasksPerJob := float64(p.Workload.TasksPerJob); dueTasks >= tasksPerJob; dueTasks -= tasksPerJob {
 			team := teamName(k % p.Teams)
-			s := r.newJob(churnClass, wire.Normal, team, p.Workload.TasksPerJob, cpus, runS/runtimeFactor)
+			s := r.newJob(churnClass, wire.Normal, team, p.Workload.TasksPerJob, cpus, runS/meanRuntimeFactor)
 			if r.randomFloat() < p.Workload.ColdShare {
 				s.Image = "cold-" + s.ID
 			}
 			k++
-			go r.runUser(ctx, s)
+			go r.simulateUser(ctx, s)
 		}
 	}
 }
 
-// submitUrgent submits jobs of one task and high priority.
+// submitUrgent submits high-priority jobs of one task.
 func (r *region) submitUrgent(ctx context.Context) {
 	rate := r.profile.Workload.UrgentPerS / float64(r.profile.Regions)
 	if rate <= 0 {
 		return
 	}
 	for k := 0; ctx.Err() == nil; k++ {
-		wait(ctx, time.Duration(float64(time.Second)/rate))
-		go r.runUser(ctx, r.newJob(urgentClass, wire.High, teamName(k%r.profile.Teams), 1, 0.05, 5))
+		sleep(ctx, time.Duration(float64(time.Second)/rate))
+		go r.simulateUser(ctx, r.newJob(urgentClass, wire.High, teamName(k%r.profile.Teams), 1, 0.05, 5))
 	}
 }
 
-// finishedJobsPerS is how many jobs a second are submitted to be known as finished.
+// finishedJobsPerS is the rate at which submitFinishedBefore submits jobs.
 const finishedJobsPerS = 120
 
-// submitFinishedBefore submits the jobs that are to be over before the measurement.
+// submitFinishedBefore submits the short jobs that are to finish before the measurement begins.
 func (r *region) submitFinishedBefore(ctx context.Context) {
-	for range r.profile.share(r.profile.FinishedBefore, r.index) {
-		wait(ctx, time.Second/finishedJobsPerS)
-		go r.runUser(ctx, r.newJob(shortClass, wire.Low, teamName(0), 1, 0.01, 0.1))
+	for range r.profile.regionShare(r.profile.FinishedBefore, r.index) {
+		sleep(ctx, time.Second/finishedJobsPerS)
+		go r.simulateUser(ctx, r.newJob(shortClass, wire.Low, teamName(0), 1, 0.01, 0.1))
 	}
 }
 
-// injectFailures injects the failures that the profile asks for, each kind at random moments.
+// injectFailures injects each kind of failure of the profile at random times.
 func (r *region) injectFailures(ctx context.Context) {
 	f, regions := r.profile.Failures, float64(r.profile.Regions)
-	for _, kind := range []struct {
+	for _, failure := range []struct {
 		perMinute float64
-		happen    func()
+		inject    func()
 	}{
 		{f.WorkerStops, func() { r.reclaim(r.sampleWorkers(1, "")) }},
 		{f.WorkerRestarts, func() {
@@ -128,15 +130,15 @@
 			r.supervisor.Kill(emulator.ControllerName(controller))
 		}},
 	} {
-		if kind.perMinute <= 0 {
+		if failure.perMinute <= 0 {
 			continue
 		}
 		go func() {
-			wait(ctx, seconds(r.profile.WarmupS))
+			sleep(ctx, secondsToDuration(r.profile.WarmupS))
 			for ctx.Err() == nil {
-				wait(ctx, time.Duration(float64(time.Minute)*regions/kind.perMinute*2*r.randomFloat()))
+				sleep(ctx, time.Duration(float64(time.Minute)*regions/failure.perMinute*2*r.randomFloat()))
 				if ctx.Err() == nil {
-					kind.happen()
+					failure.inject()
 				}
 			}
 		}()
@@ -147,7 +149,7 @@
 	return fmt.Sprintf("zone-%d-%d", r.index, int(r.randomFloat()*float64(r.profile.ZonesPerRegion)))
 }
 
-// sampleWorkers draws up to so many machines that are up, of one zone unless it is "".
+// sampleWorkers returns up to n running workers, starting at a random one, of one zone or of all zones if zone is "".
 func (r *region) sampleWorkers(n int, zone string) (sample []*emulator.Worker) {
 	workers := r.environment.Cloud.Workers()
 	offset := int(r.randomFloat() * float64(len(workers)))
@@ -160,7 +162,7 @@
 	return sample
 }
 
-// reclaim ends machines without notice.
+// reclaim terminates machines without notice.
 func (r *region) reclaim(workers []*emulator.Worker) {
 	for _, w := range workers {
 		r.environment.Cloud.Reclaim(w.Name)
