--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -1,6 +1,6 @@
-// Command devcluster tries fieldhill out on one machine: it emulates the key-value store, the cloud, the agents and the
-// load balancer on loopback, starts three controllers as processes of their own, starts them again when they end, as
-// the platform would, and checks that they keep the protocol's rules. It is no deployment: its machines run nothing.
+// Command devcluster runs a development cluster on one machine: it emulates the key-value store, the cloud, the agents
+// and the load balancer on loopback, runs three controllers as separate processes, restarts them when they exit, as the
+// platform would, and checks the protocol's invariants. Its machines are emulated and execute nothing.
 package main
 
 import (
@@ -29,30 +29,30 @@
 	statusInterval  = 5 * time.Second
 )
 
-// Ports, counted from the users' one; of those with more than one address the first.
+// Port offsets from the --port flag. Where each controller or worker has a port, this is the offset of the first.
 const (
-	balancerOffset = 0
-	usersOffset    = 1
-	storeOffset    = 10
-	cloudOffset    = 11
-	peersOffset    = 21
-	metricsOffset  = 31
-	adminOffset    = 41
-	workersOffset  = 100
-	maxPort        = 60000
+	loadBalancerOffset = 0
+	userAPIOffset      = 1
+	storeOffset        = 10
+	cloudOffset        = 11
+	peerOffset         = 21
+	metricsOffset      = 31
+	adminOffset        = 41
+	workerOffset       = 100
+	maxPort            = 60000
 )
 
-// cli are the flags.
+// cli defines the command-line flags.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type cli struct {
-	Program string `default:"target/fieldhill" type:"path" help:"The controller's program."`
-	Dir     string `type:"path" help:"Where the controllers' settings and logs are written; a new directory by default."`
-	Port    int    `default:"8080" help:"Users' port on 127.0.0.1; the hundred ports above it, and one for each machine rented, are used as well."`
-	Seed    uint64 `default:"1" help:"For what the stand-ins leave to chance."`
+	Program string `default:"target/fieldhill" type:"path" help:"Path of the controller executable."`
+	Dir     string `type:"path" help:"Directory for the controllers' settings and logs; a new temporary directory by default."`
+	Port    int    `default:"8080" help:"Port of the user API on 127.0.0.1; the next hundred ports, and one more for each provisioned machine, are used as well."`
+	Seed    uint64 `default:"1" help:"Random seed of the emulators."`
 }
 
-// Validate is called by kong when the flags are read.
+// Validate is called by kong after parsing.
 func (c *cli) Validate() error {
 	if c.Port < 1 || c.Port > maxPort {
 		return errors.New("port must be from 1 to 60000")
@@ -62,17 +62,17 @@
 
 func main() {
 	var c cli
-	description := "Try fieldhill out: three controllers and stand-ins for everything else, on loopback."
-	k := kong.Parse(&c, kong.Description(description))
+	description := "Run a fieldhill development cluster on loopback: three controllers with an emulated platform."
+	parser := kong.Parse(&c, kong.Description(description))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	k.FatalIfErrorf(c.run(ctx))
+	parser.FatalIfErrorf(c.run(ctx))
 }
 
-// run runs the cluster until the context ends.
+// run runs the cluster until the context ends or a controller can't be started.
 func (c *cli) run(ctx context.Context) error {
 	if _, err := os.Stat(c.Program); errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%s is not built yet, see README.md", c.Program)
+		return fmt.Errorf("%s does not exist; build it as described in README.md", c.Program)
 	}
 	if c.Dir == "" {
 		dir, err := os.MkdirTemp("", "fieldhill-devcluster-")
@@ -87,13 +87,13 @@
 	if err != nil {
 		return err
 	}
-	if err := environment.ServeBalancer(ctx, c.addr(balancerOffset)); err != nil {
+	if err := environment.ServeBalancer(ctx, c.addr(loadBalancerOffset)); err != nil {
 		return err
 	}
 	for i := range controllerCount {
 		environment.Start(i) //nolint:contextcheck // the environment has the context
 	}
-	fmt.Printf("users: %s; the controllers' settings and logs: %s\n", c.addr(balancerOffset), c.Dir)
+	fmt.Printf("user API: %s; controller settings and logs: %s\n", c.addr(loadBalancerOffset), c.Dir)
 	reportStatus(ctx, environment)
 	for i := range controllerCount {
 		environment.Crash(i)
@@ -104,13 +104,13 @@
 	return nil
 }
 
-// addr is the loopback address so many ports above the users' one.
+// addr returns the loopback address at an offset from the base port.
 func (c *cli) addr(offset int) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(c.Port+offset))
 }
 
-// newEnvironment emulates everything but the controllers, which it runs as processes. It cancels the context with the
-// error if one can't be started.
+// newEnvironment emulates the platform and runs the controllers as processes. If a controller can't be started, it
+// cancels the context with the error.
 func (c *cli) newEnvironment(ctx context.Context, cancel context.CancelCauseFunc) (*emulator.Environment, error) {
 	metricsAddrs, adminAddrs := map[string]string{}, map[string]string{}
 	for i := range controllerCount {
@@ -126,7 +126,7 @@
 	}
 	start := func(ctx context.Context, _ host.Net, s *config.Settings) error {
 		metricsAddr, adminAddr := metricsAddrs[s.Node], adminAddrs[s.Node]
-		fmt.Printf("counters of %s: http://%s/metrics; its operators: %s\n", s.Node, metricsAddr, adminAddr)
+		fmt.Printf("controller %s: metrics http://%s/metrics, admin API %s\n", s.Node, metricsAddr, adminAddr)
 		if err := controllers.Run(ctx, s, "--metrics", metricsAddr, "--operate", adminAddr); err != nil {
 			cancel(err)
 		}
@@ -135,33 +135,33 @@
 	addresses := emulator.Addresses{
 		Store:  c.addr(storeOffset),
 		Cloud:  c.addr(cloudOffset),
-		Users:  func(i int) string { return c.addr(usersOffset + i) },
-		Peers:  func(i int) string { return c.addr(peersOffset + i) },
-		Worker: func(i int) string { return c.addr(workersOffset + i) },
+		Users:  func(i int) string { return c.addr(userAPIOffset + i) },
+		Peers:  func(i int) string { return c.addr(peerOffset + i) },
+		Worker: func(i int) string { return c.addr(workerOffset + i) },
 	}
 	networkOf := func(string) host.Net { return host.Real{} }
 	return emulator.NewOnNetwork(ctx, networkOf, addresses, controllerCount, c.Seed, start)
 }
 
-// reportStatus prints the state of the environment every statusInterval, and each violation once, until the context
-// ends.
+// reportStatus prints the state of the environment every statusInterval, and each invariant violation once, until the
+// context ends.
 func reportStatus(ctx context.Context, environment *emulator.Environment) {
-	printed := 0
-	tick := time.NewTicker(statusInterval)
-	defer tick.Stop()
+	printedViolations := 0
+	ticker := time.NewTicker(statusInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		finished, accepted := environment.Checker.Finished()
-		fmt.Printf("%d machines, %d tasks on them; %d jobs accepted, %d known to be over\n",
+		fmt.Printf("%d machines, %d tasks running; %d jobs accepted, %d finished\n",
 			len(environment.Cloud.Workers()), environment.Checker.Tasks(), accepted, finished)
 		violations := environment.Checker.Violations()
-		for _, violation := range violations[printed:] {
+		for _, violation := range violations[printedViolations:] {
 			fmt.Println("BROKEN RULE", violation)
 		}
-		printed = len(violations)
+		printedViolations = len(violations)
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,4 +1,4 @@
-// Package supervisor keeps controllers running as processes of their own, as the platform would, for programs that
+// Package supervisor runs controllers as child processes and restarts them, as the platform would, for programs that
 // emulate a deployment on one machine.
 package supervisor
 
@@ -18,25 +18,26 @@
 	"fieldhill/internal/config"
 )
 
-// Supervisor starts controllers, and starts each again whenever it ends.
+// Supervisor runs controllers as child processes and restarts each when it exits.
 type Supervisor struct {
-	Executable   string
-	Dir          string // where settings and logs are written
+	Executable   string // path of the controller executable
+	Dir          string // directory for settings and logs
 	RestartDelay time.Duration
-	// OnEvent, if not nil, is called with a line for people at each start and end.
+	// OnEvent, if not nil, is called with a line of text at each start and exit.
 	OnEvent func(string)
 
 	mu        sync.Mutex
-	processes map[string]*os.Process // by the controller's name; only those that run
+	processes map[string]*os.Process // running processes by controller name
 }
 
-func (s *Supervisor) notify(format string, args ...any) {
+func (s *Supervisor) reportEvent(format string, args ...any) {
 	if s.OnEvent != nil {
 		s.OnEvent(fmt.Sprintf(format, args...))
 	}
 }
 
-// Run runs a controller until the context ends, and returns nil then. Any error means that it could not be started.
+// Run runs a controller, restarting it when it exits, until the context ends, and then returns nil. An error means that
+// the controller could not be started.
 func (s *Supervisor) Run(ctx context.Context, settings *config.Settings, args ...string) (err error) {
 	node := settings.Node
 	encoded, err := toml.Marshal(settings)
@@ -55,20 +56,20 @@
 	for {
 		cmd := exec.CommandContext(ctx, s.Executable, append([]string{"--config", settingsPath}, args...)...)
 		cmd.Stderr = logFile
-		// Ctrl-C is for this program, which ends the controllers itself.
+		// A process group of its own keeps Ctrl-C from reaching the controller, which this process stops itself.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
-			return err // it names the operation and the program
+			return err // already names the operation and the program
 		}
 		s.setProcess(node, cmd.Process)
-		s.notify("controller %s in zone %s runs as process %d at %s",
+		s.reportEvent("controller %s in zone %s started: pid %d, user API %s",
 			node, settings.Zone, cmd.Process.Pid, settings.Bind)
 		exitErr := cmd.Wait()
 		s.setProcess(node, nil)
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.notify("controller %s has ended (%v), it starts again in %v", node, exitErr, s.RestartDelay)
+		s.reportEvent("controller %s exited (%v), restarting in %v", node, exitErr, s.RestartDelay)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -77,7 +78,7 @@
 	}
 }
 
-// setProcess remembers a controller's process, or with nil that it has none.
+// setProcess records a controller's running process; nil means that it has none.
 func (s *Supervisor) setProcess(node string, process *os.Process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// Kill ends a controller's process with a signal that it can't handle, and reports whether it ran.
+// Kill sends SIGKILL to a controller's process and reports whether it was running.
 func (s *Supervisor) Kill(node string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
