--- a/cmd/fieldhill/admin.go
+++ b/cmd/fieldhill/admin.go
@@ -15,26 +15,27 @@
 	"fieldhill/wire"
 )
 
-// adminTarget is the admin API that a command talks to.
+// adminAPIFlags are the flags of the commands that use the admin API.
 //
 //nolint:lll // a struct tag cannot be broken over lines
-type adminTarget struct {
-	Addr    string        `name:"operate" env:"FIELDHILL_OPERATE" required:"" placeholder:"HOST:PORT" help:"A controller's address for operators."`
-	Timeout time.Duration `default:"5s" help:"How long to wait for an answer."`
-	JSON    bool          `help:"Print the answer as it came."`
+type adminAPIFlags struct {
+	Addr    string        `name:"operate" env:"FIELDHILL_OPERATE" required:"" placeholder:"HOST:PORT" help:"Address of a controller's admin API."`
+	Timeout time.Duration `default:"5s" help:"How long to wait for a response."`
+	JSON    bool          `help:"Print the JSON response unchanged."`
 }
 
-// maxAdminBody is how many bytes of an answer of the admin API are read: it has room for a full queue.
+// maxAdminBody limits the response body of the admin API, in bytes. A queue of the maximum length fits in.
 const maxAdminBody = 1 << 20
 
-// get decodes an answer into out, or prints it as it came and reports that it did.
-func (a *adminTarget) get(path string, out any) (printed bool, err error) {
+// get sends a request and decodes the response into out. With --json it prints the response instead and reports that it
+// did.
+func (a *adminAPIFlags) get(path string, out any) (printed bool, err error) {
 	resp, body, err := roundTrip(a.Addr, http.MethodGet, path, nil, a.Timeout, maxAdminBody)
 	if err != nil {
 		return false, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return false, adminRefusal(resp, body)
+		return false, adminError(resp, body)
 	}
 	if a.JSON {
 		_, err := os.Stdout.Write(body)
@@ -43,21 +44,22 @@
 	return false, json.Unmarshal(body, out)
 }
 
-// adminRefusal is the error for an answer other than 200; it is worth another try if the controller says when.
-func adminRefusal(resp *http.Response, body []byte) error {
+// adminError returns the error for a response with a status other than 200. The exit code is exitRetry if the response
+// has a Retry-After header.
+func adminError(resp *http.Response, body []byte) error {
 	text := resp.Status
 	var problem wire.AdminProblem
 	if json.Unmarshal(body, &problem) == nil && problem.Error != "" {
 		text += ": " + problem.Error
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
-		return &exitError{exitRetry, text + "; ask again in " + after + " s"}
+		return &exitError{exitRetry, text + "; retry after " + after + " s"}
 	}
 	return &exitError{exitRefused, text}
 }
 
-// textPrinter prints lines and remembers the first error, so that a command ends with it rather than with half of its
-// output and the exit code of success.
+// textPrinter prints text and keeps the first error, so that a command whose output is incomplete doesn't exit with
+// success.
 type textPrinter struct {
 	w   io.Writer
 	err error
@@ -69,14 +71,14 @@
 	}
 }
 
-// whyCmd explains why a job waits.
+// whyCmd explains why a job is pending.
 type whyCmd struct {
-	adminTarget
-	ID     string `arg:"" help:"The job's id."`
+	adminAPIFlags
+	ID     string `arg:"" help:"Job ID."`
 	WhatIf bool   `help:"Show for each reason what the next round would do without it."`
 }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *whyCmd) Run() error {
 	var explanation wire.Explanation
 	path := wire.PathAdminJobs + "/" + url.PathEscape(c.ID) + wire.WhySuffix
@@ -86,15 +88,15 @@
 	return printExplanation(os.Stdout, &explanation, c.WhatIf)
 }
 
-// printExplanation prints why a job waits, the reasons that bind first.
+// printExplanation prints why a job is pending, the binding reasons first.
 func printExplanation(w io.Writer, e *wire.Explanation, whatIf bool) error {
 	p := &textPrinter{w: w}
-	p.printf("%s %s, %d tasks wait", e.ID, e.State, e.Waiting)
+	p.printf("%s %s, %d tasks waiting", e.ID, e.State, e.Waiting)
 	if e.Starting > 0 {
-		p.printf(", %d are starting", e.Starting)
+		p.printf(", %d starting", e.Starting)
 	}
 	if e.AgeS > 0 {
-		p.printf(" (as %s knew %.0f s ago)", e.Node, e.AgeS)
+		p.printf(" (from %s, up to %.0f s out of date)", e.Node, e.AgeS)
 	}
 	p.printf("\n")
 	if e.Waiting > 0 && e.AgeS == 0 {
@@ -104,21 +106,21 @@
 	p.printReasons(e.Reasons, false, whatIf)
 	switch {
 	case anyBinding:
-		p.printf("Lifting any one of those with * would help.\n")
+		p.printf("Removing any one of the reasons marked * would help.\n")
 	case e.Waiting > e.WillPlace && len(e.Reasons) > 0:
-		p.printf("Lifting none of them alone would help.\n")
+		p.printf("Removing just one of the reasons would not help.\n")
 	}
 	for _, pair := range e.Pairs {
-		p.printf("Together, but neither alone: %s and %s.\n", pair[0], pair[1])
+		p.printf("Removing both would help, but neither alone: %s and %s.\n", pair[0], pair[1])
 	}
 	if e.Partial {
-		p.printf("Not all pairs were tried.\n")
+		p.printf("Not all pairs of reasons were evaluated.\n")
 	}
 	p.printHistory(e.History)
 	return p.err
 }
 
-// printReasons prints the reasons that bind, or those that do not, and reports whether there was one.
+// printReasons prints either the binding or the other reasons, and reports whether there are any.
 func (p *textPrinter) printReasons(reasons []wire.Reason, binding, whatIf bool) (found bool) {
 	mark := " "
 	if binding {
@@ -132,18 +134,19 @@
 		found = true
 		p.printf("%s %-13s %s\n", mark, r.Code, r.Text)
 		if whatIf && (r.Binding || r.PlacedWithout > 0 || r.PreemptedWithout > 0) {
-			p.printf("  %-13s without it: %d placed, %d of others stopped\n", "", r.PlacedWithout, r.PreemptedWithout)
+			p.printf("  %-13s without it: %d placed, %d of other jobs preempted\n",
+				"", r.PlacedWithout, r.PreemptedWithout)
 		}
 	}
 	return found
 }
 
-// printHistory prints the reasons that the scheduler gave, the present one first: each ended when the one before it in
-// the list began.
+// printHistory prints the reasons reported by the scheduler, the current one first. Each period ended when the one
+// before it in the list began.
 func (p *textPrinter) printHistory(history []wire.ReasonPeriod) {
 	for i, period := range history {
 		if i == 0 {
-			p.printf("What the scheduler gave as its reason:\n")
+			p.printf("Reasons reported by the scheduler:\n")
 			p.printf("  %-13s for %s\n", period.Code, formatSeconds(period.SinceS))
 			continue
 		}
@@ -156,16 +159,16 @@
 	return time.Duration(s * 1e9).Round(100 * time.Millisecond).String()
 }
 
-// queueCmd lists the jobs that wait.
+// queueCmd lists the pending jobs.
 type queueCmd struct {
-	adminTarget
+	adminAPIFlags
 	Team   string `help:"Only this team's jobs."`
 	Class  string `help:"Only jobs of this class."`
-	Reason string `help:"Only jobs that wait for this reason (a code, see docs/WHY.md)."`
-	Most   int    `default:"50" help:"How many jobs to list, 1 to 500."`
+	Reason string `help:"Only jobs that are pending for this reason (a code, see docs/WHY.md)."`
+	Most   int    `default:"50" help:"Maximum number of jobs to list, 1 to 500."`
 }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *queueCmd) Run() error {
 	query := url.Values{"most": {strconv.Itoa(c.Most)}}
 	for key, value := range map[string]string{"team": c.Team, "class": c.Class, "reason": c.Reason} {
@@ -180,7 +183,7 @@
 	return printQueue(os.Stdout, &queue)
 }
 
-// printQueue prints a queue, in 80 columns as long as names are of usual length.
+// printQueue prints a queue as a table. With names of typical length it fits into 80 columns.
 func printQueue(w io.Writer, queue *wire.Queue) error {
 	columns := tabwriter.NewWriter(w, 0, 1, 2, ' ', 0)
 	table := &textPrinter{w: columns}
@@ -190,14 +193,14 @@
 		if j.Position > 0 {
 			position = strconv.Itoa(j.Position)
 		}
-		since := formatSeconds(j.SinceS)
-		table.printf("%s\t%s\t%s\t%s\t%d\t%s\t%s\n", position, j.ID, j.Team, j.Class, j.Waiting, j.Reason, since)
+		pendingFor := formatSeconds(j.SinceS)
+		table.printf("%s\t%s\t%s\t%s\t%d\t%s\t%s\n", position, j.ID, j.Team, j.Class, j.Waiting, j.Reason, pendingFor)
 	}
 	if err := errors.Join(table.err, columns.Flush()); err != nil {
 		return err
 	}
 	total := &textPrinter{w: w}
-	total.printf("%d tasks wait", queue.Tasks)
+	total.printf("%d tasks waiting", queue.Tasks)
 	if queue.More > 0 {
 		total.printf("; %d more jobs", queue.More)
 	}
--- a/cmd/fieldhill/admin_test.go
+++ b/cmd/fieldhill/admin_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestPrintExplanation: the reasons that bind come first, what lifting one does only if asked for,
-// and an answer without a leader says how old it is.
+// TestPrintExplanation checks that binding reasons come first, that the effect of removing a reason is printed only on
+// request, and that an outdated explanation says so.
 func TestPrintExplanation(t *testing.T) {
 	e := &wire.Explanation{
 		ID:      "req-000412",
@@ -27,14 +27,14 @@
 	if err := printExplanation(&b, e, true); err != nil {
 		t.Error(err)
 	}
-	want := `req-000412 pending, 2 tasks wait
+	want := `req-000412 pending, 2 tasks waiting
 The next round places 0 of them.
 * team-limit    its team's limit
-                without it: 2 placed, 0 of others stopped
+                without it: 2 placed, 0 of other jobs preempted
   no-room       no room
-Lifting any one of those with * would help.
-Together, but neither alone: queue and no-room.
-What the scheduler gave as its reason:
+Removing any one of the reasons marked * would help.
+Removing both would help, but neither alone: queue and no-room.
+Reasons reported by the scheduler:
   team-limit    for 5s
   no-room       for 1m0s until 5s ago
 `
@@ -46,12 +46,12 @@
 	if err := printExplanation(&b, e, false); err != nil {
 		t.Error(err)
 	}
-	if !strings.Contains(b.String(), "(as n1 knew 7 s ago)") || strings.Contains(b.String(), "without it") {
+	if !strings.Contains(b.String(), "(from n1, up to 7 s out of date)") || strings.Contains(b.String(), "without it") {
 		t.Errorf("got\n%s", b.String())
 	}
 }
 
-// TestPrintQueueFitsTerminal: lines of usual names are at most 80 columns wide.
+// TestPrintQueueFitsTerminal checks that lines with names of typical length are at most 80 columns wide.
 func TestPrintQueueFitsTerminal(t *testing.T) {
 	var b bytes.Buffer
 	queue := &wire.Queue{Tasks: 1209, More: 3, Jobs: []wire.QueuedJob{
@@ -69,7 +69,7 @@
 		}
 	}
 	if len(lines) != 4 || !strings.HasPrefix(lines[1], "1 ") || !strings.HasPrefix(lines[2], "- ") ||
-		lines[3] != "1209 tasks wait; 3 more jobs" {
+		lines[3] != "1209 tasks waiting; 3 more jobs" {
 		t.Errorf("got\n%s", b.String())
 	}
 }
--- a/cmd/fieldhill/client.go
+++ b/cmd/fieldhill/client.go
@@ -17,32 +17,32 @@
 
 // Exit codes of the client commands.
 const (
-	exitRefused = 2 // the answer is final: malformed, unknown, or can never run
-	exitRetry   = 3 // not now: ask again
+	exitRefused = 2 // permanent error: the request is malformed, its job is unknown or can never run
+	exitRetry   = 3 // temporary error: the request may be retried
 )
 
-// exitError ends the program with an exit code that tells scripts whether to try again.
+// exitError is an error with the program's exit code, which tells scripts whether to retry.
 type exitError struct {
 	code int
 	text string
 }
 
-// Error is what the program prints before it ends.
+// Error implements error.
 func (e *exitError) Error() string { return e.text }
 
 // ExitCode is called by kong.
 func (e *exitError) ExitCode() int { return e.code }
 
-// target is the user API that a client command talks to.
+// userAPIFlags are the flags of the commands that use the user API.
 //
 //nolint:lll // a struct tag cannot be broken over lines
-type target struct {
-	Addr    string        `name:"addr" env:"FIELDHILL_ADDR" required:"" help:"A controller's address for users, such as 10.0.0.1:8080."`
-	Timeout time.Duration `default:"5s" help:"How long to wait for an answer."`
+type userAPIFlags struct {
+	Addr    string        `name:"addr" env:"FIELDHILL_ADDR" required:"" help:"Address of a controller's user API, such as 10.0.0.1:8080."`
+	Timeout time.Duration `default:"5s" help:"How long to wait for a response."`
 }
 
-// roundTrip sends a request to a controller and reads up to limit bytes of the answer. The error is an *exitError if
-// no answer came.
+// roundTrip sends a request to a controller and reads up to limit bytes of the response body. If no complete response
+// was received, the error is an *exitError.
 func roundTrip(addr, method, path string, body []byte, timeout time.Duration, limit int64) (
 	*http.Response, []byte, error,
 ) {
@@ -57,20 +57,20 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no answer from %s: %v", addr, err)}
+		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no response from %s: %v", addr, err)}
 	}
-	defer func() { _ = resp.Body.Close() }() // the body was read, or the error of reading it is returned
+	defer func() { _ = resp.Body.Close() }() // the body was read, or the read error is returned
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit))
 	if err != nil {
-		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no whole answer from %s: %v", addr, err)}
+		return nil, nil, &exitError{exitRetry, fmt.Sprintf("incomplete response from %s: %v", addr, err)}
 	}
 	return resp, b, nil
 }
 
-// send sends a request and decodes an answer of success into out, unless that is nil. Any other answer becomes an
-// *exitError.
-func (t *target) send(method, path string, body []byte, out any) error {
-	resp, b, err := roundTrip(t.Addr, method, path, body, t.Timeout, wire.MaxBody)
+// send sends a request and decodes a successful response into out, unless out is nil. For any other response it returns
+// an *exitError.
+func (f *userAPIFlags) send(method, path string, body []byte, out any) error {
+	resp, b, err := roundTrip(f.Addr, method, path, body, f.Timeout, wire.MaxBody)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		return &exitError{exitRefused, text}
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
-		text += "; ask again in " + after + " s"
+		text += "; retry after " + after + " s"
 	}
 	return &exitError{exitRetry, text}
 }
@@ -99,13 +99,14 @@
 	fmt.Printf("%s %s, %d tasks done, %d running\n", s.ID, s.State, s.Done, s.Running)
 }
 
-// submitCmd submits a job that is described in a file.
+// submitCmd submits a job described in a file.
 type submitCmd struct {
-	target
-	File string `arg:"" help:"The job's description (TOML), see docs/OPERATING.md." type:"existingfile"`
+	userAPIFlags
+	File string `arg:"" help:"Job file (TOML), see docs/OPERATING.md." type:"existingfile"`
 }
 
-// jobFile is a job as its owner describes it, with the field's terms for keys where the protocol has words of its own.
+// jobFile is the format of job files. Its keys are the usual terms of cluster schedulers, also where the protocol has
+// different names.
 type jobFile struct {
 	ID                  string   `toml:"id"`
 	Class               string   `toml:"class"`
@@ -129,7 +130,7 @@
 	DeadlineS           *float64 `toml:"deadline_s"`
 }
 
-// The words of job files, and how the protocol spells them.
+// Values in job files and the corresponding values in the protocol.
 var (
 	shapes     = map[string]string{"array": wire.Array, "gang": wire.Gang, "service": wire.Service}
 	priorities = map[string]string{
@@ -140,11 +141,11 @@
 	}
 )
 
-// readJob reads a description and translates it into a submission of the protocol.
-func readJob(b []byte) (*wire.JobSpec, error) {
+// parseJobFile decodes a job file and translates it into a job specification of the protocol.
+func parseJobFile(b []byte) (*wire.JobSpec, error) {
 	var f jobFile
 	d := toml.NewDecoder(bytes.NewReader(b))
-	d.DisallowUnknownFields() // a misspelt field would be a job other than meant
+	d.DisallowUnknownFields() // ignoring a misspelled field would submit an unintended job
 	if err := d.Decode(&f); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
@@ -184,13 +185,13 @@
 	}, nil
 }
 
-// Run carries out the command. What the service would refuse as malformed is refused without asking it.
+// Run executes the command. It refuses a malformed job without sending it to the controller.
 func (c *submitCmd) Run() error {
 	b, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
-	spec, err := readJob(b)
+	spec, err := parseJobFile(b)
 	if err != nil {
 		return &exitError{exitRefused, c.File + ": " + err.Error()}
 	}
@@ -209,13 +210,13 @@
 	return nil
 }
 
-// jobCommand is a command about one job.
+// jobCommand has the flags and the argument of the commands about one job.
 type jobCommand struct {
-	target
-	ID string `arg:"" help:"The job's id."`
+	userAPIFlags
+	ID string `arg:"" help:"Job ID."`
 }
 
-// printResult sends a request about the job and prints the status in the answer.
+// printResult sends a request about the job and prints the job status in the response.
 func (c *jobCommand) printResult(method, suffix string) error {
 	var s wire.JobStatus
 	if err := c.send(method, wire.PathJobs+"/"+c.ID+suffix, nil, &s); err != nil {
@@ -225,22 +226,22 @@
 	return nil
 }
 
-// statusCmd prints how a job is.
+// statusCmd prints the status of a job.
 type statusCmd struct{ jobCommand }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *statusCmd) Run() error { return c.printResult(http.MethodGet, "") }
 
 // cancelCmd cancels a job.
 type cancelCmd struct{ jobCommand }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *cancelCmd) Run() error { return c.printResult(http.MethodPost, wire.CancelSuffix) }
 
-// readyCmd asks whether a controller takes requests.
-type readyCmd struct{ target }
+// readyCmd checks whether a controller accepts requests.
+type readyCmd struct{ userAPIFlags }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *readyCmd) Run() error {
 	if err := c.send(http.MethodGet, wire.PathReady, nil, nil); err != nil {
 		return err
--- a/cmd/fieldhill/client_test.go
+++ b/cmd/fieldhill/client_test.go
@@ -28,14 +28,14 @@
 deadline_s = 900
 `
 
-// TestReadJob: a description becomes a submission that the service accepts as
-// well formed, and a misspelt one is refused with its reason.
-func TestReadJob(t *testing.T) {
-	spec, err := readJob([]byte(jobDescription))
+// TestParseJobFile checks that a job file is translated into a valid job specification, and that unknown keys and
+// invalid values are rejected.
+func TestParseJobFile(t *testing.T) {
+	spec, err := parseJobFile([]byte(jobDescription))
 	if err != nil {
 		t.Fatal(err)
 	}
-	due := 900.0
+	deadlineS := 900.0
 	want := &wire.JobSpec{
 		ID:        "req-000412",
 		Class:     "train",
@@ -49,7 +49,7 @@
 		ImageGB:   6.2,
 		SameZone:  true,
 		EstimateS: 240,
-		DeadlineS: &due,
+		DeadlineS: &deadlineS,
 	}
 	if d := cmp.Diff(want, spec); d != "" {
 		t.Error(d)
@@ -67,15 +67,15 @@
 		{`"low"`, `"idle"`},
 		{"= 8", "= eight"},
 	} {
-		if _, err := readJob([]byte(strings.Replace(jobDescription, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s instead of %s was taken", change[1], change[0])
+		if _, err := parseJobFile([]byte(strings.Replace(jobDescription, change[0], change[1], 1))); err == nil {
+			t.Errorf("%s in place of %s: no error", change[1], change[0])
 		}
 	}
 }
 
-// TestClientExitCodes: what is final and what is worth another try are told apart.
+// TestClientExitCodes checks that permanent and temporary errors have different exit codes.
 func TestClientExitCodes(t *testing.T) {
-	status, after := http.StatusOK, ""
+	status, retryAfter := http.StatusOK, ""
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/api/jobs/req-000001/cancel" {
 			t.Errorf("%s %s", r.Method, r.URL.Path)
@@ -86,13 +86,13 @@
 		} else {
 			b, _ = wire.Marshal(&wire.Problem{Error: "because"})
 		}
-		if after != "" {
-			w.Header().Set("Retry-After", after)
+		if retryAfter != "" {
+			w.Header().Set("Retry-After", retryAfter)
 		}
 		w.WriteHeader(status)
 		_, _ = w.Write(b)
 	}))
-	c := cancelCmd{jobCommand{target{strings.TrimPrefix(srv.URL, "http://"), 2 * time.Second}, "req-000001"}}
+	c := cancelCmd{jobCommand{userAPIFlags{strings.TrimPrefix(srv.URL, "http://"), 2 * time.Second}, "req-000001"}}
 	if err := c.Run(); err != nil {
 		t.Error(err)
 	}
@@ -102,10 +102,10 @@
 	}{
 		{404, exitRefused, "", "because"},
 		{422, exitRefused, "", "because"},
-		{503, exitRetry, "7", "in 7 s"},
+		{503, exitRetry, "7", "retry after 7 s"},
 		{429, exitRetry, "", "because"},
 	} {
-		status, after = tc.status, tc.after
+		status, retryAfter = tc.status, tc.after
 		var f *exitError
 		if err := c.Run(); !errors.As(err, &f) || f.code != tc.code || !strings.Contains(f.text, tc.want) {
 			t.Errorf("status %d: %v", tc.status, err)
@@ -114,6 +114,6 @@
 	srv.Close()
 	var f *exitError
 	if err := c.Run(); !errors.As(err, &f) || f.code != exitRetry {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("server not running: %v", err)
 	}
 }
--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -20,90 +20,92 @@
 	"fieldhill/wire"
 )
 
-// asProgram makes the test's binary the program, so that what people and scripts see is compared whole.
-const asProgram = "FIELDHILL_TEST_AS_PROGRAM"
+// runMainEnv makes the test binary run as fieldhill, so that tests compare the complete output and exit code of the
+// program.
+const runMainEnv = "FIELDHILL_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// run runs the program with no variables but these, on a terminal of 80 columns, and spells what came of it.
-func run(t *testing.T, variables []string, args ...string) string {
+// runProgram runs fieldhill with the given environment variables only, for a terminal of 80 columns, and returns the
+// command line, the output and the exit code as text.
+func runProgram(t *testing.T, env []string, args ...string) string {
 	t.Helper()
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, err := os.Getwd()
+	workDir, err := os.Getwd()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a controller that was started would not end
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a controller started by mistake would not exit
 	defer cancel()
-	c := exec.CommandContext(ctx, self, args...)
+	c := exec.CommandContext(ctx, executable, args...)
 	c.Args[0] = "fieldhill"
-	c.Env = append([]string{asProgram + "=1", "COLUMNS=80", "GORACE=atexit_sleep_ms=0"}, variables...)
-	var out, errs bytes.Buffer
-	c.Stdout, c.Stderr = &out, &errs
+	c.Env = append([]string{runMainEnv + "=1", "COLUMNS=80", "GORACE=atexit_sleep_ms=0"}, env...)
+	var stdout, stderr bytes.Buffer
+	c.Stdout, c.Stderr = &stdout, &stderr
 	err = c.Run()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitErr *exec.ExitError
+	if err != nil && !errors.As(err, &exitErr) {
 		t.Fatal(err)
 	}
-	said := fmt.Sprintf("$ %s\n%s", strings.Join(append(variables, c.Args...), " "), out.String())
-	if errs.Len() > 0 {
-		said += "stderr: " + errs.String()
+	output := fmt.Sprintf("$ %s\n%s", strings.Join(append(env, c.Args...), " "), stdout.String())
+	if stderr.Len() > 0 {
+		output += "stderr: " + stderr.String()
 	}
-	return strings.ReplaceAll(said, here+"/", "") + fmt.Sprintf("exit %d\n\n", c.ProcessState.ExitCode())
+	return strings.ReplaceAll(output, workDir+"/", "") + fmt.Sprintf("exit %d\n\n", c.ProcessState.ExitCode())
 }
 
-// settings is a file with every key, in the directory in which the tests run.
-const settings = "testdata/golden/settings.toml"
+// settingsFile is a settings file with every key, relative to the package directory.
+const settingsFile = "testdata/golden/settings.toml"
 
-// TestGoldenHelp: commands, flags, their defaults and variables, arguments and their explanations.
+// TestGoldenHelp checks the help texts: commands, arguments, and flags with their defaults and environment variables.
 func TestGoldenHelp(t *testing.T) {
 	var b strings.Builder
 	for _, command := range []string{"", "serve", "check", "submit", "status", "cancel", "why", "queue", "ready",
 		"version"} {
-		b.WriteString(run(t, nil, append(strings.Fields(command), "--help")...))
+		b.WriteString(runProgram(t, nil, append(strings.Fields(command), "--help")...))
 	}
 	golden.Check(t, "help.txt", []byte(b.String()))
-	said := run(t, nil, "version")
-	if !regexp.MustCompile(`^\$ fieldhill version\nfieldhill \d+\.\d+\.\d+( \w+)?\nexit 0\n`).MatchString(said) {
-		t.Errorf("got\n%s", said)
+	output := runProgram(t, nil, "version")
+	if !regexp.MustCompile(`^\$ fieldhill version\nfieldhill \d+\.\d+\.\d+( \w+)?\nexit 0\n`).MatchString(output) {
+		t.Errorf("got\n%s", output)
 	}
 }
 
-// TestGoldenSettings: what check prints, and what is said of flags and variables with values that are refused: each is
-// read under its name.
+// TestGoldenSettings checks the output of check, and the errors for invalid values of flags and environment variables,
+// which show that each is read under its name.
 func TestGoldenSettings(t *testing.T) {
 	var b strings.Builder
-	b.WriteString(run(t, nil, "check", settings))
-	bad := filepath.Join(t.TempDir(), "bad.toml")
-	if err := os.WriteFile(bad, []byte("node = 'n0'\n"), 0o600); err != nil {
+	b.WriteString(runProgram(t, nil, "check", settingsFile))
+	invalidFile := filepath.Join(t.TempDir(), "bad.toml")
+	if err := os.WriteFile(invalidFile, []byte("node = 'n0'\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, args := range [][]string{{"check", bad}, {"check", bad + "-none"}, {"check"}, {"--config", bad},
-		{"serve", "--config", bad}, {"nonsense"}} {
-		b.WriteString(strings.ReplaceAll(run(t, nil, args...), filepath.Dir(bad), "DIR"))
+	for _, args := range [][]string{{"check", invalidFile}, {"check", invalidFile + "-none"}, {"check"},
+		{"--config", invalidFile}, {"serve", "--config", invalidFile}, {"nonsense"}} {
+		b.WriteString(strings.ReplaceAll(runProgram(t, nil, args...), filepath.Dir(invalidFile), "DIR"))
 	}
 	for _, flag := range []string{"--beta=2", "--threshold=3", "--wait-rounds=-1", "--round=1ms", "--metrics=x",
 		"--operate=x", "--duties=x", "--log-level=loud", "--beta=x", "--nonsense"} {
-		b.WriteString(run(t, nil, flag, "--config", settings))
+		b.WriteString(runProgram(t, nil, flag, "--config", settingsFile))
 	}
 	for _, variable := range []string{"FIELDHILL_BETA=2", "FIELDHILL_THRESHOLD=3", "FIELDHILL_WAIT_ROUNDS=-1",
 		"FIELDHILL_ROUND=1ms", "FIELDHILL_METRICS=x", "FIELDHILL_OPERATE=x", "FIELDHILL_DUTIES=x", "LOG_LEVEL=loud"} {
-		b.WriteString(run(t, []string{variable}, "--config", settings))
+		b.WriteString(runProgram(t, []string{variable}, "--config", settingsFile))
 	}
 	golden.Check(t, "settings.txt", []byte(b.String()))
 }
 
-// TestGoldenDeploy: the deploy files' lines, and that the program knows the flags in them: it comes as far as the one
-// that is wrong, which is given beside them.
+// TestGoldenDeploy checks the lines of the deploy files, and that the program accepts the flags in them: it is run with
+// an invalid log level, and must reject only that.
 func TestGoldenDeploy(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
@@ -123,18 +125,18 @@
 			b.WriteString(line)
 			if command, ok := strings.CutPrefix(line, `run = "`); ok {
 				flags := strings.Fields(strings.TrimSuffix(strings.TrimSpace(command), `"`))[1:]
-				b.WriteString(run(t, []string{"LOG_LEVEL=loud"}, append(flags, settings)...))
+				b.WriteString(runProgram(t, []string{"LOG_LEVEL=loud"}, append(flags, settingsFile)...))
 			}
 		}
 	}
 	golden.Check(t, "deploy.txt", []byte(b.String()))
 }
 
-// TestGoldenJobFile: a description with every field becomes the stored submission, and one with a field of
-// another name is refused.
+// TestGoldenJobFile checks that a job file with every key is translated into the stored request body, and that renaming
+// any key is an error.
 func TestGoldenJobFile(t *testing.T) {
 	stored := golden.Read(t, "job.toml")
-	spec, err := readJob(stored)
+	spec, err := parseJobFile(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,67 +146,67 @@
 	}
 	golden.Check(t, "job.hex", body)
 	golden.Check(t, "job.txt", []byte(golden.Body(body)))
-	for _, at := range regexp.MustCompile(`(?m)^\w+ =`).FindAllIndex(stored, -1) {
-		planted := bytes.Clone(stored)
-		planted[at[0]] = 'q'
-		if _, err := readJob(planted); err == nil {
-			t.Errorf("%s was taken", planted[at[0]:at[1]])
+	for _, keyRange := range regexp.MustCompile(`(?m)^\w+ =`).FindAllIndex(stored, -1) {
+		renamed := bytes.Clone(stored)
+		renamed[keyRange[0]] = 'q'
+		if _, err := parseJobFile(renamed); err == nil {
+			t.Errorf("unknown key %s: no error", renamed[keyRange[0]:keyRange[1]])
 		}
 	}
-	var words strings.Builder
+	var translations strings.Builder
 	for _, shape := range []string{"array", "gang", "service", "group", "daemon", ""} {
 		for _, priority := range []string{"production", "high", "normal", "low", "idle", ""} {
-			spec, err := readJob(fmt.Appendf(nil, "shape = %q\npriority = %q\n", shape, priority))
+			spec, err := parseJobFile(fmt.Appendf(nil, "shape = %q\npriority = %q\n", shape, priority))
 			if err != nil {
-				fmt.Fprintf(&words, "%q %q: %v\n", shape, priority, err)
+				fmt.Fprintf(&translations, "%q %q: %v\n", shape, priority, err)
 				continue
 			}
-			fmt.Fprintf(&words, "%q %q: %s %s\n", shape, priority, spec.Shape, spec.Priority)
+			fmt.Fprintf(&translations, "%q %q: %s %s\n", shape, priority, spec.Shape, spec.Priority)
 		}
 	}
-	golden.Check(t, "words.txt", []byte(words.String()))
+	golden.Check(t, "words.txt", []byte(translations.String()))
 }
 
-// TestGoldenClient: what each command of the client sends, prints and ends with, for each kind of answer.
+// TestGoldenClient checks the request, the output and the exit code of each client command for each kind of response.
 func TestGoldenClient(t *testing.T) {
 	r := golden.Record(t)
-	at, operators := []string{"FIELDHILL_ADDR=" + r.Addr}, []string{"FIELDHILL_OPERATE=" + r.Addr}
-	ask := func(code int, retryAfter string, answer []byte, variables []string, args ...string) {
+	userEnv, adminEnv := []string{"FIELDHILL_ADDR=" + r.Addr}, []string{"FIELDHILL_OPERATE=" + r.Addr}
+	record := func(code int, retryAfter string, body []byte, env []string, args ...string) {
 		header := http.Header{}
 		if retryAfter != "" {
 			header.Set("Retry-After", retryAfter)
 		}
-		r.Reply(code, header, answer)
-		r.Note("%s", run(t, variables, args...))
+		r.Reply(code, header, body)
+		r.Note("%s", runProgram(t, env, args...))
 	}
-	message := func(v any) []byte {
+	encode := func(v any) []byte {
 		b, err := wire.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	job := message(&wire.JobStatus{ID: "req-000412", State: wire.JobRunning, Done: 3, Running: 13})
-	refused := message(&wire.Problem{Error: "because"})
+	job := encode(&wire.JobStatus{ID: "req-000412", State: wire.JobRunning, Done: 3, Running: 13})
+	refused := encode(&wire.Problem{Error: "because"})
 	examples, err := filepath.Glob("../../deploy/examples/*.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range append(examples, "testdata/golden/job.toml") {
-		ask(http.StatusCreated, "", job, at, "submit", file)
-	}
-	ask(http.StatusOK, "", job, nil, "submit", "--addr", r.Addr, "--timeout=9s", examples[0])
-	ask(http.StatusOK, "", job, at, "submit", "testdata/golden/bad-job.toml")
-	ask(http.StatusOK, "", job, at, "status", "req-000412")
-	ask(http.StatusOK, "", []byte("?"), at, "status", "req-000412")
-	ask(http.StatusOK, "", job, at, "cancel", "req-000412")
-	ask(http.StatusOK, "", nil, at, "ready")
-	ask(http.StatusServiceUnavailable, "", nil, at, "ready")
+		record(http.StatusCreated, "", job, userEnv, "submit", file)
+	}
+	record(http.StatusOK, "", job, nil, "submit", "--addr", r.Addr, "--timeout=9s", examples[0])
+	record(http.StatusOK, "", job, userEnv, "submit", "testdata/golden/bad-job.toml")
+	record(http.StatusOK, "", job, userEnv, "status", "req-000412")
+	record(http.StatusOK, "", []byte("?"), userEnv, "status", "req-000412")
+	record(http.StatusOK, "", job, userEnv, "cancel", "req-000412")
+	record(http.StatusOK, "", nil, userEnv, "ready")
+	record(http.StatusServiceUnavailable, "", nil, userEnv, "ready")
 	for _, code := range []int{400, 404, 422, 421, 429, 500, 503} {
-		ask(code, "", refused, at, "status", "req-000412")
+		record(code, "", refused, userEnv, "status", "req-000412")
 	}
-	ask(http.StatusServiceUnavailable, "7", refused, at, "cancel", "req-000412")
-	ask(http.StatusOK, "", job, nil, "status", "req-000412") // no address
+	record(http.StatusServiceUnavailable, "7", refused, userEnv, "cancel", "req-000412")
+	record(http.StatusOK, "", job, nil, "status", "req-000412") // no address
 
 	why := adminapi.Respond(result.Explanation{Explanation: &wire.Explanation{
 		ID: "req-000412", State: wire.JobPending, Node: "n1", Waiting: 4,
@@ -216,13 +218,13 @@
 		{Position: 1, ID: "req-000412", Team: "red", Class: "train", Waiting: 4, Reason: "no-room", SinceS: 61.23},
 		{ID: "req-000413", Team: "blue", Class: "web", Waiting: 5, Reason: "paused"}}}}).Body
 	problem := adminapi.Respond(result.Unknown{Reason: "unknown"}).Body
-	ask(http.StatusOK, "", why, operators, "why", "req-000412")
-	ask(http.StatusOK, "", why, operators, "why", "req-000412", "--what-if")
-	ask(http.StatusOK, "", why, nil, "why", "--operate", r.Addr, "--timeout=9s", "--json", "req-000412")
-	ask(http.StatusOK, "", queue, operators, "queue")
-	ask(http.StatusOK, "", queue, operators, "queue", "--team=red", "--class=train", "--reason=paced", "--most=500",
+	record(http.StatusOK, "", why, adminEnv, "why", "req-000412")
+	record(http.StatusOK, "", why, adminEnv, "why", "req-000412", "--what-if")
+	record(http.StatusOK, "", why, nil, "why", "--operate", r.Addr, "--timeout=9s", "--json", "req-000412")
+	record(http.StatusOK, "", queue, adminEnv, "queue")
+	record(http.StatusOK, "", queue, adminEnv, "queue", "--team=red", "--class=train", "--reason=paced", "--most=500",
 		"--json")
-	ask(http.StatusNotFound, "", problem, operators, "why", "req-000412")
-	ask(http.StatusServiceUnavailable, "7", problem, operators, "queue")
+	record(http.StatusNotFound, "", problem, adminEnv, "why", "req-000412")
+	record(http.StatusServiceUnavailable, "7", problem, adminEnv, "queue")
 	golden.Check(t, "client.txt", r.Text())
 }
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -1,5 +1,5 @@
-// Command fieldhill is a controller of the fieldhill cluster scheduler, and a
-// small client for one.
+// Command fieldhill runs a controller of the fieldhill cluster scheduler. Its other commands include clients of a
+// controller's user API and admin API.
 package main
 
 import (
@@ -21,37 +21,37 @@
 	"fieldhill/internal/platform/host"
 )
 
-// cli has a field for each command.
+// cli defines the commands.
 type cli struct {
 	Serve serveCmd `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
-	Check checkCmd `cmd:"" help:"Check a settings file and print what was understood."`
+	Check checkCmd `cmd:"" help:"Validate a settings file and print the parsed settings."`
 
 	Submit submitCmd `cmd:"" help:"Submit a job to a controller."`
-	Status statusCmd `cmd:"" help:"Ask a controller how a job is."`
+	Status statusCmd `cmd:"" help:"Show the status of a job."`
 	Cancel cancelCmd `cmd:"" help:"Cancel a job."`
-	Why    whyCmd    `cmd:"" help:"Ask why a job waits, and which reason binds."`
-	Queue  queueCmd  `cmd:"" help:"List the jobs that wait, in the order in which they are served."`
-	Ready  readyCmd  `cmd:"" help:"Ask whether a controller takes requests."`
+	Why    whyCmd    `cmd:"" help:"Explain why a job is pending and which reasons are binding."`
+	Queue  queueCmd  `cmd:"" help:"List the pending jobs in scheduling order."`
+	Ready  readyCmd  `cmd:"" help:"Check whether a controller accepts requests."`
 
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// serveCmd runs a controller. The service's own flags complete the settings file, whose keys are the platform's.
+// serveCmd runs a controller. Its flags supplement the settings file, whose keys are defined by the platform.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type serveCmd struct {
-	Config         string        `required:"" help:"Settings file (TOML) of the platform." type:"existingfile"`
-	LogLevel       string        `env:"LOG_LEVEL" default:"info" help:"How much to log: error, info or debug."`
+	Config         string        `required:"" help:"Settings file (TOML) provided by the platform." type:"existingfile"`
+	LogLevel       string        `env:"LOG_LEVEL" default:"info" help:"Log level: error, info or debug."`
 	Beta           float64       `env:"FIELDHILL_BETA" default:"0.8" help:"DAD: weight of image locality against load, 0 to 1."`
-	Threshold      float64       `env:"FIELDHILL_THRESHOLD" default:"0.5" help:"DAD: scores below it count as local."`
-	WaitRounds     int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: rounds a task may wait for a busy machine with its image."`
-	Round          time.Duration `env:"FIELDHILL_ROUND" default:"2s" help:"DAD: length of a round."`
-	Metrics        string        `env:"FIELDHILL_METRICS" placeholder:"HOST:PORT" help:"Where to serve a read-only page of counters and latencies (/metrics); none by default."`
-	Operate        string        `env:"FIELDHILL_OPERATE" placeholder:"HOST:PORT" help:"Where to answer operators (fieldhill why, queue), or :PORT beside the users; nowhere by default."`
-	SingletonRoles bool          `name:"duties" env:"FIELDHILL_DUTIES" help:"Have dealing with the cloud and cleaning up done by whichever controller does it best, each under a lease of its own, once all controllers have this; else the leader does it all."`
+	Threshold      float64       `env:"FIELDHILL_THRESHOLD" default:"0.5" help:"DAD: scores below this value count as local."`
+	WaitRounds     int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: maximum number of rounds that a task waits for a busy machine with its image."`
+	Round          time.Duration `env:"FIELDHILL_ROUND" default:"2s" help:"DAD: interval between scheduling rounds."`
+	Metrics        string        `env:"FIELDHILL_METRICS" placeholder:"HOST:PORT" help:"Listen address of the read-only metrics page (/metrics); disabled by default."`
+	Operate        string        `env:"FIELDHILL_OPERATE" placeholder:"HOST:PORT" help:"Listen address of the admin API (fieldhill why, queue); :PORT uses the host of the user API; disabled by default."`
+	SingletonRoles bool          `name:"duties" env:"FIELDHILL_DUTIES" help:"Assign the singleton roles (cloud provisioning and cleanup) to the best-suited controllers, each under its own lease, once all controllers set this flag; otherwise the leader holds them all."`
 }
 
-// Validate is called by kong when the flags are read.
+// Validate is called by kong after parsing.
 func (s *serveCmd) Validate() error {
 	switch {
 	case !(s.Beta >= 0 && s.Beta <= 1):
@@ -65,25 +65,25 @@
 	}
 	for _, flag := range []struct{ name, addr string }{
 		{"metrics", s.Metrics},
-		{"operate", withHost(s.Operate, "0.0.0.0:0")},
+		{"operate", withDefaultHost(s.Operate, "0.0.0.0:0")},
 	} {
 		if _, err := netip.ParseAddrPort(flag.addr); flag.addr != "" && err != nil {
 			return fmt.Errorf("%s: %q is not an address with a port", flag.name, flag.addr)
 		}
 	}
-	_, err := parseLevel(s.LogLevel)
+	_, err := parseLogLevel(s.LogLevel)
 	return err
 }
 
-// withHost puts the host of another address before an address that is only a port.
-func withHost(addr, hostAddr string) string {
-	if host, _, err := net.SplitHostPort(hostAddr); err == nil && strings.HasPrefix(addr, ":") {
+// withDefaultHost completes an address of the form :PORT with the host of a default address.
+func withDefaultHost(addr, defaultAddr string) string {
+	if host, _, err := net.SplitHostPort(defaultAddr); err == nil && strings.HasPrefix(addr, ":") {
 		return host + addr
 	}
 	return addr
 }
 
-func parseLevel(s string) (slog.Level, error) {
+func parseLogLevel(s string) (slog.Level, error) {
 	switch strings.ToLower(s) {
 	case "error":
 		return slog.LevelError, nil
@@ -95,18 +95,18 @@
 	return 0, fmt.Errorf("log level %q is none of error, info, debug", s)
 }
 
-// Run runs a controller until the process is ended.
+// Run runs a controller until the process is terminated.
 func (s *serveCmd) Run() error {
 	settings, err := config.Load(s.Config)
 	if err != nil {
 		return err
 	}
-	logLevel, _ := parseLevel(s.LogLevel)
+	logLevel, _ := parseLogLevel(s.LogLevel)
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel}))
-	// The heap must stay well below the machine's limit, which counts everything.
+	// The machine's limit counts all memory, not only the Go heap, so the heap must stay well below it.
 	debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryMB * 0.55 * (1 << 20)))
 	if share := settings.Params.Limits.CPUShare; share < 1.5 {
-		runtime.GOMAXPROCS(1) // threads beyond the share only cost switches
+		runtime.GOMAXPROCS(1) // more threads than the CPU share only cause context switches
 	}
 	return controller.New(host.Real{}, settings, controller.Options{
 		Beta:           s.Beta,
@@ -114,17 +114,17 @@
 		WaitRounds:     s.WaitRounds,
 		RoundInterval:  s.Round,
 		MetricsAddr:    s.Metrics,
-		AdminAddr:      withHost(s.Operate, settings.Bind),
+		AdminAddr:      withDefaultHost(s.Operate, settings.Bind),
 		SingletonRoles: s.SingletonRoles,
 	}, logger).Run(context.Background())
 }
 
-// checkCmd reads a settings file and prints it as the controller understands it.
+// checkCmd validates a settings file and prints the parsed settings.
 type checkCmd struct {
 	File string `arg:"" help:"Settings file (TOML)." type:"existingfile"`
 }
 
-// Run carries out the command.
+// Run executes the command.
 func (c *checkCmd) Run() error {
 	settings, err := config.Load(c.File)
 	if err != nil {
@@ -135,7 +135,7 @@
 }
 
 func printSettings(s *config.Settings) {
-	fmt.Printf("node %s in zone %s, users at %s, controllers at %s\n", s.Node, s.Zone, s.Bind, s.PeerListen)
+	fmt.Printf("node %s in zone %s, user API at %s, peer API at %s\n", s.Node, s.Zone, s.Bind, s.PeerListen)
 	for _, m := range s.Members {
 		fmt.Printf("member %s in zone %s at %s\n", m.Node, m.Zone, m.Addr)
 	}
@@ -147,12 +147,12 @@
 		fmt.Printf("objective %s %s: %.4g%% within %g s\n", o.Kind, o.Class, 100*o.Share, o.WithinS)
 	}
 	workers := &s.Params.Workers
-	fmt.Printf("workers: report every %g s, lease %g s, cancelled within %g s; "+
-		"leases kept without a leader for at most %v\n",
+	fmt.Printf("workers: heartbeat every %g s, lease %g s, cancellation within %g s; "+
+		"leases renewed without a leader for at most %v\n",
 		workers.HeartbeatS, workers.LeaseS, workers.CancelS, s.StaleRenewalLimit())
 }
 
-// formatLimit spells a team's limit, of which 0 stands for none.
+// formatLimit formats a team's limit; 0 means unlimited.
 func formatLimit(limit float64) string {
 	if limit == 0 {
 		return "any number of"
@@ -160,13 +160,13 @@
 	return fmt.Sprintf("%g", limit)
 }
 
-// version is the latest entry of CHANGELOG.md.
+// version must match the latest entry of CHANGELOG.md.
 const version = "0.4.0"
 
 // versionCmd prints the version.
 type versionCmd struct{}
 
-// Run prints the version and, where the build knows it, the commit.
+// Run prints the version and, if the build information has it, the commit.
 func (versionCmd) Run() error {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -185,7 +185,7 @@
 	ctx := kong.Parse(
 		&c,
 		kong.Name("fieldhill"),
-		kong.Description("A cluster scheduler: decides what runs where, rents the machines, and answers the users."),
+		kong.Description("A cluster scheduler: places tasks, provisions machines and serves the user API."),
 	)
 	ctx.FatalIfErrorf(ctx.Run())
 }
