--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,5 @@
-// Package golden compares the bytes that the code writes with files that an earlier version wrote, so that a change of
-// a stored or transmitted format is found. It is for tests only. `go test PACKAGE -run Golden -update` writes the
-// files.
+// Package golden compares output with golden files that an earlier version wrote, so that tests detect changes of
+// stored and transmitted formats. Only tests import it. `go test PACKAGE -run Golden -update` rewrites the files.
 package golden
 
 import (
@@ -18,40 +17,41 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// bytesPerLine is how many bytes a line of a .hex file shows: a change of one is a change of one short line.
+// bytesPerLine is the number of bytes per line of a .hex file, small enough that diffs are easy to read.
 const bytesPerLine = 32
 
-// update makes Check write the files in place of comparing with them.
-var update = flag.Bool("update", false, "write the golden files from what the code writes now")
+// update makes Check write the golden files instead of comparing with them.
+var update = flag.Bool("update", false, "rewrite the golden files with the current output")
 
-// Updating reports whether the files are being written, for a test that has other files to write.
+// Updating reports whether golden files are being rewritten, for tests that write further files.
 func Updating() bool { return *update }
 
-// Check fails the test unless got is what testdata/golden/NAME holds. A name that ends in .hex is stored as a hex dump.
+// Check fails the test unless got equals the content of testdata/golden/NAME. Files with the extension .hex are stored
+// as hex dumps.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
-		write(t, name, got)
+		writeFile(t, name, got)
 		return
 	}
 	want := Read(t, name)
 	if bytes.Equal(want, got) {
 		return
 	}
-	at := 0
-	for at < len(want) && at < len(got) && want[at] == got[at] {
-		at++
+	offset := 0
+	for offset < len(want) && offset < len(got) && want[offset] == got[offset] {
+		offset++
 	}
-	t.Errorf("%s: %d bytes stored, %d written, first difference at byte %d\nstored  %q\nwritten %q",
-		name, len(want), len(got), at, around(want, at), around(got, at))
+	t.Errorf("%s: golden file has %d bytes, got %d; first difference at byte %d\nwant %q\ngot  %q",
+		name, len(want), len(got), offset, excerpt(want, offset), excerpt(got, offset))
 }
 
-// Read returns the content of testdata/golden/NAME, with the dump of a .hex file decoded.
+// Read returns the content of testdata/golden/NAME, decoding the hex dump of a .hex file.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
-	b, err := os.ReadFile(path(name))
+	b, err := os.ReadFile(goldenPath(name))
 	if errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("%v (written by `go test -run Golden -update`)", err)
+		t.Fatalf("%v (create it with `go test -run Golden -update`)", err)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -66,29 +66,31 @@
 	return decoded
 }
 
-// FlipFinds plants a difference into each byte of the file in turn. rewrite reads the bytes and writes what it read:
-// with the stored bytes it must give the same, and with each planted one an error or other than the stored bytes.
+// FlipFinds checks that a format's reader uses every byte. rewrite decodes the bytes and encodes the result again.
+// Given the stored bytes, it must reproduce them; given the stored bytes with one bit flipped, in each byte in turn, it
+// must return an error or different bytes.
 func FlipFinds(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	stored := Read(t, name)
-	again, err := rewrite(bytes.Clone(stored))
+	rewritten, err := rewrite(bytes.Clone(stored))
 	if err != nil {
-		t.Fatalf("%s isn't read: %v", name, err)
+		t.Fatalf("%s: cannot decode: %v", name, err)
 	}
-	if !bytes.Equal(again, stored) {
-		t.Fatalf("%s: what was read is written as other bytes:\nstored  %x\nwritten %x", name, stored, again)
+	if !bytes.Equal(rewritten, stored) {
+		t.Fatalf("%s: decoding and encoding changes the bytes:\nwant %x\ngot  %x", name, stored, rewritten)
 	}
-	for at := range stored {
-		planted := bytes.Clone(stored)
-		planted[at] ^= 1
-		if again, err := rewrite(planted); err == nil && bytes.Equal(again, stored) {
-			t.Errorf("%s: byte %d changed from %#x to %#x and nothing was found", name, at, stored[at], planted[at])
+	for offset := range stored {
+		mutated := bytes.Clone(stored)
+		mutated[offset] ^= 1
+		if rewritten, err := rewrite(mutated); err == nil && bytes.Equal(rewritten, stored) {
+			t.Errorf("%s: change of byte %d from %#x to %#x not detected",
+				name, offset, stored[offset], mutated[offset])
 		}
 	}
 }
 
-// RoundTrip checks a format in both directions: want is written as the stored bytes, these are read as want, and one
-// changed byte is found.
+// RoundTrip checks a format in both directions: write encodes want as the stored bytes, read decodes these as want, and
+// the change of any one byte is detected.
 func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, write(want))
@@ -97,7 +99,7 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("%s is read as something else (-want +got):\n%s", name, diff)
+		t.Errorf("%s: decoded value differs (-want +got):\n%s", name, diff)
 	}
 	FlipFinds(t, name, func(b []byte) ([]byte, error) {
 		got, err := read(b)
@@ -108,8 +110,8 @@
 	})
 }
 
-// TagFinds plants a renamed tag: each key of the msgpack map is given another name in turn, and rewrite, which decodes
-// into the struct and encodes that again, must give an error or other bytes than the stored ones.
+// TagFinds checks that a renamed msgpack tag is detected. It renames each key of the stored map in turn; rewrite, which
+// decodes into the struct and encodes it again, must then return an error or different bytes.
 func TagFinds(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	var fields map[string]msgpack.RawMessage
@@ -117,27 +119,27 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if len(fields) == 0 {
-		t.Fatalf("%s: no tag to rename", name)
+		t.Fatalf("%s: map has no keys", name)
 	}
 	for tag := range fields {
 		key, _ := msgpack.Marshal(tag)
-		other, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
-		planted := bytes.Replace(stored, key, other, 1)
-		if again, err := rewrite(planted); err == nil && bytes.Equal(again, stored) {
-			t.Errorf("%s: tag %q was renamed and nothing was found", name, tag)
+		renamedKey, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
+		mutated := bytes.Replace(stored, key, renamedKey, 1)
+		if rewritten, err := rewrite(mutated); err == nil && bytes.Equal(rewritten, stored) {
+			t.Errorf("%s: renamed tag %q not detected", name, tag)
 		}
 	}
 }
 
-// path is relative, as a test runs in the directory of its package.
-func path(name string) string { return filepath.Join("testdata", "golden", name) }
+// goldenPath is relative to the package directory, in which tests run.
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// around cuts out the bytes before and after a difference, for a message.
-func around(b []byte, at int) []byte {
-	return b[max(0, min(at, len(b))-16):min(len(b), at+bytesPerLine)]
+// excerpt returns the bytes around a difference, for a failure message.
+func excerpt(b []byte, offset int) []byte {
+	return b[max(0, min(offset, len(b))-16):min(len(b), offset+bytesPerLine)]
 }
 
-func write(t testing.TB, name string, b []byte) {
+func writeFile(t testing.TB, name string, b []byte) {
 	t.Helper()
 	if strings.HasSuffix(name, ".hex") {
 		var dump bytes.Buffer
@@ -146,10 +148,10 @@
 		}
 		b = dump.Bytes()
 	}
-	if err := os.MkdirAll(filepath.Dir(path(name)), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path(name), b, 0o644); err != nil {
+	if err := os.WriteFile(goldenPath(name), b, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,39 +7,40 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// failureRecorder records the failures of a check, in place of failing the test that plants the difference.
+// failureRecorder records the failures of a check instead of failing the test, which expects them.
 type failureRecorder struct {
 	testing.TB
 	failures []string
 }
 
-// Errorf is called by the check.
+// Errorf implements testing.TB.
 func (r *failureRecorder) Errorf(format string, args ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// TestGoldenFindsDifferences shows that the checks fail: on other bytes, and on readers that miss a byte or a tag.
-func TestGoldenFindsDifferences(t *testing.T) {
+// TestGoldenChecksDetectDifferences verifies that the checks fail on changed bytes and on decoders that ignore a byte
+// or a tag.
+func TestGoldenChecksDetectDifferences(t *testing.T) {
 	stored := []byte("\x00\x01\x02 0123456789 0123456789 0123456789")
 	Check(t, "bytes.hex", stored)
 	Check(t, "text.txt", []byte("text\n"))
 	tagged, _ := msgpack.Marshal(map[string]int{"one": 1})
 	for name, check := range map[string]func(testing.TB){
-		"one byte": func(t testing.TB) { Check(t, "bytes.hex", append([]byte{9}, stored[1:]...)) },
-		"one less": func(t testing.TB) { Check(t, "bytes.hex", stored[:len(stored)-1]) },
-		"one more": func(t testing.TB) { Check(t, "bytes.hex", append(stored[:len(stored):len(stored)], 0)) },
-		"text":     func(t testing.TB) { Check(t, "text.txt", []byte("Text\n")) },
-		"unread byte": func(t testing.TB) {
+		"changed byte": func(t testing.TB) { Check(t, "bytes.hex", append([]byte{9}, stored[1:]...)) },
+		"missing byte": func(t testing.TB) { Check(t, "bytes.hex", stored[:len(stored)-1]) },
+		"extra byte":   func(t testing.TB) { Check(t, "bytes.hex", append(stored[:len(stored):len(stored)], 0)) },
+		"changed text": func(t testing.TB) { Check(t, "text.txt", []byte("Text\n")) },
+		"ignored byte": func(t testing.TB) {
 			FlipFinds(t, "bytes.hex", func([]byte) ([]byte, error) { return stored, nil })
 		},
-		"unread tag": func(t testing.TB) {
+		"ignored tag": func(t testing.TB) {
 			TagFinds(t, "", tagged, func([]byte) ([]byte, error) { return tagged, nil })
 		},
 	} {
 		r := &failureRecorder{TB: t}
 		if !*update {
 			if check(r); len(r.failures) == 0 {
-				t.Errorf("%s: not found", name)
+				t.Errorf("%s: not detected", name)
 			}
 		}
 	}
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -15,9 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Recorder is an HTTP server on the loopback address that records the requests it gets as text, for Check to compare.
+// Recorder is an HTTP server on loopback that records the requests it receives as text for comparison with Check.
 type Recorder struct {
-	// Addr is the server's host and port.
+	// Addr is the address of the server, as host:port.
 	Addr string
 
 	mu     sync.Mutex
@@ -27,7 +27,7 @@
 	bodies [][]byte
 }
 
-// Record starts a server that answers as Reply says, until the test ends.
+// Record starts a server that responds as set with Reply and is closed when the test ends.
 func Record(t testing.TB) *Recorder {
 	t.Helper()
 	r := &Recorder{status: http.StatusOK}
@@ -37,21 +37,21 @@
 			t.Error(err)
 		}
 		r.Note("%s %s\n%s", request.Method, request.RequestURI, Message(request.Header, body))
-		r.answer(w)
+		r.respond(w)
 	}))
 	t.Cleanup(server.Close)
 	r.Addr = server.Listener.Addr().String()
 	return r
 }
 
-// Reply sets what is answered from now on: the bodies in turn, and none after them.
+// Reply sets the subsequent responses: one with each of the bodies in order, then responses with an empty body.
 func (r *Recorder) Reply(status int, header http.Header, bodies ...[]byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.status, r.header, r.bodies = status, header, bodies
 }
 
-func (r *Recorder) answer(w http.ResponseWriter) {
+func (r *Recorder) respond(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, values := range r.header {
@@ -59,26 +59,27 @@
 	}
 	w.WriteHeader(r.status)
 	if len(r.bodies) > 0 {
-		_, _ = w.Write(r.bodies[0]) // a client that went away fails its own test
+		_, _ = w.Write(r.bodies[0]) // if the client has disconnected, the test fails in the client
 		r.bodies = r.bodies[1:]
 	}
 }
 
-// Note adds a line to the record, such as the client's result of an answer.
+// Note adds a line to the record, such as the output of the client.
 func (r *Recorder) Note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.text, format+"\n", args...)
 }
 
-// Text gives the record, with the server's address, which is another one in each run, spelled ADDR.
+// Text returns the record. The server's address, which differs in each run, is replaced by ADDR.
 func (r *Recorder) Text() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return bytes.ReplaceAll(r.text.Bytes(), []byte(r.Addr), []byte("ADDR"))
 }
 
-// Message spells an HTTP message's headers and body: a body in MessagePack as JSON with a hex dump, any other as it is.
+// Message formats the headers and the body of an HTTP message: a MessagePack body as JSON and a hex dump, any other
+// body unchanged.
 func Message(header http.Header, body []byte) string {
 	var b strings.Builder
 	for name, values := range header {
@@ -89,7 +90,7 @@
 	return strings.Join(lines, "") + Body(body)
 }
 
-// Body spells a body as Message does.
+// Body formats a body as Message does.
 func Body(body []byte) string {
 	var message map[string]any
 	if len(body) == 0 {
@@ -99,11 +100,11 @@
 		return strings.TrimSuffix(string(body), "\n") + "\n"
 	}
 	var b strings.Builder
-	spelled, err := json.Marshal(message)
+	encoded, err := json.Marshal(message)
 	if err != nil {
 		return fmt.Sprintf("%x\n", body)
 	}
-	fmt.Fprintf(&b, "%s\n", spelled)
+	fmt.Fprintf(&b, "%s\n", encoded)
 	for line := range slices.Chunk(body, bytesPerLine) {
 		fmt.Fprintf(&b, "%x\n", line)
 	}
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,6 +1,5 @@
-// Package intern maps names to dense indices, so that everything behind the
-// edges of the program compares and stores small integers, and tables by name are
-// slices.
+// Package intern maps names to dense indices, so that internal code compares and stores small integers, and uses slices
+// instead of maps for tables by name.
 package intern
 
 import (
@@ -8,13 +7,14 @@
 	"slices"
 )
 
-// Table gives each name an index, counted from 0 in the order in which they were first seen. The zero value is empty.
+// Table assigns each name an index, starting from 0, in the order in which the names are added. The zero value is an
+// empty table.
 type Table struct {
 	ids   map[string]int32
 	names []string // by index
 }
 
-// ID returns the index of a name, giving it one if it is new.
+// ID returns the index of a name, adding the name if it is new.
 func (t *Table) ID(name string) int32 {
 	if id, ok := t.ids[name]; ok {
 		return id
@@ -28,17 +28,17 @@
 	return id
 }
 
-// Find returns the index of a name that is known already.
+// Find returns the index of a name, and whether the table has it.
 func (t *Table) Find(name string) (int32, bool) {
 	id, ok := t.ids[name]
 	return id, ok
 }
 
-// Name returns the name behind an index.
+// Name returns the name with an index.
 func (t *Table) Name(id int32) string { return t.names[id] }
 
-// Len tells how many names there are.
+// Len returns the number of names.
 func (t *Table) Len() int { return len(t.names) }
 
-// Clone copies a table: names that either gets later are not in the other.
+// Clone returns an independent copy of the table.
 func (t *Table) Clone() Table { return Table{maps.Clone(t.ids), slices.Clone(t.names)} }
--- a/internal/testing/modelcheck/modelcheck.go
+++ b/internal/testing/modelcheck/modelcheck.go
@@ -1,7 +1,6 @@
-// Package modelcheck explores the state space of a small system: every order of its steps, to a depth, breadth first,
-// so that the first violation it finds is among those with the shortest trace. A system is a model of the world around
-// code that is real: the pure parts of the service are driven by it as the service drives them. It is imported by tests
-// only.
+// Package modelcheck is an explicit-state model checker for small systems. It explores every order of a system's steps
+// to a given depth, breadth first, so that the first violation found has a trace of minimal length. A system models the
+// environment of production code without I/O and calls that code the way the service does. Only tests import it.
 package modelcheck
 
 import (
@@ -10,17 +9,17 @@
 	"strings"
 )
 
-// State is a state of a system. It is a value: NextSteps makes new ones and leaves this one as it is.
+// State is an immutable state of a system: NextSteps creates new states and doesn't modify this one.
 type State interface {
-	// Key identifies the state; what it leaves out can't matter for what follows.
+	// Key identifies the state. States with equal keys must have the same behavior from there on.
 	Key() string
-	// NextSteps lists everything that may happen next.
+	// NextSteps lists all steps that are possible in the state.
 	NextSteps() []Step
-	// Violation says which property the state violates, "" for none.
+	// Violation describes the property that the state violates; "" means none.
 	Violation() string
 }
 
-// Step is something that may happen, and the state after it.
+// Step is a transition to another state.
 type Step struct {
 	Name string
 	To   State
@@ -28,39 +27,40 @@
 
 // Result is the outcome of an exploration.
 type Result struct {
-	States    int      // different ones that were seen
-	Depth     int      // to which all states were seen
-	Exhausted bool     // all reachable states were seen, at whatever depth
-	Violation string   // of the first state that has one
-	Trace     []string // the steps to that state
+	States    int      // distinct states visited
+	Depth     int      // depth to which all states were visited
+	Exhausted bool     // all reachable states were visited, regardless of depth
+	Violation string   // of the first violating state, "" if there is none
+	Trace     []string // names of the steps from the start to that state
 }
 
 // String formats the result for a test's log.
 func (r *Result) String() string {
 	if r.Violation == "" {
-		return fmt.Sprintf("%d states to depth %d, all of them %v, none is broken", r.States, r.Depth, r.Exhausted)
+		return fmt.Sprintf("%d states to depth %d, exhausted %v, no violation", r.States, r.Depth, r.Exhausted)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "broken after %d steps (%d states seen): %s\n", len(r.Trace), r.States, r.Violation)
+	fmt.Fprintf(&b, "violation after %d steps (%d states visited): %s\n", len(r.Trace), r.States, r.Violation)
 	for i, step := range r.Trace {
 		fmt.Fprintf(&b, "%3d. %s\n", i+1, step)
 	}
 	return b.String()
 }
 
-// predecessor is how a state was reached first.
+// predecessor is the step by which a state was first reached.
 type predecessor struct {
-	parent int32 // index of the state before, -1 for the start
+	parent int32 // index of the previous state, -1 for the start
 	step   string
 }
 
-// frontierState is a state whose next steps were not taken yet.
+// frontierState is a visited state that hasn't been expanded.
 type frontierState struct {
 	state State
-	index int32 // of its predecessor
+	index int32 // in explorer.predecessors
 }
 
-// explorer holds what is seen so far. Only keys and steps of states are retained, so that millions of states fit.
+// explorer holds the progress of an exploration. Of expanded states it retains only the key and the step that led to
+// them, so that millions of states fit in memory.
 type explorer struct {
 	maxStates    int
 	seen         map[string]bool
@@ -68,7 +68,8 @@
 	result       Result
 }
 
-// Explore visits all states that can be reached in at most depth steps, until it has seen maxStates or a violation.
+// Explore visits the states reachable in at most depth steps. It stops early at the first violation or after maxStates
+// states.
 func Explore(start State, depth, maxStates int) *Result {
 	e := &explorer{
 		maxStates:    maxStates,
@@ -92,8 +93,8 @@
 	return r
 }
 
-// expand takes every step from the states of one depth. It reports whether the exploration is over, with the result
-// filled in.
+// expand takes every step from the states of one depth. It returns the newly reached states, or reports that the
+// exploration has stopped, in which case the result is complete.
 func (e *explorer) expand(frontier []frontierState) (next []frontierState, stopped bool) {
 	for _, from := range frontier {
 		for _, step := range from.state.NextSteps() {
@@ -118,7 +119,7 @@
 	return next, false
 }
 
-// trace lists the steps to a state from the start.
+// trace returns the names of the steps from the start to a state.
 func (e *explorer) trace(index int32) (steps []string) {
 	for ; e.predecessors[index].parent >= 0; index = e.predecessors[index].parent {
 		steps = append(steps, e.predecessors[index].step)
--- a/internal/testing/virtualtime/isolated.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -13,41 +13,41 @@
 	"testing"
 )
 
-// singleTestEnv marks a process that was started to run one test of many.
+// singleTestEnv is set in the processes that runIsolated starts, each of which runs a single test.
 const singleTestEnv = "FIELDHILL_BUBBLE_ONE"
 
-// wholeRunFlags are the flags of `go test` that make sense for a single process only.
-var wholeRunFlags = []string{
+// singleProcessFlags are the flags of `go test` that require all tests to run in one process.
+var singleProcessFlags = []string{
 	"run", "list", "v", "bench", "fuzz", "cpuprofile", "memprofile", "coverprofile", "trace",
 }
 
-// MainIsolated is Main for a package with many long tests: each top-level test runs in a process of its own, several at
-// a time, each on one processor as Main has it. On one shared processor of many they took five minutes under the race
-// detector. Where only some of the tests are asked for, or their output as they run, it is Main.
+// MainIsolated is a variant of Main for packages with many long tests: it runs each top-level test in a separate
+// process, several at a time, each on one processor as in Main. In one process they would all share one processor,
+// which took five minutes under the race detector. With any of singleProcessFlags it behaves like Main.
 func MainIsolated(m *testing.M) {
 	flag.Parse()
-	if os.Getenv(singleTestEnv) != "" || isWholeRunAsked() {
+	if os.Getenv(singleTestEnv) != "" || requiresSingleProcess() {
 		Main(m)
 		return
 	}
 	names, err := listTests()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "can't list the tests:", err)
+		fmt.Fprintln(os.Stderr, "cannot list tests:", err)
 		os.Exit(1)
 	}
 	if len(names) == 0 {
-		fmt.Fprintln(os.Stderr, "no test is listed")
+		fmt.Fprintln(os.Stderr, "no tests found")
 		os.Exit(1)
 	}
 	if !runIsolated(names) {
 		fmt.Println("FAIL")
 		os.Exit(1)
 	}
-	fmt.Printf("%d tests, each in a process of its own\nPASS\n", len(names))
+	fmt.Printf("%d tests, each in a separate process\nPASS\n", len(names))
 }
 
-func isWholeRunAsked() bool {
-	for _, name := range wholeRunFlags {
+func requiresSingleProcess() bool {
+	for _, name := range singleProcessFlags {
 		if f := flag.Lookup("test." + name); f != nil && f.Value.String() != f.DefValue {
 			return true
 		}
@@ -55,13 +55,13 @@
 	return false
 }
 
-// listTests names the top-level tests of the running binary.
+// listTests returns the names of the top-level tests in the running binary.
 func listTests() (names []string, err error) {
-	list, err := exec.Command(os.Args[0], "-test.list=.").Output()
+	output, err := exec.Command(os.Args[0], "-test.list=.").Output()
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range strings.Fields(string(list)) {
+	for _, name := range strings.Fields(string(output)) {
 		if strings.HasPrefix(name, "Test") || strings.HasPrefix(name, "Fuzz") {
 			names = append(names, name)
 		}
@@ -69,16 +69,16 @@
 	return names, nil
 }
 
-// runIsolated runs each test in a process, on half of the processors, prints the output of those that fail and reports
-// whether none did.
+// runIsolated runs each test in a separate process, as many at a time as half of the processors, prints the output of
+// failed tests and reports whether all passed.
 func runIsolated(names []string) bool {
-	next := make(chan string)
-	var runners sync.WaitGroup
+	queue := make(chan string)
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	passed := true
 	for range max(1, runtime.NumCPU()/2) {
-		runners.Go(func() {
-			for name := range next {
+		workers.Go(func() {
+			for name := range queue {
 				output, err := runSingleTest(name)
 				if err == nil {
 					continue
@@ -91,10 +91,10 @@
 		})
 	}
 	for _, name := range names {
-		next <- name
+		queue <- name
 	}
-	close(next)
-	runners.Wait()
+	close(queue)
+	workers.Wait()
 	return passed
 }
 
--- a/internal/testing/virtualtime/rapid.go
+++ b/internal/testing/virtualtime/rapid.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// MainRapid is for the TestMain of packages that draw their cases with rapid: it runs so many checks of each property,
-// from the same seed every time, so that a pass or failure can be repeated.
+// MainRapid is called from TestMain in packages with rapid property tests. It runs the given number of checks of each
+// property with a fixed seed, so that results are reproducible.
 func MainRapid(m *testing.M, checks int) {
 	if err := errors.Join(
 		flag.Set("rapid.seed", "20261201"),
--- a/internal/testing/virtualtime/virtualtime.go
+++ b/internal/testing/virtualtime/virtualtime.go
@@ -1,12 +1,13 @@
-// Package virtualtime is the harness of tests that run in virtual time (testing/synctest), so that they end with the
-// same verdict under the race detector every time. It is imported by tests only.
+// Package virtualtime contains TestMain helpers for tests that run in virtual time (testing/synctest) and gives them
+// deterministic results under the race detector. Only tests import it.
 //
-// The runtime runs all timers of a bubble in one context of the race detector, which only one thread may use at a time.
-// Two do: while the bubble's root runs the timers of an instant, a goroutine that one of them woke may read a timer's
-// channel whose time has come too, and then runs that timer itself. On more than one processor the detector's records
-// are overwritten now and then: a segmentation fault in its runtime, a failed check, or a data race that is none. The
-// root runs timers on its system stack, where nothing preempts it, so one processor rules this out. The detector
-// recognises a race by the order of synchronisation, not by time, so it finds as many on one processor.
+// The runtime runs all timers of a synctest bubble in one race detector context, which only one thread may use at a
+// time. Two threads can use it concurrently: while the root of the bubble runs the timers of an instant, a goroutine
+// woken by one of them may receive from the channel of another timer that is due, and then runs that timer itself. With
+// more than one processor this occasionally corrupts the state of the detector, which shows as a segmentation fault in
+// its runtime, a failed internal check or a false data race. The root runs timers on its system stack, where it isn't
+// preempted, so the problem can't occur with one processor. The detector finds races by the happens-before order rather
+// than by timing, so it finds as many races with one processor.
 package virtualtime
 
 import (
@@ -14,8 +15,8 @@
 	"testing"
 )
 
-// Main is for the TestMain of every package whose tests use testing/synctest. It runs the tests on one processor,
-// unless -cpu asks for others; TestMain returns after it, and the test's process then ends with the tests' verdict.
+// Main is called from TestMain in every package whose tests use testing/synctest. It runs the tests on one processor
+// unless -cpu says otherwise. When TestMain returns, the process exits with the status of the tests.
 func Main(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	m.Run()
--- a/internal/testing/virtualtime/virtualtime_test.go
+++ b/internal/testing/virtualtime/virtualtime_test.go
@@ -9,9 +9,9 @@
 
 func TestMain(m *testing.M) { Main(m) }
 
-// TestTimersOfOneInstant wakes goroutines that read a timer's channel at the instant at which other timers start
-// goroutines. On eight processors and under the race detector it ended in a segmentation fault, or a failed check of
-// the detector's, in nine of nine runs before this test was written down.
+// TestTimersOfOneInstant guards against the race detector failure described in the package comment: goroutines receive
+// from timer channels at the instant at which other timers start goroutines. With eight processors and the race
+// detector, nine of nine runs ended in a segmentation fault or a failed internal check of the detector.
 func TestTimersOfOneInstant(t *testing.T) {
 	const rounds, timersPerRound = 1000, 64
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		if started.Load() != rounds*timersPerRound || received.Load() != rounds*timersPerRound {
-			t.Errorf("of %d timers each %d started a goroutine and %d could be read",
+			t.Errorf("of %d timers of each kind, %d started a goroutine and %d were received",
 				rounds*timersPerRound, started.Load(), received.Load())
 		}
 	})
