--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -39,9 +39,10 @@
 	metricsOffset      = 31
 	adminOffset        = 41
 	workerOffset       = 100
-	maxPort            = 60000
 )
 
+const maxPort = 60000
+
 // cli defines the command-line flags.
 //
 //nolint:lll // a struct tag cannot be broken over lines
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -198,7 +198,7 @@
 	for i, size := range p.Gangs.Sizes {
 		if size < 1 || size > maxGangSize || size > gpuMachines {
 			return fmt.Errorf(
-				"gangs.sizes[%d]: %d is not in the range 1 to %d, or exceeds a region's %d GPU machines",
+				"gangs.sizes[%d]: %d must be from 1 to %d and at most the number of GPU machines of a region, %d",
 				i, size, maxGangSize, gpuMachines)
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -198,18 +198,18 @@
 // addControllers adds the costs of the controllers whose metrics were read both before and after the measurement.
 func (r *Region) addControllers(before, after []metricSamples, seconds float64) {
 	others := 0.0
-	for i, values := range after {
-		if values == nil || before[i] == nil {
+	for i, samples := range after {
+		if samples == nil || before[i] == nil {
 			continue
 		}
-		cost := controllerCost(before[i], values, seconds)
-		r.Failovers["terms"] += max(0, values["fieldhill_terms_total"]-before[i]["fieldhill_terms_total"])
+		cost := controllerCost(before[i], samples, seconds)
+		r.Failovers["terms"] += max(0, samples["fieldhill_terms_total"]-before[i]["fieldhill_terms_total"])
 		for k, value := range cost.values() {
 			peak := r.Peak.values()[k]
 			*peak = max(*peak, *value)
 		}
-		if values["fieldhill_leads"] == 1 {
-			r.Leader, r.JobsKnown = cost, int(values["fieldhill_jobs"])
+		if samples["fieldhill_leads"] == 1 {
+			r.Leader, r.JobsKnown = cost, int(samples["fieldhill_jobs"])
 			continue
 		}
 		others++
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -47,14 +47,14 @@
 		Violations: []string{"region 0: quota: one", "region 1: forgotten: another"},
 	}
 	var b strings.Builder
-	print := func() {
+	printReport := func() {
 		t.Helper()
 		if err := report.Print(&b); err != nil {
 			t.Error(err)
 		}
 	}
-	print()
+	printReport()
 	report.HostBottleneck, report.Violations = "its processors", nil
-	print()
+	printReport()
 	golden.Check(t, "report.txt", []byte(b.String()))
 }
