--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -34,11 +34,11 @@
 
 // Rules are the time-outs by which machines are judged. They are derived from the settings and don't change.
 type Rules struct {
-	HeartbeatS     float64 // heartbeat interval of agents in seconds
-	ProbeAfter     Time    // a machine that is silent for longer is probed
-	SilentAfter    Time    // a machine that is silent for longer, despite probes, is considered lost
-	CancelPatience Time    // how long tasks of a cancelled job may remain on a silent machine
-	Zones          int     // number of zones in the settings
+	HeartbeatS         float64 // heartbeat interval of agents in seconds
+	ProbeAfter         Time    // a machine that is silent for longer is probed
+	SilentAfter        Time    // a machine that is silent for longer, despite probes, is considered lost
+	CancelReleaseDelay Time    // how long tasks of a cancelled job may remain on a silent machine
+	Zones              int     // number of zones in the settings
 }
 
 // missedHeartbeatAge returns the age of the last heartbeat above which the next one counts as missed.
@@ -90,8 +90,8 @@
 	return m.hasBeenUp() && m.SilentFor > limit
 }
 
-// Room is an amount of resources: what tasks need, or what is free on machines.
-type Room struct{ CPUs, GPUs float64 }
+// Resources is an amount of resources: what tasks need, or what is free on machines.
+type Resources struct{ CPUs, GPUs float64 }
 
 // Evidence provides facts about the judged machine that are costly to determine, and therefore requested only when a
 // decision depends on them. Its methods have no side effects.
@@ -103,12 +103,12 @@
 	Cleared() bool
 	// LeaseExpired reports whether the lease of a suspect machine has certainly expired.
 	LeaseExpired() bool
-	// MovableWork reports whether urgent tasks on the machine may run in another zone, and the resources needed by
+	// MovableTasks reports whether urgent tasks on the machine may run in another zone, and the resources needed by
 	// low-priority tasks that may.
-	MovableWork() (urgent bool, low Room)
+	MovableTasks() (urgent bool, low Resources)
 	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called once
 	// per round and zone.
-	FreeOutsideZone() Room
+	FreeOutsideZone() Resources
 	// ZoneMayBeAlive reports whether a controller in the machine's zone may be keeping its tasks running.
 	ZoneMayBeAlive() bool
 }
@@ -161,7 +161,7 @@
 	cloudUnavailable  bool
 	checksLateness    bool
 	queriesPartitions bool
-	freeOutside       map[int32]*Room // by zone: resources free in other zones and not yet used in this round
+	freeOutside       map[int32]*Resources // by zone: resources free in other zones and not yet used in this round
 }
 
 // Begin starts a round with the counts of all machines. While the cloud is unavailable, no machine is released that may
@@ -169,7 +169,7 @@
 func (d *Detector) Begin(rules *Rules, census *Census, now Time, cloudUnavailable bool) *Round {
 	r := &Round{
 		rules: rules, detector: d, census: census, now: now, checksLateness: now > d.nextLatenessCheck,
-		freeOutside: map[int32]*Room{}, cloudUnavailable: cloudUnavailable,
+		freeOutside: map[int32]*Resources{}, cloudUnavailable: cloudUnavailable,
 	}
 	if r.checksLateness {
 		d.nextLatenessCheck = now + latenessInterval
@@ -238,7 +238,7 @@
 	switch {
 	case !m.Occupied || r.cloudUnavailable:
 		return "", false
-	case (lost || m.Suspect) && evidence.CancelledFor() > r.rules.CancelPatience && !evidence.Cleared():
+	case (lost || m.Suspect) && evidence.CancelledFor() > r.rules.CancelReleaseDelay && !evidence.Cleared():
 		return CancelOverdue, true
 	case m.Suspect && evidence.LeaseExpired() && r.neededElsewhere(m.Zone, evidence):
 		return NeededElsewhere, true
@@ -249,7 +249,7 @@
 // neededElsewhere reports whether a machine's tasks are to continue in another zone now. Urgent tasks always are, since
 // capacity is freed for them; low-priority tasks only if they fit into the resources that this round has left.
 func (r *Round) neededElsewhere(zone int32, evidence Evidence) bool {
-	urgent, low := evidence.MovableWork()
+	urgent, low := evidence.MovableTasks()
 	if urgent || low.CPUs == 0 && low.GPUs == 0 {
 		return urgent
 	}
--- a/internal/agents/health/health_test.go
+++ b/internal/agents/health/health_test.go
@@ -11,22 +11,22 @@
 // after 8.75 s.
 var rules = Rules{
 	HeartbeatS: 4, ProbeAfter: 5750 * time.Millisecond, SilentAfter: 8750 * time.Millisecond,
-	CancelPatience: 60 * time.Second, Zones: 3,
+	CancelReleaseDelay: 60 * time.Second, Zones: 3,
 }
 
 // fakeEvidence is Evidence with fixed values.
 type fakeEvidence struct {
 	cancelledFor                          Time
 	cleared, leaseExpired, urgent, zoneUp bool
-	low, free                             Room
+	low, free                             Resources
 }
 
-func (e *fakeEvidence) CancelledFor() Time        { return e.cancelledFor }
-func (e *fakeEvidence) Cleared() bool             { return e.cleared }
-func (e *fakeEvidence) LeaseExpired() bool        { return e.leaseExpired }
-func (e *fakeEvidence) MovableWork() (bool, Room) { return e.urgent, e.low }
-func (e *fakeEvidence) FreeOutsideZone() Room     { return e.free }
-func (e *fakeEvidence) ZoneMayBeAlive() bool      { return e.zoneUp }
+func (e *fakeEvidence) CancelledFor() Time              { return e.cancelledFor }
+func (e *fakeEvidence) Cleared() bool                   { return e.cleared }
+func (e *fakeEvidence) LeaseExpired() bool              { return e.leaseExpired }
+func (e *fakeEvidence) MovableTasks() (bool, Resources) { return e.urgent, e.low }
+func (e *fakeEvidence) FreeOutsideZone() Resources      { return e.free }
+func (e *fakeEvidence) ZoneMayBeAlive() bool            { return e.zoneUp }
 
 // machinesInZone returns machines with tasks in zone 1 that have been silent for the given time.
 func machinesInZone(machines int, silentFor Time) []Machine {
@@ -102,12 +102,12 @@
 		{name: "lease expired, urgent tasks", others: lost, change: makeSuspectButHeard,
 			evidence: fakeEvidence{leaseExpired: true, urgent: true}, want: []Action{release(NeededElsewhere)}},
 		{name: "lease expired, room elsewhere", others: lost, change: makeSuspectButHeard,
-			evidence: fakeEvidence{leaseExpired: true, low: Room{CPUs: 2}, free: Room{CPUs: 2}},
+			evidence: fakeEvidence{leaseExpired: true, low: Resources{CPUs: 2}, free: Resources{CPUs: 2}},
 			want:     []Action{release(NeededElsewhere)}},
 		{name: "lease expired, no room", others: lost, change: makeSuspectButHeard,
-			evidence: fakeEvidence{leaseExpired: true, low: Room{GPUs: 2}, free: Room{CPUs: 9, GPUs: 1}}},
+			evidence: fakeEvidence{leaseExpired: true, low: Resources{GPUs: 2}, free: Resources{CPUs: 9, GPUs: 1}}},
 		{name: "lease expired, nothing movable", others: lost, change: makeSuspectButHeard,
-			evidence: fakeEvidence{leaseExpired: true, free: Room{CPUs: 9}}},
+			evidence: fakeEvidence{leaseExpired: true, free: Resources{CPUs: 9}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			machines := machinesInZone(4, test.others)
@@ -125,7 +125,7 @@
 // several machines.
 func TestFreeResourcesAreUsedOnce(t *testing.T) {
 	machines := machinesInZone(3, time.Second)
-	evidence := &fakeEvidence{leaseExpired: true, low: Room{CPUs: 2}, free: Room{CPUs: 5}}
+	evidence := &fakeEvidence{leaseExpired: true, low: Resources{CPUs: 2}, free: Resources{CPUs: 5}}
 	round := (&Detector{}).Begin(&rules, censusOf(machines), time.Hour, false)
 	released := 0
 	for i := range machines {
@@ -166,7 +166,7 @@
 		}
 		return censusOf(machines)
 	}
-	reach := Reach{SinceHeartbeat: 7 * time.Second, SinceGrace: time.Minute, PeerReachable: true}
+	reach := Reach{SinceHeartbeat: 7 * time.Second, SinceGracePeriod: time.Minute, PeerReachable: true}
 	for _, test := range []struct {
 		name   string
 		census *Census
@@ -179,7 +179,7 @@
 		{"nothing received, below the limit", fleet(4*time.Second, 2), func(r *Reach) { r.SinceHeartbeat /= 2 }, false},
 		{"one zone", fleet(6*time.Second, 1), func(*Reach) {}, false},
 		{"no controller reachable", fleet(6*time.Second, 2), func(r *Reach) { r.PeerReachable = false }, false},
-		{"new leader", fleet(6*time.Second, 2), func(r *Reach) { r.SinceGrace = 7 * time.Second }, false},
+		{"new leader", fleet(6*time.Second, 2), func(r *Reach) { r.SinceGracePeriod = 7 * time.Second }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detector, r := &Detector{}, reach
@@ -236,11 +236,11 @@
 
 func randomFleet(rng *rand.Rand) ([]Machine, []fakeEvidence) {
 	flip := func() bool { return rng.IntN(2) == 0 }
-	room := func() Room { return Room{float64(rng.IntN(4)), float64(rng.IntN(2))} }
+	room := func() Resources { return Resources{float64(rng.IntN(4)), float64(rng.IntN(2))} }
 	silences := []Time{
 		0, 5500 * time.Millisecond, 6 * time.Second, 10 * time.Second, 15 * time.Second, 100 * time.Second,
 	}
-	usual, free := silences[rng.IntN(len(silences))], []Room{room(), room(), room()}
+	usual, free := silences[rng.IntN(len(silences))], []Resources{room(), room(), room()}
 	machines, evidence := make([]Machine, 1+rng.IntN(12)), make([]fakeEvidence, 12)
 	for i := range machines {
 		m := &machines[i]
@@ -266,14 +266,14 @@
 	now                              Time
 	up, silent, inbound              map[int32]int
 	partitionedUntil                 map[int32]Time
-	room                             map[int32]*Room
+	room                             map[int32]*Resources
 	checksLateness, cloudUnavailable bool
 }
 
 func hasBeenUp(m *Machine) bool { return m.Reported || m.Occupied || m.Suspect }
 
 func (r *referenceRound) count(machines []Machine) {
-	r.up, r.silent, r.inbound, r.room = map[int32]int{}, map[int32]int{}, map[int32]int{}, map[int32]*Room{}
+	r.up, r.silent, r.inbound, r.room = map[int32]int{}, map[int32]int{}, map[int32]int{}, map[int32]*Resources{}
 	for i := range machines {
 		m := &machines[i]
 		if !hasBeenUp(m) {
@@ -327,7 +327,7 @@
 	if m.Releasing || !m.Occupied || r.cloudUnavailable {
 		return ""
 	}
-	if (lost || m.Suspect) && evidence.cancelledFor > rules.CancelPatience && !evidence.cleared {
+	if (lost || m.Suspect) && evidence.cancelledFor > rules.CancelReleaseDelay && !evidence.cleared {
 		return CancelOverdue
 	}
 	if !m.Suspect || !evidence.leaseExpired {
@@ -337,12 +337,12 @@
 		return NeededElsewhere
 	}
 	if r.room[m.Zone] == nil {
-		r.room[m.Zone] = &Room{evidence.free.CPUs, evidence.free.GPUs}
+		r.room[m.Zone] = &Resources{evidence.free.CPUs, evidence.free.GPUs}
 	}
 	room := r.room[m.Zone]
-	if (evidence.low == Room{}) || evidence.low.CPUs > room.CPUs || evidence.low.GPUs > room.GPUs {
+	if (evidence.low == Resources{}) || evidence.low.CPUs > room.CPUs || evidence.low.GPUs > room.GPUs {
 		return ""
 	}
-	*room = Room{room.CPUs - evidence.low.CPUs, room.GPUs - evidence.low.GPUs}
+	*room = Resources{room.CPUs - evidence.low.CPUs, room.GPUs - evidence.low.GPUs}
 	return NeededElsewhere
 }
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -82,9 +82,9 @@
 
 // Reach is a leader's observation of its own connectivity.
 type Reach struct {
-	SinceHeartbeat Time // time since the last heartbeat of any machine
-	SinceGrace     Time // time since the machines' grace period for finding this leader ended; negative: until then
-	PeerReachable  bool // another controller responds
+	SinceHeartbeat   Time // time since the last heartbeat of any machine
+	SinceGracePeriod Time // time since the machines' grace period for finding this leader ended; negative: until then
+	PeerReachable    bool // another controller responds
 }
 
 // IsolationAction is a leader's reaction to its own isolation.
@@ -108,7 +108,7 @@
 	mostSilent := silent >= minIsolationMachines && silent*10 >= total*9 && census.zonesWithSilent() >= minZones
 	// After an election, agents need time to find the new leader.
 	if !reach.PeerReachable || !nothingReceived && !mostSilent ||
-		reach.SinceGrace < 2*config.Seconds(rules.HeartbeatS) {
+		reach.SinceGracePeriod < 2*config.Seconds(rules.HeartbeatS) {
 		d.missingSince = 0
 		return NotIsolated
 	}
@@ -122,9 +122,9 @@
 	return Resign
 }
 
-// OnStall restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile are yet
+// ResetIsolation restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile are yet
 // to be read.
-func (d *Detector) OnStall() { d.missingSince = 0 }
+func (d *Detector) ResetIsolation() { d.missingSince = 0 }
 
 // ProbeStride returns n such that every n-th machine is probed when most heartbeats are missing.
 func ProbeStride(machines int) int { return max(1, machines/isolationProbes) }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -50,7 +50,7 @@
 	}
 	mh.log.Info("event loop stalled", "duration", delay+maintenanceInterval)
 	if term := mh.term.ownTerm; term != nil {
-		term.health.detector.OnStall()
+		term.health.detector.ResetIsolation()
 		term.heartbeats.lastHeartbeat = now
 	}
 }
@@ -58,11 +58,11 @@
 // healthRules returns the thresholds of the health checks, from the settings.
 func (mh *machineHealth) healthRules() *health.Rules {
 	return &health.Rules{
-		HeartbeatS:     mh.settings.Params.Workers.HeartbeatS,
-		ProbeAfter:     mh.probeAfter(),
-		SilentAfter:    mh.silentAfter(),
-		CancelPatience: mh.cancelReleaseDelay(),
-		Zones:          len(mh.settings.Params.Zones),
+		HeartbeatS:         mh.settings.Params.Workers.HeartbeatS,
+		ProbeAfter:         mh.probeAfter(),
+		SilentAfter:        mh.silentAfter(),
+		CancelReleaseDelay: mh.cancelReleaseDelay(),
+		Zones:              len(mh.settings.Params.Zones),
 	}
 }
 
@@ -179,8 +179,8 @@
 func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
 	now := mh.now()
 	reach := health.Reach{
-		SinceHeartbeat: now - term.heartbeats.lastHeartbeat,
-		SinceGrace:     time.Since(term.leadership.reportGraceEnd),
+		SinceHeartbeat:   now - term.heartbeats.lastHeartbeat,
+		SinceGracePeriod: time.Since(term.leadership.reportGraceEnd),
 	}
 	for _, link := range mh.links {
 		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkFreshness
@@ -233,17 +233,17 @@
 		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// MovableWork returns the work on the machine that may run in another zone.
-func (e *healthEvidence) MovableWork() (urgent bool, low health.Room) {
+// MovableTasks returns the work on the machine that may run in another zone.
+func (e *healthEvidence) MovableTasks() (urgent bool, low health.Resources) {
 	urgent, resources := scheduler.MovableWork(e.machine)
-	return urgent, health.Room{CPUs: resources.CPUs, GPUs: resources.GPUs}
+	return urgent, health.Resources{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
 // FreeOutsideZone returns the free resources for low-priority work in the other zones, without the headroom reserved
 // for services.
-func (e *healthEvidence) FreeOutsideZone() health.Room {
+func (e *healthEvidence) FreeOutsideZone() health.Resources {
 	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
-	return health.Room{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
+	return health.Resources{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
 }
 
 // ZoneMayBeAlive reports whether work in the machine's zone may continue without this controller.
