--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -49,8 +49,8 @@
 	return &RenewalTable{knownSince: now, renewedAt: map[string]Time{}}
 }
 
-// Renewed records that a machine's lease is renewed now.
-func (r *RenewalTable) Renewed(machine string, now Time) {
+// RecordRenewal records that a machine's lease is renewed now.
+func (r *RenewalTable) RecordRenewal(machine string, now Time) {
 	if _, known := r.renewedAt[machine]; !known && len(r.renewedAt) >= maxEntries {
 		r.knownSince = now
 		clear(r.renewedAt)
@@ -224,9 +224,9 @@
 	}
 }
 
-// CountsFrom returns the latest possible start of the lease, given this controller's own last renewal. It is complete
+// LeaseStart returns the latest possible start of the lease, given this controller's own last renewal. It is complete
 // only once all other controllers have reported.
-func (p *ExpiryProof) CountsFrom(others int, ownRenewal Time) (start Time, complete bool) {
+func (p *ExpiryProof) LeaseStart(others int, ownRenewal Time) (start Time, complete bool) {
 	if len(p.lastRenewals) != others {
 		return 0, others == 0
 	}
@@ -240,8 +240,8 @@
 	return start, true
 }
 
-// IsMissing reports whether a controller has yet to report.
-func (p *ExpiryProof) IsMissing(controller, others int) bool {
+// AwaitsReport reports whether a controller has yet to report.
+func (p *ExpiryProof) AwaitsReport(controller, others int) bool {
 	return len(p.lastRenewals) != others || p.lastRenewals[controller] < 0
 }
 
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 		now := drawDuration(rt, "now", queriedAt+time.Second, queriedAt+time.Minute)
-		start, complete := proof.CountsFrom(others, 0)
+		start, complete := proof.LeaseStart(others, 0)
 		if complete && Expired(start, lease, now) {
 			proven++
 			if now <= last+lease {
@@ -65,7 +65,7 @@
 		for range rapid.IntRange(0, 3).Draw(rt, "renewals") {
 			if at < process.end {
 				at = drawDuration(rt, "renewed", at, process.end)
-				table.Renewed("m", at)
+				table.RecordRenewal("m", at)
 				last = max(last, at)
 			}
 		}
@@ -98,7 +98,7 @@
 			zone.others = append(zone.others, name)
 		}
 		if i%unrenewedInterval != 0 {
-			zone.table.Renewed(name, zoneNow-time.Duration(i)*step%oldest)
+			zone.table.RecordRenewal(name, zoneNow-time.Duration(i)*step%oldest)
 		}
 	}
 	return zone
@@ -158,7 +158,7 @@
 	table := NewRenewalTable(0)
 	names := []string{"c", "a", "e", "b", "d"}
 	for i, name := range names {
-		table.Renewed(name, time.Duration(i)*time.Second)
+		table.RecordRenewal(name, time.Duration(i)*time.Second)
 	}
 	want := []byte("\x88\x27\x05\x01a\xa0\x1f\x01b\xd0\x0f\x01c\x88\x27\x01d\xe8\x07\x01e\xb8\x17")
 	for range 20 {
@@ -173,15 +173,15 @@
 func TestProofNeedsAllOthers(t *testing.T) {
 	var proof ExpiryProof
 	proof.Record(0, 2, 5*time.Second)
-	if _, complete := proof.CountsFrom(2, 0); complete || proof.IsMissing(0, 2) || !proof.IsMissing(1, 2) {
+	if _, complete := proof.LeaseStart(2, 0); complete || proof.AwaitsReport(0, 2) || !proof.AwaitsReport(1, 2) {
 		t.Error("proof is complete with one of two reports, or the wrong report is missing")
 	}
 	proof.Record(1, 2, 9*time.Second)
 	proof.Record(1, 2, time.Second)
-	if from, complete := proof.CountsFrom(2, 7*time.Second); !complete || from != 9*time.Second {
+	if from, complete := proof.LeaseStart(2, 7*time.Second); !complete || from != 9*time.Second {
 		t.Errorf("lease starts at %v, complete %v", from, complete)
 	}
-	if from, complete := (&ExpiryProof{}).CountsFrom(0, 7*time.Second); !complete || from != 7*time.Second {
+	if from, complete := (&ExpiryProof{}).LeaseStart(0, 7*time.Second); !complete || from != 7*time.Second {
 		t.Errorf("single controller: lease starts at %v, complete %v", from, complete)
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 2, 1, 'm', 3}, {5, 0, 7}} {
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -88,7 +88,7 @@
 	for i := range machines {
 		apply(&model.Entry{Kind: model.EntryMachine, Machine: model.MachineID(first + i),
 			Info: &model.MachineInfo{Name: name(i), Type: "small", Zone: "a"}})
-		n.leases.renewals.Renewed(name(i), n.now()-time.Duration(i)*time.Millisecond)
+		n.leases.renewals.RecordRenewal(name(i), n.now()-time.Duration(i)*time.Millisecond)
 	}
 	apply(&model.Entry{Kind: model.EntrySuspect, Machine: model.MachineID(first + machines - 1)})
 	return n.replica.appliedSeq
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -49,7 +49,7 @@
 	if !lr.mayRenew() {
 		return result.NoLeader{}
 	}
-	lr.renewals.Renewed(machine, lr.now())
+	lr.renewals.RecordRenewal(machine, lr.now())
 	return result.Renewed{FencingToken: token, Commands: commands}
 }
 
@@ -158,7 +158,7 @@
 			continue
 		}
 		for i := range others {
-			if !machine.Contact.Renewals.IsMissing(i, others) {
+			if !machine.Contact.Renewals.AwaitsReport(i, others) {
 				continue
 			}
 			if newest[i] == nil {
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -168,7 +168,7 @@
 	if !machine.Suspect || contact.SuspectFrom == 0 {
 		return false
 	}
-	from, complete := contact.Renewals.CountsFrom(others, ownRenewal)
+	from, complete := contact.Renewals.LeaseStart(others, ownRenewal)
 	if complete && lease.Expired(from, duration, now) {
 		return true
 	}
