--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -155,13 +155,13 @@
 
 // CommandResult is the outcome of commands that another controller sent to an agent.
 type CommandResult struct {
-	Fate   uint8           // an agent.CommandFate
-	Report *wire.Heartbeat // the agent's heartbeat; nil if its response had none
+	Outcome uint8           // an agent.CommandFate
+	Report  *wire.Heartbeat // the agent's heartbeat; nil if its response had none
 }
 
 // Append appends the encoding of a result to b.
 func (r CommandResult) Append(b []byte) []byte {
-	b = codec.Uint(b, uint64(r.Fate))
+	b = codec.Uint(b, uint64(r.Outcome))
 	b = codec.Bool(b, r.Report != nil)
 	if r.Report != nil {
 		b = AppendReport(b, r.Report)
@@ -172,7 +172,7 @@
 // ReadCommandResult decodes a CommandResult.
 func ReadCommandResult(b []byte) (CommandResult, error) {
 	r := &codec.Reader{Data: b}
-	result := CommandResult{Fate: uint8(r.Max(math.MaxUint8))}
+	result := CommandResult{Outcome: uint8(r.Max(math.MaxUint8))}
 	if r.Bool() {
 		result.Report = readReport(r)
 	}
@@ -201,11 +201,11 @@
 	return offer, nil
 }
 
-// AppendOfferAnswer appends the leader's response to an offer: whether the follower is to relay heartbeats.
-func AppendOfferAnswer(b []byte, accepted bool) []byte { return codec.Bool(b, accepted) }
+// AppendOfferResponse appends the leader's response to an offer: whether the follower is to relay heartbeats.
+func AppendOfferResponse(b []byte, accepted bool) []byte { return codec.Bool(b, accepted) }
 
-// ReadOfferAnswer decodes the response to an Offer.
-func ReadOfferAnswer(b []byte) (accepted bool, err error) {
+// ReadOfferResponse decodes the response to an Offer.
+func ReadOfferResponse(b []byte) (accepted bool, err error) {
 	r := &codec.Reader{Data: b}
 	accepted = r.Bool()
 	if !r.Done() {
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -41,9 +41,9 @@
 	golden.RoundTrip(t, "orders-none.hex", &wire.Orders{Commands: []wire.Command{}}, encodeOrders, ReadOrders)
 
 	encodeResult := func(o CommandResult) []byte { return o.Append(nil) }
-	golden.RoundTrip(t, "outcome.hex", CommandResult{Fate: 1, Report: short}, encodeResult, ReadCommandResult)
-	golden.RoundTrip(t, "outcome-alone.hex", CommandResult{Fate: 3}, encodeResult, ReadCommandResult)
+	golden.RoundTrip(t, "outcome.hex", CommandResult{Outcome: 1, Report: short}, encodeResult, ReadCommandResult)
+	golden.RoundTrip(t, "outcome-alone.hex", CommandResult{Outcome: 3}, encodeResult, ReadCommandResult)
 	golden.RoundTrip(t, "offer.hex", Offer{Node: "node-2", HasCapacity: true},
 		func(o Offer) []byte { return o.Append(nil) }, ReadOffer)
-	golden.RoundTrip(t, "terms.hex", true, func(on bool) []byte { return AppendOfferAnswer(nil, on) }, ReadOfferAnswer)
+	golden.RoundTrip(t, "terms.hex", true, func(on bool) []byte { return AppendOfferResponse(nil, on) }, ReadOfferResponse)
 }
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -75,8 +75,8 @@
 	counts := make([]int, len(r.table.Counts()))
 	for machine, at := range r.controllerOf {
 		counts[at]++
-		if r.table.NodeOf(machine) != at {
-			t.Fatalf("%s is assigned to %d, want %d", machine, r.table.NodeOf(machine), at)
+		if r.table.ControllerOf(machine) != at {
+			t.Fatalf("%s is assigned to %d, want %d", machine, r.table.ControllerOf(machine), at)
 		}
 	}
 	if diff := cmp.Diff(counts, r.table.Counts()); diff != "" {
@@ -92,7 +92,7 @@
 	round := func() (moves int) {
 		for i := range 3000 {
 			m := fmt.Sprint("m", i)
-			at := table.NodeOf(m)
+			at := table.ControllerOf(m)
 			table.RecordReport(m, at, 1)
 			if _, redirect := table.Redirect(m, at, open, 1); redirect {
 				moves++
@@ -163,7 +163,7 @@
 			command := wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS}
 			orders.Commands = append(orders.Commands, command)
 		}
-		result := CommandResult{Fate: uint8(len(report.Tasks)), Report: report}
+		result := CommandResult{Outcome: uint8(len(report.Tasks)), Report: report}
 		offer := Offer{Node: report.Machine, HasCapacity: report.Spot}
 		for _, test := range []struct {
 			encoded []byte
@@ -174,8 +174,8 @@
 			{AppendOrders(nil, orders), orders, func(b []byte) (any, error) { return ReadOrders(b) }},
 			{result.Append(nil), result, func(b []byte) (any, error) { return ReadCommandResult(b) }},
 			{offer.Append(nil), offer, func(b []byte) (any, error) { return ReadOffer(b) }},
-			{AppendOfferAnswer(nil, report.Spot), report.Spot,
-				func(b []byte) (any, error) { return ReadOfferAnswer(b) }},
+			{AppendOfferResponse(nil, report.Spot), report.Spot,
+				func(b []byte) (any, error) { return ReadOfferResponse(b) }},
 		} {
 			decoded, err := test.decode(test.encoded)
 			if err != nil {
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -84,8 +84,8 @@
 	t.counts[controller]++
 }
 
-// NodeOf returns the controller that a machine is assigned to, or Leader for an unknown machine.
-func (t *Table) NodeOf(machine string) int { return t.assignments[machine].controller }
+// ControllerOf returns the controller that a machine is assigned to, or Leader for an unknown machine.
+func (t *Table) ControllerOf(machine string) int { return t.assignments[machine].controller }
 
 // Counts returns the number of machines by controller.
 func (t *Table) Counts() []int { return t.counts }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return
 	}
-	enabled, err := relay.ReadOfferAnswer(reply.Body)
+	enabled, err := relay.ReadOfferResponse(reply.Body)
 	s.enabled.Store(reply.Status == http.StatusOK && err == nil && enabled)
 }
 
@@ -114,6 +114,6 @@
 	}
 	defer ry.state.orders.release()
 	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
-	outcome := relay.CommandResult{Fate: uint8(fate), Report: report}
+	outcome := relay.CommandResult{Outcome: uint8(fate), Report: report}
 	return result.Done{Body: outcome.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -59,7 +59,7 @@
 		term := ra.term.ownTerm
 		term.assignments.acceptingNodes[index] = offer.HasCapacity
 		term.assignments.lastRelayOffers[index] = ra.now()
-		send(result.Done{Body: relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())})
+		send(result.Done{Body: relay.AppendOfferResponse(nil, term.assignments.table.Spreading())})
 	})
 }
 
@@ -130,15 +130,15 @@
 		return agent.Unsent, nil, errNotForwarded
 	}
 	outcome, err := relay.ReadCommandResult(reply.Body)
-	if err != nil || outcome.Fate > uint8(agent.Unknown) {
+	if err != nil || outcome.Outcome > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandFate(outcome.Fate), outcome.Report, nil
+	return agent.CommandFate(outcome.Outcome), outcome.Report, nil
 }
 
 // relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
-	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
+	i := ra.term.ownTerm.assignments.table.ControllerOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
 		return nil
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -190,10 +190,10 @@
 	}
 	switch request.ID {
 	case "executed":
-		result := relay.CommandResult{Fate: uint8(agent.Executed), Report: &wire.Heartbeat{Machine: "m"}}
+		result := relay.CommandResult{Outcome: uint8(agent.Executed), Report: &wire.Heartbeat{Machine: "m"}}
 		return &rpc.Response{Status: http.StatusOK, Body: result.Append(nil)}
 	case "unanswered":
-		result := relay.CommandResult{Fate: uint8(agent.Unknown)}
+		result := relay.CommandResult{Outcome: uint8(agent.Unknown)}
 		return &rpc.Response{Status: http.StatusOK, Body: result.Append(nil)}
 	case "busy":
 		return &rpc.Response{Status: statusOverloaded}
