--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -48,8 +48,8 @@
 	Restarted                  // the agent restarted after all messages received before
 )
 
-// Question is the state of a Tracker when a probe was sent.
-type Question struct {
+// ProbeBaseline is the state of a Tracker when a probe was sent.
+type ProbeBaseline struct {
 	newest       Stamp
 	known        bool
 	incarnations int
@@ -66,13 +66,15 @@
 	unacknowledged int    // consecutive heartbeats that show that the previous response did not arrive
 }
 
-// Ask returns the current state, to be kept with a probe that is sent now.
-func (t *Tracker) Ask() *Question { return &Question{t.newest, t.known, t.incarnations} }
+// ProbeBaseline returns the current state, to be kept with a probe that is sent now.
+func (t *Tracker) ProbeBaseline() *ProbeBaseline {
+	return &ProbeBaseline{t.newest, t.known, t.incarnations}
+}
 
 // Judge returns the verdict on a message. termBase is the lowest token of the leader's term, minEpoch an epoch that the
 // agent has reached according to the log, and question the result of Ask for the probe that the message responds to, or
 // nil for a heartbeat.
-func (t *Tracker) Judge(stamp Stamp, termBase, minEpoch uint64, question *Question) Freshness {
+func (t *Tracker) Judge(stamp Stamp, termBase, minEpoch uint64, question *ProbeBaseline) Freshness {
 	switch {
 	case !t.known && question == nil && stamp.Token < termBase:
 		return Unproven
@@ -110,8 +112,8 @@
 	return acknowledged
 }
 
-// RecordAnswer records that the response to the last accepted heartbeat carries the token.
-func (t *Tracker) RecordAnswer(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
+// RecordResponse records that the response to the last accepted heartbeat carries the token.
+func (t *Tracker) RecordResponse(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
 
 // Number returns the number of the newest message.
 func (t *Tracker) Number() Number { return t.newest.Number }
@@ -122,8 +124,8 @@
 // Fenced reports whether the agent has a token that makes it reject everything sent to an earlier incarnation.
 func (t *Tracker) Fenced() bool { return t.newest.Token >= t.fence }
 
-// OneWay reports whether responses do not reach the agent although its heartbeats arrive.
-func (t *Tracker) OneWay() bool { return t.unacknowledged > 0 }
+// InboundPartitioned reports whether responses do not reach the agent although its heartbeats arrive.
+func (t *Tracker) InboundPartitioned() bool { return t.unacknowledged > 0 }
 
 // Incarnations returns the number of detected restarts of the agent.
 func (t *Tracker) Incarnations() int { return t.incarnations }
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -44,9 +44,9 @@
 		{"probe response with a lower token only",
 			newTracker(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
 	} {
-		var question *Question
+		var question *ProbeBaseline
 		if test.probed {
-			question = test.tracker.Ask()
+			question = test.tracker.ProbeBaseline()
 		}
 		if freshness := test.tracker.Judge(test.stamp, termBase, test.minEpoch, question); freshness != test.want {
 			t.Errorf("%s: verdict %d, want %d", test.name, freshness, test.want)
@@ -59,7 +59,7 @@
 func TestOvertakenProbeResponse(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
-	question := tracker.Ask()
+	question := tracker.ProbeBaseline()
 	tracker.Accept(newStamp(1, 12, 100), Fresh, 0, true)
 	if freshness := tracker.Judge(newStamp(1, 11, 100), 100, 0, question); freshness != Stale {
 		t.Errorf("verdict on an overtaken probe response is %d, want %d", freshness, Stale)
@@ -71,7 +71,7 @@
 func TestRestartedIncarnation(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 50, 100), Fresh, 0, true)
-	question := tracker.Ask()
+	question := tracker.ProbeBaseline()
 	response := newStamp(1, 2, 0)
 	if freshness := tracker.Judge(response, 100, 0, question); freshness != Restarted {
 		t.Fatalf("verdict on a probe response with a lower number is %d, want %d", freshness, Restarted)
@@ -96,17 +96,17 @@
 func TestInboundPartition(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 1, 100), Fresh, 0, true)
-	tracker.RecordAnswer(101)
+	tracker.RecordResponse(101)
 	tracker.Accept(newStamp(1, 2, 100), Fresh, 0, true)
-	if !tracker.OneWay() {
+	if !tracker.InboundPartitioned() {
 		t.Error("lost response is not detected")
 	}
-	tracker.RecordAnswer(101)
-	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.OneWay() {
-		t.Errorf("after a received response: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+	tracker.RecordResponse(101)
+	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.InboundPartitioned() {
+		t.Errorf("after a received response: acknowledged %v, one-way %v", acknowledged, tracker.InboundPartitioned())
 	}
-	tracker.RecordAnswer(101) // the agent already has this token, so the response proves nothing
-	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.OneWay() {
-		t.Errorf("without a new token: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+	tracker.RecordResponse(101) // the agent already has this token, so the response proves nothing
+	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.InboundPartitioned() {
+		t.Errorf("without a new token: acknowledged %v, one-way %v", acknowledged, tracker.InboundPartitioned())
 	}
 }
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -82,7 +82,7 @@
 	machine  *model.Machine
 	commands []wire.Command
 	token    uint64
-	question *staleness.Question // what was known about the agent when the command was sent
+	question *staleness.ProbeBaseline // what was known about the agent when the command was sent
 }
 
 // send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -123,7 +123,7 @@
 		return result.NoLeader{}
 	}
 	token := hb.replica.model.Token(machine)
-	machine.Contact.Reports.RecordAnswer(token)
+	machine.Contact.Reports.RecordResponse(token)
 	commands := hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true)
 	return hb.leases.renew(machine.Info.Name, token, commands)
 }
@@ -198,7 +198,7 @@
 }
 
 // onProbeAnswer processes the response of a machine to a probe.
-func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) {
+func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.ProbeBaseline) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
 	}
@@ -217,7 +217,7 @@
 // observe records a status report, from a heartbeat or in response to a request, and proposes the entries that follow
 // from it. The question is nil for a heartbeat. A stale report has no further effect.
 func (hb *heartbeats) observe(
-	machine *model.Machine, report *wire.Heartbeat, question *staleness.Question,
+	machine *model.Machine, report *wire.Heartbeat, question *staleness.ProbeBaseline,
 ) model.ReportVerdict {
 	wasQuarantined := machine.Health.Quarantined
 	wasPartitioned := machine.Contact.InboundPartitionSince != 0
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -167,7 +167,7 @@
 
 // onSilentProbed processes the result of probing a silent machine.
 func (pr *probes) onSilentProbed(
-	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.Question,
+	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.ProbeBaseline,
 ) {
 	machine.Contact.Probing = false
 	if pr.term.ownTerm != term {
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -43,7 +43,7 @@
 	commands                    []wire.Command
 	isResponse                  bool // response to the report in flight
 	senderWaits                 bool // the sender still waits for the response
-	probe                       *staleness.Question
+	probe                       *staleness.ProbeBaseline
 	term                        uint64
 }
 
@@ -62,7 +62,7 @@
 	reports       []wire.Heartbeat
 	awaitedReport int // 1-based index of the report that awaits its response; 0: none, -1: response in flight
 	inFlight      []inFlightMessage
-	probe         *staleness.Question
+	probe         *staleness.ProbeBaseline
 	terms         int
 	leaseExpiries int
 	violation     string
@@ -127,7 +127,7 @@
 }
 
 // observe passes a report to the leader and applies the resulting entries.
-func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.Question) ReportVerdict {
+func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.ProbeBaseline) ReportVerdict {
 	machine := w.model.Order[0]
 	offset := machine.Contact.TokenOffset
 	v := w.model.Observe(machine, r, probe, 1)
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -65,7 +65,7 @@
 
 // observeCopy passes a report to the leader that it may have received before.
 func (w *exploredState) observeCopy(r wire.Heartbeat) {
-	var probe *staleness.Question
+	var probe *staleness.ProbeBaseline
 	if w.mutation == copyTakenAsResponse {
 		probe = w.model.BeginProbe(w.machine())
 		r.FencingToken = w.model.TermBase + 1<<20
@@ -89,7 +89,7 @@
 	v := w.observe(r, nil)
 	u := w.newResponse(r)
 	if !v.IsStale() {
-		w.machine().Contact.Reports.RecordAnswer(u.token)
+		w.machine().Contact.Reports.RecordResponse(u.token)
 		u.commands = w.commands(true)
 		for _, run := range w.machine().Runs {
 			if w.mutation == responseNotAwaited && run.startResponseSeq != 0 {
@@ -123,7 +123,7 @@
 		return
 	}
 	u := w.newResponse(&r)
-	w.machine().Contact.Reports.RecordAnswer(u.token)
+	w.machine().Contact.Reports.RecordResponse(u.token)
 	u.commands = w.commands(true)
 	if w.mutation == relayForwardsLateResponse {
 		w.inFlight = append(w.inFlight, u)
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -58,7 +58,7 @@
 // Observe evaluates an agent's report and returns the entries that it is evidence for, which the caller logs and
 // applies. If the report responds to a probe or a command, probe is what was known when that was sent; otherwise it is
 // nil.
-func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.Question, now Time) ReportVerdict {
+func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.ProbeBaseline, now Time) ReportVerdict {
 	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
 	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
@@ -116,7 +116,7 @@
 		contact.OutboundPartitionSince = max(o.now, 1)
 	}
 	switch {
-	case contact.Reports.OneWay():
+	case contact.Reports.InboundPartitioned():
 		contact.markInboundPartition(o.now)
 	case tokenSeen || o.isProbeResponse:
 		contact.InboundPartitionSince = 0
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -54,8 +54,8 @@
 
 // BeginProbe records what is known of a machine when a probe or a command is sent to it. Only a report that the agent
 // made in response may be judged by that.
-func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.Question {
-	return machine.Contact.Reports.Ask()
+func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.ProbeBaseline {
+	return machine.Contact.Reports.ProbeBaseline()
 }
 
 // StartsSent records that starts are being sent in a direct command.
