--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -73,9 +73,9 @@
 	return up
 }
 
-// otherTaskCounts returns the jobs from first to last whose number of running tasks differs from want, with that
+// unexpectedTaskCounts returns the jobs from first to last whose number of running tasks differs from want, with that
 // number.
-func otherTaskCounts(w *emulator.Environment, first, last, want int) map[string]int {
+func unexpectedTaskCounts(w *emulator.Environment, first, last, want int) map[string]int {
 	unexpected := map[string]int{}
 	for n := first; n <= last; n++ {
 		id := wire.JobID(uint64(n))
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -53,9 +53,9 @@
 	s.CheckpointIntervalS, s.CheckpointWriteS = 3, 1
 }
 
-// drawShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as they
+// randomizeShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as they
 // are.
-func drawShape(s *wire.JobSpec, rng *rand.Rand) {
+func randomizeShape(s *wire.JobSpec, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
 		toGang(s, 1+rng.IntN(3))
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -35,8 +35,8 @@
 	dirtyAfterCommit map[*model.Machine]bool // will have pending commands once proposed entries are committed
 }
 
-// ordersTimeout is how long an agent has to respond to a direct command.
-const ordersTimeout = 3 * time.Second
+// directCommandTimeout is how long an agent has to respond to a direct command.
+const directCommandTimeout = 3 * time.Second
 
 // markForCommands marks a machine as possibly having pending commands.
 func (cd *commandDispatcher) markForCommands(machine *model.Machine) {
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, link := range cf.links {
-		if !isReached(link) {
+		if !isReachable(link) {
 			return false
 		}
 	}
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -291,9 +291,9 @@
 }
 
 // newRelayState returns the state of a relay, with limits on what it forwards concurrently.
-func newRelayState(connections, sockets int) *relaying {
+func newRelayState(connections, sockets int) *relayState {
 	limit := relayedLimit(connections)
-	return &relaying{
+	return &relayState{
 		reports: make(slots, limit),
 		orders:  make(slots, limit),
 		probes:  make(slots, relayedProbeLimit(sockets)),
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -232,7 +232,7 @@
 	case rpc.OpRoleResult:
 		return api.Respond(c.roles.onRoleReport(ctx, request))
 	case rpc.OpRenewals:
-		return api.Respond(c.leases.replyRenewals(ctx, request))
+		return api.Respond(c.leases.answerRenewalQuery(ctx, request))
 	case rpc.OpWatermark:
 		return api.Respond(c.fence.replyWatermarks(ctx))
 	case rpc.OpRelayOffer:
@@ -242,7 +242,7 @@
 	case rpc.OpRelayOrders:
 		return api.Respond(c.relay.forwardOrders(ctx, request))
 	case rpc.OpRelayProbe:
-		return api.Respond(c.relay.forwardQuery(ctx, request))
+		return api.Respond(c.relay.forwardProbe(ctx, request))
 	}
 	return api.Respond(result.Unsupported{Reason: "unknown operation"})
 }
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -212,7 +212,7 @@
 			}
 		}
 		w.Store.SetOutage(true)
-		time.Sleep(2*followTimeout + linkFreshness) // an open watch may still be answered
+		time.Sleep(2*followTimeout + linkTimeout) // an open watch may still be answered
 		if _, connected := follower.forward.routingState(); connected {
 			t.Error("follower counts as connected to the store during an outage")
 		}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -68,7 +68,7 @@
 		startTime: time.Now(),
 		store:     kvstore.New(network, settings.Endpoints.KVStore, storeRate),
 		cloud:     cloud.New(network, settings.Endpoints.Cloud, params.Cloud.RPS*cloudRequestShare),
-		agents:    agent.New(network, ordersTimeout, max(minAgentConns, sockets/agentSocketDivisor)),
+		agents:    agent.New(network, directCommandTimeout, max(minAgentConns, sockets/agentSocketDivisor)),
 		metrics:   metrics.New(api.RequestKinds...),
 		links:     map[string]*rpc.Link{},
 		// Sockets: 60% for incoming connections and a third for commands to and probes of agents. The rest is for the
@@ -110,5 +110,5 @@
 	return config.Seconds(env.settings.Params.Workers.LeaseS)
 }
 
-// isReached reports whether the other end of the link has responded within linkFreshness.
-func isReached(link *rpc.Link) bool { return time.Since(link.LastResponse()) <= linkFreshness }
+// isReachable reports whether the other end of the link has responded within linkFreshness.
+func isReachable(link *rpc.Link) bool { return time.Since(link.LastResponse()) <= linkTimeout }
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// answerInTurn is like answer, for users' requests, which run after all other waiting work.
-func (el *eventLoop) answerInTurn(ctx context.Context, handle func(send func(result.Result))) result.Result {
+// answerRequest is like answer, for users' requests, which run after all other waiting work.
+func (el *eventLoop) answerRequest(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
 
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -692,7 +692,7 @@
 	if k := servicesUp(w, 5); k != 5 {
 		t.Errorf("%d of 5 services are running at the end", k)
 	}
-	if other := otherTaskCounts(w, 6, 12, 2); len(other) > 0 {
+	if other := unexpectedTaskCounts(w, 6, 12, 2); len(other) > 0 {
 		t.Errorf("jobs without exactly 2 running tasks at the end: %v", other)
 	}
 }
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -273,7 +273,7 @@
 		}
 		s := newJobSpec(n, wire.Array, 1+rng.IntN(4), 5+100*rng.Float64())
 		s.CPUs, s.Spot, s.Image = 0.5, rng.IntN(2) == 0, fmt.Sprint("img-", rng.IntN(3))
-		drawShape(s, rng)
+		randomizeShape(s, rng)
 		if rng.IntN(2) == 0 {
 			s.Team = "blue"
 		}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -67,7 +67,7 @@
 			age > (machines+1000)*time.Millisecond {
 			t.Errorf("the lease of the suspect machine was renewed %v ago", age)
 		}
-		if time.Since(link.LastResponse()) > linkFreshness {
+		if time.Since(link.LastResponse()) > linkTimeout {
 			t.Error("the link is down")
 		}
 	})
@@ -125,7 +125,7 @@
 				t.Errorf("the listing by the leader itself omits %d jobs", queue.More)
 			}
 		}
-		if time.Since(link.LastResponse()) > linkFreshness {
+		if time.Since(link.LastResponse()) > linkTimeout {
 			t.Error("the link to the leader is down")
 		}
 	})
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -56,7 +56,7 @@
 	if fw.term.ownTerm != nil {
 		view.trustedUntil = fw.term.ownTerm.trustedUntil
 	} else if fw.replica.loaded {
-		view.storeContactUntil = fw.replica.lastStoreContact.Add(followTimeout + linkFreshness)
+		view.storeContactUntil = fw.replica.lastStoreContact.Add(followTimeout + linkTimeout)
 	}
 	if previous := fw.routing.Load(); previous == nil || *previous != view {
 		fw.routing.Store(&view)
@@ -75,7 +75,7 @@
 ) (answer result.Forwarded, ok bool) {
 	leader := fw.routing.Load().leader
 	link := fw.links[leader]
-	if link == nil || !isReached(link) {
+	if link == nil || !isReachable(link) {
 		return result.Forwarded{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -93,7 +93,7 @@
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (result.Forwarded, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
-		if !isReached(link) {
+		if !isReachable(link) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, 2*forwardTimeout)
@@ -126,7 +126,7 @@
 // isIsolated reports whether there are other controllers but none of them has responded recently.
 func (fw *forwarder) isIsolated() bool {
 	for _, link := range fw.links {
-		if time.Since(link.LastResponse()) < 2*linkFreshness {
+		if time.Since(link.LastResponse()) < 2*linkTimeout {
 			return false
 		}
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -165,7 +165,7 @@
 			c.heartbeatRouter.forwardReport(ctx, report)
 		},
 		func() { _, _, _ = c.assignments.sendOrders(ctx, c.link, "10.1.0.1:9", orders) },
-		func() { _, _ = queryThrough(ctx, c.link, "10.1.0.1:9") },
+		func() { _, _ = probeThroughRelay(ctx, c.link, "10.1.0.1:9") },
 	}
 }
 
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -30,8 +30,8 @@
 	// leader.
 	offerInterval = time.Second
 	offerTTL      = 3 * time.Second
-	// minRelayed is the minimum of each of a relay's limits on concurrent heartbeats, direct commands and probes.
-	minRelayed = 256
+	// minRelayLimit is the minimum of each of a relay's limits on concurrent heartbeats, direct commands and probes.
+	minRelayLimit = 256
 	// relayTimeout is how long a relay waits for the leader's response to a heartbeat. It is shorter than the agent's
 	// own timeout of 4 s so that the relay has time to respond itself.
 	relayTimeout = 2 * time.Second
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -28,7 +28,7 @@
 
 // intakeTerm is the state of intake for one term of leadership. It is owned by the event loop.
 type intakeTerm struct {
-	dropping     map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
+	dropPending  map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
 	droppable    []uint64        // the committed ones among them, whose records can be deleted now
 	dropInFlight bool            // a deletion is under way
 	rescanNeeded bool            // records were skipped because of a deletion; list the intake again after it
@@ -52,7 +52,7 @@
 			return
 		}
 		link := in.links[in.term.leader.Node]
-		if link != nil && !isReached(link) {
+		if link != nil && !isReachable(link) {
 			share = leaderlessIntakeShare
 		}
 	})
@@ -71,7 +71,7 @@
 	var ingested []uint64
 	seq := uint64(0) // of the batch with the last of these jobs
 	for _, record := range records {
-		if term.intake.dropping[record.Job] {
+		if term.intake.dropPending[record.Job] {
 			term.intake.rescanNeeded = true // the record may have been written again meanwhile
 			continue
 		}
@@ -81,7 +81,7 @@
 			continue
 		}
 		ingested = append(ingested, record.Job)
-		term.intake.dropping[record.Job] = true
+		term.intake.dropPending[record.Job] = true
 		seq = max(seq, in.ingestEntry(entry))
 	}
 	if len(ingested) == 0 {
@@ -132,7 +132,7 @@
 	}
 	if err == nil {
 		for _, job := range jobs {
-			delete(term.intake.dropping, job)
+			delete(term.intake.dropPending, job)
 		}
 	}
 	in.dropCommitted(term)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -57,7 +57,7 @@
 	if !js.intake.resolve(ctx, jobNumber) {
 		return result.NoLeader{}
 	}
-	return js.loop.answerInTurn(ctx, func(send func(result.Result)) {
+	return js.loop.answerRequest(ctx, func(send func(result.Result)) {
 		id := model.JobID(jobNumber)
 		if js.term.ownTerm != nil {
 			if final := js.finalStatus(id); final != nil {
@@ -90,7 +90,7 @@
 		js.log.Debug("replica catch-up failed", "err", err)
 		return result.NoLeader{}
 	}
-	return js.loop.answerInTurn(ctx, func(send func(result.Result)) {
+	return js.loop.answerRequest(ctx, func(send func(result.Result)) {
 		if js.term.ownTerm != nil || !js.replica.loaded {
 			send(result.NoLeader{})
 			return
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -54,7 +54,7 @@
 	}
 	if leader := fk.term.leader; leader != nil && leader.Node != fk.settings.Node {
 		link := fk.links[leader.Node]
-		leaderReached := link != nil && time.Since(link.LastResponse()) < linkFreshness
+		leaderReached := link != nil && time.Since(link.LastResponse()) < linkTimeout
 		if !fk.retainsAgent(report.Machine, leaderReached) {
 			return result.Redirected{Node: leader.Node}
 		}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -60,7 +60,7 @@
 func (ls *leadership) renewLease(ctx context.Context, term *leaderTerm, won *election.Leadership) error {
 	return election.RenewUntilLost(ctx, ls.store, won, func(until time.Time) {
 		ls.loop.post(func() {
-			if term.handingOver {
+			if term.resigned {
 				return
 			}
 			ls.term.extendTrust(term, until)
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -97,10 +97,10 @@
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
 
-// replyRenewals answers the leader's query for when this controller last renewed the leases of a zone's machines. It
+// answerRenewalQuery answers the leader's query for when this controller last renewed the leases of a zone's machines. It
 // answers only after it has applied the batch that made them suspect, because from then on it does not renew their
 // leases.
-func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) result.Result {
+func (lr *leaseRenewal) answerRenewalQuery(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
 	if !reader.Done() {
@@ -135,7 +135,7 @@
 	newestSuspicions := lr.newestSuspicions()
 	for i, m := range lr.settings.Members {
 		link := lr.links[m.Node]
-		if time.Since(link.LastResponse()) > linkFreshness {
+		if time.Since(link.LastResponse()) > linkTimeout {
 			continue
 		}
 		for zone, seq := range newestSuspicions[i] {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -31,8 +31,8 @@
 func followUpProbeLimit(sockets int) int { return max(minFollowUpProbes, sockets/32) }
 
 // relayedProbeLimit returns how many machines a relay may probe concurrently for the leader.
-func relayedProbeLimit(sockets int) int { return max(minRelayed, sockets/6) }
+func relayedProbeLimit(sockets int) int { return max(minRelayLimit, sockets/6) }
 
 // relayedLimit returns how many heartbeats, and how many direct commands, a relay may forward concurrently: at most
 // half of the connections that it accepts, because pings and users' requests share the link to the leader.
-func relayedLimit(connections int) int { return max(minRelayed, connections/2) }
+func relayedLimit(connections int) int { return max(minRelayLimit, connections/2) }
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -131,7 +131,7 @@
 	if up := servicesUp(w, 4); up != 4 {
 		t.Errorf("%d of 4 services are running", up)
 	}
-	if other := otherTaskCounts(w, 103, 107, 2); len(other) > 0 {
+	if other := unexpectedTaskCounts(w, 103, 107, 2); len(other) > 0 {
 		t.Errorf("jobs without exactly 2 running tasks: %v", other)
 	}
 }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -183,7 +183,7 @@
 		SinceGracePeriod: time.Since(term.leadership.reportGraceEnd),
 	}
 	for _, link := range mh.links {
-		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkFreshness
+		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkTimeout
 	}
 	switch term.health.detector.CheckIsolation(rules, census, reach, now) {
 	case health.ProbeMachines:
@@ -202,7 +202,7 @@
 func (mh *machineHealth) resign(term *leaderTerm, census *health.Census) {
 	total, silent := census.Totals()
 	mh.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
-	term.handingOver = true
+	term.resigned = true
 	mh.term.extendTrust(term, time.Time{})
 	select {
 	case term.errs <- errHeartbeatsMissing:
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -165,7 +165,7 @@
 			w.Submit(s)
 		}
 		time.Sleep(100 * time.Second)
-		if other := otherTaskCounts(w, 1, 8, 1); len(other) > 0 {
+		if other := unexpectedTaskCounts(w, 1, 8, 1); len(other) > 0 {
 			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		time.Sleep(60 * time.Second)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("%d tasks were restarted within the stale renewal limit", k)
 		}
 		time.Sleep(50 * time.Second) // the zone is still partitioned
-		if other := otherTaskCounts(w, 4, 7, 1); len(other) > 0 {
+		if other := unexpectedTaskCounts(w, 4, 7, 1); len(other) > 0 {
 			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k == 0 {
@@ -81,7 +81,7 @@
 		}
 		partition(false)
 		time.Sleep(40 * time.Second)
-		if other := otherTaskCounts(w, 1, 7, 1); len(other) > 0 {
+		if other := unexpectedTaskCounts(w, 1, 7, 1); len(other) > 0 {
 			t.Errorf("services without exactly 1 running replica after the partition: %v", other)
 		}
 	})
@@ -198,7 +198,7 @@
 			partitionAgents(w, i, false)
 			time.Sleep(10 * time.Second)
 		}
-		if other := otherTaskCounts(w, 1, 12, 1); len(other) > 0 {
+		if other := unexpectedTaskCounts(w, 1, 12, 1); len(other) > 0 {
 			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k != 0 {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -92,7 +92,7 @@
 	rng := r.rng
 	r.jobs++
 	s := newJobSpec(r.jobs, wire.Array, 1+rng.IntN(10), 2+10*rng.Float64())
-	drawShape(s, rng)
+	randomizeShape(s, rng)
 	if s.Shape == wire.Gang {
 		s.SameZone = rng.IntN(2) == 0
 	}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -26,8 +26,8 @@
 	return rd.ready.Load() && rd.now()-model.Time(rd.lastMaintenance.Load()) < 2*stallThreshold
 }
 
-// linkFreshness is the maximum age of the last response over a link for its other end to count as reachable.
-const linkFreshness = 1500 * time.Millisecond
+// linkTimeout is the maximum age of the last response over a link for its other end to count as reachable.
+const linkTimeout = 1500 * time.Millisecond
 
 // updateReadiness updates the readiness, in the loop. A short time without a leader does not make a controller unready:
 // it affects all controllers alike, and requests are refused with a Retry-After.
@@ -43,8 +43,8 @@
 	}
 	if rd.term.ownTerm == nil && rd.term.leader != nil {
 		link := rd.links[rd.term.leader.Node]
-		if link != nil && !isReached(link) &&
-			time.Since(rd.replica.caughtUpAt) >= 2*linkFreshness+followTimeout {
+		if link != nil && !isReachable(link) &&
+			time.Since(rd.replica.caughtUpAt) >= 2*linkTimeout+followTimeout {
 			return false // cut off from the leader, this controller would answer from the log alone
 		}
 	}
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -19,13 +19,13 @@
 	replica *replica
 	term    *termState
 
-	state *relaying
+	state *relayState
 }
 
-// relaying is the state of a relay: its agreement with the leader and the limits on forwarded requests. It is written
+// relayState is the state of a relay: its agreement with the leader and the limits on forwarded requests. It is written
 // by maintainRelay on the event loop, except for enabled, which the response to an offer sets. The goroutines of
 // agents' connections and of the leader's requests read the atomic fields and acquire slots.
-type relaying struct {
+type relayState struct {
 	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil if this controller leads or cannot reach the leader
 	enabled    atomic.Bool              // the leader accepts forwarded heartbeats
 	reports    slots                    // heartbeats in flight
@@ -59,7 +59,7 @@
 		return nil
 	}
 	link := ry.links[ry.term.leader.Node]
-	if link == nil || time.Since(link.LastResponse()) >= linkFreshness {
+	if link == nil || time.Since(link.LastResponse()) >= linkTimeout {
 		return nil
 	}
 	return link
@@ -79,7 +79,7 @@
 
 // offer offers this controller to the leader as a relay and stores the response. The previous agreement stays in effect
 // if the leader does not respond.
-func (s *relaying) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
+func (s *relayState) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
 	ctx, cancel := context.WithTimeout(ctx, offerInterval)
 	defer cancel()
 	reply, err := leader.Do(ctx, &rpc.Request{Op: rpc.OpRelayOffer, Body: offer.Append(nil)})
@@ -90,8 +90,8 @@
 	s.enabled.Store(reply.Status == http.StatusOK && err == nil && enabled)
 }
 
-// forwardQuery probes an agent on behalf of the leader.
-func (ry *relayAgent) forwardQuery(ctx context.Context, request *rpc.Request) result.Result {
+// forwardProbe probes an agent on behalf of the leader.
+func (ry *relayAgent) forwardProbe(ctx context.Context, request *rpc.Request) result.Result {
 	if !ry.state.probes.tryAcquire() {
 		return result.Overloaded{}
 	}
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -97,7 +97,7 @@
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
 	return at != 0 && ra.now()-at < offerTTL &&
-		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
+		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkTimeout
 }
 
 // maintainAssignments decides by the size of the fleet whether agents are distributed, and removes the assignments of
@@ -118,7 +118,7 @@
 	if via == nil {
 		return ra.agents.SendOrders(ctx, addr, orders)
 	}
-	ctx, cancel := context.WithTimeout(ctx, ordersTimeout+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, directCommandTimeout+time.Second)
 	defer cancel()
 	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayOrders, ID: addr, Body: relay.AppendOrders(nil, orders)})
 	switch {
@@ -171,7 +171,7 @@
 		if via == nil {
 			report, err = ra.agents.Probe(ctx, addr, probeTimeout)
 		} else {
-			report, err = queryThrough(ctx, via, addr)
+			report, err = probeThroughRelay(ctx, via, addr)
 		}
 		if err == nil {
 			return report, nil
@@ -180,8 +180,8 @@
 	return nil, err
 }
 
-// queryThrough probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
-func queryThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
+// probeThroughRelay probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
+func probeThroughRelay(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
 	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayProbe, ID: addr})
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -62,7 +62,7 @@
 // isStoreReachable reports whether a follower can reach the key-value store. caughtUpAt cannot be used for this: on an
 // idle log it lags by up to two watches, the current one and the previous one.
 func (rp *replica) isStoreReachable() bool {
-	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
+	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkTimeout
 }
 
 // applyBatch applies a batch committed by another controller. A batch that was already applied is ignored; one that
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -160,7 +160,7 @@
 func (rs *singletonRoles) roleView() *singleton.View {
 	view := &singleton.View{Ready: rs.rolesDistributed(), Live: []string{rs.settings.Node}}
 	for _, link := range rs.links {
-		if time.Since(link.LastResponse()) < linkFreshness {
+		if time.Since(link.LastResponse()) < linkTimeout {
 			view.Live = append(view.Live, link.Node)
 		}
 	}
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -184,7 +184,7 @@
 					w.Restart(findLeader(), 200*time.Millisecond)
 				}
 				time.Sleep(c.within)
-				if other := otherTaskCounts(w, 1, 4, 1); len(other) > 0 {
+				if other := unexpectedTaskCounts(w, 1, 4, 1); len(other) > 0 {
 					t.Errorf("services without exactly 1 running replica %v after %d machines were partitioned: %v",
 						c.within, len(affected), other)
 				}
@@ -193,7 +193,7 @@
 					worker.SetInboundPartition(false)
 				}
 				time.Sleep(40 * time.Second)
-				if other := otherTaskCounts(w, 1, 4, 1); len(other) > 0 {
+				if other := unexpectedTaskCounts(w, 1, 4, 1); len(other) > 0 {
 					t.Errorf("services without exactly 1 running replica at the end: %v", other)
 				}
 			})
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -137,7 +137,7 @@
 	}
 	spec, specErr := wire.ParseJob(body)
 	var entry *model.Entry
-	answer := sb.loop.answerInTurn(ctx, func(send func(result.Result)) {
+	answer := sb.loop.answerRequest(ctx, func(send func(result.Result)) {
 		var decision result.Result
 		entry, decision = sb.decideForIntake(model.JobID(jobNumber), spec, specErr)
 		send(decision)
@@ -194,7 +194,7 @@
 	spec, specErr := wire.ParseJob(body)
 	//nolint:contextcheck // a job in the log is recorded under the term's context, even if its request ends
 	submit := func(send func(result.Result)) { sb.accept(model.JobID(jobNumber), spec, specErr, send) }
-	answer := sb.loop.answerInTurn(ctx, submit)
+	answer := sb.loop.answerRequest(ctx, submit)
 	if !result.IsRejection(answer) {
 		return answer
 	}
@@ -203,7 +203,7 @@
 	if !sb.intake.resolve(ctx, jobNumber) {
 		return result.NoLeader{}
 	}
-	return sb.loop.answerInTurn(ctx, submit)
+	return sb.loop.answerRequest(ctx, submit)
 }
 
 // accept decides about a job on the leader's event loop. It sends a refusal at once, and an acceptance when the job is
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -31,7 +31,7 @@
 	trustedUntilOffset atomic.Int64 // trustedUntil since startTime, for goroutines other than the loop
 	ctx                context.Context
 	cancel             context.CancelFunc // ends ctx
-	handingOver        bool               // leadership is resigned: trustedUntil is not extended any more
+	resigned           bool               // leadership is resigned: trustedUntil is not extended any more
 	errs               chan error         // errors that end the term; only the first is used, see maxTermErrors
 
 	commits      commitPipelineTerm
@@ -64,7 +64,7 @@
 			dirtyAfterCommit: map[*model.Machine]bool{},
 		},
 		zones:  zoneLivenessTerm{nodes: map[string]*partitionedNode{}},
-		intake: intakeTerm{dropping: map[uint64]bool{}},
+		intake: intakeTerm{dropPending: map[uint64]bool{}},
 		probes: probesTerm{
 			maxZoneProbes: maxZoneProbes,
 			unresponsive:  map[*model.Machine]bool{},
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -103,7 +103,7 @@
 		if m.Zone != zone {
 			continue
 		}
-		if time.Since(zl.links[m.Node].LastResponse()) < 2*linkFreshness {
+		if time.Since(zl.links[m.Node].LastResponse()) < 2*linkTimeout {
 			return true
 		}
 		if node := term.zones.nodes[m.Node]; node != nil && node.isFresh() {
@@ -160,7 +160,7 @@
 		now.Sub(zl.replica.caughtUpAt) > 2*followTimeout {
 		return
 	}
-	if link := zl.links[zl.term.leader.Node]; link == nil || now.Sub(link.LastResponse()) < linkFreshness {
+	if link := zl.links[zl.term.leader.Node]; link == nil || now.Sub(link.LastResponse()) < linkTimeout {
 		return
 	}
 	zl.lastPartitionReport = now
