--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -79,7 +79,7 @@
 		seq = job.FinalSeq
 	default:
 		seq = cn.commits.propose(model.NewCancellation(id))
-		job.Observed.CancelledFrom = cn.now()
+		job.Observed.CancelledSince = cn.now()
 		cn.stopJobRuns(job)
 		cn.log.Debug("job cancelled", "job", wire.JobID(uint64(id)))
 	}
--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -41,7 +41,7 @@
 	}
 	leader.loop.postAndWait(func() {
 		for _, worker := range w.Cloud.Workers() {
-			if leader.replica.model.ByName[worker.Name] == nil {
+			if leader.replica.model.MachinesByName[worker.Name] == nil {
 				t.Errorf("machine %s is provisioned but unknown to the leader", worker.Name)
 			}
 		}
@@ -58,7 +58,7 @@
 		if intents := node.replica.model.Intents; len(intents) > 0 {
 			err = fmt.Errorf("open scale-outs: %+v", intents)
 		}
-		if up, known := len(w.Cloud.Workers()), len(node.replica.model.Order); up != known {
+		if up, known := len(w.Cloud.Workers()), len(node.replica.model.MachinesInOrder); up != known {
 			err = errors.Join(err, fmt.Errorf("%d machines are provisioned, the controller knows %d", up, known))
 		}
 	})
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -94,7 +94,7 @@
 	cd.replica.model.StartsSent(machine, commands, sent.token)
 	machine.Contact.DirectInFlight = true
 	term.leadership.timeline.Mark(candidacy.FirstCommand, cd.now())
-	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.Session, Commands: commands}
+	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.AgentEpoch, Commands: commands}
 	addr, via := machine.Info.Addr, cd.assignments.relayFor(machine)
 	go func() {
 		fate, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
@@ -118,7 +118,7 @@
 	switch fate {
 	case agent.Unknown:
 		cd.log.Debug("command outcome unknown", "machine", machine.Info.Name, "err", err)
-		cd.replica.model.StartsLost(machine, sent.commands, sent.token)
+		cd.replica.model.StartsUnanswered(machine, sent.commands, sent.token)
 		cd.probes.probeMachine(machine, func() { cd.onProbedAfterUnknownOutcome(sent) })
 	case agent.Unsent:
 		cd.replica.model.StartsAnswered(machine, sent.commands, sent.token, false)
@@ -160,7 +160,7 @@
 			return true
 		}
 	}
-	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
+	return cd.replica.model.HasPendingReap(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
 // stopRun ends a run that is to be stopped or whose job is cancelled: immediately if its start cannot have been sent,
--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -97,7 +97,7 @@
 		for i := range 24 {
 			s := newJobSpec(100+i, wire.Array, 1, 500)
 			w.Submit(s)
-			records = append(records, oplog.Intake{Job: uint64(100 + i), Data: model.Accepted(s, 0).Append(nil)})
+			records = append(records, oplog.Intake{Job: uint64(100 + i), Data: model.NewAcceptance(s, 0).Append(nil)})
 		}
 		time.Sleep(20 * time.Second)
 		w.Store.SetLatency(100 * time.Millisecond)
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -346,7 +346,7 @@
 	explained.Complete = analysis.Complete
 	explained.Partial = analysis.Truncated
 	if job != nil {
-		explained.Starting = job.Live - job.Running
+		explained.Starting = job.PlacedTasks - job.Running
 	}
 	for _, reason := range unsimulated {
 		// These reasons prevent scheduling rounds, so they block every job.
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -96,7 +96,7 @@
 // not renewed any.
 func lastRenewalBy(node *Controller) (last time.Duration) {
 	node.loop.postAndWait(func() {
-		for _, machine := range node.replica.model.Order {
+		for _, machine := range node.replica.model.MachinesInOrder {
 			last = max(last, node.leases.renewals.LastRenewal(machine.Info.Name, 0))
 		}
 	})
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -228,7 +228,7 @@
 		n.replica.loaded, n.replica.caughtUpAt = true, time.Now()
 		n.term.leader = &oplog.Leader{Node: "leader"}
 		applyCancelledTasks(t, n, first, machines)
-		for _, machine := range n.replica.model.Order {
+		for _, machine := range n.replica.model.MachinesInOrder {
 			n.keepalives.clearedMachines[machine.ID] = time.Now()
 		}
 		n.zones.reportPartition()
@@ -238,7 +238,7 @@
 			t.Errorf("got %d records, want 1: %v", len(records), err)
 		} else {
 			cleared := decodeCleared(&records[0])
-			for _, machine := range n.replica.model.Order {
+			for _, machine := range n.replica.model.MachinesInOrder {
 				if !cleared[machine.ID] {
 					t.Errorf("machine %d is not among the %d cleared machines", machine.ID, len(cleared))
 					break
@@ -267,7 +267,7 @@
 		id := model.MachineID(first + i)
 		apply(&model.Entry{Kind: model.EntryMachine, Machine: id,
 			Info: &model.MachineInfo{Name: hostName(i), Addr: "10.1.0.1:1", Type: "small", Zone: "a"}})
-		apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: id, Session: 1})
+		apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: int32(i), Attempt: 1, Machine: id, AgentEpoch: 1})
 	}
 	apply(&model.Entry{Kind: model.EntryCancel, Job: 1})
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -39,7 +39,7 @@
 		machine := &model.MachineInfo{Name: fmt.Sprint("host-", id), Type: "small", Zone: "a"}
 		for _, e := range []*model.Entry{
 			{Kind: model.EntryMachine, Machine: id, Info: machine},
-			model.Accepted(&wire.JobSpec{ID: wire.JobID(uint64(job)), Tasks: 1}, 0),
+			model.NewAcceptance(&wire.JobSpec{ID: wire.JobID(uint64(job)), Tasks: 1}, 0),
 			{Kind: model.EntryPlace, Job: job, Attempt: 1, Machine: id},
 			{Kind: model.EntryCancel, Job: job},
 		} {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -49,7 +49,7 @@
 // onReportAsLeader processes a heartbeat that arrived at this controller or through a relay; node is the index of that
 // controller in the relay table.
 func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(result.Result)) {
-	machine := hb.replica.model.ByName[report.Machine]
+	machine := hb.replica.model.MachinesByName[report.Machine]
 	if answer := hb.rejectReport(machine, report); answer != nil {
 		send(answer)
 		return
@@ -69,7 +69,7 @@
 func (hb *heartbeats) rejectReport(machine *model.Machine, report *wire.Heartbeat) result.Result {
 	active := hb.term.isActive()
 	switch {
-	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
+	case report.FencingToken >= hb.replica.model.MinToken+1<<machineTokenBits:
 		return result.Redirected{} // its agent has accepted a later term than this one
 	case !hb.leases.mayRenew():
 		// No controller may extend leases beyond the stale renewal limit: a cancellation that it does not know of must
@@ -178,10 +178,10 @@
 // onUnknownMachineProbed registers a machine that responded to a probe, unless it was registered meanwhile, and answers
 // its heartbeat.
 func (hb *heartbeats) onUnknownMachineProbed(status *wire.Heartbeat) result.Result {
-	if hb.replica.model.ByName[status.Machine] == nil {
+	if hb.replica.model.MachinesByName[status.Machine] == nil {
 		hb.register(status)
 	}
-	machine := hb.replica.model.ByName[status.Machine]
+	machine := hb.replica.model.MachinesByName[status.Machine]
 	hb.observe(machine, status, hb.replica.model.BeginProbe(machine))
 	hb.loop.requestRound()
 	return hb.replyToMachine(machine)
@@ -205,7 +205,7 @@
 	if machine.Suspect && hb.term.isActive() {
 		// From here on its lease is renewed again.
 		hb.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
-		hb.commits.propose(model.NewTrust(machine.ID))
+		hb.commits.propose(model.NewSuspicionCleared(machine.ID))
 		hb.loop.requestRound()
 	}
 	firstReport := !machine.Contact.Reported
@@ -254,7 +254,7 @@
 	if verdict.NeedsProbe {
 		hb.probes.probeMachine(machine, nil)
 	}
-	hb.replica.model.SealReapable(machine, term.nextSeq())
+	hb.replica.model.SetReapableSeq(machine, term.nextSeq())
 	hb.applyVerdict(machine, &verdict, firstReport && question != nil)
 	return verdict
 }
@@ -267,7 +267,7 @@
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
 			"failures", j.Observed.Errors)
 	}
-	for _, ready := range verdict.GangReady {
+	for _, ready := range verdict.GangReadyMachines {
 		hb.dispatch.markForCommands(ready)
 	}
 	if len(verdict.Entries) > 0 {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -178,7 +178,7 @@
 	}
 	status.Done, status.Running, status.State = job.Done, job.Running, wire.JobPending
 	if js.term.ownTerm == nil {
-		status.Running = job.Live // a replica does not track the phases of runs
+		status.Running = job.PlacedTasks // a replica does not track the phases of runs
 	}
 	if status.Running > 0 {
 		status.State = wire.JobRunning
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -86,7 +86,7 @@
 // controller may not know of later cancellations: a job cancelled after the last log read still loses its tasks in time
 // when the leases then expire.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) result.Result {
-	machine := fk.replica.model.ByName[report.Machine]
+	machine := fk.replica.model.MachinesByName[report.Machine]
 	if machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
 		return leaseExpiring
 	}
@@ -140,7 +140,7 @@
 			return now.Sub(at) >= partitionReportTTL
 		})
 	}
-	if len(fk.noRedirectUntil) > maxNoRedirectEntries+2*len(fk.replica.model.Order) {
+	if len(fk.noRedirectUntil) > maxNoRedirectEntries+2*len(fk.replica.model.MachinesInOrder) {
 		clear(fk.noRedirectUntil)
 	}
 }
@@ -148,7 +148,7 @@
 // encode returns the IDs of the machines that reported recently and that, according to the log, hold a task of a
 // cancelled job, as varints in at most maxBytes bytes. Other machines are not relevant to the leader.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if at, ok := c[machine.ID]; ok && now.Sub(at) < partitionReportTTL && machine.HasCancelledTask() &&
 			len(b)+binary.MaxVarintLen32 <= maxBytes {
 			b = codec.Uint(b, uint64(machine.ID))
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -133,7 +133,7 @@
 	ls.components.start(term)
 	ls.metrics.Terms.Inc()
 	ls.log.Info("leader elected", "term", term.leader.Term, "seq", ls.replica.appliedSeq,
-		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
+		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.MachinesInOrder))
 }
 
 // stepDown ends a term in the loop. It resets the replica, whose model contains entries that may never be committed.
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -62,10 +62,10 @@
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
-		if !j.Cancelled || run.Session < report.AgentEpoch || reportContains(report, run) {
+		if !j.Cancelled || run.AgentEpoch < report.AgentEpoch || reportContains(report, run) {
 			continue
 		}
-		if j.Observed.CancelledFrom == 0 || lr.now()-j.Observed.CancelledFrom > lr.settings.StaleRenewalLimit() {
+		if j.Observed.CancelledSince == 0 || lr.now()-j.Observed.CancelledSince > lr.settings.StaleRenewalLimit() {
 			return true
 		}
 	}
@@ -112,7 +112,7 @@
 			return
 		}
 		var suspects, others []string
-		for _, machine := range lr.replica.model.Order {
+		for _, machine := range lr.replica.model.MachinesInOrder {
 			switch {
 			case machine.Info.Zone != request.ID:
 			case machine.Suspect:
@@ -153,7 +153,7 @@
 func (lr *leaseRenewal) newestSuspicions() []map[int32]uint64 {
 	others := len(lr.settings.Members)
 	newest := make([]map[int32]uint64, others)
-	for _, machine := range lr.replica.model.Order {
+	for _, machine := range lr.replica.model.MachinesInOrder {
 		if !machine.Suspect || machine.Releasing || machine.Contact.SuspectFrom == 0 || len(machine.Runs) == 0 {
 			continue
 		}
@@ -203,7 +203,7 @@
 	if lr.term.ownTerm != term {
 		return
 	}
-	for _, machine := range lr.replica.model.Order {
+	for _, machine := range lr.replica.model.MachinesInOrder {
 		if machine.Zone != query.zone || !machine.Suspect || machine.Contact.SuspectFrom <= 0 ||
 			machine.SuspectSeq() > query.suspectSeq {
 			continue
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -48,7 +48,7 @@
 	if err := c.replica.model.Apply(e, 1, c.now()); err != nil {
 		t.Fatal(err)
 	}
-	return c.replica.model.ByName[name]
+	return c.replica.model.MachinesByName[name]
 }
 
 // TestRetentionOfLargeFleet checks that a controller that cannot reach the leader retains each agent that contacts it
@@ -106,7 +106,7 @@
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
 			withIdleController(t, 2500, func(c *Controller) {
 				placeAndCancel(t, c, fleet)
-				for _, machine := range c.replica.model.Order {
+				for _, machine := range c.replica.model.MachinesInOrder {
 					c.keepalives.renewAsFollower(&wire.Heartbeat{Machine: machine.Info.Name, AgentEpoch: 1})
 				}
 				c.runMaintenance()
@@ -134,7 +134,7 @@
 	t.Helper()
 	job := &wire.JobSpec{ID: wire.JobID(1), Class: "c", Team: "guest", Shape: wire.Array, Priority: wire.Low,
 		Tasks: machines, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
-	entries := []*model.Entry{model.Accepted(job, 0)}
+	entries := []*model.Entry{model.NewAcceptance(job, 0)}
 	for i := range machines {
 		machine := addMachine(t, c, hostName(i))
 		entries = append(entries,
@@ -264,8 +264,8 @@
 		releasedAfter := func(elapsed time.Duration) (released bool) {
 			c.loop.postAndWait(func() {
 				var rows []wire.ListedMachine
-				youngest := c.replica.model.Order[len(c.replica.model.Order)-1]
-				for _, machine := range c.replica.model.Order {
+				youngest := c.replica.model.MachinesInOrder[len(c.replica.model.MachinesInOrder)-1]
+				for _, machine := range c.replica.model.MachinesInOrder {
 					if machine != youngest {
 						rows = append(rows, wire.ListedMachine{Name: machine.Info.Name, State: wire.MachineRunning})
 					}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -42,7 +42,7 @@
 // within 3 s, when the cloud had recovered and a third of the fleet was about to be replaced.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		machine.Contact.LastReport = min(now, machine.Contact.LastReport+delay)
 	}
 	if delay+maintenanceInterval <= stallThreshold {
@@ -78,7 +78,7 @@
 func (mh *machineHealth) checkMachineHealth(term *leaderTerm) {
 	now, rules := mh.now(), mh.healthRules()
 	census := &health.Census{}
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		observed := observeMachine(machine, now)
 		census.Add(rules, &observed)
 	}
@@ -86,7 +86,7 @@
 	mh.leases.queryRenewals(term)
 	round := term.health.detector.Begin(rules, census, now, term.provisioning.cloudUnavailable)
 	evidence := &healthEvidence{machineHealth: mh, ownTerm: term, now: now}
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		mh.checkTaskHealth(machine, round.ChecksLateness(), now)
 		evidence.machine = machine
 		observed := observeMachine(machine, now)
@@ -133,14 +133,14 @@
 	if checkSlow && mh.replica.model.DetectSlow(machine, now) {
 		mh.heartbeats.logSlow(machine)
 	}
-	if machine.Health.DoubtSince == 0 || machine.Health.Quarantined {
+	if machine.Health.CordonedSince == 0 || machine.Health.Quarantined {
 		return
 	}
 	mh.replica.model.UpdateQuarantine(machine, now)
 	switch {
 	case machine.Health.Quarantined:
 		mh.heartbeats.logQuarantined(machine)
-	case machine.Health.DoubtSince == 0:
+	case machine.Health.CordonedSince == 0:
 		mh.loop.requestRound() // it is usable again: its jobs fail on other machines too
 	}
 }
@@ -187,8 +187,8 @@
 	}
 	switch term.health.detector.CheckIsolation(rules, census, reach, now) {
 	case health.ProbeMachines:
-		stride := health.ProbeStride(len(mh.replica.model.Order))
-		for i, machine := range mh.replica.model.Order {
+		stride := health.ProbeStride(len(mh.replica.model.MachinesInOrder))
+		for i, machine := range mh.replica.model.MachinesInOrder {
 			if i%stride == 0 {
 				mh.probes.probeSilent(machine, false)
 			}
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -55,13 +55,13 @@
 // does not respond.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
-	for _, machine := range pr.replica.model.Order {
+	for _, machine := range pr.replica.model.MachinesInOrder {
 		if !machine.Contact.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
 			!term.probes.unresponsive[machine] && !term.probes.zoneCounts(machine.Zone).silent.Load() {
 			return false
 		}
 	}
-	return len(pr.replica.model.Order) > 0
+	return len(pr.replica.model.MachinesInOrder) > 0
 }
 
 // zoneProbeCounts counts the results of probes to the machines of a zone, and their heartbeats, in this term. The event
@@ -98,7 +98,7 @@
 // probeAll probes all machines with tasks. A new leader places no tasks before these machines have reported, and many
 // agents take a heartbeat interval or longer to find it.
 func (pr *probes) probeAll() {
-	for _, machine := range pr.replica.model.Order {
+	for _, machine := range pr.replica.model.MachinesInOrder {
 		if len(machine.Runs) > 0 && !machine.Suspect {
 			pr.probeSilent(machine, true)
 		}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -45,7 +45,7 @@
 	}
 	info := machine.Info
 	info.Addr = addr
-	pv.commits.propose(model.NewMachine(machine.ID, machine.At, &info))
+	pv.commits.propose(model.NewMachine(machine.ID, machine.FirstLoggedMS, &info))
 }
 
 // releaseMachine writes the release of a machine to the log, and the provisioner then executes it. Its tasks count as
@@ -98,7 +98,7 @@
 	scheduler.ServiceHeadroom = plan.Headroom
 	scheduler.ServiceSlots = plan.ForServices
 	scheduler.LowPriorityAllowed = plan.LowPriorityAllowed
-	for _, machine := range pv.replica.model.Order {
+	for _, machine := range pv.replica.model.MachinesInOrder {
 		if machine.Lifecycle.Draining != plan.Drain[machine] {
 			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
 				"draining", !machine.Lifecycle.Draining)
@@ -208,7 +208,7 @@
 func (pv *provisioning) onReleased(term *leaderTerm, names []string) {
 	replacements := map[autoscaler.InstanceOffer]int{}
 	for _, name := range names {
-		machine := pv.replica.model.ByName[name]
+		machine := pv.replica.model.MachinesByName[name]
 		if machine == nil || !machine.Releasing {
 			continue
 		}
@@ -258,11 +258,11 @@
 		pv.autoscaler.OnAvailable(offer)
 	}
 	for _, name := range outcome.Machines {
-		if pv.replica.model.ByName[name] != nil || pv.replica.model.Tombstones[name] {
+		if pv.replica.model.MachinesByName[name] != nil || pv.replica.model.Tombstones[name] {
 			continue
 		}
 		pv.recordMachine(model.MachineInfo{Name: name, Type: order.Type, Zone: order.Zone, Spot: order.Spot}, 0)
-		pv.replica.model.ByName[name].Lifecycle.ProvisionedAt = pv.now() - outcome.Elapsed
+		pv.replica.model.MachinesByName[name].Lifecycle.ProvisionedAt = pv.now() - outcome.Elapsed
 	}
 	if intent {
 		// Logged after the machines: a successor that finds the intent open repeats the request under the same name,
@@ -297,7 +297,7 @@
 	now := pv.now()
 	listLag := config.Seconds(2 * pv.settings.Params.Cloud.ListLagS)
 	minAge := listLag + max(maxListDuration, elapsed+elapsed/2)
-	for _, machine := range pv.replica.model.Order {
+	for _, machine := range pv.replica.model.MachinesInOrder {
 		if !listed[machine.Info.Name] && now-machine.Contact.KnownSince > minAge &&
 			machine.SilentFor(now) > pv.probeAfter() {
 			pv.releaseMachine(machine, "not in cloud listing")
@@ -329,12 +329,12 @@
 	if pv.replica.model.Tombstones[row.Name] {
 		return
 	}
-	machine := pv.replica.model.ByName[row.Name]
+	machine := pv.replica.model.MachinesByName[row.Name]
 	if machine == nil {
 		pv.log.Info("machine discovered", "machine", row.Name, "type", row.Type, "zone", row.Zone, "state", row.State)
 		info := model.MachineInfo{Name: row.Name, Addr: row.Addr, Type: row.Type, Zone: row.Zone, Spot: row.Spot}
 		pv.recordMachine(info, int64(row.AgeS*1000))
-		machine = pv.replica.model.ByName[row.Name]
+		machine = pv.replica.model.MachinesByName[row.Name]
 	}
 	if machine.Info.Addr == "" {
 		pv.recordAddr(machine, row.Addr)
@@ -358,7 +358,7 @@
 			})
 		}
 	}
-	for _, machine := range pv.replica.model.Order {
+	for _, machine := range pv.replica.model.MachinesInOrder {
 		if machine.Releasing && machine.ReleaseSeq <= committed {
 			desired.Releases = append(desired.Releases, machine.Info.Name)
 		}
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -103,7 +103,7 @@
 // maintainAssignments decides by the size of the fleet whether agents are distributed, and removes the assignments of
 // silent agents.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
-	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
+	term.assignments.table.UpdateSpreading(len(ra.replica.model.MachinesInOrder), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
 		term.assignments.lastAssignmentSweep = now
 		term.assignments.table.Forget(now - ra.silentAfter())
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -81,7 +81,7 @@
 			return fmt.Errorf("controller: log batch %d: %w", batch.Seq, err)
 		}
 		if job := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && job != nil {
-			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
+			job.Observed.CancelledSince = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
 		}
 		if err := rp.model.Apply(entry, batch.Seq, rp.now()); err != nil {
 			rp.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
@@ -159,7 +159,7 @@
 	rp.caughtUpAt, rp.lastStoreContact = sentAt, time.Now()
 	rp.loaded = true
 	rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq,
-		"jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
+		"jobs", len(rp.model.Jobs), "machines", len(rp.model.MachinesInOrder))
 	return nil
 }
 
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -74,7 +74,7 @@
 	if rs.replica.model.Tombstones[row.Name] {
 		return true
 	}
-	machine := rs.replica.model.ByName[row.Name]
+	machine := rs.replica.model.MachinesByName[row.Name]
 	return machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
 }
 
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -35,7 +35,7 @@
 		"image_cached", machine.HasImage(job.Image), "score", score)
 	sr.metrics.Placed.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
-	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.Session))
+	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.AgentEpoch))
 	sr.dispatch.markForCommands(machine)
 }
 
@@ -47,7 +47,7 @@
 	}
 	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)),
 		"machine", run.Machine.Info.Name, "reason", reason)
-	run.Stop, run.Hard = true, hard
+	run.Stop, run.SkipCheckpoint = true, hard
 	sr.metrics.Stopped.Inc()
 	sr.dispatch.stopRun(run)
 }
--- a/internal/controller/slow_leader_test.go
+++ b/internal/controller/slow_leader_test.go
@@ -23,7 +23,7 @@
 				}
 				time.Sleep(50 * time.Millisecond)
 				leader.loop.postAndWait(func() {
-					machine := leader.replica.model.ByName[hung.Name]
+					machine := leader.replica.model.MachinesByName[hung.Name]
 					evicted = machine == nil || machine.Releasing
 				})
 			}
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -74,7 +74,7 @@
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
 		for _, r := range reports {
-			if leader.replica.model.ByName[r.Machine] != nil {
+			if leader.replica.model.MachinesByName[r.Machine] != nil {
 				t.Errorf("%s is registered although it was reclaimed or never existed", r.Machine)
 			}
 		}
@@ -269,7 +269,7 @@
 		time.Sleep(time.Until(began.Add(16 * time.Second)))
 		node := nodeAt(findLeader())
 		node.loop.postAndWait(func() {
-			for _, machine := range node.replica.model.Order {
+			for _, machine := range node.replica.model.MachinesInOrder {
 				if !machine.Contact.Reported {
 					t.Errorf("node %d: %s has not found the next leader after 16 s", i, machine.Info.Name)
 				}
@@ -360,7 +360,7 @@
 func tasksOn(machines map[string]bool) (tasks int) {
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
-		for _, machine := range leader.replica.model.Order {
+		for _, machine := range leader.replica.model.MachinesInOrder {
 			if machines[machine.Info.Name] {
 				tasks += len(machine.Runs)
 			}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -177,7 +177,7 @@
 	if refusal := sb.refusal(spec, specErr); refusal != nil {
 		return nil, refusal
 	}
-	return model.Accepted(spec, time.Now().UnixMilli()), result.Accepted{Status: pendingStatus(uint64(id))}
+	return model.NewAcceptance(spec, time.Now().UnixMilli()), result.Accepted{Status: pendingStatus(uint64(id))}
 }
 
 // pendingStatus returns the status of a job that was accepted and of which nothing else is known.
@@ -231,7 +231,7 @@
 		send(result.Overloaded{Reason: "more work is offered than can be taken", RetryAfter: wait})
 		return
 	}
-	entry := model.Accepted(spec, time.Now().UnixMilli())
+	entry := model.NewAcceptance(spec, time.Now().UnixMilli())
 	seq := sb.commits.propose(entry)
 	sb.loop.requestRound()
 	sb.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -85,7 +85,7 @@
 	}
 	for _, j := range tm.replica.model.Jobs {
 		view.Waiting += j.Waiting()
-		view.Running += j.Live
+		view.Running += j.PlacedTasks
 	}
 	tm.countMachines(&view)
 	return view
@@ -93,7 +93,7 @@
 
 // countMachines counts the machines by state. Only the leader knows which are up.
 func (tm *telemetry) countMachines(view *metrics.Snapshot) {
-	for _, machine := range tm.replica.model.Order {
+	for _, machine := range tm.replica.model.MachinesInOrder {
 		switch {
 		case machine.Releasing:
 			view.Releasing++
@@ -211,7 +211,7 @@
 	}
 	term.telemetry.lastSummary = time.Now()
 	usages := map[string]*machineUsage{}
-	for _, machine := range tm.replica.model.Order {
+	for _, machine := range tm.replica.model.MachinesInOrder {
 		name := machine.Info.Type
 		if machine.Spot {
 			name += "/spot"
--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -37,9 +37,9 @@
 		m.cancelJob(e.Job, seq, now)
 	case EntryPlace:
 		return m.placeTask(e, seq, now)
-	case EntryEnded:
+	case EntryAttemptEnded:
 		m.endAttempt(e, now)
-	case EntryDone:
+	case EntryTaskDone:
 		m.completeTask(e, seq, now)
 	case EntryMachine:
 		m.addMachine(e, now)
@@ -80,7 +80,7 @@
 	s := e.Spec
 	j := &Job{
 		ID: e.Job, Spec: s, Kind: kindOf(s.Shape), Priority: priorityOf(s.Priority), Team: m.teamByName[s.Team],
-		Class: m.Classes.ID(s.Class), Image: m.Images.ID(s.Image), Zone: -1, TypesKey: typesKeyOf(s), At: e.At,
+		Class: m.Classes.ID(s.Class), Image: m.Images.ID(s.Image), Zone: -1, TypesKey: typesKeyOf(s), AcceptedAtMS: e.WallTimeMS,
 		Tasks: make([]Task, s.Tasks), AcceptSeq: seq, Observed: JobObservation{KnownSince: now},
 	}
 	if s.Zone != nil {
@@ -112,11 +112,11 @@
 		return &InvalidPlacementError{e.Job, e.Task, e.Machine}
 	}
 	r := &Run{
-		Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, Session: e.Session, PlacedSeq: seq, PlacedAt: now,
+		Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, AgentEpoch: e.AgentEpoch, PlacedSeq: seq, PlacedAt: now,
 	}
 	t := &j.Tasks[e.Task]
 	t.State, t.Attempt, t.Run = Placed, e.Attempt, r
-	j.Live++
+	j.PlacedTasks++
 	m.recordStart(j)
 	machine.Runs = append(machine.Runs, r)
 	machine.countFetch(r, 1)
@@ -170,7 +170,7 @@
 		machine.Lifecycle.IdleSince = now
 	}
 	r.addUsage(-1)
-	j.Live--
+	j.PlacedTasks--
 	t := &j.Tasks[r.Task]
 	t.Run = nil
 	if t.State == Placed {
@@ -190,7 +190,7 @@
 
 // finishIfOver replaces a cancelled or completed job by its final state once it has no more runs.
 func (m *Model) finishIfOver(j *Job, now Time) {
-	if j.Live > 0 || m.Jobs[j.ID] != j {
+	if j.PlacedTasks > 0 || m.Jobs[j.ID] != j {
 		return
 	}
 	var final Final
@@ -215,7 +215,7 @@
 	}
 	m.insertMachine(&Machine{
 		ID: e.Machine, Info: *e.Info, Type: m.typeIndex(e.Info.Type), Zone: m.Zones.ID(e.Info.Zone), Spot: e.Info.Spot,
-		At: e.At, Contact: MachineContact{KnownSince: now}, Lifecycle: MachineLifecycle{IdleSince: now},
+		FirstLoggedMS: e.WallTimeMS, Contact: MachineContact{KnownSince: now}, Lifecycle: MachineLifecycle{IdleSince: now},
 	})
 }
 
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -54,22 +54,22 @@
 	copied := newMachineTable()
 	copied.Machines = make(map[MachineID]*Machine, len(t.Machines))
 	copied.NextMachine = t.NextMachine
-	copied.Order = make([]*Machine, len(t.Order))
+	copied.MachinesInOrder = make([]*Machine, len(t.MachinesInOrder))
 	imageCount, fetchCount := 0, 0
-	for _, machine := range t.Order {
+	for _, machine := range t.MachinesInOrder {
 		imageCount += len(machine.cache)
 		fetchCount += len(machine.fetches)
 	}
-	machines := make([]Machine, len(t.Order))
+	machines := make([]Machine, len(t.MachinesInOrder))
 	cacheSlab := make([]cachedImage, 0, imageCount)
 	fetchSlab := make([]pendingFetch, 0, fetchCount)
-	for i, machine := range t.Order {
+	for i, machine := range t.MachinesInOrder {
 		o := &machines[i]
 		*o = *machine
 		o.cache, cacheSlab = appendToSlab(cacheSlab, machine.cache)
 		o.fetches, fetchSlab = appendToSlab(fetchSlab, machine.fetches)
 		o.Health.FailedJobs, o.Contact.unresolvedStarts, o.Contact.reapable = nil, nil, nil
-		copied.Order[i] = o
+		copied.MachinesInOrder[i] = o
 		copied.Machines[o.ID] = o
 	}
 	return copied
@@ -103,20 +103,20 @@
 // since scheduling decisions may depend on it.
 func cloneRuns(copied, original *Model) {
 	runCount := 0
-	for _, machine := range original.Order {
+	for _, machine := range original.MachinesInOrder {
 		runCount += len(machine.Runs)
 	}
 	runs, runPtrs := make([]Run, runCount), make([]*Run, 0, runCount)
-	for i, machine := range original.Order {
+	for i, machine := range original.MachinesInOrder {
 		from := len(runPtrs)
 		for _, r := range machine.Runs {
 			o := &runs[len(runPtrs)]
 			*o = *r
-			o.Job, o.Machine = copied.Jobs[r.Job.ID], copied.Order[i]
+			o.Job, o.Machine = copied.Jobs[r.Job.ID], copied.MachinesInOrder[i]
 			o.Job.Tasks[r.Task].Run = o
 			runPtrs = append(runPtrs, o)
 		}
-		copied.Order[i].Runs = runPtrs[from:len(runPtrs):len(runPtrs)]
+		copied.MachinesInOrder[i].Runs = runPtrs[from:len(runPtrs):len(runPtrs)]
 	}
 }
 
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -42,7 +42,7 @@
 	if open {
 		t.fenceStart(machine, d.key)
 	}
-	if open || committed < d.seq || contact.Reports.Token() < t.TermBase || !contact.Reports.Fenced() {
+	if open || committed < d.seq || contact.Reports.Token() < t.MinToken || !contact.Reports.Fenced() {
 		return wire.Command{}, false
 	}
 	return commandFor(d.key, wire.Forget, nil), true
@@ -51,7 +51,7 @@
 // runCommand returns the command to start or stop a run, if one is due.
 func (m *Model) runCommand(r *Run, committed uint64, inResponse bool) (_ wire.Command, ok bool) {
 	contact := &r.Machine.Contact
-	if r.Session != contact.Session || committed < r.PlacedSeq {
+	if r.AgentEpoch != contact.AgentEpoch || committed < r.PlacedSeq {
 		return wire.Command{}, false
 	}
 	switch {
@@ -61,7 +61,7 @@
 		return commandFor(r.key(), wire.Stop, new(float64)), true
 	case r.Stop:
 		grace := new(float64)
-		if !r.Hard && r.Job.Spec.CheckpointIntervalS > 0 {
+		if !r.SkipCheckpoint && r.Job.Spec.CheckpointIntervalS > 0 {
 			*grace = r.Job.Spec.CheckpointWriteS + 1
 		}
 		return commandFor(r.key(), wire.Stop, grace), true
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -74,28 +74,28 @@
 
 func (w exploredState) clone() exploredState {
 	m := w.model.Clone()
-	for i, machine := range w.model.Order {
-		copied := m.Order[i]
+	for i, machine := range w.model.MachinesInOrder {
+		copied := m.MachinesInOrder[i]
 		copied.Contact.unresolvedStarts = maps.Clone(machine.Contact.unresolvedStarts)
 		copied.Contact.reapable = slices.Clone(machine.Contact.reapable)
-		m.ByName[machine.Info.Name] = copied
+		m.MachinesByName[machine.Info.Name] = copied
 	}
 	w.model, w.reports, w.inFlight = m, slices.Clone(w.reports), slices.Clone(w.inFlight)
 	return w
 }
 
 func (w exploredState) Key() string {
-	machine := w.model.Order[0]
+	machine := w.model.MachinesInOrder[0]
 	contact := &machine.Contact
 	b := fmt.Appendf(nil, "%+v %v %v %v %v",
-		contact.Reports, contact.Session, contact.TokenOffset, contact.unresolvedStarts, contact.reapable)
+		contact.Reports, contact.AgentEpoch, contact.TokenOffset, contact.unresolvedStarts, contact.reapable)
 	for _, r := range machine.Runs {
 		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v",
-			r.Attempt, r.Session, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
+			r.Attempt, r.AgentEpoch, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
 	}
 	for _, x := range []uint64{
 		w.incarnation, w.session, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
-		uint64(w.terms), uint64(w.leaseExpiries), w.model.TermBase,
+		uint64(w.terms), uint64(w.leaseExpiries), w.model.MinToken,
 	} {
 		b = binary.AppendUvarint(b, x)
 	}
@@ -128,7 +128,7 @@
 
 // observe passes a report to the leader and applies the resulting entries.
 func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.ProbeBaseline) ReportVerdict {
-	machine := w.model.Order[0]
+	machine := w.model.MachinesInOrder[0]
 	offset := machine.Contact.TokenOffset
 	v := w.model.Observe(machine, r, probe, 1)
 	if w.mutation == reapsEarly {
@@ -136,8 +136,8 @@
 	}
 	if w.mutation == anySessionTrusted && v.Freshness == staleness.Unproven {
 		for _, run := range machine.Runs {
-			if run.Session < r.AgentEpoch {
-				v.Entries = append(v.Entries, &Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: run.Attempt})
+			if run.AgentEpoch < r.AgentEpoch {
+				v.Entries = append(v.Entries, &Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: run.Attempt})
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 	for _, s := range r.Tasks {
 		if w.mutation == reapsEarly && s.State == wire.TaskExited {
 			w.earlyReaped = s.Attempt
-			_ = w.model.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: uint32(s.Attempt)}, 1, 1)
+			_ = w.model.Apply(&Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: uint32(s.Attempt)}, 1, 1)
 		}
 	}
 	return v
@@ -180,8 +180,8 @@
 
 // commands returns the commands that the leader sends now. Entries applied by observe count as committed.
 func (w *exploredState) commands(inResponse bool) []wire.Command {
-	machine := w.model.Order[0]
-	w.model.SealReapable(machine, 1)
+	machine := w.model.MachinesInOrder[0]
+	w.model.SetReapableSeq(machine, 1)
 	commands := w.model.Commands(machine, 9, inResponse)
 	if w.earlyReaped != 0 {
 		commands = append(commands, wire.Command{Verb: wire.Forget, Task: testTaskID, Attempt: w.earlyReaped})
@@ -193,10 +193,10 @@
 func newExploredState(t *testing.T, injected mutation) exploredState {
 	t.Helper()
 	m := New(params())
-	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), Accepted(testSpec(7, 1), 0))
+	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), NewAcceptance(testSpec(7, 1), 0))
 	m.BeginTerm(3<<24, 0)
 	w := exploredState{mutation: injected, model: m, session: 1, incarnation: 1, token: 3 << 24}
-	w.observe(w.report(), m.BeginProbe(m.Order[0]))
+	w.observe(w.report(), m.BeginProbe(m.MachinesInOrder[0]))
 	if err := m.Apply(NewPlacement(7, 0, 1, 1, 1), 4, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -36,7 +36,7 @@
 }
 
 // machine returns the only machine of the model.
-func (w *exploredState) machine() *Machine { return w.model.Order[0] }
+func (w *exploredState) machine() *Machine { return w.model.MachinesInOrder[0] }
 
 // addReports adds steps in which the agent sends a report, and in which a report or a copy of it arrives.
 func (s *stepList) addReports() {
@@ -68,7 +68,7 @@
 	var probe *staleness.ProbeBaseline
 	if w.mutation == copyTakenAsResponse {
 		probe = w.model.BeginProbe(w.machine())
-		r.FencingToken = w.model.TermBase + 1<<20
+		r.FencingToken = w.model.MinToken + 1<<20
 	}
 	w.observe(&r, probe)
 }
@@ -80,7 +80,7 @@
 		session:     r.AgentEpoch,
 		isResponse:  true,
 		token:       w.model.Token(w.machine()),
-		term:        w.model.TermBase,
+		term:        w.model.MinToken,
 	}
 }
 
@@ -173,7 +173,7 @@
 		w.token = u.token
 		w.execute(u.commands)
 	}
-	if u.senderWaits && u.term == w.model.TermBase {
+	if u.senderWaits && u.term == w.model.MinToken {
 		w.model.StartsAnswered(w.machine(), u.commands, u.token, accepted)
 		w.observe(w.report(), u.probe)
 	}
@@ -184,17 +184,17 @@
 	u := &w.inFlight[i]
 	u.senderWaits = false
 	switch {
-	case u.term != w.model.TermBase:
+	case u.term != w.model.MinToken:
 	case w.mutation == unansweredStartIgnored:
 		w.model.StartsAnswered(w.machine(), u.commands, u.token, false)
 	default:
-		w.model.StartsLost(w.machine(), u.commands, u.token)
+		w.model.StartsUnanswered(w.machine(), u.commands, u.token)
 	}
 }
 
 // addDirectCommand adds the step in which the leader sends a command. At most one per machine is in flight at a time.
 func (s *stepList) addDirectCommand() {
-	term := s.from.model.TermBase
+	term := s.from.model.MinToken
 	isAwaited := func(u inFlightMessage) bool { return u.senderWaits && u.term == term }
 	if !s.from.machine().Contact.Reported || len(s.from.inFlight) >= 2 ||
 		slices.ContainsFunc(s.from.inFlight, isAwaited) {
@@ -205,12 +205,12 @@
 		commands := w.commands(false)
 		u := inFlightMessage{
 			incarnation: w.incarnation,
-			session:     machine.Contact.Session,
+			session:     machine.Contact.AgentEpoch,
 			token:       w.model.Token(machine),
 			commands:    commands,
 			senderWaits: true,
 			probe:       w.model.BeginProbe(machine),
-			term:        w.model.TermBase,
+			term:        w.model.MinToken,
 		}
 		w.model.StartsSent(machine, commands, u.token)
 		w.inFlight = append(w.inFlight, u)
@@ -224,7 +224,7 @@
 	if machine.Contact.Reported && task.State == Waiting && task.Attempt < 2 && !s.from.runsElsewhere {
 		s.add("the task is placed on this machine", func(w *exploredState) {
 			machine := w.machine()
-			e := NewPlacement(7, 0, w.model.Jobs[7].Tasks[0].Attempt+1, machine.ID, machine.Contact.Session)
+			e := NewPlacement(7, 0, w.model.Jobs[7].Tasks[0].Attempt+1, machine.ID, machine.Contact.AgentEpoch)
 			_ = w.model.Apply(e, 1, 1)
 		})
 	}
@@ -271,7 +271,7 @@
 		s.add("another node is elected", func(w *exploredState) {
 			w.terms++
 			w.probe = nil
-			w.model.BeginTerm(w.model.TermBase+1<<24, 1)
+			w.model.BeginTerm(w.model.MinToken+1<<24, 1)
 		})
 	}
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -10,8 +10,8 @@
 	EntryAccept       EntryKind = iota + 1 // job accepted
 	EntryCancel                            // job cancelled
 	EntryPlace                             // task may be started on a machine from now on
-	EntryEnded                             // attempt known to have ended; its task waits again
-	EntryDone                              // task completed
+	EntryAttemptEnded                      // attempt known to have ended; its task waits again
+	EntryTaskDone                          // task completed
 	EntryMachine                           // machine added, or its address updated
 	EntryMachineGone                       // machine known to be gone
 	EntryType                              // machine type as described by the cloud
@@ -26,23 +26,23 @@
 // Entry is one log record. Which fields are set depends on the kind; the constructors take exactly the fields that
 // apply.
 type Entry struct {
-	Kind    EntryKind
-	Job     JobID
-	Task    int32
-	Attempt uint32
-	Machine MachineID
-	Session uint64 // EntryPlace: agent epoch in which the task may be started
-	At      int64  // wall-clock time in ms; EntryAccept and EntryMachine
-	Spec    *wire.JobSpec
-	Info    *MachineInfo // EntryIntent: request name and requested type, zone and pricing
-	Count   int          // EntryIntent: number of machines
-	Type    *wire.MachineType
+	Kind       EntryKind
+	Job        JobID
+	Task       int32
+	Attempt    uint32
+	Machine    MachineID
+	AgentEpoch uint64 // EntryPlace: agent epoch in which the task may be started
+	WallTimeMS int64  // wall-clock time in ms; EntryAccept and EntryMachine
+	Spec       *wire.JobSpec
+	Info       *MachineInfo // EntryIntent: request name and requested type, zone and pricing
+	Count      int          // EntryIntent: number of machines
+	Type       *wire.MachineType
 }
 
-// Accepted returns the entry that accepts a job at a wall-clock time in ms.
-func Accepted(spec *wire.JobSpec, at int64) *Entry {
+// NewAcceptance returns the entry that accepts a job at a wall-clock time in ms.
+func NewAcceptance(spec *wire.JobSpec, at int64) *Entry {
 	n, _ := wire.JobNumber(spec.ID)
-	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, At: at}
+	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: at}
 }
 
 // NewCancellation returns the entry that cancels a job.
@@ -50,22 +50,22 @@
 
 // NewPlacement returns the entry that allows an attempt of a task to be started on a machine in an agent epoch.
 func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, session uint64) *Entry {
-	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, Session: session}
+	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: session}
 }
 
 // NewAttemptEnd returns the entry that an attempt is known to have ended, so that its task waits again.
 func NewAttemptEnd(job JobID, task int32, attempt uint32) *Entry {
-	return &Entry{Kind: EntryEnded, Job: job, Task: task, Attempt: attempt}
+	return &Entry{Kind: EntryAttemptEnded, Job: job, Task: task, Attempt: attempt}
 }
 
 // NewCompletion returns the entry that an attempt completed its task.
 func NewCompletion(job JobID, task int32, attempt uint32) *Entry {
-	return &Entry{Kind: EntryDone, Job: job, Task: task, Attempt: attempt}
+	return &Entry{Kind: EntryTaskDone, Job: job, Task: task, Attempt: attempt}
 }
 
 // NewMachine returns the entry that adds a machine at a wall-clock time in ms, or updates its address.
 func NewMachine(id MachineID, at int64, info *MachineInfo) *Entry {
-	return &Entry{Kind: EntryMachine, Machine: id, At: at, Info: info}
+	return &Entry{Kind: EntryMachine, Machine: id, WallTimeMS: at, Info: info}
 }
 
 // NewMachineGone returns the entry that a machine is known to be gone.
@@ -79,8 +79,8 @@
 // NewSuspicion returns the entry that marks a machine as suspect, after which only the leader may renew its lease.
 func NewSuspicion(id MachineID) *Entry { return &Entry{Kind: EntrySuspect, Machine: id} }
 
-// NewTrust returns the entry that clears a suspicion.
-func NewTrust(id MachineID) *Entry { return &Entry{Kind: EntryTrust, Machine: id} }
+// NewSuspicionCleared returns the entry that clears a suspicion.
+func NewSuspicionCleared(id MachineID) *Entry { return &Entry{Kind: EntryTrust, Machine: id} }
 
 // NewRelease returns the entry after which a machine may be released at any time.
 func NewRelease(id MachineID) *Entry { return &Entry{Kind: EntryRelease, Machine: id} }
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -23,7 +23,7 @@
 	b = append(b, byte(e.Kind))
 	switch e.Kind {
 	case EntryAccept:
-		b = codec.Uint(b, uint64(e.At))
+		b = codec.Uint(b, uint64(e.WallTimeMS))
 		b = appendSpec(b, e.Spec)
 	case EntryCancel:
 		b = codec.Uint(b, uint64(e.Job))
@@ -32,14 +32,14 @@
 		b = codec.Uint(b, uint64(e.Task))
 		b = codec.Uint(b, uint64(e.Attempt))
 		b = codec.Uint(b, uint64(e.Machine))
-		b = codec.Uint(b, e.Session)
-	case EntryEnded, EntryDone:
+		b = codec.Uint(b, e.AgentEpoch)
+	case EntryAttemptEnded, EntryTaskDone:
 		b = codec.Uint(b, uint64(e.Job))
 		b = codec.Uint(b, uint64(e.Task))
 		b = codec.Uint(b, uint64(e.Attempt))
 	case EntryMachine:
 		b = codec.Uint(b, uint64(e.Machine))
-		b = codec.Uint(b, uint64(e.At))
+		b = codec.Uint(b, uint64(e.WallTimeMS))
 		b = appendInfo(b, e.Info)
 	case EntryMachineGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		b = codec.Uint(b, uint64(e.Machine))
@@ -62,7 +62,7 @@
 	}
 	switch e.Kind {
 	case EntryAccept:
-		e.At = int64(r.Uint())
+		e.WallTimeMS = int64(r.Uint())
 		e.Spec = readSpec(r)
 		if r.Err == nil {
 			n, ok := wire.JobNumber(e.Spec.ID)
@@ -78,14 +78,14 @@
 		e.Task = int32(r.Max(wire.MaxTasks))
 		e.Attempt = uint32(r.Max(maxID))
 		e.Machine = MachineID(r.Max(maxID))
-		e.Session = r.Uint()
-	case EntryEnded, EntryDone:
+		e.AgentEpoch = r.Uint()
+	case EntryAttemptEnded, EntryTaskDone:
 		e.Job = JobID(r.Uint())
 		e.Task = int32(r.Max(wire.MaxTasks))
 		e.Attempt = uint32(r.Max(maxID))
 	case EntryMachine:
 		e.Machine = MachineID(r.Max(maxID))
-		e.At = int64(r.Uint())
+		e.WallTimeMS = int64(r.Uint())
 		e.Info = readInfo(r)
 	case EntryMachineGone, EntrySuspect, EntryTrust, EntryLeaseExpired, EntryRelease:
 		e.Machine = MachineID(r.Max(maxID))
--- a/internal/model/entry_test.go
+++ b/internal/model/entry_test.go
@@ -17,19 +17,19 @@
 	for _, c := range []struct {
 		made, want *Entry
 	}{
-		{Accepted(spec, 5), &Entry{Kind: EntryAccept, Job: 7, At: 5, Spec: spec}},
+		{NewAcceptance(spec, 5), &Entry{Kind: EntryAccept, Job: 7, WallTimeMS: 5, Spec: spec}},
 		{NewCancellation(7), &Entry{Kind: EntryCancel, Job: 7}},
 		{
 			NewPlacement(7, 1, 2, 3, 4),
-			&Entry{Kind: EntryPlace, Job: 7, Task: 1, Attempt: 2, Machine: 3, Session: 4},
+			&Entry{Kind: EntryPlace, Job: 7, Task: 1, Attempt: 2, Machine: 3, AgentEpoch: 4},
 		},
-		{NewAttemptEnd(7, 1, 2), &Entry{Kind: EntryEnded, Job: 7, Task: 1, Attempt: 2}},
-		{NewCompletion(7, 1, 2), &Entry{Kind: EntryDone, Job: 7, Task: 1, Attempt: 2}},
-		{NewMachine(3, 5, info), &Entry{Kind: EntryMachine, Machine: 3, At: 5, Info: info}},
+		{NewAttemptEnd(7, 1, 2), &Entry{Kind: EntryAttemptEnded, Job: 7, Task: 1, Attempt: 2}},
+		{NewCompletion(7, 1, 2), &Entry{Kind: EntryTaskDone, Job: 7, Task: 1, Attempt: 2}},
+		{NewMachine(3, 5, info), &Entry{Kind: EntryMachine, Machine: 3, WallTimeMS: 5, Info: info}},
 		{NewMachineGone(3), &Entry{Kind: EntryMachineGone, Machine: 3}},
 		{NewMachineType(machineType), &Entry{Kind: EntryType, Type: machineType}},
 		{NewSuspicion(3), &Entry{Kind: EntrySuspect, Machine: 3}},
-		{NewTrust(3), &Entry{Kind: EntryTrust, Machine: 3}},
+		{NewSuspicionCleared(3), &Entry{Kind: EntryTrust, Machine: 3}},
 		{NewRelease(3), &Entry{Kind: EntryRelease, Machine: 3}},
 		{NewIntent(info, 9), &Entry{Kind: EntryIntent, Info: info, Count: 9}},
 		{NewIntentDone("x"), &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: "x"}}},
@@ -58,7 +58,7 @@
 		t.Errorf("placement of a task that is already placed: %v", err)
 	}
 	var duplicate *DuplicateAcceptanceError
-	if err := m.Apply(Accepted(testSpec(7, 2), 0), 9, 0); !errors.As(err, &duplicate) || duplicate.Job != 7 {
+	if err := m.Apply(NewAcceptance(testSpec(7, 2), 0), 9, 0); !errors.As(err, &duplicate) || duplicate.Job != 7 {
 		t.Errorf("repeated acceptance of a job: %v", err)
 	}
 	var unknown *UnknownKindError
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -72,7 +72,7 @@
 
 // clearFailures is called when a task completes on the machine, which proves that not every task fails there.
 func (h *MachineHealth) clearFailures() {
-	h.Failures, h.FailedJobs, h.DoubtSince = 0, nil, 0
+	h.Failures, h.FailedJobs, h.CordonedSince = 0, nil, 0
 }
 
 // UpdateQuarantine re-evaluates a machine: the jobs that failed on it may since have completed or failed elsewhere.
@@ -93,10 +93,10 @@
 	switch {
 	case h.Quarantined:
 	case nonFaultyJobs < minFailedJobs:
-		h.DoubtSince = 0
-	case completedJobs >= minFailedJobs || h.DoubtSince != 0 && now-h.DoubtSince > cordonPeriod:
+		h.CordonedSince = 0
+	case completedJobs >= minFailedJobs || h.CordonedSince != 0 && now-h.CordonedSince > cordonPeriod:
 		h.Quarantined = true
-	case h.DoubtSince == 0:
-		h.DoubtSince = max(now, 1)
+	case h.CordonedSince == 0:
+		h.CordonedSince = max(now, 1)
 	}
 }
--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -26,12 +26,12 @@
 			NewMachineType(machineType),
 			NewMachine(1, 0, testInfo("host-1")),
 			NewMachine(2, 0, testInfo("host-2")),
-			Accepted(s, 0),
+			NewAcceptance(s, 0),
 			NewPlacement(7, 0, 1, 1, 1),
 			NewPlacement(7, 1, 1, 2, 1),
 		)
 		j, has, fetches := m.Jobs[7], m.Machines[1], m.Machines[2]
-		m.TermBase = 3 << 24
+		m.MinToken = 3 << 24
 		m.Observe(has, testReport(1, 1, 3<<24), nil, 0)
 		m.Observe(fetches, testReport(1, 1, 3<<24), nil, 0)
 		has.TouchImage(m, j, 0)
@@ -45,10 +45,10 @@
 			status := wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}
 			return m.Observe(fetches, testReport(1, seq, 3<<24, status), nil, 1)
 		}
-		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
+		if v := state(2, wire.TaskFetching); len(v.GangReadyMachines) != 0 {
 			t.Errorf("%g GB: the gang is ready during the fetch", c.gb)
 		}
-		if v := state(3, wire.TaskWaiting); len(v.GangReady) != 1 || v.GangReady[0] != has {
+		if v := state(3, wire.TaskWaiting); len(v.GangReadyMachines) != 1 || v.GangReadyMachines[0] != has {
 			t.Errorf("%g GB: no machine is ready after the fetch", c.gb)
 		}
 		if k := len(m.Commands(has, 9, false)); k != 1 {
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -27,14 +27,14 @@
 	bare := &wire.JobSpec{ID: wire.JobID(7), Shape: wire.Service, Priority: wire.Low, Tasks: 1, Types: []string{}}
 	machine := &MachineInfo{Name: "host-1", Addr: "10.1.0.1:1", Type: "t", Zone: "a", Spot: true}
 	return []*Entry{
-		{Kind: EntryAccept, Job: 300, At: 1_700_000_000_123, Spec: full},
+		{Kind: EntryAccept, Job: 300, WallTimeMS: 1_700_000_000_123, Spec: full},
 		{Kind: EntryAccept, Job: 7, Spec: bare},
 		{Kind: EntryAccept, Job: 8, Spec: &wire.JobSpec{ID: wire.JobID(8), Class: "c", Tasks: 2}},
 		{Kind: EntryCancel, Job: 1 << 30},
-		{Kind: EntryPlace, Job: 7, Task: 1000, Attempt: 70_000, Machine: 1 << 30, Session: 1 << 40},
-		{Kind: EntryEnded, Job: 127, Task: 3, Attempt: 1},
-		{Kind: EntryDone, Job: 128, Task: 4, Attempt: 2},
-		{Kind: EntryMachine, Machine: 1, At: 5, Info: machine},
+		{Kind: EntryPlace, Job: 7, Task: 1000, Attempt: 70_000, Machine: 1 << 30, AgentEpoch: 1 << 40},
+		{Kind: EntryAttemptEnded, Job: 127, Task: 3, Attempt: 1},
+		{Kind: EntryTaskDone, Job: 128, Task: 4, Attempt: 2},
+		{Kind: EntryMachine, Machine: 1, WallTimeMS: 5, Info: machine},
 		{Kind: EntryMachine, Machine: 300, Info: &MachineInfo{Name: "host-300", Type: "t", Zone: "b"}},
 		{Kind: EntryMachineGone, Machine: 2},
 		{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 4, GPUs: 0.1, MemoryGB: 16, CacheGB: 50,
@@ -96,7 +96,7 @@
 	other, full := testSpec(20, 3), *everyEntry()[0].Spec
 	other.Image, other.ImageGB, full.Tasks = "j", 2.5, 1000
 	place := func(job JobID, task int32, attempt uint32, machine MachineID) *Entry {
-		return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, Session: 1 << 40}
+		return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: 1 << 40}
 	}
 	entry := func(kind EntryKind, job JobID, task int32, attempt uint32) *Entry {
 		return &Entry{Kind: kind, Job: job, Task: task, Attempt: attempt}
@@ -106,7 +106,7 @@
 	applyAll(t, m,
 		&Entry{Kind: EntryType, Type: &wire.MachineType{Name: "t", CPUs: 8, CacheGB: 10, Zones: []string{"a"}}},
 		&Entry{Kind: EntryType, Type: u},
-		&Entry{Kind: EntryMachine, Machine: 1, At: 1_700_000_000_123, Info: testInfo("host-1")},
+		&Entry{Kind: EntryMachine, Machine: 1, WallTimeMS: 1_700_000_000_123, Info: testInfo("host-1")},
 		&Entry{Kind: EntryMachine, Machine: 2, Info: &MachineInfo{Name: "host-2", Type: "u", Zone: "b", Spot: true}},
 		&Entry{Kind: EntryMachine, Machine: 3, Info: testInfo("host-3")},
 		&Entry{Kind: EntryMachine, Machine: 4, Info: testInfo("host-4")},
@@ -115,31 +115,31 @@
 		&Entry{Kind: EntryMachineGone, Machine: 4},
 		&Entry{Kind: EntrySuspect, Machine: 2},
 		&Entry{Kind: EntryRelease, Machine: 3},
-		Accepted(testSpec(1, 1), 5),
-		Accepted(testSpec(300, 1), 6),
-		Accepted(testSpec(301, 2), 7),
-		Accepted(testSpec(2, 1), 8),
+		NewAcceptance(testSpec(1, 1), 5),
+		NewAcceptance(testSpec(300, 1), 6),
+		NewAcceptance(testSpec(301, 2), 7),
+		NewAcceptance(testSpec(2, 1), 8),
 		place(1, 0, 1, 1),
-		entry(EntryDone, 1, 0, 1),
-		entry(EntryDone, 300, 0, 1),
+		entry(EntryTaskDone, 1, 0, 1),
+		entry(EntryTaskDone, 300, 0, 1),
 		entry(EntryCancel, 2, 0, 0),
 		entry(EntryCancel, 301, 0, 0),
-		Accepted(testSpec(21, 5), 9), // tasks done, placed and waiting, some retried
-		entry(EntryDone, 21, 0, 0),
+		NewAcceptance(testSpec(21, 5), 9), // tasks done, placed and waiting, some retried
+		entry(EntryTaskDone, 21, 0, 0),
 		place(21, 1, 1, 1),
-		entry(EntryEnded, 21, 1, 1),
+		entry(EntryAttemptEnded, 21, 1, 1),
 		place(21, 1, 2, 1),
-		entry(EntryDone, 21, 1, 2),
+		entry(EntryTaskDone, 21, 1, 2),
 		place(21, 2, 300, 1),
 		place(21, 3, 1, 2),
-		entry(EntryEnded, 21, 3, 1),
-		Accepted(other, 10),
+		entry(EntryAttemptEnded, 21, 3, 1),
+		NewAcceptance(other, 10),
 		place(20, 0, 1, 1),
-		entry(EntryDone, 20, 0, 1), // second image in the cache
-		Accepted(testSpec(22, 2), 11),
+		entry(EntryTaskDone, 20, 0, 1), // second image in the cache
+		NewAcceptance(testSpec(22, 2), 11),
 		place(22, 1, 1, 2),
 		entry(EntryCancel, 22, 0, 0), // cancelled but still has a run
-		&Entry{Kind: EntryAccept, Job: 400, Spec: &full, At: 12},
+		&Entry{Kind: EntryAccept, Job: 400, Spec: &full, WallTimeMS: 12},
 	)
 	return m
 }
@@ -149,7 +149,7 @@
 func downgradeSnapshot(m *Model, b []byte, version byte) []byte {
 	b = bytes.Clone(b)
 	b[0] = version
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		identity := appendInfo(nil, &machine.Info)
 		flags := bytes.Index(b, identity) + len(identity)
 		b = slices.Delete(b, flags+int(version)-1, flags+2)
@@ -197,7 +197,7 @@
 
 // describeFleet returns the machines with their replicated flags, and the intents.
 func describeFleet(m *Model) (list []string) {
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		description := machine.Info.Name
 		if machine.Suspect {
 			description += " suspect"
@@ -232,11 +232,11 @@
 		if diff := cmp.Diff(finals, m.Finals); diff != "" {
 			t.Errorf("version %d: %s", version, diff)
 		}
-		if j := m.Jobs[21]; j.Done != 2 || j.Live != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 ||
-			j.At != 9 {
+		if j := m.Jobs[21]; j.Done != 2 || j.PlacedTasks != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 ||
+			j.AcceptedAtMS != 9 {
 			t.Errorf("version %d: job 21 is %+v", version, j)
 		}
-		if j := m.Jobs[22]; !j.Cancelled || j.Live != 1 || j.Tasks[1].Run.Machine.Info.Name != "host-2" {
+		if j := m.Jobs[22]; !j.Cancelled || j.PlacedTasks != 1 || j.Tasks[1].Run.Machine.Info.Name != "host-2" {
 			t.Errorf("version %d: job 22 is %+v", version, j)
 		}
 		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 ||
--- a/internal/model/helpers_test.go
+++ b/internal/model/helpers_test.go
@@ -40,7 +40,7 @@
 func newPlacedModel(t *testing.T) (*Model, *Machine, *Run) {
 	t.Helper()
 	m := New(params())
-	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), Accepted(testSpec(7, 2), 0))
+	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), NewAcceptance(testSpec(7, 2), 0))
 	m.BeginTerm(3<<24, 0)
 	machine := m.Machines[1]
 	m.Observe(machine, testReport(1, 1, 3<<24), nil, 0)
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -60,25 +60,25 @@
 // Job is an accepted job that is unfinished or still has runs. Its own fields are replicated, except Running. Scheduler
 // state and observations, which are not replicated, are in Scheduling and Observed.
 type Job struct {
-	ID        JobID
-	Spec      *wire.JobSpec // as submitted; immutable and shared by clones
-	Kind      Kind
-	Priority  Priority
-	Team      *Team   // nil: not in the configuration
-	Class     int32   // index in Model.Classes
-	Image     int32   // index in Model.Images
-	Zone      int32   // index in Model.Zones; -1: any
-	Types     []int32 // indexes in Model.Types; nil: any
-	TypesKey  string  // equal for jobs that allow the same machine types
-	Tasks     []Task
-	Done      int // completed tasks
-	Live      int // placed tasks, that is, with a Run
-	Running   int // runs observed as running or checkpointing
-	Cancelled bool
-	Order     uint64 // position in the order of acceptance
-	At        int64  // wall-clock time of acceptance, ms
-	AcceptSeq uint64 // log sequence number of the acceptance
-	FinalSeq  uint64 // log sequence number of the entry that decided the final state; 0: undecided
+	ID           JobID
+	Spec         *wire.JobSpec // as submitted; immutable and shared by clones
+	Kind         Kind
+	Priority     Priority
+	Team         *Team   // nil: not in the configuration
+	Class        int32   // index in Model.Classes
+	Image        int32   // index in Model.Images
+	Zone         int32   // index in Model.Zones; -1: any
+	Types        []int32 // indexes in Model.Types; nil: any
+	TypesKey     string  // equal for jobs that allow the same machine types
+	Tasks        []Task
+	Done         int // completed tasks
+	PlacedTasks  int // placed tasks, that is, with a Run
+	Running      int // runs observed as running or checkpointing
+	Cancelled    bool
+	Order        uint64 // position in the order of acceptance
+	AcceptedAtMS int64  // wall-clock time of acceptance, ms
+	AcceptSeq    uint64 // log sequence number of the acceptance
+	FinalSeq     uint64 // log sequence number of the entry that decided the final state; 0: undecided
 
 	retryTasks []int32 // stack of tasks that wait again after an attempt
 	nextTask   int32   // all tasks before it have been placed or completed
@@ -98,7 +98,7 @@
 	// The job is not placed before this time, after attempts that failed for a reason that takes time to pass.
 	NotBefore Time
 	// When the scheduler began to free capacity on machines that have the image; 0: it is not doing so.
-	LocalRoomSince Time
+	LocalWaitSince Time
 	// The job and its team's earlier unfinished jobs together fit into the team's guarantee.
 	WithinGuarantee bool
 	Guaranteed      bool // scheduled as a job within the guarantee
@@ -110,13 +110,13 @@
 // JobObservation is what this replica or leader has observed of a job. It is not in the log.
 type JobObservation struct {
 	// Earliest time from which the cancellation counts; 0: before this replica began to follow the log.
-	CancelledFrom Time
-	Errors        int                // failed attempts
-	FailedOn      map[MachineID]Time // time of the last failure by machine
-	Faulty        bool               // fails on every machine, as far as observed
-	backoffs      int                // number of backoffs since it became faulty
-	logDurations  average            // mean duration of completed tasks, as the logarithm of seconds
-	KnownSince    Time               // when this replica learned of the job
+	CancelledSince Time
+	Errors         int                // failed attempts
+	FailedOn       map[MachineID]Time // time of the last failure by machine
+	Faulty         bool               // fails on every machine, as far as observed
+	backoffs       int                // number of backoffs since it became faulty
+	logDurations   average            // mean duration of completed tasks, as the logarithm of seconds
+	KnownSince     Time               // when this replica learned of the job
 }
 
 func kindOf(s string) Kind {
@@ -155,7 +155,7 @@
 	if j.Cancelled {
 		return 0
 	}
-	return len(j.Tasks) - j.Done - j.Live
+	return len(j.Tasks) - j.Done - j.PlacedTasks
 }
 
 // NextWaiting returns a task that needs a placement, or -1. Tasks that have been placed before come first.
@@ -180,7 +180,7 @@
 
 // ZoneCount returns the number of tasks placed in the given zone and in all other zones.
 func (j *Job) ZoneCount(zone int32) (inZone, elsewhere int) {
-	if j.Live == 0 {
+	if j.PlacedTasks == 0 {
 		return 0, 0
 	}
 	for i := range j.Tasks {
@@ -234,8 +234,8 @@
 		(t.GPUsMax == 0 || t.UsedGPUs+j.Spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
 }
 
-// Avoids reports whether the job failed on the machine within avoidPeriod.
-func (j *Job) Avoids(machine *Machine, now Time) bool {
+// AvoidsMachine reports whether the job failed on the machine within avoidPeriod.
+func (j *Job) AvoidsMachine(machine *Machine, now Time) bool {
 	at, failed := j.Observed.FailedOn[machine.ID]
 	return failed && now-at < avoidPeriod
 }
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -24,19 +24,19 @@
 // Machine is a provisioned machine that is not known to be gone. Its own fields are replicated, except the inferred
 // image cache. What the current leader has observed and decided is in Contact, Health and Lifecycle.
 type Machine struct {
-	ID       MachineID
-	Info     MachineInfo
-	Type     int32 // index in Model.Types
-	Zone     int32 // index in Model.Zones
-	Spot     bool
-	At       int64   // wall-clock time of its first entry in the log, ms
-	Runs     []*Run  // unordered
-	CPUs     float64 // used by its runs, as are GPUs and Mem
-	GPUs     float64
-	Mem      float64
-	Reserved ReservedResources // part used by services without GPUs
-	cache    []cachedImage
-	fetches  []pendingFetch
+	ID            MachineID
+	Info          MachineInfo
+	Type          int32 // index in Model.Types
+	Zone          int32 // index in Model.Zones
+	Spot          bool
+	FirstLoggedMS int64   // wall-clock time of its first entry in the log, ms
+	Runs          []*Run  // unordered
+	CPUs          float64 // used by its runs, as are GPUs and Mem
+	GPUs          float64
+	Mem           float64
+	Reserved      ReservedResources // part used by services without GPUs
+	cache         []cachedImage
+	fetches       []pendingFetch
 
 	// The log forbids every replica but the leader to renew the agent's lease, because heartbeats have been missing for
 	// long.
@@ -57,8 +57,8 @@
 // MachineContact is what the current leader has observed of a machine's agent since its term began. It is not in the
 // log.
 type MachineContact struct {
-	Session uint64            // agent epoch of the last valid message
-	Reports staleness.Tracker // report numbers and tokens received, to judge what a message proves
+	AgentEpoch uint64            // agent epoch of the last valid message
+	Reports    staleness.Tracker // report numbers and tokens received, to judge what a message proves
 	// Since when responses are known not to reach the agent; 0: they do.
 	InboundPartitionSince Time
 	// Offset of the machine's fencing token from the lowest token of the term.
@@ -90,7 +90,7 @@
 	SlowUntil       Time           // found to be slow, and gets only services until then
 	Failures        int            // failed attempts since the last completion
 	FailedJobs      map[JobID]*Job // jobs of those attempts
-	DoubtSince      Time           // since when it is cordoned because of failed jobs; 0: it is not
+	CordonedSince   Time           // since when it is cordoned because of failed jobs; 0: it is not
 	slowdown        average        // ratio of its task durations to those of their peers, as a mean logarithm
 	slowdownJobs    int            // number of job changes in the sequence of tasks behind slowdown
 	lastSlowdownJob JobID          // job of the last of these tasks
@@ -111,7 +111,7 @@
 // IsUsable reports whether new tasks may be placed on the machine.
 func (machine *Machine) IsUsable() bool {
 	return machine.Contact.Reported && !machine.IsLeaving() && !machine.Releasing && !machine.Suspect &&
-		machine.Health.DoubtSince == 0 &&
+		machine.Health.CordonedSince == 0 &&
 		machine.Contact.InboundPartitionSince == 0
 }
 
@@ -185,10 +185,10 @@
 	for _, r := range machine.Runs {
 		switch {
 		case !r.Job.Cancelled:
-		case r.Job.Observed.CancelledFrom == 0:
+		case r.Job.Observed.CancelledSince == 0:
 			return math.MaxInt64 // cancelled before this replica began to follow the log
 		default:
-			longest = max(longest, now-r.Job.Observed.CancelledFrom)
+			longest = max(longest, now-r.Job.Observed.CancelledSince)
 		}
 	}
 	return longest
@@ -197,7 +197,7 @@
 // latestRunSession returns the latest agent epoch that the agent is known, from the log, to have reached.
 func (machine *Machine) latestRunSession() (session uint64) {
 	for _, r := range machine.Runs {
-		session = max(session, r.Session)
+		session = max(session, r.AgentEpoch)
 	}
 	return session
 }
--- a/internal/model/machine_table.go
+++ b/internal/model/machine_table.go
@@ -9,9 +9,9 @@
 // machineTable is the replicated table of machines. It also holds the names of machines that are gone (tombstones) and
 // the scale-out requests that may still add machines (intents).
 type machineTable struct {
-	Machines map[MachineID]*Machine
-	Order    []*Machine // in log order, and so by ID
-	ByName   map[string]*Machine
+	Machines        map[MachineID]*Machine
+	MachinesInOrder []*Machine // in log order, and so by ID
+	MachinesByName  map[string]*Machine
 	// ID of the next machine.
 	NextMachine MachineID
 	// Names of machines that are gone.
@@ -39,17 +39,17 @@
 
 func newMachineTable() machineTable {
 	return machineTable{
-		Machines:    map[MachineID]*Machine{},
-		ByName:      map[string]*Machine{},
-		Tombstones:  map[string]bool{},
-		NextMachine: 1,
+		Machines:       map[MachineID]*Machine{},
+		MachinesByName: map[string]*Machine{},
+		Tombstones:     map[string]bool{},
+		NextMachine:    1,
 	}
 }
 
 // updateAddress reports whether a machine is known by its name. If it is and info has an address, the address is
 // stored: a provisioned machine has reported it.
 func (t *machineTable) updateAddress(info *MachineInfo) (known bool) {
-	machine := t.ByName[info.Name]
+	machine := t.MachinesByName[info.Name]
 	if machine != nil && info.Addr != "" {
 		machine.Info.Addr = info.Addr
 	}
@@ -58,19 +58,19 @@
 
 func (t *machineTable) insertMachine(machine *Machine) {
 	t.Machines[machine.ID] = machine
-	t.ByName[machine.Info.Name] = machine
-	t.Order = append(t.Order, machine)
-	t.maxFleetSize = max(t.maxFleetSize, len(t.Order))
+	t.MachinesByName[machine.Info.Name] = machine
+	t.MachinesInOrder = append(t.MachinesInOrder, machine)
+	t.maxFleetSize = max(t.maxFleetSize, len(t.MachinesInOrder))
 	t.NextMachine = max(t.NextMachine, machine.ID+1)
 }
 
 // deleteMachine replaces a machine by its tombstone.
 func (t *machineTable) deleteMachine(machine *Machine) {
 	delete(t.Machines, machine.ID)
-	delete(t.ByName, machine.Info.Name)
-	if i := slices.Index(t.Order, machine); i >= 0 {
+	delete(t.MachinesByName, machine.Info.Name)
+	if i := slices.Index(t.MachinesInOrder, machine); i >= 0 {
 		// slices.Delete would zero the tail of the slice, which a caller may be iterating over.
-		t.Order = append(t.Order[:i], t.Order[i+1:]...)
+		t.MachinesInOrder = append(t.MachinesInOrder[:i], t.MachinesInOrder[i+1:]...)
 	}
 	t.addTombstone(machine.Info.Name)
 }
--- a/internal/model/machine_table_test.go
+++ b/internal/model/machine_table_test.go
@@ -20,8 +20,8 @@
 	if err := restored.Restore(m.Snapshot(), 1, 0); err != nil {
 		t.Fatal(err)
 	}
-	if len(restored.Order) != 1 || restored.Order[0].Info.Addr != "x:9" {
-		t.Errorf("%d machines, address %q", len(restored.Order), restored.Order[0].Info.Addr)
+	if len(restored.MachinesInOrder) != 1 || restored.MachinesInOrder[0].Info.Addr != "x:9" {
+		t.Errorf("%d machines, address %q", len(restored.MachinesInOrder), restored.MachinesInOrder[0].Info.Addr)
 	}
 }
 
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -62,8 +62,8 @@
 // BeginTerm makes this replica the leader. Observations of earlier terms are discarded, and commands of earlier leaders
 // may still be in flight. The base is the lowest fencing token of the new term.
 func (m *Model) BeginTerm(base uint64, now Time) {
-	m.TermBase = base
-	for _, machine := range m.Order {
+	m.MinToken = base
+	for _, machine := range m.MachinesInOrder {
 		machine.beginTerm(now)
 	}
 }
@@ -72,7 +72,7 @@
 // process are kept, and a probe in flight ends on its own.
 func (machine *Machine) beginTerm(now Time) {
 	contact, lifecycle := &machine.Contact, &machine.Lifecycle
-	contact.Session = 0
+	contact.AgentEpoch = 0
 	contact.Reports = staleness.Tracker{}
 	contact.InboundPartitionSince = 0
 	contact.OutboundPartitionSince = 0
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -32,12 +32,12 @@
 
 // ReportVerdict is the result of evaluating a report.
 type ReportVerdict struct {
-	Freshness  staleness.Freshness // Stale and Unproven reports prove nothing about the present
-	Entries    []*Entry            // entries to log and apply
-	Faulty     []*Job              // jobs that this report shows to be faulty
-	Slow       bool                // the report shows the machine to be slow
-	GangReady  []*Machine          // machines whose held gang members may be started now
-	NeedsProbe bool                // the report would end runs if it is current, which a probe must confirm
+	Freshness         staleness.Freshness // Stale and Unproven reports prove nothing about the present
+	Entries           []*Entry            // entries to log and apply
+	Faulty            []*Job              // jobs that this report shows to be faulty
+	Slow              bool                // the report shows the machine to be slow
+	GangReadyMachines []*Machine          // machines whose held gang members may be started now
+	NeedsProbe        bool                // the report would end runs if it is current, which a probe must confirm
 }
 
 // IsStale reports whether the report proves nothing about the present, so that the machine must be probed.
@@ -62,7 +62,7 @@
 	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
 	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
-	o.verdict.Freshness = contact.Reports.Judge(stamp, m.TermBase, machine.latestRunSession(), probe)
+	o.verdict.Freshness = contact.Reports.Judge(stamp, m.MinToken, machine.latestRunSession(), probe)
 	if o.verdict.IsStale() {
 		// Not even the agent epoch is valid: the report may be a delayed copy from an earlier incarnation of the agent
 		// with higher epochs than the present one.
@@ -102,11 +102,11 @@
 	}
 	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
 	// Any epoch is higher than the initial zero, but only an epoch observed in this term can have ended since.
-	hasNewSession := contact.Reported && o.report.AgentEpoch > contact.Session
+	hasNewSession := contact.Reported && o.report.AgentEpoch > contact.AgentEpoch
 	leaseExpired := !o.isProbeResponse && hasNewSession
 	deliveryUncertain = leaseExpired || !o.isProbeResponse && contact.DirectFailed
 	answeredWithoutRenewal := o.isProbeResponse && hasNewSession && !agentRestarted
-	contact.Session = o.report.AgentEpoch
+	contact.AgentEpoch = o.report.AgentEpoch
 	contact.Reported, contact.LastReport = true, o.now
 	switch {
 	case !o.isProbeResponse:
@@ -158,7 +158,7 @@
 	k := runKey{JobID(n), int32(task), uint32(s.Attempt)}
 	contact := &o.machine.Contact
 	run := o.model.findRun(k.job, k.task, k.attempt)
-	if run == nil || run.Machine != o.machine || run.Session > contact.Session {
+	if run == nil || run.Machine != o.machine || run.AgentEpoch > contact.AgentEpoch {
 		o.handleUntrackedAttempt(k, s)
 		return
 	}
@@ -167,7 +167,7 @@
 		// The agent has one report in flight, so it has received or dropped the response to the previous one.
 		run.startResponseSeq = 0
 	}
-	if run.Session < contact.Session {
+	if run.AgentEpoch < contact.AgentEpoch {
 		// The agent ended all tasks between the two epochs, so a task that is listed now under an old attempt is not
 		// trusted.
 		if !o.model.startMayBeInFlight(o.machine, run) && o.provesEnd(run) {
@@ -215,7 +215,7 @@
 	o.model.startMayBeInFlight(o.machine, run) // fences an unresolved start well before the task ends
 	if run.Phase >= AwaitingGang {
 		if !o.machine.HasImage(run.Job.Image) {
-			o.verdict.GangReady = append(o.verdict.GangReady, run.Job.machinesAwaitingMember()...)
+			o.verdict.GangReadyMachines = append(o.verdict.GangReadyMachines, run.Job.machinesAwaitingMember()...)
 		}
 		o.machine.TouchImage(o.model, run.Job, o.now)
 	}
@@ -266,7 +266,7 @@
 // absenceProvesEnd reports whether the absence of a run from a report proves that the run has ended.
 func (o *observation) absenceProvesEnd(run *Run) bool {
 	m, r, contact := o.model, o.report, &o.machine.Contact
-	if run.Session < r.AgentEpoch {
+	if run.AgentEpoch < r.AgentEpoch {
 		// In a newer epoch all tasks of the older one have ended and commands for it are rejected. The exception is an
 		// agent that has restarted with numbers from 1 after it sent this report: the older epoch may then be that of
 		// its present incarnation, in which the run may exist or be started by a command in flight.
@@ -275,7 +275,7 @@
 	if !contact.Reports.Fenced() {
 		return false // a start sent to an earlier incarnation may reach this one
 	}
-	if run.Session > r.AgentEpoch {
+	if run.AgentEpoch > r.AgentEpoch {
 		return contact.Reports.Incarnations() > 0 // then the epoch is of an earlier incarnation
 	}
 	if !o.isProbeResponse && run.startResponseSeq != 0 && r.Seq > run.startResponseSeq {
@@ -290,7 +290,7 @@
 		}
 		return false
 	}
-	if run.Inherited && r.FencingToken < m.TermBase {
+	if run.Inherited && r.FencingToken < m.MinToken {
 		return false
 	}
 	if run.Phase == Unseen {
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -33,7 +33,7 @@
 	m, machine, run := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
 	m.StartsSent(machine, cmds, m.Token(machine))
-	m.StartsLost(machine, cmds, m.Token(machine))
+	m.StartsUnanswered(machine, cmds, m.Token(machine))
 	run.Stop = true
 	if v := m.Observe(machine, testReport(1, 2, 3<<24), nil, 1); len(v.Entries) != 0 {
 		t.Fatal("the run was ended while its start may still be executed")
@@ -45,7 +45,7 @@
 		t.Fatal("the run was ended before the agent saw the higher token")
 	}
 	v := m.Observe(machine, testReport(1, 4, 3<<24+1), nil, 1)
-	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
+	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryAttemptEnded {
 		t.Fatalf("the run was not ended although its start is fenced: %v", v.Entries)
 	}
 }
@@ -57,7 +57,7 @@
 	cmds := m.Commands(machine, 4, false)
 	token := m.Token(machine)
 	m.StartsSent(machine, cmds, token)
-	m.StartsLost(machine, cmds, token)
+	m.StartsUnanswered(machine, cmds, token)
 	m.StartsSent(machine, cmds, token)
 	m.StartsAnswered(machine, cmds, token, true)
 	failed := testStatus(wire.TaskExited, wire.CauseError)
@@ -65,14 +65,14 @@
 	for _, e := range v.Entries {
 		_ = m.Apply(e, 5, 1)
 	}
-	m.SealReapable(machine, 5)
+	m.SetReapableSeq(machine, 5)
 	for _, c := range m.Commands(machine, 9, true) {
 		if c.Verb == wire.Forget {
 			t.Error("the attempt is reaped while a copy of its start is in flight, which would run it again")
 		}
 	}
 	m.Observe(machine, testReport(1, 3, m.Token(machine), failed), nil, 2)
-	m.SealReapable(machine, 5)
+	m.SetReapableSeq(machine, 5)
 	if d := cmp.Diff([]string{"reap req-000007/0"}, verbs(m.Commands(machine, 9, true))); d != "" {
 		t.Error(d)
 	}
@@ -113,7 +113,7 @@
 		t.Errorf("a report without the raised token ended runs: %v", v.Entries)
 	}
 	v = m.Observe(machine, testReport(2, 3, raised), nil, 1)
-	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
+	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryAttemptEnded {
 		t.Errorf("a newer epoch with the raised token: entries %v", v.Entries)
 	}
 	// The response to a probe counts at once, both for a newer epoch and for a run that is no longer listed.
@@ -122,7 +122,7 @@
 		run.Phase = Running
 		run.Job.Running = 1
 		v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1)
-		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
+		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryAttemptEnded {
 			t.Errorf("response to a probe, epoch %d: entries %v", session, v.Entries)
 		}
 	}
@@ -132,9 +132,9 @@
 // counts if the task waits.
 func TestLateCompletionCounts(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
-	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
+	_ = m.Apply(&Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
 	v := m.Observe(machine, testReport(1, 2, 3<<24, testStatus(wire.TaskExited, wire.CauseDone)), nil, 1)
-	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryDone {
+	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryTaskDone {
 		t.Errorf("got %v", v.Entries)
 	}
 }
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -28,9 +28,9 @@
 		}
 	case EntryPlace:
 		reference.tasks[e.Job][e.Task] = string(rune('A' + e.Machine))
-	case EntryEnded:
+	case EntryAttemptEnded:
 		reference.tasks[e.Job][e.Task] = "wait"
-	case EntryDone:
+	case EntryTaskDone:
 		reference.tasks[e.Job][e.Task] = "done"
 		all := true
 		for _, s := range reference.tasks[e.Job] {
@@ -67,7 +67,7 @@
 	if m.Teams[0].UsedCPUs != cpus {
 		t.Fatalf("team uses %g CPUs, want %g", m.Teams[0].UsedCPUs, cpus)
 	}
-	if len(m.Machines) != len(machines) || len(m.Order) != len(machines) {
+	if len(m.Machines) != len(machines) || len(m.MachinesInOrder) != len(machines) {
 		t.Fatalf("%d machines, want %d", len(m.Machines), len(machines))
 	}
 }
@@ -97,8 +97,8 @@
 	if j == nil {
 		return
 	}
-	if j.Live != live {
-		t.Fatalf("job %d has %d placed tasks, want %d", id, j.Live, live)
+	if j.PlacedTasks != live {
+		t.Fatalf("job %d has %d placed tasks, want %d", id, j.PlacedTasks, live)
 	}
 	if wantFinal != "" {
 		return
@@ -134,7 +134,7 @@
 	kind := rapid.IntRange(0, 9).Draw(h.test, "kind")
 	switch {
 	case kind <= 1 && j == nil && h.model.Finals[id] == 0:
-		return Accepted(testSpec(uint64(id), rapid.IntRange(1, 4).Draw(h.test, "tasks")), 5)
+		return NewAcceptance(testSpec(uint64(id), rapid.IntRange(1, 4).Draw(h.test, "tasks")), 5)
 	case kind == 2 || kind == 3:
 		return h.drawMachine(kind, machineID)
 	case j != nil && kind >= 4:
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -15,19 +15,19 @@
 // Run is an attempt of a task that is placed and not known to have ended. The fields from Job to PlacedSeq are
 // replicated; the others are observed or decided by the current leader.
 type Run struct {
-	Job       *Job
-	Task      int32
-	Attempt   uint32
-	Machine   *Machine
-	Session   uint64 // agent epoch in which it may be started
-	PlacedSeq uint64 // log sequence number of its placement
+	Job        *Job
+	Task       int32
+	Attempt    uint32
+	Machine    *Machine
+	AgentEpoch uint64 // agent epoch in which it may be started
+	PlacedSeq  uint64 // log sequence number of its placement
 
-	Phase     Phase
-	PlacedAt  Time
-	StartedAt Time // when it was first observed running; 0: never
-	Stop      bool // it is to be stopped
-	Hard      bool // stop without a checkpoint
-	Inherited bool // placed by an earlier leader, whose commands may be in flight
+	Phase          Phase
+	PlacedAt       Time
+	StartedAt      Time // when it was first observed running; 0: never
+	Stop           bool // it is to be stopped
+	SkipCheckpoint bool // stop without a checkpoint
+	Inherited      bool // placed by an earlier leader, whose commands may be in flight
 
 	startResponseSeq uint64 // sequence number of the report whose response carried the start; 0: none in flight
 	endMinToken      uint64 // lowest token with which a report that it has ended counts; 0: no such report yet
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -82,10 +82,10 @@
 
 func (t *machineTable) appendMachines(b []byte, images *intern.Table) []byte {
 	b = codec.Uint(b, uint64(t.NextMachine))
-	b = codec.Uint(b, uint64(len(t.Order)))
-	for _, machine := range t.Order {
+	b = codec.Uint(b, uint64(len(t.MachinesInOrder)))
+	for _, machine := range t.MachinesInOrder {
 		b = codec.Uint(b, uint64(machine.ID))
-		b = codec.Uint(b, uint64(machine.At))
+		b = codec.Uint(b, uint64(machine.FirstLoggedMS))
 		b = appendInfo(b, &machine.Info)
 		b = codec.Bool(b, machine.Suspect)
 		b = codec.Bool(b, machine.Releasing)
@@ -125,7 +125,7 @@
 	jobs := t.JobsInOrder()
 	b = codec.Uint(b, uint64(len(jobs)))
 	for _, j := range jobs {
-		b = codec.Uint(b, uint64(j.At))
+		b = codec.Uint(b, uint64(j.AcceptedAtMS))
 		b = appendSpec(b, j.Spec)
 		b = codec.Bool(b, j.Cancelled)
 		b = appendTasks(b, j.Tasks)
@@ -146,7 +146,7 @@
 		b = codec.Uint(b, uint64(n))
 		if t.Run != nil {
 			b = codec.Uint(b, uint64(t.Run.Machine.ID))
-			b = codec.Uint(b, t.Run.Session)
+			b = codec.Uint(b, t.Run.AgentEpoch)
 		}
 		i += n
 	}
@@ -275,7 +275,7 @@
 		if spec.Tasks < 1 {
 			return codec.ErrShort
 		}
-		j := r.model.addJob(Accepted(spec, at), r.seq, r.now)
+		j := r.model.addJob(NewAcceptance(spec, at), r.seq, r.now)
 		if err := r.readTasks(j); err != nil {
 			return err
 		}
--- a/internal/model/snapshot_test.go
+++ b/internal/model/snapshot_test.go
@@ -40,10 +40,10 @@
 	m := New(params())
 	_ = m.Apply(&Entry{Kind: EntryMachine, Machine: 1, Info: testInfo("host-1")}, 1, 0)
 	_ = m.Apply(&Entry{Kind: EntryAccept, Job: 7, Spec: testSpec(7, 3)}, 1, 0)
-	_ = m.Apply(&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}, 1, 0)
+	_ = m.Apply(&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, AgentEpoch: 1}, 1, 0)
 	f.Add(m.Snapshot())
 	f.Add((&Entry{Kind: EntryAccept, Spec: testSpec(7, 3)}).Append(nil))
-	f.Add((&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, Session: 1}).Append(nil))
+	f.Add((&Entry{Kind: EntryPlace, Job: 7, Attempt: 1, Machine: 1, AgentEpoch: 1}).Append(nil))
 	f.Add([]byte{snapshotVersion, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m := New(params()); m.Restore(b, 1, 0) == nil && len(m.Jobs) > 0 && m.LiveTasks == 0 && len(m.Finals) == 0 {
@@ -104,7 +104,7 @@
 	applyAll(t, m,
 		NewMachine(2, 0, testInfo("host-2")),
 		NewMachineGone(2),
-		Accepted(testSpec(8, 1), 0),
+		NewAcceptance(testSpec(8, 1), 0),
 		NewCancellation(8),
 		NewIntent(testInfo("x"), 1),
 	)
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -39,7 +39,7 @@
 			f.apply(e)
 		}
 	}
-	f.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, Session: 1})
+	f.apply(&Entry{Kind: EntryPlace, Job: JobID(job), Task: task, Attempt: 1, Machine: machineID, AgentEpoch: 1})
 	for left := config.Seconds(tookS); left > 0; {
 		sendReport(wire.TaskRunning, "")
 		step := min(left, config.Seconds(max(3, silentS)))
@@ -149,7 +149,7 @@
 		var tasks []wire.TaskStatus
 		for k := range uint64(4) {
 			n := 1 + k%c.jobs
-			f.apply(&Entry{Kind: EntryPlace, Job: JobID(n), Task: int32(10 + k), Attempt: 1, Machine: 3, Session: 1})
+			f.apply(&Entry{Kind: EntryPlace, Job: JobID(n), Task: int32(10 + k), Attempt: 1, Machine: 3, AgentEpoch: 1})
 			tasks = append(tasks, wire.TaskStatus{Task: wire.TaskID(n, int(10+k)), Attempt: 1, State: wire.TaskRunning})
 		}
 		began := f.now
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -9,7 +9,7 @@
 // which it follows which of its commands may still be executed.
 type leaderTerm struct {
 	// The lowest fencing token of the current term.
-	TermBase uint64
+	MinToken uint64
 }
 
 // startTokens holds the tokens of direct starts of an attempt: of the one that awaits its response, and of the last one
@@ -24,7 +24,7 @@
 }
 
 // Token returns the fencing token with which this leader commands a machine.
-func (t *leaderTerm) Token(machine *Machine) uint64 { return t.TermBase + machine.Contact.TokenOffset }
+func (t *leaderTerm) Token(machine *Machine) uint64 { return t.MinToken + machine.Contact.TokenOffset }
 
 // RaiseToken raises a machine's token, unless the agent has yet to show the current one. It is used when delivery of
 // responses is uncertain: the report after the next response shows whether that arrived.
@@ -70,17 +70,17 @@
 	machine.Contact.startsAnswered(commands, token, accepted)
 }
 
-// StartsLost records that a direct command got no response and may be executed later.
-func (t *leaderTerm) StartsLost(machine *Machine, commands []wire.Command, token uint64) {
+// StartsUnanswered records that a direct command got no response and may be executed later.
+func (t *leaderTerm) StartsUnanswered(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsLost(commands, token)
 }
 
-// SealReapable records the log sequence number that covers the entries of the last report. The agent may forget exited
+// SetReapableSeq records the log sequence number that covers the entries of the last report. The agent may forget exited
 // attempts only after it is committed, because their listing is the evidence for the entries.
-func (t *leaderTerm) SealReapable(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
+func (t *leaderTerm) SetReapableSeq(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
 
-// ReapPending reports whether an exited attempt cannot be forgotten until the log has been committed further.
-func (t *leaderTerm) ReapPending(machine *Machine, committed uint64) bool {
+// HasPendingReap reports whether an exited attempt cannot be forgotten until the log has been committed further.
+func (t *leaderTerm) HasPendingReap(machine *Machine, committed uint64) bool {
 	return machine.Contact.reapPending(committed)
 }
 
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -96,7 +96,7 @@
 func (a *Autoscaler) observeFleet(m *model.Model) {
 	clear(a.partitionedZones)
 	clear(a.machineCounts)
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if machine.Suspect {
 			a.partitionedZones[machine.Zone] = true
 		}
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -41,7 +41,7 @@
 		id := model.MachineID(i + 1)
 		info := &model.MachineInfo{Name: fmt.Sprint("m", i), Type: name, Zone: "a"}
 		apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
-		m.Machines[id].Contact.Reported, m.Machines[id].Contact.Session = true, 1
+		m.Machines[id].Contact.Reported, m.Machines[id].Contact.AgentEpoch = true, 1
 	}
 	a := New([]config.Objective{{Kind: "wait", Class: "web", WithinS: 25, Share: 0.9}})
 	for _, spot := range []bool{false, true} {
@@ -70,8 +70,8 @@
 func placeServices(apply func(*model.Entry), from int, on model.MachineID) {
 	for i := range 2 {
 		id := uint64(from + i)
-		apply(model.Accepted(webService(id, 1), 0))
-		apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(id), Task: 0, Attempt: 1, Machine: on, Session: 1})
+		apply(model.NewAcceptance(webService(id, 1), 0))
+		apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(id), Task: 0, Attempt: 1, Machine: on, AgentEpoch: 1})
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	gang := wholeMachineGang(9)
 	gang.Priority, gang.Tasks, gang.CPUs, gang.SameZone = wire.Normal, 2, 80, true
-	apply(model.Accepted(gang, 0))
+	apply(model.NewAcceptance(gang, 0))
 	p := a.Plan(m, 61e9)
 	if len(p.ScaleOuts) != 1 || p.ScaleOuts[0].Count != 2 || m.TypeNames.Name(p.ScaleOuts[0].Type) != "expensive" {
 		t.Errorf("scale-outs for a gang of two: got %+v, want 2 expensive machines", p.ScaleOuts)
@@ -120,15 +120,15 @@
 	}
 	for n := range 2 {
 		id := model.JobID(n + 1)
-		apply(model.Accepted(wholeMachineGang(uint64(id)), 0))
+		apply(model.NewAcceptance(wholeMachineGang(uint64(id)), 0))
 		machine := model.MachineID(n + 1)
-		apply(&model.Entry{Kind: model.EntryPlace, Job: id, Task: 0, Attempt: 1, Machine: machine, Session: 1})
+		apply(&model.Entry{Kind: model.EntryPlace, Job: id, Task: 0, Attempt: 1, Machine: machine, AgentEpoch: 1})
 	}
 	if p := a.Plan(m, 0); len(p.ForServices) != 0 {
 		t.Errorf("services allowed on %d machines, but none is waiting", len(p.ForServices))
 	}
 	for n := range 10 { // 3 replicas each, 23 fill a machine
-		apply(model.Accepted(webService(uint64(8+n), 3), 0))
+		apply(model.NewAcceptance(webService(uint64(8+n), 3), 0))
 		want := 0
 		if n >= 3 {
 			want = 1
@@ -159,7 +159,7 @@
 	a.Plan(m, 0)
 	provision := func(id model.MachineID, at int64) *model.Machine {
 		info := &model.MachineInfo{Name: fmt.Sprint("new", id), Type: "cheap", Zone: "a"}
-		apply(&model.Entry{Kind: model.EntryMachine, Machine: id, At: at, Info: info})
+		apply(&model.Entry{Kind: model.EntryMachine, Machine: id, WallTimeMS: at, Info: info})
 		return m.Machines[id]
 	}
 	late := provision(10, 1000) // cheap machines boot in 40 s
@@ -170,7 +170,7 @@
 			placeServices(apply, int(id)*10, id)
 		}
 	}
-	apply(model.Accepted(webService(1, 2), 0))
+	apply(model.NewAcceptance(webService(1, 2), 0))
 	a.Objectives = nil // no standby demand
 	checkAt := func(s int64) ([]*model.Machine, int) {
 		abandoned := a.CheckBoots(m, 1000+s*1000, model.Time(s)*1e9, 0)
@@ -224,7 +224,7 @@
 	}
 	spec := webService(1, 1)
 	spec.Types = []string{"cheap"}
-	apply(model.Accepted(spec, 0))
+	apply(model.NewAcceptance(spec, 0))
 	if n := requestedMachines(a.Plan(m, 10e9)); n != 0 {
 		t.Fatalf("requested %d machines during the backoff, want none", n)
 	}
@@ -240,13 +240,13 @@
 func TestGuaranteedArraysYieldToServices(t *testing.T) {
 	m, a, apply := newTestModel(t, 1, 1)
 	m.Teams[0].CPUs = 200
-	apply(model.Accepted(wholeMachineGang(9), 0))
-	apply(model.Accepted(&wire.JobSpec{
+	apply(model.NewAcceptance(wholeMachineGang(9), 0))
+	apply(model.NewAcceptance(&wire.JobSpec{
 		ID: wire.JobID(8), Class: "low", Team: "red", Shape: wire.Array, Priority: wire.Low,
 		Tasks: 8, CPUs: 1, MemoryGB: 1, Image: "l", ImageGB: 1, EstimateS: 60,
 	}, 0))
 	for k := range int32(8) {
-		apply(&model.Entry{Kind: model.EntryPlace, Job: 8, Task: k, Attempt: 1, Machine: 1, Session: 1})
+		apply(&model.Entry{Kind: model.EntryPlace, Job: 8, Task: k, Attempt: 1, Machine: 1, AgentEpoch: 1})
 	}
 	placeServices(apply, 1, 2)
 	a.Objectives = nil // nothing is kept ready
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -73,10 +73,10 @@
 ) (abandoned []*model.Machine) {
 	var provisionTimes map[int32][]int64 // computed when the first overdue machine is found
 	clear(a.overdueMachines)
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		machine.Lifecycle.BootOverdue = false
 		bootSeconds := max(m.TypeOf(machine).BootS, 10)
-		ageSeconds := float64(wallClockMS-machine.At) / 1000
+		ageSeconds := float64(wallClockMS-machine.FirstLoggedMS) / 1000
 		if machine.Contact.Reported || len(machine.Runs) > 0 || machine.Suspect || machine.Releasing ||
 			ageSeconds < overdueFactorOthersUp*bootSeconds+3 || now-machine.Contact.KnownSince < settleTime {
 			continue
@@ -85,7 +85,7 @@
 			provisionTimes = provisionTimesOfReporting(m)
 		}
 		times := provisionTimes[machine.Type]
-		first, _ := slices.BinarySearch(times, machine.At-provisionToleranceMS)
+		first, _ := slices.BinarySearch(times, machine.FirstLoggedMS-provisionToleranceMS)
 		othersUp := len(times)-first >= minOthersUp
 		machine.Lifecycle.BootOverdue = othersUp || ageSeconds > overdueFactor*bootSeconds+5
 		if machine.Lifecycle.BootOverdue {
@@ -101,9 +101,9 @@
 // provisionTimesOfReporting returns the provision times of the machines that are up, by type, in ascending order.
 func provisionTimesOfReporting(m *model.Model) map[int32][]int64 {
 	times := map[int32][]int64{}
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if machine.Contact.Reported {
-			times[machine.Type] = append(times[machine.Type], machine.At)
+			times[machine.Type] = append(times[machine.Type], machine.FirstLoggedMS)
 		}
 	}
 	for _, list := range times {
--- a/internal/scheduling/autoscaler/demand.go
+++ b/internal/scheduling/autoscaler/demand.go
@@ -92,7 +92,7 @@
 func runningDemand(m *model.Model) (expiring map[*model.Job]int, preemptible []scheduler.Resources) {
 	expiring = map[*model.Job]int{}
 	preemptible = make([]scheduler.Resources, len(m.Teams))
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		for _, r := range machine.Runs {
 			if machine.Suspect && r.Job.Kind != model.Array && !r.Job.Cancelled {
 				expiring[r.Job]++
@@ -125,7 +125,7 @@
 	d.count = min(waiting, a.requiredParallelism(m, j, now))
 	d.maxPriceFactor = a.maxPriceFactor(j)
 	if isPreemptible(j) {
-		d.count += j.Live
+		d.count += j.PlacedTasks
 	}
 	return d
 }
@@ -172,7 +172,7 @@
 	if rounds < 1 {
 		return j.Waiting()
 	}
-	return max(0, int(math.Ceil(float64(j.Waiting()+j.Live)/rounds))-j.Live)
+	return max(0, int(math.Ceil(float64(j.Waiting()+j.PlacedTasks)/rounds))-j.PlacedTasks)
 }
 
 // completionTargetSeconds returns the total time in which the objectives, or else the job's deadline, require a job
--- a/internal/scheduling/autoscaler/slot.go
+++ b/internal/scheduling/autoscaler/slot.go
@@ -22,7 +22,7 @@
 // slots returns the machines that demand may be packed onto.
 func (a *Autoscaler) slots(m *model.Model, now model.Time) []*slot {
 	var out []*slot
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if a.isPackable(m, machine) {
 			out = append(out, newMachineSlot(m, machine, now))
 		}
--- a/internal/scheduling/explanation/constraints.go
+++ b/internal/scheduling/explanation/constraints.go
@@ -40,7 +40,7 @@
 	{
 		code: pending.AttemptEnding,
 		holds: func(s *simulation) (pending.Reason, bool) {
-			return pending.Reason{Count: s.job.Live}, s.job.Kind == model.Gang && s.job.Live > 0
+			return pending.Reason{Count: s.job.PlacedTasks}, s.job.Kind == model.Gang && s.job.PlacedTasks > 0
 		},
 		lift: (*simulation).endAttempt,
 	},
@@ -112,9 +112,9 @@
 	machineConstraint(
 		pending.Quarantined,
 		func(_ *simulation, machine *model.Machine) bool {
-			return machine.Health.Quarantined || machine.Health.DoubtSince != 0
+			return machine.Health.Quarantined || machine.Health.CordonedSince != 0
 		},
-		func(machine *model.Machine) { machine.Health.Quarantined, machine.Health.DoubtSince = false, 0 },
+		func(machine *model.Machine) { machine.Health.Quarantined, machine.Health.CordonedSince = false, 0 },
 	),
 	machineConstraint(
 		pending.Draining,
@@ -138,7 +138,7 @@
 		code: pending.FailedBefore,
 		holds: func(s *simulation) (r pending.Reason, ok bool) {
 			r.Count, r.First = s.countMachines(func(machine *model.Machine) bool {
-				return s.job.Observed.FailedOn != nil && s.job.Avoids(machine, s.now)
+				return s.job.Observed.FailedOn != nil && s.job.AvoidsMachine(machine, s.now)
 			})
 			return r, r.Count > 0
 		},
@@ -175,7 +175,7 @@
 			return r, r.Count > 0 && s.job.Spec.GPUs == 0 && s.job.Priority == model.Low
 		},
 		lift: func(s *simulation) {
-			for _, machine := range s.model.Order {
+			for _, machine := range s.model.MachinesInOrder {
 				s.scheduler.LowPriorityAllowed[machine] = true
 			}
 		},
@@ -189,7 +189,7 @@
 			return r, r.Count > 0
 		},
 		lift: func(s *simulation) {
-			for _, machine := range s.model.Order {
+			for _, machine := range s.model.MachinesInOrder {
 				s.scheduler.ServiceSlots[machine] += s.job.Waiting()
 			}
 		},
@@ -227,7 +227,7 @@
 			return r, r.Count > 0
 		},
 		lift: func(s *simulation) {
-			for _, machine := range s.model.Order {
+			for _, machine := range s.model.MachinesInOrder {
 				if s.fits(machine) && excludes(s, machine) {
 					restore(machine)
 				}
--- a/internal/scheduling/explanation/explanation_test.go
+++ b/internal/scheduling/explanation/explanation_test.go
@@ -59,7 +59,7 @@
 	info := &model.MachineInfo{Name: fmt.Sprint("m", id), Type: typ, Zone: zone}
 	cluster.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
 	machine := cluster.model.Machines[id]
-	machine.Contact.Reported, machine.Contact.Session = true, 1
+	machine.Contact.Reported, machine.Contact.AgentEpoch = true, 1
 	return machine
 }
 
@@ -82,14 +82,14 @@
 	if change != nil {
 		change(s)
 	}
-	cluster.apply(model.Accepted(s, 0))
+	cluster.apply(model.NewAcceptance(s, 0))
 	return cluster.model.Jobs[model.JobID(n)]
 }
 
 func (cluster *testCluster) place(j *model.Job, task int32, mc *model.Machine) {
 	attempt := j.Tasks[task].Attempt + 1
 	cluster.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: mc.ID,
-		Session: 1})
+		AgentEpoch: 1})
 }
 
 // fill occupies a machine with a job that is not preempted.
@@ -169,7 +169,7 @@
 		return cluster.job(1, nil)
 	},
 	pending.Quarantined: func(cluster *testCluster) *model.Job {
-		cluster.machine("small", "a").Health.DoubtSince = 1
+		cluster.machine("small", "a").Health.CordonedSince = 1
 		return cluster.job(1, nil)
 	},
 	pending.Draining: func(cluster *testCluster) *model.Job {
@@ -277,12 +277,12 @@
 	s := cluster.scheduler
 	out = append(out, string(cluster.model.Snapshot()), fmt.Sprint(s.ServiceHeadroom, s.LowPriorityLimit, s.OnlyJob,
 		len(s.ServiceSlots), len(s.LowPriorityAllowed)))
-	for _, mc := range cluster.model.Order {
-		out = append(out, fmt.Sprint(mc.Info.Name, mc.Contact.Reported, mc.Releasing, mc.Suspect, mc.Health.DoubtSince,
+	for _, mc := range cluster.model.MachinesInOrder {
+		out = append(out, fmt.Sprint(mc.Info.Name, mc.Contact.Reported, mc.Releasing, mc.Suspect, mc.Health.CordonedSince,
 			mc.Lifecycle.Draining, mc.Health.SlowUntil, mc.CPUs, len(mc.Runs)))
 	}
 	for _, j := range cluster.model.JobsInOrder() {
-		out = append(out, fmt.Sprint(j.ID, j.Scheduling.NotBefore, j.Scheduling.WaitedRounds, j.Observed.Faulty, j.Live,
+		out = append(out, fmt.Sprint(j.ID, j.Scheduling.NotBefore, j.Scheduling.WaitedRounds, j.Observed.Faulty, j.PlacedTasks,
 			j.Team.CPUsMax, j.Spec.Spread, len(j.Observed.FailedOn)))
 	}
 	return out
@@ -329,7 +329,7 @@
 	for _, change := range []func(*model.Machine){
 		func(mc *model.Machine) { mc.Releasing = true },
 		func(mc *model.Machine) { mc.Suspect = true },
-		func(mc *model.Machine) { mc.Health.DoubtSince = 1 },
+		func(mc *model.Machine) { mc.Health.CordonedSince = 1 },
 		func(mc *model.Machine) { mc.Lifecycle.Draining = true },
 		func(mc *model.Machine) { mc.Contact.Reported = false },
 	} {
@@ -361,7 +361,7 @@
 	placements := func(m *model.Model) (out []string) {
 		s := cluster.scheduler.DryRunCopy(m)
 		s.Round(m, now, true, &dryRunBinder{model: m})
-		for _, mc := range m.Order {
+		for _, mc := range m.MachinesInOrder {
 			for _, r := range mc.Runs {
 				out = append(out, fmt.Sprintf("%d/%d on %s", r.Job.ID, r.Task, mc.Info.Name))
 			}
--- a/internal/scheduling/explanation/simulation.go
+++ b/internal/scheduling/explanation/simulation.go
@@ -40,7 +40,7 @@
 // Bind applies a placement.
 func (d *dryRunBinder) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
 	d.seq++
-	err := d.model.Apply(model.NewPlacement(j.ID, task, attempt, machine.ID, machine.Contact.Session), d.seq, 0)
+	err := d.model.Apply(model.NewPlacement(j.ID, task, attempt, machine.ID, machine.Contact.AgentEpoch), d.seq, 0)
 	// The scheduler should not decide what does not apply; such a placement does not count here, just as it has no
 	// effect on the leader.
 	if err == nil && j == d.job {
@@ -58,7 +58,7 @@
 
 // countMachines returns the number of matching machines and the name of the first.
 func (s *simulation) countMachines(match func(*model.Machine) bool) (n int, first string) {
-	for _, machine := range s.model.Order {
+	for _, machine := range s.model.MachinesInOrder {
 		if match(machine) {
 			if n++; n == 1 {
 				first = machine.Info.Name
@@ -100,7 +100,7 @@
 		if r.Unit == "GPUs" {
 			use = other.Spec.GPUs
 		}
-		if use *= float64(other.Live); other.Team == s.job.Team && use > 0 {
+		if use *= float64(other.PlacedTasks); other.Team == s.job.Team && use > 0 {
 			if r.Count++; use > maxUse {
 				r.First, maxUse = other.Spec.ID, use
 			}
@@ -185,7 +185,7 @@
 		return
 	}
 	machine := s.model.Machines[id]
-	machine.Contact.Reported, machine.Contact.Session = true, 1
+	machine.Contact.Reported, machine.Contact.AgentEpoch = true, 1
 	s.scheduler.ServiceSlots[machine] += s.job.Waiting()
 	s.scheduler.LowPriorityAllowed[machine] = true
 }
--- a/internal/scheduling/scheduler/awaiting_heartbeats_test.go
+++ b/internal/scheduling/scheduler/awaiting_heartbeats_test.go
@@ -17,7 +17,7 @@
 	s := New(webStartParams)
 	web := env.submitWeb(1, 1)
 	s.Round(env.model, 1e9, true, env)
-	if web.Live != 1 {
+	if web.PlacedTasks != 1 {
 		t.Fatal("the first replica was not placed")
 	}
 	local := web.Tasks[0].Run.Machine
@@ -30,14 +30,14 @@
 	s.Round(env.model, 3e9, true, env)
 	s.Round(env.model, 5e9, true, env)
 	s.Round(env.model, 8e9, true, env)
-	filled := low.Live
+	filled := low.PlacedTasks
 	more, other := env.submitWeb(3, 1), env.submit(4, func(s *wire.JobSpec) {
 		s.Class, s.Shape, s.Priority, s.Image, s.ImageGB = "web", wire.Service, wire.Production, "elsewhere", 3
 	})
 	late := env.submit(5, nil)
 	// Free resources next to the replica, and on one machine without the image.
 	env.finishFirst(local.Runs, func(r *model.Run) bool { return r.Job == low })
-	for _, machine := range env.model.Order {
+	for _, machine := range env.model.MachinesInOrder {
 		if machine != local && !machine.Spot {
 			env.finishFirst(machine.Runs, func(*model.Run) bool { return true })
 			break
@@ -47,9 +47,9 @@
 	for i := range 20 {
 		s.Round(env.model, model.Time(60+10*i)*1e9, true, env)
 	}
-	if more.Live != 1 || other.Live != 0 || late.Live != 0 || len(env.stopped) != 0 {
+	if more.PlacedTasks != 1 || other.PlacedTasks != 0 || late.PlacedTasks != 0 || len(env.stopped) != 0 {
 		t.Errorf("awaiting heartbeats: %d placed with a local image, %d without, %d low-priority; %v of %d preempted",
-			more.Live, other.Live, late.Live, env.stopped, filled)
+			more.PlacedTasks, other.PlacedTasks, late.PlacedTasks, env.stopped, filled)
 	}
 	for _, j := range []*model.Job{other, late} {
 		if j.Scheduling.PendingReason.Code != pending.AwaitingHeartbeats {
@@ -60,8 +60,8 @@
 	for i := range 3 {
 		s.Round(env.model, model.Time(300+10*i)*1e9, true, env)
 	}
-	if other.Live != 1 {
-		t.Errorf("after all machines reported: %d replicas of the other service placed, want 1", other.Live)
+	if other.PlacedTasks != 1 {
+		t.Errorf("after all machines reported: %d replicas of the other service placed, want 1", other.PlacedTasks)
 	}
 }
 
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -34,7 +34,7 @@
 // attempt starts when no task of the previous one is left.
 func (r *round) placeGang(p *jobPlacement) {
 	j := p.job
-	if j.Live > 0 {
+	if j.PlacedTasks > 0 {
 		r.endAttempt(j)
 		return
 	}
@@ -55,7 +55,7 @@
 
 // endAttempt preempts the remaining members of a gang that lost one.
 func (r *round) endAttempt(j *model.Job) {
-	j.Scheduling.PendingReason = pending.Reason{Code: pending.AttemptEnding, Count: j.Live}
+	j.Scheduling.PendingReason = pending.Reason{Code: pending.AttemptEnding, Count: j.PlacedTasks}
 	for i := range j.Tasks {
 		run := j.Tasks[i].Run
 		if run == nil || run.Stop {
@@ -314,7 +314,7 @@
 		slowest = max(slowest, fetchSeconds(r.model, j, view.machine))
 	}
 	within, ok := r.params.startWithin(j)
-	waitingSince := j.Scheduling.LocalRoomSince
+	waitingSince := j.Scheduling.LocalWaitSince
 	if !ok || slowest == 0 || waitingSince != 0 && r.now-waitingSince > config.Seconds(within*gangLocalWaitShare) {
 		return false
 	}
@@ -333,7 +333,7 @@
 		return false
 	}
 	if waitingSince == 0 {
-		j.Scheduling.LocalRoomSince = r.now
+		j.Scheduling.LocalWaitSince = r.now
 	}
 	for i := range best {
 		best[i].view.claim(g.need)
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -49,7 +49,7 @@
 func guaranteeOrder(m *model.Model, j *model.Job, now model.Time) float64 {
 	switch {
 	case j.Kind != model.Gang:
-	case j.Live > 0:
+	case j.PlacedTasks > 0:
 		return -2
 	case j.Scheduling.UnderServed && (now-j.Observed.KnownSince).Seconds() > underServedMaxWaitSeconds:
 		return -1
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -36,8 +36,8 @@
 			small.Scheduling.Guaranteed,
 		)
 	}
-	if s.Round(env.model, 60e9, true, env); small.Live != 2 {
-		t.Errorf("%d of 2 tasks of the small array placed: %v", small.Live, env.placed)
+	if s.Round(env.model, 60e9, true, env); small.PlacedTasks != 2 {
+		t.Errorf("%d of 2 tasks of the small array placed: %v", small.PlacedTasks, env.placed)
 	}
 	gang := env.submit(3, func(s *wire.JobSpec) { s.Shape, s.Priority, s.Tasks, s.CPUs = wire.Gang, wire.High, 2, 4 })
 	if mark(61e9); !gang.Scheduling.Guaranteed || gang.Scheduling.WithinGuarantee || small.Scheduling.Guaranteed {
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -55,13 +55,13 @@
 
 func (t *demandTotals) add(j *model.Job, now model.Time) {
 	weight := model.RecencyWeight(now - j.Observed.KnownSince)
-	taskCount, servedCount := float64(len(j.Tasks)), float64(j.Done+j.Live)
+	taskCount, servedCount := float64(len(j.Tasks)), float64(j.Done+j.PlacedTasks)
 	t.jobs += weight
 	t.tasks += weight * taskCount
 	t.jobsServed += weight * servedCount / taskCount
 	t.tasksServed += weight * servedCount
 	t.wantedCPUs += (taskCount - float64(j.Done)) * j.Spec.CPUs
-	t.usedCPUs += float64(j.Live) * j.Spec.CPUs
+	t.usedCPUs += float64(j.PlacedTasks) * j.Spec.CPUs
 }
 
 // share returns the lower of the job share and the task share. The task share is held to a lower minimum: most waiting
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -60,7 +60,7 @@
 	}
 	large := env.submit(900, func(s *wire.JobSpec) { s.Tasks, s.EstimateS, s.Team, s.Class = 30, 10, "red", "large" })
 	end := func() {
-		for _, machine := range env.model.Order {
+		for _, machine := range env.model.MachinesInOrder {
 			env.finishSome(machine, func() bool { return true })
 		}
 	}
@@ -119,13 +119,13 @@
 		s := New(Params{Beta: 0.8, Threshold: 0.5})
 		low := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Team, s.Class, s.EstimateS = 40, "blue", "low", 20 })
 		s.Round(env.model, 0, true, env)
-		if low.Live != 12 {
-			t.Fatalf("%d low-priority tasks placed, want 12", low.Live)
+		if low.PlacedTasks != 12 {
+			t.Fatalf("%d low-priority tasks placed, want 12", low.PlacedTasks)
 		}
 		if wellServed { // many jobs of their class and team have completed
 			for n := range uint64(20) {
 				env.submit(100+n, func(s *wire.JobSpec) { s.Team, s.Class = "red", "sim" })
-				env.apply(&model.Entry{Kind: model.EntryDone, Job: model.JobID(100 + n), Task: 0})
+				env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: model.JobID(100 + n), Task: 0})
 			}
 		}
 		gang := env.submit(2, func(s *wire.JobSpec) {
@@ -143,7 +143,7 @@
 		}
 		if (len(env.stopped) == 0) != wellServed {
 			t.Errorf("gang class well served %v: %d low-priority tasks preempted; %d and %d members placed",
-				wellServed, len(env.stopped), gang.Live, other.Live)
+				wellServed, len(env.stopped), gang.PlacedTasks, other.PlacedTasks)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	end := func(j *model.Job) {
 		for i := range j.Tasks {
 			if r := j.Tasks[i].Run; r != nil {
-				env.apply(&model.Entry{Kind: model.EntryDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
+				env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
 			}
 		}
 	}
@@ -182,14 +182,14 @@
 		small = append(small, gang(1))
 	}
 	s.Round(env.model, 90e9, true, env) // the class is under-served from here on
-	if first.Live != 4 || len(env.stopped) != 0 {
-		t.Fatalf("first gang: %d of 4 members placed; %v preempted, want none", first.Live, env.stopped)
+	if first.PlacedTasks != 4 || len(env.stopped) != 0 {
+		t.Fatalf("first gang: %d of 4 members placed; %v preempted, want none", first.PlacedTasks, env.stopped)
 	}
 	end(first)
 	s.Round(env.model, 100e9, true, env)
 	placed := 0
 	for _, j := range small {
-		placed += j.Live
+		placed += j.PlacedTasks
 	}
 	if placed != 4 || len(env.stopped) != 0 {
 		t.Fatalf("%d small gangs placed, want 4; %v preempted, want none", placed, env.stopped)
@@ -198,8 +198,8 @@
 		end(j)
 	}
 	s.Round(env.model, 700e9, true, env)
-	if large[0].Live != 4 {
-		t.Errorf("after 700 s: %d of 4 members of the first large gang placed", large[0].Live)
+	if large[0].PlacedTasks != 4 {
+		t.Errorf("after 700 s: %d of 4 members of the first large gang placed", large[0].PlacedTasks)
 	}
 }
 
@@ -245,7 +245,7 @@
 		}
 		s.Round(env.model, model.Time(round)*10e9, true, env)
 		examined += s.Examined
-		for _, machine := range env.model.Order {
+		for _, machine := range env.model.MachinesInOrder {
 			env.endStopping(machine)
 			env.finishSome(machine, func() bool { return rng.IntN(5) == 0 })
 		}
--- a/internal/scheduling/scheduler/moves.go
+++ b/internal/scheduling/scheduler/moves.go
@@ -67,7 +67,7 @@
 	replicas := 0
 	for _, j := range jobs {
 		if j.Kind == model.Service {
-			if replicas += j.Live; j.Waiting() > 0 {
+			if replicas += j.PlacedTasks; j.Waiting() > 0 {
 				return
 			}
 		}
@@ -148,7 +148,7 @@
 // evacuationCandidates lists the runs to move off machines that are being vacated. A machine that is being released is
 // skipped: the response of the cloud ends the runs on it.
 func evacuationCandidates(m *model.Model) (list []evacuationCandidate) {
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if !machine.IsLeaving() || !machine.Contact.Reported || machine.Releasing || machine.Suspect {
 			continue
 		}
--- a/internal/scheduling/scheduler/moves_test.go
+++ b/internal/scheduling/scheduler/moves_test.go
@@ -28,7 +28,7 @@
 func testEvacuationReachesAll(t *testing.T, machineOf func(i int) int) {
 	const replicas = immovableReplicas + movableReplicas
 	env := newEnvironment(t, 2*replicas)
-	for _, machine := range env.model.Order[:replicas] {
+	for _, machine := range env.model.MachinesInOrder[:replicas] {
 		machine.Lifecycle.PreemptionAt = 1
 	}
 	run := func(n uint64, machine *model.Machine, cpus float64) {
@@ -43,8 +43,8 @@
 		if i < immovableReplicas {
 			cpus = 4
 		}
-		run(uint64(1+i), env.model.Order[machineOf(i)], cpus)
-		run(uint64(1001+i), env.model.Order[replicas+i], 1) // leaves 3 of 4 CPUs free
+		run(uint64(1+i), env.model.MachinesInOrder[machineOf(i)], cpus)
+		run(uint64(1001+i), env.model.MachinesInOrder[replicas+i], 1) // leaves 3 of 4 CPUs free
 	}
 	s := New(Params{})
 	for round := range 4 {
--- a/internal/scheduling/scheduler/placement.go
+++ b/internal/scheduling/scheduler/placement.go
@@ -238,7 +238,7 @@
 		return false
 	}
 	within, _ := r.params.startWithin(j)
-	waitingSince := j.Scheduling.LocalRoomSince
+	waitingSince := j.Scheduling.LocalWaitSince
 	if since := r.now - waitingSince; waitingSince != 0 && since < localWaitRetryInterval &&
 		since > config.Seconds(within*serviceLocalWaitShare) {
 		return false // the time limit applies to the job, not to each task
@@ -264,7 +264,7 @@
 		reason:      "image locality, for job " + j.Spec.ID,
 	}, choices)
 	if found && (waitingSince == 0 || r.now-waitingSince >= localWaitRetryInterval) {
-		j.Scheduling.LocalRoomSince = r.now
+		j.Scheduling.LocalWaitSince = r.now
 	}
 	return found
 }
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -96,7 +96,7 @@
 // isStartOverdue reports whether an array has passed startDeadline without starting. Its first task is then placed
 // before those of other arrays, and the rest in the regular order.
 func isStartOverdue(j *model.Job, now model.Time) bool {
-	return j.Live+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
+	return j.PlacedTasks+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
 }
 
 // queuedJob is a job with waiting tasks and the sort keys of its queue position.
@@ -113,7 +113,7 @@
 func (s *Scheduler) updateSortInputs(m *model.Model, jobs []*model.Job, now model.Time) {
 	MarkGuarantees(m, jobs, now, s.Params.Objectives)
 	cpus := 0.0
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if t := m.TypeOf(machine); t.Known && machine.IsUsable() {
 			cpus += t.CPUs
 		}
@@ -132,7 +132,7 @@
 		switch {
 		case j.Waiting() == 0, s.OnlyJob != nil && j != s.OnlyJob:
 			continue
-		case s.AwaitingHeartbeats && (j.Priority < model.High || j.Kind == model.Gang && j.Live > 0):
+		case s.AwaitingHeartbeats && (j.Priority < model.High || j.Kind == model.Gang && j.PlacedTasks > 0):
 			j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
 			continue
 		case now < j.Scheduling.NotBefore:
@@ -142,7 +142,7 @@
 				Remaining: j.Scheduling.NotBefore - now,
 			}
 			continue
-		case j.Observed.Faulty && j.Kind != model.Gang && j.Live > 0:
+		case j.Observed.Faulty && j.Kind != model.Gang && j.PlacedTasks > 0:
 			j.Scheduling.PendingReason = pending.Reason{Code: pending.Faulty, Count: j.Observed.Errors}
 			continue
 		}
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -91,7 +91,7 @@
 
 // FreeOutsideZone returns the resources that are free for new work on machines outside a zone.
 func FreeOutsideZone(m *model.Model, zone int32) (free Resources) {
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if machine.Zone != zone && machine.IsUsable() {
 			free = free.Plus(MachineCapacity(m, machine).Minus(used(machine)))
 		}
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -58,7 +58,7 @@
 			r.maxServiceCPUs = max(r.maxServiceCPUs, j.Spec.CPUs)
 		}
 	}
-	for _, machine := range r.model.Order {
+	for _, machine := range r.model.MachinesInOrder {
 		t := r.model.TypeOf(machine)
 		if !machine.IsUsable() || !t.Known {
 			continue
@@ -79,7 +79,7 @@
 	r.examined++
 	machine := view.machine
 	return view.capacity.Contains(need) && j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) &&
-		(j.Observed.FailedOn == nil || !j.Avoids(machine, r.now)) &&
+		(j.Observed.FailedOn == nil || !j.AvoidsMachine(machine, r.now)) &&
 		(j.Kind == model.Service || !machine.ServicesOnly(r.now))
 }
 
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -55,12 +55,12 @@
 // place puts a task on a machine, bypassing the scheduler.
 func (env *environment) place(job model.JobID, task int32, machine *model.Machine) {
 	env.apply(&model.Entry{Kind: model.EntryPlace, Job: job, Task: task, Attempt: 1, Machine: machine.ID,
-		Session: machine.Contact.Session})
+		AgentEpoch: machine.Contact.AgentEpoch})
 }
 
 func (env *environment) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
 	env.apply(&model.Entry{Kind: model.EntryPlace, Job: j.ID, Task: task, Attempt: attempt, Machine: machine.ID,
-		Session: machine.Contact.Session})
+		AgentEpoch: machine.Contact.AgentEpoch})
 	env.placed = append(env.placed, fmt.Sprintf("%d/%d on %s", j.ID, task, machine.Info.Name))
 	env.checkPlacement(j, machine)
 }
@@ -71,7 +71,7 @@
 	t := env.model.TypeOf(machine)
 	var cpus, mem, team float64
 	zones := map[string]int{}
-	for _, o := range env.model.Order {
+	for _, o := range env.model.MachinesInOrder {
 		for _, r := range o.Runs {
 			if o == machine {
 				cpus, mem = cpus+r.Job.Spec.CPUs, mem+r.Job.Spec.MemoryGB
@@ -106,14 +106,14 @@
 func (env *environment) endStopping(machine *model.Machine) {
 	for _, r := range slices.Clone(machine.Runs) {
 		if r.Stop {
-			env.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+			env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 		}
 	}
 }
 
 // finish completes a run.
 func (env *environment) finish(r *model.Run) {
-	env.apply(&model.Entry{Kind: model.EntryDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+	env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 }
 
 // finishSome completes the runs of a machine for which isDone, called once per run, returns true.
@@ -139,7 +139,7 @@
 		info := &model.MachineInfo{Name: fmt.Sprint("m", i), Type: "t", Zone: zone, Spot: i%4 == 3}
 		env.apply(&model.Entry{Kind: model.EntryMachine, Machine: id, Info: info})
 		machine := env.model.Machines[id]
-		machine.Contact.Reported, machine.Contact.Session = true, 1
+		machine.Contact.Reported, machine.Contact.AgentEpoch = true, 1
 	}
 	return env
 }
@@ -153,7 +153,7 @@
 	if change != nil {
 		change(s)
 	}
-	env.apply(model.Accepted(s, 0))
+	env.apply(model.NewAcceptance(s, 0))
 	return env.model.Jobs[model.JobID(n)]
 }
 
@@ -184,10 +184,10 @@
 				env.submit(n, func(s *wire.JobSpec) { randomizeJob(rng, s) })
 			}
 			s.Round(env.model, model.Time(round)*2e9, true, env)
-			for _, machine := range env.model.Order {
+			for _, machine := range env.model.MachinesInOrder {
 				for _, r := range slices.Clone(machine.Runs) {
 					if r.Stop {
-						env.apply(&model.Entry{Kind: model.EntryEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+						env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 					} else if rng.IntN(4) == 0 {
 						env.finish(r)
 					}
@@ -229,18 +229,18 @@
 	second := env.submit(2, func(s *wire.JobSpec) { s.Tasks = 3 })
 	for round := 1; round <= 2; round++ {
 		for range 3 {
-			if s.Round(env.model, 0, false, env); second.Live != 0 {
+			if s.Round(env.model, 0, false, env); second.PlacedTasks != 0 {
 				t.Fatal("a round without tick was counted as a wait round")
 			}
 		}
 		s.Round(env.model, 0, true, env)
-		if reason := second.Scheduling.PendingReason; second.Live != 0 || reason.Code != pending.ImageBusy {
-			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q", round, second.Live, reason)
+		if reason := second.Scheduling.PendingReason; second.PlacedTasks != 0 || reason.Code != pending.ImageBusy {
+			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q", round, second.PlacedTasks, reason)
 		}
 	}
 	s.Round(env.model, 0, true, env)
-	if reason := second.Scheduling.PendingReason; second.Live != 3 || reason.IsSet() {
-		t.Errorf("after the wait: %d of 3 tasks placed; pending reason %q", second.Live, reason)
+	if reason := second.Scheduling.PendingReason; second.PlacedTasks != 3 || reason.IsSet() {
+		t.Errorf("after the wait: %d of 3 tasks placed; pending reason %q", second.PlacedTasks, reason)
 	}
 }
 
@@ -249,12 +249,12 @@
 	env := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	g := env.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
-	if s.Round(env.model, 0, true, env); g.Live != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
+	if s.Round(env.model, 0, true, env); g.PlacedTasks != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
 		t.Fatalf("a gang that does not fit: placed %v, pending reason %q", env.placed, g.Scheduling.PendingReason)
 	}
 	free := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
-	if s.Round(env.model, 0, true, env); free.Live != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
-		t.Errorf("%d of 2 members placed with the same attempt number: %v", free.Live, env.placed)
+	if s.Round(env.model, 0, true, env); free.PlacedTasks != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
+		t.Errorf("%d of 2 members placed with the same attempt number: %v", free.PlacedTasks, env.placed)
 	}
 }
 
@@ -273,13 +273,13 @@
 	}
 	for _, r := range append([]*model.Run(nil), env.model.Machines[1].Runs...) {
 		if r.Stop {
-			env.apply(&model.Entry{Kind: model.EntryEnded, Job: 1, Task: r.Task, Attempt: r.Attempt})
+			env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: 1, Task: r.Task, Attempt: r.Attempt})
 			s.Round(env.model, 102e9, false, env)
 		}
 	}
-	if reason := low.Scheduling.PendingReason; web.Live != 1 || low.Live != 2 || reason.Code != pending.NoCapacity {
+	if reason := low.Scheduling.PendingReason; web.PlacedTasks != 1 || low.PlacedTasks != 2 || reason.Code != pending.NoCapacity {
 		t.Errorf("%d replicas and %d low-priority tasks placed, want 1 and 2; pending reason %q",
-			web.Live, low.Live, reason)
+			web.PlacedTasks, low.PlacedTasks, reason)
 	}
 }
 
@@ -295,13 +295,13 @@
 	long := env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 20, 30 })
 	short := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 3, 30 })
 	s.Round(env.model, 0, true, env)
-	if short.Live != 3 || long.Live != 0 || late.Live != 1 {
-		t.Errorf("tasks placed: short job %d, long job %d, late job %d; want 3, 0, 1", short.Live, long.Live, late.Live)
+	if short.PlacedTasks != 3 || long.PlacedTasks != 0 || late.PlacedTasks != 1 {
+		t.Errorf("tasks placed: short job %d, long job %d, late job %d; want 3, 0, 1", short.PlacedTasks, long.PlacedTasks, late.PlacedTasks)
 	}
-	env.apply(&model.Entry{Kind: model.EntryDone, Job: 3, Task: 0, Attempt: 1})
+	env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: 3, Task: 0, Attempt: 1})
 	s.Round(env.model, 1e9, true, env)
-	if long.Live != 1 || late.Live != 1 {
-		t.Errorf("after a task of the short job: long job %d, late job %d; want 1, 1", long.Live, late.Live)
+	if long.PlacedTasks != 1 || late.PlacedTasks != 1 {
+		t.Errorf("after a task of the short job: long job %d, late job %d; want 1, 1", long.PlacedTasks, late.PlacedTasks)
 	}
 }
 
@@ -322,9 +322,9 @@
 	}
 	late, large, small := submitArray(1, 9, 20), submitArray(2, 20, 70), submitArray(3, 3, 70)
 	s.Round(env.model, 5e9, true, env)
-	if small.Live != 3 || large.Live != 1 || late.Live != 0 {
+	if small.PlacedTasks != 3 || large.PlacedTasks != 1 || late.PlacedTasks != 0 {
 		t.Errorf("tasks placed: small job %d, large job %d, late job %d; want 3, 1, 0",
-			small.Live, large.Live, late.Live)
+			small.PlacedTasks, large.PlacedTasks, late.PlacedTasks)
 	}
 }
 
@@ -396,7 +396,7 @@
 		env.test.Fatalf("job %d placed on %s with reported score %g, want %g",
 			j.ID, machine.Info.Name, reportedScore, best)
 	}
-	for _, o := range env.model.Order {
+	for _, o := range env.model.MachinesInOrder {
 		if o.IsUsable() && env.fits(j, o) && score(o) < best-1e-9 {
 			env.test.Fatalf("job %d placed on %s with score %g, but %s has %g",
 				j.ID, machine.Info.Name, best, o.Info.Name, score(o))
@@ -434,7 +434,7 @@
 			if j, machine := env.findPlaceableJob(); j != nil {
 				t.Fatalf("seed %d: job %d is waiting although it fits on %s", seed, j.ID, machine.Info.Name)
 			}
-			for _, machine := range env.model.Order {
+			for _, machine := range env.model.MachinesInOrder {
 				env.finishSome(machine, func() bool { return rng.IntN(3) == 0 })
 			}
 		}
@@ -447,7 +447,7 @@
 		if j.Waiting() == 0 || !j.TeamLimitAllows(1) {
 			continue
 		}
-		for _, machine := range env.model.Order {
+		for _, machine := range env.model.MachinesInOrder {
 			if env.fits(j, machine) {
 				return j, machine
 			}
@@ -481,7 +481,7 @@
 	}
 	placed := len(env.placed)
 	r := env.model.Machines[7].Runs[0]
-	env.apply(&model.Entry{Kind: model.EntryDone, Job: 1, Task: r.Task, Attempt: r.Attempt})
+	env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: 1, Task: r.Task, Attempt: r.Attempt})
 	if s.Round(env.model, 64e9, false, env); len(env.placed) != placed+1 {
 		t.Errorf("%d tasks placed after one completed, want 1", len(env.placed)-placed)
 	}
@@ -502,8 +502,8 @@
 	for i := range 5 {
 		s.Round(env.model, model.Time(100+i)*1e9, true, env)
 	}
-	if low.Live != 4 || len(env.stopped) != 0 || high.Live+one.Live != 0 {
-		t.Errorf("%d low-priority tasks placed, want 4; %v preempted, want none", low.Live, env.stopped)
+	if low.PlacedTasks != 4 || len(env.stopped) != 0 || high.PlacedTasks+one.PlacedTasks != 0 {
+		t.Errorf("%d low-priority tasks placed, want 4; %v preempted, want none", low.PlacedTasks, env.stopped)
 	}
 }
 
@@ -520,7 +520,7 @@
 	end := func(j *model.Job) {
 		for i := range j.Tasks {
 			if r := j.Tasks[i].Run; r != nil {
-				env.apply(&model.Entry{Kind: model.EntryDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
+				env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: j.ID, Task: r.Task, Attempt: r.Attempt})
 			}
 		}
 	}
@@ -530,19 +530,19 @@
 	s.Round(env.model, 1e9, true, env)
 	pair, late := gang(4, 2), gang(5, 1)
 	s.Round(env.model, 700e9, true, env)
-	if one.Live != 1 || other.Live != 1 || low.Live != 4 || pair.Live != 0 || len(env.stopped) != 0 {
+	if one.PlacedTasks != 1 || other.PlacedTasks != 1 || low.PlacedTasks != 4 || pair.PlacedTasks != 0 || len(env.stopped) != 0 {
 		t.Fatalf("placed %v, preempted %v for an incomplete gang, want none", env.placed, env.stopped)
 	}
 	end(one)
 	s.Round(env.model, 701e9, true, env)
-	if late.Live != 0 || len(env.stopped) != 4 {
-		t.Fatalf("%d members of a later gang placed, want 0; preempted %v, want 4", late.Live, env.stopped)
+	if late.PlacedTasks != 0 || len(env.stopped) != 4 {
+		t.Fatalf("%d members of a later gang placed, want 0; preempted %v, want 4", late.PlacedTasks, env.stopped)
 	}
 	for i := range 4 {
-		env.apply(&model.Entry{Kind: model.EntryEnded, Job: 3, Task: int32(i), Attempt: 1})
+		env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: 3, Task: int32(i), Attempt: 1})
 	}
-	if s.Round(env.model, 702e9, true, env); pair.Live != 2 {
-		t.Errorf("%d of 2 members placed: %v", pair.Live, env.placed)
+	if s.Round(env.model, 702e9, true, env); pair.PlacedTasks != 2 {
+		t.Errorf("%d of 2 members placed: %v", pair.PlacedTasks, env.placed)
 	}
 }
 
@@ -571,7 +571,7 @@
 	}
 	for _, r := range to.Runs {
 		if r.Stop {
-			env.apply(&model.Entry{Kind: model.EntryEnded, Job: 2, Task: r.Task, Attempt: r.Attempt})
+			env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: 2, Task: r.Task, Attempt: r.Attempt})
 			break
 		}
 	}
@@ -593,7 +593,7 @@
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	web := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 2000, wire.Service, wire.Production })
 	s.Round(env.model, 0, true, env)
-	for _, machine := range env.model.Order {
+	for _, machine := range env.model.MachinesInOrder {
 		machine.TouchImage(env.model, web, 0)
 		for _, r := range machine.Runs {
 			r.Phase = model.Running
@@ -603,8 +603,8 @@
 	for at := model.Time(10e9); at < 10.6e9; at += 50e6 {
 		s.Round(env.model, at, false, env)
 	}
-	if web.Live != 2000 || len(env.stopped) != 4 {
-		t.Errorf("%d replicas live, want 2000; %d moved in 0.6 s, want 4", web.Live, len(env.stopped))
+	if web.PlacedTasks != 2000 || len(env.stopped) != 4 {
+		t.Errorf("%d replicas live, want 2000; %d moved in 0.6 s, want 4", web.PlacedTasks, len(env.stopped))
 	}
 }
 
@@ -623,20 +623,20 @@
 	first := env.submitWeb(2, 1)
 	full.TouchImage(env.model, first, 0)
 	s.Round(env.model, 10e9, false, env)
-	if first.Live != 0 || len(env.stopped) != 1 {
+	if first.PlacedTasks != 0 || len(env.stopped) != 1 {
 		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
 	env.endStopping(full)
-	if s.Round(env.model, 10.2e9, false, env); first.Live != 1 || first.Tasks[0].Run.Machine != full {
+	if s.Round(env.model, 10.2e9, false, env); first.PlacedTasks != 1 || first.Tasks[0].Run.Machine != full {
 		t.Fatalf("placed %v", env.placed)
 	}
 	second := env.submitWeb(3, 2)
 	s.Round(env.model, 20e9, false, env) // low-priority tasks are preempted but do not stop
-	if s.Round(env.model, 20.3e9, false, env); second.Live != 0 || len(env.stopped) != 3 {
+	if s.Round(env.model, 20.3e9, false, env); second.PlacedTasks != 0 || len(env.stopped) != 3 {
 		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
 	s.Round(env.model, 20.7e9, false, env)
-	if second.Live != 2 || second.Tasks[0].Run.Machine == full || len(env.stopped) != 3 {
+	if second.PlacedTasks != 2 || second.Tasks[0].Run.Machine == full || len(env.stopped) != 3 {
 		t.Errorf("after the wait timed out: placed %v, preempted %v", env.placed, env.stopped)
 	}
 }
@@ -659,7 +659,7 @@
 		}
 		s.Round(env.model, 0, true, env) // the team reaches its limit of 12 CPUs
 		cpus, reason := env.model.Teams[0].UsedCPUs, low.Scheduling.PendingReason
-		if cpus != 12 || low.Live != 8 || reason.Code != pending.TeamLimit {
+		if cpus != 12 || low.PlacedTasks != 8 || reason.Code != pending.TeamLimit {
 			t.Fatalf("the team uses %g CPUs, want 12; pending reason %q", cpus, reason)
 		}
 		gang := env.submit(3, func(s *wire.JobSpec) {
@@ -670,7 +670,7 @@
 		}
 		for round := range 40 {
 			s.Round(env.model, model.Time(20+round)*1e9, true, env)
-			for _, machine := range env.model.Order { // preempted tasks end
+			for _, machine := range env.model.MachinesInOrder { // preempted tasks end
 				env.endStopping(machine)
 			}
 		}
@@ -680,9 +680,9 @@
 			}
 			continue
 		}
-		if gang.Live != 1 || len(env.stopped) != 4 {
+		if gang.PlacedTasks != 1 || len(env.stopped) != 4 {
 			t.Errorf("%d gang members running, want 1; %d tasks preempted for its 4 CPUs, want 4",
-				gang.Live, len(env.stopped))
+				gang.PlacedTasks, len(env.stopped))
 		}
 	}
 }
@@ -698,7 +698,7 @@
 	info := &model.MachineInfo{Name: "m9", Type: "g", Zone: "a"}
 	env.apply(&model.Entry{Kind: model.EntryMachine, Machine: 9, Info: info})
 	spare := env.model.Machines[9]
-	spare.Contact.Reported, spare.Contact.Session = true, 1
+	spare.Contact.Reported, spare.Contact.AgentEpoch = true, 1
 	s := New(webStartParams)
 	s.LowPriorityAllowed = map[*model.Machine]bool{spare: true}
 	env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.Image, s.Types = 4, "j", []string{"g"} })
@@ -706,11 +706,11 @@
 	web := env.submitWeb(2, 1)
 	spare.TouchImage(env.model, web, 0)
 	s.Round(env.model, 10e9, false, env)
-	if web.Live != 0 || len(env.stopped) != 1 {
+	if web.PlacedTasks != 0 || len(env.stopped) != 1 {
 		t.Fatalf("placed %v, preempted %v", env.placed, env.stopped)
 	}
 	env.endStopping(spare)
-	if s.Round(env.model, 10.2e9, false, env); web.Live != 1 || web.Tasks[0].Run.Machine != spare {
+	if s.Round(env.model, 10.2e9, false, env); web.PlacedTasks != 1 || web.Tasks[0].Run.Machine != spare {
 		t.Errorf("placed %v, preempted %v", env.placed, env.stopped)
 	}
 }
@@ -725,9 +725,9 @@
 	web := env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.Shape, s.Priority = 6, wire.Service, wire.Production })
 	for round := range 4 {
 		s.Round(env.model, model.Time(round)*1e9, true, env)
-		if low.Live != 5*(round+1) || web.Live != 6 || s.LowPriorityDeferred != (round < 3) {
+		if low.PlacedTasks != 5*(round+1) || web.PlacedTasks != 6 || s.LowPriorityDeferred != (round < 3) {
 			t.Fatalf("round %d: %d low-priority tasks and %d replicas placed, deferred %v",
-				round, low.Live, web.Live, s.LowPriorityDeferred)
+				round, low.PlacedTasks, web.PlacedTasks, s.LowPriorityDeferred)
 		}
 	}
 }
@@ -740,11 +740,11 @@
 	env.model.Machines[1].Health.SlowUntil = 60e9
 	array := env.submit(1, func(s *wire.JobSpec) { s.Tasks = 2 })
 	web := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Priority = wire.Service, wire.Production })
-	if s.Round(env.model, 1e9, true, env); array.Live != 0 || web.Live != 1 {
-		t.Errorf("%d array tasks and %d replicas placed, want 0 and 1", array.Live, web.Live)
+	if s.Round(env.model, 1e9, true, env); array.PlacedTasks != 0 || web.PlacedTasks != 1 {
+		t.Errorf("%d array tasks and %d replicas placed, want 0 and 1", array.PlacedTasks, web.PlacedTasks)
 	}
-	if s.Round(env.model, 61e9, true, env); array.Live != 2 {
-		t.Errorf("after the mark expired: %d array tasks placed, want 2", array.Live)
+	if s.Round(env.model, 61e9, true, env); array.PlacedTasks != 2 {
+		t.Errorf("after the mark expired: %d array tasks placed, want 2", array.PlacedTasks)
 	}
 }
 
@@ -768,14 +768,14 @@
 			machine.TouchImage(env.model, gang, 0)
 			for k := range 4 {
 				task := int32(4*i + k)
-				env.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, Session: 1})
+				env.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, AgentEpoch: 1})
 				low.Tasks[task].Run.StartedAt = 1e9
 			}
 		}
 		s.Round(env.model, 3e9, true, env)
-		if preempted := len(env.stopped) > 0; preempted != c.wantPreempt || c.wantPreempt != (gang.Live == 0) {
+		if preempted := len(env.stopped) > 0; preempted != c.wantPreempt || c.wantPreempt != (gang.PlacedTasks == 0) {
 			t.Errorf("image of %g GB: %d tasks preempted, %d members placed, pending reason %q",
-				c.imageGB, len(env.stopped), gang.Live, gang.Scheduling.PendingReason)
+				c.imageGB, len(env.stopped), gang.PlacedTasks, gang.Scheduling.PendingReason)
 		}
 	}
 }
--- a/internal/scheduling/scheduler/team_quota.go
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -102,7 +102,7 @@
 	shortfall.cpus, shortfall.gpus = r.quota.shortfall(j, n)
 	cpus, gpus := shortfall.cpus, shortfall.gpus
 	shortfall.pool = r.teamVictimPool[:0]
-	for _, machine := range r.model.Order {
+	for _, machine := range r.model.MachinesInOrder {
 		for _, run := range machine.Runs {
 			if run.Job.Team != j.Team {
 				continue
