--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -105,7 +105,7 @@
 // onCommandOutcome processes the outcome of a direct command and the status report that the agent responded with, if
 // any.
 func (cd *commandDispatcher) onCommandOutcome(
-	sent *directCommand, fate agent.CommandFate, report *wire.Heartbeat, err error,
+	sent *directCommand, fate agent.CommandOutcome, report *wire.Heartbeat, err error,
 ) {
 	if cd.term.ownTerm != sent.term {
 		return
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -63,7 +63,7 @@
 
 // TestGoldenCommandFates checks the numbers of command fates, which controllers exchange.
 func TestGoldenCommandFates(t *testing.T) {
-	for number, fate := range []agent.CommandFate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
+	for number, fate := range []agent.CommandOutcome{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(fate) != number {
 			t.Errorf("fate has number %d, want %d", fate, number)
 		}
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -114,7 +114,7 @@
 // lost meanwhile, the command may be executed at any later time, like one that is delayed in the network.
 func (ra *relayAssignments) sendOrders(
 	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
-) (agent.CommandFate, *wire.Heartbeat, error) {
+) (agent.CommandOutcome, *wire.Heartbeat, error) {
 	if via == nil {
 		return ra.agents.SendOrders(ctx, addr, orders)
 	}
@@ -133,7 +133,7 @@
 	if err != nil || outcome.Outcome > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandFate(outcome.Outcome), outcome.Report, nil
+	return agent.CommandOutcome(outcome.Outcome), outcome.Report, nil
 }
 
 // relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -224,7 +224,7 @@
 		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, logger) }()
 		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", logger)
 		node := &Controller{}
-		fateOf := func(id string) agent.CommandFate {
+		fateOf := func(id string) agent.CommandOutcome {
 			fate, _, _ := node.assignments.sendOrders(ctx, link, id, &wire.Orders{})
 			return fate
 		}
@@ -233,7 +233,7 @@
 		}
 		go link.Run(ctx)
 		time.Sleep(time.Second)
-		for id, want := range map[string]agent.CommandFate{
+		for id, want := range map[string]agent.CommandOutcome{
 			"executed":   agent.Executed,
 			"unanswered": agent.Unknown,
 			"busy":       agent.Unsent,
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -79,15 +79,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.Close() }
 
-// CommandFate is the outcome of a direct command.
-type CommandFate int
+// CommandOutcome is the outcome of a direct command.
+type CommandOutcome int
 
 // The outcomes of a command. The numbers are part of the format between controllers.
 const (
-	Executed CommandFate = iota
-	Refused              // rejected, for example because of its fencing token or agent epoch: nothing was executed
-	Unsent               // certainly not sent
-	Unknown              // possibly executed, now or at any later time
+	Executed CommandOutcome = iota
+	Refused                 // rejected, for example because of its fencing token or agent epoch: nothing was executed
+	Unsent                  // certainly not sent
+	Unknown                 // possibly executed, now or at any later time
 )
 
 // Probe requests a heartbeat from an agent.
@@ -101,7 +101,7 @@
 // SendOrders sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
 func (c *Client) SendOrders(
 	ctx context.Context, addr string, orders *wire.Orders,
-) (CommandFate, *wire.Heartbeat, error) {
+) (CommandOutcome, *wire.Heartbeat, error) {
 	timer := time.NewTimer(slotTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -29,7 +29,7 @@
 		network := emulator.NewNetwork()
 		client := New(network.Host("node"), 3*time.Second, conns)
 		var mu sync.Mutex
-		fates := map[CommandFate]int{}
+		fates := map[CommandOutcome]int{}
 		var wg sync.WaitGroup
 		for i := range machines {
 			addr := fmt.Sprintf("w%d:1", i)
