--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -139,7 +139,7 @@
 		Peers:  func(i int) string { return c.addr(peersOffset + i) },
 		Worker: func(i int) string { return c.addr(workersOffset + i) },
 	}
-	networkOf := func(string) host.Net { return host.Real{} }
+	networkOf := func(string) host.Net { return host.TCP{} }
 	return emulator.NewOnNetwork(ctx, networkOf, addresses, controllerCount, c.Seed, start)
 }
 
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -108,7 +108,7 @@
 	if share := settings.Params.Limits.CPUShare; share < 1.5 {
 		runtime.GOMAXPROCS(1) // threads beyond the share only cost switches
 	}
-	return controller.New(host.Real{}, settings, controller.Options{
+	return controller.New(host.TCP{}, settings, controller.Options{
 		Beta:           s.Beta,
 		Threshold:      s.Threshold,
 		WaitRounds:     s.WaitRounds,
--- a/internal/platform/agent/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	recorder := golden.Record(t)
-	c := New(host.Real{}, 10*time.Second, 4)
+	c := New(host.TCP{}, 10*time.Second, 4)
 	defer c.Close()
 	grace := 2.5
 	orders := &wire.Orders{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []wire.Command{
--- a/internal/platform/cloud/golden_test.go
+++ b/internal/platform/cloud/golden_test.go
@@ -19,7 +19,7 @@
 	second := machine
 	second.Name, second.State = "m-8 &", wire.MachineFailed
 	recorder := golden.Record(t)
-	c := New(host.Real{}, recorder.Addr, 1000)
+	c := New(host.TCP{}, recorder.Addr, 1000)
 	defer c.Close()
 	ctx := context.Background()
 	machineType := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1,
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -13,14 +13,14 @@
 	Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// Real is the TCP network of the operating system.
-type Real struct{}
+// TCP is the TCP network of the operating system.
+type TCP struct{}
 
 // Listen implements Net.
-func (Real) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+func (TCP) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
 // Dial implements Net. TCP keep-alives are disabled, as all protocols on top have their own timeouts.
-func (Real) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+func (TCP) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -136,7 +136,7 @@
 // Listen listens on an address.
 func (h *hostNet) Listen(addr string) (net.Listener, error) {
 	if !h.worker {
-		return host.Real{}.Listen(addr)
+		return host.TCP{}.Listen(addr)
 	}
 	l := &workerListener{network: h.network, addr: addr, conns: make(chan net.Conn, 16), closed: make(chan struct{})}
 	h.network.mu.Lock()
@@ -147,7 +147,7 @@
 
 // Dial connects to an address.
 func (h *hostNet) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
-	c, err := host.Real{}.Dial(ctx, addr, timeout)
+	c, err := host.TCP{}.Dial(ctx, addr, timeout)
 	if err != nil {
 		return nil, err
 	}
