--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -169,9 +169,9 @@
 	})
 }
 
-// Follow waits for up to hold for changes under a prefix after a revision. A status error with code 410 means that the
+// Watch waits for up to hold for changes under a prefix after a revision. A status error with code 410 means that the
 // store no longer has them.
-func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
 	query := url.Values{"starts": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
 	var events wire.Events
 	return &events, c.do(ctx, request{
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -92,7 +92,7 @@
 func (r intakeRecords) WatchIntake(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (revision uint64, arrived bool, err error) {
-	changes, err := r.store.client.Follow(ctx, prefixIntake, after, hold)
+	changes, err := r.store.client.Watch(ctx, prefixIntake, after, hold)
 	if err != nil {
 		return 0, false, fmt.Errorf("oplog: follow %s: %w", prefixIntake, err)
 	}
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -209,7 +209,7 @@
 // Follow waits up to hold for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the
 // revision is too old and the log must be loaded again.
 func (l *Log) Follow(ctx context.Context, after uint64, hold time.Duration) (*Update, error) {
-	changes, err := l.store.client.Follow(ctx, prefix, after, hold)
+	changes, err := l.store.client.Watch(ctx, prefix, after, hold)
 	if err != nil {
 		return nil, fmt.Errorf("oplog: follow: %w", err)
 	}
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -81,7 +81,7 @@
 func (r roleRecords) FollowRoles(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (updates []RoleUpdate, revision uint64, err error) {
-	changes, err := r.store.client.Follow(ctx, prefixRole, after, hold)
+	changes, err := r.store.client.Watch(ctx, prefixRole, after, hold)
 	if err != nil {
 		return nil, 0, fmt.Errorf("oplog: follow %s: %w", prefixRole, err)
 	}
