--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -86,7 +86,7 @@
 	defer el.mu.Unlock()
 	now := el.now()
 	el.state.RecordLeader(hasLeader, now)
-	return el.state.MayStand(now)
+	return el.state.MayBeCandidate(now)
 }
 
 // recordLeader records that there was a leader until now: an earlier process of this node.
@@ -100,7 +100,7 @@
 func (el *eligibility) leaderlessSince() (model.Time, bool) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
-	return el.state.VacantSince()
+	return el.state.LeaderlessSince()
 }
 
 // hasWarmPeer reports whether another controller is known to follow the log to its end.
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -189,9 +189,9 @@
 	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
 
-// MayStand tells whether this node may stand for election now. If not, retryAfter is the longest time until it must ask
+// MayBeCandidate tells whether this node may stand for election now. If not, retryAfter is the longest time until it must ask
 // again.
-func (e *Eligibility) MayStand(now Time) (ok bool, retryAfter Time) {
+func (e *Eligibility) MayBeCandidate(now Time) (ok bool, retryAfter Time) {
 	if !e.vacant {
 		return false, e.rules.FreshPeriod
 	}
@@ -223,8 +223,8 @@
 	return true, 0
 }
 
-// VacantSince returns when the absence of a leader was first noted, if there is none.
-func (e *Eligibility) VacantSince() (Time, bool) { return e.vacantSince, e.vacant }
+// LeaderlessSince returns when the absence of a leader was first noted, if there is none.
+func (e *Eligibility) LeaderlessSince() (Time, bool) { return e.vacantSince, e.vacant }
 
 // HasWarmPeer tells whether another node currently reports that it is warm.
 func (e *Eligibility) HasWarmPeer(now Time) bool {
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -23,7 +23,7 @@
 			receive(now)
 		}
 		eligibility.RecordLeader(false, now)
-		ok, retryAfter := eligibility.MayStand(now)
+		ok, retryAfter := eligibility.MayBeCandidate(now)
 		if ok {
 			return now
 		}
@@ -116,11 +116,11 @@
 	now := DefaultRules.FreshPeriod
 	eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 	eligibility.RecordLeader(true, now)
-	if ok, _ := eligibility.MayStand(now); ok {
+	if ok, _ := eligibility.MayBeCandidate(now); ok {
 		t.Error("stands while a leader is known")
 	}
 	eligibility.RecordLeader(false, now)
-	if ok, _ := eligibility.MayStand(now); !ok {
+	if ok, _ := eligibility.MayBeCandidate(now); !ok {
 		t.Error("yields although it is not fresh")
 	}
 }
