--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -112,7 +112,7 @@
 
 // advance moves provenAt forward if the round has proven a later time.
 func (cf *commitFence) advance(round *barrierRound) {
-	provenOffset, ok := round.Proven()
+	provenOffset, ok := round.CompleteAt()
 	if !ok || cf.replica.generation != round.generation || !cf.replica.loaded {
 		return // not proven, or the copy has been replaced since the round began
 	}
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -108,5 +108,7 @@
 	r.unconfirmed--
 }
 
-// Proven tells whether all peers have confirmed, and if so, the time at which this node was as good as complete.
-func (r *BarrierRound) Proven() (completeAt Time, ok bool) { return r.startedAt, r.unconfirmed == 0 }
+// CompleteAt tells whether all peers have confirmed, and if so, the time at which this node was as good as complete.
+func (r *BarrierRound) CompleteAt() (completeAt Time, ok bool) {
+	return r.startedAt, r.unconfirmed == 0
+}
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -121,7 +121,7 @@
 		h.delay("response delay")
 		round.Record(n, report, h.requesterTime())
 	}
-	at, ok := round.Proven()
+	at, ok := round.CompleteAt()
 	if !ok {
 		h.unproven++
 		return
