--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -93,7 +93,7 @@
 	term := cp.term.ownTerm
 	commits := &term.commits
 	data := entry.Append(nil)
-	index := commits.enqueue(data, cp.oplog.MaxData(), entry.Kind == model.EntryAccept)
+	index := commits.enqueue(data, cp.oplog.MaxBatchBytes(), entry.Kind == model.EntryAccept)
 	seq := term.nextSeq() - uint64(len(commits.queue)-1-index)
 	commits.urgent = commits.urgent || cp.isUrgent(entry)
 	if err := cp.replica.model.Apply(entry, seq, cp.now()); err != nil {
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -119,7 +119,7 @@
 	jobs := term.intake.droppable
 	term.intake.droppable, term.intake.dropInFlight = nil, true
 	go func() {
-		err := in.oplog.DropIntake(term.ctx, &term.leader, jobs)
+		err := in.oplog.DeleteIntake(term.ctx, &term.leader, jobs)
 		in.loop.post(func() { in.onDropped(term, jobs, err) })
 	}()
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -136,7 +136,7 @@
 
 // replaceModel replaces the model by the result of a load that was sent at sentAt. After an error the replica counts as
 // not loaded.
-func (rp *replica) replaceModel(loaded *oplog.Loaded, sentAt time.Time) error {
+func (rp *replica) replaceModel(loaded *oplog.LogState, sentAt time.Time) error {
 	lastSeq := loaded.SnapshotSeq + uint64(len(loaded.Batches))
 	if rp.loaded && rp.appliedSeq >= lastSeq {
 		// A request has read the end of the log after this load did. The model must not go back to an older state,
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -164,7 +164,7 @@
 		return
 	}
 	zl.lastPartitionReport = now
-	maxData := zl.oplog.MaxData()
+	maxData := zl.oplog.MaxBatchBytes()
 	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // parts end between varints
 	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxData)
 	record := oplog.PartitionedNode{
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -157,7 +157,7 @@
 				s.depose(n)
 			}
 			remaining := s.keysOfLog(nodes[0])
-			part := nodes[0].MaxData()
+			part := nodes[0].MaxBatchBytes()
 			if want := 4 + (len(snapshot(57))+part-1)/part; len(remaining) != want {
 				t.Errorf("interrupted after %v: %d keys remain, want %d: %v",
 					interruptAfter, len(remaining), want, remaining)
@@ -376,7 +376,7 @@
 			}
 			return list[1]
 		}
-		part := func(b byte) []byte { return bytes.Repeat([]byte{b}, n.MaxData()) }
+		part := func(b byte) []byte { return bytes.Repeat([]byte{b}, n.MaxBatchBytes()) }
 		long := oplog.PartitionedNode{Node: "n2", Seq: 7, Data: part(0),
 			Parts: [][]byte{part(1), part(2), part(3), part(4), part(5), part(6)}}
 		short := oplog.PartitionedNode{Node: "n2", Seq: 8, Data: part(9), Parts: [][]byte{part(8)}}
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -231,7 +231,7 @@
 	return f.log.String(), got, err
 }
 
-var loaded = &oplog.Loaded{SnapshotSeq: 41, Snapshot: []byte("snapshot"), Revision: 500,
+var loaded = &oplog.LogState{SnapshotSeq: 41, Snapshot: []byte("snapshot"), Revision: 500,
 	Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499},
 	Batches: []oplog.Batch{{Seq: 42, Term: 8, Data: []byte("first")}, {Seq: 43, Term: 9, Data: []byte("second")}}}
 
@@ -306,7 +306,7 @@
 			return []any{revision, arrived}, err
 		}, []any{uint64(522), true}, nil},
 		{"drop intake", "txn", func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
-			return nil, l.DropIntake(ctx, goldenLeader(), []uint64{300, 7})
+			return nil, l.DeleteIntake(ctx, goldenLeader(), []uint64{300, 7})
 		}, nil, nil},
 	}
 }
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -102,9 +102,9 @@
 	return max(after, changes.Revision), arrived, nil
 }
 
-// DropIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
+// DeleteIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
 // the spare write budget.
-func (r intakeRecords) DropIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
+func (r intakeRecords) DeleteIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
 		n := min(len(jobs), r.store.maxTxnOps, r.store.writeLimiter.Burst()/2)
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -46,8 +46,8 @@
 	Version uint64 // version of the key: the fencing token of all writes of this leader
 }
 
-// Loaded is the complete log, as read by Load.
-type Loaded struct {
+// LogState is the complete log, as read by Load.
+type LogState struct {
 	SnapshotSeq uint64 // last batch covered by the snapshot; 0 if there is no snapshot
 	Snapshot    []byte
 	Batches     []Batch // batches after the snapshot
@@ -99,15 +99,15 @@
 	})
 }
 
-// MaxData is the maximum size of a batch in bytes.
-func (l *Log) MaxData() int { return l.store.maxDataBytes }
+// MaxBatchBytes is the maximum size of a batch in bytes.
+func (l *Log) MaxBatchBytes() int { return l.store.maxDataBytes }
 
 // loadAttempts is the maximum number of times that Load reads the log while concurrent compactions change it.
 const loadAttempts = 5
 
 // Load reads the snapshot and the batches after it. It restarts if a concurrent compaction deleted keys that it needs;
 // if that happens at every attempt, the error is a *MissingKeyError.
-func (l *Log) Load(ctx context.Context) (loaded *Loaded, err error) {
+func (l *Log) Load(ctx context.Context) (loaded *LogState, err error) {
 	for range loadAttempts {
 		loaded, err = l.load(ctx)
 		var missing *MissingKeyError
@@ -121,7 +121,7 @@
 	return loaded, nil
 }
 
-func (l *Log) load(ctx context.Context) (*Loaded, error) {
+func (l *Log) load(ctx context.Context) (*LogState, error) {
 	var items []wire.Item
 	revision, err := l.store.rangeAll(ctx, prefix, "", func(item *wire.Item) error {
 		items = append(items, *item)
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	// The revision is that of the first page: following from there reports again whatever changed between the pages.
-	loaded := &Loaded{Revision: revision}
+	loaded := &LogState{Revision: revision}
 	byKey := map[string]*wire.Item{}
 	for i := range items {
 		byKey[items[i].Key] = &items[i]
@@ -151,7 +151,7 @@
 }
 
 // readSnapshot joins the parts of the current snapshot, if there is one.
-func (l *Loaded) readSnapshot(byKey map[string]*wire.Item) error {
+func (l *LogState) readSnapshot(byKey map[string]*wire.Item) error {
 	item := byKey[keyMeta]
 	if item == nil {
 		return nil
@@ -177,7 +177,7 @@
 }
 
 // readBatches decodes the batches after the snapshot, which must be numbered without gaps.
-func (l *Loaded) readBatches(items []wire.Item) error {
+func (l *LogState) readBatches(items []wire.Item) error {
 	next := l.SnapshotSeq + 1
 	for i := range items {
 		key := items[i].Key
