--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -304,7 +304,7 @@
 func newRoleState(node string) *roleState {
 	state := &roleState{participants: map[string]bool{}}
 	for i := range state.roles {
-		name := singleton.Name(i)
+		name := singleton.RoleName(i)
 		state.roles[i] = singleton.New(name, node, singleton.DefaultRules(name))
 	}
 	return state
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -96,7 +96,7 @@
 			send(result.Unsupported{Reason: "duties are not held one by one here"})
 		case !rs.term.isActive():
 			send(result.Unavailable{Reason: "no leader here", RetryAfter: time.Second})
-		case !rs.state.roles[singleton.Provisioning].IsCurrent(term):
+		case !rs.state.roles[singleton.Provisioning].IsCurrentTerm(term):
 			send(result.Superseded{Reason: "another holds the duty"})
 		default:
 			rs.provisioning.onProvisionerResult(rs.term.ownTerm, outcome)
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -38,10 +38,10 @@
 // roleState is this controller's view of the singleton roles. The other participants and holders are read from the
 // key-value store. This controller's own roles are recorded there as well, under leases.
 type roleState struct {
-	roles           [singleton.NameCount]*singleton.Role
+	roles           [singleton.RoleCount]*singleton.Role
 	loaded          bool                         // the keys have been read at least once
 	participants    map[string]bool              // controllers that participate
-	holdings        [singleton.NameCount]holding // the work in progress for each role held here
+	holdings        [singleton.RoleCount]holding // the work in progress for each role held here
 	provisioner     *provisioner.Provisioner     // of the provisioning role, nil if it is not held here
 	compactor       *logCompactor                // of the compaction role, nil if it is not held here
 	writeRateShared bool                         // a share of the write rate is reserved for the compactor
@@ -157,14 +157,14 @@
 }
 
 // roleView returns what this controller knows of the others, as input for role decisions.
-func (rs *singletonRoles) roleView() *singleton.View {
-	view := &singleton.View{Ready: rs.rolesDistributed(), Live: []string{rs.settings.Node}}
+func (rs *singletonRoles) roleView() *singleton.ClusterView {
+	view := &singleton.ClusterView{RolesDistributed: rs.rolesDistributed(), LiveNodes: []string{rs.settings.Node}}
 	for _, link := range rs.links {
 		if time.Since(link.LastResponse()) < linkTimeout {
-			view.Live = append(view.Live, link.Node)
+			view.LiveNodes = append(view.LiveNodes, link.Node)
 		}
 	}
-	slices.Sort(view.Live)
+	slices.Sort(view.LiveNodes)
 	if rs.term.leader != nil {
 		view.Leader = rs.term.leader.Node
 	}
@@ -178,7 +178,7 @@
 		return
 	}
 	view := rs.roleView()
-	rs.shareWriteRate(view.Ready)
+	rs.shareWriteRate(view.RolesDistributed)
 	for _, role := range state.roles {
 		switch role.Decide(rs.now(), view) {
 		case singleton.Acquire:
@@ -268,7 +268,7 @@
 	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(),
 		"reason", role.ReleaseReason())
 	name, lease, term := role.Name.String(), role.Lease(), role.Term()
-	noProgress, stalledHolders := role.NoProgress(), role.StalledHolders()
+	noProgress, stalledHolders := role.ReleasedWithoutProgress(), role.StalledHolders()
 	role.Released()
 	rs.syncRole(role)
 	go func() {
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -20,7 +20,7 @@
 }
 
 // findRoleHolder returns the index of the controller that holds a role, or -1 if none does.
-func findRoleHolder(name singleton.Name) int {
+func findRoleHolder(name singleton.RoleName) int {
 	for i := range 3 {
 		holds := false
 		if node := nodeAt(i); node != nil && node.roles.state != nil {
@@ -88,7 +88,7 @@
 		time.Sleep(45 * time.Second)
 		holder := findRoleHolder(singleton.Provisioning)
 		w.PartitionCloud(holder, true)
-		time.Sleep(singleton.DefaultRules(singleton.Provisioning).Patience + 8*time.Second)
+		time.Sleep(singleton.DefaultRules(singleton.Provisioning).StallTimeout + 8*time.Second)
 		next := findRoleHolder(singleton.Provisioning)
 		if next == holder || next < 0 {
 			t.Fatalf("provisioner is %d, want a controller that reaches the cloud (not %d)", next, holder)
@@ -151,7 +151,7 @@
 		distributedRoles = false
 		w.Start(2)
 		time.Sleep(5 * time.Second)
-		for _, name := range []singleton.Name{singleton.Provisioning, singleton.Compaction} {
+		for _, name := range []singleton.RoleName{singleton.Provisioning, singleton.Compaction} {
 			if h := findRoleHolder(name); h >= 0 {
 				t.Errorf("node %d holds %v although a node does not participate", h, name)
 			}
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -27,7 +27,7 @@
 )
 
 var modelRules = Rules{
-	TTL: 3, TrustPeriod: 2, RenewInterval: 1, Patience: 2, InitialBackoff: 2, MaxBackoff: 4, SettleTime: 100,
+	TTL: 3, TrustPeriod: 2, RenewInterval: 1, StallTimeout: 2, InitialBackoff: 2, MaxBackoff: 4, SettleTime: 100,
 }
 
 // wantedRequests is the number of scale-out requests in the log at the start.
@@ -185,7 +185,7 @@
 		n := &s.nodes[i]
 		holds := s.holder == i && n.role.Term() == s.term
 		heldFor := s.now - n.role.HeldSince()
-		if holds && !n.provisioned && !n.wrote && heldFor > modelRules.Patience+modelRules.TTL+2 {
+		if holds && !n.provisioned && !n.wrote && heldFor > modelRules.StallTimeout+modelRules.TTL+2 {
 			return nodeName(i) + " holds the role too long without progress"
 		}
 	}
@@ -256,7 +256,7 @@
 		}
 	case provisionResponse:
 		// The result is reported to the leader, which accepts it only from the current holder.
-		if n.role.Term() == m.term && n.role.IsCurrent(m.term) {
+		if n.role.Term() == m.term && n.role.IsCurrentTerm(m.term) {
 			n.provisioned = true
 			n.role.RecordProgress(s.now)
 			s.openRequests = slices.DeleteFunc(s.openRequests, func(s string) bool { return s == m.name })
@@ -372,7 +372,7 @@
 		next.RecordIdle(s.now)
 	}
 	await := func(s *modelState) { s.nodes[i].role, s.nodes[i].awaitingResponse = next, true }
-	switch next.Decide(s.now, &View{Ready: true, Live: []string{"A", "B"}, Leader: "?"}) {
+	switch next.Decide(s.now, &ClusterView{RolesDistributed: true, LiveNodes: []string{"A", "B"}, Leader: "?"}) {
 	case Acquire:
 		request := message{kind: acquireRequest, node: i, sent: s.now, lease: uint64(10*(i+1)) + uint64(s.now)}
 		sendSteps(step, !s.promptDelivery, self+" requests the key", request, await)
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -25,18 +25,18 @@
 // Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Name identifies a role.
-type Name uint8
+// RoleName identifies a role.
+type RoleName uint8
 
 // The roles. Scheduling is not one of them: it belongs to the leader, whose lease is managed by package election.
 const (
-	Provisioning Name = iota // listing the cloud's machine types and machines, scale-out and scale-in
-	Compaction               // snapshots, log compaction, deletion of records that are in the log
-	NameCount                // number of roles
+	Provisioning RoleName = iota // listing the cloud's machine types and machines, scale-out and scale-in
+	Compaction                   // snapshots, log compaction, deletion of records that are in the log
+	RoleCount                    // number of roles
 )
 
 // String returns the role's name in keys, logs and metrics.
-func (n Name) String() string {
+func (n RoleName) String() string {
 	switch n {
 	case Provisioning:
 		return "rent"
@@ -51,7 +51,7 @@
 	TTL            Time // duration of the lease
 	TrustPeriod    Time // how long after sending a renewal the lease is guaranteed to last; below TTL
 	RenewInterval  Time // between renewals
-	Patience       Time // maximum time without progress
+	StallTimeout   Time // maximum time without progress
 	InitialBackoff Time // initial backoff of a holder without progress; doubled each time
 	MaxBackoff     Time // upper bound of the backoff
 	RankDelay      Time // additional delay per rank before a node acquires a free role; none for the first
@@ -70,18 +70,18 @@
 
 // DefaultRules returns the rules of a role. The lease is twice as long as a leader's, since no user request waits for a
 // role.
-func DefaultRules(n Name) Rules {
+func DefaultRules(n RoleName) Rules {
 	rules := Rules{
 		TTL:            6 * time.Second,
 		RenewInterval:  1500 * time.Millisecond,
-		Patience:       20 * time.Second,
+		StallTimeout:   20 * time.Second,
 		InitialBackoff: 10 * time.Second,
 		MaxBackoff:     5 * time.Minute,
 		RankDelay:      500 * time.Millisecond,
 		SettleTime:     settleTime + settleTime*Time(n),
 	}
 	if n == Compaction {
-		rules.Patience = time.Minute
+		rules.StallTimeout = time.Minute
 	}
 	rules.TrustPeriod = rules.TTL - rules.TTL/maxClockDriftDivisor - trustMargin
 	return rules
@@ -94,11 +94,11 @@
 	Since Time   // when this node observed it
 }
 
-// View is what a node knows of the other nodes.
-type View struct {
-	Ready  bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
-	Live   []string // responding nodes, this one included
-	Leader string   // empty if unknown
+// ClusterView is what a node knows of the other nodes.
+type ClusterView struct {
+	RolesDistributed bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
+	LiveNodes        []string // responding nodes, this one included
+	Leader           string   // empty if unknown
 }
 
 // Decision is the next action of a node for a role.
@@ -124,7 +124,7 @@
 
 // Role is one node's local state of a role.
 type Role struct {
-	Name  Name
+	Name  RoleName
 	Node  string // this node
 	Rules Rules
 
@@ -151,7 +151,7 @@
 }
 
 // New returns the state of a role that this node does not hold and has not observed.
-func New(n Name, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
+func New(n RoleName, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
 // Observe records the content of the role's key. Without a holder, Term is the revision at which the key was deleted.
 // Terms are revisions too, so the two are comparable, and an older message that arrives late is recognized.
@@ -201,21 +201,21 @@
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
+// ReleasedWithoutProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
 // the next holders.
-func (r *Role) NoProgress() bool { return r.noProgress }
+func (r *Role) ReleasedWithoutProgress() bool { return r.noProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent tells whether a report made under a term is valid, that is, whether the term is not older than the observed
+// IsCurrentTerm tells whether a report made under a term is valid, that is, whether the term is not older than the observed
 // key.
-func (r *Role) IsCurrent(term uint64) bool { return term != 0 && term >= r.holder.Term }
+func (r *Role) IsCurrentTerm(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
 // patience returns the maximum time without progress, which is longer if no other node made progress either.
-func (r *Role) patience(v *View) Time {
-	limit := r.Rules.Patience
-	for rounds := r.stalledHolders / max(1, len(v.Live)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
+func (r *Role) patience(v *ClusterView) Time {
+	limit := r.Rules.StallTimeout
+	for rounds := r.stalledHolders / max(1, len(v.LiveNodes)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
 		limit *= 2
 	}
 	return limit
@@ -242,8 +242,8 @@
 
 // rank returns this node's position in the order in which nodes may acquire the role: by a hash of role and node, with
 // the leader last, since it has the highest load already.
-func (r *Role) rank(v *View) int {
-	order := slices.Clone(v.Live)
+func (r *Role) rank(v *ClusterView) int {
+	order := slices.Clone(v.LiveNodes)
 	weight := func(node string) uint64 {
 		hash := fnv.New64a()
 		hash.Write([]byte(r.Name.String() + "/" + node))
@@ -262,7 +262,7 @@
 }
 
 // Decide returns the next action for the role.
-func (r *Role) Decide(now Time, v *View) Decision {
+func (r *Role) Decide(now Time, v *ClusterView) Decision {
 	switch {
 	case r.awaitingResponse || !r.observed:
 		return NoAction
@@ -273,8 +273,8 @@
 }
 
 // decideFree decides for a node that does not hold the role.
-func (r *Role) decideFree(now Time, v *View) Decision {
-	if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
+func (r *Role) decideFree(now Time, v *ClusterView) Decision {
+	if !v.RolesDistributed || r.holder.Node != "" || now < r.backoffUntil ||
 		now < r.freeSince+Time(r.rank(v))*r.Rules.RankDelay {
 		return NoAction
 	}
@@ -283,7 +283,7 @@
 }
 
 // decideHeld decides for the holder.
-func (r *Role) decideHeld(now Time, v *View) Decision {
+func (r *Role) decideHeld(now Time, v *ClusterView) Decision {
 	switch {
 	case now >= r.trustedUntil:
 		r.lose(reasonLeaseExpired)
@@ -295,10 +295,10 @@
 		r.backoffUntil = now + r.backoff
 		r.releaseReason = reasonNoProgress
 		return Release
-	case !v.Ready:
+	case !v.RolesDistributed:
 		r.releaseReason = reasonOlderNode
 		return Release
-	case r.Node == v.Leader && len(v.Live) > 1:
+	case r.Node == v.Leader && len(v.LiveNodes) > 1:
 		if r.betterHolderSince == 0 {
 			r.betterHolderSince = now
 		}
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -9,7 +9,7 @@
 // and the store's fast by the maximum drift.
 func TestTrustEndsBeforeTheLease(t *testing.T) {
 	const drift = 0.0005 // of each clock, in opposite directions
-	for n := range NameCount {
+	for n := range RoleCount {
 		rules := DefaultRules(n)
 		if slow := float64(rules.TrustPeriod) * (1 + 2*drift); slow >= float64(rules.TTL) {
 			t.Errorf("%v: trusted for up to %v, want less than the lease TTL of %v", n, time.Duration(slow), rules.TTL)
@@ -25,11 +25,11 @@
 func TestFreeRoleIsAcquiredInTurn(t *testing.T) {
 	const freeAt = 10 * time.Second
 	nodes := []string{"a", "b", "c"}
-	for n := range NameCount {
+	for n := range RoleCount {
 		first, last := "", ""
 		var order []Time
 		for _, node := range nodes {
-			at := acquiredAt(t, n, node, freeAt, &View{Ready: true, Live: nodes, Leader: "b"})
+			at := acquiredAt(t, n, node, freeAt, &ClusterView{RolesDistributed: true, LiveNodes: nodes, Leader: "b"})
 			if order = append(order, at); at == freeAt {
 				first += node
 			} else if at == freeAt+2*DefaultRules(n).RankDelay {
@@ -43,7 +43,7 @@
 }
 
 // acquiredAt returns when a node requests a role that became free at a given time.
-func acquiredAt(t *testing.T, n Name, node string, freeAt Time, view *View) Time {
+func acquiredAt(t *testing.T, n RoleName, node string, freeAt Time, view *ClusterView) Time {
 	t.Helper()
 	role := New(n, node, DefaultRules(n))
 	role.Observe(RoleHolder{Term: 7}, freeAt)
@@ -60,7 +60,7 @@
 // node is live.
 func TestLeaderReleasesRolesInTurn(t *testing.T) {
 	var releasedAt []Time
-	for n := range NameCount {
+	for n := range RoleCount {
 		releasedAt = append(releasedAt, leaderReleasesAt(n, 5*time.Second, []string{"a", "b", "c"}))
 	}
 	if releasedAt[0] < 20*time.Second || releasedAt[1]-releasedAt[0] < 10*time.Second || releasedAt[1] > 2*time.Minute {
@@ -71,14 +71,14 @@
 
 // leaderReleasesAt returns when leader b, which holds a role and makes progress, releases it if no other node is live
 // until a given time.
-func leaderReleasesAt(n Name, aloneUntil Time, nodes []string) Time {
+func leaderReleasesAt(n RoleName, aloneUntil Time, nodes []string) Time {
 	role := New(n, "b", DefaultRules(n))
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, 0, 1, 9)
-	view, at := &View{Ready: true, Live: []string{"b"}, Leader: "b"}, Time(0)
+	view, at := &ClusterView{RolesDistributed: true, LiveNodes: []string{"b"}, Leader: "b"}, Time(0)
 	for ; ; at += 250 * time.Millisecond {
 		if at > aloneUntil {
-			view.Live = nodes
+			view.LiveNodes = nodes
 		}
 		role.RecordProgress(at)
 		decision := role.Decide(at, view)
@@ -102,7 +102,7 @@
 			t.Fatalf("older update %+v ended a hold under term 9", h)
 		}
 	}
-	if !role.IsCurrent(9) || role.IsCurrent(8) || role.IsCurrent(0) {
+	if !role.IsCurrentTerm(9) || role.IsCurrentTerm(8) || role.IsCurrentTerm(0) {
 		t.Error("want reports under term 9 to be current, and none under older terms")
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
@@ -116,7 +116,7 @@
 // TestLostWhileRenewing checks that a node whose hold ends while a renewal is in flight can acquire the role again. If
 // the response to that renewal were ignored, the node would wait for it forever.
 func TestLostWhileRenewing(t *testing.T) {
-	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &View{Ready: true, Live: []string{"a"}}
+	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &ClusterView{RolesDistributed: true, LiveNodes: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, 0, 1, 9)
 	if decision := role.Decide(2*time.Second, view); decision != Renew {
