--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -94,12 +94,12 @@
 // certain jobs.
 func (pv *provisioning) constrainScheduler(plan *autoscaler.Plan) {
 	scheduler := pv.rounds.scheduler
-	scheduler.DrainTarget = plan.Vacate
-	scheduler.ServiceHeadroom = plan.Headroom
-	scheduler.ServiceSlots = plan.ForServices
+	scheduler.DrainTarget = plan.DrainTarget
+	scheduler.ServiceHeadroom = plan.ServiceHeadroom
+	scheduler.ServiceSlots = plan.ServiceSlots
 	scheduler.LowPriorityAllowed = plan.LowPriorityAllowed
 	for _, machine := range pv.replica.model.MachinesInOrder {
-		if machine.Lifecycle.Draining != plan.Drain[machine] {
+		if machine.Lifecycle.Draining != plan.Draining[machine] {
 			pv.log.Info("machine drain changed", "machine", machine.Info.Name, "type", machine.Info.Type,
 				"draining", !machine.Lifecycle.Draining)
 			machine.Lifecycle.Draining = !machine.Lifecycle.Draining
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -34,21 +34,21 @@
 	ScaleOuts []ScaleOut
 	// ScaleIn lists machines that no demand needs and that have been idle for the minimum time.
 	ScaleIn []*model.Machine
-	// Drain holds machines that only low-priority work uses and that cost more than it justifies. They receive no new
+	// Draining holds machines that only low-priority work uses and that cost more than it justifies. They receive no new
 	// tasks and are released once empty.
-	Drain map[*model.Machine]bool
-	// Headroom is the number of CPUs that low-priority work must leave free for services.
-	Headroom float64
-	// ForServices maps machines with GPUs to the number of service tasks that may be placed there because no other
+	Draining map[*model.Machine]bool
+	// ServiceHeadroom is the number of CPUs that low-priority work must leave free for services.
+	ServiceHeadroom float64
+	// ServiceSlots maps machines with GPUs to the number of service tasks that may be placed there because no other
 	// machine has room. All other machines with GPUs stay reserved for work that uses GPUs.
-	ForServices map[*model.Machine]int
+	ServiceSlots map[*model.Machine]int
 	// LowPriorityAllowed holds the machines with GPUs that low-priority work may use, because it justifies their price
 	// or they are kept anyway. On other machines it would prolong the rental of an expensive machine after its last
 	// gang has ended, by up to the run time of its longest task.
 	LowPriorityAllowed map[*model.Machine]bool
-	// Vacate is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one at a
+	// DrainTarget is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one at a
 	// time, and the machine is then released.
-	Vacate *model.Machine
+	DrainTarget *model.Machine
 }
 
 // Autoscaler holds the state that is kept from one plan to the next.
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -124,8 +124,8 @@
 		machine := model.MachineID(n + 1)
 		apply(&model.Entry{Kind: model.EntryPlace, Job: id, Task: 0, Attempt: 1, Machine: machine, AgentEpoch: 1})
 	}
-	if p := a.Plan(m, 0); len(p.ForServices) != 0 {
-		t.Errorf("services allowed on %d machines, but none is waiting", len(p.ForServices))
+	if p := a.Plan(m, 0); len(p.ServiceSlots) != 0 {
+		t.Errorf("services allowed on %d machines, but none is waiting", len(p.ServiceSlots))
 	}
 	for n := range 10 { // 3 replicas each, 23 fill a machine
 		apply(model.NewAcceptance(webService(uint64(8+n), 3), 0))
@@ -133,8 +133,8 @@
 		if n >= 3 {
 			want = 1
 		}
-		if p := a.Plan(m, model.Time(n+1)*1e9); len(p.ForServices) != want {
-			t.Errorf("%d waiting replicas: allowed on %d machines of gangs, want %d", 3*n+3, len(p.ForServices), want)
+		if p := a.Plan(m, model.Time(n+1)*1e9); len(p.ServiceSlots) != want {
+			t.Errorf("%d waiting replicas: allowed on %d machines of gangs, want %d", 3*n+3, len(p.ServiceSlots), want)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	if !m.Jobs[8].Scheduling.Guaranteed {
 		t.Fatal("the array is not within its team's guarantee")
 	}
-	if p.Vacate != m.Machines[2] {
+	if p.DrainTarget != m.Machines[2] {
 		t.Error("the expensive machine is not vacated, though low-priority tasks yield to its replicas elsewhere")
 	}
 }
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -65,7 +65,7 @@
 		for range counts[i] {
 			if u.demand.canUse(s) {
 				u.demand.placeTask(s)
-				p.plan.ForServices[s.machine]++
+				p.plan.ServiceSlots[s.machine]++
 				u.remaining--
 			}
 		}
@@ -97,7 +97,7 @@
 		trial.claimed[target] = trial.claimed[target].Plus(scheduler.TaskDemand(r.Job))
 	}
 	for machine, n := range gpuMachineSlots {
-		p.plan.ForServices[machine] += n
+		p.plan.ServiceSlots[machine] += n
 	}
 	return source.machine
 }
@@ -108,7 +108,7 @@
 	var best *slot
 	for _, s := range p.slots {
 		if s.machine == nil || !s.machine.Contact.Reported || s.total.GPUs == 0 ||
-			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ForServices[s.machine] > 0 {
+			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ServiceSlots[s.machine] > 0 {
 			continue
 		}
 		reserved := scheduler.Reserved(s.machine)
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -39,7 +39,7 @@
 		d.placeTask(s)
 		k.remaining--
 		if d.service && !d.standby && s.machine != nil && s.total.GPUs > 0 {
-			k.plan.ForServices[s.machine]++
+			k.plan.ServiceSlots[s.machine]++
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		before := k.remaining
 		k.fillSlot(s, a.isFragmented)
 		if d.standby && k.remaining < before {
-			k.plan.ForServices[s.machine] += before - k.remaining // already in use by services
+			k.plan.ServiceSlots[s.machine] += before - k.remaining // already in use by services
 		}
 	})
 }
--- a/internal/scheduling/autoscaler/plan.go
+++ b/internal/scheduling/autoscaler/plan.go
@@ -40,17 +40,17 @@
 	p := planner{autoscaler: a, model: m, now: now, slots: a.slots(m, now), usedBeforeBatch: map[*slot]bool{}}
 	demands, headroom := a.demands(m, jobs, now)
 	p.plan = Plan{
-		Headroom:           headroom,
-		Drain:              map[*model.Machine]bool{},
-		ForServices:        map[*model.Machine]int{},
+		ServiceHeadroom:    headroom,
+		Draining:           map[*model.Machine]bool{},
+		ServiceSlots:       map[*model.Machine]int{},
 		LowPriorityAllowed: map[*model.Machine]bool{},
 	}
 	p.packAll(demands)
 	p.displaceGangs()
 	if p.affordableOffers == nil {
-		p.plan.Vacate = p.selectDrainTarget()
+		p.plan.DrainTarget = p.selectDrainTarget()
 	}
-	a.drainTarget = p.plan.Vacate
+	a.drainTarget = p.plan.DrainTarget
 	p.allowLowPriority()
 	p.requestPlanned()
 	p.releaseUnused()
@@ -64,7 +64,7 @@
 		d := &demands[i]
 		isBatch := d.maxPriceFactor > 0 && !d.standby
 		if isBatch && p.affordableOffers == nil {
-			p.plan.Vacate = p.selectDrainTarget()
+			p.plan.DrainTarget = p.selectDrainTarget()
 			for _, s := range p.slots {
 				p.usedBeforeBatch[s] = s.used
 			}
@@ -116,7 +116,7 @@
 			continue
 		}
 		if s.machine.Contact.Reported && len(s.machine.Runs) > 0 {
-			p.plan.Drain[s.machine] = true
+			p.plan.Draining[s.machine] = true
 		}
 		if isReleasable(p.model, s.machine, p.now) {
 			p.plan.ScaleIn = append(p.plan.ScaleIn, s.machine)
