--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -52,7 +52,7 @@
 	}
 	parts := []*provisioner.Result{outcome}
 	if outcome.Kind == provisioner.MachinesListed {
-		parts = provisioner.SplitListed(slices.DeleteFunc(outcome.Listing, rs.isInLog), maxListedBytes)
+		parts = provisioner.SplitListing(slices.DeleteFunc(outcome.Listing, rs.isInLog), maxListedBytes)
 	}
 	name := role.Name.String()
 	go func() {
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// SplitListed splits a machine list into results of at most MaxListedMachines machines and about maxBytes bytes. An
+// SplitListing splits a machine list into results of at most MaxListedMachines machines and about maxBytes bytes. An
 // empty list gives one result, as evidence that the cloud answered.
-func SplitListed(machines []wire.ListedMachine, maxBytes int) (parts []*Result) {
+func SplitListing(machines []wire.ListedMachine, maxBytes int) (parts []*Result) {
 	start, size := 0, 0
 	var encoded []byte
 	for i := range machines {
--- a/internal/scheduling/provisioner/result_test.go
+++ b/internal/scheduling/provisioner/result_test.go
@@ -61,7 +61,7 @@
 			machines[i] = wire.ListedMachine{Name: fmt.Sprintf("%0*d", c.nameLength, i), Type: "small", Zone: "a",
 				State: wire.MachineRunning}
 		}
-		parts := SplitListed(machines, maxBytes)
+		parts := SplitListing(machines, maxBytes)
 		if len(parts) != c.parts {
 			t.Errorf("%d machines: %d parts, want %d", c.machines, len(parts), c.parts)
 		}
