--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -222,7 +222,7 @@
 		}
 		now := ex.now()
 		queue := &wire.Queue{Node: ex.settings.Node, LogBatch: ex.replica.appliedSeq, Jobs: []wire.QueuedJob{}}
-		inOrder, rest := ex.rounds.scheduler.Waiting(ex.replica.model, now)
+		inOrder, rest := ex.rounds.scheduler.WaitingJobs(ex.replica.model, now)
 		for i, job := range inOrder {
 			addQueued(queue, &filter, job, i+1, now)
 		}
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -80,8 +80,8 @@
 	}
 	if tm.term.ownTerm != nil {
 		view.AssignedAgents = tm.term.ownTerm.assignments.table.Counts()[relay.Leader]
-		view.WorstClass, view.UnderServedClasses = tm.rounds.scheduler.WorstClass()
-		view.WorstTeam, view.UnderServedTeams = tm.rounds.scheduler.WorstTeam()
+		view.WorstClass, view.UnderServedClasses = tm.rounds.scheduler.LowestClassShare()
+		view.WorstTeam, view.UnderServedTeams = tm.rounds.scheduler.LowestTeamShare()
 	}
 	for _, j := range tm.replica.model.Jobs {
 		view.Waiting += j.Waiting()
@@ -156,14 +156,14 @@
 func (tm *telemetry) logCompletionSummaries() {
 	var lines []completionSummary
 	for i := range tm.replica.model.ByClass {
-		share, underServed := tm.rounds.scheduler.ClassStanding(int32(i))
+		share, underServed := tm.rounds.scheduler.ClassShare(int32(i))
 		name := tm.replica.model.Classes.Name(int32(i))
 		lines = append(lines, completionSummary{"class", name, share, underServed, &tm.replica.model.ByClass[i]})
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].share < lines[k].share })
 	lines = lines[:min(len(lines), maxSummaryLines)]
 	for i := range tm.replica.model.ByTeam {
-		share, underServed := tm.rounds.scheduler.TeamStanding(i)
+		share, underServed := tm.rounds.scheduler.TeamShare(i)
 		name := tm.replica.model.Teams[i].Name
 		lines = append(lines, completionSummary{"team", name, share, underServed, &tm.replica.model.ByTeam[i]})
 	}
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -111,5 +111,5 @@
 // isFragmented reports whether services occupy so much of a machine with GPUs that some GPU work that fits the empty
 // machine does not fit beside them.
 func (a *Autoscaler) isFragmented(s *slot) bool {
-	return s.machine != nil && a.arrivals.gpuDemand.BlockedBy(s.total, scheduler.Reserved(s.machine))
+	return s.machine != nil && a.arrivals.gpuDemand.BlockedBy(s.total, scheduler.ServiceUsage(s.machine))
 }
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -152,12 +152,12 @@
 	var candidates []*slot
 	for _, s := range p.slots {
 		if s.machine != nil && s.machine != p.autoscaler.drainTarget && s.total.GPUs > 0 &&
-			scheduler.Reserved(s.machine).CPUs > 0 {
+			scheduler.ServiceUsage(s.machine).CPUs > 0 {
 			candidates = append(candidates, s)
 		}
 	}
 	sort.SliceStable(candidates, func(i, k int) bool {
-		return scheduler.Reserved(candidates[i].machine).CPUs > scheduler.Reserved(candidates[k].machine).CPUs
+		return scheduler.ServiceUsage(candidates[i].machine).CPUs > scheduler.ServiceUsage(candidates[k].machine).CPUs
 	})
 	for _, s := range candidates {
 		each(s)
--- a/internal/scheduling/autoscaler/plan.go
+++ b/internal/scheduling/autoscaler/plan.go
@@ -34,7 +34,7 @@
 // Plan determines which machines to request and release for the current demand.
 func (a *Autoscaler) Plan(m *model.Model, now model.Time) Plan {
 	jobs := m.JobsInOrder()
-	scheduler.MarkGuarantees(m, jobs, now, a.Objectives)
+	scheduler.UpdateGuarantees(m, jobs, now, a.Objectives)
 	a.arrivals.observe(m, jobs, now)
 	a.observeFleet(m)
 	p := planner{autoscaler: a, model: m, now: now, slots: a.slots(m, now), usedBeforeBatch: map[*slot]bool{}}
@@ -83,7 +83,7 @@
 			continue
 		}
 		allowed := !p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) ||
-			p.usedBeforeBatch[s] && (!s.hasGPUWork() || scheduler.Reserved(s.machine).CPUs > 0)
+			p.usedBeforeBatch[s] && (!s.hasGPUWork() || scheduler.ServiceUsage(s.machine).CPUs > 0)
 		for _, isAffordable := range p.affordableOffers {
 			allowed = allowed || isAffordable(s.offer)
 		}
--- a/internal/scheduling/explanation/constraints.go
+++ b/internal/scheduling/explanation/constraints.go
@@ -47,7 +47,7 @@
 	{
 		code: pending.QueuedBehind,
 		holds: func(s *simulation) (r pending.Reason, ok bool) {
-			ahead := s.scheduler.Ahead(s.model, s.job, s.now)
+			ahead := s.scheduler.JobsAhead(s.model, s.job, s.now)
 			if len(ahead) > 0 {
 				r.Count, r.First = len(ahead), ahead[0].Spec.ID
 			}
--- a/internal/scheduling/explanation/simulation.go
+++ b/internal/scheduling/explanation/simulation.go
@@ -94,7 +94,7 @@
 // most.
 func (s *simulation) teamLimitReason() (pending.Reason, bool) {
 	n := minTasksAtOnce(s.job)
-	r, maxUse := s.scheduler.TeamReason(s.job, n), 0.0
+	r, maxUse := s.scheduler.TeamLimitReason(s.job, n), 0.0
 	for _, other := range s.model.JobsInOrder() {
 		use := other.Spec.CPUs
 		if r.Unit == "GPUs" {
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -269,7 +269,7 @@
 			capacity = &gangCapacity{}
 			capacities[zone] = capacity
 		}
-		free := view.capacity.Minus(Reserved(view.machine))
+		free := view.capacity.Minus(ServiceUsage(view.machine))
 		for capacity.maxMembers < g.members && free.Contains(g.need) {
 			capacity.maxMembers++
 			free = free.Minus(g.need)
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -59,7 +59,7 @@
 	return math.MaxFloat64
 }
 
-// MarkGuarantees updates, for each job, whether it is within its team's guarantee and whether it is served as such. A
+// UpdateGuarantees updates, for each job, whether it is within its team's guarantee and whether it is served as such. A
 // job is within the guarantee if it fits together with the team's earlier unfinished jobs.
 //
 // If a team wants more than its guarantee, the guarantee is an amount to be distributed. Giving all of it to the oldest
@@ -69,7 +69,7 @@
 // among low-priority arrays and under-served gangs to those with the least remaining work. Since the guarantee is
 // promised to teams whose unfinished jobs all fit, low-priority arrays of other teams hold their share as deferrable:
 // it may wait for under-served work.
-func MarkGuarantees(m *model.Model, jobs []*model.Job, now model.Time, objectives []config.Objective) {
+func UpdateGuarantees(m *model.Model, jobs []*model.Job, now model.Time, objectives []config.Objective) {
 	newSeconds := newJobSeconds(objectives)
 	cumulativeDemand := make([]Resources, len(m.Teams))
 	spent := make([]Resources, len(m.Teams))
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -21,7 +21,7 @@
 	large := env.submit(1, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 8, 30 }) // all of blue's 8 CPUs
 	small := env.submit(2, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 2, 30 })
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
-	mark := func(at model.Time) { MarkGuarantees(env.model, env.model.JobsInOrder(), at, nil) }
+	mark := func(at model.Time) { UpdateGuarantees(env.model, env.model.JobsInOrder(), at, nil) }
 	if mark(1e9); !large.Scheduling.Guaranteed || small.Scheduling.Guaranteed || !large.Scheduling.WithinGuarantee {
 		t.Errorf(
 			"new: large array guaranteed %v, want true; small array beyond the guarantee %v, want false",
@@ -79,7 +79,7 @@
 			j.Observed.KnownSince = model.Time(rapid.IntRange(0, 30).Draw(rt, "submitted")) * 1e9
 		}
 		jobs := env.model.JobsInOrder()
-		MarkGuarantees(env.model, jobs, now, nil)
+		UpdateGuarantees(env.model, jobs, now, nil)
 		for _, team := range env.model.Teams {
 			ofTeam := slices.DeleteFunc(slices.Clone(jobs), func(j *model.Job) bool { return j.Team != team })
 			checkGuarantees(rt, team, ofTeam, now)
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -185,14 +185,14 @@
 	return jobTier * ranksPerTier
 }
 
-// ClassStanding returns the served share of a class, from 0 to 1, and whether it is under-served. The share of an
+// ClassShare returns the served share of a class, from 0 to 1, and whether it is under-served. The share of an
 // unknown class is 1.
-func (s *Scheduler) ClassStanding(class int32) (share float64, underServed bool) {
+func (s *Scheduler) ClassShare(class int32) (share float64, underServed bool) {
 	return shareOf(s.minimumShare.classes, int(class))
 }
 
-// TeamStanding returns the served share of a team by its index, like ClassStanding.
-func (s *Scheduler) TeamStanding(team int) (share float64, underServed bool) {
+// TeamShare returns the served share of a team by its index, like ClassStanding.
+func (s *Scheduler) TeamShare(team int) (share float64, underServed bool) {
 	return shareOf(s.minimumShare.teams, team)
 }
 
@@ -203,13 +203,13 @@
 	return shares[i].share, shares[i].underServed
 }
 
-// WorstClass returns the lowest share of any class and the number of under-served classes.
-func (s *Scheduler) WorstClass() (share float64, underServed int) {
+// LowestClassShare returns the lowest share of any class and the number of under-served classes.
+func (s *Scheduler) LowestClassShare() (share float64, underServed int) {
 	return lowestShare(s.minimumShare.classes)
 }
 
-// WorstTeam returns the lowest share of any team and the number of under-served teams.
-func (s *Scheduler) WorstTeam() (share float64, underServed int) {
+// LowestTeamShare returns the lowest share of any team and the number of under-served teams.
+func (s *Scheduler) LowestTeamShare() (share float64, underServed int) {
 	return lowestShare(s.minimumShare.teams)
 }
 
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -69,7 +69,7 @@
 		s.Round(env.model, model.Time(100+10*round)*1e9, true, env)
 		end()
 	}
-	if share, _ := s.ClassStanding(large.Class); large.Done < 20 || share < minimumJobShare-0.1 {
+	if share, _ := s.ClassShare(large.Class); large.Done < 20 || share < minimumJobShare-0.1 {
 		t.Errorf("%d of 30 tasks of the large array completed, want at least 20; served share %.2f", large.Done, share)
 	}
 	if done := env.model.ByTeam[0].Done; done < 24 {
@@ -138,7 +138,7 @@
 		for round := range 5 {
 			s.Round(env.model, model.Time(60+round)*1e9, true, env)
 		}
-		if _, underServed := s.ClassStanding(gang.Class); underServed == wellServed {
+		if _, underServed := s.ClassShare(gang.Class); underServed == wellServed {
 			t.Fatalf("gang class under-served: %v, want the opposite", underServed)
 		}
 		if (len(env.stopped) == 0) != wellServed {
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -111,7 +111,7 @@
 
 // updateSortInputs updates the job attributes that determine queue positions.
 func (s *Scheduler) updateSortInputs(m *model.Model, jobs []*model.Job, now model.Time) {
-	MarkGuarantees(m, jobs, now, s.Params.Objectives)
+	UpdateGuarantees(m, jobs, now, s.Params.Objectives)
 	cpus := 0.0
 	for _, machine := range m.MachinesInOrder {
 		if t := m.TypeOf(machine); t.Known && machine.IsUsable() {
@@ -167,9 +167,9 @@
 	return queue
 }
 
-// Waiting returns the jobs with waiting tasks: active are those that take part in a round, in the order in which they
+// WaitingJobs returns the jobs with waiting tasks: active are those that take part in a round, in the order in which they
 // are served, and rest are the others, for example those backing off after failures.
-func (s *Scheduler) Waiting(m *model.Model, now model.Time) (active, rest []*model.Job) {
+func (s *Scheduler) WaitingJobs(m *model.Model, now model.Time) (active, rest []*model.Job) {
 	jobs := m.JobsInOrder()
 	s.updateSortInputs(m, jobs, now)
 	isActive := map[*model.Job]bool{}
@@ -184,9 +184,9 @@
 	return active, rest
 }
 
-// Ahead returns the jobs that are served before a waiting job, in order, or none if the job does not take part in a
+// JobsAhead returns the jobs that are served before a waiting job, in order, or none if the job does not take part in a
 // round.
-func (s *Scheduler) Ahead(m *model.Model, j *model.Job, now model.Time) []*model.Job {
-	active, _ := s.Waiting(m, now)
+func (s *Scheduler) JobsAhead(m *model.Model, j *model.Job, now model.Time) []*model.Job {
+	active, _ := s.WaitingJobs(m, now)
 	return active[:max(0, slices.Index(active, j))]
 }
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -69,8 +69,8 @@
 	return Resources{machine.CPUs, machine.GPUs, machine.Mem}
 }
 
-// Reserved returns the resources taken by services without GPUs on a machine.
-func Reserved(machine *model.Machine) Resources {
+// ServiceUsage returns the resources taken by services without GPUs on a machine.
+func ServiceUsage(machine *model.Machine) Resources {
 	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
 }
 
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -106,7 +106,7 @@
 
 // unclaimedWithoutServices returns the capacity that is neither used by services nor claimed.
 func (view *machineView) unclaimedWithoutServices() Resources {
-	return view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed)
+	return view.capacity.Minus(ServiceUsage(view.machine)).Minus(view.claimed)
 }
 
 // maxExpectedServices limits the number of expected services for which a machine keeps CPUs free.
@@ -146,7 +146,7 @@
 // blocksGPUWork reports whether the services on a machine prevent some GPU work from fitting, optionally counting one
 // more task of the job.
 func (r *round) blocksGPUWork(j *model.Job, view *machineView, includeTask bool) bool {
-	reserved := Reserved(view.machine)
+	reserved := ServiceUsage(view.machine)
 	if includeTask {
 		reserved = reserved.Plus(TaskDemand(j))
 	}
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -145,8 +145,10 @@
 	return copied
 }
 
-// TeamReason returns the pending reason for n more tasks of a job with respect to the limit of its team.
-func (s *Scheduler) TeamReason(j *model.Job, n int) pending.Reason { return s.round.quota.reason(j, n) }
+// TeamLimitReason returns the pending reason for n more tasks of a job with respect to the limit of its team.
+func (s *Scheduler) TeamLimitReason(j *model.Job, n int) pending.Reason {
+	return s.round.quota.reason(j, n)
+}
 
 // ServiceAllowedOn reports whether the reservation of machines for GPU work permits a job on a machine. Only services
 // without GPUs are restricted.
