--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -21,11 +21,11 @@
 package staleness
 
 // Number orders an agent's messages by epoch, and within an epoch by sequence number.
-type Number struct{ Session, Seq uint64 }
+type Number struct{ AgentEpoch, Seq uint64 }
 
 // After reports whether a message is newer than another one of the same incarnation.
 func (a Number) After(b Number) bool {
-	return a.Session > b.Session || a.Session == b.Session && a.Seq > b.Seq
+	return a.AgentEpoch > b.AgentEpoch || a.AgentEpoch == b.AgentEpoch && a.Seq > b.Seq
 }
 
 // Stamp is a message's number, and the highest fencing token that the agent had seen when it sent the message.
@@ -71,20 +71,20 @@
 	return &ProbeBaseline{t.newest, t.known, t.incarnations}
 }
 
-// Judge returns the verdict on a message. termBase is the lowest token of the leader's term, minEpoch an epoch that the
-// agent has reached according to the log, and question the result of Ask for the probe that the message responds to, or
-// nil for a heartbeat.
-func (t *Tracker) Judge(stamp Stamp, termBase, minEpoch uint64, question *ProbeBaseline) Freshness {
+// Judge returns the verdict on a message. minToken is the lowest token of the leader's term, minEpoch an epoch that the
+// agent has reached according to the log, and baseline the result of ProbeBaseline for the probe that the message
+// responds to, or nil for a heartbeat.
+func (t *Tracker) Judge(stamp Stamp, minToken, minEpoch uint64, baseline *ProbeBaseline) Freshness {
 	switch {
-	case !t.known && question == nil && stamp.Token < termBase:
+	case !t.known && baseline == nil && stamp.Token < minToken:
 		return Unproven
-	case !t.known && stamp.Session < minEpoch:
+	case !t.known && stamp.AgentEpoch < minEpoch:
 		return Restarted
 	case !t.known:
 		return Fresh
-	case question != nil && question.known && question.incarnations == t.incarnations && stamp.behind(question.newest):
+	case baseline != nil && baseline.known && baseline.incarnations == t.incarnations && stamp.behind(baseline.newest):
 		return Restarted
-	case !stamp.After(t.newest.Number), question == nil && stamp.Token < max(t.newest.Token, t.fence):
+	case !stamp.After(t.newest.Number), baseline == nil && stamp.Token < max(t.newest.Token, t.fence):
 		return Stale // a duplicate, or overtaken by a later message
 	}
 	return Fresh
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -5,7 +5,7 @@
 func newStamp(epoch, seq, token uint64) Stamp { return Stamp{Number{epoch, seq}, token} }
 
 func TestJudge(t *testing.T) {
-	const termBase = 100
+	const minToken = 100
 	newTracker := func(stamps ...Stamp) *Tracker {
 		tracker := &Tracker{}
 		for _, stamp := range stamps {
@@ -44,11 +44,11 @@
 		{"probe response with a lower token only",
 			newTracker(newStamp(1, 4, 101)), newStamp(2, 5, 0), 0, true, Restarted},
 	} {
-		var question *ProbeBaseline
+		var baseline *ProbeBaseline
 		if test.probed {
-			question = test.tracker.ProbeBaseline()
+			baseline = test.tracker.ProbeBaseline()
 		}
-		if freshness := test.tracker.Judge(test.stamp, termBase, test.minEpoch, question); freshness != test.want {
+		if freshness := test.tracker.Judge(test.stamp, minToken, test.minEpoch, baseline); freshness != test.want {
 			t.Errorf("%s: verdict %d, want %d", test.name, freshness, test.want)
 		}
 	}
@@ -59,9 +59,9 @@
 func TestOvertakenProbeResponse(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
-	question := tracker.ProbeBaseline()
+	baseline := tracker.ProbeBaseline()
 	tracker.Accept(newStamp(1, 12, 100), Fresh, 0, true)
-	if freshness := tracker.Judge(newStamp(1, 11, 100), 100, 0, question); freshness != Stale {
+	if freshness := tracker.Judge(newStamp(1, 11, 100), 100, 0, baseline); freshness != Stale {
 		t.Errorf("verdict on an overtaken probe response is %d, want %d", freshness, Stale)
 	}
 }
@@ -71,9 +71,9 @@
 func TestRestartedIncarnation(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 50, 100), Fresh, 0, true)
-	question := tracker.ProbeBaseline()
+	baseline := tracker.ProbeBaseline()
 	response := newStamp(1, 2, 0)
-	if freshness := tracker.Judge(response, 100, 0, question); freshness != Restarted {
+	if freshness := tracker.Judge(response, 100, 0, baseline); freshness != Restarted {
 		t.Fatalf("verdict on a probe response with a lower number is %d, want %d", freshness, Restarted)
 	}
 	tracker.Accept(response, Restarted, 101, false)
@@ -102,11 +102,15 @@
 		t.Error("lost response is not detected")
 	}
 	tracker.RecordResponse(101)
-	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("after a received response: acknowledged %v, one-way %v", acknowledged, tracker.InboundPartitioned())
+	acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true)
+	if !acknowledged || tracker.InboundPartitioned() {
+		t.Errorf("after a received response: acknowledged %v, inbound partitioned %v",
+			acknowledged, tracker.InboundPartitioned())
 	}
 	tracker.RecordResponse(101) // the agent already has this token, so the response proves nothing
-	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("without a new token: acknowledged %v, one-way %v", acknowledged, tracker.InboundPartitioned())
+	acknowledged = tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true)
+	if acknowledged || tracker.InboundPartitioned() {
+		t.Errorf("without a new token: acknowledged %v, inbound partitioned %v",
+			acknowledged, tracker.InboundPartitioned())
 	}
 }
--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -80,8 +80,9 @@
 	s := e.Spec
 	j := &Job{
 		ID: e.Job, Spec: s, Kind: kindOf(s.Shape), Priority: priorityOf(s.Priority), Team: m.teamByName[s.Team],
-		Class: m.Classes.ID(s.Class), Image: m.Images.ID(s.Image), Zone: -1, TypesKey: typesKeyOf(s), AcceptedAtMS: e.WallTimeMS,
-		Tasks: make([]Task, s.Tasks), AcceptSeq: seq, Observed: JobObservation{KnownSince: now},
+		Class: m.Classes.ID(s.Class), Image: m.Images.ID(s.Image), Zone: -1, TypesKey: typesKeyOf(s),
+		Tasks: make([]Task, s.Tasks), AcceptedAtMS: e.WallTimeMS, AcceptSeq: seq,
+		Observed: JobObservation{KnownSince: now},
 	}
 	if s.Zone != nil {
 		j.Zone = m.Zones.ID(*s.Zone)
@@ -112,7 +113,8 @@
 		return &InvalidPlacementError{e.Job, e.Task, e.Machine}
 	}
 	r := &Run{
-		Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, AgentEpoch: e.AgentEpoch, PlacedSeq: seq, PlacedAt: now,
+		Job: j, Task: e.Task, Attempt: e.Attempt, Machine: machine, AgentEpoch: e.AgentEpoch,
+		PlacedSeq: seq, PlacedAt: now,
 	}
 	t := &j.Tasks[e.Task]
 	t.State, t.Attempt, t.Run = Placed, e.Attempt, r
@@ -215,7 +217,8 @@
 	}
 	m.insertMachine(&Machine{
 		ID: e.Machine, Info: *e.Info, Type: m.typeIndex(e.Info.Type), Zone: m.Zones.ID(e.Info.Zone), Spot: e.Info.Spot,
-		FirstLoggedMS: e.WallTimeMS, Contact: MachineContact{KnownSince: now}, Lifecycle: MachineLifecycle{IdleSince: now},
+		FirstLoggedMS: e.WallTimeMS, Contact: MachineContact{KnownSince: now},
+		Lifecycle: MachineLifecycle{IdleSince: now},
 	})
 }
 
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -28,7 +28,7 @@
 	copyTakenAsResponse
 	responseNotAwaited     // a start in flight in the response to a report is ignored
 	unansweredStartIgnored // a direct start without a response counts as never sent
-	anySessionTrusted      // the epoch of any report ends the runs of lower epochs
+	anyEpochTrusted        // the epoch of any report ends the runs of lower epochs
 	// A relay that has responded to a report itself forwards the leader's later response to the agent, whatever the
 	// agent has sent since.
 	relayForwardsLateResponse
@@ -39,12 +39,12 @@
 
 // inFlightMessage is a message from a leader that the agent has not received yet.
 type inFlightMessage struct {
-	incarnation, token, session uint64 // incarnation is that of the recipient
-	commands                    []wire.Command
-	isResponse                  bool // response to the report in flight
-	senderWaits                 bool // the sender still waits for the response
-	probe                       *staleness.ProbeBaseline
-	term                        uint64
+	incarnation, token, epoch uint64 // incarnation is that of the recipient
+	commands                  []wire.Command
+	isResponse                bool // response to the report in flight
+	senderWaits               bool // the sender still waits for the response
+	probe                     *staleness.ProbeBaseline
+	term                      uint64
 }
 
 // exploredState is the combined state of the agent, the network and the leader.
@@ -52,7 +52,7 @@
 	mutation      mutation
 	model         *Model // of the leader
 	incarnation   uint64 // of the agent, as are the fields up to exited
-	session       uint64
+	epoch         uint64
 	seq           uint64
 	token         uint64 // highest seen by the agent
 	agentAttempt  uint64 // attempt on the machine that is not reaped yet; 0: none
@@ -94,7 +94,7 @@
 			r.Attempt, r.AgentEpoch, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
 	}
 	for _, x := range []uint64{
-		w.incarnation, w.session, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
+		w.incarnation, w.epoch, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
 		uint64(w.terms), uint64(w.leaseExpiries), w.model.MinToken,
 	} {
 		b = binary.AppendUvarint(b, x)
@@ -102,7 +102,7 @@
 	b = fmt.Appendf(b, "%v %v %v %v %+v", w.runsElsewhere, w.exited, w.violation, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
 		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v",
-			u.incarnation, u.token, u.session, u.isResponse, u.senderWaits, u.term, u.probe)
+			u.incarnation, u.token, u.epoch, u.isResponse, u.senderWaits, u.term, u.probe)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
@@ -115,7 +115,7 @@
 // report returns the next report of the agent.
 func (w *exploredState) report() *wire.Heartbeat {
 	w.seq++
-	r := testReport(w.session, w.seq, w.token)
+	r := testReport(w.epoch, w.seq, w.token)
 	if w.agentAttempt != 0 {
 		s := wire.TaskStatus{Task: testTaskID, Attempt: w.agentAttempt, State: wire.TaskRunning}
 		if w.exited {
@@ -134,7 +134,7 @@
 	if w.mutation == reapsEarly {
 		machine.Contact.TokenOffset = offset
 	}
-	if w.mutation == anySessionTrusted && v.Freshness == staleness.Unproven {
+	if w.mutation == anyEpochTrusted && v.Freshness == staleness.Unproven {
 		for _, run := range machine.Runs {
 			if run.AgentEpoch < r.AgentEpoch {
 				v.Entries = append(v.Entries, &Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: run.Attempt})
@@ -195,7 +195,7 @@
 	m := New(params())
 	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), NewAcceptance(testSpec(7, 1), 0))
 	m.BeginTerm(3<<24, 0)
-	w := exploredState{mutation: injected, model: m, session: 1, incarnation: 1, token: 3 << 24}
+	w := exploredState{mutation: injected, model: m, epoch: 1, incarnation: 1, token: 3 << 24}
 	w.observe(w.report(), m.BeginProbe(m.MachinesInOrder[0]))
 	if err := m.Apply(NewPlacement(7, 0, 1, 1, 1), 4, 0); err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 		{copyTakenAsResponse, nil, 12, 60_000, false},
 		{responseNotAwaited, nil, 12, 60_000, false},
 		{unansweredStartIgnored, nil, 12, 60_000, false},
-		{anySessionTrusted, nil, 14, 150_000, false},
+		{anyEpochTrusted, nil, 14, 150_000, false},
 		{reapsEarly, duplicateStartDelayed, 14, 60_000, false},
 		{noMutation, nil, 20, 30_000, true},
 		{noMutation, duplicateStartDelayed, 20, 30_000, true},
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -77,7 +77,7 @@
 func (w *exploredState) newResponse(r *wire.Heartbeat) inFlightMessage {
 	return inFlightMessage{
 		incarnation: w.incarnation,
-		session:     r.AgentEpoch,
+		epoch:       r.AgentEpoch,
 		isResponse:  true,
 		token:       w.model.Token(w.machine()),
 		term:        w.model.MinToken,
@@ -168,7 +168,7 @@
 	if u.incarnation != w.incarnation {
 		return
 	}
-	accepted := u.session == w.session && u.token >= w.token
+	accepted := u.epoch == w.epoch && u.token >= w.token
 	if accepted {
 		w.token = u.token
 		w.execute(u.commands)
@@ -205,7 +205,7 @@
 		commands := w.commands(false)
 		u := inFlightMessage{
 			incarnation: w.incarnation,
-			session:     machine.Contact.AgentEpoch,
+			epoch:       machine.Contact.AgentEpoch,
 			token:       w.model.Token(machine),
 			commands:    commands,
 			senderWaits: true,
@@ -252,15 +252,15 @@
 		for _, resetNumbers := range []bool{false, true} {
 			s.add(fmt.Sprint("the agent restarts, numbers reset ", resetNumbers), func(w *exploredState) {
 				w.incarnation, w.agentAttempt, w.exited, w.awaitedReport = w.incarnation+1, 0, false, 0
-				if w.session++; resetNumbers {
-					w.session, w.seq, w.token = 1, 0, 0
+				if w.epoch++; resetNumbers {
+					w.epoch, w.seq, w.token = 1, 0, 0
 				}
 			})
 		}
 	}
 	if s.from.leaseExpiries == 0 {
 		s.add("the agent's lease expires", func(w *exploredState) {
-			w.leaseExpiries, w.session, w.agentAttempt, w.exited = 1, w.session+1, 0, false
+			w.leaseExpiries, w.epoch, w.agentAttempt, w.exited = 1, w.epoch+1, 0, false
 		})
 	}
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -49,8 +49,8 @@
 func NewCancellation(job JobID) *Entry { return &Entry{Kind: EntryCancel, Job: job} }
 
 // NewPlacement returns the entry that allows an attempt of a task to be started on a machine in an agent epoch.
-func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, session uint64) *Entry {
-	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: session}
+func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, epoch uint64) *Entry {
+	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: epoch}
 }
 
 // NewAttemptEnd returns the entry that an attempt is known to have ended, so that its task waits again.
--- a/internal/model/helpers_test.go
+++ b/internal/model/helpers_test.go
@@ -50,13 +50,13 @@
 	return m, machine, m.Jobs[7].Tasks[0].Run
 }
 
-func testReport(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func testReport(epoch, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine:      "host-1",
 		Addr:         "x:1",
 		Type:         "t",
 		Zone:         "a",
-		AgentEpoch:   session,
+		AgentEpoch:   epoch,
 		Seq:          seq,
 		FencingToken: token,
 		Tasks:        tasks,
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -194,12 +194,12 @@
 	return longest
 }
 
-// latestRunSession returns the latest agent epoch that the agent is known, from the log, to have reached.
-func (machine *Machine) latestRunSession() (session uint64) {
+// latestRunEpoch returns the latest agent epoch that the agent is known, from the log, to have reached.
+func (machine *Machine) latestRunEpoch() (epoch uint64) {
 	for _, r := range machine.Runs {
-		session = max(session, r.AgentEpoch)
+		epoch = max(epoch, r.AgentEpoch)
 	}
-	return session
+	return epoch
 }
 
 func (machine *Machine) removeRun(r *Run) {
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -61,8 +61,8 @@
 func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.ProbeBaseline, now Time) ReportVerdict {
 	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
-	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
-	o.verdict.Freshness = contact.Reports.Judge(stamp, m.MinToken, machine.latestRunSession(), probe)
+	stamp := staleness.Stamp{Number: staleness.Number{AgentEpoch: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
+	o.verdict.Freshness = contact.Reports.Judge(stamp, m.MinToken, machine.latestRunEpoch(), probe)
 	if o.verdict.IsStale() {
 		// Not even the agent epoch is valid: the report may be a delayed copy from an earlier incarnation of the agent
 		// with higher epochs than the present one.
@@ -102,10 +102,10 @@
 	}
 	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
 	// Any epoch is higher than the initial zero, but only an epoch observed in this term can have ended since.
-	hasNewSession := contact.Reported && o.report.AgentEpoch > contact.AgentEpoch
-	leaseExpired := !o.isProbeResponse && hasNewSession
+	hasNewEpoch := contact.Reported && o.report.AgentEpoch > contact.AgentEpoch
+	leaseExpired := !o.isProbeResponse && hasNewEpoch
 	deliveryUncertain = leaseExpired || !o.isProbeResponse && contact.DirectFailed
-	answeredWithoutRenewal := o.isProbeResponse && hasNewSession && !agentRestarted
+	answeredWithoutRenewal := o.isProbeResponse && hasNewEpoch && !agentRestarted
 	contact.AgentEpoch = o.report.AgentEpoch
 	contact.Reported, contact.LastReport = true, o.now
 	switch {
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestNewerSessionEndsRuns(t *testing.T) {
+func TestNewerEpochEndsRuns(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	run.Phase = Running
 	run.Job.Running = 1
@@ -117,13 +117,13 @@
 		t.Errorf("a newer epoch with the raised token: entries %v", v.Entries)
 	}
 	// The response to a probe counts at once, both for a newer epoch and for a run that is no longer listed.
-	for _, session := range []uint64{1, 2} {
+	for _, epoch := range []uint64{1, 2} {
 		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
-		v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1)
+		v := m.Observe(machine, testReport(epoch, 9, 3<<24), m.BeginProbe(machine), 1)
 		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryAttemptEnded {
-			t.Errorf("response to a probe, epoch %d: entries %v", session, v.Entries)
+			t.Errorf("response to a probe, epoch %d: entries %v", epoch, v.Entries)
 		}
 	}
 }
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -72,16 +72,18 @@
 
 // StartsUnanswered records that a direct command got no response and may be executed later.
 func (t *leaderTerm) StartsUnanswered(machine *Machine, commands []wire.Command, token uint64) {
-	machine.Contact.startsLost(commands, token)
+	machine.Contact.startsUnanswered(commands, token)
 }
 
-// SetReapableSeq records the log sequence number that covers the entries of the last report. The agent may forget exited
-// attempts only after it is committed, because their listing is the evidence for the entries.
-func (t *leaderTerm) SetReapableSeq(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
+// SetReapableSeq records the log sequence number that covers the entries of the last report. The agent may forget
+// exited attempts only after it is committed, because their listing is the evidence for the entries.
+func (t *leaderTerm) SetReapableSeq(machine *Machine, seq uint64) {
+	machine.Contact.setReapableSeq(seq)
+}
 
 // HasPendingReap reports whether an exited attempt cannot be forgotten until the log has been committed further.
 func (t *leaderTerm) HasPendingReap(machine *Machine, committed uint64) bool {
-	return machine.Contact.reapPending(committed)
+	return machine.Contact.hasPendingReap(committed)
 }
 
 // CancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
@@ -118,7 +120,7 @@
 	})
 }
 
-func (c *MachineContact) startsLost(commands []wire.Command, token uint64) {
+func (c *MachineContact) startsUnanswered(commands []wire.Command, token uint64) {
 	c.DirectFailed = true
 	forEachStart(commands, func(k runKey) {
 		if u, ok := c.unresolvedStarts[k]; ok {
@@ -140,7 +142,7 @@
 	}
 }
 
-func (c *MachineContact) sealReapable(seq uint64) {
+func (c *MachineContact) setReapableSeq(seq uint64) {
 	for i := range c.reapable {
 		if c.reapable[i].seq == 0 {
 			c.reapable[i].seq = seq
@@ -148,7 +150,7 @@
 	}
 }
 
-func (c *MachineContact) reapPending(committed uint64) bool {
+func (c *MachineContact) hasPendingReap(committed uint64) bool {
 	for _, d := range c.reapable {
 		if d.seq > committed {
 			return true
