--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -53,8 +53,8 @@
 	s.CheckpointIntervalS, s.CheckpointWriteS = 3, 1
 }
 
-// randomizeShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as they
-// are.
+// randomizeShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as
+// they are.
 func randomizeShape(s *wire.JobSpec, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -82,14 +82,14 @@
 	machine  *model.Machine
 	commands []wire.Command
 	token    uint64
-	question *staleness.ProbeBaseline // what was known about the agent when the command was sent
+	baseline *staleness.ProbeBaseline // what was known about the agent when the command was sent
 }
 
 // send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
 func (cd *commandDispatcher) send(term *leaderTerm, machine *model.Machine, commands []wire.Command) {
 	sent := &directCommand{
 		term: term, machine: machine, commands: commands,
-		token: cd.replica.model.Token(machine), question: cd.replica.model.BeginProbe(machine),
+		token: cd.replica.model.Token(machine), baseline: cd.replica.model.BeginProbe(machine),
 	}
 	cd.replica.model.StartsSent(machine, commands, sent.token)
 	machine.Contact.DirectInFlight = true
@@ -97,15 +97,15 @@
 	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.AgentEpoch, Commands: commands}
 	addr, via := machine.Info.Addr, cd.assignments.relayFor(machine)
 	go func() {
-		fate, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
-		cd.loop.post(func() { cd.onCommandOutcome(sent, fate, report, err) })
+		outcome, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
+		cd.loop.post(func() { cd.onCommandOutcome(sent, outcome, report, err) })
 	}()
 }
 
 // onCommandOutcome processes the outcome of a direct command and the status report that the agent responded with, if
 // any.
 func (cd *commandDispatcher) onCommandOutcome(
-	sent *directCommand, fate agent.CommandOutcome, report *wire.Heartbeat, err error,
+	sent *directCommand, outcome agent.CommandOutcome, report *wire.Heartbeat, err error,
 ) {
 	if cd.term.ownTerm != sent.term {
 		return
@@ -115,7 +115,7 @@
 	if cd.replica.model.Machines[machine.ID] != machine {
 		return
 	}
-	switch fate {
+	switch outcome {
 	case agent.Unknown:
 		cd.log.Debug("command outcome unknown", "machine", machine.Info.Name, "err", err)
 		cd.replica.model.StartsUnanswered(machine, sent.commands, sent.token)
@@ -130,7 +130,7 @@
 		cd.replica.model.StartsAnswered(machine, sent.commands, sent.token, true)
 	}
 	if report != nil && report.Machine == machine.Info.Name {
-		cd.heartbeats.observe(machine, report, sent.question)
+		cd.heartbeats.observe(machine, report, sent.baseline)
 	}
 	if sent.term.dispatch.dirtyMachines[machine] {
 		cd.sendDirect(machine)
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -106,11 +106,11 @@
 // queue. With firstFit, the entry goes into the first batch that has space; the caller guarantees that it does not
 // depend on any queued entry. This holds for the acceptance of a job, which then does not wait behind bulk entries
 // while a user waits for the response.
-func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, firstFit bool) int {
+func (commits *commitPipelineTerm) enqueue(data []byte, maxBatchBytes int, firstFit bool) int {
 	if len(commits.queue) == 0 {
 		commits.queuedAt = time.Now()
 	}
-	hasSpace := func(batch []byte) bool { return len(batch)+len(data) <= maxData }
+	hasSpace := func(batch []byte) bool { return len(batch)+len(data) <= maxBatchBytes }
 	if k := len(commits.queue); k == 0 || !hasSpace(commits.queue[k-1]) {
 		commits.queue = append(commits.queue, nil)
 	}
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -13,7 +13,7 @@
 // TestEnqueue checks which batch an entry is added to: the last one unless it is full, and with firstFit the first one
 // that has space.
 func TestEnqueue(t *testing.T) {
-	const maxData = 8
+	const maxBatchBytes = 8
 	for name, test := range map[string]struct {
 		queue     []string
 		data      string
@@ -35,7 +35,7 @@
 			for _, batch := range test.queue {
 				commits.queue = append(commits.queue, []byte(batch))
 			}
-			index := commits.enqueue([]byte(test.data), maxData, test.firstFit)
+			index := commits.enqueue([]byte(test.data), maxBatchBytes, test.firstFit)
 			got := make([]string, 0, len(commits.queue))
 			for _, batch := range commits.queue {
 				got = append(got, string(batch))
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -110,5 +110,5 @@
 	return config.Seconds(env.settings.Params.Workers.LeaseS)
 }
 
-// isReachable reports whether the other end of the link has responded within linkFreshness.
+// isReachable reports whether the other end of the link has responded within linkTimeout.
 func isReachable(link *rpc.Link) bool { return time.Since(link.LastResponse()) <= linkTimeout }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -61,11 +61,11 @@
 	})
 }
 
-// TestGoldenCommandFates checks the numbers of command fates, which controllers exchange.
-func TestGoldenCommandFates(t *testing.T) {
-	for number, fate := range []agent.CommandOutcome{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
-		if int(fate) != number {
-			t.Errorf("fate has number %d, want %d", fate, number)
+// TestGoldenCommandOutcomes checks the numbers of command outcomes, which controllers exchange.
+func TestGoldenCommandOutcomes(t *testing.T) {
+	for number, outcome := range []agent.CommandOutcome{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
+		if int(outcome) != number {
+			t.Errorf("outcome has number %d, want %d", outcome, number)
 		}
 	}
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -198,7 +198,7 @@
 }
 
 // onProbeAnswer processes the response of a machine to a probe.
-func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.ProbeBaseline) {
+func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, baseline *staleness.ProbeBaseline) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
 	}
@@ -209,20 +209,20 @@
 		hb.loop.requestRound()
 	}
 	firstReport := !machine.Contact.Reported
-	hb.observe(machine, report, question)
+	hb.observe(machine, report, baseline)
 	machine.Contact.LastReport = hb.now()
 	hb.loop.roundRequested = hb.loop.roundRequested || firstReport
 }
 
 // observe records a status report, from a heartbeat or in response to a request, and proposes the entries that follow
-// from it. The question is nil for a heartbeat. A stale report has no further effect.
+// from it. The baseline is nil for a heartbeat. A stale report has no further effect.
 func (hb *heartbeats) observe(
-	machine *model.Machine, report *wire.Heartbeat, question *staleness.ProbeBaseline,
+	machine *model.Machine, report *wire.Heartbeat, baseline *staleness.ProbeBaseline,
 ) model.ReportVerdict {
 	wasQuarantined := machine.Health.Quarantined
 	wasPartitioned := machine.Contact.InboundPartitionSince != 0
 	firstReport := !machine.Contact.Reported
-	verdict := hb.replica.model.Observe(machine, report, question, hb.now())
+	verdict := hb.replica.model.Observe(machine, report, baseline, hb.now())
 	for _, entry := range verdict.Entries {
 		hb.commits.propose(entry)
 		hb.loop.requestRound()
@@ -255,7 +255,7 @@
 		hb.probes.probeMachine(machine, nil)
 	}
 	hb.replica.model.SetReapableSeq(machine, term.nextSeq())
-	hb.applyVerdict(machine, &verdict, firstReport && question != nil)
+	hb.applyVerdict(machine, &verdict, firstReport && baseline != nil)
 	return verdict
 }
 
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -22,7 +22,7 @@
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
 	term := ls.components.newTerm(ctx, cancel, won.Leader)
-	if since, vacant := ls.eligibility.leaderlessSince(); vacant {
+	if since, leaderless := ls.eligibility.leaderlessSince(); leaderless {
 		term.leadership.timeline.Mark(candidacy.LeaderLost, since)
 	}
 	term.leadership.timeline.Mark(candidacy.Elected, ls.now())
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -235,7 +235,7 @@
 
 // MovableTasks returns the work on the machine that may run in another zone.
 func (e *healthEvidence) MovableTasks() (urgent bool, low health.Resources) {
-	urgent, resources := scheduler.MovableWork(e.machine)
+	urgent, resources := scheduler.MovableTasks(e.machine)
 	return urgent, health.Resources{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -116,13 +116,13 @@
 	term.probes.followUpProbes++
 	machine.Contact.ProbedAt = pr.now()
 	addr, routes := machine.Info.Addr, pr.assignments.routesTo(machine)
-	question := pr.replica.model.BeginProbe(machine)
+	baseline := pr.replica.model.BeginProbe(machine)
 	go func() {
 		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
 		pr.loop.post(func() {
 			term.probes.followUpProbes--
 			if pr.term.ownTerm == term && err == nil {
-				pr.heartbeats.onProbeAnswer(machine, report, question)
+				pr.heartbeats.onProbeAnswer(machine, report, baseline)
 			}
 			if onDone != nil {
 				onDone()
@@ -148,7 +148,7 @@
 	}
 	machine.Contact.Probing = true
 	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.probes.zoneCounts(machine.Zone)
-	question := pr.replica.model.BeginProbe(machine)
+	baseline := pr.replica.model.BeginProbe(machine)
 	go func() {
 		select {
 		case zone.slots <- struct{}{}:
@@ -161,20 +161,20 @@
 			return
 		}
 		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
-		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, question) })
+		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, baseline) })
 	}()
 }
 
 // onSilentProbed processes the result of probing a silent machine.
 func (pr *probes) onSilentProbed(
-	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.ProbeBaseline,
+	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, baseline *staleness.ProbeBaseline,
 ) {
 	machine.Contact.Probing = false
 	if pr.term.ownTerm != term {
 		return
 	}
 	if err == nil {
-		pr.heartbeats.onProbeAnswer(machine, report, question)
+		pr.heartbeats.onProbeAnswer(machine, report, baseline)
 		return
 	}
 	if !machine.Contact.Reported {
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -113,7 +113,7 @@
 		return result.Overloaded{}
 	}
 	defer ry.state.orders.release()
-	fate, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
-	outcome := relay.CommandResult{Outcome: uint8(fate), Report: report}
-	return result.Done{Body: outcome.Append(nil)}
+	outcome, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
+	commandResult := relay.CommandResult{Outcome: uint8(outcome), Report: report}
+	return result.Done{Body: commandResult.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -129,11 +129,11 @@
 	case reply.Status != http.StatusOK:
 		return agent.Unsent, nil, errNotForwarded
 	}
-	outcome, err := relay.ReadCommandResult(reply.Body)
-	if err != nil || outcome.Outcome > uint8(agent.Unknown) {
+	commandResult, err := relay.ReadCommandResult(reply.Body)
+	if err != nil || commandResult.Outcome > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandOutcome(outcome.Outcome), outcome.Report, nil
+	return agent.CommandOutcome(commandResult.Outcome), commandResult.Report, nil
 }
 
 // relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
@@ -180,7 +180,8 @@
 	return nil, err
 }
 
-// probeThroughRelay probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
+// probeThroughRelay probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the
+// relay.
 func probeThroughRelay(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -224,12 +224,12 @@
 		go func() { _ = rpc.Serve(ctx, ln, handler, &rpc.Traffic{}, logger) }()
 		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", logger)
 		node := &Controller{}
-		fateOf := func(id string) agent.CommandOutcome {
-			fate, _, _ := node.assignments.sendOrders(ctx, link, id, &wire.Orders{})
-			return fate
+		outcomeOf := func(id string) agent.CommandOutcome {
+			outcome, _, _ := node.assignments.sendOrders(ctx, link, id, &wire.Orders{})
+			return outcome
 		}
-		if fate := fateOf("executed"); fate != agent.Unsent {
-			t.Errorf("without a connection: outcome %d, want unsent", fate)
+		if outcome := outcomeOf("executed"); outcome != agent.Unsent {
+			t.Errorf("without a connection: outcome %d, want unsent", outcome)
 		}
 		go link.Run(ctx)
 		time.Sleep(time.Second)
@@ -241,8 +241,8 @@
 			"older":      agent.Unsent,
 			"hangs":      agent.Unknown,
 		} {
-			if fate := fateOf(id); fate != want {
-				t.Errorf("%s: outcome %d, want %d", id, fate, want)
+			if outcome := outcomeOf(id); outcome != want {
+				t.Errorf("%s: outcome %d, want %d", id, outcome, want)
 			}
 		}
 		go func() {
@@ -252,8 +252,8 @@
 			}
 			network.Host("relay").Terminate()
 		}()
-		if fate := fateOf("lost"); fate != agent.Unknown {
-			t.Errorf("with the connection lost: outcome %d, want unknown", fate)
+		if outcome := outcomeOf("lost"); outcome != agent.Unknown {
+			t.Errorf("with the connection lost: outcome %d, want unknown", outcome)
 		}
 		close(hang)
 		stop()
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -164,9 +164,9 @@
 		return
 	}
 	zl.lastPartitionReport = now
-	maxData := zl.oplog.MaxBatchBytes()
-	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // parts end between varints
-	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxData)
+	maxBatchBytes := zl.oplog.MaxBatchBytes()
+	room := (maxBatchBytes - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // parts end between varints
+	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxBatchBytes)
 	record := oplog.PartitionedNode{
 		Node:  zl.settings.Node,
 		Seq:   zl.replica.appliedSeq,
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -74,9 +74,9 @@
 	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
 }
 
-// MovableWork summarizes the work on a machine that could run in another zone if the machine were lost: whether any of
+// MovableTasks summarizes the work on a machine that could run in another zone if the machine were lost: whether any of
 // it is urgent, so that other work is preempted for it, and the demand of the low-priority rest.
-func MovableWork(machine *model.Machine) (urgent bool, low Resources) {
+func MovableTasks(machine *model.Machine) (urgent bool, low Resources) {
 	for _, r := range machine.Runs {
 		switch {
 		case !r.IsWanted() || r.Job.Zone >= 0:
