--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -119,12 +119,12 @@
 // Eligibility holds what decides whether a node may stand for election. The other nodes are identified by indices from
 // 0.
 type Eligibility struct {
-	rules       Rules
-	startedAt   Time
-	peers       []peerState
-	vacant      bool // no leader is known
-	vacantSince Time // when that was first noted
-	sawLeader   bool // a leader was known at some time
+	rules           Rules
+	startedAt       Time
+	peers           []peerState
+	leaderless      bool // no leader is known
+	leaderlessSince Time // when that was first noted
+	sawLeader       bool // a leader was known at some time
 }
 
 // New returns the eligibility of a node that has the given number of peers.
@@ -167,10 +167,10 @@
 // RecordLeader records whether a leader is known. A leadership of an earlier process of this node, which this process
 // ends, counts as a known leader.
 func (e *Eligibility) RecordLeader(known bool, now Time) {
-	if !known && !e.vacant {
-		e.vacantSince = now
+	if !known && !e.leaderless {
+		e.leaderlessSince = now
 	}
-	e.vacant, e.sawLeader = !known, e.sawLeader || known
+	e.leaderless, e.sawLeader = !known, e.sawLeader || known
 }
 
 // restartFactor is the factor by which the periods of this process grow for recent earlier processes of its node.
@@ -189,10 +189,10 @@
 	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
 
-// MayBeCandidate tells whether this node may stand for election now. If not, retryAfter is the longest time until it must ask
-// again.
+// MayBeCandidate tells whether this node may stand for election now. If not, retryAfter is the longest time until it
+// must ask again.
 func (e *Eligibility) MayBeCandidate(now Time) (ok bool, retryAfter Time) {
-	if !e.vacant {
+	if !e.leaderless {
 		return false, e.rules.FreshPeriod
 	}
 	if len(e.peers) == 0 || !e.IsFresh(now) {
@@ -216,7 +216,7 @@
 	if warm {
 		wait = max(wait, min(e.rules.MaxYield, e.rules.YieldToWarm*e.restartFactor()))
 	}
-	if waited := now - e.vacantSince; waited < wait {
+	if waited := now - e.leaderlessSince; waited < wait {
 		// Ask again sooner than the end of the wait, since the status of the others may change.
 		return false, min(wait-waited, e.rules.YieldToUnreachable/retriesPerYield)
 	}
@@ -224,7 +224,7 @@
 }
 
 // LeaderlessSince returns when the absence of a leader was first noted, if there is none.
-func (e *Eligibility) LeaderlessSince() (Time, bool) { return e.vacantSince, e.vacant }
+func (e *Eligibility) LeaderlessSince() (Time, bool) { return e.leaderlessSince, e.leaderless }
 
 // HasWarmPeer tells whether another node currently reports that it is warm.
 func (e *Eligibility) HasWarmPeer(now Time) bool {
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -108,7 +108,7 @@
 	r.unconfirmed--
 }
 
-// CompleteAt tells whether all peers have confirmed, and if so, the time at which this node was as good as complete.
+// CompleteAt returns the time at which this node was as good as complete, and whether all peers have confirmed.
 func (r *BarrierRound) CompleteAt() (completeAt Time, ok bool) {
 	return r.startedAt, r.unconfirmed == 0
 }
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -27,7 +27,7 @@
 	Node    string
 	Seq     uint64 // last batch that it had read
 	Version uint64 // version of the record, which grows with each write
-	Data    []byte // payload, at most MaxData bytes
+	Data    []byte // payload, at most MaxBatchBytes bytes
 	// Parts is the payload beyond Data, at most MaxPartitionedNodeParts-1 parts. Data and each part can be decoded on
 	// their own: a reader may find parts that are newer than Data, and older versions read Data alone.
 	Parts [][]byte
@@ -43,7 +43,7 @@
 	valueOverhead = 256
 )
 
-// MaxPartitionedNodeParts is the maximum number of values of MaxData bytes, Data included, in a record, which is
+// MaxPartitionedNodeParts is the maximum number of values of MaxBatchBytes bytes, Data included, in a record, which is
 // written in one transaction.
 func (p partitionRecords) MaxPartitionedNodeParts() int {
 	partBytes := base64.StdEncoding.EncodedLen(p.store.maxDataBytes) + valueOverhead
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -8,10 +8,10 @@
 // lease lasts at least its TTL from the sending of the last successful renewal, so a holder trusts its own clock
 // for that long after sending, less the drift between two clocks.
 //
-// A holder renews only while the role makes progress. After Rules.Patience without progress it releases the role and
-// backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it. The
-// number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when all
-// nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
+// A holder renews only while the role makes progress. After Rules.StallTimeout without progress it releases the role
+// and backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it.
+// The number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when
+// all nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
 // progress grows.
 package singleton
 
@@ -96,7 +96,8 @@
 
 // ClusterView is what a node knows of the other nodes.
 type ClusterView struct {
-	RolesDistributed bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
+	// All nodes take part. While any runs an older version, the leader performs the roles itself.
+	RolesDistributed bool
 	LiveNodes        []string // responding nodes, this one included
 	Leader           string   // empty if unknown
 }
@@ -109,7 +110,7 @@
 	NoAction Decision = iota
 	Acquire           // request a lease, and create the key unless it exists; then call Acquired
 	Renew             // renew the lease; then call Renewed
-	Release           // store the count if NoProgress, and revoke the lease, which deletes the key; then call Released
+	Release           // store the count if ReleasedWithoutProgress; revoke the lease, deleting the key; call Released
 )
 
 // Reasons for releasing or losing a role, as shown in the admin API and the log.
@@ -135,19 +136,19 @@
 	stalledHolders int // consecutive holders without progress
 
 	// State of this node as the holder.
-	awaitingResponse  bool   // an Acquire or Renew has no response yet
-	lease             uint64 // lease to which the key is attached
-	term              uint64 // 0 if this node does not hold the role
-	trustedUntil      Time
-	renewSentAt       Time // when the last successful renewal was sent
-	heldSince         Time
-	lastProgress      Time
-	progressed        bool // the role made progress in this term
-	betterHolderSince Time // since when another node would be a better holder; 0 if none would
-	backoffUntil      Time
-	backoff           Time
-	noProgress        bool   // the role was released for lack of progress
-	releaseReason     string // why the role was last released or lost
+	awaitingResponse        bool   // an Acquire or Renew has no response yet
+	lease                   uint64 // lease to which the key is attached
+	term                    uint64 // 0 if this node does not hold the role
+	trustedUntil            Time
+	renewSentAt             Time // when the last successful renewal was sent
+	heldSince               Time
+	lastProgress            Time
+	progressed              bool // the role made progress in this term
+	betterHolderSince       Time // since when another node would be a better holder; 0 if none would
+	backoffUntil            Time
+	backoff                 Time
+	releasedWithoutProgress bool   // the role was released for lack of progress
+	releaseReason           string // why the role was last released or lost
 }
 
 // New returns the state of a role that this node does not hold and has not observed.
@@ -201,19 +202,19 @@
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// ReleasedWithoutProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
-// the next holders.
-func (r *Role) ReleasedWithoutProgress() bool { return r.noProgress }
+// ReleasedWithoutProgress tells whether the role was released for lack of progress, in which case StalledHolders must
+// be stored for the next holders.
+func (r *Role) ReleasedWithoutProgress() bool { return r.releasedWithoutProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrentTerm tells whether a report made under a term is valid, that is, whether the term is not older than the observed
-// key.
+// IsCurrentTerm tells whether a report made under a term is valid, that is, whether the term is not older than the
+// observed key.
 func (r *Role) IsCurrentTerm(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience returns the maximum time without progress, which is longer if no other node made progress either.
-func (r *Role) patience(v *ClusterView) Time {
+// stallTimeout returns the maximum time without progress, which is longer if no other node made progress either.
+func (r *Role) stallTimeout(v *ClusterView) Time {
 	limit := r.Rules.StallTimeout
 	for rounds := r.stalledHolders / max(1, len(v.LiveNodes)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
 		limit *= 2
@@ -288,9 +289,9 @@
 	case now >= r.trustedUntil:
 		r.lose(reasonLeaseExpired)
 		return NoAction
-	case now-r.lastProgress > r.patience(v):
+	case now-r.lastProgress > r.stallTimeout(v):
 		r.stalledHolders++
-		r.noProgress = true
+		r.releasedWithoutProgress = true
 		r.backoff = min(max(2*r.backoff, r.Rules.InitialBackoff), r.Rules.MaxBackoff)
 		r.backoffUntil = now + r.backoff
 		r.releaseReason = reasonNoProgress
@@ -330,7 +331,8 @@
 		return
 	}
 	r.term, r.lease, r.trustedUntil, r.renewSentAt = term, lease, sent+r.Rules.TrustPeriod, sent
-	r.heldSince, r.lastProgress, r.progressed, r.noProgress, r.betterHolderSince = now, now, false, false, 0
+	r.heldSince, r.lastProgress, r.betterHolderSince = now, now, 0
+	r.progressed, r.releasedWithoutProgress = false, false
 	r.holder, r.observed = RoleHolder{Node: r.Node, Term: term, Since: now}, true
 }
 
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -116,7 +116,8 @@
 // TestLostWhileRenewing checks that a node whose hold ends while a renewal is in flight can acquire the role again. If
 // the response to that renewal were ignored, the node would wait for it forever.
 func TestLostWhileRenewing(t *testing.T) {
-	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &ClusterView{RolesDistributed: true, LiveNodes: []string{"a"}}
+	role := New(Provisioning, "a", DefaultRules(Provisioning))
+	view := &ClusterView{RolesDistributed: true, LiveNodes: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, 0, 1, 9)
 	if decision := role.Decide(2*time.Second, view); decision != Renew {
