--- a/internal/agents/health/health_test.go
+++ b/internal/agents/health/health_test.go
@@ -236,11 +236,11 @@
 
 func randomFleet(rng *rand.Rand) ([]Machine, []fakeEvidence) {
 	flip := func() bool { return rng.IntN(2) == 0 }
-	room := func() Resources { return Resources{float64(rng.IntN(4)), float64(rng.IntN(2))} }
+	resources := func() Resources { return Resources{float64(rng.IntN(4)), float64(rng.IntN(2))} }
 	silences := []Time{
 		0, 5500 * time.Millisecond, 6 * time.Second, 10 * time.Second, 15 * time.Second, 100 * time.Second,
 	}
-	usual, free := silences[rng.IntN(len(silences))], []Resources{room(), room(), room()}
+	usual, free := silences[rng.IntN(len(silences))], []Resources{resources(), resources(), resources()}
 	machines, evidence := make([]Machine, 1+rng.IntN(12)), make([]fakeEvidence, 12)
 	for i := range machines {
 		m := &machines[i]
@@ -255,7 +255,7 @@
 		m.SilentFor = m.SinceHeartbeat
 		evidence[i] = fakeEvidence{
 			cancelledFor: silences[rng.IntN(len(silences))], cleared: flip(), leaseExpired: flip(),
-			urgent: rng.IntN(4) == 0, zoneUp: flip(), low: room(), free: free[m.Zone],
+			urgent: rng.IntN(4) == 0, zoneUp: flip(), low: resources(), free: free[m.Zone],
 		}
 	}
 	return machines, evidence
@@ -266,14 +266,15 @@
 	now                              Time
 	up, silent, inbound              map[int32]int
 	partitionedUntil                 map[int32]Time
-	room                             map[int32]*Resources
+	freeResources                    map[int32]*Resources
 	checksLateness, cloudUnavailable bool
 }
 
 func hasBeenUp(m *Machine) bool { return m.Reported || m.Occupied || m.Suspect }
 
 func (r *referenceRound) count(machines []Machine) {
-	r.up, r.silent, r.inbound, r.room = map[int32]int{}, map[int32]int{}, map[int32]int{}, map[int32]*Resources{}
+	r.up, r.silent, r.inbound = map[int32]int{}, map[int32]int{}, map[int32]int{}
+	r.freeResources = map[int32]*Resources{}
 	for i := range machines {
 		m := &machines[i]
 		if !hasBeenUp(m) {
@@ -336,13 +337,13 @@
 	if evidence.urgent {
 		return NeededElsewhere
 	}
-	if r.room[m.Zone] == nil {
-		r.room[m.Zone] = &Resources{evidence.free.CPUs, evidence.free.GPUs}
+	if r.freeResources[m.Zone] == nil {
+		r.freeResources[m.Zone] = &Resources{evidence.free.CPUs, evidence.free.GPUs}
 	}
-	room := r.room[m.Zone]
-	if (evidence.low == Resources{}) || evidence.low.CPUs > room.CPUs || evidence.low.GPUs > room.GPUs {
+	free := r.freeResources[m.Zone]
+	if (evidence.low == Resources{}) || evidence.low.CPUs > free.CPUs || evidence.low.GPUs > free.GPUs {
 		return ""
 	}
-	*room = Resources{room.CPUs - evidence.low.CPUs, room.GPUs - evidence.low.GPUs}
+	*free = Resources{free.CPUs - evidence.low.CPUs, free.GPUs - evidence.low.GPUs}
 	return NeededElsewhere
 }
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -122,8 +122,8 @@
 	return Resign
 }
 
-// ResetIsolation restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile are yet
-// to be read.
+// ResetIsolation restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile
+// are yet to be read.
 func (d *Detector) ResetIsolation() { d.missingSince = 0 }
 
 // ProbeStride returns n such that every n-th machine is probed when most heartbeats are missing.
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -155,7 +155,7 @@
 
 // CommandResult is the outcome of commands that another controller sent to an agent.
 type CommandResult struct {
-	Outcome uint8           // an agent.CommandFate
+	Outcome uint8           // an agent.CommandOutcome
 	Report  *wire.Heartbeat // the agent's heartbeat; nil if its response had none
 }
 
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -45,5 +45,7 @@
 	golden.RoundTrip(t, "outcome-alone.hex", CommandResult{Outcome: 3}, encodeResult, ReadCommandResult)
 	golden.RoundTrip(t, "offer.hex", Offer{Node: "node-2", HasCapacity: true},
 		func(o Offer) []byte { return o.Append(nil) }, ReadOffer)
-	golden.RoundTrip(t, "terms.hex", true, func(on bool) []byte { return AppendOfferResponse(nil, on) }, ReadOfferResponse)
+	golden.RoundTrip(t, "terms.hex", true, func(on bool) []byte {
+		return AppendOfferResponse(nil, on)
+	}, ReadOfferResponse)
 }
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -29,7 +29,7 @@
 		network := emulator.NewNetwork()
 		client := New(network.Host("node"), 3*time.Second, conns)
 		var mu sync.Mutex
-		fates := map[CommandOutcome]int{}
+		outcomes := map[CommandOutcome]int{}
 		var wg sync.WaitGroup
 		for i := range machines {
 			addr := fmt.Sprintf("w%d:1", i)
@@ -41,19 +41,19 @@
 			wg.Go(func() {
 				start := time.Now()
 				orders := &wire.Orders{FencingToken: 1, AgentEpoch: 1}
-				fate, _, _ := client.SendOrders(context.Background(), addr, orders)
+				outcome, _, _ := client.SendOrders(context.Background(), addr, orders)
 				mu.Lock()
 				defer mu.Unlock()
-				fates[fate]++
-				if elapsed := time.Since(start); fate == Unsent && elapsed > slotTimeout+time.Millisecond {
+				outcomes[outcome]++
+				if elapsed := time.Since(start); outcome == Unsent && elapsed > slotTimeout+time.Millisecond {
 					t.Errorf("unsent command took %v, want at most %v", elapsed, slotTimeout+time.Millisecond)
 				}
 			})
 		}
 		wg.Wait()
-		if fates[Unknown] != conns/2 || fates[Unsent] != machines-conns/2 {
+		if outcomes[Unknown] != conns/2 || outcomes[Unsent] != machines-conns/2 {
 			t.Errorf("%d commands without a response and %d unsent, of %d commands with a bound of %d in flight",
-				fates[Unknown], fates[Unsent], machines, conns/2)
+				outcomes[Unknown], outcomes[Unsent], machines, conns/2)
 		}
 		client.Close()
 		time.Sleep(time.Minute)
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -34,8 +34,8 @@
 	ScaleOuts []ScaleOut
 	// ScaleIn lists machines that no demand needs and that have been idle for the minimum time.
 	ScaleIn []*model.Machine
-	// Draining holds machines that only low-priority work uses and that cost more than it justifies. They receive no new
-	// tasks and are released once empty.
+	// Draining holds machines that only low-priority work uses and that cost more than it justifies. They receive no
+	// new tasks and are released once empty.
 	Draining map[*model.Machine]bool
 	// ServiceHeadroom is the number of CPUs that low-priority work must leave free for services.
 	ServiceHeadroom float64
@@ -46,8 +46,8 @@
 	// or they are kept anyway. On other machines it would prolong the rental of an expensive machine after its last
 	// gang has ended, by up to the run time of its longest task.
 	LowPriorityAllowed map[*model.Machine]bool
-	// DrainTarget is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one at a
-	// time, and the machine is then released.
+	// DrainTarget is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one
+	// at a time, and the machine is then released.
 	DrainTarget *model.Machine
 }
 
@@ -59,7 +59,7 @@
 
 	arrivals arrivals
 	refusals map[InstanceOffer]refusal
-	// drainTarget is Vacate of the last plan.
+	// drainTarget is the DrainTarget of the last plan.
 	drainTarget *model.Machine
 	// machineCounts is the number of machines of each offer; it spreads machines over offers of equal price.
 	machineCounts map[InstanceOffer]int
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -71,7 +71,9 @@
 	for i := range 2 {
 		id := uint64(from + i)
 		apply(model.NewAcceptance(webService(id, 1), 0))
-		apply(&model.Entry{Kind: model.EntryPlace, Job: model.JobID(id), Task: 0, Attempt: 1, Machine: on, AgentEpoch: 1})
+		apply(&model.Entry{
+			Kind: model.EntryPlace, Job: model.JobID(id), Task: 0, Attempt: 1, Machine: on, AgentEpoch: 1,
+		})
 	}
 }
 
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -78,7 +78,7 @@
 
 // selectDrainTarget returns the machine with GPUs that runs only services, and the fewest, if all of them fit elsewhere
 // beside waiting and standby demand, and nil otherwise. Slots that this takes on other machines with GPUs are added to
-// ForServices.
+// ServiceSlots.
 func (p *planner) selectDrainTarget() *model.Machine {
 	source := p.leastLoadedServiceMachine()
 	if source == nil {
--- a/internal/scheduling/explanation/explanation_test.go
+++ b/internal/scheduling/explanation/explanation_test.go
@@ -278,12 +278,12 @@
 	out = append(out, string(cluster.model.Snapshot()), fmt.Sprint(s.ServiceHeadroom, s.LowPriorityLimit, s.OnlyJob,
 		len(s.ServiceSlots), len(s.LowPriorityAllowed)))
 	for _, mc := range cluster.model.MachinesInOrder {
-		out = append(out, fmt.Sprint(mc.Info.Name, mc.Contact.Reported, mc.Releasing, mc.Suspect, mc.Health.CordonedSince,
-			mc.Lifecycle.Draining, mc.Health.SlowUntil, mc.CPUs, len(mc.Runs)))
+		out = append(out, fmt.Sprint(mc.Info.Name, mc.Contact.Reported, mc.Releasing, mc.Suspect,
+			mc.Health.CordonedSince, mc.Lifecycle.Draining, mc.Health.SlowUntil, mc.CPUs, len(mc.Runs)))
 	}
 	for _, j := range cluster.model.JobsInOrder() {
-		out = append(out, fmt.Sprint(j.ID, j.Scheduling.NotBefore, j.Scheduling.WaitedRounds, j.Observed.Faulty, j.PlacedTasks,
-			j.Team.CPUsMax, j.Spec.Spread, len(j.Observed.FailedOn)))
+		out = append(out, fmt.Sprint(j.ID, j.Scheduling.NotBefore, j.Scheduling.WaitedRounds, j.Observed.Faulty,
+			j.PlacedTasks, j.Team.CPUsMax, j.Spec.Spread, len(j.Observed.FailedOn)))
 	}
 	return out
 }
--- a/internal/scheduling/provisioner/result_test.go
+++ b/internal/scheduling/provisioner/result_test.go
@@ -51,7 +51,7 @@
 
 // A list of any length is split into results that other controllers can read, without loss. An empty list gives one
 // result.
-func TestSplitListedRoundTrip(t *testing.T) {
+func TestSplitListingRoundTrip(t *testing.T) {
 	const maxBytes = 64 << 10
 	for _, c := range []struct{ machines, nameLength, parts int }{
 		{0, 11, 1}, {1, 11, 1}, {300, 11, 1}, {301, 11, 2}, {4000, 11, 14}, {10_000, 11, 34}, {4000, 1000, 64},
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -191,7 +191,7 @@
 	return shareOf(s.minimumShare.classes, int(class))
 }
 
-// TeamShare returns the served share of a team by its index, like ClassStanding.
+// TeamShare returns the served share of a team by its index, like ClassShare.
 func (s *Scheduler) TeamShare(team int) (share float64, underServed bool) {
 	return shareOf(s.minimumShare.teams, team)
 }
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -167,8 +167,8 @@
 	return queue
 }
 
-// WaitingJobs returns the jobs with waiting tasks: active are those that take part in a round, in the order in which they
-// are served, and rest are the others, for example those backing off after failures.
+// WaitingJobs returns the jobs with waiting tasks: active are those that take part in a round, in the order in which
+// they are served, and rest are the others, for example those backing off after failures.
 func (s *Scheduler) WaitingJobs(m *model.Model, now model.Time) (active, rest []*model.Job) {
 	jobs := m.JobsInOrder()
 	s.updateSortInputs(m, jobs, now)
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -187,7 +187,9 @@
 			for _, machine := range env.model.MachinesInOrder {
 				for _, r := range slices.Clone(machine.Runs) {
 					if r.Stop {
-						env.apply(&model.Entry{Kind: model.EntryAttemptEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
+						env.apply(&model.Entry{
+							Kind: model.EntryAttemptEnded, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt,
+						})
 					} else if rng.IntN(4) == 0 {
 						env.finish(r)
 					}
@@ -249,7 +251,8 @@
 	env := newEnvironment(t, 2)
 	s := New(Params{Beta: 0.8, Threshold: 0.5})
 	g := env.submit(1, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs, s.SameZone = wire.Gang, 2, 3, true })
-	if s.Round(env.model, 0, true, env); g.PlacedTasks != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
+	s.Round(env.model, 0, true, env)
+	if g.PlacedTasks != 0 || g.Scheduling.PendingReason.Code != pending.NoGangCapacity {
 		t.Fatalf("a gang that does not fit: placed %v, pending reason %q", env.placed, g.Scheduling.PendingReason)
 	}
 	free := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
@@ -277,7 +280,8 @@
 			s.Round(env.model, 102e9, false, env)
 		}
 	}
-	if reason := low.Scheduling.PendingReason; web.PlacedTasks != 1 || low.PlacedTasks != 2 || reason.Code != pending.NoCapacity {
+	reason := low.Scheduling.PendingReason
+	if web.PlacedTasks != 1 || low.PlacedTasks != 2 || reason.Code != pending.NoCapacity {
 		t.Errorf("%d replicas and %d low-priority tasks placed, want 1 and 2; pending reason %q",
 			web.PlacedTasks, low.PlacedTasks, reason)
 	}
@@ -296,12 +300,14 @@
 	short := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.EstimateS = 3, 30 })
 	s.Round(env.model, 0, true, env)
 	if short.PlacedTasks != 3 || long.PlacedTasks != 0 || late.PlacedTasks != 1 {
-		t.Errorf("tasks placed: short job %d, long job %d, late job %d; want 3, 0, 1", short.PlacedTasks, long.PlacedTasks, late.PlacedTasks)
+		t.Errorf("tasks placed: short job %d, long job %d, late job %d; want 3, 0, 1",
+			short.PlacedTasks, long.PlacedTasks, late.PlacedTasks)
 	}
 	env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: 3, Task: 0, Attempt: 1})
 	s.Round(env.model, 1e9, true, env)
 	if long.PlacedTasks != 1 || late.PlacedTasks != 1 {
-		t.Errorf("after a task of the short job: long job %d, late job %d; want 1, 1", long.PlacedTasks, late.PlacedTasks)
+		t.Errorf("after a task of the short job: long job %d, late job %d; want 1, 1",
+			long.PlacedTasks, late.PlacedTasks)
 	}
 }
 
@@ -530,7 +536,8 @@
 	s.Round(env.model, 1e9, true, env)
 	pair, late := gang(4, 2), gang(5, 1)
 	s.Round(env.model, 700e9, true, env)
-	if one.PlacedTasks != 1 || other.PlacedTasks != 1 || low.PlacedTasks != 4 || pair.PlacedTasks != 0 || len(env.stopped) != 0 {
+	if one.PlacedTasks != 1 || other.PlacedTasks != 1 || low.PlacedTasks != 4 || pair.PlacedTasks != 0 ||
+		len(env.stopped) != 0 {
 		t.Fatalf("placed %v, preempted %v for an incomplete gang, want none", env.placed, env.stopped)
 	}
 	end(one)
@@ -768,7 +775,9 @@
 			machine.TouchImage(env.model, gang, 0)
 			for k := range 4 {
 				task := int32(4*i + k)
-				env.apply(&model.Entry{Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, AgentEpoch: 1})
+				env.apply(&model.Entry{
+					Kind: model.EntryPlace, Job: 1, Task: task, Attempt: 1, Machine: id, AgentEpoch: 1,
+				})
 				low.Tasks[task].Run.StartedAt = 1e9
 			}
 		}
