--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -41,13 +41,13 @@
 
 // Preempt implements scheduler.Binder: it stops a run. No log entry is needed: if a leader's stop is lost, its
 // successor decides again.
-func (sr *schedulingRounds) Preempt(run *model.Run, hard bool, reason string) {
+func (sr *schedulingRounds) Preempt(run *model.Run, skipCheckpoint bool, reason string) {
 	if run.Stop {
 		return
 	}
 	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)),
 		"machine", run.Machine.Info.Name, "reason", reason)
-	run.Stop, run.SkipCheckpoint = true, hard
+	run.Stop, run.SkipCheckpoint = true, skipCheckpoint
 	sr.metrics.Stopped.Inc()
 	sr.dispatch.stopRun(run)
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -40,9 +40,9 @@
 }
 
 // NewAcceptance returns the entry that accepts a job at a wall-clock time in ms.
-func NewAcceptance(spec *wire.JobSpec, at int64) *Entry {
+func NewAcceptance(spec *wire.JobSpec, wallTimeMS int64) *Entry {
 	n, _ := wire.JobNumber(spec.ID)
-	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: at}
+	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: wallTimeMS}
 }
 
 // NewCancellation returns the entry that cancels a job.
@@ -64,8 +64,8 @@
 }
 
 // NewMachine returns the entry that adds a machine at a wall-clock time in ms, or updates its address.
-func NewMachine(id MachineID, at int64, info *MachineInfo) *Entry {
-	return &Entry{Kind: EntryMachine, Machine: id, WallTimeMS: at, Info: info}
+func NewMachine(id MachineID, wallTimeMS int64, info *MachineInfo) *Entry {
+	return &Entry{Kind: EntryMachine, Machine: id, WallTimeMS: wallTimeMS, Info: info}
 }
 
 // NewMachineGone returns the entry that a machine is known to be gone.
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -54,15 +54,15 @@
 func requireMatches(t *rapid.T, m *Model, reference *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range reference.tasks {
-		live := 0
+		placed := 0
 		for i, s := range ts {
 			if s != "wait" && s != "done" {
-				live++
+				placed++
 			}
 			requireTaskMatches(t, m, id, i, s)
 		}
-		cpus += float64(live)
-		requireJobMatches(t, m, id, ts, reference.finals[id], live)
+		cpus += float64(placed)
+		requireJobMatches(t, m, id, ts, reference.finals[id], placed)
 	}
 	if m.Teams[0].UsedCPUs != cpus {
 		t.Fatalf("team uses %g CPUs, want %g", m.Teams[0].UsedCPUs, cpus)
@@ -88,17 +88,17 @@
 }
 
 // requireJobMatches compares a job's final state and its counts with the reference.
-func requireJobMatches(t *rapid.T, m *Model, id JobID, tasks []string, wantFinal string, live int) {
+func requireJobMatches(t *rapid.T, m *Model, id JobID, tasks []string, wantFinal string, placed int) {
 	j := m.Jobs[id]
 	final := map[Final]string{0: "", FinalDone: "done", FinalCancelled: "cancelled"}[m.Finals[id]]
-	if want := wantFinal; live > 0 && final != "" || live == 0 && final != want {
-		t.Fatalf("job %d has final state %q, want %q with %d placed tasks", id, final, wantFinal, live)
+	if want := wantFinal; placed > 0 && final != "" || placed == 0 && final != want {
+		t.Fatalf("job %d has final state %q, want %q with %d placed tasks", id, final, wantFinal, placed)
 	}
 	if j == nil {
 		return
 	}
-	if j.PlacedTasks != live {
-		t.Fatalf("job %d has %d placed tasks, want %d", id, j.PlacedTasks, live)
+	if j.PlacedTasks != placed {
+		t.Fatalf("job %d has %d placed tasks, want %d", id, j.PlacedTasks, placed)
 	}
 	if wantFinal != "" {
 		return
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -111,11 +111,11 @@
 			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ServiceSlots[s.machine] > 0 {
 			continue
 		}
-		reserved := scheduler.ServiceUsage(s.machine)
-		if reserved.CPUs == 0 || s.total.Minus(reserved).Minus(s.free).CPUs > epsilonCPUs {
+		serviceUsage := scheduler.ServiceUsage(s.machine)
+		if serviceUsage.CPUs == 0 || s.total.Minus(serviceUsage).Minus(s.free).CPUs > epsilonCPUs {
 			continue // other work, such as a gang, runs there or is packed onto it
 		}
-		if best == nil || reserved.CPUs < scheduler.ServiceUsage(best.machine).CPUs {
+		if best == nil || serviceUsage.CPUs < scheduler.ServiceUsage(best.machine).CPUs {
 			best = s
 		}
 	}
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -146,11 +146,11 @@
 // blocksGPUWork reports whether the services on a machine prevent some GPU work from fitting, optionally counting one
 // more task of the job.
 func (r *round) blocksGPUWork(j *model.Job, view *machineView, includeTask bool) bool {
-	reserved := ServiceUsage(view.machine)
+	serviceUsage := ServiceUsage(view.machine)
 	if includeTask {
-		reserved = reserved.Plus(TaskDemand(j))
+		serviceUsage = serviceUsage.Plus(TaskDemand(j))
 	}
-	return r.gpuDemand.BlockedBy(view.capacity, reserved)
+	return r.gpuDemand.BlockedBy(view.capacity, serviceUsage)
 }
 
 func (r *round) bind(j *model.Job, view *machineView, task int32, attempt uint32, score float64) {
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -55,9 +55,9 @@
 type Binder interface {
 	// Bind places a task. It applies the placement to the model before it returns.
 	Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64)
-	// Preempt stops a run; hard means without saving a checkpoint. If the run is preempted for a job, the reason ends
-	// with a space and the ID of that job, which dry runs match.
-	Preempt(r *model.Run, hard bool, reason string)
+	// Preempt stops a run, with skipCheckpoint without saving a checkpoint. If the run is preempted for a job, the
+	// reason ends with a space and the ID of that job, which dry runs match.
+	Preempt(r *model.Run, skipCheckpoint bool, reason string)
 }
 
 // Scheduler holds the state that is kept between rounds.
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func (env *environment) Preempt(r *model.Run, hard bool, reason string) {
+func (env *environment) Preempt(r *model.Run, skipCheckpoint bool, reason string) {
 	r.Stop = true
 	env.stopped = append(env.stopped, wire.TaskID(uint64(r.Job.ID), int(r.Task)))
 }
