--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -140,7 +140,7 @@
 		Peers:  func(i int) string { return c.addr(peerOffset + i) },
 		Worker: func(i int) string { return c.addr(workerOffset + i) },
 	}
-	networkOf := func(string) host.Net { return host.Real{} }
+	networkOf := func(string) host.Net { return host.TCP{} }
 	return emulator.NewOnNetwork(ctx, networkOf, addresses, controllerCount, c.Seed, start)
 }
 
--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -21,11 +21,11 @@
 package staleness
 
 // Number orders an agent's messages by epoch, and within an epoch by sequence number.
-type Number struct{ Session, Seq uint64 }
+type Number struct{ AgentEpoch, Seq uint64 }
 
 // After reports whether a message is newer than another one of the same incarnation.
 func (a Number) After(b Number) bool {
-	return a.Session > b.Session || a.Session == b.Session && a.Seq > b.Seq
+	return a.AgentEpoch > b.AgentEpoch || a.AgentEpoch == b.AgentEpoch && a.Seq > b.Seq
 }
 
 // Stamp is a message's number, and the highest fencing token that the agent had seen when it sent the message.
@@ -48,8 +48,8 @@
 	Restarted                  // the agent restarted after all messages received before
 )
 
-// Question is the state of a Tracker when a probe was sent.
-type Question struct {
+// ProbeBaseline is the state of a Tracker when a probe was sent.
+type ProbeBaseline struct {
 	newest       Stamp
 	known        bool
 	incarnations int
@@ -66,23 +66,25 @@
 	unacknowledged int    // consecutive heartbeats that show that the previous response did not arrive
 }
 
-// Ask returns the current state, to be kept with a probe that is sent now.
-func (t *Tracker) Ask() *Question { return &Question{t.newest, t.known, t.incarnations} }
+// ProbeBaseline returns the current state, to be kept with a probe that is sent now.
+func (t *Tracker) ProbeBaseline() *ProbeBaseline {
+	return &ProbeBaseline{t.newest, t.known, t.incarnations}
+}
 
-// Judge returns the verdict on a message. termBase is the lowest token of the leader's term, minEpoch an epoch that the
-// agent has reached according to the log, and question the result of Ask for the probe that the message responds to, or
-// nil for a heartbeat.
-func (t *Tracker) Judge(stamp Stamp, termBase, minEpoch uint64, question *Question) Freshness {
+// Judge returns the verdict on a message. minToken is the lowest token of the leader's term, minEpoch an epoch that the
+// agent has reached according to the log, and baseline the result of ProbeBaseline for the probe that the message
+// responds to, or nil for a heartbeat.
+func (t *Tracker) Judge(stamp Stamp, minToken, minEpoch uint64, baseline *ProbeBaseline) Freshness {
 	switch {
-	case !t.known && question == nil && stamp.Token < termBase:
+	case !t.known && baseline == nil && stamp.Token < minToken:
 		return Unproven
-	case !t.known && stamp.Session < minEpoch:
+	case !t.known && stamp.AgentEpoch < minEpoch:
 		return Restarted
 	case !t.known:
 		return Fresh
-	case question != nil && question.known && question.incarnations == t.incarnations && stamp.behind(question.newest):
+	case baseline != nil && baseline.known && baseline.incarnations == t.incarnations && stamp.behind(baseline.newest):
 		return Restarted
-	case !stamp.After(t.newest.Number), question == nil && stamp.Token < max(t.newest.Token, t.fence):
+	case !stamp.After(t.newest.Number), baseline == nil && stamp.Token < max(t.newest.Token, t.fence):
 		return Stale // a duplicate, or overtaken by a later message
 	}
 	return Fresh
@@ -110,8 +112,8 @@
 	return acknowledged
 }
 
-// RecordAnswer records that the response to the last accepted heartbeat carries the token.
-func (t *Tracker) RecordAnswer(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
+// RecordResponse records that the response to the last accepted heartbeat carries the token.
+func (t *Tracker) RecordResponse(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
 
 // Number returns the number of the newest message.
 func (t *Tracker) Number() Number { return t.newest.Number }
@@ -122,8 +124,8 @@
 // Fenced reports whether the agent has a token that makes it reject everything sent to an earlier incarnation.
 func (t *Tracker) Fenced() bool { return t.newest.Token >= t.fence }
 
-// OneWay reports whether responses do not reach the agent although its heartbeats arrive.
-func (t *Tracker) OneWay() bool { return t.unacknowledged > 0 }
+// InboundPartitioned reports whether responses do not reach the agent although its heartbeats arrive.
+func (t *Tracker) InboundPartitioned() bool { return t.unacknowledged > 0 }
 
 // Incarnations returns the number of detected restarts of the agent.
 func (t *Tracker) Incarnations() int { return t.incarnations }
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -35,8 +35,8 @@
 	dirtyAfterCommit map[*model.Machine]bool // will have pending commands once proposed entries are committed
 }
 
-// ordersTimeout is how long an agent has to respond to a direct command.
-const ordersTimeout = 3 * time.Second
+// directCommandTimeout is how long an agent has to respond to a direct command.
+const directCommandTimeout = 3 * time.Second
 
 // markForCommands marks a machine as possibly having pending commands.
 func (cd *commandDispatcher) markForCommands(machine *model.Machine) {
@@ -82,30 +82,30 @@
 	machine  *model.Machine
 	commands []wire.Command
 	token    uint64
-	question *staleness.Question // what was known about the agent when the command was sent
+	baseline *staleness.ProbeBaseline // what was known about the agent when the command was sent
 }
 
 // send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
 func (cd *commandDispatcher) send(term *leaderTerm, machine *model.Machine, commands []wire.Command) {
 	sent := &directCommand{
 		term: term, machine: machine, commands: commands,
-		token: cd.replica.model.Token(machine), question: cd.replica.model.BeginProbe(machine),
+		token: cd.replica.model.Token(machine), baseline: cd.replica.model.BeginProbe(machine),
 	}
 	cd.replica.model.StartsSent(machine, commands, sent.token)
 	machine.Contact.DirectInFlight = true
 	term.leadership.timeline.Mark(candidacy.FirstCommand, cd.now())
-	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.Session, Commands: commands}
+	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.AgentEpoch, Commands: commands}
 	addr, via := machine.Info.Addr, cd.assignments.relayFor(machine)
 	go func() {
-		fate, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
-		cd.loop.post(func() { cd.onCommandOutcome(sent, fate, report, err) })
+		outcome, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
+		cd.loop.post(func() { cd.onCommandOutcome(sent, outcome, report, err) })
 	}()
 }
 
 // onCommandOutcome processes the outcome of a direct command and the status report that the agent responded with, if
 // any.
 func (cd *commandDispatcher) onCommandOutcome(
-	sent *directCommand, fate agent.CommandFate, report *wire.Heartbeat, err error,
+	sent *directCommand, outcome agent.CommandOutcome, report *wire.Heartbeat, err error,
 ) {
 	if cd.term.ownTerm != sent.term {
 		return
@@ -115,10 +115,10 @@
 	if cd.replica.model.Machines[machine.ID] != machine {
 		return
 	}
-	switch fate {
+	switch outcome {
 	case agent.Unknown:
 		cd.log.Debug("command outcome unknown", "machine", machine.Info.Name, "err", err)
-		cd.replica.model.StartsLost(machine, sent.commands, sent.token)
+		cd.replica.model.StartsUnanswered(machine, sent.commands, sent.token)
 		cd.probes.probeMachine(machine, func() { cd.onProbedAfterUnknownOutcome(sent) })
 	case agent.Unsent:
 		cd.replica.model.StartsAnswered(machine, sent.commands, sent.token, false)
@@ -130,7 +130,7 @@
 		cd.replica.model.StartsAnswered(machine, sent.commands, sent.token, true)
 	}
 	if report != nil && report.Machine == machine.Info.Name {
-		cd.heartbeats.observe(machine, report, sent.question)
+		cd.heartbeats.observe(machine, report, sent.baseline)
 	}
 	if sent.term.dispatch.dirtyMachines[machine] {
 		cd.sendDirect(machine)
@@ -160,7 +160,7 @@
 			return true
 		}
 	}
-	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
+	return cd.replica.model.HasPendingReap(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
 // stopRun ends a run that is to be stopped or whose job is cancelled: immediately if its start cannot have been sent,
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -93,7 +93,7 @@
 	term := cp.term.ownTerm
 	commits := &term.commits
 	data := entry.Append(nil)
-	index := commits.enqueue(data, cp.oplog.MaxData(), entry.Kind == model.EntryAccept)
+	index := commits.enqueue(data, cp.oplog.MaxBatchBytes(), entry.Kind == model.EntryAccept)
 	seq := term.nextSeq() - uint64(len(commits.queue)-1-index)
 	commits.urgent = commits.urgent || cp.isUrgent(entry)
 	if err := cp.replica.model.Apply(entry, seq, cp.now()); err != nil {
@@ -106,11 +106,11 @@
 // queue. With firstFit, the entry goes into the first batch that has space; the caller guarantees that it does not
 // depend on any queued entry. This holds for the acceptance of a job, which then does not wait behind bulk entries
 // while a user waits for the response.
-func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, firstFit bool) int {
+func (commits *commitPipelineTerm) enqueue(data []byte, maxBatchBytes int, firstFit bool) int {
 	if len(commits.queue) == 0 {
 		commits.queuedAt = time.Now()
 	}
-	hasSpace := func(batch []byte) bool { return len(batch)+len(data) <= maxData }
+	hasSpace := func(batch []byte) bool { return len(batch)+len(data) <= maxBatchBytes }
 	if k := len(commits.queue); k == 0 || !hasSpace(commits.queue[k-1]) {
 		commits.queue = append(commits.queue, nil)
 	}
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -291,9 +291,9 @@
 }
 
 // newRelayState returns the state of a relay, with limits on what it forwards concurrently.
-func newRelayState(connections, sockets int) *relaying {
+func newRelayState(connections, sockets int) *relayState {
 	limit := relayedLimit(connections)
-	return &relaying{
+	return &relayState{
 		reports: make(slots, limit),
 		orders:  make(slots, limit),
 		probes:  make(slots, relayedProbeLimit(sockets)),
@@ -304,7 +304,7 @@
 func newRoleState(node string) *roleState {
 	state := &roleState{participants: map[string]bool{}}
 	for i := range state.roles {
-		name := singleton.Name(i)
+		name := singleton.RoleName(i)
 		state.roles[i] = singleton.New(name, node, singleton.DefaultRules(name))
 	}
 	return state
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -222,7 +222,7 @@
 		}
 		now := ex.now()
 		queue := &wire.Queue{Node: ex.settings.Node, LogBatch: ex.replica.appliedSeq, Jobs: []wire.QueuedJob{}}
-		inOrder, rest := ex.rounds.scheduler.Waiting(ex.replica.model, now)
+		inOrder, rest := ex.rounds.scheduler.WaitingJobs(ex.replica.model, now)
 		for i, job := range inOrder {
 			addQueued(queue, &filter, job, i+1, now)
 		}
@@ -346,7 +346,7 @@
 	explained.Complete = analysis.Complete
 	explained.Partial = analysis.Truncated
 	if job != nil {
-		explained.Starting = job.Live - job.Running
+		explained.Starting = job.PlacedTasks - job.Running
 	}
 	for _, reason := range unsimulated {
 		// These reasons prevent scheduling rounds, so they block every job.
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -39,7 +39,7 @@
 		machine := &model.MachineInfo{Name: fmt.Sprint("host-", id), Type: "small", Zone: "a"}
 		for _, e := range []*model.Entry{
 			{Kind: model.EntryMachine, Machine: id, Info: machine},
-			model.Accepted(&wire.JobSpec{ID: wire.JobID(uint64(job)), Tasks: 1}, 0),
+			model.NewAcceptance(&wire.JobSpec{ID: wire.JobID(uint64(job)), Tasks: 1}, 0),
 			{Kind: model.EntryPlace, Job: job, Attempt: 1, Machine: id},
 			{Kind: model.EntryCancel, Job: job},
 		} {
@@ -61,11 +61,11 @@
 	})
 }
 
-// TestGoldenCommandFates checks the numbers of command fates, which controllers exchange.
-func TestGoldenCommandFates(t *testing.T) {
-	for number, fate := range []agent.CommandFate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
-		if int(fate) != number {
-			t.Errorf("fate has number %d, want %d", fate, number)
+// TestGoldenCommandOutcomes checks the numbers of command outcomes, which controllers exchange.
+func TestGoldenCommandOutcomes(t *testing.T) {
+	for number, outcome := range []agent.CommandOutcome{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
+		if int(outcome) != number {
+			t.Errorf("outcome has number %d, want %d", outcome, number)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 			c.heartbeatRouter.forwardReport(ctx, report)
 		},
 		func() { _, _, _ = c.assignments.sendOrders(ctx, c.link, "10.1.0.1:9", orders) },
-		func() { _, _ = queryThrough(ctx, c.link, "10.1.0.1:9") },
+		func() { _, _ = probeThroughRelay(ctx, c.link, "10.1.0.1:9") },
 	}
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -49,7 +49,7 @@
 // onReportAsLeader processes a heartbeat that arrived at this controller or through a relay; node is the index of that
 // controller in the relay table.
 func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(result.Result)) {
-	machine := hb.replica.model.ByName[report.Machine]
+	machine := hb.replica.model.MachinesByName[report.Machine]
 	if answer := hb.rejectReport(machine, report); answer != nil {
 		send(answer)
 		return
@@ -69,7 +69,7 @@
 func (hb *heartbeats) rejectReport(machine *model.Machine, report *wire.Heartbeat) result.Result {
 	active := hb.term.isActive()
 	switch {
-	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
+	case report.FencingToken >= hb.replica.model.MinToken+1<<machineTokenBits:
 		return result.Redirected{} // its agent has accepted a later term than this one
 	case !hb.leases.mayRenew():
 		// No controller may extend leases beyond the stale renewal limit: a cancellation that it does not know of must
@@ -123,7 +123,7 @@
 		return result.NoLeader{}
 	}
 	token := hb.replica.model.Token(machine)
-	machine.Contact.Reports.RecordAnswer(token)
+	machine.Contact.Reports.RecordResponse(token)
 	commands := hb.replica.model.Commands(machine, hb.term.ownTerm.commits.committedSeq, true)
 	return hb.leases.renew(machine.Info.Name, token, commands)
 }
@@ -178,10 +178,10 @@
 // onUnknownMachineProbed registers a machine that responded to a probe, unless it was registered meanwhile, and answers
 // its heartbeat.
 func (hb *heartbeats) onUnknownMachineProbed(status *wire.Heartbeat) result.Result {
-	if hb.replica.model.ByName[status.Machine] == nil {
+	if hb.replica.model.MachinesByName[status.Machine] == nil {
 		hb.register(status)
 	}
-	machine := hb.replica.model.ByName[status.Machine]
+	machine := hb.replica.model.MachinesByName[status.Machine]
 	hb.observe(machine, status, hb.replica.model.BeginProbe(machine))
 	hb.loop.requestRound()
 	return hb.replyToMachine(machine)
@@ -198,31 +198,31 @@
 }
 
 // onProbeAnswer processes the response of a machine to a probe.
-func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) {
+func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, baseline *staleness.ProbeBaseline) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
 	}
 	if machine.Suspect && hb.term.isActive() {
 		// From here on its lease is renewed again.
 		hb.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
-		hb.commits.propose(model.NewTrust(machine.ID))
+		hb.commits.propose(model.NewSuspicionCleared(machine.ID))
 		hb.loop.requestRound()
 	}
 	firstReport := !machine.Contact.Reported
-	hb.observe(machine, report, question)
+	hb.observe(machine, report, baseline)
 	machine.Contact.LastReport = hb.now()
 	hb.loop.roundRequested = hb.loop.roundRequested || firstReport
 }
 
 // observe records a status report, from a heartbeat or in response to a request, and proposes the entries that follow
-// from it. The question is nil for a heartbeat. A stale report has no further effect.
+// from it. The baseline is nil for a heartbeat. A stale report has no further effect.
 func (hb *heartbeats) observe(
-	machine *model.Machine, report *wire.Heartbeat, question *staleness.Question,
+	machine *model.Machine, report *wire.Heartbeat, baseline *staleness.ProbeBaseline,
 ) model.ReportVerdict {
 	wasQuarantined := machine.Health.Quarantined
 	wasPartitioned := machine.Contact.InboundPartitionSince != 0
 	firstReport := !machine.Contact.Reported
-	verdict := hb.replica.model.Observe(machine, report, question, hb.now())
+	verdict := hb.replica.model.Observe(machine, report, baseline, hb.now())
 	for _, entry := range verdict.Entries {
 		hb.commits.propose(entry)
 		hb.loop.requestRound()
@@ -254,8 +254,8 @@
 	if verdict.NeedsProbe {
 		hb.probes.probeMachine(machine, nil)
 	}
-	hb.replica.model.SealReapable(machine, term.nextSeq())
-	hb.applyVerdict(machine, &verdict, firstReport && question != nil)
+	hb.replica.model.SetReapableSeq(machine, term.nextSeq())
+	hb.applyVerdict(machine, &verdict, firstReport && baseline != nil)
 	return verdict
 }
 
@@ -267,7 +267,7 @@
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
 			"failures", j.Observed.Errors)
 	}
-	for _, ready := range verdict.GangReady {
+	for _, ready := range verdict.GangReadyMachines {
 		hb.dispatch.markForCommands(ready)
 	}
 	if len(verdict.Entries) > 0 {
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -22,7 +22,7 @@
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
 	term := ls.components.newTerm(ctx, cancel, won.Leader)
-	if since, vacant := ls.eligibility.leaderlessSince(); vacant {
+	if since, leaderless := ls.eligibility.leaderlessSince(); leaderless {
 		term.leadership.timeline.Mark(candidacy.LeaderLost, since)
 	}
 	term.leadership.timeline.Mark(candidacy.Elected, ls.now())
@@ -60,7 +60,7 @@
 func (ls *leadership) renewLease(ctx context.Context, term *leaderTerm, won *election.Leadership) error {
 	return election.RenewUntilLost(ctx, ls.store, won, func(until time.Time) {
 		ls.loop.post(func() {
-			if term.handingOver {
+			if term.resigned {
 				return
 			}
 			ls.term.extendTrust(term, until)
@@ -133,7 +133,7 @@
 	ls.components.start(term)
 	ls.metrics.Terms.Inc()
 	ls.log.Info("leader elected", "term", term.leader.Term, "seq", ls.replica.appliedSeq,
-		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
+		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.MachinesInOrder))
 }
 
 // stepDown ends a term in the loop. It resets the replica, whose model contains entries that may never be committed.
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -49,7 +49,7 @@
 	if !lr.mayRenew() {
 		return result.NoLeader{}
 	}
-	lr.renewals.Renewed(machine, lr.now())
+	lr.renewals.RecordRenewal(machine, lr.now())
 	return result.Renewed{FencingToken: token, Commands: commands}
 }
 
@@ -62,10 +62,10 @@
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
-		if !j.Cancelled || run.Session < report.AgentEpoch || reportContains(report, run) {
+		if !j.Cancelled || run.AgentEpoch < report.AgentEpoch || reportContains(report, run) {
 			continue
 		}
-		if j.Observed.CancelledFrom == 0 || lr.now()-j.Observed.CancelledFrom > lr.settings.StaleRenewalLimit() {
+		if j.Observed.CancelledSince == 0 || lr.now()-j.Observed.CancelledSince > lr.settings.StaleRenewalLimit() {
 			return true
 		}
 	}
@@ -97,10 +97,10 @@
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
 
-// replyRenewals answers the leader's query for when this controller last renewed the leases of a zone's machines. It
-// answers only after it has applied the batch that made them suspect, because from then on it does not renew their
+// answerRenewalQuery answers the leader's query for when this controller last renewed the leases of a zone's machines.
+// It answers only after it has applied the batch that made them suspect, because from then on it does not renew their
 // leases.
-func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) result.Result {
+func (lr *leaseRenewal) answerRenewalQuery(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
 	if !reader.Done() {
@@ -112,7 +112,7 @@
 			return
 		}
 		var suspects, others []string
-		for _, machine := range lr.replica.model.Order {
+		for _, machine := range lr.replica.model.MachinesInOrder {
 			switch {
 			case machine.Info.Zone != request.ID:
 			case machine.Suspect:
@@ -135,7 +135,7 @@
 	newestSuspicions := lr.newestSuspicions()
 	for i, m := range lr.settings.Members {
 		link := lr.links[m.Node]
-		if time.Since(link.LastResponse()) > linkFreshness {
+		if time.Since(link.LastResponse()) > linkTimeout {
 			continue
 		}
 		for zone, seq := range newestSuspicions[i] {
@@ -153,12 +153,12 @@
 func (lr *leaseRenewal) newestSuspicions() []map[int32]uint64 {
 	others := len(lr.settings.Members)
 	newest := make([]map[int32]uint64, others)
-	for _, machine := range lr.replica.model.Order {
+	for _, machine := range lr.replica.model.MachinesInOrder {
 		if !machine.Suspect || machine.Releasing || machine.Contact.SuspectFrom == 0 || len(machine.Runs) == 0 {
 			continue
 		}
 		for i := range others {
-			if !machine.Contact.Renewals.IsMissing(i, others) {
+			if !machine.Contact.Renewals.AwaitsReport(i, others) {
 				continue
 			}
 			if newest[i] == nil {
@@ -203,7 +203,7 @@
 	if lr.term.ownTerm != term {
 		return
 	}
-	for _, machine := range lr.replica.model.Order {
+	for _, machine := range lr.replica.model.MachinesInOrder {
 		if machine.Zone != query.zone || !machine.Suspect || machine.Contact.SuspectFrom <= 0 ||
 			machine.SuspectSeq() > query.suspectSeq {
 			continue
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -42,7 +42,7 @@
 // within 3 s, when the cloud had recovered and a third of the fleet was about to be replaced.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		machine.Contact.LastReport = min(now, machine.Contact.LastReport+delay)
 	}
 	if delay+maintenanceInterval <= stallThreshold {
@@ -50,7 +50,7 @@
 	}
 	mh.log.Info("event loop stalled", "duration", delay+maintenanceInterval)
 	if term := mh.term.ownTerm; term != nil {
-		term.health.detector.OnStall()
+		term.health.detector.ResetIsolation()
 		term.heartbeats.lastHeartbeat = now
 	}
 }
@@ -58,11 +58,11 @@
 // healthRules returns the thresholds of the health checks, from the settings.
 func (mh *machineHealth) healthRules() *health.Rules {
 	return &health.Rules{
-		HeartbeatS:     mh.settings.Params.Workers.HeartbeatS,
-		ProbeAfter:     mh.probeAfter(),
-		SilentAfter:    mh.silentAfter(),
-		CancelPatience: mh.cancelReleaseDelay(),
-		Zones:          len(mh.settings.Params.Zones),
+		HeartbeatS:         mh.settings.Params.Workers.HeartbeatS,
+		ProbeAfter:         mh.probeAfter(),
+		SilentAfter:        mh.silentAfter(),
+		CancelReleaseDelay: mh.cancelReleaseDelay(),
+		Zones:              len(mh.settings.Params.Zones),
 	}
 }
 
@@ -78,7 +78,7 @@
 func (mh *machineHealth) checkMachineHealth(term *leaderTerm) {
 	now, rules := mh.now(), mh.healthRules()
 	census := &health.Census{}
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		observed := observeMachine(machine, now)
 		census.Add(rules, &observed)
 	}
@@ -86,7 +86,7 @@
 	mh.leases.queryRenewals(term)
 	round := term.health.detector.Begin(rules, census, now, term.provisioning.cloudUnavailable)
 	evidence := &healthEvidence{machineHealth: mh, ownTerm: term, now: now}
-	for _, machine := range mh.replica.model.Order {
+	for _, machine := range mh.replica.model.MachinesInOrder {
 		mh.checkTaskHealth(machine, round.ChecksLateness(), now)
 		evidence.machine = machine
 		observed := observeMachine(machine, now)
@@ -133,14 +133,14 @@
 	if checkSlow && mh.replica.model.DetectSlow(machine, now) {
 		mh.heartbeats.logSlow(machine)
 	}
-	if machine.Health.DoubtSince == 0 || machine.Health.Quarantined {
+	if machine.Health.CordonedSince == 0 || machine.Health.Quarantined {
 		return
 	}
 	mh.replica.model.UpdateQuarantine(machine, now)
 	switch {
 	case machine.Health.Quarantined:
 		mh.heartbeats.logQuarantined(machine)
-	case machine.Health.DoubtSince == 0:
+	case machine.Health.CordonedSince == 0:
 		mh.loop.requestRound() // it is usable again: its jobs fail on other machines too
 	}
 }
@@ -179,16 +179,16 @@
 func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
 	now := mh.now()
 	reach := health.Reach{
-		SinceHeartbeat: now - term.heartbeats.lastHeartbeat,
-		SinceGrace:     time.Since(term.leadership.reportGraceEnd),
+		SinceHeartbeat:   now - term.heartbeats.lastHeartbeat,
+		SinceGracePeriod: time.Since(term.leadership.reportGraceEnd),
 	}
 	for _, link := range mh.links {
-		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkFreshness
+		reach.PeerReachable = reach.PeerReachable || time.Since(link.LastResponse()) < linkTimeout
 	}
 	switch term.health.detector.CheckIsolation(rules, census, reach, now) {
 	case health.ProbeMachines:
-		stride := health.ProbeStride(len(mh.replica.model.Order))
-		for i, machine := range mh.replica.model.Order {
+		stride := health.ProbeStride(len(mh.replica.model.MachinesInOrder))
+		for i, machine := range mh.replica.model.MachinesInOrder {
 			if i%stride == 0 {
 				mh.probes.probeSilent(machine, false)
 			}
@@ -202,7 +202,7 @@
 func (mh *machineHealth) resign(term *leaderTerm, census *health.Census) {
 	total, silent := census.Totals()
 	mh.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
-	term.handingOver = true
+	term.resigned = true
 	mh.term.extendTrust(term, time.Time{})
 	select {
 	case term.errs <- errHeartbeatsMissing:
@@ -233,17 +233,17 @@
 		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// MovableWork returns the work on the machine that may run in another zone.
-func (e *healthEvidence) MovableWork() (urgent bool, low health.Room) {
-	urgent, resources := scheduler.MovableWork(e.machine)
-	return urgent, health.Room{CPUs: resources.CPUs, GPUs: resources.GPUs}
+// MovableTasks returns the work on the machine that may run in another zone.
+func (e *healthEvidence) MovableTasks() (urgent bool, low health.Resources) {
+	urgent, resources := scheduler.MovableTasks(e.machine)
+	return urgent, health.Resources{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
 // FreeOutsideZone returns the free resources for low-priority work in the other zones, without the headroom reserved
 // for services.
-func (e *healthEvidence) FreeOutsideZone() health.Room {
+func (e *healthEvidence) FreeOutsideZone() health.Resources {
 	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
-	return health.Room{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
+	return health.Resources{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
 }
 
 // ZoneMayBeAlive reports whether work in the machine's zone may continue without this controller.
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -55,13 +55,13 @@
 // does not respond.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
-	for _, machine := range pr.replica.model.Order {
+	for _, machine := range pr.replica.model.MachinesInOrder {
 		if !machine.Contact.Reported && len(machine.Runs) > 0 && !machine.Suspect &&
 			!term.probes.unresponsive[machine] && !term.probes.zoneCounts(machine.Zone).silent.Load() {
 			return false
 		}
 	}
-	return len(pr.replica.model.Order) > 0
+	return len(pr.replica.model.MachinesInOrder) > 0
 }
 
 // zoneProbeCounts counts the results of probes to the machines of a zone, and their heartbeats, in this term. The event
@@ -98,7 +98,7 @@
 // probeAll probes all machines with tasks. A new leader places no tasks before these machines have reported, and many
 // agents take a heartbeat interval or longer to find it.
 func (pr *probes) probeAll() {
-	for _, machine := range pr.replica.model.Order {
+	for _, machine := range pr.replica.model.MachinesInOrder {
 		if len(machine.Runs) > 0 && !machine.Suspect {
 			pr.probeSilent(machine, true)
 		}
@@ -116,13 +116,13 @@
 	term.probes.followUpProbes++
 	machine.Contact.ProbedAt = pr.now()
 	addr, routes := machine.Info.Addr, pr.assignments.routesTo(machine)
-	question := pr.replica.model.BeginProbe(machine)
+	baseline := pr.replica.model.BeginProbe(machine)
 	go func() {
 		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
 		pr.loop.post(func() {
 			term.probes.followUpProbes--
 			if pr.term.ownTerm == term && err == nil {
-				pr.heartbeats.onProbeAnswer(machine, report, question)
+				pr.heartbeats.onProbeAnswer(machine, report, baseline)
 			}
 			if onDone != nil {
 				onDone()
@@ -148,7 +148,7 @@
 	}
 	machine.Contact.Probing = true
 	addr, routes, zone := machine.Info.Addr, pr.assignments.routesTo(machine), term.probes.zoneCounts(machine.Zone)
-	question := pr.replica.model.BeginProbe(machine)
+	baseline := pr.replica.model.BeginProbe(machine)
 	go func() {
 		select {
 		case zone.slots <- struct{}{}:
@@ -161,20 +161,20 @@
 			return
 		}
 		report, err := pr.assignments.probeOverRoutes(term.ctx, routes, addr)
-		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, question) })
+		pr.loop.post(func() { pr.onSilentProbed(term, machine, report, err, baseline) })
 	}()
 }
 
 // onSilentProbed processes the result of probing a silent machine.
 func (pr *probes) onSilentProbed(
-	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, question *staleness.Question,
+	term *leaderTerm, machine *model.Machine, report *wire.Heartbeat, err error, baseline *staleness.ProbeBaseline,
 ) {
 	machine.Contact.Probing = false
 	if pr.term.ownTerm != term {
 		return
 	}
 	if err == nil {
-		pr.heartbeats.onProbeAnswer(machine, report, question)
+		pr.heartbeats.onProbeAnswer(machine, report, baseline)
 		return
 	}
 	if !machine.Contact.Reported {
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -59,7 +59,7 @@
 		term := ra.term.ownTerm
 		term.assignments.acceptingNodes[index] = offer.HasCapacity
 		term.assignments.lastRelayOffers[index] = ra.now()
-		send(result.Done{Body: relay.AppendOfferAnswer(nil, term.assignments.table.Spreading())})
+		send(result.Done{Body: relay.AppendOfferResponse(nil, term.assignments.table.Spreading())})
 	})
 }
 
@@ -97,13 +97,13 @@
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
 	return at != 0 && ra.now()-at < offerTTL &&
-		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
+		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkTimeout
 }
 
 // maintainAssignments decides by the size of the fleet whether agents are distributed, and removes the assignments of
 // silent agents.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
-	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
+	term.assignments.table.UpdateSpreading(len(ra.replica.model.MachinesInOrder), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
 		term.assignments.lastAssignmentSweep = now
 		term.assignments.table.Forget(now - ra.silentAfter())
@@ -114,11 +114,11 @@
 // lost meanwhile, the command may be executed at any later time, like one that is delayed in the network.
 func (ra *relayAssignments) sendOrders(
 	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
-) (agent.CommandFate, *wire.Heartbeat, error) {
+) (agent.CommandOutcome, *wire.Heartbeat, error) {
 	if via == nil {
 		return ra.agents.SendOrders(ctx, addr, orders)
 	}
-	ctx, cancel := context.WithTimeout(ctx, ordersTimeout+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, directCommandTimeout+time.Second)
 	defer cancel()
 	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayOrders, ID: addr, Body: relay.AppendOrders(nil, orders)})
 	switch {
@@ -129,16 +129,16 @@
 	case reply.Status != http.StatusOK:
 		return agent.Unsent, nil, errNotForwarded
 	}
-	outcome, err := relay.ReadCommandResult(reply.Body)
-	if err != nil || outcome.Fate > uint8(agent.Unknown) {
+	commandResult, err := relay.ReadCommandResult(reply.Body)
+	if err != nil || commandResult.Outcome > uint8(agent.Unknown) {
 		return agent.Unknown, nil, relay.ErrMalformed
 	}
-	return agent.CommandFate(outcome.Fate), outcome.Report, nil
+	return agent.CommandOutcome(commandResult.Outcome), commandResult.Report, nil
 }
 
 // relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
-	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
+	i := ra.term.ownTerm.assignments.table.ControllerOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
 		return nil
 	}
@@ -171,7 +171,7 @@
 		if via == nil {
 			report, err = ra.agents.Probe(ctx, addr, probeTimeout)
 		} else {
-			report, err = queryThrough(ctx, via, addr)
+			report, err = probeThroughRelay(ctx, via, addr)
 		}
 		if err == nil {
 			return report, nil
@@ -180,8 +180,9 @@
 	return nil, err
 }
 
-// queryThrough probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
-func queryThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
+// probeThroughRelay probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the
+// relay.
+func probeThroughRelay(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
 	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayProbe, ID: addr})
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -62,7 +62,7 @@
 // isStoreReachable reports whether a follower can reach the key-value store. caughtUpAt cannot be used for this: on an
 // idle log it lags by up to two watches, the current one and the previous one.
 func (rp *replica) isStoreReachable() bool {
-	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
+	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkTimeout
 }
 
 // applyBatch applies a batch committed by another controller. A batch that was already applied is ignored; one that
@@ -81,7 +81,7 @@
 			return fmt.Errorf("controller: log batch %d: %w", batch.Seq, err)
 		}
 		if job := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && job != nil {
-			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
+			job.Observed.CancelledSince = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
 		}
 		if err := rp.model.Apply(entry, batch.Seq, rp.now()); err != nil {
 			rp.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
@@ -136,7 +136,7 @@
 
 // replaceModel replaces the model by the result of a load that was sent at sentAt. After an error the replica counts as
 // not loaded.
-func (rp *replica) replaceModel(loaded *oplog.Loaded, sentAt time.Time) error {
+func (rp *replica) replaceModel(loaded *oplog.LogState, sentAt time.Time) error {
 	lastSeq := loaded.SnapshotSeq + uint64(len(loaded.Batches))
 	if rp.loaded && rp.appliedSeq >= lastSeq {
 		// A request has read the end of the log after this load did. The model must not go back to an older state,
@@ -159,7 +159,7 @@
 	rp.caughtUpAt, rp.lastStoreContact = sentAt, time.Now()
 	rp.loaded = true
 	rp.log.Info("replica loaded", "batches", len(loaded.Batches), "snapshot_seq", loaded.SnapshotSeq,
-		"jobs", len(rp.model.Jobs), "machines", len(rp.model.Order))
+		"jobs", len(rp.model.Jobs), "machines", len(rp.model.MachinesInOrder))
 	return nil
 }
 
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -52,7 +52,7 @@
 	}
 	parts := []*provisioner.Result{outcome}
 	if outcome.Kind == provisioner.MachinesListed {
-		parts = provisioner.SplitListed(slices.DeleteFunc(outcome.Listing, rs.isInLog), maxListedBytes)
+		parts = provisioner.SplitListing(slices.DeleteFunc(outcome.Listing, rs.isInLog), maxListedBytes)
 	}
 	name := role.Name.String()
 	go func() {
@@ -74,7 +74,7 @@
 	if rs.replica.model.Tombstones[row.Name] {
 		return true
 	}
-	machine := rs.replica.model.ByName[row.Name]
+	machine := rs.replica.model.MachinesByName[row.Name]
 	return machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
 }
 
@@ -96,7 +96,7 @@
 			send(result.Unsupported{Reason: "duties are not held one by one here"})
 		case !rs.term.isActive():
 			send(result.Unavailable{Reason: "no leader here", RetryAfter: time.Second})
-		case !rs.state.roles[singleton.Provisioning].IsCurrent(term):
+		case !rs.state.roles[singleton.Provisioning].IsCurrentTerm(term):
 			send(result.Superseded{Reason: "another holds the duty"})
 		default:
 			rs.provisioning.onProvisionerResult(rs.term.ownTerm, outcome)
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -35,19 +35,19 @@
 		"image_cached", machine.HasImage(job.Image), "score", score)
 	sr.metrics.Placed.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
-	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.Session))
+	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.AgentEpoch))
 	sr.dispatch.markForCommands(machine)
 }
 
 // Preempt implements scheduler.Binder: it stops a run. No log entry is needed: if a leader's stop is lost, its
 // successor decides again.
-func (sr *schedulingRounds) Preempt(run *model.Run, hard bool, reason string) {
+func (sr *schedulingRounds) Preempt(run *model.Run, skipCheckpoint bool, reason string) {
 	if run.Stop {
 		return
 	}
 	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)),
 		"machine", run.Machine.Info.Name, "reason", reason)
-	run.Stop, run.Hard = true, hard
+	run.Stop, run.SkipCheckpoint = true, skipCheckpoint
 	sr.metrics.Stopped.Inc()
 	sr.dispatch.stopRun(run)
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -137,7 +137,7 @@
 	}
 	spec, specErr := wire.ParseJob(body)
 	var entry *model.Entry
-	answer := sb.loop.answerInTurn(ctx, func(send func(result.Result)) {
+	answer := sb.loop.answerRequest(ctx, func(send func(result.Result)) {
 		var decision result.Result
 		entry, decision = sb.decideForIntake(model.JobID(jobNumber), spec, specErr)
 		send(decision)
@@ -177,7 +177,7 @@
 	if refusal := sb.refusal(spec, specErr); refusal != nil {
 		return nil, refusal
 	}
-	return model.Accepted(spec, time.Now().UnixMilli()), result.Accepted{Status: pendingStatus(uint64(id))}
+	return model.NewAcceptance(spec, time.Now().UnixMilli()), result.Accepted{Status: pendingStatus(uint64(id))}
 }
 
 // pendingStatus returns the status of a job that was accepted and of which nothing else is known.
@@ -194,7 +194,7 @@
 	spec, specErr := wire.ParseJob(body)
 	//nolint:contextcheck // a job in the log is recorded under the term's context, even if its request ends
 	submit := func(send func(result.Result)) { sb.accept(model.JobID(jobNumber), spec, specErr, send) }
-	answer := sb.loop.answerInTurn(ctx, submit)
+	answer := sb.loop.answerRequest(ctx, submit)
 	if !result.IsRejection(answer) {
 		return answer
 	}
@@ -203,7 +203,7 @@
 	if !sb.intake.resolve(ctx, jobNumber) {
 		return result.NoLeader{}
 	}
-	return sb.loop.answerInTurn(ctx, submit)
+	return sb.loop.answerRequest(ctx, submit)
 }
 
 // accept decides about a job on the leader's event loop. It sends a refusal at once, and an acceptance when the job is
@@ -231,7 +231,7 @@
 		send(result.Overloaded{Reason: "more work is offered than can be taken", RetryAfter: wait})
 		return
 	}
-	entry := model.Accepted(spec, time.Now().UnixMilli())
+	entry := model.NewAcceptance(spec, time.Now().UnixMilli())
 	seq := sb.commits.propose(entry)
 	sb.loop.requestRound()
 	sb.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -28,7 +28,7 @@
 	copyTakenAsResponse
 	responseNotAwaited     // a start in flight in the response to a report is ignored
 	unansweredStartIgnored // a direct start without a response counts as never sent
-	anySessionTrusted      // the epoch of any report ends the runs of lower epochs
+	anyEpochTrusted        // the epoch of any report ends the runs of lower epochs
 	// A relay that has responded to a report itself forwards the leader's later response to the agent, whatever the
 	// agent has sent since.
 	relayForwardsLateResponse
@@ -39,12 +39,12 @@
 
 // inFlightMessage is a message from a leader that the agent has not received yet.
 type inFlightMessage struct {
-	incarnation, token, session uint64 // incarnation is that of the recipient
-	commands                    []wire.Command
-	isResponse                  bool // response to the report in flight
-	senderWaits                 bool // the sender still waits for the response
-	probe                       *staleness.Question
-	term                        uint64
+	incarnation, token, epoch uint64 // incarnation is that of the recipient
+	commands                  []wire.Command
+	isResponse                bool // response to the report in flight
+	senderWaits               bool // the sender still waits for the response
+	probe                     *staleness.ProbeBaseline
+	term                      uint64
 }
 
 // exploredState is the combined state of the agent, the network and the leader.
@@ -52,7 +52,7 @@
 	mutation      mutation
 	model         *Model // of the leader
 	incarnation   uint64 // of the agent, as are the fields up to exited
-	session       uint64
+	epoch         uint64
 	seq           uint64
 	token         uint64 // highest seen by the agent
 	agentAttempt  uint64 // attempt on the machine that is not reaped yet; 0: none
@@ -62,7 +62,7 @@
 	reports       []wire.Heartbeat
 	awaitedReport int // 1-based index of the report that awaits its response; 0: none, -1: response in flight
 	inFlight      []inFlightMessage
-	probe         *staleness.Question
+	probe         *staleness.ProbeBaseline
 	terms         int
 	leaseExpiries int
 	violation     string
@@ -74,35 +74,35 @@
 
 func (w exploredState) clone() exploredState {
 	m := w.model.Clone()
-	for i, machine := range w.model.Order {
-		copied := m.Order[i]
+	for i, machine := range w.model.MachinesInOrder {
+		copied := m.MachinesInOrder[i]
 		copied.Contact.unresolvedStarts = maps.Clone(machine.Contact.unresolvedStarts)
 		copied.Contact.reapable = slices.Clone(machine.Contact.reapable)
-		m.ByName[machine.Info.Name] = copied
+		m.MachinesByName[machine.Info.Name] = copied
 	}
 	w.model, w.reports, w.inFlight = m, slices.Clone(w.reports), slices.Clone(w.inFlight)
 	return w
 }
 
 func (w exploredState) Key() string {
-	machine := w.model.Order[0]
+	machine := w.model.MachinesInOrder[0]
 	contact := &machine.Contact
 	b := fmt.Appendf(nil, "%+v %v %v %v %v",
-		contact.Reports, contact.Session, contact.TokenOffset, contact.unresolvedStarts, contact.reapable)
+		contact.Reports, contact.AgentEpoch, contact.TokenOffset, contact.unresolvedStarts, contact.reapable)
 	for _, r := range machine.Runs {
 		b = fmt.Appendf(b, " %v/%v/%v/%v/%v/%v/%v",
-			r.Attempt, r.Session, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
+			r.Attempt, r.AgentEpoch, r.Phase, r.Inherited, r.startResponseSeq, r.Stop, r.endMinToken)
 	}
 	for _, x := range []uint64{
-		w.incarnation, w.session, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
-		uint64(w.terms), uint64(w.leaseExpiries), w.model.TermBase,
+		w.incarnation, w.epoch, w.seq, w.token, w.agentAttempt, w.earlyReaped, uint64(w.awaitedReport),
+		uint64(w.terms), uint64(w.leaseExpiries), w.model.MinToken,
 	} {
 		b = binary.AppendUvarint(b, x)
 	}
 	b = fmt.Appendf(b, "%v %v %v %v %+v", w.runsElsewhere, w.exited, w.violation, w.relayedReport, w.reports)
 	for _, u := range w.inFlight {
 		b = fmt.Appendf(b, "%v %v %v %v %v %v %+v",
-			u.incarnation, u.token, u.session, u.isResponse, u.senderWaits, u.term, u.probe)
+			u.incarnation, u.token, u.epoch, u.isResponse, u.senderWaits, u.term, u.probe)
 		for _, c := range u.commands {
 			b = fmt.Appendf(b, " %v %v", c.Verb, c.Attempt)
 		}
@@ -115,7 +115,7 @@
 // report returns the next report of the agent.
 func (w *exploredState) report() *wire.Heartbeat {
 	w.seq++
-	r := testReport(w.session, w.seq, w.token)
+	r := testReport(w.epoch, w.seq, w.token)
 	if w.agentAttempt != 0 {
 		s := wire.TaskStatus{Task: testTaskID, Attempt: w.agentAttempt, State: wire.TaskRunning}
 		if w.exited {
@@ -127,17 +127,17 @@
 }
 
 // observe passes a report to the leader and applies the resulting entries.
-func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.Question) ReportVerdict {
-	machine := w.model.Order[0]
+func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.ProbeBaseline) ReportVerdict {
+	machine := w.model.MachinesInOrder[0]
 	offset := machine.Contact.TokenOffset
 	v := w.model.Observe(machine, r, probe, 1)
 	if w.mutation == reapsEarly {
 		machine.Contact.TokenOffset = offset
 	}
-	if w.mutation == anySessionTrusted && v.Freshness == staleness.Unproven {
+	if w.mutation == anyEpochTrusted && v.Freshness == staleness.Unproven {
 		for _, run := range machine.Runs {
-			if run.Session < r.AgentEpoch {
-				v.Entries = append(v.Entries, &Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: run.Attempt})
+			if run.AgentEpoch < r.AgentEpoch {
+				v.Entries = append(v.Entries, &Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: run.Attempt})
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 	for _, s := range r.Tasks {
 		if w.mutation == reapsEarly && s.State == wire.TaskExited {
 			w.earlyReaped = s.Attempt
-			_ = w.model.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: uint32(s.Attempt)}, 1, 1)
+			_ = w.model.Apply(&Entry{Kind: EntryAttemptEnded, Job: 7, Task: 0, Attempt: uint32(s.Attempt)}, 1, 1)
 		}
 	}
 	return v
@@ -180,8 +180,8 @@
 
 // commands returns the commands that the leader sends now. Entries applied by observe count as committed.
 func (w *exploredState) commands(inResponse bool) []wire.Command {
-	machine := w.model.Order[0]
-	w.model.SealReapable(machine, 1)
+	machine := w.model.MachinesInOrder[0]
+	w.model.SetReapableSeq(machine, 1)
 	commands := w.model.Commands(machine, 9, inResponse)
 	if w.earlyReaped != 0 {
 		commands = append(commands, wire.Command{Verb: wire.Forget, Task: testTaskID, Attempt: w.earlyReaped})
@@ -193,10 +193,10 @@
 func newExploredState(t *testing.T, injected mutation) exploredState {
 	t.Helper()
 	m := New(params())
-	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), Accepted(testSpec(7, 1), 0))
+	applyAll(t, m, NewMachineType(testType()), NewMachine(1, 0, testInfo("host-1")), NewAcceptance(testSpec(7, 1), 0))
 	m.BeginTerm(3<<24, 0)
-	w := exploredState{mutation: injected, model: m, session: 1, incarnation: 1, token: 3 << 24}
-	w.observe(w.report(), m.BeginProbe(m.Order[0]))
+	w := exploredState{mutation: injected, model: m, epoch: 1, incarnation: 1, token: 3 << 24}
+	w.observe(w.report(), m.BeginProbe(m.MachinesInOrder[0]))
 	if err := m.Apply(NewPlacement(7, 0, 1, 1, 1), 4, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +242,7 @@
 		{copyTakenAsResponse, nil, 12, 60_000, false},
 		{responseNotAwaited, nil, 12, 60_000, false},
 		{unansweredStartIgnored, nil, 12, 60_000, false},
-		{anySessionTrusted, nil, 14, 150_000, false},
+		{anyEpochTrusted, nil, 14, 150_000, false},
 		{reapsEarly, duplicateStartDelayed, 14, 60_000, false},
 		{noMutation, nil, 20, 30_000, true},
 		{noMutation, duplicateStartDelayed, 20, 30_000, true},
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -28,9 +28,9 @@
 		}
 	case EntryPlace:
 		reference.tasks[e.Job][e.Task] = string(rune('A' + e.Machine))
-	case EntryEnded:
+	case EntryAttemptEnded:
 		reference.tasks[e.Job][e.Task] = "wait"
-	case EntryDone:
+	case EntryTaskDone:
 		reference.tasks[e.Job][e.Task] = "done"
 		all := true
 		for _, s := range reference.tasks[e.Job] {
@@ -54,20 +54,20 @@
 func requireMatches(t *rapid.T, m *Model, reference *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range reference.tasks {
-		live := 0
+		placed := 0
 		for i, s := range ts {
 			if s != "wait" && s != "done" {
-				live++
+				placed++
 			}
 			requireTaskMatches(t, m, id, i, s)
 		}
-		cpus += float64(live)
-		requireJobMatches(t, m, id, ts, reference.finals[id], live)
+		cpus += float64(placed)
+		requireJobMatches(t, m, id, ts, reference.finals[id], placed)
 	}
 	if m.Teams[0].UsedCPUs != cpus {
 		t.Fatalf("team uses %g CPUs, want %g", m.Teams[0].UsedCPUs, cpus)
 	}
-	if len(m.Machines) != len(machines) || len(m.Order) != len(machines) {
+	if len(m.Machines) != len(machines) || len(m.MachinesInOrder) != len(machines) {
 		t.Fatalf("%d machines, want %d", len(m.Machines), len(machines))
 	}
 }
@@ -88,17 +88,17 @@
 }
 
 // requireJobMatches compares a job's final state and its counts with the reference.
-func requireJobMatches(t *rapid.T, m *Model, id JobID, tasks []string, wantFinal string, live int) {
+func requireJobMatches(t *rapid.T, m *Model, id JobID, tasks []string, wantFinal string, placed int) {
 	j := m.Jobs[id]
 	final := map[Final]string{0: "", FinalDone: "done", FinalCancelled: "cancelled"}[m.Finals[id]]
-	if want := wantFinal; live > 0 && final != "" || live == 0 && final != want {
-		t.Fatalf("job %d has final state %q, want %q with %d placed tasks", id, final, wantFinal, live)
+	if want := wantFinal; placed > 0 && final != "" || placed == 0 && final != want {
+		t.Fatalf("job %d has final state %q, want %q with %d placed tasks", id, final, wantFinal, placed)
 	}
 	if j == nil {
 		return
 	}
-	if j.Live != live {
-		t.Fatalf("job %d has %d placed tasks, want %d", id, j.Live, live)
+	if j.PlacedTasks != placed {
+		t.Fatalf("job %d has %d placed tasks, want %d", id, j.PlacedTasks, placed)
 	}
 	if wantFinal != "" {
 		return
@@ -134,7 +134,7 @@
 	kind := rapid.IntRange(0, 9).Draw(h.test, "kind")
 	switch {
 	case kind <= 1 && j == nil && h.model.Finals[id] == 0:
-		return Accepted(testSpec(uint64(id), rapid.IntRange(1, 4).Draw(h.test, "tasks")), 5)
+		return NewAcceptance(testSpec(uint64(id), rapid.IntRange(1, 4).Draw(h.test, "tasks")), 5)
 	case kind == 2 || kind == 3:
 		return h.drawMachine(kind, machineID)
 	case j != nil && kind >= 4:
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -9,7 +9,7 @@
 // which it follows which of its commands may still be executed.
 type leaderTerm struct {
 	// The lowest fencing token of the current term.
-	TermBase uint64
+	MinToken uint64
 }
 
 // startTokens holds the tokens of direct starts of an attempt: of the one that awaits its response, and of the last one
@@ -24,7 +24,7 @@
 }
 
 // Token returns the fencing token with which this leader commands a machine.
-func (t *leaderTerm) Token(machine *Machine) uint64 { return t.TermBase + machine.Contact.TokenOffset }
+func (t *leaderTerm) Token(machine *Machine) uint64 { return t.MinToken + machine.Contact.TokenOffset }
 
 // RaiseToken raises a machine's token, unless the agent has yet to show the current one. It is used when delivery of
 // responses is uncertain: the report after the next response shows whether that arrived.
@@ -54,8 +54,8 @@
 
 // BeginProbe records what is known of a machine when a probe or a command is sent to it. Only a report that the agent
 // made in response may be judged by that.
-func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.Question {
-	return machine.Contact.Reports.Ask()
+func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.ProbeBaseline {
+	return machine.Contact.Reports.ProbeBaseline()
 }
 
 // StartsSent records that starts are being sent in a direct command.
@@ -70,18 +70,20 @@
 	machine.Contact.startsAnswered(commands, token, accepted)
 }
 
-// StartsLost records that a direct command got no response and may be executed later.
-func (t *leaderTerm) StartsLost(machine *Machine, commands []wire.Command, token uint64) {
-	machine.Contact.startsLost(commands, token)
+// StartsUnanswered records that a direct command got no response and may be executed later.
+func (t *leaderTerm) StartsUnanswered(machine *Machine, commands []wire.Command, token uint64) {
+	machine.Contact.startsUnanswered(commands, token)
 }
 
-// SealReapable records the log sequence number that covers the entries of the last report. The agent may forget exited
-// attempts only after it is committed, because their listing is the evidence for the entries.
-func (t *leaderTerm) SealReapable(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
+// SetReapableSeq records the log sequence number that covers the entries of the last report. The agent may forget
+// exited attempts only after it is committed, because their listing is the evidence for the entries.
+func (t *leaderTerm) SetReapableSeq(machine *Machine, seq uint64) {
+	machine.Contact.setReapableSeq(seq)
+}
 
-// ReapPending reports whether an exited attempt cannot be forgotten until the log has been committed further.
-func (t *leaderTerm) ReapPending(machine *Machine, committed uint64) bool {
-	return machine.Contact.reapPending(committed)
+// HasPendingReap reports whether an exited attempt cannot be forgotten until the log has been committed further.
+func (t *leaderTerm) HasPendingReap(machine *Machine, committed uint64) bool {
+	return machine.Contact.hasPendingReap(committed)
 }
 
 // CancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
@@ -118,7 +120,7 @@
 	})
 }
 
-func (c *MachineContact) startsLost(commands []wire.Command, token uint64) {
+func (c *MachineContact) startsUnanswered(commands []wire.Command, token uint64) {
 	c.DirectFailed = true
 	forEachStart(commands, func(k runKey) {
 		if u, ok := c.unresolvedStarts[k]; ok {
@@ -140,7 +142,7 @@
 	}
 }
 
-func (c *MachineContact) sealReapable(seq uint64) {
+func (c *MachineContact) setReapableSeq(seq uint64) {
 	for i := range c.reapable {
 		if c.reapable[i].seq == 0 {
 			c.reapable[i].seq = seq
@@ -148,7 +150,7 @@
 	}
 }
 
-func (c *MachineContact) reapPending(committed uint64) bool {
+func (c *MachineContact) hasPendingReap(committed uint64) bool {
 	for _, d := range c.reapable {
 		if d.seq > committed {
 			return true
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -92,7 +92,7 @@
 func (r intakeRecords) WatchIntake(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (revision uint64, arrived bool, err error) {
-	changes, err := r.store.client.Follow(ctx, prefixIntake, after, hold)
+	changes, err := r.store.client.Watch(ctx, prefixIntake, after, hold)
 	if err != nil {
 		return 0, false, fmt.Errorf("oplog: follow %s: %w", prefixIntake, err)
 	}
@@ -102,9 +102,9 @@
 	return max(after, changes.Revision), arrived, nil
 }
 
-// DropIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
+// DeleteIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
 // the spare write budget.
-func (r intakeRecords) DropIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
+func (r intakeRecords) DeleteIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
 		n := min(len(jobs), r.store.maxTxnOps, r.store.writeLimiter.Burst()/2)
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -8,10 +8,10 @@
 // lease lasts at least its TTL from the sending of the last successful renewal, so a holder trusts its own clock
 // for that long after sending, less the drift between two clocks.
 //
-// A holder renews only while the role makes progress. After Rules.Patience without progress it releases the role and
-// backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it. The
-// number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when all
-// nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
+// A holder renews only while the role makes progress. After Rules.StallTimeout without progress it releases the role
+// and backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it.
+// The number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when
+// all nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
 // progress grows.
 package singleton
 
@@ -25,18 +25,18 @@
 // Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Name identifies a role.
-type Name uint8
+// RoleName identifies a role.
+type RoleName uint8
 
 // The roles. Scheduling is not one of them: it belongs to the leader, whose lease is managed by package election.
 const (
-	Provisioning Name = iota // listing the cloud's machine types and machines, scale-out and scale-in
-	Compaction               // snapshots, log compaction, deletion of records that are in the log
-	NameCount                // number of roles
+	Provisioning RoleName = iota // listing the cloud's machine types and machines, scale-out and scale-in
+	Compaction                   // snapshots, log compaction, deletion of records that are in the log
+	RoleCount                    // number of roles
 )
 
 // String returns the role's name in keys, logs and metrics.
-func (n Name) String() string {
+func (n RoleName) String() string {
 	switch n {
 	case Provisioning:
 		return "rent"
@@ -51,7 +51,7 @@
 	TTL            Time // duration of the lease
 	TrustPeriod    Time // how long after sending a renewal the lease is guaranteed to last; below TTL
 	RenewInterval  Time // between renewals
-	Patience       Time // maximum time without progress
+	StallTimeout   Time // maximum time without progress
 	InitialBackoff Time // initial backoff of a holder without progress; doubled each time
 	MaxBackoff     Time // upper bound of the backoff
 	RankDelay      Time // additional delay per rank before a node acquires a free role; none for the first
@@ -70,18 +70,18 @@
 
 // DefaultRules returns the rules of a role. The lease is twice as long as a leader's, since no user request waits for a
 // role.
-func DefaultRules(n Name) Rules {
+func DefaultRules(n RoleName) Rules {
 	rules := Rules{
 		TTL:            6 * time.Second,
 		RenewInterval:  1500 * time.Millisecond,
-		Patience:       20 * time.Second,
+		StallTimeout:   20 * time.Second,
 		InitialBackoff: 10 * time.Second,
 		MaxBackoff:     5 * time.Minute,
 		RankDelay:      500 * time.Millisecond,
 		SettleTime:     settleTime + settleTime*Time(n),
 	}
 	if n == Compaction {
-		rules.Patience = time.Minute
+		rules.StallTimeout = time.Minute
 	}
 	rules.TrustPeriod = rules.TTL - rules.TTL/maxClockDriftDivisor - trustMargin
 	return rules
@@ -94,11 +94,12 @@
 	Since Time   // when this node observed it
 }
 
-// View is what a node knows of the other nodes.
-type View struct {
-	Ready  bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
-	Live   []string // responding nodes, this one included
-	Leader string   // empty if unknown
+// ClusterView is what a node knows of the other nodes.
+type ClusterView struct {
+	// All nodes take part. While any runs an older version, the leader performs the roles itself.
+	RolesDistributed bool
+	LiveNodes        []string // responding nodes, this one included
+	Leader           string   // empty if unknown
 }
 
 // Decision is the next action of a node for a role.
@@ -109,7 +110,7 @@
 	NoAction Decision = iota
 	Acquire           // request a lease, and create the key unless it exists; then call Acquired
 	Renew             // renew the lease; then call Renewed
-	Release           // store the count if NoProgress, and revoke the lease, which deletes the key; then call Released
+	Release           // store the count if ReleasedWithoutProgress; revoke the lease, deleting the key; call Released
 )
 
 // Reasons for releasing or losing a role, as shown in the admin API and the log.
@@ -124,7 +125,7 @@
 
 // Role is one node's local state of a role.
 type Role struct {
-	Name  Name
+	Name  RoleName
 	Node  string // this node
 	Rules Rules
 
@@ -135,23 +136,23 @@
 	stalledHolders int // consecutive holders without progress
 
 	// State of this node as the holder.
-	awaitingResponse  bool   // an Acquire or Renew has no response yet
-	lease             uint64 // lease to which the key is attached
-	term              uint64 // 0 if this node does not hold the role
-	trustedUntil      Time
-	renewSentAt       Time // when the last successful renewal was sent
-	heldSince         Time
-	lastProgress      Time
-	progressed        bool // the role made progress in this term
-	betterHolderSince Time // since when another node would be a better holder; 0 if none would
-	backoffUntil      Time
-	backoff           Time
-	noProgress        bool   // the role was released for lack of progress
-	releaseReason     string // why the role was last released or lost
+	awaitingResponse        bool   // an Acquire or Renew has no response yet
+	lease                   uint64 // lease to which the key is attached
+	term                    uint64 // 0 if this node does not hold the role
+	trustedUntil            Time
+	renewSentAt             Time // when the last successful renewal was sent
+	heldSince               Time
+	lastProgress            Time
+	progressed              bool // the role made progress in this term
+	betterHolderSince       Time // since when another node would be a better holder; 0 if none would
+	backoffUntil            Time
+	backoff                 Time
+	releasedWithoutProgress bool   // the role was released for lack of progress
+	releaseReason           string // why the role was last released or lost
 }
 
 // New returns the state of a role that this node does not hold and has not observed.
-func New(n Name, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
+func New(n RoleName, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
 // Observe records the content of the role's key. Without a holder, Term is the revision at which the key was deleted.
 // Terms are revisions too, so the two are comparable, and an older message that arrives late is recognized.
@@ -201,21 +202,21 @@
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
-// the next holders.
-func (r *Role) NoProgress() bool { return r.noProgress }
+// ReleasedWithoutProgress tells whether the role was released for lack of progress, in which case StalledHolders must
+// be stored for the next holders.
+func (r *Role) ReleasedWithoutProgress() bool { return r.releasedWithoutProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent tells whether a report made under a term is valid, that is, whether the term is not older than the observed
-// key.
-func (r *Role) IsCurrent(term uint64) bool { return term != 0 && term >= r.holder.Term }
+// IsCurrentTerm tells whether a report made under a term is valid, that is, whether the term is not older than the
+// observed key.
+func (r *Role) IsCurrentTerm(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience returns the maximum time without progress, which is longer if no other node made progress either.
-func (r *Role) patience(v *View) Time {
-	limit := r.Rules.Patience
-	for rounds := r.stalledHolders / max(1, len(v.Live)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
+// stallTimeout returns the maximum time without progress, which is longer if no other node made progress either.
+func (r *Role) stallTimeout(v *ClusterView) Time {
+	limit := r.Rules.StallTimeout
+	for rounds := r.stalledHolders / max(1, len(v.LiveNodes)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
 		limit *= 2
 	}
 	return limit
@@ -242,8 +243,8 @@
 
 // rank returns this node's position in the order in which nodes may acquire the role: by a hash of role and node, with
 // the leader last, since it has the highest load already.
-func (r *Role) rank(v *View) int {
-	order := slices.Clone(v.Live)
+func (r *Role) rank(v *ClusterView) int {
+	order := slices.Clone(v.LiveNodes)
 	weight := func(node string) uint64 {
 		hash := fnv.New64a()
 		hash.Write([]byte(r.Name.String() + "/" + node))
@@ -262,7 +263,7 @@
 }
 
 // Decide returns the next action for the role.
-func (r *Role) Decide(now Time, v *View) Decision {
+func (r *Role) Decide(now Time, v *ClusterView) Decision {
 	switch {
 	case r.awaitingResponse || !r.observed:
 		return NoAction
@@ -273,8 +274,8 @@
 }
 
 // decideFree decides for a node that does not hold the role.
-func (r *Role) decideFree(now Time, v *View) Decision {
-	if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
+func (r *Role) decideFree(now Time, v *ClusterView) Decision {
+	if !v.RolesDistributed || r.holder.Node != "" || now < r.backoffUntil ||
 		now < r.freeSince+Time(r.rank(v))*r.Rules.RankDelay {
 		return NoAction
 	}
@@ -283,22 +284,22 @@
 }
 
 // decideHeld decides for the holder.
-func (r *Role) decideHeld(now Time, v *View) Decision {
+func (r *Role) decideHeld(now Time, v *ClusterView) Decision {
 	switch {
 	case now >= r.trustedUntil:
 		r.lose(reasonLeaseExpired)
 		return NoAction
-	case now-r.lastProgress > r.patience(v):
+	case now-r.lastProgress > r.stallTimeout(v):
 		r.stalledHolders++
-		r.noProgress = true
+		r.releasedWithoutProgress = true
 		r.backoff = min(max(2*r.backoff, r.Rules.InitialBackoff), r.Rules.MaxBackoff)
 		r.backoffUntil = now + r.backoff
 		r.releaseReason = reasonNoProgress
 		return Release
-	case !v.Ready:
+	case !v.RolesDistributed:
 		r.releaseReason = reasonOlderNode
 		return Release
-	case r.Node == v.Leader && len(v.Live) > 1:
+	case r.Node == v.Leader && len(v.LiveNodes) > 1:
 		if r.betterHolderSince == 0 {
 			r.betterHolderSince = now
 		}
@@ -330,7 +331,8 @@
 		return
 	}
 	r.term, r.lease, r.trustedUntil, r.renewSentAt = term, lease, sent+r.Rules.TrustPeriod, sent
-	r.heldSince, r.lastProgress, r.progressed, r.noProgress, r.betterHolderSince = now, now, false, false, 0
+	r.heldSince, r.lastProgress, r.betterHolderSince = now, now, 0
+	r.progressed, r.releasedWithoutProgress = false, false
 	r.holder, r.observed = RoleHolder{Node: r.Node, Term: term, Since: now}, true
 }
 
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -34,21 +34,21 @@
 	ScaleOuts []ScaleOut
 	// ScaleIn lists machines that no demand needs and that have been idle for the minimum time.
 	ScaleIn []*model.Machine
-	// Drain holds machines that only low-priority work uses and that cost more than it justifies. They receive no new
-	// tasks and are released once empty.
-	Drain map[*model.Machine]bool
-	// Headroom is the number of CPUs that low-priority work must leave free for services.
-	Headroom float64
-	// ForServices maps machines with GPUs to the number of service tasks that may be placed there because no other
+	// Draining holds machines that only low-priority work uses and that cost more than it justifies. They receive no
+	// new tasks and are released once empty.
+	Draining map[*model.Machine]bool
+	// ServiceHeadroom is the number of CPUs that low-priority work must leave free for services.
+	ServiceHeadroom float64
+	// ServiceSlots maps machines with GPUs to the number of service tasks that may be placed there because no other
 	// machine has room. All other machines with GPUs stay reserved for work that uses GPUs.
-	ForServices map[*model.Machine]int
+	ServiceSlots map[*model.Machine]int
 	// LowPriorityAllowed holds the machines with GPUs that low-priority work may use, because it justifies their price
 	// or they are kept anyway. On other machines it would prolong the rental of an expensive machine after its last
 	// gang has ended, by up to the run time of its longest task.
 	LowPriorityAllowed map[*model.Machine]bool
-	// Vacate is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one at a
-	// time, and the machine is then released.
-	Vacate *model.Machine
+	// DrainTarget is an expensive machine that runs only services whose replicas all fit elsewhere. They are moved one
+	// at a time, and the machine is then released.
+	DrainTarget *model.Machine
 }
 
 // Autoscaler holds the state that is kept from one plan to the next.
@@ -59,7 +59,7 @@
 
 	arrivals arrivals
 	refusals map[InstanceOffer]refusal
-	// drainTarget is Vacate of the last plan.
+	// drainTarget is the DrainTarget of the last plan.
 	drainTarget *model.Machine
 	// machineCounts is the number of machines of each offer; it spreads machines over offers of equal price.
 	machineCounts map[InstanceOffer]int
@@ -96,7 +96,7 @@
 func (a *Autoscaler) observeFleet(m *model.Model) {
 	clear(a.partitionedZones)
 	clear(a.machineCounts)
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if machine.Suspect {
 			a.partitionedZones[machine.Zone] = true
 		}
@@ -111,5 +111,5 @@
 // isFragmented reports whether services occupy so much of a machine with GPUs that some GPU work that fits the empty
 // machine does not fit beside them.
 func (a *Autoscaler) isFragmented(s *slot) bool {
-	return s.machine != nil && a.arrivals.gpuDemand.BlockedBy(s.total, scheduler.Reserved(s.machine))
+	return s.machine != nil && a.arrivals.gpuDemand.BlockedBy(s.total, scheduler.ServiceUsage(s.machine))
 }
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -65,7 +65,7 @@
 		for range counts[i] {
 			if u.demand.canUse(s) {
 				u.demand.placeTask(s)
-				p.plan.ForServices[s.machine]++
+				p.plan.ServiceSlots[s.machine]++
 				u.remaining--
 			}
 		}
@@ -78,7 +78,7 @@
 
 // selectDrainTarget returns the machine with GPUs that runs only services, and the fewest, if all of them fit elsewhere
 // beside waiting and standby demand, and nil otherwise. Slots that this takes on other machines with GPUs are added to
-// ForServices.
+// ServiceSlots.
 func (p *planner) selectDrainTarget() *model.Machine {
 	source := p.leastLoadedServiceMachine()
 	if source == nil {
@@ -97,7 +97,7 @@
 		trial.claimed[target] = trial.claimed[target].Plus(scheduler.TaskDemand(r.Job))
 	}
 	for machine, n := range gpuMachineSlots {
-		p.plan.ForServices[machine] += n
+		p.plan.ServiceSlots[machine] += n
 	}
 	return source.machine
 }
@@ -108,14 +108,14 @@
 	var best *slot
 	for _, s := range p.slots {
 		if s.machine == nil || !s.machine.Contact.Reported || s.total.GPUs == 0 ||
-			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ForServices[s.machine] > 0 {
+			!p.autoscaler.arrivals.gpuDemand.FitsAny(s.total) || p.plan.ServiceSlots[s.machine] > 0 {
 			continue
 		}
-		reserved := scheduler.Reserved(s.machine)
-		if reserved.CPUs == 0 || s.total.Minus(reserved).Minus(s.free).CPUs > epsilonCPUs {
+		serviceUsage := scheduler.ServiceUsage(s.machine)
+		if serviceUsage.CPUs == 0 || s.total.Minus(serviceUsage).Minus(s.free).CPUs > epsilonCPUs {
 			continue // other work, such as a gang, runs there or is packed onto it
 		}
-		if best == nil || reserved.CPUs < scheduler.Reserved(best.machine).CPUs {
+		if best == nil || serviceUsage.CPUs < scheduler.ServiceUsage(best.machine).CPUs {
 			best = s
 		}
 	}
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -39,7 +39,7 @@
 		d.placeTask(s)
 		k.remaining--
 		if d.service && !d.standby && s.machine != nil && s.total.GPUs > 0 {
-			k.plan.ForServices[s.machine]++
+			k.plan.ServiceSlots[s.machine]++
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		before := k.remaining
 		k.fillSlot(s, a.isFragmented)
 		if d.standby && k.remaining < before {
-			k.plan.ForServices[s.machine] += before - k.remaining // already in use by services
+			k.plan.ServiceSlots[s.machine] += before - k.remaining // already in use by services
 		}
 	})
 }
@@ -152,12 +152,12 @@
 	var candidates []*slot
 	for _, s := range p.slots {
 		if s.machine != nil && s.machine != p.autoscaler.drainTarget && s.total.GPUs > 0 &&
-			scheduler.Reserved(s.machine).CPUs > 0 {
+			scheduler.ServiceUsage(s.machine).CPUs > 0 {
 			candidates = append(candidates, s)
 		}
 	}
 	sort.SliceStable(candidates, func(i, k int) bool {
-		return scheduler.Reserved(candidates[i].machine).CPUs > scheduler.Reserved(candidates[k].machine).CPUs
+		return scheduler.ServiceUsage(candidates[i].machine).CPUs > scheduler.ServiceUsage(candidates[k].machine).CPUs
 	})
 	for _, s := range candidates {
 		each(s)
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -96,7 +96,7 @@
 // isStartOverdue reports whether an array has passed startDeadline without starting. Its first task is then placed
 // before those of other arrays, and the rest in the regular order.
 func isStartOverdue(j *model.Job, now model.Time) bool {
-	return j.Live+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
+	return j.PlacedTasks+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
 }
 
 // queuedJob is a job with waiting tasks and the sort keys of its queue position.
@@ -111,9 +111,9 @@
 
 // updateSortInputs updates the job attributes that determine queue positions.
 func (s *Scheduler) updateSortInputs(m *model.Model, jobs []*model.Job, now model.Time) {
-	MarkGuarantees(m, jobs, now, s.Params.Objectives)
+	UpdateGuarantees(m, jobs, now, s.Params.Objectives)
 	cpus := 0.0
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if t := m.TypeOf(machine); t.Known && machine.IsUsable() {
 			cpus += t.CPUs
 		}
@@ -132,7 +132,7 @@
 		switch {
 		case j.Waiting() == 0, s.OnlyJob != nil && j != s.OnlyJob:
 			continue
-		case s.AwaitingHeartbeats && (j.Priority < model.High || j.Kind == model.Gang && j.Live > 0):
+		case s.AwaitingHeartbeats && (j.Priority < model.High || j.Kind == model.Gang && j.PlacedTasks > 0):
 			j.Scheduling.PendingReason = pending.Reason{Code: pending.AwaitingHeartbeats}
 			continue
 		case now < j.Scheduling.NotBefore:
@@ -142,7 +142,7 @@
 				Remaining: j.Scheduling.NotBefore - now,
 			}
 			continue
-		case j.Observed.Faulty && j.Kind != model.Gang && j.Live > 0:
+		case j.Observed.Faulty && j.Kind != model.Gang && j.PlacedTasks > 0:
 			j.Scheduling.PendingReason = pending.Reason{Code: pending.Faulty, Count: j.Observed.Errors}
 			continue
 		}
@@ -167,9 +167,9 @@
 	return queue
 }
 
-// Waiting returns the jobs with waiting tasks: active are those that take part in a round, in the order in which they
-// are served, and rest are the others, for example those backing off after failures.
-func (s *Scheduler) Waiting(m *model.Model, now model.Time) (active, rest []*model.Job) {
+// WaitingJobs returns the jobs with waiting tasks: active are those that take part in a round, in the order in which
+// they are served, and rest are the others, for example those backing off after failures.
+func (s *Scheduler) WaitingJobs(m *model.Model, now model.Time) (active, rest []*model.Job) {
 	jobs := m.JobsInOrder()
 	s.updateSortInputs(m, jobs, now)
 	isActive := map[*model.Job]bool{}
@@ -184,9 +184,9 @@
 	return active, rest
 }
 
-// Ahead returns the jobs that are served before a waiting job, in order, or none if the job does not take part in a
+// JobsAhead returns the jobs that are served before a waiting job, in order, or none if the job does not take part in a
 // round.
-func (s *Scheduler) Ahead(m *model.Model, j *model.Job, now model.Time) []*model.Job {
-	active, _ := s.Waiting(m, now)
+func (s *Scheduler) JobsAhead(m *model.Model, j *model.Job, now model.Time) []*model.Job {
+	active, _ := s.WaitingJobs(m, now)
 	return active[:max(0, slices.Index(active, j))]
 }
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -69,14 +69,14 @@
 	return Resources{machine.CPUs, machine.GPUs, machine.Mem}
 }
 
-// Reserved returns the resources taken by services without GPUs on a machine.
-func Reserved(machine *model.Machine) Resources {
+// ServiceUsage returns the resources taken by services without GPUs on a machine.
+func ServiceUsage(machine *model.Machine) Resources {
 	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
 }
 
-// MovableWork summarizes the work on a machine that could run in another zone if the machine were lost: whether any of
+// MovableTasks summarizes the work on a machine that could run in another zone if the machine were lost: whether any of
 // it is urgent, so that other work is preempted for it, and the demand of the low-priority rest.
-func MovableWork(machine *model.Machine) (urgent bool, low Resources) {
+func MovableTasks(machine *model.Machine) (urgent bool, low Resources) {
 	for _, r := range machine.Runs {
 		switch {
 		case !r.IsWanted() || r.Job.Zone >= 0:
@@ -91,7 +91,7 @@
 
 // FreeOutsideZone returns the resources that are free for new work on machines outside a zone.
 func FreeOutsideZone(m *model.Model, zone int32) (free Resources) {
-	for _, machine := range m.Order {
+	for _, machine := range m.MachinesInOrder {
 		if machine.Zone != zone && machine.IsUsable() {
 			free = free.Plus(MachineCapacity(m, machine).Minus(used(machine)))
 		}
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -58,7 +58,7 @@
 			r.maxServiceCPUs = max(r.maxServiceCPUs, j.Spec.CPUs)
 		}
 	}
-	for _, machine := range r.model.Order {
+	for _, machine := range r.model.MachinesInOrder {
 		t := r.model.TypeOf(machine)
 		if !machine.IsUsable() || !t.Known {
 			continue
@@ -79,7 +79,7 @@
 	r.examined++
 	machine := view.machine
 	return view.capacity.Contains(need) && j.AllowsMachine(machine.Type, machine.Zone, machine.Spot) &&
-		(j.Observed.FailedOn == nil || !j.Avoids(machine, r.now)) &&
+		(j.Observed.FailedOn == nil || !j.AvoidsMachine(machine, r.now)) &&
 		(j.Kind == model.Service || !machine.ServicesOnly(r.now))
 }
 
@@ -106,7 +106,7 @@
 
 // unclaimedWithoutServices returns the capacity that is neither used by services nor claimed.
 func (view *machineView) unclaimedWithoutServices() Resources {
-	return view.capacity.Minus(Reserved(view.machine)).Minus(view.claimed)
+	return view.capacity.Minus(ServiceUsage(view.machine)).Minus(view.claimed)
 }
 
 // maxExpectedServices limits the number of expected services for which a machine keeps CPUs free.
@@ -146,11 +146,11 @@
 // blocksGPUWork reports whether the services on a machine prevent some GPU work from fitting, optionally counting one
 // more task of the job.
 func (r *round) blocksGPUWork(j *model.Job, view *machineView, includeTask bool) bool {
-	reserved := Reserved(view.machine)
+	serviceUsage := ServiceUsage(view.machine)
 	if includeTask {
-		reserved = reserved.Plus(TaskDemand(j))
+		serviceUsage = serviceUsage.Plus(TaskDemand(j))
 	}
-	return r.gpuDemand.BlockedBy(view.capacity, reserved)
+	return r.gpuDemand.BlockedBy(view.capacity, serviceUsage)
 }
 
 func (r *round) bind(j *model.Job, view *machineView, task int32, attempt uint32, score float64) {
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -55,9 +55,9 @@
 type Binder interface {
 	// Bind places a task. It applies the placement to the model before it returns.
 	Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64)
-	// Preempt stops a run; hard means without saving a checkpoint. If the run is preempted for a job, the reason ends
-	// with a space and the ID of that job, which dry runs match.
-	Preempt(r *model.Run, hard bool, reason string)
+	// Preempt stops a run, with skipCheckpoint without saving a checkpoint. If the run is preempted for a job, the
+	// reason ends with a space and the ID of that job, which dry runs match.
+	Preempt(r *model.Run, skipCheckpoint bool, reason string)
 }
 
 // Scheduler holds the state that is kept between rounds.
@@ -145,8 +145,10 @@
 	return copied
 }
 
-// TeamReason returns the pending reason for n more tasks of a job with respect to the limit of its team.
-func (s *Scheduler) TeamReason(j *model.Job, n int) pending.Reason { return s.round.quota.reason(j, n) }
+// TeamLimitReason returns the pending reason for n more tasks of a job with respect to the limit of its team.
+func (s *Scheduler) TeamLimitReason(j *model.Job, n int) pending.Reason {
+	return s.round.quota.reason(j, n)
+}
 
 // ServiceAllowedOn reports whether the reservation of machines for GPU work permits a job on a machine. Only services
 // without GPUs are restricted.
