--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -23,7 +23,8 @@
 	term      *termState
 }
 
-// Cancel cancels a job and returns its state.
+// Cancel cancels a job and returns its state. If this controller does not lead, or cannot reach the key-value store, it
+// first forwards the request to another controller.
 func (cn *cancellations) Cancel(ctx context.Context, id string) result.Result {
 	if _, ok := wire.JobNumber(id); !ok {
 		return noSuchJob
@@ -48,7 +49,8 @@
 	return result.NoLeader{}
 }
 
-// cancelAsLeader cancels a job after checking the intake for a record of it.
+// cancelAsLeader cancels a job as the leader. If the model does not contain the job, it is first looked up in the
+// intake, because another controller may have accepted it there.
 func (cn *cancellations) cancelAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.JobNumber(id)
 	if !ok {
@@ -60,8 +62,8 @@
 	return cn.loop.answer(ctx, func(send func(result.Result)) { cn.cancelJob(model.JobID(jobNumber), send) })
 }
 
-// cancelJob cancels a job on the event loop. It sends the job's state once the cancellation is committed, or once the
-// final state that preceded it is.
+// cancelJob cancels a job on the event loop. It sends the job's state once the cancellation is committed or, if the job
+// was already done or cancelled, once that final state is committed.
 func (cn *cancellations) cancelJob(id model.JobID, send func(result.Result)) {
 	if !cn.term.isActive() {
 		send(result.NoLeader{})
@@ -93,9 +95,9 @@
 	})
 }
 
-// stopJobRuns stops the runs of a cancelled job before the cancellation is committed. By the time the user gets the
-// answer, at commit, almost none of its tasks can still start. If the cancellation is lost, the stop does no harm: the
-// next leader decides it again, or starts the tasks again.
+// stopJobRuns stops the runs of a job without waiting for the commit of its cancellation, so that almost none of its
+// tasks can still start when the user gets the answer after the commit. If the cancellation is lost with the term, the
+// stops do no harm: the next leader either processes a repeated request to cancel the job or starts its tasks again.
 func (cn *cancellations) stopJobRuns(job *model.Job) {
 	for i := range job.Tasks {
 		if run := job.Tasks[i].Run; run != nil {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -10,13 +10,13 @@
 	"fieldhill/wire"
 )
 
-// commandDispatcher sends commands to machines as soon as the log entries that they depend on are committed, instead of
-// with the response to the next heartbeat, and processes the outcomes.
+// commandDispatcher sends commands to machines as soon as the log entries on which the commands depend are committed,
+// instead of with the response to each machine's next heartbeat, and processes the outcomes.
 //
-// It owns the set of machines that have pending commands (commandDispatcherTerm) and, of the observed state in the
-// model, whether a direct command to a machine is in flight and whether the last one got no response (DirectInFlight,
-// DirectFailed). All of this is written on the event loop only; goroutines wait for the agents' responses and post them
-// to the loop.
+// It owns the sets of machines with pending commands (commandDispatcherTerm) and two fields of model.MachineContact:
+// DirectInFlight, whether a direct command to the machine is in flight, and DirectFailed, whether the last one got no
+// response. This state is written on the event loop only; goroutines wait for the agents' responses and post them to
+// the loop.
 type commandDispatcher struct {
 	*environment
 	commits     *commitPipeline
@@ -28,8 +28,8 @@
 	term        *termState
 }
 
-// commandDispatcherTerm is the state of commandDispatcher for one leadership term. commitPipeline moves machines from
-// dirtyAfterCommit to dirtyMachines when a batch is committed.
+// commandDispatcherTerm is the state of commandDispatcher for one leadership term. When a batch is committed,
+// sendCommitted moves the machines in dirtyAfterCommit to dirtyMachines.
 type commandDispatcherTerm struct {
 	dirtyMachines    map[*model.Machine]bool // may have pending commands
 	dirtyAfterCommit map[*model.Machine]bool // will have pending commands once proposed entries are committed
@@ -38,15 +38,16 @@
 // ordersTimeout is how long an agent has to respond to a direct command.
 const ordersTimeout = 3 * time.Second
 
-// markForCommands marks a machine as possibly having pending commands.
+// markForCommands marks a machine as possibly having pending commands. They are sent after the next commit or in the
+// next maintenance run, whichever is earlier.
 func (cd *commandDispatcher) markForCommands(machine *model.Machine) {
 	if term := cd.term.ownTerm; term != nil {
 		term.dispatch.dirtyMachines[machine] = true
 	}
 }
 
-// acceptsDirect reports whether direct commands may be sent to a machine: its agent has reported in this term and is
-// expected to respond, and the machine is not being released.
+// acceptsDirect reports whether direct commands may be sent to a machine: its address is known, its agent has reported
+// in this term and has not failed to respond to the last direct command, and the machine is not being released.
 func (cd *commandDispatcher) acceptsDirect(machine *model.Machine) bool {
 	return cd.replica.model.Machines[machine.ID] == machine && !machine.Contact.DirectFailed &&
 		machine.Contact.Reported && machine.Info.Addr != "" && !machine.Releasing
@@ -64,8 +65,8 @@
 		return
 	}
 	commands := cd.replica.model.Commands(machine, term.commits.committedSeq, false)
-	// Commands that depend on uncommitted entries are sent after the commit. Retrying immediately would send repeated
-	// commands without new content.
+	// Commands that depend on uncommitted entries are sent after the commit. If the machine stayed in dirtyMachines,
+	// every maintenance run would send it the same commands again.
 	delete(term.dispatch.dirtyMachines, machine)
 	if cd.hasUncommittedCommands(machine) {
 		term.dispatch.dirtyAfterCommit[machine] = true
@@ -82,7 +83,7 @@
 	machine  *model.Machine
 	commands []wire.Command
 	token    uint64
-	question *staleness.Question // what was known about the agent when the command was sent
+	question *staleness.Question // which messages from the agent had been received when the command was sent
 }
 
 // send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
@@ -137,8 +138,8 @@
 	}
 }
 
-// onProbedAfterUnknownOutcome marks a machine as inbound partitioned if it did not respond to the probe that followed a
-// command of unknown outcome either. Heartbeats from it may continue to arrive.
+// onProbedAfterUnknownOutcome marks a machine as inbound partitioned if its agent responded neither to a command, whose
+// outcome is therefore unknown, nor to the probe that followed the command. Heartbeats from the agent may still arrive.
 func (cd *commandDispatcher) onProbedAfterUnknownOutcome(sent *directCommand) {
 	machine := sent.machine
 	if cd.term.ownTerm != sent.term || cd.replica.model.Machines[machine.ID] != machine ||
@@ -151,8 +152,8 @@
 	cd.probes.logInboundPartition(machine)
 }
 
-// hasUncommittedCommands reports whether a machine will have commands to execute once proposed entries are committed:
-// for a placement, the end of a job, or a finished task that its agent is to discard.
+// hasUncommittedCommands reports whether a machine will have commands to execute once proposed entries are committed,
+// because of a placement, the end of a job, or a finished task that the machine's agent is to discard.
 func (cd *commandDispatcher) hasUncommittedCommands(machine *model.Machine) bool {
 	for _, run := range machine.Runs {
 		if run.PlacedSeq > cd.term.ownTerm.commits.committedSeq ||
@@ -167,8 +168,8 @@
 // otherwise by a stop command to its machine.
 func (cd *commandDispatcher) stopRun(run *model.Run) {
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
-		// Its placement is not committed yet, so no start was sent: its resources can be freed without waiting for the
-		// commit or for the agent.
+		// The run's placement is not committed yet, so no start command was sent: the run's resources can be freed
+		// without waiting for the commit or for the agent.
 		cd.commits.propose(model.NewAttemptEnd(run.Job.ID, run.Task, run.Attempt))
 		cd.loop.requestRound()
 		return
@@ -177,7 +178,7 @@
 	cd.sendDirect(run.Machine)
 }
 
-// sendCommitted sends the commands that were waiting for a commit.
+// sendCommitted sends the pending commands of all marked machines after a commit, including those that waited for it.
 func (cd *commandDispatcher) sendCommitted(term *leaderTerm) {
 	for machine := range term.dispatch.dirtyAfterCommit {
 		term.dispatch.dirtyMachines[machine] = true
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -9,15 +9,16 @@
 	"fieldhill/internal/rpc"
 )
 
-// commitFence establishes, while this controller is disconnected from the key-value store, the latest time up to which
-// its copy of the log is known to contain every committed entry. The event loop owns its fields.
+// commitFence determines, while this controller cannot reach the key-value store, the latest time at which the
+// controller's copy of the log is known to have been complete, that is, to have contained every committed entry. The
+// event loop owns the fields of commitFence.
 type commitFence struct {
 	*environment
 	loop    *eventLoop
 	replica *replica
 	term    *termState
 
-	provenAt         time.Time // the other controllers confirmed that the local copy was complete at this time
+	provenAt         time.Time // latest time for which the other controllers confirmed that the local copy was complete
 	lastBarrierRound time.Time // start of the last barrier round
 }
 
@@ -37,7 +38,8 @@
 // barrierInterval is the interval between barrier rounds, and the timeout of the queries of one round.
 const barrierInterval = 2 * time.Second
 
-// replyWatermarks answers the watermark query of a controller that is disconnected from the key-value store.
+// replyWatermarks answers the watermark query of a controller that cannot reach the key-value store: with the age of
+// this process and the newest batch that it has known to be committed.
 func (cf *commitFence) replyWatermarks(ctx context.Context) result.Result {
 	return cf.loop.answer(ctx, func(send func(result.Result)) {
 		send(result.Done{Body: cf.replica.watermarks.Report(cf.now()).Append(nil)})
@@ -50,9 +52,10 @@
 	generation int // replica.generation at the start of the round
 }
 
-// runBarrierRound asks all other controllers whether anything may have been committed that this one has not seen while
-// it cannot read the log. If all of them answer and none has, it may go on renewing agents' leases. Without this, a
-// key-value store outage longer than StaleRenewalLimit would let all leases expire and end all tasks.
+// runBarrierRound asks all other controllers for the newest batch that each knows to be committed. If all of them
+// answer and none knows of a batch that this controller has not applied, this controller may go on renewing agents'
+// leases although it cannot read the log. Without this, a key-value store outage longer than StaleRenewalLimit would
+// let all leases expire and end all tasks.
 func (cf *commitFence) runBarrierRound() {
 	now := time.Now()
 	if !cf.barrierDue(now) {
@@ -74,8 +77,9 @@
 	}
 }
 
-// barrierDue reports whether to start a round: this controller is disconnected from the key-value store, its copy of
-// the log is not older than the renewal limit, and all other controllers are reachable.
+// barrierDue reports whether to start a barrier round: this controller cannot reach the key-value store, its copy of
+// the log is not older than the renewal limit, all other controllers are reachable, and barrierInterval has passed
+// since the last round.
 func (cf *commitFence) barrierDue(now time.Time) bool {
 	if cf.term.isActive() || !cf.replica.loaded || cf.term.ownTerm == nil && cf.replica.isStoreReachable() ||
 		now.Sub(cf.knownCommittedAt()) > cf.settings.StaleRenewalLimit() ||
@@ -90,8 +94,8 @@
 	return true
 }
 
-// queryWatermark queries the controller with the given index and records its watermark. If there is no answer, or the
-// controller is busy or of an older version that does not support the query, the proven time is unchanged.
+// queryWatermark queries the controller with the given index and records its watermark. If that controller does not
+// answer, is busy, or runs an older version that does not support the query, provenAt does not change.
 func (cf *commitFence) queryWatermark(ctx context.Context, round *barrierRound, index int, link *rpc.Link) {
 	ctx, cancel := context.WithTimeout(ctx, barrierInterval)
 	defer cancel()
@@ -114,7 +118,7 @@
 func (cf *commitFence) advance(round *barrierRound) {
 	provenOffset, ok := round.Proven()
 	if !ok || cf.replica.generation != round.generation || !cf.replica.loaded {
-		return // not proven, or the copy has been replaced since the round began
+		return // not proven, or the local copy of the log has been replaced since the round began
 	}
 	provenAt := cf.startTime.Add(provenOffset)
 	if !provenAt.After(cf.knownCommittedAt()) {
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -15,7 +15,7 @@
 	*environment
 	replica *replica
 	term    *termState
-	// afterCommit is called after each commit, when the callbacks registered for it have run.
+	// afterCommit is called after each commit, once the callbacks registered with whenCommitted have run.
 	afterCommit func(term *leaderTerm)
 	// compactsLog reports whether the leader compacts the log itself, rather than the holder of the compaction role.
 	compactsLog func() bool
@@ -38,10 +38,10 @@
 type commitPipelineTerm struct {
 	committedSeq         uint64    // last batch known to be committed
 	writeInFlight        bool      // batch committedSeq+1 is being written
-	writeStarted         time.Time // when it was passed to the writer
+	writeStarted         time.Time // when that batch was passed to the writer
 	queue                [][]byte  // batches not yet passed to the writer; entries are appended to the last one
 	urgent               bool      // the queue may hold an urgent entry, see isUrgent
-	queuedAt             time.Time // start of the batching delay
+	queuedAt             time.Time // start of the batching delay of the first queued batch
 	batches              chan oplog.Batch
 	commitWaiters        []commitWaiter
 	batchesSinceSnapshot int
@@ -54,8 +54,8 @@
 	data []byte
 }
 
-// commitWaiter is a callback that is told whether batch seq was committed. false means that the outcome is unknown to
-// this controller.
+// commitWaiter is a callback that receives true once batch seq is committed, or false if the term has ended and this
+// controller cannot know whether the batch is committed.
 type commitWaiter struct {
 	seq      uint64
 	onResult func(ok bool)
@@ -81,7 +81,8 @@
 	return seq + uint64(max(1, len(r.commits.queue)))
 }
 
-// stalled reports whether the current write takes too long or too many batches are queued behind it.
+// stalled reports whether the current write takes longer than maxWriteTime or more than maxQueuedBatches are queued
+// behind it.
 func (r *leaderTerm) stalled() bool {
 	commits := &r.commits
 	return commits.writeInFlight && time.Since(commits.writeStarted) > maxWriteTime ||
@@ -102,10 +103,10 @@
 	return seq
 }
 
-// enqueue adds an entry to the last queued batch, or to a new one if that is full, and returns the batch's index in the
-// queue. With firstFit, the entry goes into the first batch that has space; the caller guarantees that it does not
-// depend on any queued entry. This holds for the acceptance of a job, which then does not wait behind bulk entries
-// while a user waits for the response.
+// enqueue adds an entry to the last queued batch, or to a new batch if the last one is full, and returns the batch's
+// index in the queue. With firstFit, the entry goes into the first batch that has space, so the caller must ensure that
+// the entry does not depend on any queued one. propose uses firstFit for the acceptance of a job, which then does not
+// wait behind bulk entries while a user waits for the response.
 func (commits *commitPipelineTerm) enqueue(data []byte, maxData int, firstFit bool) int {
 	if len(commits.queue) == 0 {
 		commits.queuedAt = time.Now()
@@ -124,9 +125,9 @@
 	return index
 }
 
-// isUrgent reports whether a user waits for a response that depends on the entry, or it starts high-priority work.
-// Other entries are delayed and batched, because the key-value store accepts only a few writes per second: each write
-// then carries more, and urgent entries find the log idle.
+// isUrgent reports whether a user waits for a response that depends on the entry, or the entry starts high-priority
+// work. Other entries are delayed and batched, because the key-value store accepts only a few writes per second: each
+// write then carries more entries, and an urgent entry more often finds no write in progress.
 func (cp *commitPipeline) isUrgent(entry *model.Entry) bool {
 	switch entry.Kind {
 	case model.EntryAccept, model.EntryCancel:
@@ -138,8 +139,8 @@
 	return false
 }
 
-// whenCommitted calls onResult with true once the batch is committed, or with false once the outcome cannot be known to
-// this controller any more, because its term has ended.
+// whenCommitted calls onResult with true once the batch is committed, or with false if this controller's term has
+// ended, after which it cannot know whether the batch is committed.
 func (cp *commitPipeline) whenCommitted(seq uint64, onResult func(ok bool)) {
 	term := cp.term.ownTerm
 	if term == nil {
@@ -176,7 +177,7 @@
 	commits.batches <- batch
 }
 
-// batchWait returns the remaining batching delay; pending is false if no batch is waiting for it.
+// batchWait returns the remaining batching delay; pending is false if there is no batch whose write is being delayed.
 func (cp *commitPipeline) batchWait() (wait time.Duration, pending bool) {
 	term := cp.term.ownTerm
 	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
@@ -218,8 +219,8 @@
 	return ready
 }
 
-// offerSnapshot passes a snapshot to the compactor if enough batches were committed since the last one, the model
-// contains no uncommitted entries, and the compactor is free.
+// offerSnapshot passes a snapshot to the compactor if the leader compacts the log, enough batches were committed since
+// the last snapshot, the model contains no uncommitted entries, and the compactor is free.
 func (cp *commitPipeline) offerSnapshot(term *leaderTerm, seq uint64) {
 	commits := &term.commits
 	commits.batchesSinceSnapshot++
@@ -233,7 +234,7 @@
 	}
 }
 
-// failWaiters tells all waiters that the outcome of their batches is unknown.
+// failWaiters calls all waiters with false when the term ends.
 func (commits *commitPipelineTerm) failWaiters() {
 	for _, waiter := range commits.commitWaiters {
 		waiter.onResult(false)
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -55,7 +55,8 @@
 func connectCore(c *Controller) {
 	c.loop.handler = c
 	c.replica.onReset = func() {
-		// Entries are keyed by machine IDs of the dropped model; those of removed machines need not be kept.
+		// The keys are machine IDs of the discarded model. The entries of machines that are removed from the log before
+		// it is reloaded are not needed any more.
 		c.keepalives.clearedMachines = clearedMachines{}
 	}
 	c.commits.afterCommit = c.dispatch.sendCommitted
@@ -290,7 +291,8 @@
 	c.telemetry.term = c.term
 }
 
-// newRelayState returns the state of a relay, with limits on what it forwards concurrently.
+// newRelayState returns the state of a relay, with limits on the heartbeats, direct commands and probes that it
+// forwards concurrently.
 func newRelayState(connections, sockets int) *relaying {
 	limit := relayedLimit(connections)
 	return &relaying{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,7 +33,7 @@
 
 // Controller creates the components, connects them, runs their goroutines and the periodic maintenance, and dispatches
 // requests from other controllers. It has no state of its own: each component holds its state, which only the event
-// loop changes.
+// loop changes, except where a component's comment says otherwise.
 type Controller struct {
 	*environment
 	loop            *eventLoop
@@ -71,15 +71,15 @@
 	Beta          float64       // scheduler parameter, see scheduler.Params
 	Threshold     float64       // scheduler parameter
 	WaitRounds    int           // scheduler parameter
-	RoundInterval time.Duration // between regular scheduling rounds
+	RoundInterval time.Duration // interval between regular scheduling rounds
 	MetricsAddr   string        // address of the metrics page; disabled if empty
 	AdminAddr     string        // address of the admin API; disabled if empty
-	// SingletonRoles distributes the provisioner and the log compactor as separate roles, each held by the controller
-	// best placed to do the work. It takes effect once all controllers have it set.
+	// SingletonRoles makes provisioning and log compaction separate roles, each of which any controller can hold
+	// independently of leadership. It takes effect once all controllers have it set.
 	SingletonRoles bool
 }
 
-// New creates a controller, which serves once Run is called.
+// New creates a controller. The controller serves requests once Run is called.
 func New(network host.Net, settings *config.Settings, options Options, logger *slog.Logger) *Controller {
 	c := newComponents(newEnvironment(network, settings, options, logger))
 	c.replica.reset()
@@ -128,8 +128,8 @@
 	return errors.Join(errs...)
 }
 
-// Run serves until the context ends or an essential task fails, and returns the cause. All goroutines have ended when
-// it returns.
+// Run serves until the context ends or an essential task fails, and returns the cause. All goroutines that it started
+// have ended when it returns.
 func (c *Controller) Run(ctx context.Context) error {
 	opened, err := c.listen()
 	if err != nil {
@@ -147,7 +147,7 @@
 		c.roles.revokeRoles() //nolint:contextcheck // the context has ended; revokeRoles has its own timeout
 	}
 	c.close()
-	_ = tasks.Wait() // the first error is the cause of the context
+	_ = tasks.Wait() // the first error is returned as the cause of the context
 	return context.Cause(ctx)
 }
 
@@ -194,12 +194,12 @@
 	}
 }
 
-// taskError prefixes an error with the name of the task that failed.
+// taskError adds to an error what the task that failed was serving.
 func taskError(name string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return fmt.Errorf("%s: %w", name, err)
+	return fmt.Errorf("controller: serve %s: %w", name, err)
 }
 
 // handlePeerRequest answers a request from another controller. Which component answers depends on whether this
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -12,13 +12,13 @@
 )
 
 // eligibility decides whether this controller may stand for election, based on the status that the other controllers
-// report in answers to pings. It is used by the goroutines of the links and of replication, and has to answer pings
-// even while the event loop is delayed, so it has its own lock, which guards state. The event loop writes warm; the
-// other fields never change.
+// report in answers to pings. It is used by the goroutines of the links and by the replication goroutine, and has to
+// answer pings even while the event loop is delayed, so it has its own lock, which guards state. The event loop writes
+// warm; the other fields never change.
 type eligibility struct {
 	node        string
 	nodeIndex   map[string]int // index in settings.Members, by node
-	incarnation uint64         // identifies this process among successive ones of the node
+	incarnation uint64         // identifies this process among successive processes of the node
 	now         func() model.Time
 	warm        atomic.Bool // the replica is up to date
 
@@ -26,7 +26,8 @@
 	state *candidacy.Eligibility
 }
 
-// newEligibility creates an eligibility and registers it with the links, so that their pings carry its queries.
+// newEligibility creates an eligibility and registers it with the links, so that their pings carry queries for the
+// status of the other controllers.
 func newEligibility(settings *config.Settings, links map[string]*rpc.Link, now func() model.Time) *eligibility {
 	el := &eligibility{
 		state:       candidacy.New(candidacy.DefaultRules, len(settings.Members), now()),
@@ -61,8 +62,8 @@
 	}
 }
 
-// respond returns the answer to another controller's ping, or nil if that controller is of an older version that sends
-// no query.
+// respond returns this controller's status in answer to another controller's ping. It returns nil if that controller is
+// not in the settings, or runs an older version that sends no query.
 func (el *eligibility) respond(query []byte) []byte {
 	node, incarnation, err := candidacy.ReadQuery(query)
 	i, known := el.nodeIndex[node]
@@ -89,21 +90,24 @@
 	return el.state.MayStand(now)
 }
 
-// recordLeader records that there was a leader until now: an earlier process of this node.
+// recordLeader records that there was a leader until now. It is called when that leader was an earlier process of this
+// node.
 func (el *eligibility) recordLeader() {
 	el.mu.Lock()
 	defer el.mu.Unlock()
 	el.state.RecordLeader(true, el.now())
 }
 
-// leaderlessSince returns since when this controller has seen no leader; false if there is one.
+// leaderlessSince returns the time since which this controller has seen no leader. The second result is false if there
+// is a leader.
 func (el *eligibility) leaderlessSince() (model.Time, bool) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
 	return el.state.VacantSince()
 }
 
-// hasWarmPeer reports whether another controller is known to follow the log to its end.
+// hasWarmPeer reports whether another controller is reachable and its latest status says that it follows the log to its
+// end.
 func (el *eligibility) hasWarmPeer() bool {
 	el.mu.Lock()
 	defer el.mu.Unlock()
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -17,8 +17,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// environment holds what all components share and none changes: settings, logger, clock, clients of external services,
-// links to the other controllers, and metrics. It is safe for concurrent use.
+// environment holds what all components share and no component changes: settings, logger, clock, clients of external
+// services, links to the other controllers, and metrics. It is safe for concurrent use.
 type environment struct {
 	network   host.Net
 	settings  *config.Settings
@@ -41,18 +41,20 @@
 	ctx context.Context
 }
 
-// Shares of the limits in the settings, which apply to the whole service or to one process.
+// Shares of the limits in the settings. The limits of the key-value store and of the cloud apply to the whole service,
+// the limit on sockets to each process.
 const (
 	kvRequestShare       = 0.95 // of a controller's share of the key-value store's request rate
 	minKVRequestRate     = 4    // lower bound, in requests per second
 	cloudRequestShare    = 0.8  // of the cloud API's request rate
-	minAgentConns        = 32
-	minIncomingConns     = 32
-	incomingConnsPercent = 60 // of the sockets, for connections from users and agents
-	agentSocketDivisor   = 3  // 1/3 of the sockets, for commands to and probes of agents
+	minAgentConns        = 32   // lower bound on connections to agents
+	minIncomingConns     = 32   // lower bound on connections from users and agents
+	incomingConnsPercent = 60   // of the sockets, for connections from users and agents
+	agentSocketDivisor   = 3    // 1/3 of the sockets, for commands to and probes of agents
 )
 
-// newEnvironment creates the clients of external services, each with its share of the limits.
+// newEnvironment creates the links to the other controllers and the clients of external services, each client with its
+// share of the limits.
 func newEnvironment(
 	network host.Net, settings *config.Settings, options Options, logger *slog.Logger,
 ) *environment {
@@ -71,8 +73,8 @@
 		agents:    agent.New(network, ordersTimeout, max(minAgentConns, sockets/agentSocketDivisor)),
 		metrics:   metrics.New(api.RequestKinds...),
 		links:     map[string]*rpc.Link{},
-		// Sockets: 60% for incoming connections and a third for commands to and probes of agents. The rest is for the
-		// key-value store, the cloud, the other controllers, and connections that are being closed.
+		// Of the sockets, 60% are for incoming connections, and a third for commands to and probes of agents. The rest
+		// is for the key-value store, the cloud, the other controllers, and connections that are being closed.
 		connLimiter: &api.ConnLimiter{MaxConns: max(minIncomingConns, sockets*incomingConnsPercent/100)},
 	}
 	env.oplog = oplog.New(env.store, params.KVStore.WriteRPS, params.KVStore.ValueKB, params.KVStore.TxnOps, logger)
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -12,12 +12,13 @@
 // eventLoop is the goroutine that owns the controller's state: the fields of all components are read and written only
 // in this goroutine, unless a field's comment says otherwise. Other goroutines reach it through two queues:
 //
-//   - workQueue takes heartbeats, ends of tasks, cancellations, and the short look-ups that a request needs before it
-//     is queued itself;
-//   - requestQueue takes users' submissions and status requests. It is served after all waiting work and a few
+//   - workQueue takes heartbeats, results of operations that run in other goroutines, cancellations, and the short
+//     look-ups that a request makes before it enters requestQueue;
+//   - requestQueue takes users' submissions and status requests. The loop serves it after all waiting work, a few
 //     requests at a time, so that a flood of requests delays neither heartbeats nor cancellations.
 //
-// Both are bounded: when a queue is full, the caller is refused immediately and told to retry.
+// Both queues are bounded. While a queue is full, requests and heartbeats are refused immediately with the advice to
+// retry; only post and postAndWait wait for space.
 //
 // The queues are safe for concurrent use. The other fields are accessed by the loop only.
 type eventLoop struct {
@@ -66,7 +67,7 @@
 	initialTimerPeriod = time.Hour
 )
 
-// errQueueFull reports that the loop has fallen behind and the work was refused.
+// errQueueFull is the error for work that is refused because its queue is full: the loop has fallen behind.
 var errQueueFull = errors.New("controller: event loop queue full")
 
 // post queues work without waiting for it to run. It blocks while the queue is full, until the controller stops.
@@ -87,8 +88,8 @@
 	}
 }
 
-// postAndWait runs work in the loop and waits for it to finish. If the controller stops, the work may not run at all,
-// but it never runs after postAndWait has returned and the caller reads what the work wrote.
+// postAndWait runs work in the loop and waits for it to finish. If the controller stops, the work may not run at all;
+// it never runs after postAndWait has returned, so the caller may safely read what the work wrote.
 func (el *eventLoop) postAndWait(work func()) {
 	finished := make(chan struct{})
 	el.post(func() { work(); close(finished) })
@@ -157,13 +158,15 @@
 	queuedAt time.Time
 }
 
-// answer runs handle in the loop and returns its result; handle must send exactly one, immediately or later. If the
-// queue is full or there is no result in time, it returns a result.NotHandled.
+// answer runs handle in the loop and returns its result; handle must send exactly one result, immediately or later. If
+// the queue is full, or no result is sent before a time-out or the end of the context, answer returns a
+// result.NotHandled.
 func (el *eventLoop) answer(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPost, handle)
 }
 
-// Results of requests that the loop has not answered in time.
+// Results of requests that the event loop did not answer: the queue was full, no result was sent in time, the request
+// was canceled, or the controller is stopping.
 var (
 	resultBusy     = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
 	resultSlow     = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
@@ -181,7 +184,7 @@
 	}
 }
 
-// answerInTurn is like answer, for users' requests, which run after all other waiting work.
+// answerInTurn is like answer, but for users' requests: handle runs after all other waiting work.
 func (el *eventLoop) answerInTurn(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -16,9 +16,10 @@
 	"fieldhill/wire"
 )
 
-// explanations implements adminapi.Service: why a job is pending, the queue, and the holders of the singleton roles.
-// The leader clones its model on the event loop and simulates scheduling rounds on the clone outside of it, one job at
-// a time; other controllers forward the request. It never modifies state.
+// explanations implements adminapi.Service: it explains why a job is pending, and lists the queue and the holders of
+// the singleton roles. To explain a job, the leader clones its model on the event loop and simulates scheduling rounds
+// on the clone in another goroutine, for one job at a time. Other controllers forward requests about jobs to the
+// leader. The component never changes the model.
 type explanations struct {
 	*environment
 	forward      *forwarder
@@ -42,11 +43,12 @@
 	explainInterval = time.Second
 )
 
-// tooManyExplanations rejects a request for an explanation while another is in progress or was made within
-// explainInterval.
+// tooManyExplanations is the result of a request for an explanation while another explanation is in progress or was
+// started within explainInterval.
 var tooManyExplanations = result.Overloaded{Reason: "another question is being answered", RetryAfter: time.Second}
 
-// Explain returns the reasons why a job is pending.
+// Explain returns the reasons why a job is pending. A controller that gets no answer from the leader answers from its
+// replica.
 func (ex *explanations) Explain(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.JobNumber(id)
 	if !ok {
@@ -109,8 +111,8 @@
 	return ex.queueAsLeader(ctx, filter, rpc.MaxBody)
 }
 
-// answer runs f on the event loop and returns its result. If the loop is unavailable, operators get the same message
-// whatever the cause.
+// answer runs f on the event loop and returns its result. If the result means that the loop or the controller is
+// unavailable, operators get the same message whatever the cause.
 func (ex *explanations) answer(ctx context.Context, f func() result.Result) result.Result {
 	answer := ex.loop.answer(ctx, func(send func(result.Result)) { send(f()) })
 	if result.IsUnavailable(answer) {
@@ -119,7 +121,8 @@
 	return answer
 }
 
-// explainFromReplica explains a job from the replica and includes the replica's age. It must run on the event loop.
+// explainFromReplica explains a job without the leader's data: the missing leader is the only reason that it gives, and
+// it includes the age of the replica's data. It must run on the event loop.
 func (ex *explanations) explainFromReplica(id model.JobID) result.Result {
 	job := ex.replica.model.Jobs[id]
 	switch {
@@ -167,7 +170,7 @@
 	return explained
 }
 
-// explainAsLeader explains a job from a clone of the model, one job at a time.
+// explainAsLeader explains a job by simulations on a clone of the model, for one job at a time.
 func (ex *explanations) explainAsLeader(ctx context.Context, id model.JobID) result.Result {
 	if !ex.explaining.CompareAndSwap(false, true) {
 		return tooManyExplanations
@@ -193,7 +196,8 @@
 	unsimulated []pending.Reason // reasons that the simulation does not cover
 }
 
-// draft fills a draft on the leader's event loop, or returns the final answer if there is nothing to analyze.
+// draft fills a draft on the leader's event loop. If there is nothing to analyze, it returns the answer to the request
+// instead.
 func (ex *explanations) draft(id model.JobID, draft *explanationDraft) result.Result {
 	job := ex.replica.model.Jobs[id]
 	term := ex.term.ownTerm
@@ -214,7 +218,7 @@
 	return nil
 }
 
-// queueAsLeader lists pending jobs as the leader, in a response of at most maxBytes.
+// queueAsLeader lists pending jobs on the leader, in a response of at most maxBytes bytes.
 func (ex *explanations) queueAsLeader(ctx context.Context, filter adminapi.Filter, maxBytes int) result.Result {
 	return ex.answer(ctx, func() result.Result {
 		if !ex.term.isActive() {
@@ -264,8 +268,8 @@
 	queue.Jobs = append(queue.Jobs, row)
 }
 
-// truncateQueue truncates a queue so that its response takes at most maxBytes. Removed jobs are counted in More, like
-// those beyond the filter's limit.
+// truncateQueue shortens a queue so that its response takes at most maxBytes bytes. Removed jobs are counted in More,
+// like those beyond the filter's limit.
 func truncateQueue(queue *wire.Queue, maxBytes int) result.Result {
 	for {
 		answer := result.Queue{Queue: queue}
@@ -279,8 +283,8 @@
 	}
 }
 
-// unsimulatedReasons lists the reasons that the simulation does not cover: those that apply to all jobs, and those of
-// tasks that are already placed. It must run on the leader's event loop.
+// unsimulatedReasons lists the reasons that the simulation does not cover: those that block all jobs, those why the
+// cloud provides no more machines, and those why placed tasks are not running. It must run on the leader's event loop.
 func (ex *explanations) unsimulatedReasons(job *model.Job) (reasons []pending.Reason) {
 	term := ex.term.ownTerm
 	if !ex.term.isActive() {
@@ -335,8 +339,8 @@
 	return reasons
 }
 
-// fillExplanation copies the analysis and the reasons that the simulation does not cover into an explanation. job is
-// nil for a job that has ended.
+// fillExplanation copies the results of an analysis, and the reasons that the simulation does not cover, into an
+// explanation. job is nil for a job that has ended.
 func fillExplanation(
 	explained *wire.Explanation, job *model.Job, analysis *explanation.Analysis, unsimulated []pending.Reason,
 ) {
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder tells the goroutines of requests whether this controller leads, and forwards requests to the leader or
-// another controller. The event loop publishes routing; any goroutine may read it.
+// forwarder provides request goroutines with the information whether this controller leads, and forwards requests to
+// the leader or to other controllers. The event loop publishes routing; any goroutine may read it.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -19,24 +19,25 @@
 	routing atomic.Pointer[routingView]
 }
 
-// newForwarder returns a forwarder, which can be used after the first call of publish.
+// newForwarder returns a forwarder. publish must be called once before the forwarder is used.
 func newForwarder(env *environment, replica *replica, term *termState) *forwarder {
 	return &forwarder{environment: env, replica: replica, term: term}
 }
 
-// routingView is the state by which requests are routed. It may be out of date when it is read, so decisions based on
-// it are checked again in the loop.
+// routingView is the state that determines where a request is routed. It may be out of date when it is read, so
+// decisions based on it are checked again on the event loop.
 type routingView struct {
 	leads             bool
 	leader            string    // node of the leader; empty if none is known
 	trustedUntil      time.Time // on the leader: the key-value store counts as reachable until then
-	storeContactUntil time.Time // the same on a follower
+	storeContactUntil time.Time // on a follower: the key-value store counts as reachable until then
 }
 
 // followTimeout is how long a watch of the log waits for an update.
 const followTimeout = 2 * time.Second
 
-// forwardTimeout is the timeout for the leader's response if there is another way to answer the request.
+// forwardTimeout is the timeout for the leader's response to a forwarded request that can also be answered without the
+// leader.
 const forwardTimeout = 350 * time.Millisecond
 
 // storeReachable reports whether the key-value store counts as reachable.
@@ -47,7 +48,7 @@
 	return time.Now().Before(view.storeContactUntil)
 }
 
-// publish makes the current state of the loop available to other goroutines.
+// publish makes the current state of the event loop available to other goroutines.
 func (fw *forwarder) publish() {
 	view := routingView{leads: fw.term.ownTerm != nil}
 	if fw.term.leader != nil {
@@ -89,7 +90,7 @@
 }
 
 // toOthers forwards a request to the other controllers, one after another, until one can answer it. It is used when
-// this controller may no longer lead, or can no longer read the log, while others may.
+// this controller may no longer lead, or cannot read the log, while another controller may be able to.
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (result.Forwarded, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
@@ -106,8 +107,8 @@
 	return result.Forwarded{}, false
 }
 
-// toLeaderOrOthers forwards a request to the leader, if that is another controller, and then to the others if this one
-// cannot reach the key-value store.
+// toLeaderOrOthers forwards a request to the leader, if another controller leads. If the leader gives no answer and
+// this controller cannot reach the key-value store, it then forwards the request to the other controllers.
 func (fw *forwarder) toLeaderOrOthers(
 	ctx context.Context, request *rpc.Request, leads, storeReachable bool,
 ) (result.Forwarded, bool) {
@@ -123,7 +124,7 @@
 	return result.Forwarded{}, false
 }
 
-// isIsolated reports whether there are other controllers but none of them has responded recently.
+// isIsolated reports whether there are other controllers but none of them has responded within 2*linkFreshness.
 func (fw *forwarder) isIsolated() bool {
 	for _, link := range fw.links {
 		if time.Since(link.LastResponse()) < 2*linkFreshness {
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -12,8 +12,8 @@
 )
 
 // heartbeatRouter passes each heartbeat to the component that handles it: to the leader if this controller is a relay,
-// to heartbeats if it leads, and to followerKeepalives otherwise. It owns no state; whether this controller relays is
-// agreed with the leader and held by relayAgent.
+// to heartbeats if it leads, and to followerKeepalives otherwise. It owns no state: relayAgent holds the agreement with
+// the leader about whether this controller is a relay.
 type heartbeatRouter struct {
 	*environment
 	heartbeats  *heartbeats
@@ -33,16 +33,17 @@
 	// minRelayed is the minimum of each of a relay's limits on concurrent heartbeats, direct commands and probes.
 	minRelayed = 256
 	// relayTimeout is how long a relay waits for the leader's response to a heartbeat. It is shorter than the agent's
-	// own timeout of 4 s so that the relay has time to respond itself.
+	// own timeout of 4 s so that the relay has time to answer the agent itself.
 	relayTimeout = 2 * time.Second
-	// sweepInterval is how often expired entries are removed from the relay table and from a follower's state about
-	// agents.
+	// sweepInterval is how often expired entries are removed from the relay table and from the state of
+	// followerKeepalives.
 	sweepInterval = 5 * time.Second
 	// statusOverloaded is the status of an overloaded leader's response to a relayed heartbeat (result.Overloaded).
 	statusOverloaded = http.StatusTooManyRequests
 )
 
-// Heartbeat responds to an agent's heartbeat.
+// Heartbeat answers an agent's heartbeat. A relay forwards it to the leader; other controllers process it on the event
+// loop.
 func (hr *heartbeatRouter) Heartbeat(ctx context.Context, report *wire.Heartbeat) result.Result {
 	if answer := hr.forwardReport(ctx, report); answer != nil {
 		return answer
@@ -56,8 +57,8 @@
 	})
 }
 
-// forwardReport forwards an agent's heartbeat to the leader. It returns nil if this controller is not a relay, if its
-// target no longer leads, or if the target runs an older version without relaying.
+// forwardReport forwards an agent's heartbeat to the leader. It returns nil if this controller is not a relay, or if
+// the controller that it relays for no longer leads or runs an older version without relaying.
 func (hr *heartbeatRouter) forwardReport(ctx context.Context, report *wire.Heartbeat) result.Result {
 	state := hr.relay.state
 	target := state.leaderLink.Load()
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// renewRelayed renews the lease of an agent whose heartbeat the leader did not process in time. The same rules and
-// limits apply as on a controller that cannot reach the leader. This keeps running tasks alive while the leader is
+// renewRelayed renews the lease of an agent whose heartbeat the leader did not process in time, by the same rules and
+// limits as on a controller that cannot reach the leader. This keeps running tasks alive while the leader is
 // overloaded.
 func (hr *heartbeatRouter) renewRelayed(ctx context.Context, report *wire.Heartbeat) result.Result {
 	hr.metrics.AnsweredLocally.Inc()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -12,10 +12,7 @@
 
 // heartbeats processes agents' status reports on the leader, from heartbeats and from the responses to probes and
 // direct commands, and reconciles them with the replicated state: the model determines what a report proves, and
-// heartbeats proposes the resulting entries to the log.
-//
-// It is the only writer of the fields of model.MachineContact that come from status reports, on the event loop. Its own
-// state is limited to heartbeatsTerm.
+// heartbeats proposes the resulting log entries.
 type heartbeats struct {
 	*environment
 	commits      *commitPipeline
@@ -31,8 +28,8 @@
 	term         *termState
 }
 
-// heartbeatsTerm is the state of heartbeats for one leadership term. machineHealth sets lastHeartbeat after a stall of
-// the event loop.
+// heartbeatsTerm is the state of heartbeats for one leadership term. machineHealth also sets lastHeartbeat, after a
+// stall of the event loop.
 type heartbeatsTerm struct {
 	lastHeartbeat   model.Time      // when a heartbeat from any machine was last received
 	unknownMachines map[string]bool // unregistered machines that are being probed
@@ -65,15 +62,15 @@
 }
 
 // rejectReport returns the response to a heartbeat that this leader must not process, or nil if the heartbeat is to be
-// processed. The machine is nil if no log entry registers it.
+// processed. machine is nil if no log entry registers it.
 func (hb *heartbeats) rejectReport(machine *model.Machine, report *wire.Heartbeat) result.Result {
 	active := hb.term.isActive()
 	switch {
 	case report.FencingToken >= hb.replica.model.TermBase+1<<machineTokenBits:
-		return result.Redirected{} // its agent has accepted a later term than this one
+		return result.Redirected{} // the machine's agent has accepted a later term than this one
 	case !hb.leases.mayRenew():
-		// No controller may extend leases beyond the stale renewal limit: a cancellation that it does not know of must
-		// take effect in time.
+		// No controller may extend leases beyond the stale renewal limit: a cancellation that the controller does not
+		// know of must take effect in time.
 		return result.NoLeader{}
 	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsAgent(report.Machine, false):
 		return result.Redirected{} // another controller may be the leader, or soon will be
@@ -87,7 +84,7 @@
 	return nil
 }
 
-// acceptReport processes and answers the heartbeat of a machine whose lease may be renewed.
+// acceptReport processes and answers the heartbeat of a registered machine that is not suspect.
 func (hb *heartbeats) acceptReport(machine *model.Machine, report *wire.Heartbeat, node int) result.Result {
 	if to, move := hb.assignments.redirectTarget(machine, node); move {
 		hb.metrics.Reassigned.Inc()
@@ -104,10 +101,10 @@
 	return hb.replyToMachine(machine)
 }
 
-// replyToStale answers a heartbeat that may be a delayed duplicate or come from an agent that has restarted since. The
-// response has no effect if no such agent exists, and the machine is probed. The response contains no stop commands, so
-// the lease of an agent whose probe responses do not arrive is renewed no longer than by a controller that does not
-// know of cancellations.
+// replyToStale answers a heartbeat that may be a delayed duplicate or come from an agent process that a restart has
+// replaced, and probes the machine. If the sending process no longer exists, the response has no effect. The response
+// renews the lease but contains no stop commands, so the lease of an agent whose probe responses do not arrive is
+// renewed only until the stale renewal limit, as by a controller that does not know of cancellations.
 func (hb *heartbeats) replyToStale(machine *model.Machine) result.Result {
 	hb.probes.probeMachine(machine, nil)
 	if hb.now()-machine.Contact.LastReport > hb.settings.StaleRenewalLimit() {
@@ -128,13 +125,13 @@
 	return hb.leases.renew(machine.Info.Name, token, commands)
 }
 
-// onSuspectReport processes the heartbeat of a machine whose lease is to expire. Answering it renews the lease, so a
-// log entry must clear the suspicion first, and only if the machine responds to a probe now. Otherwise a duplicate of a
-// heartbeat from before the partition, or an agent that receives nothing, would restart the wait for the lease expiry
-// again and again.
+// onSuspectReport processes the heartbeat of a suspect machine, whose lease is to expire. An answer renews the lease,
+// so a log entry must clear the suspicion first, and only if the machine responds to a probe now. Otherwise a duplicate
+// of a heartbeat from before the partition, or an agent that can send but receives nothing, would restart the wait for
+// the lease expiry again and again.
 func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(result.Result)) {
 	if machine.Contact.Reported {
-		hb.observe(machine, report, nil) // its epoch and sequence number are valid evidence nevertheless
+		hb.observe(machine, report, nil) // the report's epoch and sequence number are valid evidence nevertheless
 	}
 	term := hb.term.ownTerm
 	onProbed := func() {
@@ -150,9 +147,9 @@
 	}
 }
 
-// onUnknownMachine processes the heartbeat of a machine that no log entry registers: one whose provisioning request got
-// no response, or a delayed duplicate from a machine that no longer exists. The machine is registered once it responds
-// to a probe or appears in the cloud listing.
+// onUnknownMachine processes the heartbeat of a machine that no log entry registers: a machine whose provisioning
+// request got no response, or one that no longer exists and whose heartbeat was delayed. The machine is registered once
+// it responds to a probe or appears in the cloud listing.
 func (hb *heartbeats) onUnknownMachine(report *wire.Heartbeat, send func(result.Result)) {
 	term := hb.term.ownTerm
 	unknown := term.heartbeats.unknownMachines
@@ -176,7 +173,7 @@
 }
 
 // onUnknownMachineProbed registers a machine that responded to a probe, unless it was registered meanwhile, and answers
-// its heartbeat.
+// the machine's heartbeat.
 func (hb *heartbeats) onUnknownMachineProbed(status *wire.Heartbeat) result.Result {
 	if hb.replica.model.ByName[status.Machine] == nil {
 		hb.register(status)
@@ -187,7 +184,7 @@
 	return hb.replyToMachine(machine)
 }
 
-// register proposes the registration of a machine as described by its agent.
+// register proposes a log entry that registers a machine as described by its agent.
 func (hb *heartbeats) register(status *wire.Heartbeat) {
 	hb.log.Info("machine registered", "machine", status.Machine, "type", status.Type, "zone", status.Zone,
 		"spot", status.Spot)
@@ -197,13 +194,13 @@
 	hb.commits.propose(model.NewMachine(hb.replica.model.NextMachine, time.Now().UnixMilli(), info))
 }
 
-// onProbeAnswer processes the response of a machine to a probe.
+// onProbeAnswer processes the response of a machine to a probe. The response clears the machine's suspicion.
 func (hb *heartbeats) onProbeAnswer(machine *model.Machine, report *wire.Heartbeat, question *staleness.Question) {
 	if hb.replica.model.Machines[machine.ID] != machine || report.Machine != machine.Info.Name {
 		return
 	}
 	if machine.Suspect && hb.term.isActive() {
-		// From here on its lease is renewed again.
+		// From here on the machine's lease is renewed again.
 		hb.log.Info("machine suspicion cleared", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch)
 		hb.commits.propose(model.NewTrust(machine.ID))
 		hb.loop.requestRound()
@@ -214,8 +211,9 @@
 	hb.loop.roundRequested = hb.loop.roundRequested || firstReport
 }
 
-// observe records a status report, from a heartbeat or in response to a request, and proposes the entries that follow
-// from it. The question is nil for a heartbeat. A stale report has no further effect.
+// observe records a status report, from a heartbeat or in response to a request, and proposes the log entries that
+// follow from the report. question is what BeginProbe returned for the request, or nil for a heartbeat. A stale report
+// has no further effect.
 func (hb *heartbeats) observe(
 	machine *model.Machine, report *wire.Heartbeat, question *staleness.Question,
 ) model.ReportVerdict {
@@ -242,7 +240,7 @@
 	case verdict.Freshness == staleness.Restarted:
 		hb.log.Info("agent restarted", "machine", machine.Info.Name, "agent_epoch", report.AgentEpoch,
 			"seq", report.Seq, "tasks", len(machine.Runs))
-		hb.dispatch.markForCommands(machine) // under a new token, which its previous process cannot have
+		hb.dispatch.markForCommands(machine) // under a new token, which the agent's previous process cannot have
 	case verdict.Slow:
 		hb.logSlow(machine)
 	case machine.Health.Quarantined && !wasQuarantined:
@@ -260,7 +258,7 @@
 }
 
 // applyVerdict logs the jobs that a report shows to fail on every machine, and marks the machines that need commands as
-// a result; firstByProbe tells whether this is the first report of the machine in this term and was requested by this
+// a result. firstByProbe reports whether this is the machine's first report in this term and was requested by this
 // controller.
 func (hb *heartbeats) applyVerdict(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
 	for _, j := range verdict.Faulty {
@@ -271,10 +269,10 @@
 		hb.dispatch.markForCommands(ready)
 	}
 	if len(verdict.Entries) > 0 {
-		hb.dispatch.markForCommands(machine) // the agent is to discard the task ends that are logged
+		hb.dispatch.markForCommands(machine) // the agent is to discard finished tasks whose ends are logged
 	}
 	if firstByProbe && machine.HasCancelledTask() {
-		// Its next heartbeat may be delayed while the agent searches for this leader.
+		// The machine's next heartbeat may be delayed while its agent searches for this leader.
 		hb.dispatch.markForCommands(machine)
 	}
 }
@@ -283,7 +281,7 @@
 	hb.log.Info("machine quarantined", "machine", machine.Info.Name, "failures", machine.Health.Failures)
 }
 
-// logSlow logs that a machine was found to be slow, and for how long it is assigned services only.
+// logSlow logs that a machine was found to be slow, and for how long it will be assigned services only.
 func (hb *heartbeats) logSlow(machine *model.Machine) {
 	hb.log.Info("machine slow", "machine", machine.Info.Name, "tasks", len(machine.Runs),
 		"duration", machine.Health.SlowUntil-hb.now())
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -13,9 +13,9 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// intake manages the jobs that were accepted without the leader. Each is stored as a separate record in the key-value
-// store until the leader appends it to the log, exactly once. Any follower may write a record; only the leader deletes
-// records, under its term.
+// intake manages the jobs that are accepted without the leader. Each is stored as a separate record in the key-value
+// store until the leader appends the job to the log, exactly once. Any follower may write a record; only the leader
+// deletes records, under its term.
 type intake struct {
 	*environment
 	commits *commitPipeline
@@ -29,9 +29,9 @@
 // intakeTerm is the state of intake for one term of leadership. It is owned by the event loop.
 type intakeTerm struct {
 	dropping     map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
-	droppable    []uint64        // the committed ones among them, whose records can be deleted now
+	droppable    []uint64        // jobs in dropping that are committed, whose records can be deleted now
 	dropInFlight bool            // a deletion is under way
-	rescanNeeded bool            // records were skipped because of a deletion; list the intake again after it
+	rescanNeeded bool            // records were skipped, as their deletion was pending; list the intake again after it
 }
 
 const (
@@ -42,8 +42,8 @@
 	leaderlessIntakeShare = 0.8
 )
 
-// allow rate-limits the jobs accepted without the leader. Each costs two extra writes to the key-value store, one by
-// this controller and one by the leader, besides its log entry.
+// allow reports whether the rate limit permits another job to be accepted without the leader. Besides its log entry,
+// each such job costs two extra writes to the key-value store, one by this controller and one by the leader.
 func (in *intake) allow() bool {
 	share := followerIntakeShare
 	in.loop.postAndWait(func() {
@@ -63,16 +63,16 @@
 	return in.limiter.Allow()
 }
 
-// ingest appends jobs from the intake to the log, and deletes their records once they are committed.
+// ingest appends jobs from the intake to the log, and deletes their intake records once the jobs are committed.
 func (in *intake) ingest(term *leaderTerm, records []oplog.Intake) {
 	if in.term.ownTerm != term || len(records) == 0 {
 		return
 	}
 	var ingested []uint64
-	seq := uint64(0) // of the batch with the last of these jobs
+	seq := uint64(0) // of the batch that contains the last of these jobs
 	for _, record := range records {
 		if term.intake.dropping[record.Job] {
-			term.intake.rescanNeeded = true // the record may have been written again meanwhile
+			term.intake.rescanNeeded = true // the record may have been written again since its deletion was decided
 			continue
 		}
 		entry, err := model.ReadEntry(&codec.Reader{Data: record.Data})
@@ -95,8 +95,8 @@
 	})
 }
 
-// ingestEntry appends a job to the log unless it is there already. It returns the sequence number of the batch with the
-// job.
+// ingestEntry appends a job to the log unless the log contains it already. It returns the sequence number of the batch
+// that contains the job.
 func (in *intake) ingestEntry(entry *model.Entry) uint64 {
 	if in.replica.model.Jobs[entry.Job] == nil && in.replica.model.Finals[entry.Job] == 0 {
 		in.commits.propose(entry)
@@ -109,9 +109,9 @@
 	return in.replica.model.FinalSeq(entry.Job)
 }
 
-// dropCommitted deletes the records of committed jobs, each once and in one transaction at a time. Deleting every
-// listed record on every listing would send the same deletions repeatedly, which under a burst of intake submissions
-// used the whole write rate for a minute.
+// dropCommitted deletes the intake records of committed jobs, each once and in one transaction at a time. If every
+// listed record were deleted on every listing, the same deletions would be sent repeatedly; under a burst of intake
+// submissions this uses the whole write rate for a minute.
 func (in *intake) dropCommitted(term *leaderTerm) {
 	if term.intake.dropInFlight || len(term.intake.droppable) == 0 {
 		return
@@ -124,7 +124,7 @@
 	}()
 }
 
-// onDropped continues after a deletion with the next one, or with a rescan if one is needed.
+// onDropped starts the next deletion after one has ended, or lists the intake again if records were skipped.
 func (in *intake) onDropped(term *leaderTerm, jobs []uint64, err error) {
 	term.intake.dropInFlight = false
 	if in.term.ownTerm != term {
@@ -147,7 +147,7 @@
 	}()
 }
 
-// resolve makes sure that the leader knows a job that another controller may have accepted into the intake. It returns
+// resolve makes sure that the leader knows a job if another controller has accepted it into the intake. It returns
 // false if the intake could not be read. It is called on a request goroutine.
 func (in *intake) resolve(ctx context.Context, jobNumber uint64) bool {
 	var term *leaderTerm
@@ -196,8 +196,8 @@
 	}
 }
 
-// lookup returns the intake record of a job, or nil if there is none. The read counts against the budget of users'
-// requests.
+// lookup returns the intake record of a job, or nil if there is none. The read counts against the key-value store
+// client's budget for users' requests.
 func (in *intake) lookup(ctx context.Context, job uint64) (record *oplog.Intake, err error) {
 	err = in.store.ForUser(ctx, responseTimeout, func(ctx context.Context) error {
 		record, err = in.oplog.GetIntake(ctx, job)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -10,8 +10,9 @@
 	"fieldhill/wire"
 )
 
-// jobStatus reports the state of jobs, committed state only. The leader answers from its model; other controllers ask
-// the leader, or read the log to its end and answer from the replica. It is stateless and never modifies the model.
+// jobStatus reports the committed state of jobs. The leader answers from its model; other controllers forward the
+// request to the leader, or read the log to its end and answer from the replica. The component is stateless and never
+// modifies the model.
 type jobStatus struct {
 	*environment
 	commits *commitPipeline
@@ -22,7 +23,8 @@
 	term    *termState
 }
 
-// Status returns the state of a job.
+// Status returns the committed state of a job. If no other controller that can answer is reachable, a controller that
+// does not lead answers from its replica, after reading the log to its end.
 func (js *jobStatus) Status(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.JobNumber(id)
 	if !ok {
@@ -48,7 +50,8 @@
 	return js.answerFromReplica(ctx, model.JobID(jobNumber))
 }
 
-// answerAsLeader answers from the model, after checking the intake for a record of the job.
+// answerAsLeader answers from the leader's model. If the model does not contain the job, it is first looked up in the
+// intake.
 func (js *jobStatus) answerAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.JobNumber(id)
 	if !ok {
@@ -108,9 +111,9 @@
 }
 
 // visibleSeq returns the sequence number of the batch that must be committed before the state of a job may be reported:
-// that of its final state or cancellation if it has one, otherwise that of its acceptance. Until that batch is
-// committed no earlier state may be reported either: other controllers can read a batch as soon as it is written,
-// seconds before its writer gets the response, and may already have reported the new state.
+// the batch of the job's cancellation or final state if it has one, otherwise the batch of its acceptance. Until that
+// batch is committed no earlier state may be reported either: other controllers can read a batch as soon as it is
+// written, seconds before its writer gets the response, and may already have reported the new state.
 func (js *jobStatus) visibleSeq(id model.JobID) (seq uint64, known bool) {
 	job := js.replica.model.Jobs[id]
 	switch {
@@ -122,8 +125,8 @@
 	return js.replica.model.FinalSeq(id), js.replica.model.Finals[id] != 0
 }
 
-// respondIfKnown sends the state of a known job once it is committed, and returns whether the job is known. If the job
-// changes while waiting, it waits for that change as well. It must run on the leader's event loop.
+// respondIfKnown reports whether a job is known, and sends the job's state once that state is committed. If the job
+// changes in the meantime, it also waits for the commit of that change. It must run on the leader's event loop.
 func (js *jobStatus) respondIfKnown(id model.JobID, send func(result.Result)) bool {
 	seq, known := js.visibleSeq(id)
 	if !known {
@@ -161,7 +164,7 @@
 	return js.committedStatus(id)
 }
 
-// committedStatus returns the status of a job from committed state only, or nil if the job is unknown.
+// committedStatus returns the status of a job according to committed entries only, or nil if the job is unknown.
 func (js *jobStatus) committedStatus(id model.JobID) *wire.JobStatus {
 	status := &wire.JobStatus{ID: wire.JobID(uint64(id))}
 	switch js.replica.model.Finals[id] {
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -11,12 +11,12 @@
 	"fieldhill/wire"
 )
 
-// followerKeepalives keeps agents alive that cannot reach the leader: as a follower it answers their heartbeats and
-// renews their leases within the limit of leaseRenewal, and starts no tasks.
+// followerKeepalives answers the heartbeats of agents that cannot reach the leader, while this controller does not
+// lead. It renews their leases within the limit of leaseRenewal, so that their tasks keep running, and starts no tasks.
 //
-// It owns which agents reported here recently, how long each is retained before it is redirected to the leader, and
-// which of their machines hold no task of a cancelled job. This state is written on the event loop only and outlives
-// terms. zoneLiveness reads clearedMachines.
+// It owns the record of the agents that recently sent heartbeats to this controller, of how long each is retained
+// before it is redirected to the leader, and of the machines that hold no task of a cancelled job. This state is
+// written on the event loop only and outlives terms. zoneLiveness reads clearedMachines.
 type followerKeepalives struct {
 	*environment
 	leases  *leaseRenewal
@@ -33,11 +33,13 @@
 type clearedMachines map[model.MachineID]time.Time
 
 const (
-	// firstRetention and repeatRetention are how long an agent that cannot reach the leader is retained by this
-	// controller before it is redirected to the leader: on its first heartbeat here, and after it has returned.
+	// firstRetention and repeatRetention are how long this controller retains an agent that cannot reach the leader
+	// before it redirects the agent to the leader: after the agent's first heartbeat here, and after the agent was
+	// redirected and has come back.
 	firstRetention  = 3 * time.Second
 	repeatRetention = 20 * time.Second
-	// returnWindow is how long after its retention an agent that reports here again counts as returning.
+	// returnWindow is how long after the end of its retention an agent that sends a heartbeat here still counts as
+	// coming back.
 	returnWindow = time.Minute
 	// maxFollowerStops is the maximum number of stop commands in a follower's response; further ones follow in the next
 	// response.
@@ -62,17 +64,18 @@
 	return fk.renewAsFollower(report)
 }
 
-// retainsAgent reports whether this controller retains an agent, although it cannot assign work to it, instead of
-// redirecting it to the leader; leaderReached tells whether this controller can reach the leader.
+// retainsAgent reports whether this controller retains an agent, although it cannot assign work to the agent, instead
+// of redirecting it to the leader. leaderReached reports whether this controller can reach the leader.
 func (fk *followerKeepalives) retainsAgent(machine string, leaderReached bool) bool {
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
 	if !known || now.Sub(until) > returnWindow {
-		// This is its first heartbeat here: the leader did not answer it, and its lease may be about to expire. It is
-		// retained before it is redirected, because the search for the leader takes long when no controller responds.
+		// This is the agent's first heartbeat here: the leader did not answer the agent, and its lease may be about to
+		// expire. The agent is retained before it is redirected, because its search for the leader takes long if no
+		// controller responds.
 		until = now.Add(firstRetention)
 	} else if !leaderReached && now.After(until) {
-		until = now.Add(repeatRetention) // if it returns, it cannot reach the leader either
+		until = now.Add(repeatRetention) // if the agent comes back, it cannot reach the leader either
 		leaderReached = true
 	}
 	if !leaderReached || known {
@@ -83,8 +86,8 @@
 
 // renewAsFollower renews an agent's lease under the agent's own token while the leader cannot. It starts no tasks, and
 // stops those of jobs that the log shows as cancelled. The renewals end at the stale renewal limit, because this
-// controller may not know of later cancellations: a job cancelled after the last log read still loses its tasks in time
-// when the leases then expire.
+// controller may not know of later cancellations: the leases then expire, so that a job cancelled after the last log
+// read still loses its tasks in time.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) result.Result {
 	machine := fk.replica.model.ByName[report.Machine]
 	if machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
@@ -127,9 +130,10 @@
 		(fk.term.ownTerm == nil || j.FinalSeq <= fk.term.ownTerm.commits.committedSeq)
 }
 
-// sweep removes expired entries about agents that reported while this controller did not lead. Entries that still count
-// are kept at any fleet size: an agent whose entry is lost would be retained again for firstRetention each time, and
-// never be redirected to the leader.
+// sweep removes expired entries about agents that sent heartbeats while this controller did not lead. Other entries are
+// kept at any fleet size, since an agent whose entry is lost would be retained for firstRetention each time and never
+// be redirected to the leader. Only if invented names exceed maxNoRedirectEntries are all entries of noRedirectUntil
+// removed.
 func (fk *followerKeepalives) sweep(now time.Time) {
 	if now.Sub(fk.lastSweep) >= sweepInterval {
 		fk.lastSweep = now
@@ -145,8 +149,9 @@
 	}
 }
 
-// encode returns the IDs of the machines that reported recently and that, according to the log, hold a task of a
-// cancelled job, as varints in at most maxBytes bytes. Other machines are not relevant to the leader.
+// encode returns the IDs of the machines that hold a task of a cancelled job according to the log, but whose last
+// heartbeat to this controller as a follower was recent and listed none, as varints in at most maxBytes bytes. The
+// leader does not need the other machines.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
 	for _, machine := range m.Order {
 		if at, ok := c[machine.ID]; ok && now.Sub(at) < partitionReportTTL && machine.HasCancelledTask() &&
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -16,9 +16,9 @@
 // termReadPause is the pause before a new leader retries a failed read.
 const termReadPause = 100 * time.Millisecond
 
-// serveTerm leads until leadership is lost or resigned, and returns the reason. It first starts to renew the lease,
-// then reads the batches and intake records that the replica lacks, begins the term in the event loop, and then writes
-// batches and compacts the log until the term ends. All goroutines that it starts have ended when it returns.
+// serveTerm leads until leadership is lost or resigned, and returns the reason. It first starts to renew the leader's
+// lease, then reads the batches and intake records that the replica lacks, begins the term in the event loop, and then
+// writes batches and compacts the log until the term ends. All goroutines that it starts have ended when it returns.
 func (ls *leadership) serveTerm(ctx context.Context, won *election.Leadership) error {
 	ctx, cancel := context.WithCancel(ctx)
 	term := ls.components.newTerm(ctx, cancel, won.Leader)
@@ -56,7 +56,7 @@
 }
 
 // renewLease renews the leader's lease, and extends the term's trust period with each renewal, until the lease is lost
-// or the context ends; it returns the reason.
+// or the context ends. It returns the reason.
 func (ls *leadership) renewLease(ctx context.Context, term *leaderTerm, won *election.Leadership) error {
 	return election.RenewUntilLost(ctx, ls.store, won, func(until time.Time) {
 		ls.loop.post(func() {
@@ -118,7 +118,8 @@
 	}
 }
 
-// beginTerm makes this controller the leader. It runs in the loop, once the replica has applied all committed batches.
+// beginTerm makes this controller the leader. It runs in the event loop, once the replica has applied all committed
+// batches.
 func (ls *leadership) beginTerm(term *leaderTerm) {
 	ls.term.ownTerm = term
 	ls.term.leader = &term.leader
@@ -126,7 +127,8 @@
 	term.commits.batchesSinceSnapshot = 0
 	ls.replica.model.BeginTerm(term.leader.Term<<machineTokenBits, ls.now())
 	ls.components.prepare(term)
-	// Agents that were known to the previous leader send a heartbeat within this time.
+	// Agents that were known to the previous leader send a heartbeat by then: this is the longest interval between two
+	// heartbeats.
 	term.leadership.reportGraceEnd = time.Now().Add(config.Seconds(ls.settings.Params.Workers.HeartbeatS * 1.25))
 	term.leadership.timeline.Mark(candidacy.Leading, ls.now())
 	ls.loop.requestRound()
@@ -136,7 +138,8 @@
 		"jobs", len(ls.replica.model.Jobs), "machines", len(ls.replica.model.Order))
 }
 
-// stepDown ends a term in the loop. It resets the replica, whose model contains entries that may never be committed.
+// stepDown ends a term in the event loop. It resets the replica, whose model contains entries that may never be
+// committed.
 func (ls *leadership) stepDown(term *leaderTerm) {
 	term.cancel()
 	if ls.term.ownTerm != term {
@@ -167,8 +170,8 @@
 // stays valid; the term ends only if another leader has been elected.
 func (ls *leadership) compactLog(ctx context.Context, term *leaderTerm) {
 	compactor := ls.oplog.NewCompactor(term.leader.Fence())
-	// Batches that earlier terms left uncompacted count too; otherwise the log would grow without bound if leaders
-	// change often.
+	// Batches that earlier terms left uncompacted are counted too; otherwise the log would grow without bound if
+	// leaders change often.
 	if seq, err := compactor.SnapshotSeq(ctx); err == nil {
 		ls.loop.post(func() { term.commits.batchesSinceSnapshot = int(term.commits.committedSeq - seq) })
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -13,8 +13,8 @@
 // leadership follows the log, stands for election, and begins and ends this controller's terms.
 //
 // Each method runs either in the replication goroutine (runReplication), which serves a term from the election to its
-// end, or in the event loop, as its comment says. The replication goroutine owns abstainUntil and loadFailing;
-// termState and replica are changed in the loop only.
+// end, or in the event loop, as the method's comment says. The replication goroutine owns abstainUntil and loadFailing;
+// termState and replica are changed in the event loop only.
 type leadership struct {
 	*environment
 	commits     *commitPipeline
@@ -25,26 +25,27 @@
 	eligibility *eligibility
 	components  termComponents
 
-	abstainUntil time.Time // do not stand for election before
+	abstainUntil time.Time // this controller does not stand for election before this time
 	loadFailing  bool      // the last load failed; limits logging to once per outage
 }
 
-// termComponents is the part of the other components that starts with a term. leadership uses this interface because
-// those components depend on it.
+// termComponents starts the work of the other components for a term. leadership calls them through this interface
+// because they depend on leadership.
 type termComponents interface {
 	// newTerm creates the state of a term that was just won.
 	newTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader) *leaderTerm
-	// prepare creates the schedulers and planners that decisions need, before the term begins. It runs in the loop.
+	// prepare creates the scheduler, the autoscaler and the provisioner, before the term begins. It runs in the event
+	// loop.
 	prepare(term *leaderTerm)
-	// start begins to contact agents and relays. It runs in the loop, as the last step of beginning the term.
+	// start begins to contact agents and relays. It runs in the event loop, as the last step of beginning the term.
 	start(term *leaderTerm)
-	// ingest proposes log entries for jobs that were accepted without a leader. It runs in the loop.
+	// ingest proposes log entries for jobs that were accepted without a leader. It runs in the event loop.
 	ingest(term *leaderTerm, jobs []oplog.Intake)
-	// watchIntake ingests further such jobs, starting at the given revision, until the term ends.
+	// watchIntake ingests jobs that are accepted without a leader from the given revision on, until the term ends.
 	watchIntake(term *leaderTerm, revision uint64)
 }
 
-// newLeadership returns the leadership of a follower; the caller has to set components.
+// newLeadership returns the leadership of a controller that does not lead yet; the caller has to set components.
 func newLeadership(
 	env *environment, loop *eventLoop, term *termState, replica *replica, forward *forwarder, commits *commitPipeline,
 ) *leadership {
@@ -59,8 +60,8 @@
 	}
 }
 
-// leadershipTerm is leadership's state for one term. The event loop owns it, except that the timeline's phases up to
-// LogRead are recorded by the replication goroutine before the loop knows the term.
+// leadershipTerm is leadership's state for one term. The event loop owns it, except that the replication goroutine
+// records the timeline's phases up to LogRead before it passes the term to the event loop.
 type leadershipTerm struct {
 	reportGraceEnd time.Time          // agents known to the previous leader send a heartbeat by then
 	timeline       candidacy.Timeline // phases of the failover
@@ -76,7 +77,7 @@
 	followPause = 100 * time.Millisecond
 )
 
-// sleep waits for the duration or until the context ends.
+// sleep waits for the given duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -111,7 +112,7 @@
 	followDuration := followTimeout
 	eligible, retryAfter := ls.eligibility.mayStand(hasLeader)
 	if !hasLeader && !eligible {
-		followDuration = retryAfter // leave the election to a warm controller, then check again
+		followDuration = retryAfter // leave the election to a controller whose replica is up to date, then check again
 	}
 	if eligible && time.Now().After(ls.abstainUntil) {
 		won, err := election.Acquire(ctx, ls.store, ls.settings.Node, ls.log)
@@ -126,7 +127,8 @@
 	return ls.follow(ctx, revision, followDuration)
 }
 
-// findLeader reports whether the log names a leader, after revoking a stale lease of this controller's own.
+// findLeader reports whether the log names a leader. It first revokes a stale lease of this controller's own, after
+// which there is none.
 func (ls *leadership) findLeader(ctx context.Context) bool {
 	var leader *oplog.Leader
 	ls.loop.postAndWait(func() { leader = ls.term.leader })
@@ -137,7 +139,7 @@
 	return leader != nil
 }
 
-// follow watches the log and applies the updates; its results are those of followOrLead.
+// follow watches the log and applies the updates. Its results have the same meaning as those of followOrLead.
 func (ls *leadership) follow(ctx context.Context, revision uint64, timeout time.Duration) (next uint64, inSync bool) {
 	sentAt := time.Now()
 	update, err := ls.oplog.Follow(ctx, revision, timeout)
@@ -165,7 +167,8 @@
 // If no other controller is elected by then, it stands again.
 const abstainDuration = 10 * time.Second
 
-// lead serves a term and logs why it ended.
+// lead serves a term and logs why it ended. After a resignation, it revokes the lease and lets other controllers stand
+// for election first.
 func (ls *leadership) lead(ctx context.Context, won *election.Leadership) {
 	err := ls.serveTerm(ctx, won)
 	if err != nil && ctx.Err() == nil {
@@ -179,9 +182,9 @@
 
 // revokeOwnStaleLease revokes the leader's lease if the leader key names this node although this process does not lead,
 // and reports whether it did. Either an earlier process of the node led and has ended, or an election transaction of
-// that process or this one was applied after its client had given up on it. Without the revocation, all controllers
-// would wait three seconds for the lease to expire. Only the replication goroutine calls it; it holds any term of this
-// process from the election to its end.
+// that process or this one was applied after its client had stopped waiting for the result. Without the revocation, all
+// controllers would wait three seconds for the lease to expire. Only the replication goroutine calls this method, and
+// it serves each term of this process from the election to the end, so no term of this process is in progress.
 func (ls *leadership) revokeOwnStaleLease(ctx context.Context, leader *oplog.Leader) bool {
 	if leader == nil || leader.Node != ls.settings.Node {
 		return false
@@ -191,8 +194,8 @@
 	return ls.store.Revoke(ctx, leader.Lease) == nil
 }
 
-// logFailover logs once per term how long each phase of the failover took, when all phases are complete or
-// failoverLogTimeout has passed. It runs in the loop.
+// logFailover logs, once per term, how long each phase of the failover took, when all phases are complete or
+// failoverLogTimeout has passed. It runs in the event loop.
 func (ls *leadership) logFailover(term *leaderTerm) {
 	if term.leadership.failoverLogged ||
 		!term.leadership.timeline.IsComplete() && time.Since(term.leadership.reportGraceEnd) < failoverLogTimeout {
@@ -213,10 +216,10 @@
 // if no tasks are waiting to be placed.
 const failoverLogTimeout = 5 * time.Second
 
-// hasPossibleSuccessor reports whether another controller may become leader in place of this one, whose lease cannot be
-// renewed. This is assumed if no controller responds, since they may be healthy but unreachable, and if one of them
-// reports that it follows the log. During a key-value store outage, all of them report that they do not. It runs in the
-// loop.
+// hasPossibleSuccessor reports whether another controller may become leader in place of this one, whose own lease as
+// the leader was not renewed in time. This is assumed if no other controller responds, since the others may be healthy
+// but unreachable, or if one of them reports that it follows the log. During a key-value store outage, all of them
+// report that they do not follow the log. It runs in the event loop.
 func (ls *leadership) hasPossibleSuccessor() bool {
 	return ls.forward.isIsolated() || ls.eligibility.hasWarmPeer()
 }
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -13,9 +13,9 @@
 	"fieldhill/wire"
 )
 
-// leaseRenewal renews agents' leases and lets the leader prove when they were last renewed. It decides whether this
-// controller may renew leases; every response that renews a lease is created by renew. It also records the renewals of
-// this controller, reports them to the leader, and as the leader queries those of the other controllers.
+// leaseRenewal renews agents' leases and provides the leader with the proof that a lease has expired. It decides
+// whether this controller may renew leases; every response that renews a lease is created by renew. It also records the
+// renewals of this controller, reports them to the leader, and as the leader queries those of the other controllers.
 //
 // It owns the table of renewals, which outlives a term and is written on the event loop only: by renew, and by
 // queryRenewals, which removes entries that are too old to matter. The other controllers' reports are recorded in the
@@ -36,15 +36,15 @@
 	lastRenewalQuery time.Time // when the other controllers were last queried
 }
 
-// mayRenew reports whether this controller may renew leases now. A leader may while its leadership is trusted. Any
-// other controller may until the stale renewal limit, so that cancellations that it does not know of take effect in
-// time. The check happens after the heartbeat was sent, and the lease counts from the sending of the heartbeat, so a
-// delay between this check and the response does not extend the lease.
+// mayRenew reports whether this controller may renew leases now. A leader may do so while its leadership is trusted.
+// Any other controller may do so until its copy of the log is older than the stale renewal limit, so that cancellations
+// that it does not know of take effect in time. The check happens after the heartbeat was sent, and the lease counts
+// from the sending of the heartbeat, so a delay between this check and the response does not extend the lease.
 func (lr *leaseRenewal) mayRenew() bool {
 	return lr.term.isActive() || time.Since(lr.fence.knownCommittedAt()) <= lr.settings.StaleRenewalLimit()
 }
 
-// renew returns the response that renews an agent's lease, or a refusal.
+// renew returns the response that renews an agent's lease, or result.NoLeader if this controller may not renew leases.
 func (lr *leaseRenewal) renew(machine string, token uint64, commands []wire.Command) result.Result {
 	if !lr.mayRenew() {
 		return result.NoLeader{}
@@ -55,10 +55,11 @@
 
 // delayedStartPossible reports whether a machine may still receive a delayed start command for a task whose job was
 // cancelled longer ago than the stale renewal limit. Only the leader can fence such a start, and the machine's agent
-// cannot reach it. Tasks that the agent lists, in any state, are not started again and are stopped by renewAsFollower;
-// tasks that it does not list may still be started. The agent epoch to which the start was sent must therefore end in
-// time, so its lease is renewed no longer than by a controller that does not know of the cancellation. Without this
-// check, starts that were delayed by 70 s in a partitioned zone were executed when the partition ended.
+// cannot reach the leader. Tasks that the agent lists, in any state, are not started again and are stopped by
+// renewAsFollower; tasks that it does not list may still be started. The agent epoch to which the start was sent must
+// therefore end in time, so the agent's lease is renewed no longer than by a controller that does not know of the
+// cancellation. Without this check, starts that are delayed by 70 s in a partitioned zone are executed when the
+// partition ends.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
 		j := run.Job
@@ -87,19 +88,20 @@
 // all have answered.
 const renewalQueryInterval = time.Second
 
-// retention is how long renewals are recorded. Older renewals no longer matter for the proof of expiry.
+// retention is how long renewals are recorded. Older renewals no longer matter for the proof that a lease has expired.
 func (lr *leaseRenewal) retention() model.Time { return 2 * lr.leaseDuration() }
 
-// latestOwnRenewal returns the latest time from which a machine's lease may count, as far as this controller knows: its
-// last renewal here (an earlier process of this controller may have renewed it until this one started), or the last
-// heartbeat from the agent epoch that holds the placed tasks, whose lease begins with the epoch.
+// latestOwnRenewal returns the latest time from which a machine's lease may count, as far as this controller knows.
+// This is the later of two times: the last renewal by this controller, where an earlier process may have renewed the
+// lease until this one started, and the last heartbeat from the agent epoch that holds the placed tasks, whose lease
+// begins with the epoch.
 func (lr *leaseRenewal) latestOwnRenewal(machine *model.Machine) model.Time {
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
 
 // replyRenewals answers the leader's query for when this controller last renewed the leases of a zone's machines. It
-// answers only after it has applied the batch that made them suspect, because from then on it does not renew their
-// leases.
+// answers only after it has applied the batch that made the machines suspect, because from then on it does not renew
+// their leases.
 func (lr *leaseRenewal) replyRenewals(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
 	seq := reader.Uint()
@@ -176,10 +178,11 @@
 	member     int // index of the other controller in the settings
 	zone       int32
 	zoneName   string
-	suspectSeq uint64 // newest suspicion in the zone; the controller must have applied it
+	suspectSeq uint64 // batch with the newest suspicion in the zone; the other controller must have applied it
 }
 
-// queryZoneRenewals sends a query about a zone to another controller and posts the response to the event loop.
+// queryZoneRenewals sends a query about a zone to another controller and posts that controller's report to the event
+// loop.
 func (lr *leaseRenewal) queryZoneRenewals(ctx context.Context, term *leaderTerm, query renewalQuery) {
 	ctx, cancel := context.WithTimeout(ctx, renewalQueryInterval)
 	defer cancel()
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -7,10 +7,10 @@
 
 const (
 	intakeWriteShare   = 0.2 // of the key-value store's write rate, for jobs accepted without a leader
-	intakeBurstSeconds = 2
+	intakeBurstSeconds = 2   // bursts are as large as the rate over this time
 
-	minZoneProbes     = 48
-	minFollowUpProbes = 32
+	minZoneProbes     = 48 // lower bound of zoneProbeLimit
+	minFollowUpProbes = 32 // lower bound of followUpProbeLimit
 )
 
 // newIntakeLimiter limits the rate at which a controller accepts jobs without a leader: to its share, among the given
@@ -34,5 +34,5 @@
 func relayedProbeLimit(sockets int) int { return max(minRelayed, sockets/6) }
 
 // relayedLimit returns how many heartbeats, and how many direct commands, a relay may forward concurrently: at most
-// half of the connections that it accepts, because pings and users' requests share the link to the leader.
+// half as many as the connections that it accepts, because pings and users' requests share the link to the leader.
 func relayedLimit(connections int) int { return max(minRelayed, connections/2) }
--- a/internal/controller/log_compaction.go
+++ b/internal/controller/log_compaction.go
@@ -52,7 +52,8 @@
 	return compactor
 }
 
-// compactLog starts a compaction if the log has enough new batches and the model contains no uncommitted entries.
+// compactLog starts a compaction if the log has enough new batches and the model contains no uncommitted entries. If
+// the log has too few, it records that the role is idle.
 func (rs *singletonRoles) compactLog(role *singleton.Role, compactor *logCompactor) {
 	switch {
 	case compactor.busy:
@@ -88,7 +89,8 @@
 		rs.replica.appliedSeq >= compactor.snapshotSeq+uint64(rs.commits.snapshotInterval)
 }
 
-// modelCommitted reports whether the model contains committed entries only; a leader's may be ahead of the log.
+// modelCommitted reports whether the model contains committed entries only. A leader's model may also contain entries
+// that are not committed yet.
 func (rs *singletonRoles) modelCommitted() bool {
 	term := rs.term.ownTerm
 	return term == nil || !term.commits.writeInFlight && len(term.commits.queue) == 0 &&
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -11,10 +11,10 @@
 
 // machineHealth performs the leader's periodic health checks: of machines that are silent, quarantined, slow or in a
 // partitioned zone, and of the leader's own isolation. It collects the observations, lets package health decide, and
-// applies the resulting actions: probes, suspicions and releases are delegated to the components that own them.
+// applies the resulting actions through the components that own the probes, suspicions and releases.
 //
-// It owns no state except machineHealthTerm. In the model it writes the time of the last heartbeat after a stall
-// (resetFailureDetectors), the inbound partition of a machine, and its token.
+// It owns no state except machineHealthTerm. In the model it writes three properties of a machine: the time of the last
+// heartbeat after a stall (resetFailureDetectors), the inbound partition, and the fencing token.
 type machineHealth struct {
 	*environment
 	commits      *commitPipeline
@@ -38,8 +38,8 @@
 // resetFailureDetectors moves the start of the silence detection forward by the time in which this controller did not
 // process messages. A process that was suspended or starved of CPU finds all machines silent at once, while their
 // heartbeats are still unread. Short delays count as well: an event loop that is repeatedly late by less than a second
-// receives the heartbeats of only part of the fleet, and this caused the release of 400 healthy machines as silent
-// within 3 s, when the cloud had recovered and a third of the fleet was about to be replaced.
+// receives the heartbeats of only part of the fleet. Without this, 400 healthy machines can be released as silent
+// within 3 s while a third of the fleet is about to be replaced after a cloud outage.
 func (mh *machineHealth) resetFailureDetectors(delay time.Duration) {
 	now := mh.now()
 	for _, machine := range mh.replica.model.Order {
@@ -66,9 +66,9 @@
 	}
 }
 
-// cancelReleaseDelay is how long a machine of a partitioned zone may hold tasks of a cancelled job before it is
-// released. Unless it hangs, its agent ends them in time by itself; the rest of the cancellation deadline is left for
-// the cloud to release the machine.
+// cancelReleaseDelay is how long a machine of a partitioned zone may hold tasks of a cancelled job before the machine
+// is released. Unless its agent hangs, the agent ends these tasks itself in this time; the rest of the cancellation
+// deadline is left for the cloud to release the machine.
 func (mh *machineHealth) cancelReleaseDelay() model.Time {
 	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// bootSettleTime is how long, in addition to the silence limit, running machines have to report to a new leader before
-// their boot counts as failed.
+// bootSettleTime is how long after the silence limit machines that are already running have to report to a new leader
+// before their boot counts as failed.
 const bootSettleTime = 10 * time.Second
 
 // observeMachine returns the observations of a machine that package health evaluates.
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkTaskHealth lets the model evaluate a machine by its tasks: whether it is slow, and whether it is to be
-// quarantined because of task failures.
+// checkTaskHealth updates the model's judgment of a machine by its tasks: whether the machine is slow, and whether it
+// is to be quarantined because of task failures.
 func (mh *machineHealth) checkTaskHealth(machine *model.Machine, checkSlow bool, now model.Time) {
 	if checkSlow && mh.replica.model.DetectSlow(machine, now) {
 		mh.heartbeats.logSlow(machine)
@@ -141,7 +141,7 @@
 	case machine.Health.Quarantined:
 		mh.heartbeats.logQuarantined(machine)
 	case machine.Health.DoubtSince == 0:
-		mh.loop.requestRound() // it is usable again: its jobs fail on other machines too
+		mh.loop.requestRound() // the machine is usable again: the jobs that failed on it fail on other machines too
 	}
 }
 
@@ -174,8 +174,8 @@
 	})
 }
 
-// checkSelfIsolation resigns, so that another controller leads, if it is this controller that the machines cannot
-// reach.
+// checkSelfIsolation detects that machines cannot reach this controller, although they may reach others. It probes some
+// of the machines to find out, and then resigns, so that another controller can lead.
 func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
 	now := mh.now()
 	reach := health.Reach{
@@ -210,8 +210,8 @@
 	}
 }
 
-// healthEvidence implements health.Evidence: it provides package health with details about one machine during a round
-// of checks.
+// healthEvidence implements health.Evidence: it provides package health with details about one machine at a time during
+// a round of checks.
 type healthEvidence struct {
 	*machineHealth
 	ownTerm *leaderTerm
@@ -219,7 +219,7 @@
 	machine *model.Machine
 }
 
-// CancelledFor returns how long ago a job that still has a task on the machine was cancelled.
+// CancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
 func (e *healthEvidence) CancelledFor() model.Time {
 	return e.replica.model.CancelledFor(e.machine, e.now)
 }
@@ -233,20 +233,21 @@
 		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// MovableWork returns the work on the machine that may run in another zone.
+// MovableWork describes the work on the machine that may run in another zone: whether any of it is urgent, and the
+// resources that the low-priority rest needs.
 func (e *healthEvidence) MovableWork() (urgent bool, low health.Room) {
 	urgent, resources := scheduler.MovableWork(e.machine)
 	return urgent, health.Room{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
-// FreeOutsideZone returns the free resources for low-priority work in the other zones, without the headroom reserved
-// for services.
+// FreeOutsideZone returns the resources that are free for low-priority work in the other zones, which exclude the
+// headroom reserved for services.
 func (e *healthEvidence) FreeOutsideZone() health.Room {
 	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
 	return health.Room{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
 }
 
-// ZoneMayBeAlive reports whether work in the machine's zone may continue without this controller.
+// ZoneMayBeAlive reports whether work in the machine's zone may continue under another controller.
 func (e *healthEvidence) ZoneMayBeAlive() bool {
 	return e.zones.mayBeAlive(e.ownTerm, e.replica.model.Zones.Name(e.machine.Zone))
 }
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	minRoundGap    = 40 * time.Millisecond // between rounds requested by events
-	maxRoundGap    = 500 * time.Millisecond
-	roundGapFactor = 5 // roundGap as a multiple of the duration of the last round
+	minRoundGap    = 40 * time.Millisecond  // minimum of roundGap
+	maxRoundGap    = 500 * time.Millisecond // maximum of roundGap
+	roundGapFactor = 5                      // roundGap as a multiple of the duration of the last round
 
-	// stallThreshold is the delay of the event loop from which on it is logged and counts as a gap in everything the
-	// loop observes.
+	// stallThreshold is the time between two maintenance runs above which the event loop counts as stalled: the stall
+	// is logged, and the detection of this controller's own isolation starts anew.
 	stallThreshold = 4 * maintenanceInterval
-	// toleratedDelay is the delay of the maintenance beyond which the delay is excluded from the silence of machines.
+	// toleratedDelay is the delay of a maintenance run above which the delay is excluded from the time for which
+	// machines are silent.
 	toleratedDelay = 100 * time.Millisecond
 	// autoscaleInterval is the minimum time between two runs of the autoscaler.
 	autoscaleInterval = 500 * time.Millisecond
@@ -46,15 +47,16 @@
 	}
 }
 
-// recordMaintenance records the time of a maintenance run, and returns the time since the previous one.
+// recordMaintenance records the time of a maintenance run, and returns the time since the previous run.
 func (rd *readiness) recordMaintenance(now time.Time) time.Duration {
 	sinceStart := now.Sub(rd.startTime)
 	return sinceStart - model.Time(rd.lastMaintenance.Swap(int64(sinceStart)))
 }
 
-// observeDelay records by how much the maintenance was late, as a measure of how busy the event loop is.
+// observeDelay processes by how much a maintenance run was late, as a measure of how busy the event loop is: the delay
+// affects the admission of jobs, the silence of machines, and the limit on low-priority placements.
 func (c *Controller) observeDelay(delay time.Duration) {
-	if len(c.loop.requestQueue) == 0 { // otherwise their own queueing delay is observed
+	if len(c.loop.requestQueue) == 0 { // otherwise drainRequests observes the delay of the waiting requests
 		c.loop.admissionGate.ObserveWait(max(0, delay), c.now())
 	}
 	if delay > toleratedDelay {
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -12,9 +12,9 @@
 // probes requests status reports from machines whose heartbeats are missing or inconclusive, and counts the results by
 // zone.
 //
-// It owns the counts of a term (probesTerm) and, of the observed state in the model, whether a machine is being probed
-// and when it was last probed (Probing, ProbedAt). All of this is written on the event loop only; goroutines wait for
-// the responses and post them to the loop.
+// It owns the counts of a term (probesTerm) and two fields of model.MachineContact: Probing, whether a probe of the
+// silent machine is in flight, and ProbedAt, when the machine was last probed because of its reports. This state is
+// written on the event loop only; goroutines wait for the responses and post them to the loop.
 type probes struct {
 	*environment
 	heartbeats  *heartbeats
@@ -24,16 +24,16 @@
 	term        *termState
 
 	maxZoneProbes     int // limit on concurrent probes to silent machines of a zone; overridden by tests
-	maxFollowUpProbes int // limit on concurrent probes that result from reports
+	maxFollowUpProbes int // limit on concurrent probes that machines' reports cause
 }
 
 // probesTerm is the state of probes for one leadership term. heartbeats also updates the counts of a zone when it
 // receives a status report (recordProbe).
 type probesTerm struct {
 	maxZoneProbes  int                        // copied from probes at the start of the term
-	unresponsive   map[*model.Machine]bool    // no response to a probe and no report in this term
+	unresponsive   map[*model.Machine]bool    // machines without a report in this term that did not respond to a probe
 	zones          map[int32]*zoneProbeCounts // results of probes by zone
-	followUpProbes int                        // probes in flight that result from reports
+	followUpProbes int                        // probes in flight that machines' reports caused
 	heartbeatCount int                        // status reports received from any machine in this term
 }
 
@@ -44,15 +44,16 @@
 	// for the response.
 	probeInterval = time.Second
 	// silentZoneThreshold is how many machines of a zone must have failed to respond to probes, while none has
-	// reported, before the remaining machines are no longer waited for. The zone is then most likely partitioned.
-	// Probing a third of a large fleet took 10 s, and responses from other zones were delayed behind it.
+	// reported, before a new leader stops waiting for the zone's other machines. The zone is then most likely
+	// partitioned. Without this, probing an unreachable third of a large fleet takes 10 s and delays the responses from
+	// other zones.
 	silentZoneThreshold = 5
 )
 
-// allMachinesReported reports whether every machine with tasks has reported to this leader or failed to respond to a
-// probe. An unresponsive machine gets no new tasks, and those that it holds count as placed. Waiting for it would delay
-// a new leader's first placements by a heartbeat interval, because among a thousand machines there is always one that
-// does not respond.
+// allMachinesReported reports whether every machine with tasks has reported to this leader, failed to respond to a
+// probe, or is in a zone found silent. An unresponsive machine gets no new tasks, and those that it holds count as
+// placed. Waiting for it would delay a new leader's first placements by a heartbeat interval, because among a thousand
+// machines there is nearly always one that does not respond.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.Order {
@@ -64,11 +65,11 @@
 	return len(pr.replica.model.Order) > 0
 }
 
-// zoneProbeCounts counts the results of probes to the machines of a zone, and their heartbeats, in this term. The event
-// loop writes it; goroutines that are about to probe acquire slots and read whether the zone is silent.
+// zoneProbeCounts counts the results of probes to the machines of a zone, and the machines' heartbeats, in this term.
+// The event loop writes the counts and silent; goroutines that are about to probe acquire slots and read silent.
 type zoneProbeCounts struct {
 	answered, unanswered int
-	silent               atomic.Bool // several probes failed, and no machine reported
+	silent               atomic.Bool // enough probes failed, and no machine reported, see recordProbe
 	slots                slots       // concurrent probes to silent machines
 }
 
@@ -82,8 +83,8 @@
 	return counts
 }
 
-// recordProbe counts a machine of a zone that reported its status or failed to respond to a probe. A zone is considered
-// silent only if enough reports arrive from other zones; otherwise this controller itself may be late.
+// recordProbe counts a machine of a zone that reported its status or failed to respond to a probe. A zone counts as
+// silent only if enough reports arrive from other zones; otherwise this controller may be late in processing reports.
 func (pt *probesTerm) recordProbe(counts *zoneProbeCounts, answered bool) {
 	if answered {
 		counts.answered++
@@ -95,8 +96,8 @@
 		pt.heartbeatCount >= silentZoneThreshold)
 }
 
-// probeAll probes all machines with tasks. A new leader places no tasks before these machines have reported, and many
-// agents take a heartbeat interval or longer to find it.
+// probeAll probes all machines with tasks. A new leader waits for reports from these machines before it places most
+// tasks, and many agents take a heartbeat interval or longer to find the new leader.
 func (pr *probes) probeAll() {
 	for _, machine := range pr.replica.model.Order {
 		if len(machine.Runs) > 0 && !machine.Suspect {
@@ -105,8 +106,8 @@
 	}
 }
 
-// probeMachine probes a machine because of what it reported. If onDone is not nil, it is called on the event loop after
-// the response or failure. The result tells whether a probe was started.
+// probeMachine probes a machine because of what it reported, and reports whether a probe was started. If so, and onDone
+// is not nil, onDone is called on the event loop after the response or failure.
 func (pr *probes) probeMachine(machine *model.Machine, onDone func()) bool {
 	term := pr.term.ownTerm
 	if machine.Info.Addr == "" || term.probes.followUpProbes >= pr.maxFollowUpProbes ||
@@ -138,9 +139,9 @@
 		"inbound_partition", machine.Contact.InboundPartitionSince != 0, "tasks", len(machine.Runs))
 }
 
-// probeSilent probes a silent machine. An agent that lost its controller may take long to find the leader; one that is
-// dead or hangs does not respond at all. With skipIfZoneSilent, the probe is skipped if the machine's zone has
-// meanwhile been found silent.
+// probeSilent probes a silent machine. An agent that lost its controller may take long to find the leader; an agent
+// that is dead or hangs does not respond at all. With skipIfZoneSilent, the probe is skipped if the machine's zone has
+// been found silent by the time the probe's turn comes.
 func (pr *probes) probeSilent(machine *model.Machine, skipIfZoneSilent bool) {
 	term := pr.term.ownTerm
 	if machine.Contact.Probing || machine.Contact.DirectInFlight || machine.Info.Addr == "" {
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -12,9 +12,9 @@
 	"fieldhill/wire"
 )
 
-// provisioning is the leader's side of scaling out and in: it passes the desired capacity to the provisioner and
-// processes the results. It writes the log entries for machines and their release. The autoscaler is created anew for
-// each term of the leader and used only on the event loop.
+// provisioning is the leader's side of scaling out and in: it passes the desired capacity to the provisioner, processes
+// the results, and writes the log entries for machines and their release. The autoscaler is created anew for each term
+// of the leader and used only on the event loop.
 type provisioning struct {
 	*environment
 	commits   *commitPipeline
@@ -38,7 +38,7 @@
 	cloudUnavailable bool // the last attempt to list the machines failed
 }
 
-// recordAddr writes the address of a machine to the log, so that the next leader can probe it.
+// recordAddr writes the address of a machine to the log, so that the next leader can probe the machine.
 func (pv *provisioning) recordAddr(machine *model.Machine, addr string) {
 	if addr == "" || machine.Info.Addr == addr {
 		return
@@ -48,8 +48,8 @@
 	pv.commits.propose(model.NewMachine(machine.ID, machine.At, &info))
 }
 
-// releaseMachine writes the release of a machine to the log, and the provisioner then executes it. Its tasks count as
-// ended only when the cloud confirms the release.
+// releaseMachine writes the release of a machine to the log, and the provisioner then executes it. The machine's tasks
+// count as ended only when the cloud confirms the release.
 func (pv *provisioning) releaseMachine(machine *model.Machine, reason string) {
 	if machine.Releasing {
 		return
@@ -60,7 +60,8 @@
 		"zone", machine.Info.Zone, "tasks", len(machine.Runs), "reason", reason)
 }
 
-// runAutoscaler computes a fleet plan and requests its changes.
+// runAutoscaler checks the machines' health, computes a fleet plan, and requests the scale-outs and releases in the
+// plan.
 func (pv *provisioning) runAutoscaler(term *leaderTerm) {
 	if !pv.replica.model.TypesKnown() {
 		return
@@ -72,12 +73,12 @@
 	pv.constrainScheduler(&plan)
 	for _, machine := range plan.ScaleIn {
 		if term.provisioning.cloudUnavailable {
-			break // the cloud can't release it now, and a machine being released takes no tasks
+			break // the cloud can't release the machine now, and a machine being released takes no tasks
 		}
 		pv.releaseMachine(machine, "idle and not needed")
 	}
-	// The cloud's rate limit is low, so only a few requests are open at a time and at most one per offer: its result
-	// tells how many more machines the offer has.
+	// The cloud's rate limit is low, so only a few requests are open at a time, and at most one per offer, since the
+	// result shows whether the cloud has more machines of that offer.
 	maxOpen := max(2, int(pv.settings.Params.Cloud.RPS))
 	for _, scaleOut := range plan.ScaleOuts {
 		if len(pv.autoscaler.InFlight) >= maxOpen {
@@ -108,8 +109,8 @@
 	}
 }
 
-// newProvisioner creates a provisioner that runs until ctx ends and acts only while trusted returns true. It calls
-// onResult on the event loop.
+// newProvisioner creates a provisioner that runs until ctx ends and sends requests to the cloud only while trusted
+// returns true. It calls onResult on the event loop.
 func (pv *provisioning) newProvisioner(
 	ctx context.Context,
 	trusted func() bool,
@@ -138,7 +139,7 @@
 	term.provisioning.provisioner.Reconcile(now, desired)
 }
 
-// openScaleOuts counts the requested machines without a result, by offer.
+// openScaleOuts counts, by offer, the machines of scale-out requests that have no result yet.
 func (pv *provisioning) openScaleOuts() map[autoscaler.InstanceOffer]int {
 	counts := map[autoscaler.InstanceOffer]int{}
 	for _, order := range pv.term.ownTerm.provisioning.orders {
@@ -160,7 +161,8 @@
 	}
 }
 
-// scaleOut requests machines under a unique name.
+// scaleOut requests machines under a unique name: from the leader's own provisioner or, while the singleton roles are
+// distributed, by an intent in the log.
 func (pv *provisioning) scaleOut(term *leaderTerm, request autoscaler.ScaleOut) {
 	term.provisioning.scaleOutCount++
 	order := provisioner.ScaleOut{
@@ -204,7 +206,7 @@
 	}
 }
 
-// onReleased processes the confirmed release of machines.
+// onReleased processes the confirmed release of machines, and requests replacements for the suspect ones among them.
 func (pv *provisioning) onReleased(term *leaderTerm, names []string) {
 	replacements := map[autoscaler.InstanceOffer]int{}
 	for _, name := range names {
@@ -223,9 +225,10 @@
 	pv.replaceReleased(term, replacements)
 }
 
-// replaceReleased requests replacements for machines released in a partitioned zone, for which the plan requests none.
-// They are booted, or nearly so, when the partition ends; until then they don't count as capacity. Otherwise the zone
-// would come back empty while its machines boot, or for as long as the cloud is unavailable.
+// replaceReleased requests replacements for machines released in a partitioned zone, because the fleet plan requests
+// none for them. The replacements boot during the partition and do not count as capacity until it ends. Without them,
+// the zone would have no machines after the partition until new ones have booted, or for as long as the cloud is
+// unavailable.
 func (pv *provisioning) replaceReleased(term *leaderTerm, offers map[autoscaler.InstanceOffer]int) {
 	for offer, count := range offers {
 		for ; count > 0; count -= wire.MaxScaleOut {
@@ -238,7 +241,8 @@
 	}
 }
 
-// onScaledOut processes the machines that a scale-out returned: fewer than requested if the cloud has no more.
+// onScaledOut processes the machines that a scale-out returned. These are fewer than requested if the cloud has no
+// more.
 func (pv *provisioning) onScaledOut(term *leaderTerm, outcome *provisioner.Result) {
 	order := &outcome.ScaleOut
 	_, requested := term.provisioning.orders[order.Name]
@@ -265,30 +269,31 @@
 		pv.replica.model.ByName[name].Lifecycle.ProvisionedAt = pv.now() - outcome.Elapsed
 	}
 	if intent {
-		// Logged after the machines: a successor that finds the intent open repeats the request under the same name,
-		// and gets the same machines.
+		// The intent is marked as done after the machines are logged: a new leader that finds the intent open repeats
+		// the request under the same name, and gets the same machines.
 		pv.commits.propose(model.NewIntentDone(order.Name))
 	}
 }
 
-// recordMachine writes a machine to the log that is not there yet and has been up for ageMillis.
+// recordMachine writes a machine that the log does not contain to the log, with the time ageMillis ago as its start.
 func (pv *provisioning) recordMachine(info model.MachineInfo, ageMillis int64) {
 	pv.commits.propose(model.NewMachine(pv.replica.model.NextMachine, time.Now().UnixMilli()-ageMillis, &info))
 }
 
-// maxListDuration is the expected upper bound on reading the whole machine list, unless it is observed to take longer.
-// The list has a page for each 500 machines, and its requests share the cloud's rate limit with scale-out and scale-in.
+// maxListDuration is the expected upper bound on the time for reading the whole machine list; a longer time is used if
+// the last listing took longer. The list has a page for each 500 machines, and its requests share the cloud's rate
+// limit with scale-out and scale-in.
 const maxListDuration = 10 * time.Second
 
-// releaseUnlisted releases silent machines that are missing from the cloud's list: they were preempted or have failed.
-// The list lags, may be older than the previous one, and takes time to read, during which machines can appear behind
-// the read position. So absence counts only for machines that this leader has known for longer than all of that. Even
-// then it is only a hint; the result of the release confirms it. Without this check, machines of one zone that are
-// preempted together look like a zone partition, during which they are not released, and tasks that must run in that
-// zone wait for a minute and a half.
+// releaseUnlisted releases silent machines that are missing from the cloud's list, because they were preempted or have
+// failed. The list lags, may be older than the previous one, and takes time to read, during which machines can appear
+// on pages that were already read. So a machine counts as missing only if this leader has known it for longer than
+// these delays together. Even then this is only a hint, which the result of the release confirms. Without this check,
+// machines of one zone that are preempted together look like a zone partition, during which they are not released, and
+// tasks that must run in that zone wait for a minute and a half.
 func (pv *provisioning) releaseUnlisted(rows []wire.ListedMachine, elapsed time.Duration) {
 	if pv.roles.rolesDistributed() {
-		return // the holder of the role reports only rows that are not in the log
+		return // the holder of the provisioning role reports only the rows that are not in the log
 	}
 	listed := map[string]bool{}
 	for i := range rows {
@@ -305,7 +310,7 @@
 	}
 }
 
-// recordType writes a machine type to the log if it is new or has changed in more than its price.
+// recordType writes a machine type to the log if the type is new or has changed in more than its price.
 func (pv *provisioning) recordType(offered *wire.MachineType) {
 	types := pv.replica.model.Types
 	id, ok := pv.replica.model.TypeNames.Find(offered.Name)
@@ -323,8 +328,8 @@
 		a.FetchGBPerS == b.FetchGBPerS && a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
 }
 
-// onMachineListed processes a row of the cloud's machine list. Because the list lags, only three things are taken from
-// it: unknown machines, failed machines, and addresses.
+// onMachineListed processes a row of the cloud's machine list. Because the list lags, only three facts are taken from a
+// row: that a machine exists, that it has failed, and its address.
 func (pv *provisioning) onMachineListed(row *wire.ListedMachine) {
 	if pv.replica.model.Tombstones[row.Name] {
 		return
@@ -344,7 +349,7 @@
 	}
 }
 
-// desiredCapacity returns the scale-outs and releases that the committed log asks for.
+// desiredCapacity returns the scale-outs and releases that committed log entries request.
 func (pv *provisioning) desiredCapacity() provisioner.Desired {
 	committed := pv.replica.appliedSeq
 	if pv.term.ownTerm != nil {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -7,7 +7,7 @@
 	"fieldhill/internal/model"
 )
 
-// readiness determines whether this controller reports itself ready to the load balancer. The event loop writes the
+// readiness determines whether this controller reports itself as ready to the load balancer. The event loop writes the
 // result; health checks read it.
 type readiness struct {
 	*environment
@@ -20,17 +20,17 @@
 	lastMaintenance atomic.Int64 // time of the last maintenance run, since startTime
 }
 
-// Ready reports whether this controller can take requests.
+// Ready reports whether this controller can answer requests, itself or through another controller.
 func (rd *readiness) Ready() bool {
-	// A result from before a stall of the process is out of date.
+	// The result is out of date if the process has stalled since it was written.
 	return rd.ready.Load() && rd.now()-model.Time(rd.lastMaintenance.Load()) < 2*stallThreshold
 }
 
 // linkFreshness is the maximum age of the last response over a link for its other end to count as reachable.
 const linkFreshness = 1500 * time.Millisecond
 
-// updateReadiness updates the readiness, in the loop. A short time without a leader does not make a controller unready:
-// it affects all controllers alike, and requests are refused with a Retry-After.
+// updateReadiness updates the readiness, on the event loop. A short time without a leader does not make a controller
+// unready: it affects all controllers alike, and requests are refused with a Retry-After.
 func (rd *readiness) updateReadiness() {
 	rd.leadership.eligibility.warm.Store(rd.replica.isStoreReachable())
 	rd.ready.Store(rd.canServe())
@@ -48,8 +48,8 @@
 			return false // cut off from the leader, this controller would answer from the log alone
 		}
 	}
-	// If neither the log nor another controller can be reached, only the status of finished jobs can be answered,
-	// while the other controllers may be healthy.
+	// A controller that can reach neither the log nor another controller can only answer for the status of finished
+	// jobs, while the other controllers may be healthy.
 	return !rd.forward.isIsolated() || rd.term.isActive() ||
 		rd.term.ownTerm == nil && rd.replica.isStoreReachable()
 }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -13,7 +13,7 @@
 
 // relayAgent is the follower side of relaying (relayAssignments is the leader side): it offers this controller to the
 // leader as a relay, and forwards the leader's direct commands and probes to agents. heartbeatRouter forwards
-// heartbeats, as agreed here.
+// heartbeats while the leader accepts them according to relaying.
 type relayAgent struct {
 	*environment
 	replica *replica
@@ -22,17 +22,17 @@
 	state *relaying
 }
 
-// relaying is the state of a relay: its agreement with the leader and the limits on forwarded requests. It is written
-// by maintainRelay on the event loop, except for enabled, which the response to an offer sets. The goroutines of
-// agents' connections and of the leader's requests read the atomic fields and acquire slots.
+// relaying is the state of a relay: whether it relays for the leader, and the limits on forwarded requests. It is
+// written by maintainRelay on the event loop, except for enabled, which the response to an offer sets. The goroutines
+// of agents' connections and of the leader's requests read the atomic fields and acquire slots.
 type relaying struct {
 	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil if this controller leads or cannot reach the leader
 	enabled    atomic.Bool              // the leader accepts forwarded heartbeats
 	reports    slots                    // heartbeats in flight
 	orders     slots                    // direct commands in flight
 	probes     slots                    // probes in flight
-	offeredAt  time.Time
-	offeredTo  *rpc.Link
+	offeredAt  time.Time                // when the last offer was sent
+	offeredTo  *rpc.Link                // to which leader the last offer was sent
 	// offersDisabled makes the controller behave like a version without relays, for tests.
 	offersDisabled bool
 }
@@ -52,8 +52,8 @@
 
 func (s slots) release() { <-s }
 
-// reachableLeader returns the link to the leader if this controller may relay for it, or nil if this controller leads
-// or cannot reach the leader.
+// reachableLeader returns the link to the leader, or nil if this controller cannot relay for it: it leads, has not
+// loaded the log, or cannot reach the leader.
 func (ry *relayAgent) reachableLeader() *rpc.Link {
 	if ry.state.offersDisabled || ry.term.ownTerm != nil || !ry.replica.loaded || ry.term.leader == nil {
 		return nil
@@ -77,8 +77,8 @@
 	go state.offer(ry.ctx, target, relay.Offer{Node: ry.settings.Node, HasCapacity: !ry.connLimiter.NearLimit()})
 }
 
-// offer offers this controller to the leader as a relay and stores the response. The previous agreement stays in effect
-// if the leader does not respond.
+// offer offers this controller to the leader as a relay and stores whether the leader accepts forwarded heartbeats. If
+// the leader does not respond, its previous response stays in effect.
 func (s *relaying) offer(ctx context.Context, leader *rpc.Link, offer relay.Offer) {
 	ctx, cancel := context.WithTimeout(ctx, offerInterval)
 	defer cancel()
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -14,10 +14,10 @@
 	"fieldhill/wire"
 )
 
-// relayAssignments is the leader side of relaying, which distributes the agents of a large cell across its controllers:
-// a relay terminates agents' connections, forwards each heartbeat to the leader and the leader's response back, and
-// sends the leader's direct commands. Package internal/agents/relay decides through which controller each agent
-// reports; docs/REGIONS.md explains why relaying needs no further safety rules.
+// relayAssignments is the leader side of relaying, which distributes the agents of a large fleet across the
+// controllers: a relay terminates agents' connections, forwards each heartbeat to the leader and the leader's response
+// back, and sends the leader's direct commands. Package internal/agents/relay decides through which controller each
+// agent sends its heartbeats; docs/REGIONS.md explains why relaying needs no further safety rules.
 //
 // It owns the assignments, which are discarded at the end of the term and written on the event loop only. Routes are
 // looked up on the event loop before goroutines send requests over them.
@@ -34,7 +34,7 @@
 
 // relayAssignmentsTerm is the state of relayAssignments for one leadership term.
 type relayAssignmentsTerm struct {
-	table               *relay.Table // which controller each machine reports through
+	table               *relay.Table // through which controller each machine sends its heartbeats
 	acceptingNodes      []bool       // controllers that accept more agents, by index in the table
 	lastRelayOffers     []model.Time // when each controller last offered itself as a relay; 0 if never
 	lastAssignmentSweep model.Time   // when silent agents were last removed from the table
@@ -73,7 +73,8 @@
 	return relay.Leader
 }
 
-// redirectTarget reports whether an agent is to report through another controller, and through which.
+// redirectTarget reports whether an agent is to send its heartbeats through another controller, and returns the node of
+// that controller.
 func (ra *relayAssignments) redirectTarget(machine *model.Machine, node int) (to string, move bool) {
 	term := ra.term.ownTerm
 	now := ra.now()
@@ -92,16 +93,16 @@
 	return ra.settings.Members[index-1].Node, true
 }
 
-// isRelay reports whether a controller, given by its index in the relay table, recently offered itself as a relay and
-// is reachable.
+// isRelay reports whether a controller, given by its index in the relay table, has offered itself as a relay within
+// offerTTL and is reachable.
 func (ra *relayAssignments) isRelay(node int) bool {
 	at := ra.term.ownTerm.assignments.lastRelayOffers[node]
 	return at != 0 && ra.now()-at < offerTTL &&
 		time.Since(ra.links[ra.settings.Members[node-1].Node].LastResponse()) < linkFreshness
 }
 
-// maintainAssignments decides by the size of the fleet whether agents are distributed, and removes the assignments of
-// silent agents.
+// maintainAssignments decides by the size of the fleet whether agents are distributed across the controllers, and
+// removes the assignments of silent agents.
 func (ra *relayAssignments) maintainAssignments(term *leaderTerm) {
 	term.assignments.table.UpdateSpreading(len(ra.replica.model.Order), ra.spreadThreshold)
 	if now := ra.now(); now-term.assignments.lastAssignmentSweep > sweepInterval {
@@ -110,8 +111,8 @@
 	}
 }
 
-// sendOrders sends a direct command, through the relay by which the machine reports if there is one. If the relay is
-// lost meanwhile, the command may be executed at any later time, like one that is delayed in the network.
+// sendOrders sends a direct command, through the given relay or, if via is nil, directly. If the relay is lost
+// meanwhile, the command may be executed at any later time, like a command that is delayed in the network.
 func (ra *relayAssignments) sendOrders(
 	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
 ) (agent.CommandFate, *wire.Heartbeat, error) {
@@ -136,7 +137,8 @@
 	return agent.CommandFate(outcome.Fate), outcome.Report, nil
 }
 
-// relayFor returns the link to the relay by which a machine reports, or nil if commands are sent to it directly.
+// relayFor returns the link to the relay through which a machine sends its heartbeats, or nil if commands are sent to
+// the machine directly.
 func (ra *relayAssignments) relayFor(machine *model.Machine) *rpc.Link {
 	i := ra.term.ownTerm.assignments.table.NodeOf(machine.Info.Name)
 	if i == relay.Leader || !ra.isRelay(i) {
@@ -145,9 +147,9 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo returns the routes over which to probe a machine: through the controller by which it reports, then one
-// alternative; nil stands for a direct connection. The alternative keeps a leader that is partitioned from agents from
-// treating them as silent while a relay can reach them.
+// routesTo returns the routes over which to probe a machine: first the one through the controller that receives the
+// machine's heartbeats, then one alternative. nil stands for a direct connection. The alternative keeps a leader that
+// is partitioned from agents from treating them as silent while a relay can reach them.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
@@ -180,7 +182,7 @@
 	return nil, err
 }
 
-// queryThrough probes an agent through a relay. The timeout is that of a probe plus a margin for the link to the relay.
+// queryThrough probes an agent through a relay. Its timeout is that of a probe plus a margin for the link to the relay.
 func queryThrough(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -17,7 +17,8 @@
 // updates that a watch returns, and reads the log to its end when a request needs that.
 //
 // The event loop owns all fields except those of the catch-up. On the leader, commitPipeline also applies entries to
-// model before they are committed and advances appliedSeq, and leadership advances caughtUpAt with each lease renewal.
+// model before they are committed and advances appliedSeq, and leadership advances caughtUpAt with each renewal of the
+// leader's lease.
 type replica struct {
 	*environment
 	loop    *eventLoop
@@ -27,9 +28,9 @@
 	model            *model.Model
 	loaded           bool
 	appliedSeq       uint64                 // last batch applied (follower) or committed (leader)
-	caughtUpAt       time.Time              // the model contained all committed entries at this time
+	caughtUpAt       time.Time              // latest time at which the model is known to have been complete
 	lastStoreContact time.Time              // last time the key-value store answered a watch or a load
-	watermarks       commitfence.Watermarks // latest batches seen by this process; kept on reset
+	watermarks       commitfence.Watermarks // newest batch that this process has known to be committed; kept on reset
 	generation       int                    // number of resets; identifies the current model
 
 	catchUpMu   sync.Mutex // guards catchUpRead, which is used by the goroutines of requests
@@ -41,16 +42,18 @@
 	return &replica{environment: env, loop: loop, term: term, onReset: func() {}}
 }
 
-// sequenceGapError reports a batch that does not follow the last one applied, after which the log has to be reloaded.
+// sequenceGapError reports that at least one log batch is missing between the last batch applied and the next one
+// received. The log then has to be reloaded.
 type sequenceGapError struct {
-	Seq, Applied uint64
+	Seq, Applied uint64 // the batch received, and the last batch applied
 }
 
+// Error names the batch received and the last batch applied.
 func (e *sequenceGapError) Error() string {
-	return fmt.Sprintf("controller: log batch %d follows batch %d", e.Seq, e.Applied)
+	return fmt.Sprintf("controller: gap in log: got batch %d after batch %d", e.Seq, e.Applied)
 }
 
-// reset discards the model, and with it the term that this controller was serving, if any.
+// reset discards the model and, if this controller leads, its term.
 func (rp *replica) reset() {
 	rp.model = model.New(&rp.settings.Params)
 	rp.appliedSeq, rp.loaded = 0, false
@@ -65,8 +68,8 @@
 	return rp.loaded && time.Since(rp.lastStoreContact) < followTimeout+linkFreshness
 }
 
-// applyBatch applies a batch committed by another controller. A batch that was already applied is ignored; one that
-// does not follow the last one applied results in a *sequenceGapError.
+// applyBatch applies a batch committed by another controller. A batch that was already applied is ignored. If batches
+// are missing before it, the error is a *sequenceGapError.
 func (rp *replica) applyBatch(batch oplog.Batch) error {
 	if batch.Seq <= rp.appliedSeq {
 		return nil
@@ -78,10 +81,10 @@
 	for len(reader.Data) > 0 {
 		entry, err := model.ReadEntry(reader)
 		if err != nil {
-			return fmt.Errorf("controller: log batch %d: %w", batch.Seq, err)
+			return fmt.Errorf("controller: decode log batch %d: %w", batch.Seq, err)
 		}
 		if job := rp.model.Jobs[entry.Job]; entry.Kind == model.EntryCancel && rp.loaded && job != nil {
-			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // at that time the job was not cancelled yet
+			job.Observed.CancelledFrom = rp.caughtUpAt.Sub(rp.startTime) // the job was not cancelled yet at that time
 		}
 		if err := rp.model.Apply(entry, batch.Seq, rp.now()); err != nil {
 			rp.log.Error("log entry apply failed", "seq", batch.Seq, "err", err)
@@ -103,7 +106,8 @@
 	return nil
 }
 
-// applyUpdate applies the result of a watch that was sent at sentAt. It returns false if the log has to be reloaded.
+// applyUpdate applies the result of a watch request that was sent at sentAt. It returns false if the log has to be
+// reloaded.
 func (rp *replica) applyUpdate(update *oplog.Update, sentAt time.Time) bool {
 	if err := rp.applyBatches(update.Batches); err != nil {
 		rp.log.Warn("replica out of sync, reloading", "err", err)
@@ -117,8 +121,9 @@
 	return true
 }
 
-// load reads the log and replaces the model. revokeStale reports whether it revoked the lease of the leader that the
-// log names, in which case there is no leader. load returns the revision from which to watch the log.
+// load reads the log and replaces the model. It calls revokeStale with the leader that the log names; if revokeStale
+// reports that it revoked that leader's lease, there is no leader. load returns the revision from which to watch the
+// log.
 func (rp *replica) load(
 	ctx context.Context, revokeStale func(context.Context, *oplog.Leader) bool,
 ) (revision uint64, err error) {
@@ -134,13 +139,13 @@
 	return loaded.Revision, err
 }
 
-// replaceModel replaces the model by the result of a load that was sent at sentAt. After an error the replica counts as
-// not loaded.
+// replaceModel replaces the model by the result of a load that was started at sentAt. After an error the replica counts
+// as not loaded.
 func (rp *replica) replaceModel(loaded *oplog.Loaded, sentAt time.Time) error {
 	lastSeq := loaded.SnapshotSeq + uint64(len(loaded.Batches))
 	if rp.loaded && rp.appliedSeq >= lastSeq {
-		// A request has read the end of the log after this load did. The model must not go back to an older state,
-		// or that request would get a stale answer.
+		// A request has read the log further than this load has. The model must not go back to an older state, or later
+		// requests would get stale answers.
 		rp.term.leader, rp.lastStoreContact = loaded.Leader, time.Now()
 		return nil
 	}
@@ -163,6 +168,7 @@
 	return nil
 }
 
+// logEndTimeout limits one read of the end of the log.
 const logEndTimeout = 1500 * time.Millisecond
 
 // catchUp reads the log to its end, so that the model contains everything committed before the call. Requests that
@@ -176,7 +182,7 @@
 			read = &catchUpRead{done: make(chan struct{})}
 			rp.catchUpRead = read
 			rp.catchUpMu.Unlock()
-			// Other requests share this read, so it is not cancelled with this request.
+			// Other requests share this read, so it does not end with the context of this request.
 			shared := rp.ctx
 			read.err = rp.store.ForUser(shared, responseTimeout, rp.readLogEnd) //nolint:contextcheck // see above
 			rp.catchUpMu.Lock()
@@ -203,10 +209,11 @@
 	err  error
 }
 
-// errNotLoaded reports that the log has not been loaded, or that this controller is the leader.
+// errNotLoaded reports that the replica cannot be read to the end of the log, because the log has not been loaded or
+// this controller leads.
 var errNotLoaded = errors.New("controller: replica not loaded")
 
-// readLogEnd reads and applies all batches after the last one applied.
+// readLogEnd reads and applies all batches that follow the last batch applied.
 func (rp *replica) readLogEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logEndTimeout)
 	defer cancel()
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -6,9 +6,9 @@
 	"fieldhill/internal/result"
 )
 
-// responseTimeout limits how long a response to a user may wait for the log. A slower write is still retried, but the
-// user is told to retry the request.
+// responseTimeout limits how long a user's request may wait for a response that depends on the log. A log write that
+// takes longer is still retried, but the user is told to retry the request.
 const responseTimeout = 2500 * time.Millisecond
 
-// noSuchJob is the result if an ID is not a valid job ID, or no job with this ID is known.
+// noSuchJob is the result of a request for a job whose ID is invalid or unknown.
 var noSuchJob = result.Unknown{Reason: "no such job"}
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// maxListedBytes limits the rows in one part of a listing, leaving room in the frame for the other fields.
+	// maxListedBytes limits the size of the rows in one part of a listing. It leaves room in the message for the other
+	// fields.
 	maxListedBytes = rpc.MaxBody - 1<<10
-	// resultTimeout limits the delivery of all parts of a result to the leader; after that the next listing is due.
+	// resultTimeout limits the time for delivering all parts of a result to the leader; after that the next listing is
+	// due.
 	resultTimeout = 3 * time.Second
-	// partTimeout limits the delivery of one part.
+	// partTimeout limits the time for delivering one part.
 	partTimeout = time.Second
 )
 
-// newRoleProvisioner creates the provisioner for a role held by this controller, for one term of the role.
+// newRoleProvisioner creates the provisioner for one term of the provisioning role on this controller.
 func (rs *singletonRoles) newRoleProvisioner(
 	ctx context.Context, role *singleton.Role, current *holding,
 ) *provisioner.Provisioner {
@@ -35,8 +37,8 @@
 	})
 }
 
-// publishResult reports the result of a cloud request to the leader. If the delivery fails, the provisioner reports it
-// again for as long as the request is open in the log.
+// publishResult processes the result of a cloud request if this controller leads, and otherwise sends it to the leader.
+// If the delivery fails, the provisioner reports the result again for as long as the request is open in the log.
 func (rs *singletonRoles) publishResult(
 	ctx context.Context, role *singleton.Role, term uint64, outcome *provisioner.Result,
 ) {
@@ -69,7 +71,7 @@
 	}()
 }
 
-// isInLog reports whether a row of the cloud's machine list contains only what the leader already has from the log.
+// isInLog reports whether a row of the cloud's machine list contains nothing that is missing in the log.
 func (rs *singletonRoles) isInLog(row wire.ListedMachine) bool {
 	if rs.replica.model.Tombstones[row.Name] {
 		return true
@@ -78,8 +80,8 @@
 	return machine != nil && machine.Info.Addr != "" && (row.State != wire.MachineFailed || machine.Releasing)
 }
 
-// onRoleReport processes, as the leader, a result reported by the holder of a role. Only the current holder is
-// accepted.
+// onRoleReport processes, on the leader, a result reported by the holder of the provisioning role. Reports of former
+// holders are rejected.
 func (rs *singletonRoles) onRoleReport(ctx context.Context, request *rpc.Request) result.Result {
 	reader := &codec.Reader{Data: request.Body}
 	term := reader.Uint()
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -11,7 +11,7 @@
 
 // schedulingRounds runs the scheduler periodically and after changes, and applies its decisions: it implements
 // scheduler.Binder and writes placements to the log. The scheduler exists only on the leader and is used only on the
-// event loop; it is created anew for each term, and what it remembers between rounds is lost with the term.
+// event loop. It is created anew for each term, so state that it keeps between rounds is lost with the term.
 type schedulingRounds struct {
 	*environment
 	commits  *commitPipeline
@@ -39,8 +39,8 @@
 	sr.dispatch.markForCommands(machine)
 }
 
-// Preempt implements scheduler.Binder: it stops a run. No log entry is needed: if a leader's stop is lost, its
-// successor decides again.
+// Preempt implements scheduler.Binder: it stops a run. No log entry is needed: if the stop is lost with the leader's
+// term, the next leader decides again whether to preempt.
 func (sr *schedulingRounds) Preempt(run *model.Run, hard bool, reason string) {
 	if run.Stop {
 		return
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -22,7 +22,8 @@
 // own lease. The work reads only the model, which every replica has; its results are sent to the leader with the role's
 // term, and only the leader writes the log.
 //
-// Package singleton makes the decisions. All state is owned by the event loop, except holding.trustedUntil.
+// Package singleton decides when to acquire, renew and release a role. All state is owned by the event loop, except
+// holding.trustedUntil.
 type singletonRoles struct {
 	*environment
 	commits      *commitPipeline
@@ -32,11 +33,11 @@
 	replica      *replica
 	term         *termState
 
-	state *roleState // nil: roles are not distributed, the leader does the work of all
+	state *roleState // nil if this controller does not participate: the leader does the work of all roles
 }
 
-// roleState is this controller's view of the singleton roles. The other participants and holders are read from the
-// key-value store. This controller's own roles are recorded there as well, under leases.
+// roleState is this controller's view of the singleton roles. The participants and the holders of the roles, this
+// controller included, are recorded in the key-value store, the holders under leases.
 type roleState struct {
 	roles           [singleton.NameCount]*singleton.Role
 	loaded          bool                         // the keys have been read at least once
@@ -52,17 +53,17 @@
 type holding struct {
 	term         uint64 // of the role; 0: not held
 	cancel       context.CancelFunc
-	trustedUntil atomic.Int64 // since the process start; written by the loop, read by whoever acts for the role
+	trustedUntil atomic.Int64 // since startTime; written by the event loop, read by goroutines that work for the role
 }
 
 const (
 	// roleWatchTimeout is the maximum wait of one watch request for the roles' keys.
 	roleWatchTimeout = 10 * time.Second
-	// roleRetryDelay is the delay after a failure to read the roles' keys.
+	// roleRetryDelay is the delay before the roles' keys are read again after a failure.
 	roleRetryDelay = 500 * time.Millisecond
 	// roleRenewTimeout limits the renewal of a role's lease.
 	roleRenewTimeout = 1500 * time.Millisecond
-	// roleWriteTimeout limits the writes on a resignation and on progress.
+	// roleWriteTimeout limits the time for writing the count of stalled holders, on a resignation or on progress.
 	roleWriteTimeout = 3 * time.Second
 	// roleRevokeTimeout limits how long the shutdown waits for the revocation of the roles' leases.
 	roleRevokeTimeout = time.Second
@@ -70,8 +71,8 @@
 	roleLogInterval = 20 * time.Second
 )
 
-// rolesDistributed reports whether the roles are held independently of leadership, which requires that all controllers
-// participate. Otherwise the leader does the work of all roles.
+// rolesDistributed reports whether the singleton roles are held independently of leadership, which requires that all
+// controllers participate. Otherwise the leader does the work of all roles.
 func (rs *singletonRoles) rolesDistributed() bool {
 	if rs.state == nil || !rs.state.loaded || !rs.state.participants[rs.settings.Node] {
 		return false
@@ -111,7 +112,7 @@
 	}
 }
 
-// withdrawFromRoles removes the participation that an earlier process of this controller may have registered.
+// withdrawFromRoles removes this controller's participation, which an earlier process may have registered.
 func (rs *singletonRoles) withdrawFromRoles(ctx context.Context) {
 	changes, _, err := rs.oplog.Roles(ctx)
 	isOwn := func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node }
@@ -144,7 +145,8 @@
 			switch role.Name.String() {
 			case change.HeldRole:
 				if !state.loaded && change.Node == rs.settings.Node {
-					// An earlier process of this controller held the role. It has ended, so its lease can be revoked.
+					// An earlier process of this controller held the role. That process has ended, so the lease can be
+					// revoked.
 					go func() { _ = rs.store.Revoke(rs.ctx, change.Lease) }()
 				}
 				role.Observe(singleton.RoleHolder{Node: change.Node, Term: change.Term}, now)
@@ -156,7 +158,8 @@
 	state.loaded = true
 }
 
-// roleView returns what this controller knows of the others, as input for role decisions.
+// roleView returns the input for decisions about roles: whether the roles are distributed, the reachable controllers,
+// and the leader.
 func (rs *singletonRoles) roleView() *singleton.View {
 	view := &singleton.View{Ready: rs.rolesDistributed(), Live: []string{rs.settings.Node}}
 	for _, link := range rs.links {
@@ -171,7 +174,8 @@
 	return view
 }
 
-// maintainRoles makes the periodic decisions for each role, and does the work of the roles held here.
+// maintainRoles decides periodically whether to acquire, renew or release each role, and does the work of the roles
+// held here.
 func (rs *singletonRoles) maintainRoles() {
 	state := rs.state
 	if state == nil || !state.loaded {
@@ -204,7 +208,8 @@
 	}
 }
 
-// shareWriteRate reserves a share of the write rate for the compactor while the roles are distributed.
+// shareWriteRate reserves a share of the key-value store's write rate for the compactor while the roles are
+// distributed.
 func (rs *singletonRoles) shareWriteRate(distributed bool) {
 	if distributed == rs.state.writeRateShared {
 		return
@@ -218,7 +223,7 @@
 	rs.log.Info("singleton role distribution changed", "distributed", distributed)
 }
 
-// logRoles logs the roles that are held here.
+// logRoles logs the roles that this controller holds.
 func (rs *singletonRoles) logRoles(now singleton.Time) {
 	for _, role := range rs.state.roles {
 		if role.Term() != 0 {
@@ -254,16 +259,17 @@
 		sent := rs.now()
 		err := rs.store.Renew(rs.ctx, lease, roleRenewTimeout)
 		rs.loop.post(func() {
-			// Needed even if the role was lost meanwhile: the role makes no other request while a renewal is pending.
+			// This is needed even if the role was lost meanwhile: the role makes no other request while a renewal is
+			// pending.
 			role.Renewed(sent, err == nil, msgpackhttp.StatusCode(err) == http.StatusNotFound)
 			rs.syncRole(role)
 		})
 	}()
 }
 
-// resignRole resigns a role in this order: the work in progress is cancelled, the count of holders without progress is
-// written if this is one of them, and the lease is revoked, which deletes the key. A failed or late step only delays
-// the next holder.
+// resignRole resigns a role in this order: the work in progress is cancelled, the count of stalled holders is written
+// if this controller made no progress as the holder, and the lease is revoked, which deletes the role's key. A failed
+// or late step only delays the next holder.
 func (rs *singletonRoles) resignRole(role *singleton.Role) {
 	rs.log.Info("singleton role resigned", "role", role.Name.String(), "term", role.Term(),
 		"reason", role.ReleaseReason())
@@ -279,12 +285,12 @@
 				rs.log.Debug("stalled holder record failed", "role", name, "err", err)
 			}
 		}
-		_ = rs.store.Revoke(ctx, lease) // otherwise it expires
+		_ = rs.store.Revoke(ctx, lease) // if this fails, the lease expires
 	}()
 }
 
-// revokeRoles revokes the leases of the roles held here, so that the next holders need not wait for them to expire. It
-// runs after the event loop has ended.
+// revokeRoles revokes the leases of the roles that this controller holds, so that the next holders need not wait for
+// the leases to expire. It runs after the event loop has ended.
 func (rs *singletonRoles) revokeRoles() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(rs.ctx), roleRevokeTimeout)
 	defer cancel()
@@ -329,21 +335,21 @@
 	}
 }
 
-// onRoleProgress records that the work of a role made progress, and resets the stored count of stalled holders.
-// Otherwise the controllers would wait longer than necessary before they replace a later stalled holder.
+// onRoleProgress records that the work of a role made progress, and resets the stored count of stalled holders. Without
+// the reset, the controllers would wait longer than necessary before they replace a later stalled holder.
 func (rs *singletonRoles) onRoleProgress(role *singleton.Role) {
 	term := role.Term()
 	if !role.RecordProgress(rs.now()) {
 		return
 	}
-	go func() { // with the process's context: the record stays valid after the role is lost
+	go func() { // not under the role's context: the record stays valid after the role is lost
 		ctx, cancel := context.WithTimeout(rs.ctx, roleWriteTimeout)
 		defer cancel()
 		_ = rs.oplog.PutStalledHolders(ctx, role.Name.String(), term, 0)
 	}()
 }
 
-// roleStatus returns the state of the roles for operators. It must run on the event loop.
+// roleStatus returns the state of the singleton roles for the admin API. It must run on the event loop.
 func (rs *singletonRoles) roleStatus() *wire.RoleList {
 	status := &wire.RoleList{
 		Node:                  rs.settings.Node,
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -15,8 +15,8 @@
 // submissions accepts jobs, each exactly once, no matter how often or at which controllers it is submitted. The leader
 // appends a job to the log; other controllers forward it to the leader or write it to the intake.
 //
-// Its methods run on request goroutines; access to the model and proposals of log entries happen only in functions
-// posted to the event loop.
+// Its methods run on request goroutines, except for functions that they post to the event loop. Only those access the
+// model and propose log entries.
 type submissions struct {
 	*environment
 	commits   *commitPipeline
@@ -32,7 +32,7 @@
 	forwardLatency atomic.Int64
 }
 
-// Submit accepts a job, or returns the reason for the refusal.
+// Submit accepts a job, or returns the reason why it is refused.
 func (sb *submissions) Submit(ctx context.Context, body []byte) result.Result {
 	if _, err := wire.PeekJobID(body); err != nil {
 		return result.Invalid{Reason: err.Error()}
@@ -52,17 +52,19 @@
 }
 
 const (
-	// minForwardWait is the minimum time the leader has for a submission before the intake is used as well.
+	// minForwardWait is the minimum time for which a submission waits for the leader's answer before it is also written
+	// to the intake.
 	minForwardWait = 60 * time.Millisecond
-	// forwardLatencyFactor is the multiple of the average latency that the leader has before that.
+	// forwardLatencyFactor is that time as a multiple of the leader's average latency, if that is more than
+	// minForwardWait.
 	forwardLatencyFactor = 3
-	// forwardLatencyWeight is the divisor that weights the latest sample in the average.
+	// forwardLatencyWeight is the divisor of the latest sample in the moving average of the leader's latency.
 	forwardLatencyWeight = 4
 )
 
 // submitWithFallback forwards a job to the leader, and also writes it to the intake if the leader takes much longer
-// than usual: it may have ended, be paused or be partitioned, which takes seconds to detect. A job that arrives both
-// ways is accepted once, since an intake record of a job that is in the log is dropped.
+// than usual to answer: the leader may have ended, be paused or be partitioned, which takes seconds to detect. A job
+// that arrives both ways is accepted once, since an intake record of a job that is in the log is dropped.
 func (sb *submissions) submitWithFallback(ctx context.Context, body []byte) result.Result {
 	averageLatency := time.Duration(sb.forwardLatency.Load())
 	forwarded := sb.forwardSubmission(ctx, body, averageLatency)
@@ -81,8 +83,8 @@
 	return firstDecision(forwarded, recorded)
 }
 
-// forwardSubmission forwards a job to the leader and sends its answer, or nil if there is none or the leader is
-// unavailable.
+// forwardSubmission forwards a job to the leader. The channel that it returns receives the leader's answer, or nil if
+// there is no answer or the leader is unavailable.
 func (sb *submissions) forwardSubmission(
 	ctx context.Context, body []byte, averageLatency time.Duration,
 ) <-chan result.Result {
@@ -105,8 +107,8 @@
 	return answers
 }
 
-// firstDecision returns the first of the two answers that decides about the job. The leader's answer is nil if it
-// decides nothing; if neither decides, the intake's is returned.
+// firstDecision returns the first of two answers that accepts or refuses the job: the leader's, which is nil if the
+// leader did neither, or the intake's. If there is no such answer, the intake's is returned.
 func firstDecision(forwarded, recorded <-chan result.Result) result.Result {
 	select {
 	case answer := <-forwarded:
@@ -125,8 +127,8 @@
 	}
 }
 
-// submitToIntake accepts a job without the leader, if the replica is up to date and does not have the job, and the
-// key-value store accepts the record.
+// submitToIntake accepts a job without the leader, if the replica is up to date and does not contain the job, and the
+// key-value store accepts the intake record.
 func (sb *submissions) submitToIntake(ctx context.Context, body []byte) result.Result {
 	jobNumber, err := wire.PeekJobID(body)
 	if err != nil {
@@ -163,8 +165,8 @@
 	return accepted
 }
 
-// decideForIntake decides, on the event loop, whether a job may be accepted without the leader. It returns the entry
-// for the intake record only together with result.Accepted.
+// decideForIntake decides, on the event loop, whether a job may be accepted without the leader. It returns the log
+// entry for the intake record only together with result.Accepted.
 func (sb *submissions) decideForIntake(
 	id model.JobID, spec *wire.JobSpec, specErr error,
 ) (*model.Entry, result.Result) {
@@ -180,12 +182,12 @@
 	return model.Accepted(spec, time.Now().UnixMilli()), result.Accepted{Status: pendingStatus(uint64(id))}
 }
 
-// pendingStatus returns the status of a job that was accepted and of which nothing else is known.
+// pendingStatus returns the status of a job of which only its acceptance is known.
 func pendingStatus(jobNumber uint64) wire.JobStatus {
 	return wire.JobStatus{ID: wire.JobID(jobNumber), State: wire.JobPending}
 }
 
-// submitAsLeader accepts a job into the log.
+// submitAsLeader accepts a job into the log, or returns the reason why it is refused.
 func (sb *submissions) submitAsLeader(ctx context.Context, body []byte) result.Result {
 	jobNumber, err := wire.PeekJobID(body)
 	if err != nil {
@@ -198,16 +200,16 @@
 	if !result.IsRejection(answer) {
 		return answer
 	}
-	// Another controller may have accepted the job with an earlier specification, and its record may not be in the log
-	// yet.
+	// Another controller may have accepted the job with an earlier specification, and the intake record may not be in
+	// the log yet.
 	if !sb.intake.resolve(ctx, jobNumber) {
 		return result.NoLeader{}
 	}
 	return sb.loop.answerInTurn(ctx, submit)
 }
 
-// accept decides about a job on the leader's event loop. It sends a refusal at once, and an acceptance when the job is
-// durable.
+// accept decides on the leader's event loop whether to accept a job. It sends a refusal at once, and an acceptance when
+// the job is durable.
 func (sb *submissions) accept(id model.JobID, spec *wire.JobSpec, specErr error, send func(result.Result)) {
 	if !sb.term.isActive() {
 		send(result.NoLeader{})
@@ -241,9 +243,9 @@
 // slowWriteThreshold is the transaction latency from which the key-value store counts as slow.
 const slowWriteThreshold = 60 * time.Millisecond
 
-// answerWhenDurable answers an accepted job as soon as it is committed to the log. While the key-value store is slow,
-// it also writes an intake record, which is just as durable and faster: log batches are written one at a time, so the
-// job waits for the batch in progress and then for its own, while the record is written at once.
+// answerWhenDurable sends the acceptance of a job as soon as the job is committed to the log. While the key-value store
+// is slow, it also writes an intake record, which is just as durable and faster: log batches are written one at a time,
+// so the job waits for the batch in progress and then for its own, while the record is written at once.
 func (sb *submissions) answerWhenDurable(
 	term *leaderTerm, seq uint64, entry *model.Entry, send func(result.Result),
 ) {
@@ -274,7 +276,7 @@
 	}()
 }
 
-// refusal returns the reason why an unknown job can't be accepted, or nil. It must run on the event loop.
+// refusal returns the reason why a job that is not known yet can't be accepted, or nil. It must run on the event loop.
 func (sb *submissions) refusal(spec *wire.JobSpec, specErr error) result.Result {
 	switch {
 	case specErr != nil:
@@ -292,8 +294,9 @@
 	return nil
 }
 
-// exceedsUnfinishedTasks reports whether a job would exceed the limit of unfinished tasks, or raise its team above four
-// fifths of it unless there is only one team, so that one team's arrays can't shut out the other teams.
+// exceedsUnfinishedTasks reports whether a job would exceed the limit of unfinished tasks. If there is more than one
+// team, it also reports true if the job would raise its team above four fifths of the limit, so that one team's arrays
+// can't shut out the other teams.
 func (sb *submissions) exceedsUnfinishedTasks(spec *wire.JobSpec) bool {
 	limit := sb.maxUnfinishedTasks()
 	team := sb.replica.model.TeamOf(spec.Team)
@@ -301,7 +304,7 @@
 		len(sb.replica.model.Teams) > 1 && team.LiveTasks+spec.Tasks > limit*4/5
 }
 
-// trimUnknownTypes removes unknown machine types from a specification, to keep its record small.
+// trimUnknownTypes removes unknown machine types from a job's specification, to keep the job's log entry small.
 func (sb *submissions) trimUnknownTypes(spec *wire.JobSpec) {
 	if spec.Types == nil {
 		return
@@ -316,13 +319,14 @@
 }
 
 const (
-	// minUnfinishedTasks is the minimum of the limit of unfinished tasks, whatever the memory.
+	// minUnfinishedTasks is the lower bound of the limit of unfinished tasks, for controllers with little memory.
 	minUnfinishedTasks = 20_000
-	// unfinishedTaskBytes is the maximum memory of an unfinished task with its run.
+	// unfinishedTaskBytes is the maximum memory that an unfinished task takes, including its run.
 	unfinishedTaskBytes = 200
 )
 
-// maxUnfinishedTasks limits unfinished tasks to a quarter of the memory.
+// maxUnfinishedTasks returns the limit of unfinished tasks: as many as fit into a quarter of the controller's memory,
+// but at least minUnfinishedTasks.
 func (sb *submissions) maxUnfinishedTasks() int {
 	return max(minUnfinishedTasks, int(sb.settings.Params.Limits.MemoryMB*(1<<20)/4/unfinishedTaskBytes))
 }
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -15,7 +15,7 @@
 )
 
 // telemetry provides the data of the metrics page and logs the leader's periodic summaries. It reads the state of other
-// components, and writes only its own record of what it has logged in a term.
+// components, and writes only telemetryTerm.
 type telemetry struct {
 	*environment
 	loop    *eventLoop
@@ -37,13 +37,13 @@
 	// summaryInterval is how often the leader logs its summaries.
 	summaryInterval = 20 * time.Second
 	// longPendingThreshold is how long a job must be pending before it gets log lines of its own, one for each change
-	// of its reason.
+	// of the reason why it is pending.
 	longPendingThreshold = model.Time(20 * time.Second)
-	// maxSummaryLines limits the jobs, and the worst-served classes, that are logged at a time.
+	// maxSummaryLines limits how many jobs, and how many of the worst-served classes, are logged per summary.
 	maxSummaryLines = 10
 )
 
-// snapshot returns the data of the metrics page; ok is false if the event loop is too busy.
+// snapshot returns the data of the metrics page; ok is false if the event loop does not provide it in time.
 func (tm *telemetry) snapshot() (view metrics.Snapshot, ok bool) {
 	views := make(chan metrics.Snapshot, 1)
 	if tm.loop.tryPost(func() { views <- tm.view() }) != nil {
@@ -58,7 +58,7 @@
 	return view, false
 }
 
-// view builds a snapshot. It must run on the event loop.
+// view builds the data of the metrics page. It must run on the event loop.
 func (tm *telemetry) view() metrics.Snapshot {
 	view := metrics.Snapshot{
 		IsLeader:         tm.term.isActive(),
@@ -91,7 +91,7 @@
 	return view
 }
 
-// countMachines counts the machines by state. Only the leader knows which are up.
+// countMachines counts the machines by state. Only the leader knows which machines are up.
 func (tm *telemetry) countMachines(view *metrics.Snapshot) {
 	for _, machine := range tm.replica.model.Order {
 		switch {
@@ -111,7 +111,8 @@
 	}
 }
 
-// logPending logs the number of pending tasks by class and by reason, and the jobs that are pending for long.
+// logPending logs the number of pending tasks by class and by reason, and the jobs that have been pending for longer
+// than longPendingThreshold.
 func (tm *telemetry) logPending(term *leaderTerm) {
 	classes, reasons, logged := map[string]int{}, map[string]int{}, map[model.JobID]pending.Code{}
 	var longPending []*model.Job
@@ -151,8 +152,8 @@
 	stats       *model.CompletionStats
 }
 
-// logCompletionSummaries logs the completion statistics of every team and of the worst-served classes only: users
-// choose the class names, so their number is unbounded.
+// logCompletionSummaries logs the completion statistics of every team, but of the worst-served classes only: users
+// choose the class names, so the number of classes is unbounded.
 func (tm *telemetry) logCompletionSummaries() {
 	var lines []completionSummary
 	for i := range tm.replica.model.ByClass {
@@ -181,7 +182,7 @@
 	cpus, serviceCPUs, gangCPUs, arrayCPUs float64
 }
 
-// add counts a machine with the given number of CPUs.
+// add counts a machine, which has the given number of CPUs, and the CPUs that its tasks use.
 func (u *machineUsage) add(machine *model.Machine, cpus float64) {
 	if !machine.Contact.Reported {
 		u.booting++
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -10,10 +10,10 @@
 	"fieldhill/internal/scheduling/provisioner"
 )
 
-// termState holds which controller leads: this one in its own term, or another one. The event loop owns it.
+// termState holds which controller leads: this one, in a term of its own, or another one. The event loop owns it.
 //
-// Only leadership begins and ends an own term, and replica.reset drops it together with the model that it was served
-// on. Both also write leader, from the watch of the log and from the election.
+// Only leadership begins and ends a term of this controller, and replica.reset drops the term together with the model
+// that belongs to it. Both also write leader, as read from the log or won in an election.
 type termState struct {
 	*environment
 	ownTerm *leaderTerm   // nil on a follower
@@ -21,13 +21,13 @@
 }
 
 // leaderTerm is one term in which this controller leads. It holds the state that each component has for that term; only
-// that component writes it. Work that is done for a term keeps a pointer to it, and detects the end of the term by
-// comparing it with termState.ownTerm.
+// that component writes it, unless its comment says otherwise. Work that is done for a term keeps a pointer to the
+// term, and detects its end by comparing the pointer with termState.ownTerm.
 //
 // The event loop owns it, except for trustedUntilOffset, the channels and ctx, which are safe for concurrent use.
 type leaderTerm struct {
 	leader             oplog.Leader
-	trustedUntil       time.Time    // no other controller can be elected before; see termState.extendTrust
+	trustedUntil       time.Time    // no other controller can be elected before this time; see termState.extendTrust
 	trustedUntilOffset atomic.Int64 // trustedUntil since startTime, for goroutines other than the loop
 	ctx                context.Context
 	cancel             context.CancelFunc // ends ctx
@@ -49,11 +49,11 @@
 	telemetry    telemetryTerm
 }
 
-// maxTermErrors is the capacity of leaderTerm.errs, so that no sender blocks: one error each from the lease renewal,
-// the log writer, the compactor, and the check for missing heartbeats.
+// maxTermErrors is the capacity of leaderTerm.errs. It lets each of the senders report one error without blocking: the
+// lease renewal, the log writer, the compactor, and the check for missing heartbeats.
 const maxTermErrors = 4
 
-// newLeaderTerm creates the state of a term that was just won. It ends with ctx; cancel ends ctx.
+// newLeaderTerm creates the state of a term that was just won. The term ends with ctx; cancel ends ctx.
 func newLeaderTerm(ctx context.Context, cancel context.CancelFunc, leader oplog.Leader, maxZoneProbes int) *leaderTerm {
 	return &leaderTerm{
 		leader: leader, ctx: ctx, cancel: cancel, errs: make(chan error, maxTermErrors),
@@ -74,16 +74,17 @@
 	}
 }
 
-// machineTokenBits is the number of low bits of a fencing token that hold a per-machine counter. The term is in the
-// bits above, so every token of a later term is greater.
+// machineTokenBits is the number of low bits of a fencing token that hold a per-machine counter. The bits above hold
+// the leader's term, so every token of a later term is greater.
 const machineTokenBits = 24
 
-// isActive reports whether this controller leads and may act as the leader, because its lease is certain to be valid.
+// isActive reports whether this controller leads and may act as the leader, because the leader's lease that it holds is
+// certain to be valid.
 func (ts *termState) isActive() bool {
 	return ts.ownTerm != nil && time.Now().Before(ts.ownTerm.trustedUntil)
 }
 
-// extendTrust sets the time until which this controller is certain to lead in a term.
+// extendTrust sets the time until which this controller is certain to lead in the given term.
 func (ts *termState) extendTrust(term *leaderTerm, until time.Time) {
 	term.trustedUntil = until
 	term.trustedUntilOffset.Store(int64(until.Sub(ts.startTime)))
--- a/internal/controller/term_components.go
+++ b/internal/controller/term_components.go
@@ -12,7 +12,7 @@
 	"fieldhill/internal/scheduling/scheduler"
 )
 
-// leaderComponents are the components that are active on the leader only. It implements termComponents.
+// leaderComponents holds the components that are active on the leader only. It implements termComponents.
 type leaderComponents struct {
 	rounds       *schedulingRounds
 	provisioning *provisioning
@@ -27,13 +27,14 @@
 	return newLeaderTerm(ctx, cancel, leader, lc.probes.maxZoneProbes)
 }
 
-// prepare creates the scheduler, the autoscaler and the provisioner.
+// prepare implements termComponents: it creates the scheduler, the autoscaler and the provisioner.
 func (lc *leaderComponents) prepare(term *leaderTerm) {
 	lc.rounds.prepareTerm()
 	lc.provisioning.prepareTerm(term)
 }
 
-// start begins to monitor heartbeats, assigns relays, and probes all machines with work.
+// start implements termComponents: it begins to monitor heartbeats, assigns agents to relays, and probes all machines
+// with tasks.
 func (lc *leaderComponents) start(term *leaderTerm) {
 	lc.heartbeats.startTerm(term)
 	lc.rounds.startTerm(term)
@@ -78,7 +79,7 @@
 	term.provisioning.provisioner = pv.newProvisioner(term.ctx, trusted, onResult)
 }
 
-// startTerm measures the time without heartbeats from now on.
+// startTerm begins to measure the time without heartbeats.
 func (hb *heartbeats) startTerm(term *leaderTerm) { term.heartbeats.lastHeartbeat = hb.now() }
 
 // startTerm assigns all agents to the leader until other controllers offer to act as relays.
@@ -92,13 +93,14 @@
 
 const (
 	maxLowPriorityPerRound = 400                   // low-priority placements per round, while the event loop keeps up
-	minLowPriorityPerRound = 4                     // while it does not
-	slowLoopThreshold      = 25 * time.Millisecond // delay of the maintenance beyond which the loop does not keep up
+	minLowPriorityPerRound = 4                     // the same while the event loop does not keep up
+	slowLoopThreshold      = 25 * time.Millisecond // delay of a maintenance run above which the loop does not keep up
 )
 
-// nextLowPriorityLimit returns how many low-priority tasks may be placed per round, given the delay of the maintenance.
-// Starting a task costs a placement, a log entry, a command and two or three heartbeats: without a limit, a huge array
-// of tiny tasks takes all CPU time of a small controller, and users have to wait.
+// nextLowPriorityLimit returns how many low-priority tasks may be placed per round, given the previous limit and the
+// delay of the last maintenance run. Starting a task costs a placement, a log entry, a command and two or three
+// heartbeats: without a limit, a huge array of tiny tasks takes all CPU time of a small controller, and users have to
+// wait.
 func nextLowPriorityLimit(limit int, delay time.Duration) int {
 	if delay > slowLoopThreshold {
 		return max(minLowPriorityPerRound, limit/2)
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -10,8 +10,8 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// zoneLiveness determines whether work in a partitioned zone continues under a controller there. A controller that
-// reads the log but cannot reach the leader reports this through the key-value store, and the leader evaluates the
+// zoneLiveness determines whether work in a partitioned zone continues under a controller in that zone. A controller
+// that reads the log but cannot reach the leader reports this through the key-value store, and the leader evaluates the
 // reports.
 //
 // It owns the time of this controller's last report and, for a term, the reports read from the other controllers. Both
@@ -29,16 +29,17 @@
 // zoneLivenessTerm is the state of zoneLiveness for one leadership term.
 type zoneLivenessTerm struct {
 	nodes                  map[string]*partitionedNode // by name: controllers that cannot reach this one
-	partitionQueryInFlight bool                        // a read of their reports is in flight
-	lastPartitionQuery     time.Time                   // when their reports were last read
+	partitionQueryInFlight bool                        // a read of these controllers' reports is in flight
+	lastPartitionQuery     time.Time                   // when these controllers' reports were last read
 }
 
 const (
-	// partitionReportInterval is how often a controller that cannot reach the leader reports this.
+	// partitionReportInterval is the interval between the reports of a controller that cannot reach the leader.
 	partitionReportInterval = 5 * time.Second
 	// partitionReportTTL is how long such a report is valid.
 	partitionReportTTL = 2 * partitionReportInterval
-	// maxPartitionReportLag is how many log batches a report that is read for the first time may be behind.
+	// maxPartitionReportLag is how many log batches the sender of a report may be behind the leader for the report to
+	// count immediately when it is read for the first time.
 	maxPartitionReportLag = 100
 )
 
@@ -49,7 +50,7 @@
 	clearedMachines map[model.MachineID]bool // machines that reported to it and held no task of a cancelled job
 }
 
-// isFresh reports whether the controller has reported recently.
+// isFresh reports whether the controller's record changed within partitionReportTTL.
 func (n *partitionedNode) isFresh() bool { return time.Since(n.updatedAt) < partitionReportTTL }
 
 // splitVarints splits a list of varints, at number boundaries, into parts of at most maxBytes bytes. It returns at
@@ -66,7 +67,7 @@
 	return append(parts, b)
 }
 
-// decodeCleared decodes the machine IDs written by clearedMachines.encode from all parts of a record, and ignores
+// decodeCleared decodes the machine IDs written by clearedMachines.encode from all parts of a record. It ignores
 // malformed data.
 func decodeCleared(record *oplog.PartitionedNode) map[model.MachineID]bool {
 	cleared := map[model.MachineID]bool{}
@@ -91,9 +92,10 @@
 	return false
 }
 
-// mayBeAlive reports whether work in a zone may continue without this controller: a controller there is reachable, or
-// reads the log and therefore renews the leases of the zone's agents. In the latter case the zone is partitioned from
-// the leader only, not from the log. The result is true as long as this is not known.
+// mayBeAlive reports whether work in a zone may continue without this controller, because a controller in the zone is
+// reachable, or reads the log and therefore renews the leases of the zone's agents. In the latter case the zone is
+// partitioned from the leader only, not from the log. While there are no recent reports to decide this by, the result
+// is true.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
 		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
@@ -113,7 +115,8 @@
 	return false
 }
 
-// queryIfDue reads which controllers cannot reach the leader, unless a read is in flight or was done recently.
+// queryIfDue reads which controllers cannot reach the leader, unless such a read is in flight or was completed
+// recently.
 func (zl *zoneLiveness) queryIfDue(term *leaderTerm) {
 	if term.zones.partitionQueryInFlight || time.Since(term.zones.lastPartitionQuery) <= partitionReportInterval/2 {
 		return
@@ -141,7 +144,7 @@
 			node = &partitionedNode{version: record.Version, clearedMachines: decodeCleared(record)}
 			term.zones.nodes[record.Node] = node
 			// A record read for the first time may be old: it counts immediately only if its controller had almost
-			// caught up with the log.
+			// caught up with the log when it wrote the record.
 			if record.Seq+maxPartitionReportLag > term.commits.committedSeq {
 				node.updatedAt = now
 			}
@@ -165,7 +168,8 @@
 	}
 	zl.lastPartitionReport = now
 	maxData := zl.oplog.MaxData()
-	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts() // parts end between varints
+	// Each part ends between two varints, so it may not be full.
+	room := (maxData - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts()
 	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxData)
 	record := oplog.PartitionedNode{
 		Node:  zl.settings.Node,
@@ -176,7 +180,8 @@
 	go zl.putReport(zl.ctx, record)
 }
 
-// putReport writes this controller's record to the store. A failed write is repeated after the interval.
+// putReport writes this controller's record to the key-value store. After a failed write, the next report is due after
+// partitionReportInterval.
 func (zl *zoneLiveness) putReport(ctx context.Context, record oplog.PartitionedNode) {
 	ctx, cancel := context.WithTimeout(ctx, partitionReportInterval)
 	defer cancel()
