--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -86,7 +86,7 @@
 	question *staleness.Question // which messages from the agent had been received when the command was sent
 }
 
-// send sends commands to a machine under its current fencing token and posts the outcome to the event loop.
+// send sends commands to a machine under the machine's current fencing token and posts the outcome to the event loop.
 func (cd *commandDispatcher) send(term *leaderTerm, machine *model.Machine, commands []wire.Command) {
 	sent := &directCommand{
 		term: term, machine: machine, commands: commands,
@@ -103,8 +103,7 @@
 	}()
 }
 
-// onCommandOutcome processes the outcome of a direct command and the status report that the agent responded with, if
-// any.
+// onCommandOutcome processes the outcome of a direct command and, if the agent responded, its status report.
 func (cd *commandDispatcher) onCommandOutcome(
 	sent *directCommand, fate agent.CommandFate, report *wire.Heartbeat, err error,
 ) {
@@ -164,8 +163,8 @@
 	return cd.replica.model.ReapPending(machine, cd.term.ownTerm.commits.committedSeq)
 }
 
-// stopRun ends a run that is to be stopped or whose job is cancelled: immediately if its start cannot have been sent,
-// otherwise by a stop command to its machine.
+// stopRun ends a run that is to be stopped or whose job is cancelled: immediately if the start command cannot have been
+// sent, otherwise by a stop command to the run's machine.
 func (cd *commandDispatcher) stopRun(run *model.Run) {
 	if run.IsUnsent(cd.term.ownTerm.commits.committedSeq) {
 		// The run's placement is not committed yet, so no start command was sent: the run's resources can be freed
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -17,7 +17,7 @@
 	term    *termState
 	// afterCommit is called after each commit, once the callbacks registered with whenCommitted have run.
 	afterCommit func(term *leaderTerm)
-	// compactsLog reports whether the leader compacts the log itself, rather than the holder of the compaction role.
+	// compactsLog reports whether the leader, rather than the holder of the compaction role, compacts the log.
 	compactsLog func() bool
 
 	snapshotInterval int // batches between two compactions; overridden in tests
@@ -66,8 +66,8 @@
 	defaultSnapshotInterval = 500
 	// batchDelay is how long non-urgent entries may wait for others to join their batch.
 	batchDelay = 250 * time.Millisecond
-	// maxWriteTime and maxQueuedBatches are the duration of the current write and the number of queued batches beyond
-	// which the log counts as stalled: new jobs are refused and no tasks are placed until it has caught up.
+	// maxWriteTime and maxQueuedBatches are the duration of the current write and the number of queued batches above
+	// which the log counts as stalled: new jobs are refused and no tasks are placed until the log has caught up.
 	maxWriteTime     = 1200 * time.Millisecond
 	maxQueuedBatches = 16
 )
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -68,9 +68,9 @@
 // Options are the per-controller options that an operator sets by flags, in addition to the settings that all
 // controllers share.
 type Options struct {
-	Beta          float64       // scheduler parameter, see scheduler.Params
-	Threshold     float64       // scheduler parameter
-	WaitRounds    int           // scheduler parameter
+	Beta          float64       // scheduler.Params.Beta
+	Threshold     float64       // scheduler.Params.Threshold
+	WaitRounds    int           // scheduler.Params.WaitRounds
 	RoundInterval time.Duration // interval between regular scheduling rounds
 	MetricsAddr   string        // address of the metrics page; disabled if empty
 	AdminAddr     string        // address of the admin API; disabled if empty
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -48,8 +48,8 @@
 func (el *eligibility) attach(link *rpc.Link, index int) {
 	link.PingBody = func() []byte { return candidacy.AppendQuery(nil, el.node, el.incarnation) }
 	link.OnPong = func(payload []byte) {
-		// A controller of an older version sends no status and counts as not warm, so this process stands for
-		// election regardless of it, as all controllers of that version do.
+		// A controller of an older version sends no status and counts as not warm, so this process stands for election
+		// regardless of that controller, as all controllers of the older version do.
 		status, _ := candidacy.ReadStatus(payload)
 		el.mu.Lock()
 		defer el.mu.Unlock()
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -35,7 +35,8 @@
 	roundGap       time.Duration  // minimum time between rounds requested by events; written by schedulingRounds
 }
 
-// loopHandler is what the loop calls in addition to queued work. All calls come from its goroutine.
+// loopHandler does the work that the loop runs in addition to queued work. The loop calls all methods in its own
+// goroutine.
 type loopHandler interface {
 	// runMaintenance runs the periodic maintenance, every maintenanceInterval.
 	runMaintenance()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -35,7 +35,7 @@
 	unknownMachines map[string]bool // unregistered machines that are being probed
 }
 
-// Responses to agents whose heartbeats are rejected.
+// Responses to agents whose heartbeats do not renew the lease.
 var (
 	machineReleased     = result.Unavailable{Reason: "this machine was returned", RetryAfter: time.Second}
 	machineUnknown      = result.Unavailable{Reason: "this machine is not known", RetryAfter: time.Second}
@@ -43,8 +43,8 @@
 	leaseExpiring       = result.Unavailable{Reason: "its lease is to run out", RetryAfter: time.Second}
 )
 
-// onReportAsLeader processes a heartbeat that arrived at this controller or through a relay; node is the index of that
-// controller in the relay table.
+// onReportAsLeader processes a heartbeat that arrived at this controller or through a relay; node is the index in the
+// relay table of the controller at which it arrived.
 func (hb *heartbeats) onReportAsLeader(report *wire.Heartbeat, node int, send func(result.Result)) {
 	machine := hb.replica.model.ByName[report.Machine]
 	if answer := hb.rejectReport(machine, report); answer != nil {
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -30,14 +30,14 @@
 type intakeTerm struct {
 	dropping     map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
 	droppable    []uint64        // jobs in dropping that are committed, whose records can be deleted now
-	dropInFlight bool            // a deletion is under way
+	dropInFlight bool            // a deletion of records is in progress
 	rescanNeeded bool            // records were skipped, as their deletion was pending; list the intake again after it
 }
 
 const (
-	// followerIntakeShare is the share of the write rate that all controllers together may use for the intake while the
-	// leader is reachable but slow. leaderlessIntakeShare applies while there is no reachable leader, as nothing else
-	// is written then.
+	// followerIntakeShare is the share of the key-value store's write rate that all controllers together may use for
+	// the intake while the leader is reachable but slow. leaderlessIntakeShare applies while there is no reachable
+	// leader, when nothing else is written.
 	followerIntakeShare   = 0.2
 	leaderlessIntakeShare = 0.8
 )
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -102,7 +102,8 @@
 	return fk.leases.renew(report.Machine, report.FencingToken, commands)
 }
 
-// stopCommandsForCancelled returns stop commands for the tasks in a heartbeat whose jobs the log shows as cancelled.
+// stopCommandsForCancelled returns stop commands for those tasks in a heartbeat whose jobs are cancelled according to
+// the log.
 func (fk *followerKeepalives) stopCommandsForCancelled(report *wire.Heartbeat) []wire.Command {
 	commands := []wire.Command{}
 	for _, t := range report.Tasks {
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -167,7 +167,7 @@
 }
 
 // compactLog replaces the beginning of the log by the term's snapshots. After a failed compaction the previous snapshot
-// stays valid; the term ends only if another leader has been elected.
+// stays valid; the term ends only if the failure shows that this controller no longer leads.
 func (ls *leadership) compactLog(ctx context.Context, term *leaderTerm) {
 	compactor := ls.oplog.NewCompactor(term.leader.Fence())
 	// Batches that earlier terms left uncompacted are counted too; otherwise the log would grow without bound if
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -30,7 +30,7 @@
 // probesTerm is the state of probes for one leadership term. heartbeats also updates the counts of a zone when it
 // receives a status report (recordProbe).
 type probesTerm struct {
-	maxZoneProbes  int                        // copied from probes at the start of the term
+	maxZoneProbes  int                        // probes.maxZoneProbes at the start of the term
 	unresponsive   map[*model.Machine]bool    // machines without a report in this term that did not respond to a probe
 	zones          map[int32]*zoneProbeCounts // results of probes by zone
 	followUpProbes int                        // probes in flight that machines' reports caused
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -35,13 +35,13 @@
 // relayAssignmentsTerm is the state of relayAssignments for one leadership term.
 type relayAssignmentsTerm struct {
 	table               *relay.Table // through which controller each machine sends its heartbeats
-	acceptingNodes      []bool       // controllers that accept more agents, by index in the table
+	acceptingNodes      []bool       // whether each controller accepts more agents, by index in the table
 	lastRelayOffers     []model.Time // when each controller last offered itself as a relay; 0 if never
 	lastAssignmentSweep model.Time   // when silent agents were last removed from the table
 }
 
-// errNotForwarded is returned for a command or a probe that a relay did not send because it has too many in flight or
-// is shutting down.
+// errNotForwarded is returned for a command or a probe that a relay did not send because the relay has too many
+// requests in flight or is shutting down.
 var errNotForwarded = errors.New("controller: relay did not send the request")
 
 // onRelayOffer answers a controller that offers itself as a relay.
@@ -80,7 +80,7 @@
 	now := ra.now()
 	term.assignments.table.RecordReport(machine.Info.Name, node, now)
 	if !machine.Contact.Reported || now-machine.Contact.LastReport > ra.leaseDuration()/4 {
-		return "", false // renew its lease first: connecting to another controller takes time
+		return "", false // renew the agent's lease first: connecting to another controller takes time
 	}
 	open := func(index int) bool { return term.assignments.acceptingNodes[index] && ra.isRelay(index) }
 	index, move := term.assignments.table.Redirect(machine.Info.Name, node, open, now)
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -26,7 +26,7 @@
 
 // schedulingRoundsTerm is the state of schedulingRounds for one term of leadership.
 type schedulingRoundsTerm struct {
-	lowPriorityLimit int // low-priority tasks that a round may place; set by the maintenance
+	lowPriorityLimit int // low-priority tasks that a round may place; see nextLowPriorityLimit
 }
 
 // Bind implements scheduler.Binder: it writes a placement to the log and applies it.
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -40,7 +40,7 @@
 // controller included, are recorded in the key-value store, the holders under leases.
 type roleState struct {
 	roles           [singleton.NameCount]*singleton.Role
-	loaded          bool                         // the keys have been read at least once
+	loaded          bool                         // the roles' keys have been read at least once
 	participants    map[string]bool              // controllers that participate
 	holdings        [singleton.NameCount]holding // the work in progress for each role held here
 	provisioner     *provisioner.Provisioner     // of the provisioning role, nil if it is not held here
@@ -51,7 +51,7 @@
 
 // holding is the work in progress for a role that this controller holds.
 type holding struct {
-	term         uint64 // of the role; 0: not held
+	term         uint64 // term of the role; 0 if this controller does not hold it
 	cancel       context.CancelFunc
 	trustedUntil atomic.Int64 // since startTime; written by the event loop, read by goroutines that work for the role
 }
@@ -61,7 +61,7 @@
 	roleWatchTimeout = 10 * time.Second
 	// roleRetryDelay is the delay before the roles' keys are read again after a failure.
 	roleRetryDelay = 500 * time.Millisecond
-	// roleRenewTimeout limits the renewal of a role's lease.
+	// roleRenewTimeout limits the time for renewing a role's lease.
 	roleRenewTimeout = 1500 * time.Millisecond
 	// roleWriteTimeout limits the time for writing the count of stalled holders, on a resignation or on progress.
 	roleWriteTimeout = 3 * time.Second
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -144,7 +144,7 @@
 	tm.logCompletionSummaries()
 }
 
-// completionSummary is a log line with the completion statistics of a class or a team.
+// completionSummary is the content of a log line with the completion statistics of a class or a team.
 type completionSummary struct {
 	kind, name  string
 	share       float64
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -43,11 +43,11 @@
 	maxPartitionReportLag = 100
 )
 
-// partitionedNode is what the leader knows about a controller that cannot reach it.
+// partitionedNode is what the leader knows about a controller that cannot reach the leader.
 type partitionedNode struct {
-	version         uint64                   // version of its record in the store
-	updatedAt       time.Time                // when its record was last found to have changed
-	clearedMachines map[model.MachineID]bool // machines that reported to it and held no task of a cancelled job
+	version         uint64                   // version of the controller's record in the key-value store
+	updatedAt       time.Time                // when the record was last found to have changed
+	clearedMachines map[model.MachineID]bool // machines found to hold no task of a cancelled job
 }
 
 // isFresh reports whether the controller's record changed within partitionReportTTL.
