--- a/internal/scheduling/scheduler/team_quota.go
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -8,7 +8,7 @@
 	"fieldhill/internal/scheduling/pending"
 )
 
-// teamQuota tracks how much of each team's limit is reserved in this round for its waiting urgent work.
+// teamQuota tracks how much of each team's limit is reserved in this round for the team's waiting urgent work.
 type teamQuota struct {
 	reserved []Resources // by team index
 }
@@ -17,8 +17,8 @@
 	q.reserved = append(q.reserved[:0], make([]Resources, teams)...)
 }
 
-// allows reports whether n more tasks of a job stay within the team limit, less what is reserved for the team's more
-// urgent work.
+// allows reports whether n more tasks of a job stay within the team limit minus what is reserved for more urgent work
+// of the team.
 func (q *teamQuota) allows(j *model.Job, n int) bool {
 	t := j.Team
 	if t == nil || !j.TeamLimitAllows(n) {
@@ -37,8 +37,8 @@
 	*reserved = reserved.Plus(Resources{CPUs: j.Spec.CPUs * float64(n), GPUs: j.Spec.GPUs * float64(n)})
 }
 
-// shortfall returns by how much n tasks of a job would exceed the team limit, less what is reserved for more urgent
-// work. Negative values are spare.
+// shortfall returns by how many CPUs and GPUs n more tasks of a job would exceed the team limit minus what is reserved
+// for more urgent work. A negative value is the unused rest of the limit.
 func (q *teamQuota) shortfall(j *model.Job, n int) (cpus, gpus float64) {
 	t, reserved := j.Team, q.reserved[j.Team.Index]
 	if t.CPUsMax > 0 {
@@ -73,28 +73,28 @@
 }
 
 // mayPreemptInTeam reports whether a run may be preempted for a job of the same team that exceeds the team limit. The
-// run must have a lower rank, because otherwise it would be placed again before the job and preempted again, round
-// after round: a gang ranked below the guaranteed arrays of its team once caused 147,000 preemptions without ever
-// starting.
+// run must have a lower rank. Otherwise it would be placed again before the job and preempted again, round after round:
+// for a gang ranked below the guaranteed arrays of its team, this causes an unbounded number of preemptions (147,000 in
+// one observed case), and the gang never starts.
 func mayPreemptInTeam(run *model.Run, j *model.Job) bool {
 	return run.Job.Priority < j.Priority && run.Job.Kind != model.Service &&
 		run.Job.Scheduling.Rank < j.Scheduling.Rank
 }
 
-// teamShortfall is what keeps a job out of its team limit: the excess that remains once all stopping tasks have ended,
-// and the runs that may be preempted.
+// teamShortfall is the amount by which a job would exceed its team limit once all stopping tasks of the team have
+// ended, with the runs that may be preempted to reduce it.
 type teamShortfall struct {
 	cpus, gpus float64
 	pool       []victim
 }
 
-// subtract reduces the shortfall by a task of a job that ends.
+// subtract reduces the shortfall by the resources of one task of a job that ends.
 func (t *teamShortfall) subtract(j *model.Job) {
 	t.cpus, t.gpus = t.cpus-j.Spec.CPUs, t.gpus-j.Spec.GPUs
 }
 
-// teamPreemption computes the shortfall for n tasks of a job, and reports whether they would be within the team limit
-// once all less urgent work of the team is preempted.
+// teamPreemption computes the shortfall for n more tasks of a job, and reports whether they would be within the team
+// limit if all less urgent work of the team were preempted.
 func (r *round) teamPreemption(j *model.Job, n int) (shortfall teamShortfall, feasible bool) {
 	if j.Team == nil || j.Priority == model.Low || j.Observed.Faulty {
 		return shortfall, false
@@ -122,8 +122,8 @@
 	return shortfall, cpus <= epsilon && gpus <= epsilon
 }
 
-// preemptInTeam reserves the team limit for n tasks of a job, and preempts less urgent work of the team to get within
-// it once the job has waited for its preemption delay.
+// preemptInTeam reserves part of the team limit for n more tasks of a job. Once the job has waited for its preemption
+// delay, it also preempts less urgent work of the team until the tasks are within the limit.
 func (r *round) preemptInTeam(j *model.Job, n int, shortfall teamShortfall) {
 	r.quota.reserve(j, n)
 	if r.preemptionDelayed(j) {
