--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -42,16 +42,17 @@
 	// ForServices maps machines with GPUs to the number of service tasks that may be placed there because no other
 	// machine has room. All other machines with GPUs stay reserved for work that uses GPUs.
 	ForServices map[*model.Machine]int
-	// LowPriorityAllowed holds the machines with GPUs that low-priority work may use, because it justifies their price
-	// or because they are kept anyway. On other machines, low-priority work would prolong the rental of an expensive
-	// machine after its last gang has ended, by up to the run time of the longest low-priority task.
+	// LowPriorityAllowed holds the machines with GPUs that low-priority work may use, either because this work
+	// justifies their price or because they are kept anyway. On other machines, low-priority work would prolong the
+	// rental of an expensive machine after its last gang has ended, by up to the run time of the longest low-priority
+	// task.
 	LowPriorityAllowed map[*model.Machine]bool
 	// Vacate is a machine with GPUs that runs only services and whose replicas all fit on other machines, or nil. The
 	// replicas are moved one at a time, and the machine is then released.
 	Vacate *model.Machine
 }
 
-// Autoscaler holds the state that is kept from one plan to the next.
+// Autoscaler computes plans. It holds the statistics and the state that are kept from one plan to the next.
 type Autoscaler struct {
 	Objectives []config.Objective
 	// InFlight counts, for each offer, the machines that were requested and neither granted nor refused yet.
@@ -88,7 +89,7 @@
 // restarts, because term numbers are never reused.
 func RequestName(term uint64, n int) string { return fmt.Sprintf("fh-%d-%d", term, n) }
 
-// isPreemptible reports whether a job is low-priority batch work, which is preempted for any other work.
+// isPreemptible reports whether a job is a low-priority array, which yields to all other work.
 func isPreemptible(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority == model.Low
 }
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -211,10 +211,10 @@
 		a.OnBooted(1, 0, 1.2)
 	}
 	if s := a.bootSeconds(m, 0, 0); s > 3 {
-		t.Errorf("cheap machines that boot immediately: expected boot time %g s, want at most 3", s)
+		t.Errorf("cheap machines that boot immediately: bootSeconds is %g, want at most 3", s)
 	}
 	if s := a.bootSeconds(m, 1, 0); s != 25 {
-		t.Errorf("expensive machines with nearly the stated boot time: expected boot time %g s, want 25", s)
+		t.Errorf("expensive machines with nearly the stated boot time: bootSeconds is %g, want 25", s)
 	}
 }
 
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -16,9 +16,9 @@
 // Boot time thresholds, as multiples of the usual boot time.
 const (
 	overdueFactorOthersUp = 1.7 // overdue if minOthersUp machines provisioned no earlier are up
-	overdueFactor         = 2.5 // overdue in any case
+	overdueFactor         = 2.5 // overdue regardless of other machines
 	abandonFactorOthersUp = 2.5 // abandoned if minOthersUp machines provisioned no earlier are up
-	abandonFactor         = 3.5 // abandoned in any case
+	abandonFactor         = 3.5 // abandoned regardless of other machines
 )
 
 const (
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -13,8 +13,8 @@
 
 // displaceGangs allows services on machines with less urgent gangs if the services fit nowhere else and no machine can
 // be provisioned for them; the scheduler then preempts the gangs. A gang is displaced only if the services fill at
-// least half of the freed resources: a few services soon find room elsewhere, and the gang would lose more than they
-// gain.
+// least half of the freed resources: a few services soon find room elsewhere, and the gang would lose more than the
+// services gain.
 func (p *planner) displaceGangs() {
 	for _, s := range p.slots {
 		if len(p.unplaced) == 0 {
@@ -132,8 +132,8 @@
 }
 
 // targetFor returns the slot of a machine that a replica can move to, or nil: a machine without GPUs, preferably one
-// that has the image, or else a machine with GPUs that services already fragment (see isFragmented). The latter is
-// counted in gpuMachineSlots.
+// that has the image, or else a machine with GPUs that services already fragment (see isFragmented). A move to a
+// machine with GPUs is counted in gpuMachineSlots.
 func (r *relocation) targetFor(j *model.Job, gpuMachineSlots map[*model.Machine]int) *slot {
 	var target *slot
 	for _, s := range r.slots {
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -87,7 +87,7 @@
 		before := k.remaining
 		k.fillSlot(s, a.isFragmented)
 		if d.standby && k.remaining < before {
-			k.plan.ForServices[s.machine] += before - k.remaining // services run on this machine anyway
+			k.plan.ForServices[s.machine] += before - k.remaining // services already occupy this machine
 		}
 	})
 }
--- a/internal/scheduling/autoscaler/plan.go
+++ b/internal/scheduling/autoscaler/plan.go
@@ -9,8 +9,8 @@
 // maxPlannedMachines limits the number of machines that one plan requests. The next plan requests the remaining ones.
 const maxPlannedMachines = 60
 
-// An unneeded machine is released after it has been idle for minIdleBootShare of its boot time, and at least for
-// minIdleSeconds, since replacing it takes a full boot.
+// minIdleBootShare and minIdleSeconds determine when an unneeded machine is released: once it has been idle for
+// minIdleBootShare of its boot time, but at least for minIdleSeconds, since replacing it takes a full boot.
 const (
 	minIdleBootShare = 0.6
 	minIdleSeconds   = 15
--- a/internal/scheduling/explanation/bench_test.go
+++ b/internal/scheduling/explanation/bench_test.go
@@ -22,7 +22,7 @@
 	j := cluster.job(9000, nil)
 	for b.Loop() {
 		if a := cluster.explain(j); a.Waiting != 1 {
-			b.Fatal(a)
+			b.Fatalf("waiting tasks: got %d, want 1", a.Waiting)
 		}
 	}
 }
--- a/internal/scheduling/pending/reason.go
+++ b/internal/scheduling/pending/reason.go
@@ -30,10 +30,10 @@
 	NoCapacity                     // suitable machines lack free resources
 	NoGangCapacity                 // not enough free resources for all members at once
 	TooSmall                       // the machines the job allows are too small for a task
-	ZoneSpread                     // at most half of its tasks may be in one zone
-	SameZone                       // all of its tasks must be in one zone
+	ZoneSpread                     // at most half of the job's tasks may be in one zone
+	SameZone                       // all of the job's tasks must be in one zone
 	AttemptEnding                  // tasks of the previous attempt have not ended yet
-	ImageBusy                      // waiting for a busy machine that has the image (DAD)
+	ImageBusy                      // waiting for a busy machine that has the image (see package scheduler)
 	Preempting                     // low-priority work is being preempted on a machine that has the image
 	Throttled                      // low-priority placements are limited while the leader is short of CPU time
 	Headroom                       // resources kept free for services that must start immediately
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -61,7 +61,8 @@
 	// types are unknown.
 	typesInterval      = 60 * time.Second
 	typesRetryInterval = time.Second
-	// reportInterval is the interval at which the result of a scale-out is reported again while it is still desired.
+	// reportInterval is the interval at which the result of a scale-out is reported again while the scale-out is still
+	// desired.
 	reportInterval = time.Second
 	// releaseRetryInterval is the time after a successful release at which a machine is released again if its release
 	// is still desired.
@@ -77,7 +78,7 @@
 // Provisioner sends requests to the cloud. Reconcile and all functions passed to post run in one goroutine, which owns
 // the state. The goroutines that wait for the cloud deliver their results through post, and end with the context.
 type Provisioner struct {
-	ctx          context.Context // ends with the leadership term or the role, and ends goroutines that outlive a call
+	ctx          context.Context // of the leadership term or the role; cancels goroutines that outlive a method call
 	cloud        *cloud.Client
 	roleHeld     func() bool
 	post         func(func())
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -10,7 +10,7 @@
 // MaxListedMachines is the maximum number of machines in one listing result between controllers.
 const MaxListedMachines = 300
 
-// Append appends the encoding of the result, in which it is sent to another controller, to b.
+// Append appends the result to b, in the encoding for other controllers, and returns the extended slice.
 func (result *Result) Append(b []byte) []byte {
 	b = append(b, byte(result.Kind))
 	switch result.Kind {
--- a/internal/scheduling/scheduler/guarantee_test.go
+++ b/internal/scheduling/scheduler/guarantee_test.go
@@ -38,7 +38,7 @@
 		)
 	}
 	if s.Round(env.model, 60e9, true, env); small.Live != 2 {
-		t.Errorf("%d of 2 tasks of the small array placed: %v", small.Live, env.placed)
+		t.Errorf("%d tasks of the small array placed, want 2: %v", small.Live, env.placed)
 	}
 	gang := env.submit(3, func(s *wire.JobSpec) { s.Shape, s.Priority, s.Tasks, s.CPUs = wire.Gang, wire.High, 2, 4 })
 	if mark(61e9); !gang.Scheduling.Guaranteed || gang.Scheduling.WithinGuarantee || small.Scheduling.Guaranteed {
@@ -99,8 +99,8 @@
 			guaranteed += cpus
 		}
 		if within := j.Scheduling.WithinGuarantee; within != (all <= team.CPUs) {
-			rt.Errorf("job %d: WithinGuarantee is %v, but the jobs up to it want %g CPUs of a guarantee of %g",
-				j.ID, within, all, team.CPUs)
+			rt.Errorf("job %d: WithinGuarantee is %v, want %v: the jobs up to it want %g CPUs of a guarantee of %g",
+				j.ID, within, !within, all, team.CPUs)
 		}
 		if j.Scheduling.WithinGuarantee && !j.Scheduling.Guaranteed &&
 			(j.Kind != model.Array || j.Priority > model.Low || now-j.Observed.KnownSince <= 10e9) {
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -139,8 +139,8 @@
 
 // underServed reports whether a job is prioritized by the minimum share, and at which position; lower positions are
 // served first. A position is a step of the served share of the class or team, and classes that use less than their
-// fair share come before the others. Without the latter, a class with ten times as much work as there is capacity would
-// always have the lowest task share and go before all others indefinitely.
+// fair share come before the others. Without the precedence of such classes, a class with ten times as much work as
+// there is capacity would always have the lowest task share and go before all others indefinitely.
 func (s *minimumShare) underServed(j *model.Job) (position int, ok bool) {
 	if j.Team == nil || int(j.Class) >= len(s.classes) || j.Team.Index >= len(s.teams) || j.Observed.Faulty {
 		return 0, false
--- a/internal/scheduling/scheduler/moves.go
+++ b/internal/scheduling/scheduler/moves.go
@@ -17,9 +17,9 @@
 	moveInterval         = model.Time(300e6)
 	moveIntervalReplicas = 1000
 	minMoveInterval      = model.Time(50e6)
-	// fetchMoveInterval is the time without a move to a machine that has the image after which a move to a machine
-	// without it is allowed. A replica moved to such a machine is down while its image is fetched, so these moves must
-	// be rare. Without them, a replica with a rare image would keep an expensive machine in use for minutes.
+	// fetchMoveInterval is how long no replica must have found a machine that has its image before one may be moved to
+	// a machine without it. The moved replica is down while its image is fetched, so such moves must be rare. Without
+	// them, a replica with a rare image would keep an expensive machine in use for minutes.
 	fetchMoveInterval = model.Time(5e9)
 	// reservationTTL is how long resources are reserved for a replica that is to move; maxReservations limits the
 	// number of reservations.
@@ -138,7 +138,8 @@
 	cursor evacuationCursor
 }
 
-// evacuationCursor is the position of a run: its machine and its index among the runs of that machine.
+// evacuationCursor is the position of a run in the order of evacuation: its machine and its index among the runs of
+// that machine.
 type evacuationCursor struct {
 	machine model.MachineID
 	run     int
--- a/internal/scheduling/scheduler/moves_test.go
+++ b/internal/scheduling/scheduler/moves_test.go
@@ -57,6 +57,6 @@
 		}
 	}
 	if len(env.placed) > 0 {
-		t.Errorf("placed %v, want none", env.placed)
+		t.Errorf("placed %v during the evacuation, want none", env.placed)
 	}
 }
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -19,9 +19,9 @@
 
 // mayPreempt reports whether a run may be preempted for a job. The run must have a lower rank. In addition, either the
 // run must have a lower priority, or the job must be within its team's guarantee while the run's team exceeds its own.
-// A job that holds a deferrable share of a guarantee, because its team wants more than the guarantee, has only the
-// former right: which jobs hold the share changes whenever a task ends, and two teams would preempt each other's tasks
-// in a loop, thousands of times.
+// A job that holds a deferrable share of a guarantee, because its team wants more than the guarantee, may preempt only
+// runs of lower priority: which jobs hold the share changes whenever a task ends, and two teams would preempt each
+// other's tasks in a loop, thousands of times.
 func mayPreempt(run *model.Run, j *model.Job) bool {
 	if run.Job == j || !run.IsWanted() || run.Job.Kind == model.Service ||
 		run.Job.Scheduling.Rank >= j.Scheduling.Rank {
@@ -182,7 +182,7 @@
 
 // victims selects the runs to preempt on a machine so that a task fits, among the runs up to maxPriority: lowest
 // priority first, then lowest cost. If maxPriority is at most normal, it selects only array tasks, since they stop
-// quickly and no user waits for an individual one. It returns no runs if the task fits anyway. ok is false if
+// quickly and no user waits for an individual array task. It returns no runs if the task fits anyway. ok is false if
 // preemption cannot free enough resources.
 func (r *round) victims(
 	j *model.Job,
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -128,7 +128,7 @@
 }
 
 // queue returns the jobs with waiting tasks that take part in the round, in the order in which they are served. It sets
-// the pending reason of jobs with waiting tasks that do not take part.
+// the pending reason of the other jobs with waiting tasks, except those that OnlyJob excludes.
 func (s *Scheduler) queue(m *model.Model, jobs []*model.Job, now model.Time) []queuedJob {
 	var queue []queuedJob
 	for _, j := range jobs {
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -7,7 +7,7 @@
 // epsilon is the tolerance when comparing amounts of resources.
 const epsilon = 1e-6
 
-// Resources is an amount of resources of a task or machine.
+// Resources is an amount of CPUs, GPUs and memory.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // Plus returns a + b.
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -240,7 +240,7 @@
 		}
 		s.Round(env.model, 0, true, env)
 		if reason := second.Scheduling.PendingReason; second.Live != 0 || reason.Code != pending.ImageBusy {
-			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q", round, second.Live, reason)
+			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q, want ImageBusy", round, second.Live, reason)
 		}
 	}
 	s.Round(env.model, 0, true, env)
--- a/internal/scheduling/scheduler/urgency.go
+++ b/internal/scheduling/scheduler/urgency.go
@@ -29,7 +29,7 @@
 	// overdueFactor and overdueSeconds determine when a job is overdue: once it has waited for overdueFactor times its
 	// last start objective, but at least for overdueSeconds.
 	overdueFactor, overdueSeconds = 3.0, 60.0
-	// underServedMaxWaitSeconds replaces overdueSeconds while the class or team of the job is under-served.
+	// underServedMaxWaitSeconds is used instead of overdueSeconds while the class or team of the job is under-served.
 	underServedMaxWaitSeconds = 600.0
 )
 
