--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -5,30 +5,35 @@
 // UnknownKindError reports a log entry whose kind this version does not support.
 type UnknownKindError struct{ Kind EntryKind }
 
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("model: unknown entry kind %d", e.Kind) }
+// Error names the unknown kind.
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("model: log entry of unknown kind %d", e.Kind)
+}
 
 // DuplicateAcceptanceError reports a log entry that accepts a job a second time.
 type DuplicateAcceptanceError struct{ Job JobID }
 
+// Error names the job.
 func (e *DuplicateAcceptanceError) Error() string {
-	return fmt.Sprintf("model: job %d accepted twice", e.Job)
+	return fmt.Sprintf("model: accept job %d: job was accepted before", e.Job)
 }
 
-// InvalidPlacementError reports a placement that conflicts with the replicated state: the task or the machine is
-// unknown, or the task is not waiting.
+// InvalidPlacementError reports a placement that conflicts with the replicated state: the job, the task or the machine
+// is unknown, the job is cancelled, or the task is not waiting.
 type InvalidPlacementError struct {
 	Job     JobID
 	Task    int32
 	Machine MachineID
 }
 
+// Error names the task and the machine.
 func (e *InvalidPlacementError) Error() string {
-	return fmt.Sprintf("model: placement of task %d/%d on machine %d conflicts with the replicated state",
+	return fmt.Sprintf("model: place task %d/%d on machine %d: unknown task or machine, or task cancelled or not waiting",
 		e.Job, e.Task, e.Machine)
 }
 
 // Apply applies the log entry with sequence number seq. Late and repeated entries are ignored if they can occur in
-// normal operation. Entries that the leader must not have logged in the current state return an error.
+// normal operation. It returns an error for an entry that a leader must not log in the current state.
 func (m *Model) Apply(e *Entry, seq uint64, now Time) error {
 	switch e.Kind {
 	case EntryAccept:
@@ -105,7 +110,7 @@
 	}
 }
 
-// placeTask creates the run of a placed task.
+// placeTask creates the run for a placement entry and marks its task as placed.
 func (m *Model) placeTask(e *Entry, seq uint64, now Time) error {
 	j, machine := m.Jobs[e.Job], m.Machines[e.Machine]
 	if j == nil || machine == nil || int(e.Task) >= len(j.Tasks) || j.Tasks[e.Task].State != Waiting || j.Cancelled {
@@ -132,8 +137,8 @@
 	}
 }
 
-// completeTask marks a task as completed, whichever attempt completed it. The result of an attempt that was given up
-// counts too.
+// completeTask marks a task as completed, whichever of its attempts completed it. That may be an attempt whose end was
+// logged before its completion was reported.
 func (m *Model) completeTask(e *Entry, seq uint64, now Time) {
 	j := m.Jobs[e.Job]
 	if j == nil || int(e.Task) >= len(j.Tasks) {
@@ -160,7 +165,8 @@
 	m.recordTaskCompletion(j)
 }
 
-// dropRun detaches a run from its machine and its job. The task waits again; completeTask then marks it as done.
+// dropRun detaches a run from its machine and its job. Its task waits again until completeTask, if that is the caller,
+// marks it as completed.
 func (m *Model) dropRun(r *Run, now Time) {
 	r.setPhase(Unseen)
 	j, machine := r.Job, r.Machine
@@ -226,8 +232,8 @@
 	}
 }
 
-// expireLease marks a machine as suspect and drops its runs, because its lease has certainly expired. The entry is no
-// longer written but still read, as older versions logged it.
+// expireLease marks a machine as suspect and drops its runs, because its lease has certainly expired. This version does
+// not write the entry, but must apply those that older versions logged.
 func (m *Model) expireLease(id MachineID, seq uint64, now Time) {
 	m.setSuspect(id, true, seq)
 	if machine := m.Machines[id]; machine != nil {
--- a/internal/model/catalog.go
+++ b/internal/model/catalog.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// Type is a machine type and its zones.
+// Type is a machine type with the indexes of its zones.
 type Type struct {
 	wire.MachineType
-	ZoneIDs []int32 // zones in which the cloud offers it
+	ZoneIDs []int32 // indexes in Model.Zones of the zones in which the cloud offers it
 	Known   bool    // described by the cloud; otherwise only the name is known, from a job or a machine
 }
 
@@ -27,7 +27,8 @@
 	return slices.ContainsFunc(c.Types, func(t Type) bool { return t.Known })
 }
 
-// typeIndex returns the index of a machine type, and adds a new name to the table.
+// typeIndex returns the index of the machine type with the given name. It adds a type that is not in the catalog yet,
+// with its name only.
 func (c *catalog) typeIndex(name string) int32 {
 	id := c.TypeNames.ID(name)
 	for int(id) >= len(c.Types) {
@@ -45,9 +46,11 @@
 	}
 }
 
+// TypeOf returns the type of a machine.
 func (c *catalog) TypeOf(machine *Machine) *Type { return &c.Types[machine.Type] }
 
-// Fits reports whether a machine has enough free resources for a task of the job.
+// Fits reports whether a machine has enough free resources for a task of the job. It is false if the cloud has not
+// described the machine's type.
 func (c *catalog) Fits(j *Job, machine *Machine) bool {
 	t := &c.Types[machine.Type]
 	return t.Known && machine.CPUs+j.Spec.CPUs <= t.CPUs+epsilon && machine.GPUs+j.Spec.GPUs <= t.GPUs+epsilon &&
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -48,8 +48,8 @@
 	return completionTable{ByClass: slices.Clone(t.ByClass), ByTeam: slices.Clone(t.ByTeam)}
 }
 
-// clone copies the machines; their runs still point to the original's. Objects of one kind share one allocation,
-// because thousands of small allocations take ten times as long.
+// clone copies the machines. Their Runs are the original runs until cloneRuns replaces them. Objects of one type share
+// one allocation, because thousands of small allocations take ten times as long.
 func (t *machineTable) clone() machineTable {
 	copied := newMachineTable()
 	copied.Machines = make(map[MachineID]*Machine, len(t.Machines))
@@ -75,7 +75,8 @@
 	return copied
 }
 
-// clone copies the live jobs and links them to the copied teams; their runs still point to the original's.
+// clone copies the live jobs and links them to the copied teams. The Run of each task is the original run until
+// cloneRuns replaces it.
 func (t *jobTable) clone(teams []*Team) jobTable {
 	live, taskCount := t.JobsInOrder(), 0
 	for _, j := range live {
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -6,8 +6,9 @@
 // report.
 const maxCommands = 400
 
-// Commands returns the commands to send to a machine now. A start is sent only after its placement is committed. With
-// inResponse the commands are part of the response to the last observed report.
+// Commands returns the commands to send to a machine now. committed is the highest committed log sequence number: a
+// start is sent only after its placement is committed. inResponse means that the commands are sent in the response to
+// the last observed report rather than directly.
 func (m *Model) Commands(machine *Machine, committed uint64, inResponse bool) []wire.Command {
 	commands := []wire.Command{}
 	for _, d := range machine.Contact.reapable {
@@ -35,8 +36,8 @@
 	if !d.exited {
 		return commandFor(d.key, wire.Stop, new(float64)), true
 	}
-	// After the agent forgets the attempt, a repeated start would run it again. So no start of it may be in flight,
-	// from this leader or an earlier one.
+	// If a start of the attempt arrived after the agent has forgotten it, the agent would run it again. So no start of
+	// it, by this leader or an earlier one, may be in flight.
 	contact := &machine.Contact
 	_, open := contact.unresolvedStarts[d.key]
 	if open {
@@ -57,7 +58,7 @@
 	switch {
 	case r.Job.Cancelled:
 		// The stop does not have to wait for the cancellation to be committed. If the cancellation is lost, the stop
-		// only ends an attempt, which is reported and then retried.
+		// only ends this attempt, and the task is retried once the agent reports the end.
 		return commandFor(r.key(), wire.Stop, new(float64)), true
 	case r.Stop:
 		grace := new(float64)
@@ -74,8 +75,8 @@
 	return wire.Command{}, false
 }
 
-// commandFor returns a command for an attempt. The grace period, in seconds, applies to stops: it is the time that the
-// task has to write a checkpoint.
+// commandFor returns a command for an attempt. grace applies to stops only: it is the time in seconds that the task has
+// to write a checkpoint.
 func commandFor(k runKey, verb string, grace *float64) wire.Command {
 	return wire.Command{
 		Verb: verb, Task: wire.TaskID(uint64(k.job), int(k.task)), Attempt: uint64(k.attempt), GraceS: grace,
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -3,12 +3,12 @@
 import "math"
 
 // CompletionStats counts the outcomes of the jobs of a class or team that this replica has read from the log; jobs that
-// ended before its first snapshot are not included. A job counts as started when one of its tasks is placed. Cancelled
-// jobs cannot complete, so their tasks are not counted.
+// ended before the snapshot from which it was restored are not included. A job counts as started when one of its tasks
+// is placed. Cancelled jobs cannot complete, so their tasks are not counted.
 type CompletionStats struct {
 	Jobs, Started, Done, Cancelled int
 	Tasks, TasksDone               int     // of jobs that were not cancelled
-	WantedSeconds, UpSeconds       float64 // replica seconds wanted and up while this node was the leader
+	WantedSeconds, UpSeconds       float64 // seconds of service replicas, wanted and up, while this node led
 	recent                         recentCompletions
 }
 
@@ -19,15 +19,15 @@
 }
 
 // decaySeconds is the time constant of the exponential weight of a job, in seconds since its acceptance. It spans
-// several of the longest typical array jobs, so that neither one slow job nor results of an hour ago dominate the
-// figures of a class. The weights of waiting and completed jobs decay alike; otherwise large jobs, which wait for long,
-// would come to dominate.
+// several of the longest typical array jobs, so that neither one slow job nor jobs accepted an hour ago dominate the
+// figures of a class. The weights of waiting and completed jobs must decay alike; otherwise large jobs, which wait for
+// long, would dominate.
 const decaySeconds = 600.0
 
 // RecencyWeight returns the weight of a job of the given age: 1 at its acceptance, decaying exponentially.
 func RecencyWeight(age Time) float64 { return math.Exp(-age.Seconds() / decaySeconds) }
 
-// decay advances the sums to a later time.
+// decay reduces the sums to their weights at a later time.
 func (r *recentCompletions) decay(now Time) {
 	if now > r.decayedAt {
 		factor := RecencyWeight(now - r.decayedAt)
@@ -46,9 +46,9 @@
 
 // completionTable holds the completion statistics by class and by team.
 type completionTable struct {
-	// By class index. It may be shorter than Model.Classes.
+	// Statistics by class index. The slice may be shorter than Model.Classes.
 	ByClass []CompletionStats
-	// By team index.
+	// Statistics by team index.
 	ByTeam []CompletionStats
 }
 
@@ -100,8 +100,8 @@
 	})
 }
 
-// AccrueServiceTime adds the time since the last call to the wanted seconds of all service replicas, and to the up
-// seconds of those that this leader observes running.
+// AccrueServiceTime adds elapsed, the time since the last call, to the wanted seconds of all service replicas, and to
+// the up seconds of those that this leader observes running.
 func (m *Model) AccrueServiceTime(elapsed Time) {
 	seconds := elapsed.Seconds()
 	for _, j := range m.JobsInOrder() {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Availability returns the share of the wanted replica time in which replicas were up, rounded to three decimals; 1 if
-// none was wanted.
+// Availability returns the share of the wanted replica time in which replicas were up, rounded to three decimals. It is
+// 1 if no replicas were wanted.
 func (s *CompletionStats) Availability() float64 {
 	if s.WantedSeconds <= 0 {
 		return 1
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -17,14 +17,14 @@
 	EntryType                              // machine type as described by the cloud
 	EntrySuspect                           // only the leader may renew the lease of the machine's agent from now on
 	EntryTrust                             // suspect machine has reported to the leader
-	EntryLeaseExpired                      // suspect machine's lease has surely expired, ending its tasks; not written
+	EntryLeaseExpired                      // lease of a suspect machine expired, ending its runs; read, not written
 	EntryRelease                           // machine may be released at any time from now on
 	EntryIntent                            // machines may be provisioned under a request name from now on
 	EntryIntentDone                        // result of the scale-out request is known
 )
 
-// Entry is one log record. Which fields are set depends on the kind; the constructors take exactly the fields that
-// apply.
+// Entry is one log record. Its kind determines which other fields are set; the constructors take exactly the fields of
+// their kind.
 type Entry struct {
 	Kind    EntryKind
 	Job     JobID
@@ -39,7 +39,7 @@
 	Type    *wire.MachineType
 }
 
-// Accepted returns the entry that accepts a job at a wall-clock time in ms.
+// Accepted returns the entry that accepts a job. at is the wall-clock time of the acceptance in ms.
 func Accepted(spec *wire.JobSpec, at int64) *Entry {
 	n, _ := wire.JobNumber(spec.ID)
 	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, At: at}
@@ -48,30 +48,31 @@
 // NewCancellation returns the entry that cancels a job.
 func NewCancellation(job JobID) *Entry { return &Entry{Kind: EntryCancel, Job: job} }
 
-// NewPlacement returns the entry that allows an attempt of a task to be started on a machine in an agent epoch.
+// NewPlacement returns the entry that allows an attempt of a task to be started on a machine. session is the only epoch
+// of the machine's agent in which it may be started.
 func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, session uint64) *Entry {
 	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, Session: session}
 }
 
-// NewAttemptEnd returns the entry that an attempt is known to have ended, so that its task waits again.
+// NewAttemptEnd returns the entry that records the end of an attempt without completion; its task waits again.
 func NewAttemptEnd(job JobID, task int32, attempt uint32) *Entry {
 	return &Entry{Kind: EntryEnded, Job: job, Task: task, Attempt: attempt}
 }
 
-// NewCompletion returns the entry that an attempt completed its task.
+// NewCompletion returns the entry that records that an attempt completed its task.
 func NewCompletion(job JobID, task int32, attempt uint32) *Entry {
 	return &Entry{Kind: EntryDone, Job: job, Task: task, Attempt: attempt}
 }
 
-// NewMachine returns the entry that adds a machine at a wall-clock time in ms, or updates its address.
+// NewMachine returns the entry that adds a machine, or updates its address. at is the current wall-clock time in ms.
 func NewMachine(id MachineID, at int64, info *MachineInfo) *Entry {
 	return &Entry{Kind: EntryMachine, Machine: id, At: at, Info: info}
 }
 
-// NewMachineGone returns the entry that a machine is known to be gone.
+// NewMachineGone returns the entry that removes a machine that is known to be gone.
 func NewMachineGone(id MachineID) *Entry { return &Entry{Kind: EntryMachineGone, Machine: id} }
 
-// NewMachineType returns the entry that describes a machine type.
+// NewMachineType returns the entry that adds a machine type as described by the cloud, or replaces its description.
 func NewMachineType(machineType *wire.MachineType) *Entry {
 	return &Entry{Kind: EntryType, Type: machineType}
 }
@@ -79,7 +80,7 @@
 // NewSuspicion returns the entry that marks a machine as suspect, after which only the leader may renew its lease.
 func NewSuspicion(id MachineID) *Entry { return &Entry{Kind: EntrySuspect, Machine: id} }
 
-// NewTrust returns the entry that clears a suspicion.
+// NewTrust returns the entry that clears the suspicion of a machine, after which any replica may renew its lease.
 func NewTrust(id MachineID) *Entry { return &Entry{Kind: EntryTrust, Machine: id} }
 
 // NewRelease returns the entry after which a machine may be released at any time.
@@ -91,7 +92,7 @@
 	return &Entry{Kind: EntryIntent, Info: info, Count: count}
 }
 
-// NewIntentDone returns the entry that the result of a scale-out request is known.
+// NewIntentDone returns the entry that removes the intent of a scale-out request whose result is known.
 func NewIntentDone(name string) *Entry {
 	return &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: name}}
 }
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -16,7 +16,8 @@
 // JobIDError reports a stored job specification whose ID is not a valid job ID.
 type JobIDError struct{ ID string }
 
-func (e *JobIDError) Error() string { return fmt.Sprintf("model: %q is not a valid job ID", e.ID) }
+// Error names the invalid ID.
+func (e *JobIDError) Error() string { return fmt.Sprintf("model: decode job: invalid job ID %q", e.ID) }
 
 // Append appends the encoded entry to b.
 func (e *Entry) Append(b []byte) []byte {
@@ -155,7 +156,7 @@
 	return s
 }
 
-// specStrings and specNumbers return fields of a job specification in stored order.
+// specStrings returns the string fields of a job specification in stored order, and specNumbers the numeric ones.
 func specStrings(s *wire.JobSpec) [6]*string {
 	return [...]*string{&s.ID, &s.Class, &s.Team, &s.Shape, &s.Priority, &s.Image}
 }
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -6,11 +6,12 @@
 //
 //   - A job is faulty if none of its tasks ever completed and it failed on two machines. Its failures are not counted
 //     against any machine.
-//   - A machine is cordoned, that is, it gets no new tasks, if two jobs that are not faulty failed on it with no
-//     completion in between. It is quarantined permanently once both jobs completed a task elsewhere, or if they have
-//     still not proved faulty after cordonPeriod.
+//   - A machine is cordoned, that is, it gets no new tasks, if two jobs that are not faulty failed on it and no task
+//     has completed on it since the first of these failures. It is quarantined permanently once both jobs completed a
+//     task elsewhere, or if they have still not proved faulty after cordonPeriod.
 //
-// Each decision uses what is known at the time. A completion clears a job's faulty state and a machine's cordon.
+// Decisions use only the failures and completions reported so far. A completion clears the faulty state of its job and
+// the cordon of its machine.
 
 const (
 	// How long a job is not placed again on a machine where it failed.
@@ -31,7 +32,8 @@
 func attributeFailure(machine *Machine, j *Job, now Time) (becameFaulty bool) {
 	machine.Health.addFailure(j)
 	if becameFaulty = j.addFailure(machine.ID, now); j.Observed.Faulty && now >= j.Scheduling.NotBefore {
-		// The backoff doubles once per retry: tasks that were already running fail together.
+		// The backoff doubles at most once per retry of the job, since tasks that run at the same time also fail
+		// together.
 		j.Observed.backoffs++
 		j.Scheduling.NotBefore = now + faultyBackoff<<min(j.Observed.backoffs, maxBackoffDoublings)
 	}
@@ -54,7 +56,8 @@
 	return true
 }
 
-// clearFailures is called when a task of the job completes, which proves that the job is not faulty.
+// clearFailures clears the job's faulty state. It is called when one of its tasks completes, which proves that the job
+// is not faulty.
 func (j *Job) clearFailures() {
 	if j.Observed.Faulty {
 		j.Observed.Faulty, j.Observed.backoffs, j.Scheduling.NotBefore = false, 0, 0
@@ -70,12 +73,14 @@
 	h.FailedJobs[j.ID] = j
 }
 
-// clearFailures is called when a task completes on the machine, which proves that not every task fails there.
+// clearFailures clears the machine's failures and its cordon. It is called when a task completes on the machine, which
+// proves that not every task fails there.
 func (h *MachineHealth) clearFailures() {
 	h.Failures, h.FailedJobs, h.DoubtSince = 0, nil, 0
 }
 
-// UpdateQuarantine re-evaluates a machine: the jobs that failed on it may since have completed or failed elsewhere.
+// UpdateQuarantine re-evaluates whether a machine is cordoned or quarantined: tasks of the jobs that failed on it may
+// since have completed or failed elsewhere.
 func (t *leaderTerm) UpdateQuarantine(machine *Machine, now Time) {
 	machine.Health.updateQuarantine(now)
 }
--- a/internal/model/gang_start.go
+++ b/internal/model/gang_start.go
@@ -1,14 +1,14 @@
 package model
 
-// This file coordinates the start of gang members. Once a member has its image it waits for the others, at most for the
-// platform's GangWait, and then exits. If another member needs longer than that to fetch the image, the waiting member
-// exits first, the gang is stopped, the fetch is aborted and the next attempt fails the same way: a gang of four with
-// images cached by two members was seen to take five attempts of 35 s each. So members with a cached image are started
-// only when those with long fetches are ready, and a gang that failed to start together is not stopped before its
-// fetches have ended.
+// This file coordinates the start of gang members. A member that has its image waits for the others for at most
+// GangWait, and then exits. If another member needs longer than GangWait to fetch the image, the waiting member exits
+// first, the gang is stopped, the fetch is aborted and the next attempt fails the same way: a gang of four, with the
+// image cached on two of the machines, takes up to five attempts of 35 s each. So members with a cached image are
+// started only when those with long fetches are ready, and a gang whose members failed to start together is not stopped
+// before its fetches have ended.
 
 // IsLongFetch reports whether fetching a job's image on a machine may take longer than gang members with a cached image
-// wait. The threshold is half of GangWait, because fetch rates vary by a third.
+// wait for the others. The threshold is half of GangWait, because fetch rates vary by a third.
 func (m *Model) IsLongFetch(j *Job, machine *Machine) bool {
 	if m.GangWait <= 0 || machine.HasImage(j.Image) {
 		return false
@@ -32,8 +32,8 @@
 	return false
 }
 
-// machinesAwaitingMember returns the machines of gang members whose start may have been held until another member had
-// its image.
+// machinesAwaitingMember returns the machines of gang members that are not started yet. Their starts may have been held
+// until another member had its image.
 func (j *Job) machinesAwaitingMember() (machines []*Machine) {
 	if j.Kind != Gang {
 		return nil
--- a/internal/model/image_cache.go
+++ b/internal/model/image_cache.go
@@ -5,21 +5,21 @@
 // This file infers the content of the machines' image caches. Heartbeats do not list images, so the cache is derived
 // from tasks that have progressed past their fetch.
 
-// cachedImage is an image that a machine is assumed to have.
+// cachedImage is an image that is assumed to be in a machine's cache.
 type cachedImage struct {
 	image    int32
 	sizeGB   float64
 	lastUsed Time
 }
 
-// pendingFetch is an image that a number of runs on a machine wait for.
+// pendingFetch is the fetch of an image that runs on a machine wait for.
 type pendingFetch struct {
 	image       int32
 	waitingRuns int32
 	sizeGB      float64
 }
 
-// countFetch adds a run to (delta 1) or removes it from (delta -1) the runs that wait for their image.
+// countFetch adds a run (delta 1) to the pending fetch of its image, or removes it (delta -1).
 func (machine *Machine) countFetch(r *Run, delta int32) {
 	for i := range machine.fetches {
 		if p := &machine.fetches[i]; p.image == r.Job.Image {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TouchImage records that a machine has a job's image. If the cache size is exceeded, the least recently used images
-// are assumed to be evicted.
+// TouchImage records that a machine has a job's image. If the images exceed the cache size of the machine's type, the
+// least recently used ones are assumed to be evicted.
 func (machine *Machine) TouchImage(m *Model, j *Job, now Time) {
 	for i := range machine.cache {
 		if machine.cache[i].image == j.Image {
@@ -54,7 +54,7 @@
 }
 
 // evictImages drops the least recently used images until the cache is within the limit. It keeps the needed image and
-// the images of present runs.
+// the images of the machine's runs.
 func (machine *Machine) evictImages(limitGB float64, needed int32) {
 	cachedGB := 0.0
 	for _, c := range machine.cache {
@@ -85,7 +85,7 @@
 	return false
 }
 
-// HasImage reports whether a machine is assumed to have an image.
+// HasImage reports whether an image is assumed to be in the machine's cache.
 func (machine *Machine) HasImage(image int32) bool {
 	for i := range machine.cache {
 		if machine.cache[i].image == image {
@@ -95,7 +95,8 @@
 	return false
 }
 
-// FetchBacklog reports whether a machine is fetching an image, and the total size of its pending fetches in GB.
+// FetchBacklog reports whether a machine is fetching the given image, and the total size of all its pending fetches in
+// GB.
 func (machine *Machine) FetchBacklog(image int32) (fetchingImage bool, totalGB float64) {
 	for i := range machine.fetches {
 		if p := &machine.fetches[i]; !machine.HasImage(p.image) {
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -10,10 +10,10 @@
 // JobID is the numeric part of a job's ID.
 type JobID uint64
 
-// Kind is the shape of a job.
+// Kind is the shape of a job, which determines how its tasks are placed.
 type Kind uint8
 
-// Job shapes.
+// Kinds of jobs.
 const (
 	Array   Kind = iota // independent tasks
 	Gang                // tasks that run at the same time or not at all
@@ -45,7 +45,7 @@
 
 // States of a task.
 const (
-	Waiting TaskState = iota // has no run; needs one unless its job is over
+	Waiting TaskState = iota // has no run; needs a run unless its job is cancelled
 	Placed                   // has a run
 	Done                     // completed
 )
@@ -54,7 +54,7 @@
 type Task struct {
 	State   TaskState
 	Attempt uint32 // number of the latest attempt; 0: none yet
-	Run     *Run   // the current attempt; nil: none, or known to have ended
+	Run     *Run   // the current attempt; nil if none is placed or it is known to have ended
 }
 
 // Job is an accepted job that is unfinished or still has runs. Its own fields are replicated, except Running. Scheduler
@@ -81,8 +81,8 @@
 	FinalSeq  uint64 // log sequence number of the entry that decided the final state; 0: undecided
 
 	retryTasks []int32 // stack of tasks that wait again after an attempt
-	nextTask   int32   // all tasks before it have been placed or completed
-	finished   bool    // final; removed from jobsInOrder by the next JobsInOrder call
+	nextTask   int32   // all tasks with a lower index have been placed or completed
+	finished   bool    // has a final state; removed from jobsInOrder by the next JobsInOrder call
 	started    bool    // a task has been placed or completed
 
 	Scheduling JobScheduling
@@ -95,27 +95,28 @@
 	WaitedRounds  int            // rounds spent waiting for a busy machine that has the image
 	PendingReason pending.Reason // why the next task was not placed in the last round that considered it
 	reasonHistory [maxReasonHistory]ReasonSince
-	// The job is not placed before this time, after attempts that failed for a reason that takes time to pass.
+	// No task of the job is placed before this time, because an attempt failed for a reason that is likely to persist
+	// for a while.
 	NotBefore Time
-	// When the scheduler began to free capacity on machines that have the image; 0: it is not doing so.
+	// When the scheduler began to free capacity for the job on machines that have its image; 0: it is not doing so.
 	LocalRoomSince Time
 	// The job and its team's earlier unfinished jobs together fit into the team's guarantee.
 	WithinGuarantee bool
 	Guaranteed      bool // scheduled as a job within the guarantee
-	Deferrable      bool // its share of the guarantee may wait for under-served classes and teams
+	Deferrable      bool // even if guaranteed, the job may wait for under-served classes and teams
 	UnderServed     bool // its class or team gets less than its minimum share
 	Rank            int  // jobs with a higher rank are placed first
 }
 
 // JobObservation is what this replica or leader has observed of a job. It is not in the log.
 type JobObservation struct {
-	// Earliest time from which the cancellation counts; 0: before this replica began to follow the log.
+	// Earliest time at which the job can have been cancelled; 0: before this replica began to follow the log.
 	CancelledFrom Time
 	Errors        int                // failed attempts
 	FailedOn      map[MachineID]Time // time of the last failure by machine
-	Faulty        bool               // fails on every machine, as far as observed
+	Faulty        bool               // has failed on several machines and never completed a task
 	backoffs      int                // number of backoffs since it became faulty
-	logDurations  average            // mean duration of completed tasks, as the logarithm of seconds
+	logDurations  average            // mean logarithm of the durations of completed tasks in seconds
 	KnownSince    Time               // when this replica learned of the job
 }
 
@@ -158,7 +159,8 @@
 	return len(j.Tasks) - j.Done - j.Live
 }
 
-// NextWaiting returns a task that needs a placement, or -1. Tasks that have been placed before come first.
+// NextWaiting returns a task that needs a placement, or -1 if there is none. Tasks of which an earlier attempt has
+// ended come first.
 func (j *Job) NextWaiting() int32 {
 	if j.Waiting() == 0 {
 		return -1
@@ -178,7 +180,7 @@
 	return -1
 }
 
-// ZoneCount returns the number of tasks placed in the given zone and in all other zones.
+// ZoneCount returns the numbers of the job's tasks that are placed in the given zone and in all other zones.
 func (j *Job) ZoneCount(zone int32) (inZone, elsewhere int) {
 	if j.Live == 0 {
 		return 0, 0
@@ -195,7 +197,7 @@
 	return inZone, elsewhere
 }
 
-// AllowsMachine reports whether the job's constraints admit a machine type, a zone and spot pricing.
+// AllowsMachine reports whether the job's constraints admit a machine of the given type, zone and pricing.
 func (j *Job) AllowsMachine(typ, zone int32, spot bool) bool {
 	if spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != zone {
 		return false
@@ -224,7 +226,8 @@
 	return !j.Spec.Spread || inZone+1 <= (len(j.Tasks)+1)/2
 }
 
-// TeamLimitAllows reports whether n more tasks stay within the team's quota.
+// TeamLimitAllows reports whether n more tasks of the job stay within its team's quota. It is false if the team is not
+// configured.
 func (j *Job) TeamLimitAllows(n int) bool {
 	t := j.Team
 	if t == nil {
--- a/internal/model/job_table.go
+++ b/internal/model/job_table.go
@@ -9,10 +9,10 @@
 	Jobs map[JobID]*Job
 	// Final states of all other jobs.
 	Finals map[JobID]Final
-	// Number of tasks of live jobs that are not completed.
+	// Number of uncompleted tasks of live jobs.
 	LiveTasks int
 
-	jobsInOrder   []*Job           // live jobs by acceptance, and finished ones until the next JobsInOrder call
+	jobsInOrder   []*Job           // by acceptance: live jobs, and finished ones until the next JobsInOrder call
 	finishedCount int              // number of finished jobs in jobsInOrder
 	jobOrder      uint64           // Order of the next job
 	finalSeqs     map[JobID]uint64 // log sequence numbers of final states that are not committed yet
@@ -30,7 +30,7 @@
 	t.countTasks(j, len(j.Tasks))
 }
 
-// countTasks changes the counts of incomplete tasks of the table and of the job's team.
+// countTasks changes the numbers of uncompleted tasks of the table and of the job's team.
 func (t *jobTable) countTasks(j *Job, delta int) {
 	t.LiveTasks += delta
 	if j.Team != nil {
@@ -68,8 +68,8 @@
 	return t.jobsInOrder
 }
 
-// FinalSeq returns the log sequence number of the entry that made a job final, for responses that must not precede its
-// commit; 0 once it is committed.
+// FinalSeq returns the log sequence number of the entry that decided a job's final state. The final state must not be
+// reported to users before that entry is committed. FinalSeq is 0 once ForgetCommitted has dropped the number.
 func (t *jobTable) FinalSeq(id JobID) uint64 { return t.finalSeqs[id] }
 
 // ForgetCommitted drops the sequence numbers of final states that are committed.
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -11,7 +11,7 @@
 // MachineID numbers machines in the order in which they appear in the log.
 type MachineID uint32
 
-// MachineInfo identifies a machine.
+// MachineInfo is the name, address, type, zone and pricing of a machine.
 type MachineInfo struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
@@ -31,18 +31,18 @@
 	Spot     bool
 	At       int64   // wall-clock time of its first entry in the log, ms
 	Runs     []*Run  // unordered
-	CPUs     float64 // used by its runs, as are GPUs and Mem
+	CPUs     float64 // used by its runs, like GPUs and Mem (in GB)
 	GPUs     float64
 	Mem      float64
-	Reserved ReservedResources // part used by services without GPUs
+	Reserved ReservedResources // part of these used by services without GPUs
 	cache    []cachedImage
 	fetches  []pendingFetch
 
-	// The log forbids every replica but the leader to renew the agent's lease, because heartbeats have been missing for
-	// long.
+	// Only the leader may renew the agent's lease, because heartbeats have been missing for long. It is set and cleared
+	// by log entries.
 	Suspect bool
-	// The machine's deletion may be in flight. Fencing tokens do not cover the cloud's deletion call: one that was
-	// decided before its leader stalled, or that the network delayed, may execute at any later time. So the release is
+	// The machine's deletion may be in flight. Fencing tokens do not cover the cloud's deletion call: a call may be
+	// executed at any later time if its leader stalled before sending it, or the network delayed it. So the release is
 	// logged first, no later leader places work on the machine, and each leader repeats the deletion until the cloud
 	// responds.
 	Releasing  bool
@@ -59,7 +59,7 @@
 type MachineContact struct {
 	Session uint64            // agent epoch of the last valid message
 	Reports staleness.Tracker // report numbers and tokens received, to judge what a message proves
-	// Since when responses are known not to reach the agent; 0: they do.
+	// Since when responses are known not to reach the agent; 0: not known.
 	InboundPartitionSince Time
 	// Offset of the machine's fencing token from the lowest token of the term.
 	TokenOffset uint64
@@ -67,15 +67,15 @@
 	LastReport  Time // time of the last valid message, or the start of the term
 	KnownSince  Time // when this replica learned of the machine, or the start of the term
 	// Since when the machine's heartbeats reach no controller, so that its lease expired, although it responds to
-	// probes; 0: they arrive.
+	// probes; 0: heartbeats arrive.
 	OutboundPartitionSince Time
 	// Time from which every replica that may renew the lease of a suspect machine either knows of the suspicion or has
 	// an older copy of the log; 0: the entry is not committed.
 	SuspectFrom      Time
-	Renewals         lease.ExpiryProof      // last renewals by the other replicas, as far as reported
+	Renewals         lease.ExpiryProof      // last renewals of the lease that the other replicas have reported
 	DirectInFlight   bool                   // a direct command is in flight
 	Probing          bool                   // a probe is in flight
-	ProbedAt         Time                   // when it was last probed because of its report
+	ProbedAt         Time                   // when the machine was last probed because of a report
 	DirectFailed     bool                   // the last direct command got no response
 	unresolvedStarts map[runKey]startTokens // direct starts that may still be executed
 	reapable         []reapableTask         // listed attempts that are to be forgotten or stopped
@@ -89,14 +89,14 @@
 	Quarantined     bool           // permanently gets no new tasks; its tasks move to other machines
 	SlowUntil       Time           // found to be slow, and gets only services until then
 	Failures        int            // failed attempts since the last completion
-	FailedJobs      map[JobID]*Job // jobs of those attempts
-	DoubtSince      Time           // since when it is cordoned because of failed jobs; 0: it is not
-	slowdown        average        // ratio of its task durations to those of their peers, as a mean logarithm
-	slowdownJobs    int            // number of job changes in the sequence of tasks behind slowdown
-	lastSlowdownJob JobID          // job of the last of these tasks
+	FailedJobs      map[JobID]*Job // jobs of these attempts
+	DoubtSince      Time           // since when it is cordoned because of failed jobs; 0: not cordoned
+	slowdown        average        // mean logarithm of the ratio of its tasks' durations to those of their peers
+	slowdownJobs    int            // number of series of consecutive tasks of one job in slowdown
+	lastSlowdownJob JobID          // job of the last task in slowdown
 	lastOnTimeStart Time           // latest start of a task that completed in time
-	slowFoundAt     Time           // when it was last found to be slow
-	slowCount       int            // how often it was found to be slow
+	slowFoundAt     Time           // when the machine was last found to be slow
+	slowCount       int            // how often the machine was found to be slow
 }
 
 // MachineLifecycle is the lifecycle of a machine as tracked by the current leader. It is not in the log.
@@ -120,14 +120,15 @@
 	return machine.Lifecycle.Draining || machine.Health.Quarantined || machine.Lifecycle.PreemptionAt != 0
 }
 
-// ServicesOnly reports whether the machine gets services only. That is so if it is slow, which does not affect
-// services, or if its heartbeats reach no controller: its tasks are then ended at every lease expiry, which costs
-// services only a short interruption but other tasks all their progress.
+// ServicesOnly reports whether only services may be placed on the machine. The reason is either that it is slow, which
+// does not affect services, or that its heartbeats reach no controller. In the latter case the agent ends all tasks at
+// every lease expiry, which costs services a short interruption but other tasks all their progress.
 func (machine *Machine) ServicesOnly(now Time) bool {
 	return machine.IsSlow(now) || machine.Contact.OutboundPartitionSince != 0
 }
 
-// MarkInboundPartition records that messages to the machine apparently do not arrive.
+// MarkInboundPartition records that messages to the machine do not seem to arrive. The machine gets no new tasks until
+// one of its messages shows that they do.
 func (machine *Machine) MarkInboundPartition(now Time) { machine.Contact.markInboundPartition(now) }
 
 func (c *MachineContact) markInboundPartition(now Time) {
@@ -151,18 +152,18 @@
 func (machine *Machine) SuspectSeq() uint64 { return machine.suspectSeq }
 
 // SuspicionCommitted records that the entry with the given sequence number, which marked the machine as suspect, is
-// committed. Only the latest such entry counts: between two of them the machine was trusted, and a replica that has
-// read the log up to that point may renew its lease.
+// committed. Only the latest such entry counts: between two such entries the machine was trusted, and a replica that
+// has read the log only up to there may renew its lease.
 func (machine *Machine) SuspicionCommitted(seq uint64, now Time) {
 	if machine.Suspect && machine.suspectSeq == seq {
 		machine.Contact.SuspectFrom = now
 	}
 }
 
-// LeaseExpired reports whether the lease of a suspect machine has certainly expired. If all other replicas (their
-// number is others) have reported their last renewal, the lease is counted from the latest renewal, including this
-// replica's own (ownRenewal). Otherwise it is counted from the bound up to which any replica may act on an old copy of
-// the log.
+// LeaseExpired reports whether the lease of a suspect machine has certainly expired. others is the number of other
+// replicas, and ownRenewal this replica's last renewal. If all others have reported their last renewals, the lease runs
+// for duration from the latest of all renewals. Otherwise any replica may have renewed it until bound after the
+// suspicion was committed: bound is the maximum age of the log copy on which a replica may act.
 func (machine *Machine) LeaseExpired(bound, duration, ownRenewal, now Time, others int) bool {
 	contact := &machine.Contact
 	if !machine.Suspect || contact.SuspectFrom == 0 {
@@ -194,7 +195,7 @@
 	return longest
 }
 
-// latestRunSession returns the latest agent epoch that the agent is known, from the log, to have reached.
+// latestRunSession returns the latest epoch of the machine's runs, which the log proves the agent to have reached.
 func (machine *Machine) latestRunSession() (session uint64) {
 	for _, r := range machine.Runs {
 		session = max(session, r.Session)
--- a/internal/model/machine_table.go
+++ b/internal/model/machine_table.go
@@ -12,7 +12,7 @@
 	Machines map[MachineID]*Machine
 	Order    []*Machine // in log order, and so by ID
 	ByName   map[string]*Machine
-	// ID of the next machine.
+	// ID of the next machine to be added.
 	NextMachine MachineID
 	// Names of machines that are gone.
 	Tombstones map[string]bool
@@ -20,7 +20,7 @@
 	Intents []Intent
 
 	tombstoneQueue []string // tombstones, oldest first
-	maxFleetSize   int      // largest number of concurrent machines known to this process
+	maxFleetSize   int      // largest number of machines at one time, as known to this process
 }
 
 // Intent is a scale-out request whose result is not known. It is logged before the request is sent to the cloud, so
@@ -34,7 +34,7 @@
 
 // minTombstones is the minimum number of tombstones kept. Larger fleets keep twice the largest fleet size, so that no
 // tombstone is dropped while the cloud's listing lags, even if all machines were lost and replaced. Replicas may keep
-// different numbers; applying entries does not depend on it.
+// different numbers of tombstones, because Apply does not depend on them.
 const minTombstones = 1024
 
 func newMachineTable() machineTable {
@@ -46,8 +46,8 @@
 	}
 }
 
-// updateAddress reports whether a machine is known by its name. If it is and info has an address, the address is
-// stored: a provisioned machine has reported it.
+// updateAddress reports whether a machine with the name in info is known. If so it stores the address in info, if there
+// is one: a machine that was provisioned without an address reports it later.
 func (t *machineTable) updateAddress(info *MachineInfo) (known bool) {
 	machine := t.ByName[info.Name]
 	if machine != nil && info.Addr != "" {
@@ -76,7 +76,7 @@
 }
 
 // addTombstone stores the name of a machine that is gone, so that a late report or a stale listing does not add it
-// again.
+// again. If there are too many tombstones, it drops the oldest one.
 func (t *machineTable) addTombstone(name string) {
 	if t.Tombstones[name] {
 		return
@@ -96,7 +96,8 @@
 	}
 }
 
-// setSuspect sets or clears a machine's suspicion. Both discard the evidence about its lease.
+// setSuspect sets or clears the suspicion of a machine. Either way it discards the evidence that the machine's lease
+// has expired, which applies only to one suspicion.
 func (t *machineTable) setSuspect(id MachineID, suspect bool, seq uint64) {
 	machine := t.Machines[id]
 	if machine == nil {
@@ -106,7 +107,7 @@
 	machine.Contact.SuspectFrom, machine.Contact.Renewals = 0, lease.ExpiryProof{}
 }
 
-// addIntent adds a scale-out request, unless one with its name is known: requests may be repeated.
+// addIntent adds a scale-out request, unless one with the same name is known: requests may be repeated.
 func (t *machineTable) addIntent(intent Intent) {
 	if t.intentIndex(intent.Name) < 0 {
 		t.Intents = append(t.Intents, intent)
@@ -120,7 +121,7 @@
 	}
 }
 
-// intentIndex returns the index of a scale-out request, or -1.
+// intentIndex returns the index of the scale-out request with the given name, or -1.
 func (t *machineTable) intentIndex(name string) int {
 	return slices.IndexFunc(t.Intents, func(i Intent) bool { return i.Name == name })
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,16 +1,15 @@
-// Package model holds the scheduler's state: jobs, tasks, machines and teams, and the rules for what counts as evidence
-// of a change. It performs no I/O: its inputs are log entries, heartbeats and the time, its outputs are entries to log
-// and commands to send.
+// Package model holds the scheduler's state: jobs, tasks, machines and teams, and the rules for which changes of state
+// an agent's report proves. It performs no I/O: its inputs are log entries, heartbeats and the time; its outputs are
+// entries to log and commands to send.
 //
 // The replicated part (jobs, placements, machines, final states) changes only through Apply, with the log's entries in
-// log order, so replicas that have read the same log hold the same state. Observations (agent epochs, phases, caches,
-// health) are collected by each leader for itself, in separate types: MachineContact, MachineHealth, MachineLifecycle,
-// JobScheduling and JobObservation.
+// log order, so replicas that have read the same log hold the same state. Observations (agent epochs, phases of runs,
+// image caches, machine health) are not in the log: each leader collects its own, in separate types: MachineContact,
+// MachineHealth, MachineLifecycle, JobScheduling and JobObservation.
 //
-// Invariants:
-//   - A task has at most one Run, from the entry that placed it until there is evidence that it has ended (rule:
-//     ran_twice).
-//   - A Run counts against its team, zone and machine as long as it exists, even if its job is over (rules: quota,
+// Invariants, with the names of the emulator's checks for them:
+//   - A task has at most one Run, from the entry that placed it until there is evidence that it has ended (ran_twice).
+//   - A Run counts against its team, zone and machine as long as it exists, even if its job is over (quota,
 //     wrong_place).
 package model
 
@@ -25,8 +24,8 @@
 // Time is monotonic time since the start of the process.
 type Time = time.Duration
 
-// epsilon is the tolerance when sums of resources are compared with a limit. The sums are of fractions, and rounding
-// errors must not reject an exact fit.
+// epsilon is the tolerance when sums of resources are compared with a limit. Requests may be fractions, and rounding
+// errors in their sums must not reject an exact fit.
 const epsilon = 1e-6
 
 // Model is the state of one replica. Each embedded type covers one concern; operations that span several of them are
@@ -59,8 +58,9 @@
 	return m
 }
 
-// BeginTerm makes this replica the leader. Observations of earlier terms are discarded, and commands of earlier leaders
-// may still be in flight. The base is the lowest fencing token of the new term.
+// BeginTerm makes this replica the leader. base is the lowest fencing token of the new term. The observations of
+// earlier terms are discarded, and all runs are marked as inherited, because commands of earlier leaders may still be
+// in flight.
 func (m *Model) BeginTerm(base uint64, now Time) {
 	m.TermBase = base
 	for _, machine := range m.Order {
@@ -68,8 +68,8 @@
 	}
 }
 
-// beginTerm discards what earlier terms observed of the machine. Health and draining state of an earlier term of this
-// process are kept, and a probe in flight ends on its own.
+// beginTerm discards what earlier terms observed of the machine. It keeps the machine's health and draining state from
+// an earlier term of this process, and the flag for a probe in flight, which is cleared when that probe ends.
 func (machine *Machine) beginTerm(now Time) {
 	contact, lifecycle := &machine.Contact, &machine.Lifecycle
 	contact.Session = 0
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -5,47 +5,48 @@
 	"fieldhill/wire"
 )
 
-// This file holds the evidence rules: what an agent's report proves, and which commands may be sent after it.
+// This file implements the rules for what an agent's report proves about the runs on its machine.
 //
-// The start of a run can be in flight in three ways. While one of them is open, the run's absence from a report proves
-// nothing:
-//   - In a direct command without a response. It may be executed as long as its token is the highest that the agent has
-//     seen, so it is void once the agent reports a higher one (unresolvedStarts).
-//   - In the response to a report. The agent drops late responses and has one report in flight, so it is void when the
-//     next report arrives (startResponseSeq).
-//   - In a command of an earlier leader (Inherited). It is void once the agent reports a token of this term.
+// The start of a run can be in flight in three ways. While it may be in flight in any of them, the run's absence from a
+// report proves nothing:
+//   - In a direct command without a response. The agent may execute it until it has seen a higher token, so the start
+//     is void once the agent reports one (unresolvedStarts).
+//   - In the response to a report. The agent drops late responses and has at most one report in flight, so the start is
+//     void when the next report arrives (startResponseSeq).
+//   - In a command of an earlier leader (Inherited). The start is void once the agent reports a token of this term.
 //
 // The expiry of an agent's lease is known without a report if no replica can have renewed it. A machine that has been
 // silent for long is marked as suspect by a log entry. Replicas that have read the entry do not renew the lease, and
 // replicas with an older copy of the log stop renewing when that copy reaches its age bound. So once the entry has been
 // committed for that bound plus a lease duration, the agent has ended all tasks on the machine, or will as soon as it
 // executes anything, and a start still in flight names an agent epoch that is over. This is not evidence that the tasks
-// have ended: a machine that hangs holds its tasks until it resumes. But releasing the machine then loses nothing, and
-// the cloud's response to the release is evidence. If the leader receives a report of the agent meanwhile, it clears
-// the suspicion before it responds. A leader whose term began after the entry counts from its own election. (Older
-// versions ended the runs on lease expiry with EntryLeaseExpired, which is still read.)
+// have ended: a machine that hangs holds its tasks until it resumes. But no more work is lost by releasing the machine
+// at that point, and the cloud's response to the release is evidence. If the leader receives a report of the agent
+// meanwhile, it clears the suspicion before it responds. A leader whose term began after the entry counts the time from
+// its own election. (Older versions logged EntryLeaseExpired when the lease had expired, which ends the runs; Apply
+// supports it.)
 
-// noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources.
-// The machine's actual usage then differs from the model's, and without a delay the job would be placed there again at
-// once.
+// noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources. In
+// that case the machine's actual usage differs from that in the model, and without a delay the job would be placed
+// there again at once.
 const noCapacityBackoff = Time(1e9)
 
 // ReportVerdict is the result of evaluating a report.
 type ReportVerdict struct {
-	Freshness  staleness.Freshness // Stale and Unproven reports prove nothing about the present
+	Freshness  staleness.Freshness // Stale and Unproven reports do not prove the machine's current state
 	Entries    []*Entry            // entries to log and apply
 	Faulty     []*Job              // jobs that this report shows to be faulty
 	Slow       bool                // the report shows the machine to be slow
 	GangReady  []*Machine          // machines whose held gang members may be started now
-	NeedsProbe bool                // the report would end runs if it is current, which a probe must confirm
+	NeedsProbe bool                // the report ends runs if it is current, which a probe must confirm
 }
 
-// IsStale reports whether the report proves nothing about the present, so that the machine must be probed.
+// IsStale reports whether the report does not prove the machine's current state, so that the machine must be probed.
 func (v *ReportVerdict) IsStale() bool {
 	return v.Freshness == staleness.Stale || v.Freshness == staleness.Unproven
 }
 
-// observation is the evaluation of one report.
+// observation is the state of the evaluation of one report.
 type observation struct {
 	model           *Model
 	machine         *Machine
@@ -55,17 +56,16 @@
 	verdict         ReportVerdict
 }
 
-// Observe evaluates an agent's report and returns the entries that it is evidence for, which the caller logs and
-// applies. If the report responds to a probe or a command, probe is what was known when that was sent; otherwise it is
-// nil.
+// Observe evaluates an agent's report. The caller logs and applies the entries in the verdict. If the report responds
+// to a probe or a command, probe is the result of BeginProbe when that was sent; otherwise probe is nil.
 func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.Question, now Time) ReportVerdict {
 	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
 	stamp := staleness.Stamp{Number: staleness.Number{Session: r.AgentEpoch, Seq: r.Seq}, Token: r.FencingToken}
 	o.verdict.Freshness = contact.Reports.Judge(stamp, m.TermBase, machine.latestRunSession(), probe)
 	if o.verdict.IsStale() {
-		// Not even the agent epoch is valid: the report may be a delayed copy from an earlier incarnation of the agent
-		// with higher epochs than the present one.
+		// Even the agent epoch must not be used: the report may be a delayed copy from an earlier incarnation of the
+		// agent, whose epochs may be higher than those of the present one.
 		return o.verdict
 	}
 	deliveryUncertain := o.updateContact(stamp)
@@ -101,7 +101,8 @@
 		contact.TokenOffset++ // messages to the earlier incarnation carry lower tokens
 	}
 	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
-	// Any epoch is higher than the initial zero, but only an epoch observed in this term can have ended since.
+	// Session is 0 until the first report of the term. Only an epoch that was observed in this term can have ended
+	// since.
 	hasNewSession := contact.Reported && o.report.AgentEpoch > contact.Session
 	leaseExpired := !o.isProbeResponse && hasNewSession
 	deliveryUncertain = leaseExpired || !o.isProbeResponse && contact.DirectFailed
@@ -112,7 +113,8 @@
 	case !o.isProbeResponse:
 		contact.DirectFailed, contact.OutboundPartitionSince = false, 0
 	case answeredWithoutRenewal && contact.OutboundPartitionSince == 0:
-		// The agent is reachable but its lease was not renewed, so any task that it gets lasts for one lease at most.
+		// The agent is reachable but its lease was not renewed, so any task placed on the machine is ended after one
+		// lease duration at most.
 		contact.OutboundPartitionSince = max(o.now, 1)
 	}
 	switch {
@@ -139,7 +141,7 @@
 	}
 }
 
-// beginObservation prepares for recording the attempts that a report lists.
+// beginObservation records the time of a valid message, and resets the list of attempts to reap.
 func (c *MachineContact) beginObservation(now Time) {
 	if now-c.lastObservedAt > longSilence {
 		c.silenceEndedAt = now
@@ -149,7 +151,7 @@
 	c.reapable = c.reapable[:0]
 }
 
-// handleListedAttempt evaluates an attempt that a report lists.
+// handleListedAttempt evaluates the status of one attempt in a report.
 func (o *observation) handleListedAttempt(s *wire.TaskStatus) {
 	n, task, ok := wire.ParseTaskID(s.Task)
 	if !ok || s.Attempt >= maxID {
@@ -168,8 +170,8 @@
 		run.startResponseSeq = 0
 	}
 	if run.Session < contact.Session {
-		// The agent ended all tasks between the two epochs, so a task that is listed now under an old attempt is not
-		// trusted.
+		// The agent ended all tasks between the two epochs, so an attempt of the older epoch has ended, whatever status
+		// is listed for it.
 		if !o.model.startMayBeInFlight(o.machine, run) && o.provesEnd(run) {
 			o.logEnd(k)
 		}
@@ -184,8 +186,8 @@
 	}
 }
 
-// handleUntrackedAttempt evaluates a listed attempt that has no run on the machine, so that it must be forgotten or
-// stopped.
+// handleUntrackedAttempt evaluates a listed attempt that has no run on the machine. The agent must forget it or, if it
+// has not exited, stop it.
 func (o *observation) handleUntrackedAttempt(k runKey, s *wire.TaskStatus) {
 	exited := s.State == wire.TaskExited
 	if j := o.model.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled &&
@@ -210,9 +212,10 @@
 	}
 }
 
-// recordProgress records that a run is in progress.
+// recordProgress evaluates a run that is listed as not exited: it updates the machine's image cache and the time at
+// which the run started.
 func (o *observation) recordProgress(run *Run) {
-	o.model.startMayBeInFlight(o.machine, run) // fences an unresolved start well before the task ends
+	o.model.startMayBeInFlight(o.machine, run) // fence an open start now, so that it does not delay the run's end
 	if run.Phase >= AwaitingGang {
 		if !o.machine.HasImage(run.Job.Image) {
 			o.verdict.GangReady = append(o.verdict.GangReady, run.Job.machinesAwaitingMember()...)
@@ -224,7 +227,8 @@
 	}
 }
 
-// handleExit evaluates a run that is listed as exited.
+// handleExit evaluates a run that is listed as exited. It logs the completion or the end of the attempt, once that is
+// certain.
 func (o *observation) handleExit(run *Run, cause string) {
 	if cause != wire.CauseDone && (o.model.startMayBeInFlight(o.machine, run) || run.startResponseSeq != 0) {
 		// The agent does not start a listed attempt again. But if it has restarted since, a start in flight may run the
@@ -253,7 +257,8 @@
 	o.logEnd(k)
 }
 
-// recordCompletion updates the health and speed statistics: the job and the machine work, and the duration is known.
+// recordCompletion updates the statistics for a completed run: it clears the failures of the job and of the machine,
+// and records the duration.
 func (o *observation) recordCompletion(run *Run) {
 	o.machine.Health.clearFailures()
 	run.Job.clearFailures()
@@ -267,16 +272,16 @@
 func (o *observation) absenceProvesEnd(run *Run) bool {
 	m, r, contact := o.model, o.report, &o.machine.Contact
 	if run.Session < r.AgentEpoch {
-		// In a newer epoch all tasks of the older one have ended and commands for it are rejected. The exception is an
-		// agent that has restarted with numbers from 1 after it sent this report: the older epoch may then be that of
-		// its present incarnation, in which the run may exist or be started by a command in flight.
+		// Once an agent is in a newer epoch, it has ended all tasks of the older one and rejects commands for it. The
+		// exception is an agent that has restarted with numbers from 1 after it sent this report: the older epoch may
+		// then be that of its present incarnation, in which the run may exist or be started by a command in flight.
 		return !m.startMayBeInFlight(o.machine, run) && o.provesEnd(run)
 	}
 	if !contact.Reports.Fenced() {
 		return false // a start sent to an earlier incarnation may reach this one
 	}
 	if run.Session > r.AgentEpoch {
-		return contact.Reports.Incarnations() > 0 // then the epoch is of an earlier incarnation
+		return contact.Reports.Incarnations() > 0 // after a restart, the run's epoch is of an earlier incarnation
 	}
 	if !o.isProbeResponse && run.startResponseSeq != 0 && r.Seq > run.startResponseSeq {
 		run.startResponseSeq = 0
@@ -299,10 +304,11 @@
 	return o.provesEnd(run)
 }
 
-// provesEnd reports whether a report that does not list a run, or that shows a newer epoch, may end the run. This is
-// rare enough to confirm it by a probe: a report that an agent sent before it restarted with numbers from 1 may arrive
-// after newer reports with numbers that are no higher. So the machine is probed, and the response to the probe counts
-// at once. A report counts if it shows a token that was first issued after such a report was received.
+// provesEnd reports whether a report that does not list a run, or that shows a newer epoch, is sufficient evidence that
+// the run has ended. The response to a probe is. Any other report may be older than it seems: a report that an agent
+// sent before it restarted with numbers from 1 may arrive after newer reports whose numbers are no higher. So the first
+// such report only causes a probe, which is affordable because these reports are rare, and raises the token. A later
+// one is sufficient if it shows the raised token.
 func (o *observation) provesEnd(run *Run) bool {
 	if o.isProbeResponse || run.endMinToken != 0 && o.report.FencingToken >= run.endMinToken {
 		return true
--- a/internal/model/reason_history.go
+++ b/internal/model/reason_history.go
@@ -2,7 +2,7 @@
 
 import "fieldhill/internal/scheduling/pending"
 
-// ReasonSince is a pending reason and the time from which it applied, until the next one did.
+// ReasonSince is a pending reason and the time at which it began to apply. It applied until that of the next record.
 type ReasonSince struct {
 	Code  pending.Code
 	Since Time
@@ -22,7 +22,7 @@
 }
 
 // ReasonHistory returns the recorded reasons for which the job has waited, most recent first, as far as this leader has
-// observed them. It includes pending.None, for times at which nothing kept the job from being placed.
+// observed them. It includes pending.None for times at which nothing prevented a placement.
 func (j *Job) ReasonHistory() (history []ReasonSince) {
 	for _, p := range j.Scheduling.reasonHistory {
 		if p.Since == 0 {
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -19,30 +19,31 @@
 	Task      int32
 	Attempt   uint32
 	Machine   *Machine
-	Session   uint64 // agent epoch in which it may be started
-	PlacedSeq uint64 // log sequence number of its placement
+	Session   uint64 // only agent epoch in which the run may be started
+	PlacedSeq uint64 // log sequence number of the placement
 
 	Phase     Phase
 	PlacedAt  Time
-	StartedAt Time // when it was first observed running; 0: never
-	Stop      bool // it is to be stopped
+	StartedAt Time // when the run was first observed running; 0: never
+	Stop      bool // the scheduler wants the run to stop
 	Hard      bool // stop without a checkpoint
-	Inherited bool // placed by an earlier leader, whose commands may be in flight
+	Inherited bool // placed in an earlier term, from which commands may be in flight
 
 	startResponseSeq uint64 // sequence number of the report whose response carried the start; 0: none in flight
-	endMinToken      uint64 // lowest token with which a report that it has ended counts; 0: no such report yet
-	lastListedIn     uint64 // observationCount of its machine when last listed
+	endMinToken      uint64 // lowest token with which a report proves the end; 0: no report has suggested an end
+	lastListedIn     uint64 // observationCount of the machine when a report last listed the run
 }
 
-// IsUnsent reports whether no leader can have sent a start of the run: starts are sent once the placement is committed.
+// IsUnsent reports whether no leader can have sent a start of the run: a start is sent only after the placement is
+// committed.
 func (r *Run) IsUnsent(committed uint64) bool {
 	return r.Phase == Unseen && !r.Inherited && r.PlacedSeq > committed
 }
 
-// IsWanted reports whether the run should continue.
+// IsWanted reports whether the run should continue: it is neither to be stopped nor part of a cancelled job.
 func (r *Run) IsWanted() bool { return !r.Stop && !r.Job.Cancelled }
 
-// runKey identifies an attempt.
+// runKey identifies an attempt of a task.
 type runKey struct {
 	job     JobID
 	task    int32
@@ -51,7 +52,7 @@
 
 func (r *Run) key() runKey { return runKey{r.Job.ID, r.Task, r.Attempt} }
 
-// setPhase sets the phase and updates the counts of running tasks and of runs that wait for an image.
+// setPhase sets the phase, and updates the job's number of running tasks and the machine's pending fetches.
 func (r *Run) setPhase(p Phase) {
 	wasRunning, isRunning := r.Phase >= Running, p >= Running
 	if wasRunning != isRunning {
@@ -82,7 +83,7 @@
 		machine.Reserved.Mem += sign * s.MemoryGB
 	}
 	if len(machine.Runs) == 0 {
-		// Without runs the usage is exactly zero; this removes accumulated rounding errors.
+		// Without runs the usage is zero. Setting it removes accumulated rounding errors.
 		machine.CPUs, machine.GPUs, machine.Mem, machine.Reserved = 0, 0, 0, ReservedResources{}
 	}
 	if t := r.Job.Team; t != nil {
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -32,7 +32,7 @@
 	sectionEnd        = "end"
 )
 
-// ErrUnknownVersion reports a snapshot version that this program does not support.
+// ErrUnknownVersion is returned for a snapshot version that this program does not support.
 var ErrUnknownVersion = errors.New("unknown version")
 
 // CorruptSnapshotError reports a snapshot that cannot be decoded, and the section in which decoding failed.
@@ -41,13 +41,15 @@
 	Err     error
 }
 
+// Error names the section, and the cause.
 func (e *CorruptSnapshotError) Error() string {
-	return fmt.Sprintf("model: snapshot: %s: %v", e.Section, e.Err)
+	return fmt.Sprintf("model: restore snapshot: section %q: %v", e.Section, e.Err)
 }
 
+// Unwrap returns the cause: why the section cannot be decoded.
 func (e *CorruptSnapshotError) Unwrap() error { return e.Err }
 
-// Snapshot encodes the replicated state. Equal states give equal bytes.
+// Snapshot returns the encoded replicated state. Equal states have equal encodings.
 func (m *Model) Snapshot() []byte {
 	b := []byte{lastVersionWithoutIntents}
 	if len(m.Intents) > 0 {
@@ -100,8 +102,8 @@
 
 func (t *machineTable) appendTombstones(b []byte) []byte { return appendStrings(b, t.tombstoneQueue) }
 
-// appendFinals encodes the final states as sorted job IDs, each as the difference to the one before: most take one
-// byte.
+// appendFinals encodes the IDs of the jobs with each final state. The IDs are sorted, and each is stored as the
+// difference to the previous one, so that most take one byte.
 func (t *jobTable) appendFinals(b []byte) []byte {
 	for _, wanted := range []Final{FinalDone, FinalCancelled} {
 		ids := make([]JobID, 0, len(t.Finals))
@@ -133,7 +135,8 @@
 	return b
 }
 
-// appendTasks run-length encodes equal tasks. Placed tasks are encoded one by one.
+// appendTasks encodes the tasks of a job. A sequence of equal tasks is run-length encoded; placed tasks are encoded one
+// by one.
 func appendTasks(b []byte, tasks []Task) []byte {
 	for i := 0; i < len(tasks); {
 		t := &tasks[i]
@@ -200,7 +203,7 @@
 	codec.Reader
 	model   *Model
 	version byte
-	limit   uint64 // upper bound of any count: the length of the snapshot
+	limit   uint64 // upper bound of any decoded count: the length of the snapshot
 	seq     uint64 // log sequence number of the snapshot
 	now     Time
 }
@@ -243,7 +246,7 @@
 func (r *restorer) readTombstones() error {
 	m := r.model
 	n := r.count()
-	m.maxFleetSize = max(m.maxFleetSize, (n+1)/2) // the writer kept twice its largest fleet size
+	m.maxFleetSize = max(m.maxFleetSize, (n+1)/2) // the snapshot has up to twice the largest fleet size of its writer
 	for range n {
 		m.addTombstone(r.String())
 	}
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -2,40 +2,41 @@
 
 import "math"
 
-// This file learns task durations from completions. Owners' estimates are often wrong, on some days mostly in one
-// direction, and a faulty machine may run its tasks much slower than others. Both statistics are observations of the
-// current leader; its successor starts anew.
+// This file estimates task durations and detects slow machines, both from completed tasks. Owners' estimates are often
+// wrong, at times most of them in the same direction, and a faulty machine may run its tasks much slower than others.
+// Both statistics are observations of the current leader and start empty in the next term of another one.
 //
 // Durations are compared as ratios and therefore averaged as logarithms: half as long and twice as long have the same
 // weight. The peers of a task are the other tasks of its job, which share its estimate.
 
-// average is a weighted mean of recent values.
+// average is a weighted mean of values, in which older values may count less.
 type average struct{ weight, mean float64 }
 
-// add adds a value. The limit is the maximum total weight of all values; beyond it older values fade.
+// add adds a value. limit is the maximum total weight of all values. Once it is reached, each new value reduces the
+// weights of the older ones.
 func (a *average) add(value, weight, limit float64) {
 	a.weight = min(a.weight+weight, limit)
 	a.mean += (value - a.mean) * min(1, weight/a.weight)
 }
 
 const (
-	biasWindowJobs = 20.0 // number of jobs of a class over which its bias is averaged
+	biasWindowJobs = 20.0 // total weight, in jobs, over which the bias of a class is averaged
 	biasPriorJobs  = 3.0  // weight of the owners' estimates, in jobs
 	maxBias        = 4.0  // upper limit of the correction factor, and of its inverse
 
-	slowdownWindowTasks = 8.0 // number of tasks over which a machine's slowdown is averaged
-	minComparedTasks    = 4   // completed tasks needed before others are compared with them
-	minComparedJobs     = 2   // jobs that must agree, as the tasks of one job may differ by chance
-	slowFactor          = 1.8 // a machine is slow if its tasks take this many times as long as their peers
-	minTimedDuration    = Time(5e9)
-	slowPeriod          = Time(60e9) // base time without arrays and gangs; doubles with each finding
+	slowdownWindowTasks = 8.0        // number of tasks over which a machine's slowdown is averaged
+	minComparedTasks    = 4          // completed tasks of a job needed before other tasks are compared with them
+	minComparedJobs     = 2          // jobs whose tasks must be slow, as the tasks of one job may differ by chance
+	slowFactor          = 1.8        // a machine is slow if its tasks take this many times as long as their peers
+	minTimedDuration    = Time(5e9)  // shorter tasks are not compared
+	slowPeriod          = Time(60e9) // a slow machine gets only services for this time, doubled with each detection
 	maxSlowDoublings    = 5
 	longSilence         = Time(10e9) // a machine that has been silent for longer may have hung
 )
 
-// durationStats holds the error of the owners' estimates as learned by the current leader.
+// durationStats holds the bias of the owners' estimates as observed by the current leader.
 type durationStats struct {
-	classBias []average // by class: mean logarithm of actual to estimated duration
+	classBias []average // by class: mean logarithm of the ratio of actual to estimated duration
 }
 
 // ExpectedSeconds returns the expected duration of a task of a job in seconds: the owner's estimate, corrected by the
@@ -49,7 +50,8 @@
 	return j.Spec.EstimateS * max(1/maxBias, min(maxBias, factor))
 }
 
-// recordBias updates the bias of a job's class from the duration of one of its tasks.
+// recordBias updates the bias of a job's class with the duration of one of its tasks, given as the logarithm of
+// seconds.
 func (d *durationStats) recordBias(j *Job, logSeconds float64) {
 	if j.Spec.EstimateS <= 0 {
 		return
@@ -61,8 +63,8 @@
 	d.classBias[j.Class].add(logSeconds-math.Log(j.Spec.EstimateS), 1/float64(len(j.Tasks)), biasWindowJobs)
 }
 
-// recordDuration learns from a task that has completed on a machine. It reports whether that shows the machine to be
-// slow.
+// recordDuration updates the statistics with the duration of a task that has completed on a machine. It reports whether
+// the machine is thereby found to be slow.
 func (d *durationStats) recordDuration(machine *Machine, r *Run, now Time) (slow bool) {
 	j := r.Job
 	took := now - r.StartedAt
@@ -83,7 +85,8 @@
 		machine.Health.exceedsSlowFactor()
 }
 
-// recordSlowdown adds the duration of a task relative to its peers, as the logarithm of the ratio.
+// recordSlowdown adds a completed task to the machine's slowdown. logRatio is the logarithm of the ratio of its
+// duration to that of its peers.
 func (h *MachineHealth) recordSlowdown(r *Run, logRatio float64) {
 	if r.StartedAt < h.slowFoundAt {
 		return
@@ -98,16 +101,18 @@
 	}
 }
 
-// exceedsSlowFactor reports whether completed tasks of more than one job took too long on the machine.
+// exceedsSlowFactor reports whether the tasks of several jobs that completed on the machine took slowFactor times as
+// long as their peers on average.
 func (h *MachineHealth) exceedsSlowFactor() bool {
 	return h.slowdownJobs >= minComparedJobs && h.slowdown.mean > math.Log(slowFactor)
 }
 
 // IsSlow reports whether the machine was recently found to be slow. Speed does not matter to services, so the machine
-// keeps its services and may get more, and nothing moves off it.
+// may get further services, and its runs stay.
 func (machine *Machine) IsSlow(now Time) bool { return now < machine.Health.SlowUntil }
 
-// markSlow restricts the machine to services for a while. Afterwards it is tried again, as the cause may have passed.
+// markSlow restricts the machine to services until SlowUntil. After that it gets other tasks again, since the cause may
+// have passed.
 func (h *MachineHealth) markSlow(now Time) {
 	h.slowCount++
 	h.SlowUntil = now + slowPeriod<<min(h.slowCount, maxSlowDoublings)
@@ -118,8 +123,8 @@
 }
 
 // DetectSlow reports whether tasks still running show a machine to be slow: tasks of two jobs have taken much longer
-// than their peers, and no task that started as late as they did has completed in time. Tasks that complete on a slow
-// machine show it as well, but much later.
+// than their peers, and no task that started as late as they did has completed in time. Completed tasks would show that
+// the machine is slow as well, but much later.
 func (d *durationStats) DetectSlow(machine *Machine, now Time) bool { return machine.detectSlow(now) }
 
 func (machine *Machine) detectSlow(now Time) bool {
@@ -144,9 +149,9 @@
 	return true
 }
 
-// isLate reports whether a run has taken much longer than its peers, and its machine has not been cleared since the run
-// started: by a task that completed in time, by an earlier finding that the machine is slow, or by a silence in which
-// it may have hung.
+// isLate reports whether a run has taken much longer than its peers and counts as evidence that its machine is slow. It
+// does not count if, since it started, another task was started on the machine and completed in time, the machine was
+// found to be slow, or the machine was silent for so long that it may have hung.
 func (machine *Machine) isLate(r *Run, now Time) bool {
 	peers := &r.Job.Observed.logDurations
 	if r.Job.Kind != Array || peers.weight < minComparedTasks {
--- a/internal/model/team.go
+++ b/internal/model/team.go
@@ -2,12 +2,12 @@
 
 import "fieldhill/internal/config"
 
-// Team is an owner of jobs, with the resources that its jobs use.
+// Team is a configured team, which owns jobs, with the resources that its jobs use.
 type Team struct {
 	config.Team
 	Index              int     // index in Model.Teams
-	UsedCPUs, UsedGPUs float64 // used by its runs, including those of jobs that are over
-	LiveTasks          int     // tasks of its unfinished jobs that are not completed
+	UsedCPUs, UsedGPUs float64 // used by the runs of its jobs, including cancelled jobs
+	LiveTasks          int     // uncompleted tasks of its live jobs
 }
 
 // teamTable holds the configured teams.
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -5,29 +5,31 @@
 	"fieldhill/wire"
 )
 
-// leaderTerm is the state of a leader's term in its communication with the agents: the term's fencing tokens, from
-// which it follows which of its commands may still be executed.
+// leaderTerm holds the fencing tokens of the current leader's term. The tokens that agents have seen determine which
+// commands may still be executed.
 type leaderTerm struct {
 	// The lowest fencing token of the current term.
 	TermBase uint64
 }
 
-// startTokens holds the tokens of direct starts of an attempt: of the one that awaits its response, and of the last one
-// that got none. 0: none.
+// startTokens holds the fencing tokens of the direct starts of an attempt: that of the start whose response is awaited,
+// and the highest of those that got no response. 0 means that there is no such start.
 type startTokens struct{ pending, unanswered uint64 }
 
-// reapableTask is an attempt that an agent lists but that has no run any more.
+// reapableTask is an attempt that an agent lists although it has no run or has exited, so that the agent must stop or
+// forget it.
 type reapableTask struct {
 	key    runKey
-	exited bool   // it is to be forgotten; otherwise stopped
-	seq    uint64 // log sequence number that must be committed before it is forgotten; 0: not logged yet
+	exited bool   // the attempt has exited and must be forgotten; otherwise it must be stopped
+	seq    uint64 // log sequence number that must be committed before the attempt is forgotten; 0: not logged yet
 }
 
 // Token returns the fencing token with which this leader commands a machine.
 func (t *leaderTerm) Token(machine *Machine) uint64 { return t.TermBase + machine.Contact.TokenOffset }
 
-// RaiseToken raises a machine's token, unless the agent has yet to show the current one. It is used when delivery of
-// responses is uncertain: the report after the next response shows whether that arrived.
+// RaiseToken raises a machine's token, unless the agent has not reported the current token yet. It is used when
+// delivery of responses is uncertain: if the report that follows the next response shows the raised token, the response
+// arrived.
 func (t *leaderTerm) RaiseToken(machine *Machine) {
 	if machine.Contact.Reports.Token() >= t.Token(machine) {
 		machine.Contact.TokenOffset++
@@ -35,15 +37,16 @@
 }
 
 // fenceStart raises a machine's token above that of a start that may be in flight, so that the start is rejected once
-// the agent has seen the new token. This needs no log write, because the low bits of a token belong to the leader.
+// the agent has seen the new token. This needs no log write, because a leader may set the low bits of its tokens
+// freely.
 func (t *leaderTerm) fenceStart(machine *Machine, k runKey) {
 	if u := machine.Contact.unresolvedStarts[k]; u.unanswered >= t.Token(machine) {
 		machine.Contact.TokenOffset++
 	}
 }
 
-// startMayBeInFlight reports whether a direct start of a run may be in flight. If so it raises the machine's token:
-// once the agent has seen the new token it rejects the start, whatever its epoch is by then.
+// startMayBeInFlight reports whether a direct start of a run may be in flight. If so, it raises the machine's token:
+// once the agent has seen the new token, it rejects the start in any epoch.
 func (t *leaderTerm) startMayBeInFlight(machine *Machine, run *Run) bool {
 	_, open := machine.Contact.unresolvedStarts[run.key()]
 	if open {
@@ -52,34 +55,36 @@
 	return open
 }
 
-// BeginProbe records what is known of a machine when a probe or a command is sent to it. Only a report that the agent
-// made in response may be judged by that.
+// BeginProbe returns the newest message received from a machine when a probe or a command is sent to it, for the call
+// of Observe with the agent's response. It must not be passed with any other report.
 func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.Question {
 	return machine.Contact.Reports.Ask()
 }
 
-// StartsSent records that starts are being sent in a direct command.
+// StartsSent records that commands, some of which may be starts, are being sent to a machine directly.
 func (t *leaderTerm) StartsSent(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsSent(commands, token)
 }
 
-// StartsAnswered records that a direct command got a response or was certainly not sent, so this copy is not in flight.
-// An earlier copy without a response may still be, unless its token is lower than the one that the agent has now
-// accepted.
+// StartsAnswered records that direct commands got a response or were certainly not sent, so that they are not in
+// flight. Earlier copies of their starts that got no response may still be in flight, unless the agent has now accepted
+// a higher token.
 func (t *leaderTerm) StartsAnswered(machine *Machine, commands []wire.Command, token uint64, accepted bool) {
 	machine.Contact.startsAnswered(commands, token, accepted)
 }
 
-// StartsLost records that a direct command got no response and may be executed later.
+// StartsLost records that direct commands got no response and may be executed later.
 func (t *leaderTerm) StartsLost(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsLost(commands, token)
 }
 
-// SealReapable records the log sequence number that covers the entries of the last report. The agent may forget exited
-// attempts only after it is committed, because their listing is the evidence for the entries.
+// SealReapable records seq as the log sequence number of the entries that result from the last report. The agent may
+// forget the exited attempts only after that number is committed, because their listing is the evidence for the
+// entries.
 func (t *leaderTerm) SealReapable(machine *Machine, seq uint64) { machine.Contact.sealReapable(seq) }
 
-// ReapPending reports whether an exited attempt cannot be forgotten until the log has been committed further.
+// ReapPending reports whether an exited attempt on the machine cannot be forgotten yet because of entries that are not
+// committed.
 func (t *leaderTerm) ReapPending(machine *Machine, committed uint64) bool {
 	return machine.Contact.reapPending(committed)
 }
@@ -131,7 +136,8 @@
 	})
 }
 
-// fenceBelow drops the starts whose tokens are lower than one that the agent has seen: it rejects them.
+// fenceBelow drops the unresolved starts whose tokens are lower than one that the agent has seen, because the agent
+// rejects them.
 func (c *MachineContact) fenceBelow(seen uint64) {
 	for k, u := range c.unresolvedStarts {
 		if seen > max(u.pending, u.unanswered) {
