--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -11,13 +11,13 @@
 // they may run until then. The cloud's confirmation of a release proves it in any case, and the cloud is not part of
 // any zone. A machine in a partitioned zone is kept until its lease has expired, since its tasks keep running. After
 // that it is released if it runs urgent tasks that may run elsewhere, or low-priority tasks for which there is free
-// capacity elsewhere. Releasing the other machines gains nothing, and they are available again when the partition ends:
-// when all machines of a zone were released, half of them for low-priority tasks that then queued elsewhere, a third of
-// the fleet had to be booted again.
+// capacity elsewhere. Releasing the other machines gains nothing, and they are available again when the partition ends.
+// Releasing all machines of a zone, half of them for low-priority tasks that then only queue elsewhere, can require a
+// third of the fleet to be booted again.
 //
 // An agent ends the tasks of a cancelled job within the permitted time, unless it hangs. A silent machine with such
-// tasks is therefore released before that time is over, even if its zone is partitioned from the leader only, unless
-// the controller in the zone has just heard that none of them is left.
+// tasks is therefore released before that time is over, even if its zone is partitioned from the leader only, unless a
+// controller in the zone has just received a report of the machine that lists no such task.
 //
 // While the cloud is unavailable, it cannot confirm a release, and nothing is released for these reasons: the partition
 // may end first.
@@ -46,13 +46,14 @@
 
 const (
 	// firstHeartbeatGrace extends SilentAfter before an agent's first heartbeat in a term, as the agent may still be
-	// searching for the leader. It does not apply to an agent with tasks and a known address: that is probed as soon
-	// as a leader is elected, and stays silent only if it hangs or is gone.
+	// searching for the leader. It does not apply to an agent with tasks and a known address: such an agent is probed
+	// as soon as a leader is elected, and stays silent only if it hangs or is gone.
 	firstHeartbeatGrace = 6 * time.Second
 	// latenessInterval is the interval of the checks that read all tasks of all machines, and of raising the fencing
 	// tokens in a zone that receives no responses.
 	latenessInterval = 5 * time.Second
-	// minInboundPartitioned is the number of machines without responses from which the rest of the zone is tested too.
+	// minInboundPartitioned is the number of machines without responses in a zone from which on the fencing tokens of
+	// all machines in the zone are raised, to test whether they receive responses.
 	minInboundPartitioned = 2
 	// minSilentInZone is the minimum number of silent machines for a zone to be considered partitioned.
 	minSilentInZone = 3
@@ -69,7 +70,7 @@
 	Reported           bool // a heartbeat was received in this term
 	Occupied           bool // tasks are placed on the machine
 	HasAddr            bool // the agent's address is known
-	Suspect            bool // by a log entry, only the leader may renew the lease
+	Suspect            bool // marked as suspect in the log: only the leader may renew the lease
 	Releasing          bool // the decision to release it is in the log
 	Quarantined        bool
 	InboundPartitioned bool // responses are known not to reach the agent
@@ -77,8 +78,8 @@
 	SilentFor          Time // time since the last message, or since responses are known not to arrive
 }
 
-// hasBeenUp reports whether a machine has ever been up. A suspect machine has been, even if a new leader finds no task
-// on it: otherwise the new leader may release a whole zone as not booted, just as its partition ends.
+// hasBeenUp reports whether a machine is known to have been up. This includes a suspect machine without tasks:
+// otherwise a new leader could release all machines of a zone as not booted, just when the zone's partition ends.
 func (m *Machine) hasBeenUp() bool { return m.Reported || m.Occupied || m.Suspect }
 
 // isLost reports whether a machine that was up has exceeded the permitted silence.
@@ -98,8 +99,8 @@
 type Evidence interface {
 	// CancelledFor returns the time since the earliest cancellation of a job with a task on the machine.
 	CancelledFor() Time
-	// Cleared reports whether a controller that is partitioned from the leader has just heard from the machine that
-	// no task of a cancelled job is left on it.
+	// Cleared reports whether another controller has just received a report of the machine that lists no task of a
+	// cancelled job.
 	Cleared() bool
 	// LeaseExpired reports whether the lease of a suspect machine has certainly expired.
 	LeaseExpired() bool
@@ -116,11 +117,11 @@
 // ActionKind is the type of an action on a machine.
 type ActionKind uint8
 
-// The kinds of action.
+// Kinds of actions.
 const (
 	RaiseToken      ActionKind = iota + 1 // raise the fencing token: the next heartbeat shows whether responses arrive
 	Probe                                 // request the agent's status
-	MarkPartitioned                       // place nothing on the machine until it is heard from again
+	MarkPartitioned                       // place nothing on the machine until a message from it arrives
 	MarkSuspect                           // let the lease expire
 	Release                               // release the machine to the cloud
 )
@@ -128,7 +129,7 @@
 // ReleaseReason is the reason for a release, as it is logged.
 type ReleaseReason string
 
-// The release reasons.
+// Reasons for a release.
 const (
 	HeartbeatsMissing ReleaseReason = "heartbeats missing"
 	Quarantined       ReleaseReason = "quarantined"
@@ -192,7 +193,7 @@
 func (r *Round) QueriesPartitions() bool { return r.queriesPartitions }
 
 // ReleasesUnbooted reports whether machines of a zone that did not boot in time are released. In a partitioned zone
-// they may be up without being heard from.
+// such machines may be up although no message from them arrives.
 func (r *Round) ReleasesUnbooted(zone int32) bool { return !r.isPartitioned(zone) }
 
 func (r *Round) isPartitioned(zone int32) bool { return r.now < r.detector.partitionedUntil[zone] }
@@ -201,7 +202,7 @@
 func (r *Round) Judge(m *Machine, evidence Evidence) []Action {
 	var actions []Action
 	if r.checksLateness && m.Reported && r.census.inboundPartitioned(m.Zone) >= minInboundPartitioned {
-		actions = append(actions, Action{Kind: RaiseToken}) // likely to receive no responses either
+		actions = append(actions, Action{Kind: RaiseToken}) // this machine likely receives no responses either
 	}
 	if m.Releasing {
 		return actions
@@ -247,7 +248,8 @@
 }
 
 // neededElsewhere reports whether a machine's tasks are to continue in another zone now. Urgent tasks always are, since
-// capacity is freed for them; low-priority tasks only if they fit into the resources that this round has left.
+// capacity is freed for them; low-priority tasks only if they fit into the free resources that earlier decisions of
+// this round have not used.
 func (r *Round) neededElsewhere(zone int32, evidence Evidence) bool {
 	urgent, low := evidence.MovableWork()
 	if urgent || low.CPUs == 0 && low.GPUs == 0 {
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -13,12 +13,13 @@
 
 type zoneCount struct {
 	up                 int // machines that were up
-	silent             int // of these, the ones that missed a heartbeat or don't receive responses
-	inboundPartitioned int // of these, the ones that don't receive responses
+	silent             int // of the machines that were up, those that missed a heartbeat or don't receive responses
+	inboundPartitioned int // of the silent machines, those that don't receive responses
 }
 
 // Add counts a machine. A single missed heartbeat makes a machine silent here: when the first machine of a partitioned
-// zone reaches SilentAfter, every other one has missed a heartbeat too, and outside a partition few have.
+// zone reaches SilentAfter, every other machine of the zone has missed a heartbeat too. Without a partition few
+// machines have.
 func (c *Census) Add(rules *Rules, m *Machine) {
 	if !m.hasBeenUp() {
 		return
@@ -80,21 +81,21 @@
 	return max(time.Second, config.Seconds(12*r.HeartbeatS/float64(machines)))
 }
 
-// Reach is a leader's observation of its own connectivity.
+// Reach describes from whom a leader receives messages.
 type Reach struct {
 	SinceHeartbeat Time // time since the last heartbeat of any machine
-	SinceGrace     Time // time since the machines' grace period for finding this leader ended; negative: until then
+	SinceGrace     Time // time since the machines' grace period for finding this leader ended; negative before that
 	PeerReachable  bool // another controller responds
 }
 
 // IsolationAction is a leader's reaction to its own isolation.
 type IsolationAction uint8
 
-// The isolation actions.
+// Reactions of a leader to its isolation.
 const (
 	NotIsolated   IsolationAction = iota // not isolated, or not yet known to be
 	ProbeMachines                        // most heartbeats are missing: probe some machines (ProbeStride)
-	Resign                               // probes had no response either: let another controller lead
+	Resign                               // most heartbeats are missing after probes too: let another controller lead
 )
 
 // CheckIsolation detects that the machines of all zones are silent at once and don't respond to probes, while another
@@ -102,7 +103,7 @@
 // it stayed the leader.
 func (d *Detector) CheckIsolation(rules *Rules, census *Census, reach Reach, now Time) IsolationAction {
 	total, silent := census.Totals()
-	minZones := min(2, rules.Zones) // a single zone cannot tell its partition from the leader's isolation
+	minZones := min(2, rules.Zones) // from one zone alone, its partition cannot be told from the leader's isolation
 	nothingReceived := total >= minIsolationMachines && len(census.zones) >= minZones &&
 		reach.SinceHeartbeat > rules.silenceLimit(total)
 	mostSilent := silent >= minIsolationMachines && silent*10 >= total*9 && census.zonesWithSilent() >= minZones
@@ -122,8 +123,8 @@
 	return Resign
 }
 
-// OnStall restarts the isolation detection after the leader's process stalled: messages that arrived meanwhile are yet
-// to be read.
+// OnStall restarts the isolation detection after the leader's process stalled, because messages that arrived during the
+// stall have not been read yet.
 func (d *Detector) OnStall() { d.missingSince = 0 }
 
 // ProbeStride returns n such that every n-th machine is probed when most heartbeats are missing.
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -6,8 +6,8 @@
 // granted. When a leader has marked a machine suspect in the log, it queries the other controllers. A controller that
 // has applied that log entry no longer renews the machine's lease, and reports when it last did. Once all have
 // reported, the lease ends at most one lease duration after the latest of these times. If a controller cannot be
-// reached, only the bound for an arbitrary controller applies: the time for which it renews leases without access to
-// the log, plus one lease duration.
+// reached, the lease ends only after the time for which a controller may renew leases without access to the log, plus
+// one lease duration.
 package lease
 
 import (
@@ -25,14 +25,14 @@
 // Time is monotonic time since the process started.
 type Time = time.Duration
 
-// maxEntries bounds the size of a table. It exceeds the size of a fleet; a table that reaches it is reset, as after a
-// restart of the process.
+// maxEntries bounds the number of machines in a table. It exceeds the size of a fleet. A table that would exceed it is
+// cleared, as if the process had restarted.
 const maxEntries = 20_000
 
 // maxAgeMilliseconds bounds decoded ages to one year.
 const maxAgeMilliseconds = 365 * 24 * 3600 * 1000
 
-// Allowance of Expired on top of the lease duration: a fraction of it for clock drift, and a fixed margin.
+// Allowance of Expired on top of the lease duration: a fraction of that duration for clock drift, and a fixed margin.
 const (
 	driftDivisor = 500 // 0.2 %: four times the maximum clock drift of 0.05 %
 	expiryMargin = time.Second
@@ -91,8 +91,8 @@
 }
 
 // Report returns the report on a zone's machines as of now, encoded in at most maxBytes. Exact ages matter only for
-// suspect machines, so these take precedence, followed by the most recently renewed ones. retention is how long the
-// controller keeps records of renewals.
+// suspect machines, so these take precedence, followed by the other machines in order of their last renewal, most
+// recent first. retention is how long the controller keeps records of renewals.
 func (r *RenewalTable) Report(suspects, others []string, now, retention Time, maxBytes int) RenewalReport {
 	age := now - r.knownSince
 	entries := make([]reportEntry, 0, len(suspects)+len(others))
@@ -210,8 +210,9 @@
 	lastRenewals []Time // indexed by controller; -1: has not reported
 }
 
-// Record stores the last renewal by a controller that has applied the suspicion. controller is its index among the
-// others. Only the first report of each controller counts.
+// Record stores the time of the last renewal by a controller that has applied the log entry marking the machine as
+// suspect. controller is its index among the other controllers, whose number is others. Only the first report of each
+// counts.
 func (p *ExpiryProof) Record(controller, others int, last Time) {
 	if len(p.lastRenewals) != others {
 		p.lastRenewals = make([]Time, others)
@@ -224,8 +225,8 @@
 	}
 }
 
-// CountsFrom returns the latest possible start of the lease, given this controller's own last renewal. It is complete
-// only once all other controllers have reported.
+// CountsFrom returns the latest possible start of the lease, given this controller's own last renewal. Until all other
+// controllers have reported, complete is false and start is 0.
 func (p *ExpiryProof) CountsFrom(others int, ownRenewal Time) (start Time, complete bool) {
 	if len(p.lastRenewals) != others {
 		return 0, others == 0
@@ -240,7 +241,7 @@
 	return start, true
 }
 
-// IsMissing reports whether a controller has yet to report.
+// IsMissing reports whether the controller with the given index has not reported yet.
 func (p *ExpiryProof) IsMissing(controller, others int) bool {
 	return len(p.lastRenewals) != others || p.lastRenewals[controller] < 0
 }
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -22,7 +22,8 @@
 }
 
 const (
-	// maxTasks and maxCommands bound the decoded lists; a heartbeat of 64 KiB holds fewer.
+	// maxTasks and maxCommands bound the lengths of decoded lists. A heartbeat or a command message of 64 KiB holds
+	// fewer items.
 	maxTasks    = 4096
 	maxCommands = 4096
 )
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -15,21 +15,21 @@
 const Leader = 0
 
 const (
-	// Spreading ends below this fraction of the threshold at which it starts. The hysteresis keeps it from toggling
-	// with every machine.
+	// Spreading ends below this fraction of the threshold at which it starts. Without this hysteresis, single machines
+	// that come and go could toggle it.
 	spreadingEndNumerator, spreadingEndDenominator = 4, 5
 	// A controller may exceed its fair share by a fraction of 1/slackDivisor, and at least by minSlack agents, before
 	// agents are moved away.
 	slackDivisor = 8
 	minSlack     = 4
 	// No agents are redirected to a controller for minPause after a redirected agent reported through another one,
-	// since agents may be unable to reach it. The pause doubles, up to maxPause, until a redirected agent reports
-	// through it.
+	// since agents may be unable to reach that controller. Each further such report doubles the pause, up to maxPause,
+	// until a redirected agent reports through the controller.
 	minPause = 10 * time.Second
 	maxPause = 160 * time.Second
 )
 
-// assignment is the controller that terminates an agent's connection.
+// assignment assigns an agent to the controller that terminates its connection.
 type assignment struct {
 	controller int
 	lastReport Time
@@ -40,7 +40,7 @@
 type Table struct {
 	assignments map[string]assignment
 	counts      []int
-	lastPause   []Time // by controller: length of the last pause; 0 once an agent reached it
+	lastPause   []Time // by controller: length of the last pause; 0 once a redirected agent reached the controller
 	pausedUntil []Time // by controller: end of the last pause
 	spreading   bool
 }
@@ -92,7 +92,8 @@
 
 // Redirect decides whether a machine that reports through a controller is redirected to another one. open reports
 // whether a follower accepts more agents; it is called only while agents are spread, and never for the leader, which
-// always accepts. The machine counts towards its new controller at once, so that no more are redirected than needed.
+// always accepts. A redirected machine counts towards its new controller at once, so that no more machines are
+// redirected than needed.
 func (t *Table) Redirect(machine string, controller int, open func(int) bool, now Time) (to int, redirect bool) {
 	if !t.spreading {
 		return Leader, controller != Leader
--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -1,23 +1,25 @@
 // Package staleness determines whether an agent's message reflects its current state, and whether responses reach the
-// agent. It performs no I/O: it evaluates sequence numbers and fencing tokens only. Any use of a heartbeat's contents
-// requires its verdict first.
+// agent. It performs no I/O: it evaluates sequence numbers and fencing tokens only. The contents of a heartbeat must
+// not be used before its verdict is known.
 //
 // An agent's messages carry an epoch, a sequence number, and the highest fencing token that the agent has seen, none of
-// which decreases while the agent runs. Duplicates of heartbeats may arrive late, by seconds to well over a lease
-// duration. Machines may return under the same name within a fraction of a second, and the protocol does not specify
-// whether their numbers then continue or restart at 1. A newly elected leader knows no numbers at all. A heartbeat on
-// its own may therefore be of any age:
+// which decreases while the agent runs. Duplicates of heartbeats may arrive seconds to well over a lease duration late.
+// Machines may return under the same name within a fraction of a second, and the protocol does not specify whether the
+// epochs and sequence numbers of their agents then continue or restart at 1. A newly elected leader knows no numbers at
+// all. A heartbeat on its own may therefore be of any age:
 //
 //   - A heartbeat with a lower number or token is a duplicate, was reordered, or comes from an agent that has
 //     restarted. It proves nothing, and the machine is probed.
 //   - The first heartbeat of a term proves nothing either, unless it carries a token of the term, which the agent can
 //     only have received from this leader.
-//   - The response to a probe was sent after the probe. If its number or token is lower than what was received before
-//     the probe was sent, the agent has restarted, and its earlier tasks have ended. From then on only heartbeats with
-//     a token issued later are accepted, since duplicates from the earlier incarnation have higher numbers.
+//   - The response to a probe was sent after the probe. If its number or token is lower than that of a message received
+//     before the probe was sent, the agent has restarted, and its earlier tasks have ended. From then on only
+//     heartbeats with a token issued later are accepted, since duplicates from the earlier incarnation have higher
+//     numbers.
 //
-// An agent that received the response to a heartbeat includes the response's token in the next one; otherwise the
-// response was lost. Raising the token costs nothing, so two further heartbeats settle any doubt.
+// An agent that received the response to a heartbeat includes the response's token in the next heartbeat; otherwise the
+// response was lost. A leader may raise the token at any time, so that two further heartbeats show whether responses
+// reach the agent.
 package staleness
 
 // Number orders an agent's messages by epoch, and within an epoch by sequence number.
@@ -40,12 +42,12 @@
 // Freshness is the verdict on a message.
 type Freshness uint8
 
-// The verdicts.
+// Verdicts on a message.
 const (
 	Stale     Freshness = iota // not proven current: the machine is to be probed
 	Unproven                   // not proven current: the first message of a term, which may be a late duplicate
 	Fresh                      // newer than all messages received before
-	Restarted                  // the agent restarted after all messages received before
+	Restarted                  // the agent restarted after it sent the messages received before
 )
 
 // Question is the state of a Tracker when a probe was sent.
@@ -88,29 +90,29 @@
 	return Fresh
 }
 
-// Accept records a message that is Fresh or Restarted, and reports whether it proves that a response arrived. fence is
-// the lowest token that has not been issued yet, and is used if the agent restarted. isHeartbeat is false for a probe
-// response.
+// Accept records a message that is Fresh or Restarted, and reports whether the message proves that a response arrived.
+// fence is the lowest token that has not been issued yet. After a restart, heartbeats with a lower token are stale.
+// isHeartbeat is false for a probe response.
 func (t *Tracker) Accept(stamp Stamp, freshness Freshness, fence uint64, isHeartbeat bool) (acknowledged bool) {
 	if freshness == Restarted {
 		t.incarnations++
 		t.fence, t.lastResponse = fence, Stamp{}
 	}
-	awaitingToken := t.lastResponse.Token > t.newest.Token // the agent did not have the token before
+	awaitingToken := t.lastResponse.Token > t.newest.Token // the agent has not shown the token of the last response yet
 	t.newest, t.known = stamp, true
 	switch {
 	case !awaitingToken:
 	case stamp.Token >= t.lastResponse.Token:
 		t.unacknowledged, acknowledged = 0, true
 	case isHeartbeat && stamp.After(t.lastResponse.Number):
-		// An agent waits for the response for a while before it sends the next heartbeat, so that the response cannot
-		// still be in transit.
+		// An agent sends the next heartbeat only after it has received the response or stopped waiting for it, so the
+		// response cannot still be in transit.
 		t.unacknowledged++
 	}
 	return acknowledged
 }
 
-// RecordAnswer records that the response to the last accepted heartbeat carries the token.
+// RecordAnswer records that the response to the last accepted heartbeat carries the given token.
 func (t *Tracker) RecordAnswer(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
 
 // Number returns the number of the newest message.
@@ -119,7 +121,7 @@
 // Token returns the highest token that the agent is known to have.
 func (t *Tracker) Token() uint64 { return t.newest.Token }
 
-// Fenced reports whether the agent has a token that makes it reject everything sent to an earlier incarnation.
+// Fenced reports whether the agent has a token that makes it reject all commands sent to an earlier incarnation.
 func (t *Tracker) Fenced() bool { return t.newest.Token >= t.fence }
 
 // OneWay reports whether responses do not reach the agent although its heartbeats arrive.
--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -28,7 +28,7 @@
 
 // Error names the task and the machine.
 func (e *InvalidPlacementError) Error() string {
-	return fmt.Sprintf("model: place task %d/%d on machine %d: unknown task or machine, or task cancelled or not waiting",
+	return fmt.Sprintf("model: place task %d/%d on machine %d: unknown task or machine, or task not waiting",
 		e.Job, e.Task, e.Machine)
 }
 
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -19,14 +19,15 @@
 type Client struct {
 	transport *msgpackhttp.Client
 	timeout   time.Duration
-	slots     chan struct{} // commands in flight
+	slots     chan struct{} // holds an element for each command in flight
 }
 
 // New returns a client. A command without a response fails after the timeout, and may still be executed later.
 //
 // conns bounds the connections: half of them may be idle, and half may carry commands at the same time. The client must
-// not use up the sockets of the process when a thousand machines get work at once, or when hundreds do not respond.
-// Probes come on top, and close idle connections if the total would exceed the bound.
+// not use up the sockets of the process when a thousand machines get work at once, or when hundreds do not respond. The
+// number of probes is not limited, but a probe closes all idle connections if there would be more than conns
+// connections otherwise.
 func New(network host.Net, timeout time.Duration, conns int) *Client {
 	c := &Client{timeout: timeout, slots: make(chan struct{}, max(1, conns/2))}
 	counted := &countingNetwork{Net: network, maxOpen: int64(conns), closeIdle: c.Close}
@@ -56,7 +57,7 @@
 	return &countingConn{Conn: c, net: n}, nil
 }
 
-// countingConn is counted until it is closed for the first time.
+// countingConn is a connection that its network counts until the first call of Close.
 type countingConn struct {
 	net.Conn
 	net  *countingNetwork
@@ -69,8 +70,8 @@
 	return c.Conn.Close()
 }
 
-// slotTimeout is how long a command waits while too many others are in flight. After that, it is left to the response
-// to the agent's next heartbeat.
+// slotTimeout is how long a command waits while too many others are in flight. After that it is not sent, and the agent
+// gets it in the response to its next heartbeat instead.
 const slotTimeout = 500 * time.Millisecond
 
 // ErrTooManyInFlight is returned for a command that was not sent because too many others are awaiting responses.
@@ -82,7 +83,7 @@
 // CommandFate is the outcome of a direct command.
 type CommandFate int
 
-// The outcomes of a command. The numbers are part of the format between controllers.
+// Outcomes of a direct command. The numbers are part of the wire format between controllers.
 const (
 	Executed CommandFate = iota
 	Refused              // rejected, for example because of its fencing token or agent epoch: nothing was executed
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -18,12 +18,12 @@
 const (
 	maxConns    = 4
 	dialTimeout = 2 * time.Second
-	// callTimeout includes the wait for the request budget.
+	// callTimeout bounds each request, including the wait for the budget.
 	callTimeout      = 8 * time.Second
 	maxResponseBytes = 1 << 20
 )
 
-// Client is a client of the cloud.
+// Client sends requests to the cloud's API, within a budget of requests per second.
 type Client struct {
 	transport *msgpackhttp.Client
 	addr      string
@@ -65,12 +65,13 @@
 	return names.Machines, err
 }
 
-// Release returns machines to the cloud. Once it succeeds, they and everything on them are gone.
+// Release returns machines to the cloud. Once it returns without an error, the machines and everything on them are
+// gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, wire.PathRelease, &wire.MachineNames{Machines: names}, nil)
 }
 
-// ListMachines returns all machines. It reads the list page by page.
+// ListMachines returns all machines in the cloud's listing, which it reads page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	after := ""
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Net is a network on which a process listens and dials.
+// Net is the network of a process. Listen and Dial correspond to net.Listen and net.Dialer.DialContext for TCP.
 type Net interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error)
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -31,13 +31,13 @@
 	maxUserReads = 3
 )
 
-// Client is a client of the key-value store.
+// Client sends requests to the key-value store, within a budget of requests per second.
 type Client struct {
 	transport       *msgpackhttp.Client
 	addr            string
 	budget          *rate.Limiter
-	userBudget      *rate.Limiter // the part of budget that is available to user requests
-	userSlots       chan struct{} // reads for user requests in flight
+	userBudget      *rate.Limiter // additional limit for user requests, which use budget too
+	userSlots       chan struct{} // holds an element for each read for a user request in flight
 	txnLatencyNanos atomic.Int64  // moving average of the latency of transactions
 }
 
@@ -70,7 +70,7 @@
 	return read(ctx)
 }
 
-// request is one call. operation describes it in errors.
+// request is a request to the store. operation describes it in errors.
 type request struct {
 	operation    string
 	method, path string
@@ -78,7 +78,7 @@
 	timeout      time.Duration
 }
 
-// do sends a request once the budget permits it.
+// do waits until the budget permits a request, and sends the request.
 func (c *Client) do(ctx context.Context, r request) error {
 	if err := c.budget.Wait(ctx); err != nil {
 		return fmt.Errorf("kvstore: %s: %w", r.operation, err)
@@ -140,7 +140,8 @@
 }
 
 // TxnLatency returns a moving average of the store's response time to transactions. It excludes the wait for the budget
-// of this node: callers send additional writes while the store is slow, and an exhausted budget must not cause these.
+// of this node: callers send additional writes while the store is slow, and an exhausted budget must not cause such
+// writes.
 func (c *Client) TxnLatency() time.Duration { return time.Duration(c.txnLatencyNanos.Load()) }
 
 // Grant creates a lease and returns its ID.
@@ -169,8 +170,8 @@
 	})
 }
 
-// Follow waits for up to hold for changes under a prefix after a revision. A status error with code 410 means that the
-// store no longer has them.
+// Follow returns the changes under a prefix after the revision after, and waits for up to hold if there are none. A
+// status error with code 410 means that the store no longer has all changes after that revision.
 func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
 	query := url.Values{"starts": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
 	var events wire.Events
--- a/internal/platform/msgpackhttp/msgpackhttp.go
+++ b/internal/platform/msgpackhttp/msgpackhttp.go
@@ -16,13 +16,13 @@
 	"fieldhill/wire"
 )
 
-// StatusError is returned for a response with a status other than 200.
+// StatusError is the error for a response with a status other than 200. It holds the status code and the response body.
 type StatusError struct {
 	Code int
 	Body []byte
 }
 
-// Error implements error.
+// Error names the status code.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
 
 // StatusCode returns the HTTP status of a StatusError in the chain of err, or 0 if there is none.
@@ -37,7 +37,7 @@
 // ErrTooLarge is returned for a response that exceeds the caller's limit.
 var ErrTooLarge = errors.New("response too large")
 
-// IsUnsent reports whether a request was certainly not sent, because the connection could not be established.
+// IsUnsent reports whether err shows that a request was certainly not sent, because no connection could be established.
 func IsUnsent(err error) bool {
 	var target unsentError
 	return errors.As(err, &target)
@@ -46,7 +46,7 @@
 // unsentError marks an error as a failure to connect.
 type unsentError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the failed connection attempt.
 func (e unsentError) Unwrap() error { return e.error }
 
 // Client sends requests to any number of hosts and reuses connections.
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // errors don't matter once the body was read
+	defer func() { _ = resp.Body.Close() }() // an error is irrelevant once the body was read
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return err
