--- a/internal/agents/health/health_test.go
+++ b/internal/agents/health/health_test.go
@@ -14,7 +14,7 @@
 	CancelPatience: 60 * time.Second, Zones: 3,
 }
 
-// fakeEvidence is Evidence with fixed values.
+// fakeEvidence implements Evidence with fixed values.
 type fakeEvidence struct {
 	cancelledFor                          Time
 	cleared, leaseExpired, urgent, zoneUp bool
@@ -52,11 +52,11 @@
 	partitionActions             = []Action{probe, markPartitioned, raiseToken}
 )
 
-// makeSuspectButHeard makes a machine suspect that was just heard from, by a message that does not clear the suspicion
-// yet.
+// makeSuspectButHeard marks a machine as suspect although a message from it has just arrived. This is the state until
+// the log entry that clears the suspicion is applied.
 func makeSuspectButHeard(m *Machine) { m.Suspect, m.SilentFor = true, 0 }
 
-// TestJudge judges one machine among three others of its zone. Each case modifies a healthy machine with tasks.
+// TestJudge checks the actions on one machine in a zone of four. Each case modifies a healthy machine with tasks.
 func TestJudge(t *testing.T) {
 	const lost, overdue = 9 * time.Second, 61 * time.Second
 	for _, test := range []struct {
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestFreeResourcesAreUsedOnce checks that the same free resources elsewhere are not counted for low-priority tasks of
-// several machines.
+// TestFreeResourcesAreUsedOnce checks that free resources in other zones are not counted twice for the low-priority
+// tasks of several machines.
 func TestFreeResourcesAreUsedOnce(t *testing.T) {
 	machines := machinesInZone(3, time.Second)
 	evidence := &fakeEvidence{leaseExpired: true, low: Room{CPUs: 2}, free: Room{CPUs: 5}}
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestCheckIsolation checks that a leader resigns only if nearly all machines are silent, in two zones, while another
-// controller is reachable, and that they still are after a time for probes.
+// TestCheckIsolation checks that a leader resigns only if nearly all machines of at least two zones are silent while
+// another controller is reachable, and if this is still so after the time for probes.
 func TestCheckIsolation(t *testing.T) {
 	fleet := func(silentFor Time, zones int32) *Census {
 		machines := slices.Concat(machinesInZone(4, silentFor), machinesInZone(4, silentFor))
@@ -199,7 +199,7 @@
 	}
 }
 
-// TestJudgeAgainstModel judges random fleets for some rounds, and compares the actions with those of referenceRound.
+// TestJudgeAgainstModel checks that the actions on random fleets over several rounds equal those of referenceRound.
 func TestJudgeAgainstModel(t *testing.T) {
 	seen := map[Action]int{}
 	for seed := range uint64(2000) {
--- a/internal/agents/lease/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -9,14 +9,15 @@
 	"fieldhill/internal/golden"
 )
 
-// TestGoldenReport checks the wire format of the response to OpRenewed against the stored files.
+// TestGoldenReport checks the wire format of the response to rpc.OpRenewals against the stored files.
 func TestGoldenReport(t *testing.T) {
 	encode := func(r RenewalReport) []byte { return r.Append(nil) }
 	none := RenewalReport{Age: time.Hour, RenewalAges: map[string]Time{}}
 	golden.RoundTrip(t, "word-none.hex", none, encode, ReadReport)
 	one := RenewalReport{Age: 2 * time.Second, RenewalAges: map[string]Time{"host-1": 1500 * time.Millisecond}}
 	golden.RoundTrip(t, "word-one.hex", one, encode, ReadReport)
-	// The order of machines is not part of the format, so the file stands for a received report.
+	// The order of machines is not part of the format. So the report decoded from the file is compared, and only the
+	// length of the encoded one.
 	several := RenewalReport{Age: 3 * time.Second,
 		RenewalAges: map[string]Time{"host-1": 0, "host-22": time.Millisecond, "h3": time.Minute}}
 	if golden.Updating() {
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -15,9 +15,8 @@
 	return from + time.Duration(rapid.IntRange(0, int((to-from)/time.Millisecond)).Draw(rt, name))*time.Millisecond
 }
 
-// TestLeaseNeverExpiresEarly compares the proof with a simple model: controllers renew a lease and restart at random
-// times, and are queried at random times; their reports arrive with a delay. The lease must never be considered expired
-// before it is.
+// TestLeaseNeverExpiresEarly checks that a lease is never considered expired too early. Controllers renew the lease and
+// restart at random times, they are queried at a random time, and their reports arrive late or not at all.
 func TestLeaseNeverExpiresEarly(t *testing.T) {
 	const lease, retention = 24 * time.Second, 48 * time.Second
 	const others = 2
@@ -25,7 +24,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		last := time.Duration(0) // last renewal by any controller
 		var proof ExpiryProof
-		// By then all controllers have applied the suspicion, and none renews the lease any more.
+		// At queriedAt all controllers have applied the log entry that marks the machine as suspect, after which none
+		// of them renews the lease.
 		queriedAt := drawDuration(rt, "queried at", 60*time.Second, 100*time.Second)
 		for i := range others {
 			table, renewed := drawTable(rt, queriedAt)
@@ -73,7 +73,7 @@
 	return table, last
 }
 
-// largeZone is a zone with more machines than fit into a frame, with a table of their renewals.
+// largeZone is a zone with more machines than fit into a report, with a table of their renewals.
 type largeZone struct {
 	table            *RenewalTable
 	suspects, others []string
@@ -104,9 +104,9 @@
 	return zone
 }
 
-// TestTruncatedReportIsConservative checks reports that are limited to fewer bytes than the zone needs. They keep to
-// the limit, give no machine an earlier last renewal than the unlimited report does, and are exact for suspect machines
-// that fit.
+// TestTruncatedReportIsConservative checks reports that are limited to fewer bytes than the zone needs. Such a report
+// must keep to the limit, must not give any machine an earlier last renewal than the unlimited report does, and must be
+// exact for suspect machines if all of them fit.
 func TestTruncatedReportIsConservative(t *testing.T) {
 	const maxBytes, maxExactSuspects = 79 << 10, 3000
 	rapid.Check(t, func(rt *rapid.T) {
@@ -131,7 +131,7 @@
 			}
 		}
 		if len(limited.RenewalAges) == len(zone.suspects)+len(zone.others) {
-			rt.Fatal("report lists all machines: limit has no effect")
+			rt.Fatal("truncated report lists all machines, want fewer")
 		}
 	})
 }
@@ -140,7 +140,8 @@
 	return r.LastRenewal(machine, zoneNow, zoneRetention)
 }
 
-// checkTruncated compares a machine's last renewal in a truncated report with the exact one, and with the decoded one.
+// checkTruncated compares a machine's last renewal in a truncated report with that in the unlimited report, and with
+// that in the decoded truncated report.
 func checkTruncated(rt *rapid.T, name string, unlimited, limited, decoded RenewalReport) {
 	reported, exact := lastRenewalInZone(limited, name), lastRenewalInZone(unlimited, name)
 	if reported < exact {
@@ -154,6 +155,7 @@
 	}
 }
 
+// TestReportEncodingIsDeterministic checks that machines are encoded in the order of their names.
 func TestReportEncodingIsDeterministic(t *testing.T) {
 	table := NewRenewalTable(0)
 	names := []string{"c", "a", "e", "b", "d"}
@@ -179,10 +181,10 @@
 	proof.Record(1, 2, 9*time.Second)
 	proof.Record(1, 2, time.Second)
 	if from, complete := proof.CountsFrom(2, 7*time.Second); !complete || from != 9*time.Second {
-		t.Errorf("lease starts at %v, complete %v", from, complete)
+		t.Errorf("got start %v, complete %v; want 9s, true", from, complete)
 	}
 	if from, complete := (&ExpiryProof{}).CountsFrom(0, 7*time.Second); !complete || from != 7*time.Second {
-		t.Errorf("single controller: lease starts at %v, complete %v", from, complete)
+		t.Errorf("single controller: got start %v, complete %v; want 7s, true", from, complete)
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 2, 1, 'm', 3}, {5, 0, 7}} {
 		if _, err := ReadReport(b); err == nil {
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestTableMatchesModel compares the table with a reference model under random heartbeats, silent machines and
-// controllers that do not accept agents. The counts must match, and no agent may be redirected to a closed controller
-// or to one with no fewer agents.
+// controllers that do not accept agents. The numbers of agents by controller must match. Agents must be redirected only
+// to controllers that accept agents and have fewer agents.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := rapid.IntRange(1, 5).Draw(t, "controllers")
@@ -40,14 +40,14 @@
 	})
 }
 
-// referenceTable is a table with a simple model of its expected contents.
+// referenceTable is a Table together with a simple model of its expected contents.
 type referenceTable struct {
 	table        *Table
 	controllerOf map[string]int
 	lastReport   map[string]Time
 }
 
-// report lets a machine report through a controller, and checks the redirection.
+// report records that a machine reported through a controller, and checks whether and where the table redirects it.
 func (r *referenceTable) report(t *rapid.T, machine string, controller int, open []bool, now Time) {
 	r.table.RecordReport(machine, controller, now)
 	r.controllerOf[machine], r.lastReport[machine] = controller, now
@@ -84,8 +84,9 @@
 	}
 }
 
-// TestTableBalances checks that agents that all connect to the leader at once are spread within one heartbeat each,
-// that balanced agents stay, and that agents return to the leader once the cell is small.
+// TestTableBalances checks that agents that all connect to the leader are spread over the controllers within one
+// heartbeat of each agent, that agents are not redirected once the controllers are balanced, and that agents return to
+// the leader when the cell has become small.
 func TestTableBalances(t *testing.T) {
 	table, open := NewTable(3), func(int) bool { return true }
 	table.UpdateSpreading(3000, 2000)
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -4,6 +4,7 @@
 
 func newStamp(epoch, seq, token uint64) Stamp { return Stamp{Number{epoch, seq}, token} }
 
+// TestJudge checks the verdict on a message, given the messages that were received before it.
 func TestJudge(t *testing.T) {
 	const termBase = 100
 	newTracker := func(stamps ...Stamp) *Tracker {
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestOvertakenProbeResponse checks that a probe response that was overtaken by a later heartbeat is stale, and no
-// proof of a restart.
+// TestOvertakenProbeResponse checks that a probe response that was overtaken by a later heartbeat is stale, and does
+// not count as proof of a restart.
 func TestOvertakenProbeResponse(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -15,11 +15,13 @@
 // The tests in this file explore, in every order, the messages that one machine's agent and its leaders can exchange:
 // reports and delayed copies of them; probes; commands (start, stop, reap) that are late or lost; a task that ends by
 // itself; an agent that restarts under its name, with numbers that continue or restart at 1; a lease expiry; and a new
-// leader while commands of the old one are in flight. The model and its evaluation of reports are the production code.
+// leader while commands of the old one are in flight. The agent and the network are simulated; the leader's state and
+// its evaluation of reports are the production code.
 //
-// A command in flight to an earlier incarnation ends with its connection; the new incarnation never receives it.
+// A command in flight to an earlier incarnation of the agent is lost when the agent's connections close; the new
+// incarnation never receives it.
 
-// mutation is a fault that is injected into the protocol, which the exploration must detect.
+// mutation is a fault that a test injects into the protocol and that the exploration must detect.
 type mutation int
 
 const (
@@ -29,8 +31,8 @@
 	responseNotAwaited     // a start in flight in the response to a report is ignored
 	unansweredStartIgnored // a direct start without a response counts as never sent
 	anySessionTrusted      // the epoch of any report ends the runs of lower epochs
-	// A relay that has responded to a report itself forwards the leader's later response to the agent, whatever the
-	// agent has sent since.
+	// A relay that has already responded to a report still forwards the leader's later response to the agent, even if
+	// the agent has sent other reports since.
 	relayForwardsLateResponse
 	// The end of an attempt is logged and the attempt is reaped although a start of it may be in flight, and nothing
 	// fences that start.
@@ -66,7 +68,7 @@
 	terms         int
 	leaseExpiries int
 	violation     string
-	relay         bool // a relay may respond to reports itself; the leader then receives them late
+	relay         bool // a relay may respond to reports before the leader receives them
 	relayedReport int  // 1-based index of the report answered by a relay and not yet received by the leader; 0: none
 }
 
@@ -153,14 +155,14 @@
 	return v
 }
 
-// execute simulates the agent executing commands.
+// execute applies commands to the simulated agent and detects violations.
 func (w *exploredState) execute(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Verb {
 		case wire.Start:
 			switch {
 			case w.agentAttempt == c.Attempt, w.agentAttempt != 0 && !w.exited: // known, or machine busy
-			case w.agentAttempt != 0: // the simulated agent holds one attempt; others are rejected
+			case w.agentAttempt != 0: // the simulated agent can hold one attempt and rejects others
 			case w.runsElsewhere:
 				w.violation = fmt.Sprintf("attempt %d starts while the task runs on another machine", c.Attempt)
 			case w.model.findRun(7, 0, uint32(c.Attempt)) == nil:
@@ -189,7 +191,8 @@
 	return commands
 }
 
-// newExploredState returns the state after a task was placed on a machine that has reported to the leader of term 3.
+// newExploredState returns the state in which the agent has reported to the leader of term 3, which has then placed a
+// task on the machine.
 func newExploredState(t *testing.T, injected mutation) exploredState {
 	t.Helper()
 	m := New(params())
@@ -203,7 +206,7 @@
 	return w
 }
 
-// followSteps takes the named steps in order.
+// followSteps returns the state after the named steps.
 func followSteps(t *testing.T, w exploredState, names ...string) exploredState {
 	t.Helper()
 next:
@@ -220,8 +223,8 @@
 }
 
 // TestDeliveryOrderNeverStartsTaskTwice explores the delivery orders from two states: a task that was just placed, and
-// a running task while a second copy of its start is delayed. No order may start the task twice, and each injected
-// mutation must be detected.
+// a task that has started while another copy of its start is delayed. The task must not be started twice in any order,
+// and each injected mutation must be detected.
 func TestDeliveryOrderNeverStartsTaskTwice(t *testing.T) {
 	duplicateStartDelayed := []string{
 		"the leader sends a command",
@@ -252,7 +255,7 @@
 		w.relay = c.relay
 		r := modelcheck.Explore(w, c.depth, c.maxStates)
 		if found := r.Violation != ""; found != (c.mutation != noMutation) {
-			t.Errorf("mutation %d: %s", c.mutation, r)
+			t.Errorf("mutation %d: got %s, want a violation: %v", c.mutation, r, c.mutation != noMutation)
 		} else {
 			t.Logf("mutation %d: %s", c.mutation, r)
 		}
--- a/internal/model/delivery_steps_test.go
+++ b/internal/model/delivery_steps_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// observeCopy passes a report to the leader that it may have received before.
+// observeCopy passes a copy of a report to the leader, which may have received the report before.
 func (w *exploredState) observeCopy(r wire.Heartbeat) {
 	var probe *staleness.Question
 	if w.mutation == copyTakenAsResponse {
@@ -84,7 +84,8 @@
 	}
 }
 
-// respondToReport passes the report that awaits its response to the leader, and sends the response.
+// respondToReport passes to the leader the report for which the agent awaits a response, and sends the leader's
+// response.
 func (w *exploredState) respondToReport(r *wire.Heartbeat) {
 	v := w.observe(r, nil)
 	u := w.newResponse(r)
@@ -102,7 +103,8 @@
 	w.awaitedReport = -1 // the response is in flight
 }
 
-// addResponses adds steps in which a relay delivers a report that it responded to, and in which a response is lost.
+// addResponses adds steps in which the leader receives a report to which a relay has responded, and in which a response
+// is lost.
 func (s *stepList) addResponses() {
 	if s.from.relayedReport != 0 {
 		s.add(fmt.Sprint("report ", s.from.relayedReport-1, " arrives from the relay"), (*exploredState).observeRelayed)
@@ -115,7 +117,7 @@
 	}
 }
 
-// observeRelayed passes the report that a relay responded to to the leader.
+// observeRelayed passes to the leader the report to which a relay has responded.
 func (w *exploredState) observeRelayed() {
 	r := w.reports[w.relayedReport-1]
 	w.relayedReport = 0
@@ -127,7 +129,7 @@
 	u.commands = w.commands(true)
 	if w.mutation == relayForwardsLateResponse {
 		w.inFlight = append(w.inFlight, u)
-	} // otherwise the relay has no open request of the agent left to respond to
+	} // otherwise the relay drops the leader's response, since the agent's request has been answered
 }
 
 // addProbe adds steps in which the leader probes the agent and in which the agent responds.
@@ -158,7 +160,7 @@
 	}
 }
 
-// deliver passes a message to the agent, and the agent's response to the sender.
+// deliver passes a message in flight to the agent, and the agent's response to the leader if it still waits for it.
 func (w *exploredState) deliver(i int) {
 	u := w.inFlight[i]
 	w.inFlight = slices.Delete(w.inFlight, i, i+1)
@@ -179,7 +181,7 @@
 	}
 }
 
-// abandon simulates a leader that stops waiting for the response to a command.
+// abandon simulates that the leader stops waiting for the response to a command.
 func (w *exploredState) abandon(i int) {
 	u := &w.inFlight[i]
 	u.senderWaits = false
--- a/internal/model/entry_test.go
+++ b/internal/model/entry_test.go
@@ -11,7 +11,8 @@
 	"fieldhill/wire"
 )
 
-// TestEntryConstructors checks that each constructor sets the kind and the fields that the log stores for it.
+// TestEntryConstructors checks that each constructor sets the kind, and exactly the fields that are stored for that
+// kind.
 func TestEntryConstructors(t *testing.T) {
 	info, machineType, spec := testInfo("host-1"), testType(), testSpec(7, 2)
 	for _, c := range []struct {
@@ -40,37 +41,37 @@
 			}
 			decoded, err := ReadEntry(&codec.Reader{Data: c.made.Append(nil)})
 			if diff := cmp.Diff(c.want, decoded); err != nil || diff != "" {
-				t.Errorf("after decoding: %v %s", err, diff)
+				t.Errorf("after encoding and decoding: error %v, diff %s", err, diff)
 			}
 		})
 	}
 }
 
-// TestApplyErrors checks that entries which conflict with the state return an error with the details of the entry.
+// TestApplyErrors checks the errors for entries that conflict with the state, and for entries that cannot be decoded.
 func TestApplyErrors(t *testing.T) {
 	m, _, _ := newPlacedModel(t)
 	var invalidPlacement *InvalidPlacementError
 	err := m.Apply(NewPlacement(7, 1, 1, 9, 1), 9, 0)
 	if !errors.As(err, &invalidPlacement) || *invalidPlacement != (InvalidPlacementError{Job: 7, Task: 1, Machine: 9}) {
-		t.Errorf("placement on an unknown machine: %v", err)
+		t.Errorf("placement on an unknown machine: got error %v, want %T", err, invalidPlacement)
 	}
 	if err := m.Apply(NewPlacement(7, 0, 2, 1, 1), 9, 0); !errors.As(err, &invalidPlacement) {
-		t.Errorf("placement of a task that is already placed: %v", err)
+		t.Errorf("placement of a task that is already placed: got error %v, want %T", err, invalidPlacement)
 	}
 	var duplicate *DuplicateAcceptanceError
 	if err := m.Apply(Accepted(testSpec(7, 2), 0), 9, 0); !errors.As(err, &duplicate) || duplicate.Job != 7 {
-		t.Errorf("repeated acceptance of a job: %v", err)
+		t.Errorf("repeated acceptance of a job: got error %v, want %T", err, duplicate)
 	}
 	var unknown *UnknownKindError
 	if err := m.Apply(&Entry{Kind: 99}, 9, 0); !errors.As(err, &unknown) || unknown.Kind != 99 {
-		t.Errorf("applying an unknown kind: %v", err)
+		t.Errorf("applying an unknown kind: got error %v, want %T", err, unknown)
 	}
 	if _, err := ReadEntry(&codec.Reader{Data: []byte{99}}); !errors.As(err, &unknown) || unknown.Kind != 99 {
-		t.Errorf("decoding an unknown kind: %v", err)
+		t.Errorf("decoding an unknown kind: got error %v, want %T", err, unknown)
 	}
 	var jobID *JobIDError
 	invalidID := (&Entry{Kind: EntryAccept, Spec: &wire.JobSpec{ID: "x", Tasks: 1}}).Append(nil)
 	if _, err := ReadEntry(&codec.Reader{Data: invalidID}); !errors.As(err, &jobID) || jobID.ID != "x" {
-		t.Errorf("decoding an invalid job ID: %v", err)
+		t.Errorf("decoding an invalid job ID: got error %v, want %T", err, jobID)
 	}
 }
--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestGangStartWaitsForLongFetch checks the start of a gang whose image takes longer to fetch than its members wait for
-// each other. The member with a cached image is started only once the fetching member has the image too. With a short
-// fetch no member waits.
+// each other. The member with a cached image must be started only once the fetching member has the image too. If the
+// fetch is short, both members must be started at once.
 func TestGangStartWaitsForLongFetch(t *testing.T) {
 	for _, c := range []struct {
 		gb    float64
@@ -36,23 +36,24 @@
 		m.Observe(fetches, testReport(1, 1, 3<<24), nil, 0)
 		has.TouchImage(m, j, 0)
 		if actual := len(m.Commands(has, 9, false)) == 0; actual != c.waits {
-			t.Errorf("%g GB: start of the member with a cached image is held: %v", c.gb, actual)
+			t.Errorf("%g GB: start of the member with a cached image is held: %v, want %v", c.gb, actual, c.waits)
 		}
 		if k := len(m.Commands(fetches, 9, false)); k != 1 {
-			t.Errorf("%g GB: the fetching member got %d commands", c.gb, k)
+			t.Errorf("%g GB: the fetching member got %d commands, want 1", c.gb, k)
 		}
 		state := func(seq uint64, state string) ReportVerdict {
 			status := wire.TaskStatus{Task: "req-000007/1", Attempt: 1, State: state}
 			return m.Observe(fetches, testReport(1, seq, 3<<24, status), nil, 1)
 		}
 		if v := state(2, wire.TaskFetching); len(v.GangReady) != 0 {
-			t.Errorf("%g GB: the gang is ready during the fetch", c.gb)
+			t.Errorf("%g GB: %d machines are ready during the fetch, want 0", c.gb, len(v.GangReady))
 		}
 		if v := state(3, wire.TaskWaiting); len(v.GangReady) != 1 || v.GangReady[0] != has {
-			t.Errorf("%g GB: no machine is ready after the fetch", c.gb)
+			t.Errorf("%g GB: after the fetch, %d machines are ready, want the one with the cached image",
+				c.gb, len(v.GangReady))
 		}
 		if k := len(m.Commands(has, 9, false)); k != 1 {
-			t.Errorf("%g GB: after the fetch the member with a cached image got %d commands", c.gb, k)
+			t.Errorf("%g GB: after the fetch, the member with a cached image got %d commands, want 1", c.gb, k)
 		}
 	}
 }
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -71,11 +71,11 @@
 		kinds = append(kinds, e.Append(nil)[0])
 	}
 	if want := []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}; !bytes.Equal(want, slices.Compact(kinds)) {
-		t.Errorf("kinds have numbers %v", kinds)
+		t.Errorf("entries have kinds %v, want %v", kinds, want)
 	}
 	for _, kind := range []byte{0, 15} {
 		if _, err := ReadEntry(&codec.Reader{Data: []byte{kind, 1, 1, 1}}); err == nil {
-			t.Errorf("entry of unknown kind %d is decoded", kind)
+			t.Errorf("decode entry of unknown kind %d: got no error", kind)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// newModelWithHistory returns a model with some of everything that a snapshot contains, except intents.
+// newModelWithHistory returns a model with data in every section of a snapshot except intents.
 func newModelWithHistory(t *testing.T) *Model {
 	t.Helper()
 	other, full := testSpec(20, 3), *everyEntry()[0].Spec
@@ -234,20 +234,21 @@
 		}
 		if j := m.Jobs[21]; j.Done != 2 || j.Live != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 ||
 			j.At != 9 {
-			t.Errorf("version %d: job 21 is %+v", version, j)
+			t.Errorf("version %d: job 21 is %+v, want 2 tasks done, 1 placed in attempt 300, 1 ended in attempt 1",
+				version, j)
 		}
 		if j := m.Jobs[22]; !j.Cancelled || j.Live != 1 || j.Tasks[1].Run.Machine.Info.Name != "host-2" {
-			t.Errorf("version %d: job 22 is %+v", version, j)
+			t.Errorf("version %d: job 22 is %+v, want it cancelled with one run on host-2", version, j)
 		}
 		if machine := m.Machines[1]; !m.Tombstones["host-4"] || !m.Tombstones["host-5"] || m.NextMachine != 6 ||
 			len(machine.cache) != 2 {
-			t.Errorf("version %d: tombstones %v, next machine %d, cache %v",
+			t.Errorf("version %d: tombstones %v, next machine %d, cache %v; want host-4 and host-5, 6, two images",
 				version, m.Tombstones, m.NextMachine, machine.cache)
 		}
 	}
 }
 
-// TestGoldenTombstones checks that the stored format of 1,000 tombstones is unchanged, oldest first.
+// TestGoldenTombstones checks by a hash that the stored format of 1,000 tombstones, oldest first, is unchanged.
 func TestGoldenTombstones(t *testing.T) {
 	m := New(params())
 	for id := MachineID(1); id <= 1000; id++ {
@@ -259,6 +260,6 @@
 	restored := New(params())
 	if err := restored.Restore(b, 1, 0); err != nil || !bytes.Equal(b, restored.Snapshot()) ||
 		len(restored.Tombstones) != 1000 {
-		t.Errorf("%d of 1000 tombstones restored, %v", len(restored.Tombstones), err)
+		t.Errorf("restored %d tombstones with error %v; want 1000 and an equal snapshot", len(restored.Tombstones), err)
 	}
 }
--- a/internal/model/machine_table_test.go
+++ b/internal/model/machine_table_test.go
@@ -21,11 +21,12 @@
 		t.Fatal(err)
 	}
 	if len(restored.Order) != 1 || restored.Order[0].Info.Addr != "x:9" {
-		t.Errorf("%d machines, address %q", len(restored.Order), restored.Order[0].Info.Addr)
+		t.Errorf("got %d machines, the first with address %q; want one with address \"x:9\"",
+			len(restored.Order), restored.Order[0].Info.Addr)
 	}
 }
 
-// fleetFixture adds and removes machines.
+// fleetFixture adds machines to a model and removes them from it.
 type fleetFixture struct {
 	test  *testing.T
 	model *Model
--- a/internal/model/machine_test.go
+++ b/internal/model/machine_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestOutboundPartitionRestrictsToServices checks that a machine gets services only while it responds to probes but its
-// reports do not arrive. A response with a newer agent epoch shows that its lease has expired in the meantime. The next
-// report lifts the restriction.
+// TestOutboundPartitionRestrictsToServices checks that a machine may get only services while it responds to probes but
+// its reports do not arrive. A probe response with a newer agent epoch shows this, because the agent's lease must have
+// expired since the previous message. The next report to arrive lifts the restriction.
 func TestOutboundPartitionRestrictsToServices(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	token := m.Token(machine)
@@ -28,7 +28,7 @@
 
 // TestSuspectLeaseExpiry checks that the lease of a suspect machine counts as expired once the entry has been committed
 // for the bound plus a lease duration, and not earlier; that a report clears the suspicion; and that a new leader
-// counts from its own election. EntryLeaseExpired, with which older versions ended the runs, is still read.
+// counts the time from its own election. EntryLeaseExpired, which only older versions logged, must still end the runs.
 func TestSuspectLeaseExpiry(t *testing.T) {
 	const bound, lease = 20 * time.Second, 24 * time.Second
 	m, machine, run := newPlacedModel(t)
@@ -50,7 +50,7 @@
 	machine.SuspicionCommitted(11, 11*time.Second)
 	if machine.LeaseExpired(bound, lease, 0, machine.Contact.SuspectFrom+bound+lease+Time(0.9e9), 2) ||
 		!machine.LeaseExpired(bound, lease, 0, machine.Contact.SuspectFrom+bound+lease+Time(1.2e9), 2) {
-		t.Error("lease did not expire within 0.9 to 1.2 s after the bound plus the lease")
+		t.Error("lease did not expire between 0.9 and 1.2 s after the bound plus a lease duration")
 	}
 	restored := New(params())
 	if err := restored.Restore(m.Snapshot(), 9, 0); err != nil {
@@ -59,11 +59,11 @@
 	restored.BeginTerm(4<<24, time.Minute)
 	if o := restored.Machines[1]; !o.Suspect || o.LeaseExpired(bound, lease, 0, time.Minute+bound+lease, 2) ||
 		!o.LeaseExpired(bound, lease, 0, 2*time.Minute, 2) {
-		t.Error("a new leader does not count the lease from its own election")
+		t.Error("after a restore: machine not suspect, or lease expiry not counted from the new leader's election")
 	}
 	apply(EntryTrust, 12*time.Second)
 	if machine.LeaseExpired(bound, lease, 0, time.Hour, 2) || !machine.IsUsable() || len(machine.Runs) != 1 {
-		t.Error("the suspicion was not cleared")
+		t.Error("after EntryTrust: lease counts as expired, machine is not usable, or its run was ended")
 	}
 	apply(EntrySuspect, 13*time.Second)
 	apply(EntryLeaseExpired, time.Minute)
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestStartsWaitForCommit checks that a start is sent only after its placement is committed. Until then the run can end
-// without a report of the machine, unless an earlier leader placed it.
+// TestStartsWaitForCommit checks that a start is sent only after its placement is committed. Until then the run counts
+// as unsent, unless an earlier leader placed it.
 func TestStartsWaitForCommit(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	if c := m.Commands(machine, 3, true); len(c) != 0 || !run.IsUnsent(3) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestUnansweredStartIsFenced checks that a start without a response, which may be executed at any later time, keeps
-// its task placed until the agent has seen a higher token.
+// TestUnansweredStartIsFenced checks that a run is not ended while a start of it got no response and may still be
+// executed, that is, until the agent has seen a higher token.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestDuplicateUnansweredStart checks that the response to the second copy of a start proves nothing about the first
-// one if both carry the same token.
+// TestDuplicateUnansweredStart checks that the response to the second copy of a start does not prove that the first
+// copy is not in flight, if both carry the same token.
 func TestDuplicateUnansweredStart(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	cmds := m.Commands(machine, 4, false)
@@ -92,6 +92,8 @@
 	}
 }
 
+// TestNewerSessionEndsRuns checks that a report with a newer agent epoch, which does not list a run, ends the run only
+// if it shows a token that was raised since the first such report, or if it responds to a probe.
 func TestNewerSessionEndsRuns(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	run.Phase = Running
@@ -99,11 +101,11 @@
 	if v := m.Observe(machine, testReport(1, 1, 3<<24), nil, 1); !v.IsStale() {
 		t.Error("an old report was accepted")
 	}
-	// The report may be from an earlier incarnation of the agent with higher epochs. It causes a probe, and counts only
-	// with a token that was issued since.
+	// The report may be from an earlier incarnation of the agent with higher epochs. So it only causes a probe and
+	// raises the token.
 	v := m.Observe(machine, testReport(2, 1, 3<<24), nil, 1)
 	if len(v.Entries) != 0 || !v.NeedsProbe {
-		t.Errorf("report with a newer epoch: entries %v, probe requested %v", v.Entries, v.NeedsProbe)
+		t.Errorf("report with a newer epoch: got entries %v, probe needed %v; want none, true", v.Entries, v.NeedsProbe)
 	}
 	raised := m.Token(machine)
 	if raised <= 3<<24 {
@@ -114,43 +116,43 @@
 	}
 	v = m.Observe(machine, testReport(2, 3, raised), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-		t.Errorf("a newer epoch with the raised token: entries %v", v.Entries)
+		t.Errorf("newer epoch with the raised token: got entries %v, want one end of an attempt", v.Entries)
 	}
-	// The response to a probe counts at once, both for a newer epoch and for a run that is no longer listed.
+	// The response to a probe ends the run at once, both in the same epoch and in a newer one.
 	for _, session := range []uint64{1, 2} {
 		m, machine, run := newPlacedModel(t)
 		run.Phase = Running
 		run.Job.Running = 1
 		v := m.Observe(machine, testReport(session, 9, 3<<24), m.BeginProbe(machine), 1)
 		if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-			t.Errorf("response to a probe, epoch %d: entries %v", session, v.Entries)
+			t.Errorf("response to a probe, epoch %d: got entries %v, want one end of an attempt", session, v.Entries)
 		}
 	}
 }
 
-// TestLateCompletionCounts checks that a completion that is reported after an earlier leader ended the attempt still
-// counts if the task waits.
+// TestLateCompletionCounts checks that a reported completion completes its task even if the end of the attempt has been
+// logged before, as long as the task waits.
 func TestLateCompletionCounts(t *testing.T) {
 	m, machine, _ := newPlacedModel(t)
 	_ = m.Apply(&Entry{Kind: EntryEnded, Job: 7, Task: 0, Attempt: 1}, 5, 0)
 	v := m.Observe(machine, testReport(1, 2, 3<<24, testStatus(wire.TaskExited, wire.CauseDone)), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryDone {
-		t.Errorf("got %v", v.Entries)
+		t.Errorf("got entries %v, want one completion", v.Entries)
 	}
 }
 
-// TestReportFromEarlierIncarnation checks the first report that a new leader receives from a machine. It may be a
-// delayed copy from an earlier incarnation of the agent, with a higher epoch than the present one. If that epoch
-// counted as proof that runs of lower epochs have ended, they would be started elsewhere while still running.
+// TestReportFromEarlierIncarnation checks the first report that a new leader receives from a machine. The report may be
+// a delayed copy from an earlier incarnation of the agent, with a higher epoch than the present one. If that epoch
+// counted as proof that runs of lower epochs have ended, their tasks would be started elsewhere while still running.
 func TestReportFromEarlierIncarnation(t *testing.T) {
 	m, machine, run := newPlacedModel(t) // a run in epoch 1 of the present incarnation
 	m.BeginTerm(4<<24, 0)
 	if v := m.Observe(machine, testReport(2, 45, 2<<24), nil, 1); len(v.Entries) != 0 || !v.IsStale() {
-		t.Errorf("a copy from epoch 2 gives %d entries", len(v.Entries))
+		t.Errorf("copy from epoch 2: got %d entries, stale %v; want 0, true", len(v.Entries), v.IsStale())
 	}
 	running := testStatus(wire.TaskRunning, "")
 	v := m.Observe(machine, testReport(1, 7, 3<<24, running), m.BeginProbe(machine), 2)
 	if len(v.Entries) != 0 || run.Phase != Running {
-		t.Errorf("a response that lists the run gives %d entries, phase %d", len(v.Entries), run.Phase)
+		t.Errorf("response listing the run: got %d entries, phase %d; want 0, %d", len(v.Entries), run.Phase, Running)
 	}
 }
--- a/internal/model/reason_history_test.go
+++ b/internal/model/reason_history_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestReasonHistory checks that the most recent reasons are kept with their start times, latest first; that a change of
-// only the count adds no record; and that recording does not allocate.
+// a reason's count alone adds no record; and that recording does not allocate.
 func TestReasonHistory(t *testing.T) {
 	j := &Job{}
 	for i, c := range []pending.Code{
@@ -33,10 +33,10 @@
 		j.Scheduling.PendingReason.Code = pending.TeamLimit + pending.Code(at%2) // different code each time
 		j.RecordReason(at)
 	}); n != 0 {
-		t.Errorf("%g allocations per recorded reason", n)
+		t.Errorf("%g allocations per recorded reason, want 0", n)
 	}
 	if actual := j.ReasonHistory(); len(actual) != maxReasonHistory || actual[0].Since != at ||
 		actual[maxReasonHistory-1].Since != at-maxReasonHistory+1 {
-		t.Errorf("after many changes: %+v at %d", actual, at)
+		t.Errorf("after many changes: got %+v, want the last %d reasons up to time %d", actual, maxReasonHistory, at)
 	}
 }
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -10,7 +10,7 @@
 	"fieldhill/wire"
 )
 
-// referenceModel is a simple implementation of the replicated state, with maps and without counters.
+// referenceModel is a simple implementation of the replicated state for comparison, with maps and without counters.
 type referenceModel struct {
 	tasks  map[JobID][]string // "wait", "done" or the machine
 	finals map[JobID]string
@@ -50,7 +50,7 @@
 	}
 }
 
-// requireMatches compares the model with the reference.
+// requireMatches compares the model with the reference and with the set of present machines.
 func requireMatches(t *rapid.T, m *Model, reference *referenceModel, machines map[MachineID]bool) {
 	cpus := 0.0
 	for id, ts := range reference.tasks {
@@ -77,13 +77,13 @@
 	j := m.Jobs[id]
 	if want != "wait" && want != "done" {
 		if j == nil || j.Tasks[i].Run == nil || string(rune('A'+j.Tasks[i].Run.Machine.ID)) != want {
-			t.Fatalf("job %d task %d should be on %s", id, i, want)
+			t.Fatalf("job %d task %d has no run on machine %s", id, i, want)
 		}
 	} else if j != nil && j.Tasks[i].Run != nil {
-		t.Fatalf("job %d task %d should not be placed", id, i)
+		t.Fatalf("job %d task %d has a run, want state %s", id, i, want)
 	}
 	if j != nil && (j.Tasks[i].State == Done) != (want == "done") {
-		t.Fatalf("job %d task %d is %v, want %s", id, i, j.Tasks[i].State, want)
+		t.Fatalf("job %d task %d has state %v, want %s", id, i, j.Tasks[i].State, want)
 	}
 }
 
@@ -110,11 +110,12 @@
 		}
 	}
 	if j.Waiting() != want || (want > 0) != (j.NextWaiting() >= 0) {
-		t.Fatalf("job %d: %d tasks wait and the next is %d, want %d", id, j.Waiting(), j.NextWaiting(), want)
+		t.Fatalf("job %d: %d tasks wait and the next is %d, want %d waiting tasks",
+			id, j.Waiting(), j.NextWaiting(), want)
 	}
 }
 
-// historyGenerator generates entries that are valid for a model.
+// historyGenerator draws random entries that are valid in the current state of a model.
 type historyGenerator struct {
 	test     *rapid.T
 	model    *Model
@@ -122,7 +123,7 @@
 	attempt  uint32
 }
 
-// draw returns a random entry, or nil if the drawn values are not valid for the model.
+// draw returns a random entry, or nil if the drawn values give none that is valid in the model's current state.
 func (h *historyGenerator) draw() *Entry {
 	id := JobID(rapid.IntRange(1, 5).Draw(h.test, "job"))
 	machineID := MachineID(rapid.IntRange(1, 4).Draw(h.test, "machine"))
@@ -178,7 +179,7 @@
 	r := &codec.Reader{Data: e.Append(nil)}
 	decoded, err := ReadEntry(r)
 	if err != nil || !r.Done() {
-		t.Fatalf("%+v cannot be decoded: %v", e, err)
+		t.Fatalf("decode entry %+v: error %v, %d bytes left", e, err, len(r.Data))
 	}
 	return decoded
 }
@@ -196,8 +197,9 @@
 	return restored
 }
 
-// TestAgainstReferenceModel applies random histories to the model and to the reference. Entries pass through the log
-// encoding, and the model is regularly restored from a snapshot.
+// TestAgainstReferenceModel checks that the model and the reference are in the same state after each entry of random
+// histories. Entries are encoded and decoded before they are applied, and the model is regularly restored from a
+// snapshot.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &historyGenerator{test: t, model: New(params()), machines: map[MachineID]bool{}}
--- a/internal/model/snapshot_test.go
+++ b/internal/model/snapshot_test.go
@@ -22,7 +22,7 @@
 	m.ForgetCommitted(n)
 	snapshot := m.Snapshot()
 	if len(snapshot) > 2*n {
-		t.Errorf("snapshot has %d bytes for %d finished jobs", len(snapshot), n)
+		t.Errorf("snapshot of %d finished jobs has %d bytes, want at most %d", n, len(snapshot), 2*n)
 	}
 	began := time.Now()
 	restored := New(params())
@@ -30,8 +30,8 @@
 		t.Fatal(err)
 	}
 	if len(restored.Finals) != n || len(restored.Jobs) != 0 || m.LiveTasks != 0 {
-		t.Errorf("%d final states, %d jobs, %d tasks after %v",
-			len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began))
+		t.Errorf("got %d final states, %d jobs, %d tasks after %v; want %d, 0, 0",
+			len(restored.Finals), len(restored.Jobs), m.LiveTasks, time.Since(began), n)
 	}
 }
 
@@ -94,11 +94,13 @@
 		apply(6, &Entry{Kind: EntryIntentDone, Info: &MachineInfo{Name: name}})
 	}
 	if b := m.Snapshot(); b[0] != lastVersionWithoutIntents || len(m.Intents) != 0 {
-		t.Errorf("a snapshot without intents has version %d", b[0])
+		t.Errorf("got a snapshot of version %d of %d intents; want version %d without intents",
+			b[0], len(m.Intents), lastVersionWithoutIntents)
 	}
 }
 
-// TestCorruptSnapshot checks that the error names the section in which a snapshot is truncated or invalid.
+// TestCorruptSnapshot checks that the error for a snapshot that is truncated, or has an unknown version or a trailing
+// byte, names the section.
 func TestCorruptSnapshot(t *testing.T) {
 	m, _, _ := newPlacedModel(t)
 	applyAll(t, m,
@@ -118,7 +120,7 @@
 		var corrupt *CorruptSnapshotError
 		err := New(params()).Restore(whole[:n], 9, 0)
 		if !errors.As(err, &corrupt) || !errors.Is(err, codec.ErrShort) {
-			t.Fatalf("truncated to %d bytes: %v", n, err)
+			t.Fatalf("restore of a snapshot truncated to %d bytes: got error %v, want %v", n, err, codec.ErrShort)
 		}
 		if len(sections) == 0 || sections[len(sections)-1] != corrupt.Section {
 			sections = append(sections, corrupt.Section)
@@ -133,11 +135,11 @@
 	var corrupt *CorruptSnapshotError
 	for _, b := range [][]byte{nil, {0}, {snapshotVersion + 1}} {
 		if err := New(params()).Restore(b, 9, 0); !errors.Is(err, ErrUnknownVersion) {
-			t.Errorf("%v: %v", b, err)
+			t.Errorf("restore of %v: got error %v, want %v", b, err, ErrUnknownVersion)
 		}
 	}
 	err := New(params()).Restore(append(whole, 0), 9, 0)
 	if !errors.As(err, &corrupt) || corrupt.Section != sectionEnd {
-		t.Errorf("trailing byte: %v", err)
+		t.Errorf("restore with a trailing byte: got error %v, want one in section %q", err, sectionEnd)
 	}
 }
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -70,19 +70,19 @@
 	return f
 }
 
-// TestEstimateBiasCorrection checks that consistently wrong estimates are corrected after several jobs, and that one
-// job with many tasks does not count as several.
+// TestEstimateBiasCorrection checks that estimates which are consistently too low are corrected after several jobs, and
+// that one job with many tasks counts as one job only.
 func TestEstimateBiasCorrection(t *testing.T) {
 	f := newSpeedFixture(t, 20)
 	last := f.model.Jobs[30]
 	if actual := f.model.ExpectedSeconds(last); actual != 20 {
-		t.Errorf("initially: expected duration %g s", actual)
+		t.Errorf("initially: got expected duration %g s, want 20 s", actual)
 	}
 	for task := range int32(20) {
 		f.run(1, task, 1, 60, 0)
 	}
 	if actual := f.model.ExpectedSeconds(last); actual > 28 {
-		t.Errorf("after one job: expected duration %g s", actual)
+		t.Errorf("after one job: got expected duration %g s, want at most 28 s", actual)
 	}
 	for n := uint64(2); n <= 28; n++ {
 		for task := range int32(20) {
@@ -90,12 +90,13 @@
 		}
 	}
 	if actual := f.model.ExpectedSeconds(last); actual < 45 || actual > 60 {
-		t.Errorf("after 28 jobs with estimate 20 s and duration 60 s: expected duration %g s", actual)
+		t.Errorf("after 28 jobs estimated at 20 s that took 60 s: got expected duration %g s, want 45 to 60 s", actual)
 	}
 }
 
 // TestSlowMachine checks that a machine is found to be slow if tasks take much longer on it than the same jobs' tasks
-// elsewhere. A machine is not slow if it is only slightly slower, has the long tasks of one job by chance, or hung.
+// elsewhere. A machine must not be found to be slow if it is only slightly slower, if only tasks of one job took long
+// on it, or if it hung meanwhile.
 func TestSlowMachine(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -121,17 +122,18 @@
 			}
 		}
 		if f.model.DetectSlow(f.model.Machines[3], f.now) {
-			t.Errorf("%s: found slow without running tasks", c.name)
+			t.Errorf("%s: machine without running tasks was found to be slow by DetectSlow", c.name)
 		}
 		if machine := f.model.Machines[3]; slow != c.want || machine.IsSlow(f.now) != c.want ||
 			machine.IsSlow(f.now+2*slowPeriod) {
-			t.Errorf("%s: found slow %v, slow now %v", c.name, slow, machine.IsSlow(f.now))
+			t.Errorf("%s: found to be slow: %v, slow now: %v; want %v, and no longer after two periods",
+				c.name, slow, machine.IsSlow(f.now), c.want)
 		}
 	}
 }
 
-// TestDetectSlowFromRunningTasks checks that running tasks of two jobs that take much longer than their peers show
-// their machine to be slow before they complete, unless a task that started later completed in time.
+// TestDetectSlowFromRunningTasks checks that DetectSlow finds a machine to be slow if running tasks of two jobs take
+// much longer than their peers, unless a task that started later on the machine has completed in time.
 func TestDetectSlowFromRunningTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -166,7 +168,7 @@
 			f.now += config.Seconds(3)
 		}
 		if (now != 0) != c.want || c.want && now > config.Seconds(42) {
-			t.Errorf("%s: found to be slow after %v", c.name, now)
+			t.Errorf("%s: found to be slow after %v (0: never), want detection within 42 s: %v", c.name, now, c.want)
 		}
 	}
 }
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -21,8 +21,9 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// TestCommandsInFlightAreBounded checks that when commands are sent to hundreds of unresponsive machines at once, those
-// above the bound fail as unsent within slotTimeout, instead of using up the sockets of the process.
+// TestCommandsInFlightAreBounded checks that when commands are sent to hundreds of unresponsive machines at once, the
+// commands above the bound fail with fate Unsent within slotTimeout. Without the bound they could use up the sockets of
+// the process.
 func TestCommandsInFlightAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns, machines = 20, 200
@@ -52,7 +53,7 @@
 		}
 		wg.Wait()
 		if fates[Unknown] != conns/2 || fates[Unsent] != machines-conns/2 {
-			t.Errorf("%d commands without a response and %d unsent, of %d commands with a bound of %d in flight",
+			t.Errorf("%d commands have fate Unknown and %d Unsent, of %d; want %d Unknown and the rest Unsent",
 				fates[Unknown], fates[Unsent], machines, conns/2)
 		}
 		client.Close()
@@ -94,9 +95,9 @@
 	return c.Conn.Close()
 }
 
-// TestProbesCloseIdleConnections checks that idle connections, commands and probes together stay within the client's
-// bound: probes on top of the maximum of commands and idle connections close idle ones. Below the bound, idle
-// connections are kept.
+// TestProbesCloseIdleConnections checks that idle connections, commands and probes together do not exceed the client's
+// bound on connections: a probe that would exceed it closes idle connections. Below the bound, idle connections are
+// kept.
 func TestProbesCloseIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns = 40
