--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -110,7 +110,7 @@
 	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called once
 	// per round and zone.
 	FreeOutsideZone() Room
-	// ZoneMayBeAlive reports whether a controller in the machine's zone may be keeping its tasks running.
+	// ZoneMayBeAlive reports whether a controller in the machine's zone may be keeping the machine's tasks running.
 	ZoneMayBeAlive() bool
 }
 
@@ -122,7 +122,7 @@
 	RaiseToken      ActionKind = iota + 1 // raise the fencing token: the next heartbeat shows whether responses arrive
 	Probe                                 // request the agent's status
 	MarkPartitioned                       // place nothing on the machine until a message from it arrives
-	MarkSuspect                           // let the lease expire
+	MarkSuspect                           // mark as suspect in the log, so that the lease expires
 	Release                               // release the machine to the cloud
 )
 
@@ -149,7 +149,7 @@
 type Detector struct {
 	nextLatenessCheck Time           // the first round after this time checks lateness
 	partitionedUntil  map[int32]Time // by zone: end of its partition, including partitionRecovery
-	missingSince      Time           // since when most heartbeats are missing; 0: they arrive
+	missingSince      Time           // since when most heartbeats are missing; 0: most arrive
 }
 
 // Round is one round of decisions about all machines. It holds the counts taken at its start, and tracks the free
--- a/internal/agents/lease/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -28,6 +28,6 @@
 		t.Error(err, diff)
 	}
 	if a, b := len(encode(several)), len(golden.Read(t, "word-three.hex")); a != b {
-		t.Errorf("encoded report has %d bytes, stored one has %d", a, b)
+		t.Errorf("encoded report has %d bytes, want %d as in the stored file", a, b)
 	}
 }
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -168,7 +168,7 @@
 	if age, ok := r.RenewalAges[machine]; ok {
 		return receivedAt - age
 	}
-	return receivedAt - min(r.Age, retention) // an upper bound
+	return receivedAt - min(r.Age, retention) // upper bound for a machine that is not listed
 }
 
 // ErrMalformed is returned for a report that cannot be decoded.
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -51,7 +51,7 @@
 		}
 	})
 	if proven == 0 {
-		t.Error("no drawn case proved a lease expired")
+		t.Error("no drawn case proved that the lease expired, want at least one")
 	}
 }
 
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -36,7 +36,8 @@
 	redirected bool // the agent was redirected to the controller and has not reported through it yet
 }
 
-// Table maps each agent that the leader heard from in its term to the controller that terminates its connection.
+// Table maps each agent that has reported to the leader in its term to the controller that terminates the agent's
+// connection.
 type Table struct {
 	assignments map[string]assignment
 	counts      []int
@@ -55,7 +56,8 @@
 	}
 }
 
-// UpdateSpreading enables the spreading of agents when the cell has more machines than the leader accepts connections.
+// UpdateSpreading decides whether agents are spread over the controllers. Spreading starts when the cell has more
+// machines than the leader accepts connections (maxConns).
 func (t *Table) UpdateSpreading(machines, maxConns int) {
 	if t.spreading {
 		t.spreading = machines*spreadingEndDenominator >= maxConns*spreadingEndNumerator
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -104,10 +104,11 @@
 	}
 	tracker.RecordAnswer(101)
 	if acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true); !acknowledged || tracker.OneWay() {
-		t.Errorf("after a received response: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+		t.Errorf("after a received response: acknowledged %v, one-way %v; want true, false",
+			acknowledged, tracker.OneWay())
 	}
 	tracker.RecordAnswer(101) // the agent already has this token, so the response proves nothing
 	if acknowledged := tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true); acknowledged || tracker.OneWay() {
-		t.Errorf("without a new token: acknowledged %v, one-way %v", acknowledged, tracker.OneWay())
+		t.Errorf("without a new token: acknowledged %v, one-way %v; want false, false", acknowledged, tracker.OneWay())
 	}
 }
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -2,8 +2,8 @@
 
 import "fieldhill/wire"
 
-// maxCommands is the maximum number of commands per message to a machine. Further commands follow the machine's next
-// report.
+// maxCommands is the maximum number of commands per message to a machine. Further commands are sent after the machine's
+// next report.
 const maxCommands = 400
 
 // Commands returns the commands to send to a machine now. committed is the highest committed log sequence number: a
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -190,7 +190,7 @@
 	for version := byte(0); version <= 5; version++ {
 		b := golden.Read(t, "snapshot-v4.hex")
 		if b[0] = version; (New(params()).Restore(b, 50, 0) == nil) != (version == 4) {
-			t.Errorf("a snapshot of version 4 is accepted as version %d", version)
+			t.Errorf("restore of a version 4 snapshot marked as version %d: want an error unless that is 4", version)
 		}
 	}
 }
@@ -226,11 +226,11 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, describeFleet(m)); diff != "" {
-			t.Errorf("version %d: %s", version, diff)
+			t.Errorf("version %d: machines and intents differ (-want +got): %s", version, diff)
 		}
 		finals := map[JobID]Final{1: FinalDone, 300: FinalDone, 2: FinalCancelled, 301: FinalCancelled}
 		if diff := cmp.Diff(finals, m.Finals); diff != "" {
-			t.Errorf("version %d: %s", version, diff)
+			t.Errorf("version %d: final states differ (-want +got): %s", version, diff)
 		}
 		if j := m.Jobs[21]; j.Done != 2 || j.Live != 1 || j.Tasks[2].Attempt != 300 || j.Tasks[3].Attempt != 1 ||
 			j.At != 9 {
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -108,7 +108,7 @@
 	Rank            int  // jobs with a higher rank are placed first
 }
 
-// JobObservation is what this replica or leader has observed of a job. It is not in the log.
+// JobObservation is what this process has observed of a job, as a replica or as the leader. It is not in the log.
 type JobObservation struct {
 	// Earliest time at which the job can have been cancelled; 0: before this replica began to follow the log.
 	CancelledFrom Time
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -69,8 +69,8 @@
 	// Since when the machine's heartbeats reach no controller, so that its lease expired, although it responds to
 	// probes; 0: heartbeats arrive.
 	OutboundPartitionSince Time
-	// Time from which every replica that may renew the lease of a suspect machine either knows of the suspicion or has
-	// an older copy of the log; 0: the entry is not committed.
+	// When the log entry that marked the machine as suspect was committed, or the start of the term if that is later;
+	// 0: no such entry is committed. Replicas that have applied the entry do not renew the machine's lease.
 	SuspectFrom      Time
 	Renewals         lease.ExpiryProof      // last renewals of the lease that the other replicas have reported
 	DirectInFlight   bool                   // a direct command is in flight
@@ -84,7 +84,7 @@
 	silenceEndedAt   Time                   // time of the first valid message after the last long silence
 }
 
-// MachineHealth is how reliably and how fast a machine has run this leader's tasks. It is not in the log.
+// MachineHealth records how reliably and how fast a machine has run this leader's tasks. It is not in the log.
 type MachineHealth struct {
 	Quarantined     bool           // permanently gets no new tasks; its tasks move to other machines
 	SlowUntil       Time           // found to be slow, and gets only services until then
--- a/internal/model/machine_test.go
+++ b/internal/model/machine_test.go
@@ -26,9 +26,10 @@
 	}
 }
 
-// TestSuspectLeaseExpiry checks that the lease of a suspect machine counts as expired once the entry has been committed
-// for the bound plus a lease duration, and not earlier; that a report clears the suspicion; and that a new leader
-// counts the time from its own election. EntryLeaseExpired, which only older versions logged, must still end the runs.
+// TestSuspectLeaseExpiry checks that the lease of a suspect machine counts as expired once EntrySuspect has been
+// committed for the bound plus a lease duration, and not earlier; that a report clears the suspicion; and that a new
+// leader counts the time from its own election. EntryLeaseExpired, which only older versions logged, must still end the
+// runs.
 func TestSuspectLeaseExpiry(t *testing.T) {
 	const bound, lease = 20 * time.Second, 24 * time.Second
 	m, machine, run := newPlacedModel(t)
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -13,10 +13,10 @@
 func TestStartsWaitForCommit(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	if c := m.Commands(machine, 3, true); len(c) != 0 || !run.IsUnsent(3) {
-		t.Errorf("before the placement is committed: commands %v, unsent %v", verbs(c), run.IsUnsent(3))
+		t.Errorf("before commit of the placement: commands %v, unsent %v, want none, true", verbs(c), run.IsUnsent(3))
 	}
 	if run.IsUnsent(4) {
-		t.Error("unsent although the placement is committed")
+		t.Error("a run counts as unsent although its placement is committed")
 	}
 	if run.Inherited = true; run.IsUnsent(3) {
 		t.Error("a run inherited from an earlier leader counts as unsent")
@@ -39,14 +39,14 @@
 		t.Fatal("the run was ended while its start may still be executed")
 	}
 	if m.Token(machine) != 3<<24+1 {
-		t.Fatalf("token %d does not fence the unanswered start", m.Token(machine))
+		t.Fatalf("token is %d, want %d to fence the unanswered start", m.Token(machine), 3<<24+1)
 	}
 	if v := m.Observe(machine, testReport(1, 3, 3<<24), nil, 1); len(v.Entries) != 0 {
 		t.Fatal("the run was ended before the agent saw the higher token")
 	}
 	v := m.Observe(machine, testReport(1, 4, 3<<24+1), nil, 1)
 	if len(v.Entries) != 1 || v.Entries[0].Kind != EntryEnded {
-		t.Fatalf("the run was not ended although its start is fenced: %v", v.Entries)
+		t.Fatalf("after the start is fenced: got entries %v, want one end of an attempt", v.Entries)
 	}
 }
 
