--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -4,6 +4,7 @@
 
 func newStamp(epoch, seq, token uint64) Stamp { return Stamp{Number{epoch, seq}, token} }
 
+// TestJudge checks the verdict on a message, given the messages that were received before it.
 func TestJudge(t *testing.T) {
 	const minToken = 100
 	newTracker := func(stamps ...Stamp) *Tracker {
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestOvertakenProbeResponse checks that a probe response that was overtaken by a later heartbeat is stale, and no
-// proof of a restart.
+// TestOvertakenProbeResponse checks that a probe response that was overtaken by a later heartbeat is stale, and does
+// not count as proof of a restart.
 func TestOvertakenProbeResponse(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 10, 100), Fresh, 0, true)
@@ -104,13 +105,13 @@
 	tracker.RecordResponse(101)
 	acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true)
 	if !acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("after a received response: acknowledged %v, inbound partitioned %v",
+		t.Errorf("after a received response: acknowledged %v, one-way %v; want true, false",
 			acknowledged, tracker.InboundPartitioned())
 	}
 	tracker.RecordResponse(101) // the agent already has this token, so the response proves nothing
 	acknowledged = tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true)
 	if acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("without a new token: acknowledged %v, inbound partitioned %v",
+		t.Errorf("without a new token: acknowledged %v, one-way %v; want false, false",
 			acknowledged, tracker.InboundPartitioned())
 	}
 }
