--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -2,11 +2,12 @@
 // of the other controllers, whether a leader is known, and the time; the output is whether to stand, or when to ask
 // again.
 //
-// A process that restarts after a crash is back within a fraction of a second, knows at once that its own leadership is
-// over, and would be the first to acquire it again, with nothing loaded, while others run that follow the log. So a
-// fresh process yields while there is a warm one, for longer after each recent restart. Safety does not depend on these
-// rules: only the key in the key-value store decides who leads, and a node that has yielded for its maximum time
-// stands.
+// Without these rules, a leader that crashes would often win the next election: its new process starts within a
+// fraction of a second, and it knows at once that its earlier leadership is over, which the other nodes have yet to
+// notice. But the new process has to load the log first, whereas a node that follows the log can take over at once. So
+// a process that started recently (a fresh one) yields to one that has read the log to its end (a warm one), for longer
+// after each recent restart. Safety does not depend on these rules: only the key in the key-value store decides who
+// leads. A node that has yielded for its maximum time stands in any case.
 //
 // Timeline measures the phases of a failover.
 package candidacy
@@ -24,16 +25,17 @@
 // Rules are the periods for which a candidate yields.
 type Rules struct {
 	FreshPeriod        Time // how long a process is fresh; doubled for each recent restart of its node
-	MaxFreshPeriod     Time // upper bound of that
-	RestartMemory      Time // how long the other nodes remember an earlier process of a node
+	MaxFreshPeriod     Time // upper bound of FreshPeriod after doubling
+	RestartMemory      Time // how long the other nodes count a process of a node as recent, from when they first see it
 	YieldToWarm        Time // how long a fresh process yields to a warm one; doubled like FreshPeriod
-	MaxYield           Time // upper bound of that, since some node has to lead
-	YieldToUnreachable Time // how long a fresh process yields to one that does not respond
-	StatusTTL          Time // how long a node's status is valid
+	MaxYield           Time // upper bound of YieldToWarm after doubling, since some node has to lead
+	YieldToUnreachable Time // how long a fresh process yields to a node that does not respond
+	StatusTTL          Time // how long a node's status is valid after it was received
 }
 
-// DefaultRules are the rules in use. A warm node that notices the vacancy leads within about 0.2 s. YieldToUnreachable
-// is several times that, and no longer, since nodes that do not respond may all be down.
+// DefaultRules are the rules of all controllers. A warm node leads within about 0.2 s of noticing that there is no
+// leader. YieldToUnreachable is several times as long, so that a warm node that is running but unreachable can take
+// over first. It is not longer than that, since all nodes that do not respond may be down.
 var DefaultRules = Rules{
 	FreshPeriod:        2 * time.Second,
 	MaxFreshPeriod:     time.Minute,
@@ -46,31 +48,32 @@
 
 // Status is what a node reports about itself in response to a ping.
 type Status struct {
-	Warm               bool // it has read the log to its end, reaches the key-value store and is not fresh
-	RecentIncarnations int  // recent processes of the requester that it has seen, the requesting one included
+	Warm               bool // the node has read the log to its end, reaches the key-value store and is not fresh
+	RecentIncarnations int  // recent processes of the pinging node that the node has seen, the current one included
 }
 
+// statusVersion is the format version of statuses and queries.
 const statusVersion = 1
 
 const (
-	// maxDoublings bounds how often the periods of a fresh process double.
+	// maxDoublings is the maximum number of times that the periods of a fresh process are doubled.
 	maxDoublings = 7
-	// retriesPerYield is the minimum number of times that a yielding node asks again within YieldToUnreachable.
+	// retriesPerYield is the minimum number of times that a yielding node calls MayStand within YieldToUnreachable.
 	retriesPerYield = 8
 )
 
-// maxIncarnations bounds the number of processes of a node that are remembered and reported.
+// maxIncarnations is the maximum number of recent processes of a node that another node remembers and reports.
 const maxIncarnations = 16
 
-// Append appends the encoded status: version, Warm, RecentIncarnations.
+// Append appends the encoded status to b: version, Warm, RecentIncarnations.
 func (s Status) Append(b []byte) []byte {
 	return codec.Uint(codec.Bool(append(b, statusVersion), s.Warm), uint64(s.RecentIncarnations))
 }
 
-// ErrMalformed means that a message of another node is malformed or has an unsupported version.
+// ErrMalformed means that a status or query of another node is malformed or has an unsupported version.
 var ErrMalformed = errors.New("candidacy: malformed message or unsupported version")
 
-// ReadStatus decodes a status. Its error is ErrMalformed.
+// ReadStatus decodes a status. The error, if any, is ErrMalformed.
 func ReadStatus(b []byte) (status Status, err error) {
 	if len(b) == 0 || b[0] != statusVersion {
 		return status, ErrMalformed
@@ -83,13 +86,13 @@
 	return status, nil
 }
 
-// AppendQuery appends the encoded body of a ping: version, the requester's node, and a number that distinguishes the
-// requesting process from earlier ones of that node.
+// AppendQuery appends the encoded body of a ping to b: version, the node that sends the ping, and a number that
+// distinguishes the sending process from earlier ones of that node.
 func AppendQuery(b []byte, node string, incarnation uint64) []byte {
 	return codec.Uint(codec.String(append(b, statusVersion), node), incarnation)
 }
 
-// ReadQuery decodes the body of a ping. Its error is ErrMalformed.
+// ReadQuery decodes the body of a ping. The error, if any, is ErrMalformed.
 func ReadQuery(b []byte) (node string, incarnation uint64, err error) {
 	if len(b) == 0 || b[0] != statusVersion {
 		return "", 0, ErrMalformed
@@ -102,46 +105,47 @@
 	return node, incarnation, nil
 }
 
-// peerState is what is known of another node.
+// peerState is what this node knows about one of its peers.
 type peerState struct {
 	reachable    bool
 	status       Status
-	statusAt     Time          // when it was received
-	incarnations []incarnation // its recent processes, newest last
+	statusAt     Time          // when the status was received
+	incarnations []incarnation // recent processes of the peer, newest last
 }
 
-// incarnation is one process of a node.
+// incarnation is one process of a peer, from its start to its end.
 type incarnation struct {
 	id        uint64
 	firstSeen Time
 }
 
-// Eligibility holds what decides whether a node may stand for election. The other nodes are identified by indices from
-// 0.
+// Eligibility decides whether this node may stand for election, based on what was recorded about the leader and the
+// peers (the other nodes). Peers are identified by indices from 0.
 type Eligibility struct {
 	rules       Rules
 	startedAt   Time
 	peers       []peerState
 	vacant      bool // no leader is known
-	vacantSince Time // when that was first noted
-	sawLeader   bool // a leader was known at some time
+	vacantSince Time // when the current vacancy was first recorded
+	sawLeader   bool // a leader was known at least once since this process started
 }
 
-// New returns the eligibility of a node that has the given number of peers.
+// New returns the eligibility of a node that has the given number of peers and whose process starts now.
 func New(rules Rules, peers int, now Time) *Eligibility {
 	return &Eligibility{rules: rules, startedAt: now, peers: make([]peerState, peers)}
 }
 
-// RecordStatus records the status received from a node.
+// RecordStatus records the status received from a peer.
 func (e *Eligibility) RecordStatus(node int, status Status, now Time) {
 	peer := &e.peers[node]
 	peer.reachable, peer.statusAt, peer.status = true, now, status
 }
 
-// RecordUnreachable records that a node can no longer be reached.
+// RecordUnreachable records that a peer can no longer be reached.
 func (e *Eligibility) RecordUnreachable(node int) { e.peers[node].reachable = false }
 
-// RecordIncarnation records a process of another node and returns how many of that node were seen recently.
+// RecordIncarnation records that the process with the given id sent a ping from a peer. It returns the number of recent
+// processes of that peer, this one included.
 func (e *Eligibility) RecordIncarnation(node int, id uint64, now Time) int {
 	peer := &e.peers[node]
 	known := false
@@ -164,8 +168,8 @@
 	return len(peer.incarnations)
 }
 
-// RecordLeader records whether a leader is known. A leadership of an earlier process of this node, which this process
-// ends, counts as a known leader.
+// RecordLeader records whether a leader is known. An earlier process of this node counts as a known leader until this
+// process has ended its leadership.
 func (e *Eligibility) RecordLeader(known bool, now Time) {
 	if !known && !e.vacant {
 		e.vacantSince = now
@@ -173,7 +177,8 @@
 	e.vacant, e.sawLeader = !known, e.sawLeader || known
 }
 
-// restartFactor is the factor by which the periods of this process grow for recent earlier processes of its node.
+// restartFactor returns the factor by which the periods of this process are multiplied. It doubles, up to maxDoublings
+// times, for each recent earlier process of this node that a reachable peer has counted.
 func (e *Eligibility) restartFactor() Time {
 	incarnations := 1
 	for i := range e.peers {
@@ -184,13 +189,14 @@
 	return 1 << (min(incarnations, maxDoublings+1) - 1)
 }
 
-// IsFresh tells whether this process started only recently.
+// IsFresh reports whether this process started less than FreshPeriod ago, where FreshPeriod is extended for recent
+// restarts of this node.
 func (e *Eligibility) IsFresh(now Time) bool {
 	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
 
-// MayStand tells whether this node may stand for election now. If not, retryAfter is the longest time until it must ask
-// again.
+// MayStand reports whether this node may stand for election now. If not, the caller must call it again after
+// retryAfter, or earlier if a status or the leader changes.
 func (e *Eligibility) MayStand(now Time) (ok bool, retryAfter Time) {
 	if !e.vacant {
 		return false, e.rules.FreshPeriod
@@ -209,24 +215,24 @@
 	}
 	wait := Time(0)
 	if unreachable && e.sawLeader {
-		// An unreachable node may be running and warm, and has then just seen the same vacancy. Without an earlier
-		// leader, it would have stood long ago.
+		// An unreachable node may be running and warm, and may have noticed the loss of the leader only now. If this
+		// process has never known a leader, such a node has already had the time to stand.
 		wait = e.rules.YieldToUnreachable
 	}
 	if warm {
 		wait = max(wait, min(e.rules.MaxYield, e.rules.YieldToWarm*e.restartFactor()))
 	}
 	if waited := now - e.vacantSince; waited < wait {
-		// Ask again sooner than the end of the wait, since the status of the others may change.
+		// The caller asks again before the wait ends, since the status of the peers may change.
 		return false, min(wait-waited, e.rules.YieldToUnreachable/retriesPerYield)
 	}
 	return true, 0
 }
 
-// VacantSince returns when the absence of a leader was first noted, if there is none.
+// VacantSince returns when the current vacancy was first recorded, and false if a leader is known.
 func (e *Eligibility) VacantSince() (Time, bool) { return e.vacantSince, e.vacant }
 
-// HasWarmPeer tells whether another node currently reports that it is warm.
+// HasWarmPeer reports whether a peer is reachable and its latest status, if still valid, says that it is warm.
 func (e *Eligibility) HasWarmPeer(now Time) bool {
 	for i := range e.peers {
 		if peer := &e.peers[i]; peer.reachable && now-peer.statusAt <= e.rules.StatusTTL && peer.status.Warm {
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -14,8 +14,9 @@
 
 const millisecond = time.Millisecond
 
-// standsAfter returns when a fresh process that sees no leader from its start stands for election if it asks as often
-// as the controller does, or a minute if it does not stand before that. receive is called before each time it asks.
+// standsAfter returns how long after its start a fresh process that sees no leader stands for election, or a minute if
+// it has not stood by then. Like the controller, it calls MayStand again after each retryAfter. Before each call,
+// receive may record what has arrived from the peers.
 func standsAfter(t *testing.T, eligibility *Eligibility, receive func(now Time)) Time {
 	const until = time.Minute
 	for now := Time(0); now < until; {
@@ -35,15 +36,15 @@
 	return until
 }
 
-// eligibilityAfterOwnLeadership returns the eligibility of a process that has just ended the leadership of its node's
-// previous process.
+// eligibilityAfterOwnLeadership returns the eligibility of a process at its start, if the previous process of its node
+// was the leader.
 func eligibilityAfterOwnLeadership(peers int) *Eligibility {
 	eligibility := New(DefaultRules, peers, 0)
 	eligibility.RecordLeader(true, 0)
 	return eligibility
 }
 
-// TestFreshProcessYields checks how long a fresh process yields, depending on what it knows of its peers.
+// TestFreshProcessYields checks how long a fresh process yields, depending on the status and reachability of its peers.
 func TestFreshProcessYields(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -94,18 +95,18 @@
 }
 
 // TestNoLeaderToBeginWith checks that a process that has never seen a leader does not wait for peers that do not
-// respond, since a warm one would have stood before this process started, but that it yields to a warm peer that
+// respond, since a warm peer would have stood before this process started. It must still yield to a warm peer that
 // responds.
 func TestNoLeaderToBeginWith(t *testing.T) {
 	if at := standsAfter(t, New(DefaultRules, 2, 0), nil); at != 0 {
-		t.Errorf("without responses it stands after %v, want 0", at)
+		t.Errorf("a process without responses stands after %v, want 0", at)
 	}
 	eligibility := New(DefaultRules, 2, 0)
 	at := standsAfter(t, eligibility, func(now Time) {
 		eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 	})
 	if at < DefaultRules.YieldToWarm {
-		t.Errorf("with a warm peer it stands after %v, want at least %v", at, DefaultRules.YieldToWarm)
+		t.Errorf("a process with a warm peer stands after %v, want at least %v", at, DefaultRules.YieldToWarm)
 	}
 }
 
@@ -117,28 +118,28 @@
 	eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 	eligibility.RecordLeader(true, now)
 	if ok, _ := eligibility.MayStand(now); ok {
-		t.Error("stands while a leader is known")
+		t.Error("MayStand returned true while a leader is known, want false")
 	}
 	eligibility.RecordLeader(false, now)
 	if ok, _ := eligibility.MayStand(now); !ok {
-		t.Error("yields although it is not fresh")
+		t.Error("MayStand returned false for a process that is not fresh, want true")
 	}
 }
 
-// TestRecentIncarnationsAreCounted checks that each process is counted once and is forgotten after RestartMemory,
-// except for the requesting one.
+// TestRecentIncarnationsAreCounted checks that each process of a peer is counted once and is forgotten after
+// RestartMemory, except for the one that sends the current ping.
 func TestRecentIncarnationsAreCounted(t *testing.T) {
 	eligibility := New(DefaultRules, 1, 0)
 	for i := range 40 {
 		for range 3 {
 			actual, want := eligibility.RecordIncarnation(0, uint64(i), Time(i)*time.Second), min(i+1, maxIncarnations)
 			if actual != want {
-				t.Fatalf("%d recent processes, want %d", actual, want)
+				t.Fatalf("RecordIncarnation counted %d recent processes, want %d", actual, want)
 			}
 		}
 	}
 	if actual := eligibility.RecordIncarnation(0, 39, time.Hour); actual != 1 {
-		t.Errorf("%d recent processes after an hour, want 1", actual)
+		t.Errorf("RecordIncarnation counted %d recent processes after an hour, want 1", actual)
 	}
 }
 
@@ -166,27 +167,30 @@
 	})
 }
 
+// TestStatusRoundTrip checks that statuses and queries are decoded as they were encoded, and that truncated and
+// malformed ones are rejected.
 func TestStatusRoundTrip(t *testing.T) {
 	for _, status := range []Status{{}, {true, 3}, {false, maxIncarnations}} {
 		if decoded, err := ReadStatus(status.Append(nil)); err != nil || decoded != status {
-			t.Errorf("%+v was decoded as %+v, %v", status, decoded, err)
+			t.Errorf("status was decoded as %+v, error %v; want %+v", decoded, err, status)
 		}
 	}
 	node, incarnation, err := ReadQuery(AppendQuery(nil, "n1", 1<<60))
 	if err != nil || node != "n1" || incarnation != 1<<60 {
-		t.Errorf("query was decoded as node %q, incarnation %d, %v", node, incarnation, err)
+		t.Errorf("query was decoded as node %q, incarnation %d, error %v; want node n1, incarnation 1<<60",
+			node, incarnation, err)
 	}
 	encoded := AppendQuery(nil, "n1", 7)
 	for i := range encoded {
 		if _, _, err := ReadQuery(encoded[:i]); err == nil {
-			t.Errorf("a query truncated to %d bytes was decoded", i)
+			t.Errorf("a query truncated to %d of %d bytes was decoded, want an error", i, len(encoded))
 		}
 	}
 	for _, b := range [][]byte{
 		nil, {9}, {statusVersion}, {statusVersion, 1}, {statusVersion, 1, 200, 1}, append(Status{}.Append(nil), 0),
 	} {
 		if status, err := ReadStatus(b); err == nil {
-			t.Errorf("malformed status %v was decoded as %+v", b, status)
+			t.Errorf("malformed status %v was decoded as %+v, want an error", b, status)
 		}
 	}
 }
@@ -195,21 +199,22 @@
 func TestTimeline(t *testing.T) {
 	var timeline Timeline
 	if _, ok := timeline.ReachedAfter(Leading); ok || timeline.IsComplete() {
-		t.Error("an empty timeline has phases")
+		t.Errorf("empty timeline: Leading reached %v, complete %v; want both false", ok, timeline.IsComplete())
 	}
-	for p := Elected; p < PhaseCount; p++ { // the first leader of a cluster has not seen the loss of another
+	for p := Elected; p < PhaseCount; p++ { // LeaderLost is absent: the first leader of a cluster has no predecessor
 		if !timeline.Mark(p, Time(p)*time.Second) || timeline.Mark(p, time.Hour) {
-			t.Errorf("%v is not marked exactly once", p)
+			t.Errorf("phase %v: want true from the first Mark and false from the second", p)
 		}
 	}
 	if after, ok := timeline.ReachedAfter(Leading); !ok || after != 2*time.Second || timeline.IsComplete() {
-		t.Errorf("leading after %v (%v), want 2s; complete: %v", after, ok, timeline.IsComplete())
+		t.Errorf("Leading reached %v, after %v, timeline complete %v; want true, 2s, false",
+			ok, after, timeline.IsComplete())
 	}
 	if timeline.Mark(LeaderLost, 0); !timeline.IsComplete() {
-		t.Error("all phases are marked, but the timeline is not complete")
+		t.Error("IsComplete returned false with all phases marked, want true")
 	}
 	if after, _ := timeline.ReachedAfter(Leading); after != 3*time.Second {
-		t.Errorf("leading %v after the loss was noticed, want 3s", after)
+		t.Errorf("Leading reached %v after LeaderLost, want 3s", after)
 	}
 	for p := range PhaseCount {
 		if p.String() == "?" || p.String() == "" {
--- a/internal/replication/candidacy/failover.go
+++ b/internal/replication/candidacy/failover.go
@@ -1,18 +1,18 @@
 package candidacy
 
-// Phase is a step of a failover, from the loss of a leader until the next one manages the whole fleet. Phases are
-// reached in the order of their values, except that the last one may be reached before others.
+// Phase is a step of a failover, which begins with the loss of a leader and ends when the next leader manages all
+// agents. Phases are reached in the order of their values, except that AgentsAccounted may be reached before others.
 type Phase uint8
 
 // The phases of a failover.
 const (
 	LeaderLost      Phase = iota // this node noticed that there is no leader
-	Elected                      // it acquired the leader key
-	LogRead                      // it has read the log to its end, under its own term
-	Leading                      // it has read the intake, applied everything, and serves requests and schedules
-	FirstPlacement               // it made its first placement
-	FirstCommand                 // it sent its first command to a machine
-	FirstExecution               // a heartbeat first reported a command as executed
+	Elected                      // this node acquired the leader key
+	LogRead                      // the new leader has read the log to its end, under its own term
+	Leading                      // the leader has read the intake, applied all entries, serves requests and schedules
+	FirstPlacement               // the leader placed its first task
+	FirstCommand                 // the leader sent its first command to a machine
+	FirstExecution               // an agent's heartbeat first reported a command as executed
 	AgentsAccounted              // every agent with work has sent a heartbeat or was probed without a response
 	PhaseCount                   // number of phases
 )
@@ -31,7 +31,7 @@
 	reached   [PhaseCount]bool
 }
 
-// Mark records that a phase is reached, and tells whether it is for the first time.
+// Mark records when a phase was first reached. If the phase was reached before, Mark changes nothing and returns false.
 func (t *Timeline) Mark(p Phase, now Time) bool {
 	if t.reached[p] {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// ReachedAfter returns how long after the first recorded phase the given one was reached, if it was.
+// ReachedAfter returns the time from the first recorded phase to the given one, and whether that one was reached.
 func (t *Timeline) ReachedAfter(p Phase) (Time, bool) {
 	for q := range PhaseCount {
 		if t.reached[q] {
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-// IsComplete tells whether all phases were reached.
+// IsComplete reports whether all phases were reached.
 func (t *Timeline) IsComplete() bool {
 	for _, reached := range t.reached {
 		if !reached {
--- a/internal/replication/candidacy/golden_test.go
+++ b/internal/replication/candidacy/golden_test.go
@@ -22,9 +22,9 @@
 	version2 := golden.Read(t, "word.hex")
 	version2[0] = 2
 	if _, err := ReadStatus(version2); err == nil {
-		t.Error("a status of version 2 was decoded")
+		t.Error("a status of version 2 was decoded, want an error")
 	}
 	if _, _, err := ReadQuery(append([]byte{2}, golden.Read(t, "ask.hex")[1:]...)); err == nil {
-		t.Error("a query of version 2 was decoded")
+		t.Error("a query of version 2 was decoded, want an error")
 	}
 }
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -1,24 +1,25 @@
-// Package commitfence tells whether a change that ends agents' leases may have been confirmed without this node's
+// Package commitfence determines whether a change that ends agents' leases may have been confirmed without this node's
 // knowledge. It does no I/O.
 //
-// A node that can't read the log extends agents' leases only for a bounded time, since a job that was cancelled in the
-// meantime must lose its tasks in time. While the key-value store is unavailable to all nodes, nothing can be confirmed
-// that was not in the log before. But a node can't tell whether the store is unavailable to all or to itself alone. It
-// can rely on this: it was complete at some time, when its replica of the log held everything committed. Whatever was
-// confirmed since, to a user or to the agent lease table of a leader, was confirmed by a controller process that had
-// seen the batch. So it asks each of the other controllers, and requires that all report
+// A node that can't read the log extends agents' leases only for a bounded time, since the tasks of a job that was
+// cancelled in the meantime must stop in time. While the key-value store is unavailable to all nodes, no change can be
+// confirmed that was not in the log before. But a node can't distinguish this case from a store that only this node
+// can't reach. What the node does know is when it was last complete, that is, when its replica of the log held every
+// committed batch. A batch that was confirmed after that, to a user or to the agent lease table of a leader, was
+// confirmed by a controller process that had seen the batch. So the node asks each of the other controllers, and
+// requires that all report
 //
-//   - that their process started before this node was complete, so that no earlier process of theirs, which had ended
-//     by then, can have confirmed anything that this node lacks; and
+//   - that their process started before this node was complete, so that any earlier process of that controller had
+//     ended by then and can't have confirmed a batch that this node lacks; and
 //   - that their process has never seen a batch beyond the last one that this node has.
 //
-// Then nothing that this node lacks had been confirmed when it asked: it was as good as complete at that time. The
-// bounded time counts from there, and the node may ask again. If one controller does not respond, started later or has
-// seen more, the previous bound stands. Reports hold ages and batch numbers rather than wall-clock times; a delayed
-// response makes a process seem younger than it is, never older.
+// If all do, no batch that this node lacks had been confirmed when the node asked: the node was as good as complete at
+// that time. The bounded time then counts from that time, and the node may ask again. If a controller does not respond,
+// started later or has seen a later batch, the previous bound stands. Reports hold ages and batch numbers rather than
+// wall-clock times; a delayed response makes a process seem younger than it is, never older.
 //
-// A report covers the entire life of its process, and Watermarks only grows, so discarding and reloading a replica
-// loses nothing.
+// A report covers the entire life of its process: a batch that the process has seen stays in its Watermarks even if the
+// process discards and reloads its replica.
 package commitfence
 
 import (
@@ -31,17 +32,17 @@
 // Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Watermarks holds the newest batch that a process has ever seen in the log. It outlives the replica, and the gain and
-// loss of leadership.
+// Watermarks holds the number of the newest batch that this process has ever known to be committed. It is kept when the
+// replica is discarded and when the process gains or loses the leadership.
 type Watermarks struct{ highestSeq uint64 }
 
-// Observe records that all batches up to a number are known to be committed.
+// Observe records that all batches up to seq are known to be committed.
 func (w *Watermarks) Observe(seq uint64) { w.highestSeq = max(w.highestSeq, seq) }
 
-// WatermarkReport is what a process reports about itself.
+// WatermarkReport is the response of a controller process to a request of a BarrierRound.
 type WatermarkReport struct {
 	Age        Time   // time since the process started
-	HighestSeq uint64 // newest batch that it has ever known to be committed
+	HighestSeq uint64 // newest batch that the process has ever known to be committed
 }
 
 // Report returns the current report of this process.
@@ -50,13 +51,13 @@
 // ErrMalformed means that a report can't be decoded.
 var ErrMalformed = errors.New("commitfence: malformed watermark report")
 
-// Append appends the encoded report. The age is rounded down to milliseconds, so that the process never seems older
-// than it is.
+// Append appends the encoded report to b. The age is rounded down to milliseconds, so that the process never seems
+// older than it is.
 func (r WatermarkReport) Append(b []byte) []byte {
 	return codec.Uint(codec.Uint(b, uint64(r.Age/time.Millisecond)), r.HighestSeq)
 }
 
-// ReadReport decodes a report. Its error is ErrMalformed.
+// ReadReport decodes a report. The error, if any, is ErrMalformed.
 func ReadReport(b []byte) (WatermarkReport, error) {
 	r := codec.Reader{Data: b}
 	report := WatermarkReport{Age: time.Duration(min(r.Uint(), maxAgeMillis)) * time.Millisecond, HighestSeq: r.Uint()}
@@ -70,17 +71,17 @@
 // would make no difference.
 const maxAgeMillis = 10 * 365 * 24 * 3600 * 1000
 
-// driftDivisor gives the assumed maximum drift between two clocks, as one part in this number: twice the drift that the
+// driftDivisor is the reciprocal of the assumed maximum drift between two clocks, which is twice the drift that the
 // platform allows.
 const driftDivisor = 1000
 
-// BarrierRound is one round of read barriers: one request to each other controller.
+// BarrierRound evaluates the responses to one request to each of the other controllers, as described at the package.
 type BarrierRound struct {
 	startedAt   Time   // start of the round, before the first request was sent
 	completeAt  Time   // when this node was last complete
 	knownSeq    uint64 // last batch that this node has
-	confirmed   []bool // by peer
-	unconfirmed int    // number of conditions not yet met
+	confirmed   []bool // by peer: its report met both conditions
+	unconfirmed int    // number of peers not yet confirmed, plus one if the round can't succeed
 }
 
 // BeginRound starts a round for a node that was complete at the given time and has all batches up to seq.
@@ -93,7 +94,7 @@
 		unconfirmed: peers,
 	}
 	if w.highestSeq > seq {
-		round.unconfirmed++ // never met: this process itself has seen more than its replica holds
+		round.unconfirmed++ // never decremented: this process has seen batches that its replica lacks
 	}
 	return round
 }
@@ -108,5 +109,6 @@
 	r.unconfirmed--
 }
 
-// Proven tells whether all peers have confirmed, and if so, the time at which this node was as good as complete.
+// Proven reports whether the reports of all peers met the conditions. If so, completeAt is the time at which this node
+// was as good as complete.
 func (r *BarrierRound) Proven() (completeAt Time, ok bool) { return r.startedAt, r.unconfirmed == 0 }
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -26,7 +26,8 @@
 	seq uint64
 }
 
-// history is a reference model of some controllers and of the requester, in true time.
+// history is a reference model, in true time, of a controller that performs rounds (the requester) and of the other
+// controllers.
 type history struct {
 	t             *rapid.T
 	now           float64
@@ -35,9 +36,9 @@
 	confirmations []confirmation
 
 	requester           *process
-	requesterSeq        uint64  // last batch that it has
-	completeAt          float64 // when it was last complete, in true time
-	requesterCompleteAt Time    // the same on its own clock
+	requesterSeq        uint64  // last batch that the requester has
+	completeAt          float64 // when the requester was last complete, in true time
+	requesterCompleteAt Time    // completeAt on the requester's clock
 
 	proven, unproven int // numbers of rounds by outcome
 }
@@ -138,9 +139,8 @@
 }
 
 // TestNothingConfirmedUnknown draws histories of several controllers: batches are committed; processes see them,
-// confirm them and end; the requester is complete at some time and asks later, while responses are delayed or lost.
-// Whenever a round is proven, the reference model must hold no confirmation before the round of a batch that the
-// requester lacks.
+// confirm them and end; the requester is complete at some time and asks later, while responses are delayed or lost. If
+// a round is proven, no batch that the requester lacks may have been confirmed before the round began.
 func TestNothingConfirmedUnknown(t *testing.T) {
 	proven, unproven := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -155,15 +155,18 @@
 	}
 }
 
+// TestReportRoundTrip checks that a report is decoded as it was encoded, with its age rounded down to milliseconds, and
+// that malformed reports are rejected.
 func TestReportRoundTrip(t *testing.T) {
 	report := WatermarkReport{Age: 1234567 * time.Microsecond, HighestSeq: 1 << 40}
 	decoded, err := ReadReport(report.Append(nil))
 	if err != nil || decoded.Age != 1234*time.Millisecond || decoded.HighestSeq != report.HighestSeq {
-		t.Errorf("%+v was decoded as %+v, %v", report, decoded, err)
+		t.Errorf("report was decoded as %+v, error %v; want %+v with its age rounded down to milliseconds",
+			decoded, err, report)
 	}
 	for _, b := range [][]byte{nil, {5}, {5, 6, 7}, {0xff}} {
 		if _, err := ReadReport(b); err == nil {
-			t.Errorf("malformed report %v was decoded", b)
+			t.Errorf("malformed report %v was decoded, want an error", b)
 		}
 	}
 }
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -2,8 +2,8 @@
 //
 // The leader key is attached to the lease, so it is deleted when the lease ends; the node that creates the key leads.
 // The lease lasts at least its TTL from the time at which the last renewal reached the store, which is not before the
-// renewal was sent. So a leader may trust its own monotonic clock for the TTL after sending, less the drift between two
-// clocks, and needs no response from another node.
+// renewal was sent. So a leader may act for the TTL after sending a successful renewal, as measured by its own
+// monotonic clock, less the maximum drift between two clocks, without asking another node.
 package election
 
 import (
@@ -21,30 +21,30 @@
 )
 
 const (
-	// leaseTTL is short because a failover waits for the lease to end; several renewals fit into it, so that a slow
-	// response does not cost the leadership.
+	// leaseTTL is short because a failover waits for the lease to end. Several renewals fit into it, so that a slow
+	// response does not end the leadership.
 	leaseTTL      = 3000 * time.Millisecond
 	renewInterval = 600 * time.Millisecond
 	renewTimeout  = 1500 * time.Millisecond
-	// maxClockDriftDivisor gives the maximum drift between two clocks, as one part in this number; trustMargin is an
-	// additional margin for scheduling delays of this process.
+	// maxClockDriftDivisor is the reciprocal of the maximum drift between two clocks; trustMargin is an additional
+	// margin for scheduling delays of this process.
 	maxClockDriftDivisor = 500
 	trustMargin          = 20 * time.Millisecond
 )
 
-// TrustPeriod is the time after sending a renewal for which the lease is guaranteed to last.
+// TrustPeriod is how long after sending a successful renewal the lease is guaranteed to last.
 const TrustPeriod = leaseTTL - leaseTTL/maxClockDriftDivisor - trustMargin
 
-// ErrTaken means that another node holds the key.
+// ErrTaken means that another node holds the key that was to be acquired.
 var ErrTaken = errors.New("key is held by another node")
 
 // Leadership is one term of this node as leader.
 type Leadership struct {
 	oplog.Leader
-	TrustedUntil time.Time // when the trust ends without a further renewal
+	TrustedUntil time.Time // until when the lease is guaranteed to last without a further renewal
 }
 
-// Acquire tries once to become the leader. The error is ErrTaken if another node leads.
+// Acquire tries once to become the leader of a new term. The error wraps ErrTaken if another node leads.
 func Acquire(ctx context.Context, store *kvstore.Client, node string, logger *slog.Logger) (*Leadership, error) {
 	term, termVersion, err := readTerm(ctx, store)
 	if err != nil {
@@ -82,14 +82,14 @@
 	}
 	var value wire.LogValue
 	if err := wire.Unmarshal(item.Value, &value); err != nil {
-		return 0, 0, fmt.Errorf("election: read %s: %w", oplog.KeyTerm, err)
+		return 0, 0, fmt.Errorf("election: decode %s: %w", oplog.KeyTerm, err)
 	}
 	return value.Term, item.Version, nil
 }
 
 // AcquireKey tries once to create a key attached to a lease of its own: the leader key, or that of a singleton role.
-// makeTxn returns the transaction that creates it, whose value names the node and the lease. AcquireKey returns the
-// lease and the key's version. The lease may be trusted for its TTL, counted from before the call. The error is
+// makeTxn returns the transaction that creates the key with a value that names the node and the lease. AcquireKey
+// returns the lease and the key's version. The lease lasts at least its TTL from the time of the call. The error wraps
 // ErrTaken if another node holds the key.
 func AcquireKey(
 	ctx context.Context,
@@ -108,11 +108,12 @@
 	}
 	switch msgpackhttp.StatusCode(err) {
 	case http.StatusConflict, http.StatusBadRequest, http.StatusTooManyRequests:
-		_ = store.Revoke(ctx, lease) // best effort: the lease ends by itself
+		_ = store.Revoke(ctx, lease) // best effort: without renewals the lease expires anyway
 		return 0, 0, fmt.Errorf("election: acquire %s: %w", key, ErrTaken)
 	}
-	// Without a conclusive response the transaction may have been applied, or may be applied later. The key tells
-	// which; if it is absent, revoking the lease ensures that a late copy is refused.
+	// Without a conclusive response the transaction may have been applied, or may be applied later. The state of the
+	// key shows which. If the key is absent, revoking the lease ensures that the store refuses a copy of the
+	// transaction that arrives late.
 	logger.Debug("key acquisition outcome unknown", "key", key, "err", err)
 	if version, ok := heldVersion(ctx, store, key, node, lease); ok {
 		return lease, version, nil
@@ -134,8 +135,9 @@
 	return item.Version, true
 }
 
-// RenewUntilLost renews the lease until the context ends, or until the lease has ended; the error then wraps
-// oplog.ErrDeposed. After every renewal it calls onRenewed with the time until which the leadership may be trusted.
+// RenewUntilLost renews the lease of a leadership until the context ends, or until the lease has ended, in which case
+// the error wraps oplog.ErrDeposed. After every renewal it calls onRenewed with the time until which the leadership may
+// be trusted.
 func RenewUntilLost(
 	ctx context.Context, store *kvstore.Client, leadership *Leadership, onRenewed func(until time.Time),
 ) error {
@@ -153,7 +155,7 @@
 		case err == nil:
 			onRenewed(sent.Add(TrustPeriod))
 		case msgpackhttp.StatusCode(err) == http.StatusNotFound:
-			return fmt.Errorf("election: lease of term %d ended: %w", leadership.Term, oplog.ErrDeposed)
+			return fmt.Errorf("election: renew lease of term %d: lease has ended: %w", leadership.Term, oplog.ErrDeposed)
 		}
 	}
 }
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -11,9 +11,10 @@
 	"fieldhill/internal/testing/modelcheck"
 )
 
-// This file models two nodes, the key-value store, the cloud and the log around real Roles. Time advances in whole
-// units. A request may be answered at once, remain in flight for any time, be lost, or have its response lost. A node
-// may be paused for any time between checking its trust and sending a request, and it may end and restart.
+// This file models two nodes, the key-value store, the cloud and the log. The nodes use the type Role itself, not a
+// model of it. Time advances in whole units. A request may be answered at once, remain in flight for any time, be lost,
+// or have its response lost. A node may be paused for any time between checking that it is trusted and sending a
+// request, and it may end and restart.
 
 // fault is a safety rule that the model deliberately breaks.
 type fault int
@@ -66,8 +67,8 @@
 type node struct {
 	role             Role
 	awaitingResponse bool   // an Acquire or Renew is in flight
-	pendingAction    string // action about to be taken after the trust was checked: "provision NAME" or "write"
-	actionTerm       uint64 // term under which the trust was checked
+	pendingAction    string // action to take next, for which Trusted returned true: "provision NAME" or "write"
+	actionTerm       uint64 // term when Trusted was called
 	wrote            bool
 	provisioned      bool
 	restarts         int
@@ -75,8 +76,8 @@
 
 type modelState struct {
 	fault fault
-	// Restrictions that let the rest be explored to a greater depth: no writes, no provisioning, or no message that is
-	// delayed or lost.
+	// Restrictions that reduce the number of states, so that they can be explored to a greater depth: no writes, no
+	// provisioning, or no message that is delayed or lost.
 	noWrites, noProvisioning, promptDelivery bool
 
 	now             Time
@@ -84,7 +85,7 @@
 	revision        uint64
 	holder          int // index of the node that holds the key; -1 if none
 	term            uint64
-	deletedRevision uint64 // revision at which the key was deleted
+	deletedRevision uint64 // revision at which the key was last deleted
 	lease           uint64
 	leaseEndsAt     Time // when the key's lease ends
 	messages        []message
@@ -102,7 +103,7 @@
 	return s
 }
 
-// stateKey is the encoding of a state that distinguishes it from other states.
+// stateKey is an encoding of the parts of a state that determine its behavior, by which equal states are recognized.
 type stateKey []byte
 
 func (k *stateKey) ints(list ...int64) {
@@ -174,6 +175,7 @@
 	return string(k)
 }
 
+// Violation describes the safety property that the state violates, empty if none.
 func (s modelState) Violation() string {
 	if s.violation != "" {
 		return s.violation
@@ -196,7 +198,7 @@
 	return ""
 }
 
-// releaseKey deletes the role's key.
+// releaseKey deletes the role's key, as the store does when the key's lease ends or is revoked.
 func (s *modelState) releaseKey() {
 	s.revision++
 	s.holder, s.term, s.lease, s.deletedRevision = -1, 0, 0, s.revision
@@ -255,7 +257,7 @@
 			n.role.Renewed(sent, m.ok, !m.ok)
 		}
 	case provisionResponse:
-		// The result is reported to the leader, which accepts it only from the current holder.
+		// The node reports the result to the leader, which accepts it only from the current holder.
 		if n.role.Term() == m.term && n.role.IsCurrent(m.term) {
 			n.provisioned = true
 			n.role.RecordProgress(s.now)
@@ -264,6 +266,7 @@
 	}
 }
 
+// NextSteps returns the steps that can follow the state.
 func (s modelState) NextSteps() (list []modelcheck.Step) {
 	step := func(name string, f func(s *modelState)) {
 		next := s.clone()
@@ -273,7 +276,7 @@
 	if s.now < 16 {
 		step("time advances", func(s *modelState) {
 			if s.now++; s.holder >= 0 && s.now > s.leaseEndsAt {
-				s.releaseKey() // a lease ends less than one unit late
+				s.releaseKey() // the store ends an expired lease less than one unit late
 			}
 		})
 	}
@@ -309,7 +312,8 @@
 	return list
 }
 
-// sendSteps adds the possible outcomes of sending a request.
+// sendSteps adds the steps that send a request: it is answered at once or, if mayDelay, remains in flight. before is
+// applied to the state first.
 func sendSteps(step stepFunc, mayDelay bool, description string, m message, before func(s *modelState)) {
 	step(description+", answered at once", func(s *modelState) {
 		before(s)
@@ -325,14 +329,14 @@
 	}
 }
 
-// stepFunc adds a possible next step.
+// stepFunc adds a possible next step with a name for traces; apply changes a copy of the current state.
 type stepFunc func(name string, apply func(*modelState))
 
 func (s modelState) nodeSteps(i int, step stepFunc) {
 	n := &s.nodes[i]
 	self := nodeName(i)
-	// The watch reports the current state of the key. A delayed watch would report an earlier state, which adds no
-	// behavior that is not also reached by observing later.
+	// The watch reports the current state of the key. Watches that report an earlier state are not modeled: they add no
+	// behavior, since a node may also observe the current state at any later time.
 	observed := RoleHolder{Term: s.deletedRevision}
 	if s.holder >= 0 {
 		observed = RoleHolder{Node: nodeName(s.holder), Term: s.term}
@@ -354,7 +358,7 @@
 	}
 }
 
-// timeOut treats a missing response as an unknown outcome.
+// timeOut makes a node treat the outcome of its request, to which no response has arrived, as unknown.
 func (n *node) timeOut(now Time) {
 	n.awaitingResponse = false
 	if n.role.Term() == 0 {
@@ -364,7 +368,7 @@
 	}
 }
 
-// decisionSteps adds the steps that a node's decision about the key allows.
+// decisionSteps adds the steps in which a node carries out what Role.Decide returns.
 func (s modelState) decisionSteps(i int, step stepFunc) {
 	n, self := &s.nodes[i], nodeName(i)
 	next := n.role
@@ -394,7 +398,7 @@
 	}
 }
 
-// writeSteps adds the two halves of a write: checking the trust, and sending the request.
+// writeSteps adds the two steps of a write: checking that the node is trusted, and sending the request.
 func (s modelState) writeSteps(i int, step stepFunc) {
 	n, self := &s.nodes[i], nodeName(i)
 	switch {
@@ -410,7 +414,7 @@
 	}
 }
 
-// provisionSteps adds the two halves of a scale-out: checking the trust, and sending the request.
+// provisionSteps adds the two steps of a scale-out: checking that the node is trusted, and sending the request.
 func (s modelState) provisionSteps(i int, step stepFunc) {
 	n, self := &s.nodes[i], nodeName(i)
 	if n.pendingAction == "" && n.role.Trusted(s.now) && !n.provisioned && !s.noProvisioning {
@@ -428,15 +432,15 @@
 	}
 }
 
-// provisionAction is the prefix of a pending provisioning action; the name of the request follows.
+// provisionAction is the prefix of node.pendingAction for a scale-out; the name of the request follows.
 const provisionAction = "provision "
 
-// requestName returns the name under which a node provisions next, empty if nothing is wanted.
+// requestName returns the name of the scale-out request that a node sends next, empty if no request is open.
 func (s modelState) requestName(i int) string {
 	switch {
 	case len(s.openRequests) == 0:
 		return ""
-	case s.fault == provisionBeforeLogging: // a name of the node's own, recorded in the log only with the response
+	case s.fault == provisionBeforeLogging: // the node chooses a name that is in the log only after the response
 		return fmt.Sprint(nodeName(i), s.nodes[i].restarts)
 	}
 	return s.openRequests[0]
@@ -444,8 +448,9 @@
 
 var maxStates = flag.Int("states", 50_000, "maximum number of states to explore where no violation is expected")
 
-// TestNoInterleavingBreaksARole explores all interleavings of two nodes that compete for one role, and checks that no
-// safety property is violated and that each deliberately broken rule is detected.
+// TestNoInterleavingBreaksARole explores the interleavings of two nodes that compete for one role, up to a depth and a
+// number of states. It checks that no safety property is violated, and that a violation is found for each rule that the
+// model deliberately breaks.
 func TestNoInterleavingBreaksARole(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -481,7 +486,7 @@
 			r := modelcheck.Explore(state, c.depth, limit)
 			t.Log(r)
 			if (r.Violation == "") != (c.wantViolation == "") || !strings.Contains(r.Violation, c.wantViolation) {
-				t.Errorf("violation %q, want %q", r.Violation, c.wantViolation)
+				t.Errorf("violation is %q, want one that contains %q, or none if empty", r.Violation, c.wantViolation)
 			}
 		})
 	}
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -4,15 +4,16 @@
 // request to send to the store.
 //
 // A role is held by means of a key in the store that is attached to a lease of its own. The key's version, which is the
-// revision at which it was created, is the role's term: it only grows, and every write of the role requires it. The
-// lease lasts at least its TTL from the sending of the last successful renewal, so a holder trusts its own clock
-// for that long after sending, less the drift between two clocks.
+// revision at which the key was created, is the holder's term: later holders have higher terms, and every write made
+// for the role requires the key at this version. The lease lasts at least its TTL from the sending of the last
+// successful renewal. So a holder may act for the role for that long after sending, as measured by its own clock, less
+// the maximum drift between two clocks.
 //
 // A holder renews only while the role makes progress. After Rules.Patience without progress it releases the role and
-// backs off for an increasing time, so that a node with a better connection to the cloud or store can acquire it. The
-// number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders): when all
-// nodes have failed to make progress, the remote side is unavailable to all of them, and the time allowed without
-// progress grows.
+// backs off, for longer each time, so that a node with a better connection to the cloud or store can acquire the role.
+// The number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders). When
+// it shows that all nodes have failed to make progress, the cloud or store is probably unavailable to all of them, and
+// the time allowed without progress grows.
 package singleton
 
 import (
@@ -51,11 +52,11 @@
 	TTL            Time // duration of the lease
 	TrustPeriod    Time // how long after sending a renewal the lease is guaranteed to last; below TTL
 	RenewInterval  Time // between renewals
-	Patience       Time // maximum time without progress
-	InitialBackoff Time // initial backoff of a holder without progress; doubled each time
+	Patience       Time // how long a holder keeps the role without progress
+	InitialBackoff Time // how long a node that made no progress does not acquire the role again; doubled each time
 	MaxBackoff     Time // upper bound of the backoff
-	RankDelay      Time // additional delay per rank before a node acquires a free role; none for the first
-	SettleTime     Time // how long a better holder must exist before a working one releases the role
+	RankDelay      Time // a node of rank n waits n times as long before it acquires a free role
+	SettleTime     Time // how long a holder must have led beside other live nodes before it releases the role to them
 }
 
 const (
@@ -68,8 +69,8 @@
 	settleTime = 20 * time.Second
 )
 
-// DefaultRules returns the rules of a role. The lease is twice as long as a leader's, since no user request waits for a
-// role.
+// DefaultRules returns the rules of a role. The lease is twice as long as a leader's, since no user request waits for
+// another node to acquire a role.
 func DefaultRules(n Name) Rules {
 	rules := Rules{
 		TTL:            6 * time.Second,
@@ -89,14 +90,14 @@
 
 // RoleHolder is the content of the role's key.
 type RoleHolder struct {
-	Node  string // empty if no node holds it
-	Term  uint64 // version of the key
-	Since Time   // when this node observed it
+	Node  string // empty if no node holds the role
+	Term  uint64 // version of the key; if there is no key, revision at which it was deleted
+	Since Time   // when this node observed the key's current content
 }
 
-// View is what a node knows of the other nodes.
+// View is what a node knows about the nodes of the cluster.
 type View struct {
-	Ready  bool     // all nodes take part; while any runs an older version, the leader performs the roles itself
+	Ready  bool     // all nodes take part in roles; while a node runs a version without roles, the leader performs them
 	Live   []string // responding nodes, this one included
 	Leader string   // empty if unknown
 }
@@ -104,12 +105,12 @@
 // Decision is the next action of a node for a role.
 type Decision uint8
 
-// The decisions. Acquire and Renew are returned once, and again only after their response.
+// The decisions. After Acquire or Renew, Decide returns NoAction until Acquired or Renewed has been called.
 const (
 	NoAction Decision = iota
 	Acquire           // request a lease, and create the key unless it exists; then call Acquired
 	Renew             // renew the lease; then call Renewed
-	Release           // store the count if NoProgress, and revoke the lease, which deletes the key; then call Released
+	Release           // store StalledHolders if NoProgress; revoke the lease, which deletes the key; then call Released
 )
 
 // Reasons for releasing or losing a role, as shown in the admin API and the log.
@@ -143,7 +144,7 @@
 	heldSince         Time
 	lastProgress      Time
 	progressed        bool // the role made progress in this term
-	betterHolderSince Time // since when another node would be a better holder; 0 if none would
+	betterHolderSince Time // since when this node has led beside other live nodes, which are better holders; else 0
 	backoffUntil      Time
 	backoff           Time
 	noProgress        bool   // the role was released for lack of progress
@@ -153,8 +154,8 @@
 // New returns the state of a role that this node does not hold and has not observed.
 func New(n Name, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
-// Observe records the content of the role's key. Without a holder, Term is the revision at which the key was deleted.
-// Terms are revisions too, so the two are comparable, and an older message that arrives late is recognized.
+// Observe records the content of the role's key. Updates older than the last observed one are ignored. They are
+// recognized by their terms: with a holder and without, a term is a revision of the store.
 func (r *Role) Observe(holder RoleHolder, now Time) {
 	if r.observed && (holder.Term < r.holder.Term || holder.Term == r.holder.Term && holder.Node == r.holder.Node) {
 		return
@@ -168,51 +169,53 @@
 	}
 }
 
-// ObserveStalledHolders records the number of consecutive holders that made no progress.
+// ObserveStalledHolders records the stored number of consecutive holders that made no progress.
 func (r *Role) ObserveStalledHolders(n int) { r.stalledHolders = n }
 
-// lose ends this node's hold of the role.
+// lose records that this node no longer holds the role, and why.
 func (r *Role) lose(reason string) {
 	r.term, r.lease, r.trustedUntil, r.betterHolderSince, r.releaseReason = 0, 0, 0, 0, reason
 }
 
-// Term returns the term under which this node holds the role, 0 if it does not. To act on it, the role must also be
-// Trusted.
+// Term returns the term under which this node holds the role, 0 if it does not. The node may act under this term only
+// while Trusted returns true.
 func (r *Role) Term() uint64 { return r.term }
 
-// Lease returns the lease to which the key is attached.
+// Lease returns the lease to which this node has attached the key, 0 if it does not hold the role.
 func (r *Role) Lease() uint64 { return r.lease }
 
-// TrustedUntil returns the time until which the hold is trusted.
+// TrustedUntil returns the time until which this node is guaranteed to hold the role; 0 if it does not hold the role.
 func (r *Role) TrustedUntil() Time { return r.trustedUntil }
 
-// Trusted tells whether this node is guaranteed to hold the role.
+// Trusted reports whether this node is guaranteed to hold the role at the given time.
 func (r *Role) Trusted(now Time) bool { return r.term != 0 && now < r.trustedUntil }
 
-// Holder returns the last observed holder.
+// Holder returns the last observed content of the role's key.
 func (r *Role) Holder() RoleHolder { return r.holder }
 
-// HeldSince returns when this node acquired the role.
+// HeldSince returns when this node last acquired the role.
 func (r *Role) HeldSince() Time { return r.heldSince }
 
-// LastProgress returns when the role last made progress at this node.
+// LastProgress returns when this node, as the holder, last made progress or had nothing to do. It is initially the time
+// at which the node acquired the role.
 func (r *Role) LastProgress() Time { return r.lastProgress }
 
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress tells whether the role was released for lack of progress, in which case StalledHolders must be stored for
-// the next holders.
+// NoProgress reports whether this node last released the role for lack of progress, in which case StalledHolders must
+// be stored for the next holders.
 func (r *Role) NoProgress() bool { return r.noProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent tells whether a report made under a term is valid, that is, whether the term is not older than the observed
-// key.
+// IsCurrent reports whether a result that a holder reports under its term is valid, that is, whether the term is not
+// older than that of the observed key.
 func (r *Role) IsCurrent(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience returns the maximum time without progress, which is longer if no other node made progress either.
+// patience returns how long this node may hold the role without progress. The limit doubles for every full round of
+// live nodes that held the role one after the other without progress.
 func (r *Role) patience(v *View) Time {
 	limit := r.Rules.Patience
 	for rounds := r.stalledHolders / max(1, len(v.Live)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
@@ -221,8 +224,8 @@
 	return limit
 }
 
-// RecordProgress records that the role made progress. It tells whether that ends a series of holders without progress,
-// in which case the reset count must be stored.
+// RecordProgress records that the role made progress. It reports whether that ends a series of holders without
+// progress, in which case the caller must store 0 as the number of stalled holders.
 func (r *Role) RecordProgress(now Time) (endsStall bool) {
 	if r.term == 0 {
 		return false
@@ -233,7 +236,7 @@
 	return endsStall
 }
 
-// RecordIdle records that the role has nothing to do, which does not count as a lack of progress.
+// RecordIdle records that the holder currently has nothing to do, which does not count as a lack of progress.
 func (r *Role) RecordIdle(now Time) {
 	if r.term != 0 {
 		r.lastProgress = now
@@ -261,7 +264,8 @@
 	return max(0, slices.Index(order, r.Node))
 }
 
-// Decide returns the next action for the role.
+// Decide returns the action that this node has to take now for the role. The caller takes it and reports its outcome by
+// the method that is named at the Decision.
 func (r *Role) Decide(now Time, v *View) Decision {
 	switch {
 	case r.awaitingResponse || !r.observed:
@@ -316,7 +320,7 @@
 	return Renew
 }
 
-// Released records that the role was given up, whether or not the request to release it was sent.
+// Released records that this node has released the role, whether or not the store has received the request to do so.
 func (r *Role) Released() {
 	reason := r.releaseReason
 	r.lose(reason)
@@ -334,8 +338,8 @@
 	r.holder, r.observed = RoleHolder{Node: r.Node, Term: term, Since: now}, true
 }
 
-// Renewed handles the response to a Renew sent at the given time: ok if the lease was renewed, gone if it had ended. If
-// neither is set, the outcome is unknown, and the renewal is sent again.
+// Renewed handles the response to a Renew sent at the given time: ok if the lease was renewed, gone if the lease had
+// ended. If neither is set, the outcome is unknown, and Decide returns Renew again.
 func (r *Role) Renewed(sent Time, ok, gone bool) {
 	r.awaitingResponse = false
 	switch {
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTrustEndsBeforeTheLease checks that a holder's trust ends before its lease can end, if the holder's clock is slow
-// and the store's fast by the maximum drift.
+// TestTrustEndsBeforeTheLease checks that the TrustPeriod of a holder ends before its lease can end, even if the
+// holder's clock is slow and the store's fast by the maximum drift.
 func TestTrustEndsBeforeTheLease(t *testing.T) {
 	const drift = 0.0005 // of each clock, in opposite directions
 	for n := range NameCount {
@@ -15,7 +15,8 @@
 			t.Errorf("%v: trusted for up to %v, want less than the lease TTL of %v", n, time.Duration(slow), rules.TTL)
 		}
 		if rules.RenewInterval*2 >= rules.TrustPeriod {
-			t.Errorf("%v: a single lost renewal ends the trust", n)
+			t.Errorf("%v: RenewInterval is %v, want less than half of TrustPeriod %v, to tolerate a lost renewal",
+				n, rules.RenewInterval, rules.TrustPeriod)
 		}
 	}
 }
@@ -42,7 +43,7 @@
 	}
 }
 
-// acquiredAt returns when a node requests a role that became free at a given time.
+// acquiredAt returns when a node requests a role that became free at freeAt.
 func acquiredAt(t *testing.T, n Name, node string, freeAt Time, view *View) Time {
 	t.Helper()
 	role := New(n, node, DefaultRules(n))
@@ -50,14 +51,14 @@
 	at := freeAt
 	for role.Decide(at, view) != Acquire {
 		if at += 100 * time.Millisecond; at > time.Minute {
-			t.Fatalf("%v: node %s does not acquire the role within a minute", n, node)
+			t.Fatalf("%v: node %s has not requested the role by %v, want a request within a minute", n, node, at)
 		}
 	}
 	return at
 }
 
-// TestLeaderReleasesRolesInTurn checks that a leader that holds roles releases them one after the other once another
-// node is live.
+// TestLeaderReleasesRolesInTurn checks that a leader that holds roles releases them one after the other, with a delay
+// between them, once another node is live.
 func TestLeaderReleasesRolesInTurn(t *testing.T) {
 	var releasedAt []Time
 	for n := range NameCount {
@@ -69,8 +70,8 @@
 	}
 }
 
-// leaderReleasesAt returns when leader b, which holds a role and makes progress, releases it if no other node is live
-// until a given time.
+// leaderReleasesAt returns when the leader b, which holds a role and makes progress, releases the role if the other
+// nodes become live at aloneUntil.
 func leaderReleasesAt(n Name, aloneUntil Time, nodes []string) Time {
 	role := New(n, "b", DefaultRules(n))
 	role.Observe(RoleHolder{Term: 7}, 0)
@@ -92,29 +93,31 @@
 }
 
 // TestOlderUpdatesOfAKeyAreIgnored checks that an older update of the key, which may arrive late by another path,
-// changes nothing, and that a newer one ends the hold.
+// changes nothing, and that after a newer one the node no longer holds the role.
 func TestOlderUpdatesOfAKeyAreIgnored(t *testing.T) {
 	role := New(Provisioning, "a", DefaultRules(Provisioning))
 	role.Observe(RoleHolder{Term: 7}, 0)
 	role.Acquired(0, time.Second, 1, 9)
 	for _, h := range []RoleHolder{{Term: 8}, {Node: "b", Term: 6}, {Node: "a", Term: 9}} {
 		if role.Observe(h, time.Second); !role.Trusted(time.Second) {
-			t.Fatalf("older update %+v ended a hold under term 9", h)
+			t.Fatalf("after the older update %+v the holder of term 9 is no longer trusted", h)
 		}
 	}
 	if !role.IsCurrent(9) || role.IsCurrent(8) || role.IsCurrent(0) {
-		t.Error("want reports under term 9 to be current, and none under older terms")
+		t.Errorf("IsCurrent of terms 9, 8 and 0 is %v, %v, %v; want true, false, false",
+			role.IsCurrent(9), role.IsCurrent(8), role.IsCurrent(0))
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
-		t.Error("the hold continues after the key was deleted")
+		t.Errorf("after the key was deleted, term is %d and trusted %v, want 0 and false",
+			role.Term(), role.Trusted(2*time.Second))
 	}
 	if role.Acquired(2*time.Second, 2*time.Second, 2, 10); role.Term() != 0 {
-		t.Error("a late response acquired a key that was deleted since")
+		t.Errorf("a late response for a key that was deleted since gave term %d, want 0", role.Term())
 	}
 }
 
-// TestLostWhileRenewing checks that a node whose hold ends while a renewal is in flight can acquire the role again. If
-// the response to that renewal were ignored, the node would wait for it forever.
+// TestLostWhileRenewing checks that a node that loses the role while a renewal is in flight can acquire the role again.
+// If the response to that renewal were ignored, the node would wait for the response forever.
 func TestLostWhileRenewing(t *testing.T) {
 	role, view := New(Provisioning, "a", DefaultRules(Provisioning)), &View{Ready: true, Live: []string{"a"}}
 	role.Observe(RoleHolder{Term: 7}, 0)
