--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -155,7 +155,7 @@
 		case err == nil:
 			onRenewed(sent.Add(TrustPeriod))
 		case msgpackhttp.StatusCode(err) == http.StatusNotFound:
-			return fmt.Errorf("election: renew lease of term %d: lease has ended: %w", leadership.Term, oplog.ErrDeposed)
+			return fmt.Errorf("election: renew lease of term %d: lease ended: %w", leadership.Term, oplog.ErrDeposed)
 		}
 	}
 }
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
-// store is an emulated key-value store, used by the logs of several nodes.
+// store is an emulated key-value store that the logs of several nodes use.
 type store struct {
 	t       *testing.T
 	ctx     context.Context
@@ -41,6 +41,7 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
+// withStore calls run in virtual time with an empty store.
 func withStore(t *testing.T, run func(s *store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -55,12 +56,12 @@
 	})
 }
 
-// open returns a node that has read the current log.
+// open returns a node that has loaded the current log.
 func (s *store) open(name string) *node {
 	n := &node{client: kvstore.New(s.net.Host(name), stateAddr, 1000)}
 	n.Log = oplog.New(n.client, 400, 8, 12, discardLogger)
 	if _, err := n.Load(s.ctx); err != nil {
-		s.t.Errorf("node %s could not read the log: %v", name, err)
+		s.t.Errorf("load by node %s: %v", name, err)
 	}
 	return n
 }
@@ -76,7 +77,7 @@
 
 func data(seq uint64) []byte { return fmt.Appendf(nil, "batch %d", seq) }
 
-// snapshot returns a snapshot that is long enough for several parts.
+// snapshot returns the snapshot up to batch seq, which is long enough for several parts.
 func snapshot(seq uint64) []byte { return bytes.Repeat(fmt.Appendf(nil, "to %d;", seq), 3000) }
 
 func (s *store) append(n *node, count int) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// requireComplete checks that a node that starts now reads everything that was appended. It returns the last batch
-// covered by the snapshot.
+// requireComplete checks that a node that starts now loads all batches that were appended, as part of the snapshot or
+// after it. It returns the last batch covered by the snapshot.
 func (s *store) requireComplete(stage string) (snapSeq uint64) {
 	s.t.Helper()
 	n := oplog.New(kvstore.New(s.net.Host("new"), stateAddr, 1000), 400, 8, 12, discardLogger)
@@ -99,12 +100,13 @@
 		s.t.Fatalf("%s: %v", stage, err)
 	}
 	if loaded.SnapshotSeq > 0 && !bytes.Equal(loaded.Snapshot, snapshot(loaded.SnapshotSeq)) {
-		s.t.Errorf("%s: snapshot of batch %d differs from what was written", stage, loaded.SnapshotSeq)
+		s.t.Errorf("%s: snapshot up to batch %d differs from the one that was written", stage, loaded.SnapshotSeq)
 	}
 	next := loaded.SnapshotSeq
 	for _, b := range loaded.Batches {
 		if next++; b.Seq != next || !bytes.Equal(b.Data, data(next)) {
-			s.t.Errorf("%s: instead of batch %d, read batch %d with data %q", stage, next, b.Seq, b.Data)
+			s.t.Errorf("%s: got batch %d with data %q, want batch %d with data %q",
+				stage, b.Seq, b.Data, next, data(next))
 		}
 	}
 	if next != s.lastSeq {
@@ -114,9 +116,9 @@
 }
 
 // TestCompactionAfterFailover checks the compaction of a new leader whose predecessor compacted the log after the new
-// leader had read it. If the new leader takes the manifest for the one that it read itself, its own snapshot is
-// refused, and deleting the replaced batches all the same leaves a log that no starting node can read until the next
-// compaction.
+// leader had loaded it. If the new leader relied on the manifest that it had loaded, the store would refuse its new
+// manifest. If the new leader then deleted the replaced batches nevertheless, no starting node could load the log until
+// the next compaction.
 func TestCompactionAfterFailover(t *testing.T) {
 	withStore(t, func(s *store) {
 		a, b := s.open("a"), s.open("b")
@@ -137,8 +139,9 @@
 	})
 }
 
-// TestCompactionInterruptedAnywhere interrupts the compactions of two successive leaders after every possible time: the
-// log must be complete after each, and the uninterrupted compaction of a third leader must leave no obsolete keys.
+// TestCompactionInterruptedAnywhere interrupts the compactions of two successive leaders after every possible number of
+// milliseconds. The log must be complete after each compaction, and the uninterrupted compaction of a third leader must
+// leave no obsolete keys.
 func TestCompactionInterruptedAnywhere(t *testing.T) {
 	const step = time.Millisecond
 	interruptions := 0
@@ -172,8 +175,9 @@
 	}
 }
 
-// compactInterrupted lets a leader append batches and compact, interrupts the compaction after a while if it may be
-// interrupted, and checks that the log is complete afterwards. It tells whether the compaction was interrupted.
+// compactInterrupted makes a leader append batches and compact the log, cancels the compaction after interruptAfter if
+// mayInterrupt, and checks that the log is complete afterwards. It reports whether the compaction was interrupted
+// before its end.
 func (s *store) compactInterrupted(
 	n *node, mayInterrupt bool, interruptAfter time.Duration, stage string,
 ) (interrupted bool) {
@@ -211,9 +215,9 @@
 	return keys
 }
 
-// TestEndBehindCompaction checks that a reader whose last batch was compacted learns, on reading the log's end, that
-// batches are missing. If it reads nothing, it takes that for the end of the log: a node that was paused for longer
-// than a compaction then reported accepted jobs as unknown.
+// TestEndBehindCompaction checks that a reader whose next batches were deleted by a compaction learns from BatchesAfter
+// that batches are missing. If BatchesAfter returned none, a node that was paused for longer than a compaction would
+// believe that it has read the log to its end, and report accepted jobs as unknown.
 func TestEndBehindCompaction(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -234,10 +238,9 @@
 				}
 				switch behind := from < s.lastSeq; {
 				case !behind && len(batches) != 0:
-					t.Errorf("%[2]d batches after the end at %[1]d, want none", from, len(batches))
+					t.Errorf("read %d batches after the last batch %d, want none", len(batches), from)
 				case behind && (len(batches) == 0 || batches[len(batches)-1].Seq != s.lastSeq):
-					t.Errorf("a read after batch %d does not reach the end at %d: %d batches",
-						from, s.lastSeq, len(batches))
+					t.Errorf("read %d batches after batch %d, want batches up to %d", len(batches), from, s.lastSeq)
 				}
 			}
 		}
@@ -245,10 +248,10 @@
 	})
 }
 
-// TestLateCopyOfADeletedBatch covers a batch whose first write has no response and is executed only after its
-// repetition, after newer batches, and after the compaction that deleted the batch. A reader must not take the
-// recreated batch for the log's end, and the next compaction must delete it again rather than leave it until another
-// leader compacts.
+// TestLateCopyOfADeletedBatch checks the case that the first copy of a batch's transaction is executed only after the
+// second copy, after newer batches, and after the compaction that deleted the batch. A reader must not mistake the
+// recreated batch for the end of the log, and the next compaction must delete the batch again rather than leave it
+// until another leader compacts.
 func TestLateCopyOfADeletedBatch(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -282,7 +285,7 @@
 		s.requireComplete("after the late copy")
 		actual, err := a.BatchesAfter(s.ctx, 5)
 		if err != nil || len(actual) < 2 || actual[0].Seq != 6 || actual[1].Seq == 7 {
-			t.Errorf("a reader of batches after 5 can't tell that batches are missing: %v, %v", actual, err)
+			t.Errorf("read of batches after 5 returned %v, error %v; want batch 6 and a gap after it", actual, err)
 		}
 		s.append(a, 4)
 		if err := compactor.Compact(s.ctx, 14, snapshot(14)); err != nil {
@@ -295,9 +298,9 @@
 	})
 }
 
-// TestLostResponses checks that a write whose response is lost is sent again soon, so that it delays the following
-// writes by about half a second rather than by the request's time-out of two seconds, and that the log has each batch
-// once, as it was first written.
+// TestLostResponses checks that a write whose response is lost is sent again soon, so that a lost response delays the
+// following writes by about half a second rather than by the request's time-out of two seconds. The log must have each
+// batch once, as it was first written.
 func TestLostResponses(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("n0")
@@ -323,19 +326,19 @@
 		s.service.DropResponses(0)
 		loaded, err := s.open("n1").Load(s.ctx)
 		if err != nil || len(loaded.Batches) != batches {
-			t.Errorf("not all batches were read: %v", err)
+			t.Errorf("load returned error %v or not the wanted %d batches", err, batches)
 			return
 		}
 		for i, b := range loaded.Batches {
 			if !bytes.Equal(b.Data, data(uint64(i+1))) {
-				t.Errorf("batch %d is %q", i+1, b.Data)
+				t.Errorf("batch %d has data %q, want %q", i+1, b.Data, data(uint64(i+1)))
 			}
 		}
 	})
 }
 
 // TestAllNodesAreRead checks that the lists of partitioned nodes and of participants in singleton roles are complete
-// even if they span several pages. A node missing from them made its zone appear partitioned.
+// even if they span several pages. If a node were missing from the lists, its zone would appear partitioned.
 func TestAllNodesAreRead(t *testing.T) {
 	const nodes = 60 // the emulator returns 50 keys per page
 	withStore(t, func(s *store) {
@@ -351,17 +354,18 @@
 		}
 		partitioned, err := n.PartitionedNodes(s.ctx)
 		if err != nil || len(partitioned) != nodes {
-			t.Errorf("%d of %d partitioned nodes were read: %v", len(partitioned), nodes, err)
+			t.Errorf("read %d partitioned nodes, error %v; want %d nodes", len(partitioned), err, nodes)
 		}
 		roles, revision, err := n.Roles(s.ctx)
 		if err != nil || len(roles) != nodes || revision == 0 {
-			t.Errorf("%d of %d participants were read, at revision %d: %v", len(roles), nodes, revision, err)
+			t.Errorf("read %d participants at revision %d, error %v; want %d at a revision above 0",
+				len(roles), revision, err, nodes)
 		}
 	})
 }
 
-// TestLongPartitionRecord checks that a record longer than one value is read back completely, and that its parts are
-// ignored once a shorter record was written.
+// TestLongPartitionRecord checks that the record of a partitioned node is read back completely if it is longer than one
+// value, and that the remaining parts of a longer record are ignored after a shorter one was written.
 func TestLongPartitionRecord(t *testing.T) {
 	withStore(t, func(s *store) {
 		n := s.open("a")
@@ -372,7 +376,7 @@
 			t.Helper()
 			list, err := n.PartitionedNodes(s.ctx)
 			if err != nil || len(list) != 2 {
-				t.Fatalf("partitioned nodes are %v, %v, want 2 nodes", list, err)
+				t.Fatalf("got partitioned nodes %v, error %v; want 2 nodes", list, err)
 			}
 			return list[1]
 		}
@@ -391,11 +395,11 @@
 			got := read()
 			got.Version = 0
 			if d := cmp.Diff(written, got); d != "" {
-				t.Error(d)
+				t.Errorf("record of a partitioned node (-want +got):\n%s", d)
 			}
 		}
 		if _, err := n.Load(s.ctx); err != nil {
-			t.Errorf("the log could not be read beside partition records: %v", err)
+			t.Errorf("load of the log beside the records of partitioned nodes: %v", err)
 		}
 	})
 }
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -11,7 +11,7 @@
 )
 
 // Fence is the key that authorizes compaction: the leader key, or the key of the compaction role. Every write of a
-// compaction requires it at its version. Term tells the snapshots of one holder from those of all others.
+// compaction requires it at its version. Term distinguishes the snapshots of one holder from those of other holders.
 type Fence struct {
 	Key     string
 	Version uint64
@@ -23,7 +23,7 @@
 
 func (f Fence) condition() wire.Condition { return wire.Condition{Key: f.Key, Version: f.Version} }
 
-// deposed returns ErrDeposed if the fence is among the failed conditions.
+// deposed returns ErrDeposed if the fence's key is among the failed conditions.
 func (f Fence) deposed(failed []string) error {
 	if slices.Contains(failed, f.Key) {
 		return ErrDeposed
@@ -39,10 +39,11 @@
 	OnProgress func()    // if set, called after every committed write
 }
 
-// NewCompactor returns a compactor. It reads the manifest itself rather than rely on what this node has loaded: others
-// may have compacted the log between that read and this node's election. Two compactors under different fences do not
-// harm each other: the manifest is written under a condition on its own version, and only the compactor whose manifest
-// is current deletes anything, and only what that manifest has replaced.
+// NewCompactor returns a compactor whose writes require the given fence. The compactor reads the manifest from the
+// store rather than rely on the one that this node has loaded: another node may have compacted the log between that
+// load and this node's election. Two compactors under different fences do not harm each other: the manifest is written
+// under a condition on its own version, and only the compactor whose manifest is current deletes anything, and only
+// what that manifest has replaced.
 func (l *Log) NewCompactor(fence Fence) *Compactor { return &Compactor{store: l.store, fence: fence} }
 
 // manifest is the content of the manifest key, which names the current snapshot; zero if there is none.
@@ -74,11 +75,11 @@
 	return current.seq, nil
 }
 
-// Compact writes a snapshot that covers the batches up to seq and deletes what it replaces, a few keys at a time. The
-// log can be loaded after every step: first the parts are written, then the manifest that names them, then replaced
-// keys are deleted. Nothing is deleted before the manifest is known to name this snapshot. Otherwise a leader that
-// mistakes its predecessor's snapshot for an older one, and so has its own refused, would delete batches that the
-// current snapshot does not cover.
+// Compact writes a snapshot that covers the batches up to seq and deletes the keys that it replaces, a few at a time.
+// The log can be loaded after every step: first the parts are written, then the manifest that names them, then the
+// replaced keys are deleted. No key is deleted before the manifest is known to name this snapshot. Otherwise a
+// compactor whose manifest the store refuses, because another compactor has replaced the previous one, would delete
+// batches that the current snapshot does not cover.
 func (c *Compactor) Compact(ctx context.Context, seq uint64, snapshot []byte) error {
 	if err := c.compact(ctx, seq, snapshot); err != nil {
 		return fmt.Errorf("oplog: compact up to batch %d: %w", seq, err)
@@ -136,7 +137,8 @@
 	return parts, nil
 }
 
-// replaceManifest makes a snapshot the current one, in place of the previous one.
+// replaceManifest writes the manifest that makes the snapshot at seq the current one. The error wraps
+// ErrSnapshotReplaced if another compactor has replaced the previous manifest.
 func (c *Compactor) replaceManifest(ctx context.Context, previous manifest, seq uint64, parts int) error {
 	err := c.store.commit(ctx, &wire.Txn{
 		If: []wire.Condition{c.fence.condition(), {Key: keyMeta, Version: previous.version}},
@@ -147,7 +149,8 @@
 		if err := c.fence.deposed(failed); err != nil {
 			return err
 		}
-		// Either an earlier copy of this write was applied or another writer's was; the manifest tells which.
+		// The manifest has changed: it was written either by an earlier copy of this transaction or by another
+		// compactor. Its content shows which.
 		current, err := c.readManifest(ctx)
 		if err != nil {
 			return err
@@ -163,12 +166,13 @@
 	return nil
 }
 
-// replacedKeys lists the keys that a snapshot replaces: the previous snapshot, and the batches since.
+// replacedKeys lists the keys that a snapshot at seq replaces: the parts of the previous snapshot, and the batches from
+// its last one to the one before seq.
 //
-// The last batch covered by the snapshot is kept until the next compaction, so that a reader of the log's end that has
-// fallen behind finds it and learns that the batches in between are gone. Without it, a node that resumed after a
-// compaction read nothing after its own number, concluded that it had reached the end of the log, and reported accepted
-// jobs as unknown.
+// Batch seq, the last one covered by the new snapshot, is kept until the next compaction, so that a reader that has
+// fallen behind finds it and learns that the batches in between were deleted. Without it, a node that resumes after a
+// compaction would find no batch after its own last one, conclude that it has read the log to its end, and report
+// accepted jobs as unknown.
 func replacedKeys(previous manifest, seq uint64) (keys []string) {
 	for s := max(1, previous.seq); s < seq; s++ {
 		keys = append(keys, batchKey(s))
@@ -207,20 +211,20 @@
 	}
 }
 
-// lateWriteWindow is how long after an unanswered write each compaction looks for keys that a late copy may have
-// recreated: a batch, or a part of a snapshot, that was deleted in the meantime. Readers ignore such a key, but nothing
-// else would delete it while the same leader leads, which may be for months.
+// lateWriteWindow is how long after a write without a response each compaction looks for keys that a late copy of that
+// write may have recreated: those of batches and parts of snapshots that were deleted in the meantime. Readers ignore
+// such a key, but without this search it would remain as long as the same leader leads, which may be for months.
 const lateWriteWindow = 5 * time.Minute
 
-// needsSweep tells whether there may be obsolete keys that the manifest does not imply: those of earlier terms, before
-// the first sweep, or those recreated by late copies.
+// needsSweep reports whether there may be obsolete keys other than those that replacedKeys lists: before the first
+// sweep, those left by earlier terms; later, those recreated by late copies of writes.
 func (c *Compactor) needsSweep() bool {
 	lastUnansweredWrite := time.Unix(0, c.store.lastUnansweredWrite.Load())
 	return c.lastSweep.IsZero() || c.lastSweep.Before(lastUnansweredWrite.Add(lateWriteWindow))
 }
 
-// leftoverKeys lists the keys left behind by interrupted compactions: batches covered by the previous snapshot, and
-// parts of snapshots other than the previous and the current one.
+// leftoverKeys lists the keys left by interrupted compactions or recreated by late copies of writes: those of batches
+// covered by the previous snapshot, and of parts of snapshots older than the current one, except the previous one.
 func (c *Compactor) leftoverKeys(ctx context.Context, previousSeq, currentSeq uint64) ([]string, error) {
 	batches, err := c.keysBefore(ctx, prefixLog, batchKey(previousSeq+1))
 	if err != nil {
@@ -236,7 +240,8 @@
 	return append(batches, parts...), nil
 }
 
-// sweepPageSize is the number of keys per page of a sweep. Their values, some kilobytes each, are read with them.
+// sweepPageSize is the number of keys per page of a sweep. It is small because the values of the keys, some kilobytes
+// each, are part of the page.
 const sweepPageSize = 64
 
 // keysBefore lists the keys with a prefix that sort before end.
--- a/internal/replication/oplog/errors_test.go
+++ b/internal/replication/oplog/errors_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestErrorsNameTheKey checks that values that can't be decoded, missing keys and refused writes are reported by errors
-// of distinct types that name the batch or the key.
+// TestErrorsNameTheKey checks that a value that can't be decoded, a missing key and a refused write result in errors of
+// distinct types that name the batch or the key.
 func TestErrorsNameTheKey(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
@@ -28,27 +28,28 @@
 		var version *oplog.FormatVersionError
 		_, err := a.Load(s.ctx)
 		if !errors.As(err, &corrupt) || corrupt.Seq != 3 || !errors.As(err, &version) || version.Version != 9 {
-			t.Errorf("batch of an unsupported version: %v", err)
+			t.Errorf("load of batch 3 in format version 9 returned %v, want a CorruptBatchError that wraps a "+
+				"FormatVersionError", err)
 		}
 		put(third, &wire.LogValue{Version: 1, Data: "?"})
 		if _, err := a.BatchesAfter(s.ctx, 1); !errors.As(err, &corrupt) || corrupt.Seq != 3 {
-			t.Errorf("batch that is not base64: %v", err)
+			t.Errorf("read of batch 3 with invalid base64 returned %v, want a CorruptBatchError", err)
 		}
 		put("f/in/000000000000300", &wire.LogValue{Version: 9})
 		var value *oplog.CorruptValueError
 		if _, err := a.GetIntake(s.ctx, 300); !errors.As(err, &value) || value.Key != "f/in/000000000000300" {
-			t.Errorf("intake record of an unsupported version: %v", err)
+			t.Errorf("read of an intake record in format version 9 returned %v, want a CorruptValueError", err)
 		}
 		put(third, &wire.LogValue{Version: 1})
 		put("f/log/000000000000005", &wire.LogValue{Version: 1})
 		var missing *oplog.MissingKeyError
 		if _, err := a.Load(s.ctx); !errors.As(err, &missing) || missing.Key != "f/log/000000000000004" {
-			t.Errorf("gap in the batches: %v", err)
+			t.Errorf("load without batch 4 returned %v, want a MissingKeyError for its key", err)
 		}
 		s.depose(a)
 		err = a.Append(s.ctx, &a.leadership.Leader, oplog.Batch{Seq: 6, Term: a.leadership.Term})
 		if !errors.Is(err, oplog.ErrDeposed) || !strings.Contains(err.Error(), "append batch 6") {
-			t.Errorf("append without the leader key: %v", err)
+			t.Errorf("append of batch 6 without the leader key returned %v, want ErrDeposed and the batch number", err)
 		}
 	})
 }
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -29,13 +29,13 @@
 	"fieldhill/wire"
 )
 
-// reply is a response of the fake key-value store: a status, 0 for 200, and a body.
+// reply is a response of the fake key-value store: an HTTP status, where 0 stands for 200, and a body.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// fakeStore records the requests and answers each with the next reply.
+// fakeStore is a fake key-value store that records the requests and answers each with the next of replies.
 type fakeStore struct {
 	t       *testing.T
 	log     bytes.Buffer // recorded requests
@@ -90,7 +90,8 @@
 
 func encodeData(b string) string { return base64.StdEncoding.EncodeToString([]byte(b)) }
 
-// answers returns the responses of the key-value store, which include every kind of value that this program stores.
+// answers returns the responses that are recorded in golden files, by the names of the files. Together they hold every
+// kind of value that this program stores.
 func answers() map[string]any {
 	all := map[string]any{}
 	for _, group := range []map[string]any{
@@ -204,13 +205,14 @@
 // operation is one access to the key-value store, the recorded responses that it receives, and the expected result.
 type operation struct {
 	name    string
-	answers string // names of recorded responses; STATUS or STATUS:NAME if the status is not 200
+	answers string // names of recorded responses, each NAME, STATUS or STATUS:NAME
 	run     func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) (any, error)
 	want    any
 	wantErr error // compared with errors.Is
 }
 
-// execute runs the operation against the fake store and returns the requests as text.
+// execute runs the operation against a fake store. It returns the recorded requests as text and the operation's result.
+// body returns the body of the response with the given name.
 func (op *operation) execute(t *testing.T, body func(name string) []byte) (requests string, got any, err error) {
 	t.Helper()
 	f := &fakeStore{t: t}
@@ -226,11 +228,12 @@
 	}
 	f.run(func(ctx context.Context, l *oplog.Log, svc *kvstore.Client) { got, err = op.run(ctx, l, svc) })
 	if len(f.replies) > 0 {
-		t.Errorf("%s: %d replies were not requested", op.name, len(f.replies))
+		t.Errorf("%s: %d replies are left, want 0: the operation sent too few requests", op.name, len(f.replies))
 	}
 	return f.log.String(), got, err
 }
 
+// loaded is the log that the recorded responses load-1 and load-2 hold.
 var loaded = &oplog.Loaded{SnapshotSeq: 41, Snapshot: []byte("snapshot"), Revision: 500,
 	Leader:  &oplog.Leader{Node: "node-1", Term: 9, Lease: 1 << 40, Version: 499},
 	Batches: []oplog.Batch{{Seq: 42, Term: 8, Data: []byte("first")}, {Seq: 43, Term: 9, Data: []byte("second")}}}
@@ -406,7 +409,8 @@
 	golden.Check(t, "requests.txt", []byte(all.String()))
 }
 
-// TestGoldenStatus checks the status code that the program relies on when a revision is no longer available.
+// TestGoldenStatus checks that Follow returns an error with status 410 if the revision is no longer available in the
+// store, since callers then load the log again.
 func TestGoldenStatus(t *testing.T) {
 	follow := func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) (any, error) {
 		return l.Follow(ctx, 1, time.Second)
@@ -417,8 +421,8 @@
 	}
 }
 
-// TestGoldenFindsDifferences checks that a recorded response is decoded differently, or not at all, if a tag is renamed
-// or if any byte of a value, its version included, differs.
+// TestGoldenFindsDifferences checks that the golden files detect changes of the encoding: a recorded response must be
+// decoded differently, or not at all, if a field name or any byte of a value, its version included, is changed.
 func TestGoldenFindsDifferences(t *testing.T) {
 	requireDifference := func(what string, corrupted []byte) {
 		t.Helper()
@@ -428,7 +432,7 @@
 		}
 		f.run(func(ctx context.Context, l *oplog.Log, _ *kvstore.Client) {
 			if got, err := l.Load(ctx); err == nil && gocmp.Equal(loaded, got) {
-				t.Errorf("%s: difference not detected", what)
+				t.Errorf("%s: the changed response was decoded as the original, want a difference or an error", what)
 			}
 		})
 	}
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -16,8 +16,8 @@
 // key, and the current or next leader appends it to the log and deletes the key. A job is accepted once its key exists.
 //
 // Before a job is reported as unknown, its intake key must be read first and the log afterwards: the key is deleted
-// only once the log has the job, so one of the two reads finds it. A key that is written late, or again, names a job
-// that is in the log by then, and is deleted.
+// only once the log has the job, so one of the two reads finds it. An intake key that is written late, or again, names
+// a job that is in the log by then, so the leader deletes the key without appending the job again.
 
 const prefixIntake = prefix + "in/"
 
@@ -29,10 +29,11 @@
 	Data []byte
 }
 
-// intakeRecords reads and writes the jobs that were accepted beside the log.
+// intakeRecords reads and writes the intake keys.
 type intakeRecords struct{ store *store }
 
-// PutIntake writes a job. A nil error means that it is accepted; after any other error it may still be accepted.
+// PutIntake writes a job's intake record. If the error is nil, the job is accepted; otherwise it may be accepted
+// nevertheless.
 func (r intakeRecords) PutIntake(ctx context.Context, intake Intake) error {
 	key := intakeKey(intake.Job)
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
@@ -45,8 +46,8 @@
 	return fmt.Errorf("oplog: write %s: %w", key, err)
 }
 
-// TryIntake writes a job if the leader's write budget has room for it and for its deletion, with some left for the log.
-// Otherwise the error is ErrBudgetExhausted.
+// TryIntake writes a job's intake record if the leader's write budget has room for this write and for the deletion of
+// the record, and a third of a write burst is left for the log. Otherwise the error wraps ErrBudgetExhausted.
 func (r intakeRecords) TryIntake(ctx context.Context, intake Intake) error {
 	writes := r.store.writeLimiter
 	if writes.Tokens() < 2+float64(writes.Burst())/3 || !writes.AllowN(time.Now(), 1) {
@@ -55,7 +56,7 @@
 	return r.PutIntake(ctx, intake)
 }
 
-// GetIntake reads a job's intake record; nil if there is none.
+// GetIntake reads a job's intake record. It returns nil if there is none.
 func (r intakeRecords) GetIntake(ctx context.Context, job uint64) (*Intake, error) {
 	key := intakeKey(job)
 	value, data, _, err := r.store.get(ctx, key)
@@ -68,7 +69,7 @@
 	return &Intake{Job: job, Data: data}, nil
 }
 
-// ListIntake reads all waiting jobs, and the revision after which to watch for more.
+// ListIntake reads all intake records. WatchIntake reports the records that are written after the returned revision.
 func (r intakeRecords) ListIntake(ctx context.Context) (intakes []Intake, revision uint64, err error) {
 	revision, err = r.store.rangeAll(ctx, prefixIntake, "", func(item *wire.Item) error {
 		job, err := strconv.ParseUint(strings.TrimPrefix(item.Key, prefixIntake), 10, 64)
@@ -88,7 +89,8 @@
 	return intakes, revision, nil
 }
 
-// WatchIntake waits up to hold for jobs written after a revision.
+// WatchIntake waits up to hold for changes of the intake keys after a revision. It returns the revision after which to
+// watch next, and whether a record was written.
 func (r intakeRecords) WatchIntake(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (revision uint64, arrived bool, err error) {
@@ -102,8 +104,8 @@
 	return max(after, changes.Revision), arrived, nil
 }
 
-// DropIntake deletes the intake records of jobs that are in the log. Nothing waits for these writes, so they use only
-// the spare write budget.
+// DropIntake deletes the intake records of jobs that are in the log. No request waits for these deletions, so they use
+// only the spare write budget.
 func (r intakeRecords) DropIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -1,17 +1,17 @@
 // Package oplog is the durable operation log in the key-value store: numbered batches of entries, snapshots that allow
 // old batches to be deleted, and the leader key that fences every write.
 //
-// Unanswered and late writes are harmless. Every batch is written in one transaction that requires (a) the leader key
-// at the version under which its writer was elected, and (b) that the batch's own key does not exist. The writer
-// repeats that same transaction until its outcome is known, and writes no later batch before then. A copy that is
-// applied late finds the batch's key present or the leader key changed, and fails. Otherwise it is the first copy to be
-// applied, while its writer still leads and waits for it, and so it is the intended write. A new leader reads the log
-// after its own election, when no older copy can satisfy (a) any more, so what it reads is final.
+// Writes that have no response, or that the store applies late, are harmless. Every batch is written in one transaction
+// that requires (a) the leader key at the version under which its writer was elected, and (b) that the batch's own key
+// does not exist. The writer repeats that same transaction until its outcome is known, and writes no later batch before
+// then. A copy that is applied late finds the batch's key present or the leader key changed, and fails. Otherwise it is
+// the first copy to be applied, while its writer still leads and waits for it, and so it is the intended write. A new
+// leader reads the log after its own election, when no older copy can satisfy (a) any more, so what it reads is final.
 //
-// Compaction deletes the batch's key (except that of the last batch covered by the snapshot), so a copy that is applied
-// very late can recreate it. Its number is then covered by the snapshot, so no reader uses it, and the compactions of
-// the next few minutes delete it again (lateWriteWindow). The manifest, which names the current snapshot, is written
-// under a condition on its own version, so it never reverts to an older snapshot.
+// Compaction deletes the keys of the batches covered by the snapshot (except that of the last one), so a copy that is
+// applied very late can recreate such a key. No reader uses the recreated batch, since the snapshot covers its number,
+// and the compactions of the next few minutes delete the key again (lateWriteWindow). The manifest, which names the
+// current snapshot, is written under a condition on its own version, so it never reverts to an older snapshot.
 //
 // Files: log.go appends, loads and follows; compaction.go replaces batches by snapshots; intake.go, partitioned.go and
 // roles.go hold the records stored beside the log; store.go holds the keys and values common to all of them, and txn.go
@@ -31,7 +31,7 @@
 	"fieldhill/wire"
 )
 
-// Batch is a numbered group of entries, the unit in which the log is written.
+// Batch is a numbered group of encoded entries, which are written to the log in one transaction.
 type Batch struct {
 	Seq  uint64 // starts at 1, without gaps
 	Term uint64 // term of the leader that wrote it
@@ -99,14 +99,14 @@
 	})
 }
 
-// MaxData is the maximum size of a batch in bytes.
+// MaxData returns the maximum size of Batch.Data in bytes.
 func (l *Log) MaxData() int { return l.store.maxDataBytes }
 
 // loadAttempts is the maximum number of times that Load reads the log while concurrent compactions change it.
 const loadAttempts = 5
 
 // Load reads the snapshot and the batches after it. It restarts if a concurrent compaction deleted keys that it needs;
-// if that happens at every attempt, the error is a *MissingKeyError.
+// if that happens at every attempt, the error wraps a *MissingKeyError.
 func (l *Log) Load(ctx context.Context) (loaded *Loaded, err error) {
 	for range loadAttempts {
 		loaded, err = l.load(ctx)
@@ -150,7 +150,7 @@
 	return loaded, nil
 }
 
-// readSnapshot joins the parts of the current snapshot, if there is one.
+// readSnapshot sets Snapshot and SnapshotSeq from the manifest and the parts that it names, if there is a manifest.
 func (l *Loaded) readSnapshot(byKey map[string]*wire.Item) error {
 	item := byKey[keyMeta]
 	if item == nil {
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// readBatches decodes the batches after the snapshot, which must be numbered without gaps.
+// readBatches sets Batches to those after the snapshot. The error is a *MissingKeyError if their numbers have a gap.
 func (l *Loaded) readBatches(items []wire.Item) error {
 	next := l.SnapshotSeq + 1
 	for i := range items {
@@ -197,17 +197,17 @@
 	return nil
 }
 
-// Update holds the changes of the log that Follow reports.
+// Update holds the new batches and the change of leader that Follow reports.
 type Update struct {
 	Batches  []Batch
 	Revision uint64 // revision from which to follow next
-	// LeaderChanged tells whether the leader key changed; Leader is its new content, nil if the key was deleted.
+	// LeaderChanged is set if the leader key changed; Leader is its new content, nil if the key was deleted.
 	LeaderChanged bool
 	Leader        *Leader
 }
 
-// Follow waits up to hold for changes after a revision. A *msgpackhttp.StatusError with code 410 means that the
-// revision is too old and the log must be loaded again.
+// Follow waits up to hold for changes after a revision. If the revision is too old, the error wraps a
+// *msgpackhttp.StatusError with code 410, and the log must be loaded again.
 func (l *Log) Follow(ctx context.Context, after uint64, hold time.Duration) (*Update, error) {
 	changes, err := l.store.client.Follow(ctx, prefix, after, hold)
 	if err != nil {
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// BatchesAfter reads all batches after a number that were committed before the call. If the first one is not the next
-// number, the batches in between are covered by the snapshot, and the log must be loaded again.
+// BatchesAfter reads all batches after seq that were committed before the call. If the first one is not batch seq+1,
+// the batches in between are covered by the snapshot, and the log must be loaded again.
 func (l *Log) BatchesAfter(ctx context.Context, seq uint64) ([]Batch, error) {
 	var batches []Batch
 	_, err := l.store.rangeAll(ctx, prefixLog, batchKey(seq), func(item *wire.Item) error {
@@ -257,7 +257,7 @@
 }
 
 // Append writes a batch and returns once it is committed. It repeats the same transaction until its outcome is known.
-// The error is ErrDeposed if the leader key has changed.
+// The error wraps ErrDeposed if the leader key has changed.
 func (l *Log) Append(ctx context.Context, leader *Leader, b Batch) error {
 	key := batchKey(b.Seq)
 	err := l.store.commit(ctx, &wire.Txn{
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -12,9 +12,10 @@
 )
 
 const (
+	// prefixPartitioned holds the record of each PartitionedNode under the node's name.
 	prefixPartitioned = prefix + "apart/"
-	// prefixPartitionedParts holds what does not fit into a node's record under prefixPartitioned, as NODE/0001 and so
-	// on.
+	// prefixPartitionedParts holds the parts of the payload that do not fit into a node's record under
+	// prefixPartitioned, as NODE/0001 and so on.
 	prefixPartitionedParts = prefix + "apartmore/"
 )
 
@@ -22,18 +23,20 @@
 	return fmt.Sprintf("%s%s/%04d", prefixPartitionedParts, node, part)
 }
 
-// PartitionedNode is the record of a node that reads the log but can't reach the leader.
+// PartitionedNode is the record in the store by which a node that reads the log, but can't reach the leader, reports to
+// the leader.
 type PartitionedNode struct {
 	Node    string
-	Seq     uint64 // last batch that it had read
+	Seq     uint64 // last batch that the node had read
 	Version uint64 // version of the record, which grows with each write
 	Data    []byte // payload, at most MaxData bytes
 	// Parts is the payload beyond Data, at most MaxPartitionedNodeParts-1 parts. Data and each part can be decoded on
-	// their own: a reader may find parts that are newer than Data, and older versions read Data alone.
+	// their own: a reader may find parts that are newer than Data, and a leader that runs an older version reads Data
+	// alone.
 	Parts [][]byte
 }
 
-// partitionRecords reads and writes the records by which nodes that reach only the store report to the leader.
+// partitionRecords reads and writes the records of partitioned nodes.
 type partitionRecords struct{ store *store }
 
 // maxTxnBytes stays below the key-value store's limit of 64 KiB per transaction. valueOverhead is an upper bound for
@@ -43,15 +46,15 @@
 	valueOverhead = 256
 )
 
-// MaxPartitionedNodeParts is the maximum number of values of MaxData bytes, Data included, in a record, which is
-// written in one transaction.
+// MaxPartitionedNodeParts returns the maximum number of values of MaxData bytes in a record, Data included. The number
+// is limited because a record is written in one transaction.
 func (p partitionRecords) MaxPartitionedNodeParts() int {
 	partBytes := base64.StdEncoding.EncodedLen(p.store.maxDataBytes) + valueOverhead
 	return max(1, min(p.store.maxTxnOps, maxTxnBytes/partBytes))
 }
 
-// PutPartitionedNode records for the leader that this node can't reach it. Further parts of an earlier, longer record
-// remain and are ignored.
+// PutPartitionedNode writes the record by which this node reports that it can't reach the leader. Parts of an earlier,
+// longer record remain in the store, and readers ignore them.
 func (p partitionRecords) PutPartitionedNode(ctx context.Context, node PartitionedNode) error {
 	key := prefixPartitioned + node.Node
 	txn := &wire.Txn{Then: []wire.Write{{Put: key, Value: &wire.LogValue{Version: FormatVersion, Node: node.Node,
@@ -62,7 +65,7 @@
 	}
 	_, err := p.store.client.Txn(ctx, txn)
 	if msgpackhttp.StatusCode(err) == http.StatusBadRequest && len(node.Parts) > 0 {
-		node.Parts = nil // too large: a record without parts is better than none
+		node.Parts = nil // the transaction is too large: a record without parts is better than none
 		return p.PutPartitionedNode(ctx, node)
 	}
 	if err != nil {
@@ -83,7 +86,8 @@
 	return nodes, nil
 }
 
-// readRecords reads the records, each with as many empty parts as it declares.
+// readRecords reads the records of all nodes without their parts: Parts has the declared length, and its elements are
+// nil.
 func (p partitionRecords) readRecords(ctx context.Context) (nodes []PartitionedNode, err error) {
 	_, err = p.store.rangeAll(ctx, prefixPartitioned, "", func(item *wire.Item) error {
 		value, data, err := decodeValue(item.Key, item.Value)
@@ -100,7 +104,8 @@
 	return nodes, err
 }
 
-// readParts fills in the parts, if any record has some.
+// readParts reads the parts that the records of the nodes declare and stores them in Parts. It sends no request if no
+// record declares parts.
 func (p partitionRecords) readParts(ctx context.Context, nodes []PartitionedNode) error {
 	hasParts := func(node PartitionedNode) bool { return len(node.Parts) > 0 }
 	if !slices.ContainsFunc(nodes, hasParts) {
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -12,8 +12,8 @@
 )
 
 // Keys of singleton roles. held/ROLE names the holder and is attached to the holder's lease. stuck/ROLE counts the
-// consecutive holders that made no progress. part/NODE marks a node that takes part in roles, and is permanent; a node
-// without one runs an older version or was started without roles.
+// consecutive holders that made no progress. part/NODE marks a node that takes part in roles, and is not attached to a
+// lease. A node without such a key runs an older version or was started without roles.
 const (
 	prefixRole        = prefix + "duty/"
 	prefixHolder      = prefixRole + "held/"
@@ -21,18 +21,18 @@
 	prefixParticipant = prefixRole + "part/"
 )
 
-// RoleKey is the key that names the holder of a role; its version is the holder's term.
+// RoleKey returns the key that names the holder of a role. The key's version is the holder's term.
 func RoleKey(role string) string { return prefixHolder + role }
 
 // RoleUpdate is the state of one role key, or its deletion. Exactly one of HeldRole, StalledRole and Participant is
-// set, and tells the kind of key.
+// set, which identifies the kind of key.
 type RoleUpdate struct {
 	HeldRole    string // role whose holder key changed
 	StalledRole string // role whose count of stalled holders changed
 	Participant string // node whose participation changed
 	Deleted     bool
 	Node        string // holder or participant
-	Term        uint64 // revision of the change
+	Term        uint64 // version of the key, or revision of its deletion
 	Lease       uint64 // lease to which the key is attached
 	Count       int    // consecutive holders without progress
 }
@@ -40,7 +40,7 @@
 // roleRecords reads and writes the keys of singleton roles.
 type roleRecords struct{ store *store }
 
-// decodeRoleUpdate decodes a role key. It is not ok for an unknown key or a value that can't be decoded.
+// decodeRoleUpdate decodes the state of a role key. ok is false for an unknown key or a value that can't be decoded.
 func decodeRoleUpdate(key string, raw msgpack.RawMessage, version uint64, deleted bool) (update RoleUpdate, ok bool) {
 	update.Term, update.Deleted = version, deleted
 	switch {
@@ -63,7 +63,7 @@
 	return update, true
 }
 
-// Roles reads all role keys, and the revision after which to follow changes.
+// Roles reads the state of all role keys. FollowRoles reports the changes after the returned revision.
 func (r roleRecords) Roles(ctx context.Context) (updates []RoleUpdate, revision uint64, err error) {
 	revision, err = r.store.rangeAll(ctx, prefixRole, "", func(item *wire.Item) error {
 		if update, ok := decodeRoleUpdate(item.Key, item.Value, item.Version, false); ok {
@@ -77,7 +77,8 @@
 	return updates, revision, nil
 }
 
-// FollowRoles waits up to hold for changes of role keys after a revision.
+// FollowRoles waits up to hold for changes of role keys after a revision. It returns the changes and the revision after
+// which to follow next.
 func (r roleRecords) FollowRoles(
 	ctx context.Context, after uint64, hold time.Duration,
 ) (updates []RoleUpdate, revision uint64, err error) {
@@ -109,7 +110,7 @@
 }
 
 // PutStalledHolders stores the number of consecutive holders of a role that made no progress, provided that the holder
-// of the given term still holds it.
+// of the given term still holds the role.
 func (r roleRecords) PutStalledHolders(ctx context.Context, role string, term uint64, holders int) error {
 	key := prefixStalled + role
 	_, err := r.store.client.Txn(ctx, &wire.Txn{
--- a/internal/replication/oplog/store.go
+++ b/internal/replication/oplog/store.go
@@ -18,10 +18,11 @@
 	"fieldhill/wire"
 )
 
-// Keys. All share one prefix, so that a single watch covers them.
+// Keys of the log and the election. All keys of this package share one prefix, so that a single watch covers them.
 const (
 	prefix = "f/"
-	// KeyLeader is attached to the leader's lease; its version fences the leader's writes.
+	// KeyLeader names the leader and is attached to the leader's lease. The leader's writes to the log require the key
+	// at the version under which the leader was elected.
 	KeyLeader = "f/leader"
 	// KeyTerm holds the number of the latest term. It remains when the leader key is deleted.
 	KeyTerm        = "f/term"
@@ -44,14 +45,15 @@
 // store reads and writes the keys of the log within the limits of the key-value store.
 type store struct {
 	client              *kvstore.Client
-	writeLimiter        *rate.Limiter // write budget
-	maxDataBytes        int           // maximum data bytes in a value, before base64
+	writeLimiter        *rate.Limiter // one token per write
+	maxDataBytes        int           // maximum size of the data in a value, before base64 encoding
 	maxTxnOps           int
 	logger              *slog.Logger
 	lastUnansweredWrite atomic.Int64 // time of the latest unanswered write in Unix nanoseconds; 0 if none
 }
 
-// Data is stored as base64 in an envelope; maxDataBytes leaves room for both.
+// The data in a value is encoded as base64. envelopeBytes is what the other fields of the value take at most;
+// minDataBytes is the least size of data per value, even if the store's limit is lower.
 const (
 	envelopeBytes = 200
 	minDataBytes  = 256
@@ -89,7 +91,7 @@
 	}
 }
 
-// get reads the value of a key and the key's version; they are nil and 0 if the key does not exist.
+// get reads the value of a key, the data in it, and the key's version. All are zero if the key does not exist.
 func (s *store) get(ctx context.Context, key string) (value *wire.LogValue, data []byte, version uint64, err error) {
 	item, err := s.client.Get(ctx, key)
 	switch {
@@ -104,7 +106,7 @@
 
 func encodeData(data []byte) string { return base64.StdEncoding.EncodeToString(data) }
 
-// decodeValue decodes a value and the data in it. Its error is a *CorruptValueError.
+// decodeValue decodes a value and the data in it. The error, if any, is a *CorruptValueError.
 func decodeValue(key string, raw msgpack.RawMessage) (*wire.LogValue, []byte, error) {
 	var value wire.LogValue
 	if err := wire.Unmarshal(raw, &value); err != nil {
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -13,7 +13,8 @@
 	"fieldhill/wire"
 )
 
-// The write budget, in writes; the burst is what may be sent at once after a pause.
+// Parameters of the write limiter's burst, which is the number of writes that may be sent at once after a pause: the
+// writes of writeBurstSeconds at the limiter's rate, and at least minWriteBurst.
 const (
 	minWriteBurst     = 3
 	writeBurstSeconds = 0.7
@@ -36,8 +37,8 @@
 	maxRetryPause   = 300 * time.Millisecond
 )
 
-// commit repeats a transaction, unchanged, until its outcome is known. If conditions failed, it returns the result of
-// onConflict, which receives their keys.
+// commit sends a transaction, and sends it again unchanged until its outcome is known. If conditions of the transaction
+// failed, commit calls onConflict with their keys and returns its result.
 func (s *store) commit(ctx context.Context, txn *wire.Txn, onConflict func(failed []string) error) error {
 	pause := firstRetryPause
 	for {
@@ -68,7 +69,7 @@
 	}
 }
 
-// failedConditions returns the keys of the failed conditions, if that is what a transaction's error reports.
+// failedConditions returns the keys of the conditions that failed, if the error of a transaction reports any.
 func (s *store) failedConditions(err error) []string {
 	var statusErr *msgpackhttp.StatusError
 	if !errors.As(err, &statusErr) || statusErr.Code != http.StatusConflict {
@@ -76,27 +77,28 @@
 	}
 	var response wire.TxnResponse
 	if err := wire.Unmarshal(statusErr.Body, &response); err != nil || len(response.Failed) == 0 {
-		// The response does not tell which condition failed: the transaction is sent again.
+		// The response does not name a failed condition, so commit sends the transaction again.
 		s.logger.Warn("write conflict without failed conditions", "err", err)
 		return nil
 	}
 	return response.Failed
 }
 
-// A copy of a transaction is sent after resendAfter without a response, or after resendLatencyFactor times the usual
-// latency if that is longer; at most maxCopies are sent.
+// Another copy of a transaction is sent after resendAfter without a response, or after resendLatencyFactor times the
+// usual latency if that is longer. At most maxCopies are sent, the first included.
 const (
 	resendAfter         = 400 * time.Millisecond
 	resendLatencyFactor = 4
 	maxCopies           = 3
 )
 
-// send sends a transaction, and sends it again, unchanged, if there is no response for a while: the response may be
-// lost, and everything that waits for the log would wait for the request's time-out of two seconds. The first response
-// that decides the outcome counts; the other copies are handled like any late copy. Every transaction sent here may be
-// repeated, see commit.
+// send sends a transaction, and sends further copies of it while there is no response. Otherwise, if a response is
+// lost, all later writes would be delayed until the request times out after two seconds. send returns the first
+// response that decides the outcome. The remaining copies may still be applied late, which is harmless for every
+// transaction that is sent here (see the package comment).
 //
-// The copies end with the context. The results channel holds all of them, so none blocks when it is no longer read.
+// The requests of the remaining copies are canceled when send returns. The results channel has room for the results of
+// all copies, so that no goroutine blocks after that.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -126,14 +128,16 @@
 	}
 }
 
-// isDecided tells whether a response proves that a transaction was applied or never will be.
+// isDecided reports whether the error of a transaction, nil included, proves that the transaction was applied or that
+// it never will be.
 func isDecided(err error) bool {
 	code := msgpackhttp.StatusCode(err)
 	return err == nil || code == http.StatusConflict || code == http.StatusBadRequest
 }
 
-// commitPaced commits a write that nothing waits for. It uses only the spare write budget, so that a batch for which
-// users wait is sent at once. If there is never any to spare it still proceeds, slowly, since otherwise the log would
+// commitPaced commits a transaction for which no request waits. It first waits until half a burst of the write budget
+// is left beyond what the transaction needs, so that batches for which users wait are sent at once. After maxWait it
+// commits the transaction in any case: otherwise compaction would never finish under constant load, and the log would
 // grow without bound.
 func (s *store) commitPaced(ctx context.Context, txn *wire.Txn, onConflict func(failed []string) error) error {
 	const pollInterval, maxWait = 100 * time.Millisecond, 3 * time.Second
