--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -126,7 +126,7 @@
 	startedAt   Time
 	peers       []peerState
 	vacant      bool // no leader is known
-	vacantSince Time // when the current vacancy was first recorded
+	vacantSince Time // when vacant last became true
 	sawLeader   bool // a leader was known at least once since this process started
 }
 
@@ -168,8 +168,8 @@
 	return len(peer.incarnations)
 }
 
-// RecordLeader records whether a leader is known. An earlier process of this node counts as a known leader until this
-// process has ended its leadership.
+// RecordLeader records whether a leader is known. If the leader is an earlier process of this node, it counts as a
+// known leader until this process has revoked the leader's lease.
 func (e *Eligibility) RecordLeader(known bool, now Time) {
 	if !known && !e.vacant {
 		e.vacantSince = now
@@ -229,7 +229,7 @@
 	return true, 0
 }
 
-// VacantSince returns when the current vacancy was first recorded, and false if a leader is known.
+// VacantSince returns when RecordLeader first recorded that no leader is known, and false if a leader is known.
 func (e *Eligibility) VacantSince() (Time, bool) { return e.vacantSince, e.vacant }
 
 // HasWarmPeer reports whether a peer is reachable and its latest status, if still valid, says that it is warm.
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -9,14 +9,15 @@
 // confirmed by a controller process that had seen the batch. So the node asks each of the other controllers, and
 // requires that all report
 //
-//   - that their process started before this node was complete, so that any earlier process of that controller had
+//   - that their process started before this node was complete, so that any earlier process of the same controller had
 //     ended by then and can't have confirmed a batch that this node lacks; and
 //   - that their process has never seen a batch beyond the last one that this node has.
 //
-// If all do, no batch that this node lacks had been confirmed when the node asked: the node was as good as complete at
-// that time. The bounded time then counts from that time, and the node may ask again. If a controller does not respond,
-// started later or has seen a later batch, the previous bound stands. Reports hold ages and batch numbers rather than
-// wall-clock times; a delayed response makes a process seem younger than it is, never older.
+// If all do, no batch that this node lacks had been confirmed when the node asked: the node counts as complete at the
+// time of asking. The bounded time for extending leases then starts anew at that time, and the node may ask again. If a
+// controller does not respond, started later or has seen a later batch, the previous bound stands. Reports hold ages
+// and batch numbers rather than wall-clock times; a delayed response makes a process seem younger than it is, never
+// older.
 //
 // A report covers the entire life of its process: a batch that the process has seen stays in its Watermarks even if the
 // process discards and reloads its replica.
@@ -45,7 +46,7 @@
 	HighestSeq uint64 // newest batch that the process has ever known to be committed
 }
 
-// Report returns the current report of this process.
+// Report returns the response of this process to a request that it receives at the given time.
 func (w *Watermarks) Report(now Time) WatermarkReport { return WatermarkReport{now, w.highestSeq} }
 
 // ErrMalformed means that a report can't be decoded.
@@ -109,6 +110,6 @@
 	r.unconfirmed--
 }
 
-// Proven reports whether the reports of all peers met the conditions. If so, completeAt is the time at which this node
-// was as good as complete.
+// Proven reports whether the reports of all peers met the conditions. If so, this node counts as complete at
+// completeAt, the start of the round.
 func (r *BarrierRound) Proven() (completeAt Time, ok bool) { return r.startedAt, r.unconfirmed == 0 }
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -131,7 +131,7 @@
 	for _, c := range h.confirmations {
 		if c.seq > h.requesterSeq && c.at <= startedAt {
 			h.t.Fatalf("batch %d was confirmed at %v; the requester has batch %d, was complete at %v, "+
-				"and a round started at %v proved it as good as complete",
+				"and a round started at %v proved that it counts as complete",
 				c.seq, c.at, h.requesterSeq, h.completeAt, startedAt)
 		}
 	}
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -35,7 +35,7 @@
 type Compactor struct {
 	store      *store
 	fence      Fence
-	lastSweep  time.Time // start of the latest complete compaction; zero before the first
+	lastSweep  time.Time // when the latest complete compaction began to delete keys; zero before the first
 	OnProgress func()    // if set, called after every committed write
 }
 
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -31,7 +31,7 @@
 	"fieldhill/wire"
 )
 
-// Batch is a numbered group of encoded entries, which are written to the log in one transaction.
+// Batch is a numbered group of encoded entries that is written to the log in one transaction.
 type Batch struct {
 	Seq  uint64 // starts at 1, without gaps
 	Term uint64 // term of the leader that wrote it
@@ -51,7 +51,7 @@
 	SnapshotSeq uint64 // last batch covered by the snapshot; 0 if there is no snapshot
 	Snapshot    []byte
 	Batches     []Batch // batches after the snapshot
-	Revision    uint64  // following from here reports every later change
+	Revision    uint64  // revision from which Follow reports every later change
 	Leader      *Leader // nil if there is no leader
 }
 
@@ -99,7 +99,7 @@
 	})
 }
 
-// MaxData returns the maximum size of Batch.Data in bytes.
+// MaxData returns the maximum size in bytes of the data in one value, such as Batch.Data.
 func (l *Log) MaxData() int { return l.store.maxDataBytes }
 
 // loadAttempts is the maximum number of times that Load reads the log while concurrent compactions change it.
@@ -130,7 +130,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The revision is that of the first page: following from there reports again whatever changed between the pages.
+	// The revision is that of the first page, so that following the log from it also reports the changes made while the
+	// later pages were read.
 	loaded := &Loaded{Revision: revision}
 	byKey := map[string]*wire.Item{}
 	for i := range items {
--- a/internal/replication/oplog/store.go
+++ b/internal/replication/oplog/store.go
@@ -67,7 +67,7 @@
 const pageKeys = 1000
 
 // rangeAll visits every key with the prefix that sorts after the given key, page by page. It returns the revision of
-// the first page: following from there reports whatever changes during the read.
+// the first page, so that following changes from that revision also reports those made during the read.
 func (s *store) rangeAll(
 	ctx context.Context, prefix, after string, visit func(item *wire.Item) error,
 ) (revision uint64, err error) {
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -84,8 +84,8 @@
 	return response.Failed
 }
 
-// Another copy of a transaction is sent after resendAfter without a response, or after resendLatencyFactor times the
-// usual latency if that is longer. At most maxCopies are sent, the first included.
+// Another copy of a transaction is sent whenever resendAfter passes without a response, or resendLatencyFactor times
+// the usual latency if that is longer. At most maxCopies are sent, the first included.
 const (
 	resendAfter         = 400 * time.Millisecond
 	resendLatencyFactor = 4
@@ -97,7 +97,7 @@
 // response that decides the outcome. The remaining copies may still be applied late, which is harmless for every
 // transaction that is sent here (see the package comment).
 //
-// The requests of the remaining copies are canceled when send returns. The results channel has room for the results of
+// The requests of the remaining copies are cancelled when send returns. The results channel has room for the results of
 // all copies, so that no goroutine blocks after that.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/replication/singleton/modelcheck_test.go
+++ b/internal/replication/singleton/modelcheck_test.go
@@ -456,7 +456,7 @@
 		name          string
 		initial       modelState
 		depth         int
-		wantViolation string // expected violation; empty if none
+		wantViolation string // part of the expected violation; empty if none is expected
 	}{
 		{"writes", modelState{noProvisioning: true}, 10, ""},
 		{"provisioning", modelState{noWrites: true}, 10, ""},
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -1,7 +1,7 @@
 // Package singleton decides which node holds a role that only one node may hold at a time, other than leadership:
-// provisioning, which manages machines at the cloud, and compaction, which deletes obsolete records from the key-value
-// store. It does no I/O: the inputs are the observed state of the role's key, responses and the time; the output is the
-// request to send to the store.
+// provisioning, which manages machines at the cloud, and compaction, which replaces old batches of the log in the
+// key-value store by snapshots. It does no I/O: the inputs are the observed state of the role's key, responses and the
+// time; the output is the request to send to the store.
 //
 // A role is held by means of a key in the store that is attached to a lease of its own. The key's version, which is the
 // revision at which the key was created, is the holder's term: later holders have higher terms, and every write made
@@ -32,7 +32,7 @@
 // The roles. Scheduling is not one of them: it belongs to the leader, whose lease is managed by package election.
 const (
 	Provisioning Name = iota // listing the cloud's machine types and machines, scale-out and scale-in
-	Compaction               // snapshots, log compaction, deletion of records that are in the log
+	Compaction               // writing snapshots of the log and deleting the keys that they replace
 	NameCount                // number of roles
 )
 
@@ -60,12 +60,12 @@
 }
 
 const (
-	// maxClockDriftDivisor gives the maximum drift between two clocks, as one part in this number; trustMargin is an
-	// additional margin for scheduling delays of this process.
+	// maxClockDriftDivisor is the reciprocal of the maximum drift between two clocks; trustMargin is an additional
+	// margin for scheduling delays of this process.
 	maxClockDriftDivisor = 500
 	trustMargin          = 20 * time.Millisecond
 	// settleTime is the SettleTime of the first role, and the increment for each further one, so that two roles are
-	// never released at once.
+	// never released at the same time.
 	settleTime = 20 * time.Second
 )
 
@@ -123,7 +123,7 @@
 	reasonLeaderOffload = "others have less to do"
 )
 
-// Role is one node's local state of a role.
+// Role is what one node knows about a role, and its state as a holder or candidate of that role.
 type Role struct {
 	Name  Name
 	Node  string // this node
@@ -203,8 +203,8 @@
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress reports whether this node last released the role for lack of progress, in which case StalledHolders must
-// be stored for the next holders.
+// NoProgress reports whether this node has released the role for lack of progress and has not acquired it since. On
+// such a release, StalledHolders must be stored for the next holders.
 func (r *Role) NoProgress() bool { return r.noProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
@@ -276,7 +276,7 @@
 	return r.decideHeld(now, v)
 }
 
-// decideFree decides for a node that does not hold the role.
+// decideFree returns Acquire if this node, which does not hold the role, has to request it now.
 func (r *Role) decideFree(now Time, v *View) Decision {
 	if !v.Ready || r.holder.Node != "" || now < r.backoffUntil ||
 		now < r.freeSince+Time(r.rank(v))*r.Rules.RankDelay {
@@ -286,7 +286,8 @@
 	return Acquire
 }
 
-// decideHeld decides for the holder.
+// decideHeld returns Renew or Release if this node, which holds the role, has to renew its lease or release the role
+// now.
 func (r *Role) decideHeld(now Time, v *View) Decision {
 	switch {
 	case now >= r.trustedUntil:
