--- a/internal/model/gang_start_test.go
+++ b/internal/model/gang_start_test.go
@@ -46,11 +46,11 @@
 			return m.Observe(fetches, testReport(1, seq, 3<<24, status), nil, 1)
 		}
 		if v := state(2, wire.TaskFetching); len(v.GangReadyMachines) != 0 {
-			t.Errorf("%g GB: %d machines are ready during the fetch, want 0", c.gb, len(v.GangReady))
+			t.Errorf("%g GB: %d machines are ready during the fetch, want 0", c.gb, len(v.GangReadyMachines))
 		}
 		if v := state(3, wire.TaskWaiting); len(v.GangReadyMachines) != 1 || v.GangReadyMachines[0] != has {
 			t.Errorf("%g GB: after the fetch, %d machines are ready, want the one with the cached image",
-				c.gb, len(v.GangReady))
+				c.gb, len(v.GangReadyMachines))
 		}
 		if k := len(m.Commands(has, 9, false)); k != 1 {
 			t.Errorf("%g GB: after the fetch, the member with a cached image got %d commands, want 1", c.gb, k)
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -105,7 +105,7 @@
 	}
 	if !role.IsCurrentTerm(9) || role.IsCurrentTerm(8) || role.IsCurrentTerm(0) {
 		t.Errorf("IsCurrent of terms 9, 8 and 0 is %v, %v, %v; want true, false, false",
-			role.IsCurrent(9), role.IsCurrent(8), role.IsCurrent(0))
+			role.IsCurrentTerm(9), role.IsCurrentTerm(8), role.IsCurrentTerm(0))
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
 		t.Errorf("after the key was deleted, term is %d and trusted %v, want 0 and false",
--- a/internal/scheduling/scheduler/awaiting_heartbeats_test.go
+++ b/internal/scheduling/scheduler/awaiting_heartbeats_test.go
@@ -18,7 +18,7 @@
 	web := env.submitWeb(1, 1)
 	s.Round(env.model, 1e9, true, env)
 	if web.PlacedTasks != 1 {
-		t.Fatalf("%d replicas of the first service placed, want 1", web.Live)
+		t.Fatalf("%d replicas of the first service placed, want 1", web.PlacedTasks)
 	}
 	local := web.Tasks[0].Run.Machine
 	env.model.Observe(local, &wire.Heartbeat{
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -237,7 +237,7 @@
 	for round := 1; round <= 2; round++ {
 		for range 3 {
 			if s.Round(env.model, 0, false, env); second.PlacedTasks != 0 {
-				t.Fatalf("%d tasks placed, want 0: a round without tick was counted as a wait round", second.Live)
+				t.Fatalf("%d tasks placed, want 0: a round without tick was counted as a wait round", second.PlacedTasks)
 			}
 		}
 		s.Round(env.model, 0, true, env)
@@ -521,7 +521,7 @@
 	}
 	if low.PlacedTasks != 4 || len(env.stopped) != 0 || high.PlacedTasks+one.PlacedTasks != 0 {
 		t.Errorf("%d low-priority tasks placed, want 4; %v preempted, want none; %d gang members placed, want 0",
-			low.PlacedTasks, env.stopped, high.Live+one.Live)
+			low.PlacedTasks, env.stopped, high.PlacedTasks+one.PlacedTasks)
 	}
 }
 
@@ -683,7 +683,7 @@
 		cpus, reason := env.model.Teams[0].UsedCPUs, low.Scheduling.PendingReason
 		if cpus != 12 || low.PlacedTasks != 8 || reason.Code != pending.TeamLimit {
 			t.Fatalf("team uses %g CPUs, want 12; %d low-priority tasks, want 8; pending reason %q, want TeamLimit",
-				cpus, low.Live, reason)
+				cpus, low.PlacedTasks, reason)
 		}
 		gang := env.submit(3, func(s *wire.JobSpec) {
 			s.Team, s.Shape, s.Tasks, s.CPUs, s.Priority = "red", wire.Gang, 1, 4, wire.High
