--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -123,8 +123,8 @@
 	return Resign
 }
 
-// OnStall restarts the isolation detection after the leader's process stalled, because messages that arrived during the
-// stall have not been read yet.
+// ResetIsolation restarts the isolation detection after the leader's process stalled, because messages that arrived
+// during the stall have not been read yet.
 func (d *Detector) ResetIsolation() { d.missingSince = 0 }
 
 // ProbeStride returns n such that every n-th machine is probed when most heartbeats are missing.
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// CountsFrom returns the latest possible start of the lease, given this controller's own last renewal. Until all other
+// LeaseStart returns the latest possible start of the lease, given this controller's own last renewal. Until all other
 // controllers have reported, complete is false and start is 0.
 func (p *ExpiryProof) LeaseStart(others int, ownRenewal Time) (start Time, complete bool) {
 	if len(p.lastRenewals) != others {
@@ -241,7 +241,7 @@
 	return start, true
 }
 
-// IsMissing reports whether the controller with the given index has not reported yet.
+// AwaitsReport reports whether the controller with the given index has not reported yet.
 func (p *ExpiryProof) AwaitsReport(controller, others int) bool {
 	return len(p.lastRenewals) != others || p.lastRenewals[controller] < 0
 }
--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -114,7 +114,7 @@
 	return acknowledged
 }
 
-// RecordAnswer records that the response to the last accepted heartbeat carries the given token.
+// RecordResponse records that the response to the last accepted heartbeat carries the given token.
 func (t *Tracker) RecordResponse(token uint64) { t.lastResponse = Stamp{t.newest.Number, token} }
 
 // Number returns the number of the newest message.
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -81,8 +81,8 @@
 	return status.Append(nil)
 }
 
-// mayStand reports whether this controller may stand for election, and if not, when to check again.
-func (el *eligibility) mayStand(hasLeader bool) (ok bool, retryAfter model.Time) {
+// mayBeCandidate reports whether this controller may stand for election, and if not, when to check again.
+func (el *eligibility) mayBeCandidate(hasLeader bool) (ok bool, retryAfter model.Time) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
 	now := el.now()
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// answerInTurn is like answer, but for users' requests: handle runs after all other waiting work.
+// answerRequest is like answer, but for users' requests: handle runs after all other waiting work.
 func (el *eventLoop) answerRequest(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -124,7 +124,7 @@
 	return result.Forwarded{}, false
 }
 
-// isIsolated reports whether there are other controllers but none of them has responded within 2*linkFreshness.
+// isIsolated reports whether there are other controllers but none of them has responded within 2*linkTimeout.
 func (fw *forwarder) isIsolated() bool {
 	for _, link := range fw.links {
 		if time.Since(link.LastResponse()) < 2*linkTimeout {
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -29,7 +29,7 @@
 // intakeTerm is the state of intake for one term of leadership. It is owned by the event loop.
 type intakeTerm struct {
 	dropPending  map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
-	droppable    []uint64        // jobs in dropping that are committed, whose records can be deleted now
+	droppable    []uint64        // jobs in dropPending that are committed, whose records can be deleted now
 	dropInFlight bool            // a deletion of records is in progress
 	rescanNeeded bool            // records were skipped, as their deletion was pending; list the intake again after it
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -110,7 +110,7 @@
 func (ls *leadership) followOrLead(ctx context.Context, revision uint64) (next uint64, inSync bool) {
 	hasLeader := ls.findLeader(ctx)
 	followDuration := followTimeout
-	eligible, retryAfter := ls.eligibility.mayStand(hasLeader)
+	eligible, retryAfter := ls.eligibility.mayBeCandidate(hasLeader)
 	if !hasLeader && !eligible {
 		followDuration = retryAfter // leave the election to a controller whose replica is up to date, then check again
 	}
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -99,8 +99,8 @@
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
 
-// replyRenewals answers the leader's query for when this controller last renewed the leases of a zone's machines. It
-// answers only after it has applied the batch that made the machines suspect, because from then on it does not renew
+// answerRenewalQuery answers the leader's query for when this controller last renewed the leases of a zone's machines.
+// It answers only after it has applied the batch that made the machines suspect, because from then on it does not renew
 // their leases.
 func (lr *leaseRenewal) answerRenewalQuery(ctx context.Context, request *rpc.Request) result.Result {
 	reader := codec.Reader{Data: request.Body}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -233,7 +233,7 @@
 		e.leases.latestOwnRenewal(e.machine), e.now, len(e.settings.Members))
 }
 
-// MovableWork describes the work on the machine that may run in another zone: whether any of it is urgent, and the
+// MovableTasks describes the work on the machine that may run in another zone: whether any of it is urgent, and the
 // resources that the low-priority rest needs.
 func (e *healthEvidence) MovableTasks() (urgent bool, low health.Resources) {
 	urgent, resources := scheduler.MovableTasks(e.machine)
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -13,7 +13,7 @@
 
 // relayAgent is the follower side of relaying (relayAssignments is the leader side): it offers this controller to the
 // leader as a relay, and forwards the leader's direct commands and probes to agents. heartbeatRouter forwards
-// heartbeats while the leader accepts them according to relaying.
+// heartbeats while the leader accepts them according to relayState.
 type relayAgent struct {
 	*environment
 	replica *replica
@@ -22,7 +22,7 @@
 	state *relayState
 }
 
-// relaying is the state of a relay: whether it relays for the leader, and the limits on forwarded requests. It is
+// relayState is the state of a relay: whether it relays for the leader, and the limits on forwarded requests. It is
 // written by maintainRelay on the event loop, except for enabled, which the response to an offer sets. The goroutines
 // of agents' connections and of the leader's requests read the atomic fields and acquire slots.
 type relayState struct {
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -182,7 +182,8 @@
 	return nil, err
 }
 
-// queryThrough probes an agent through a relay. Its timeout is that of a probe plus a margin for the link to the relay.
+// probeThroughRelay probes an agent through a relay. Its timeout is that of a probe plus a margin for the link to the
+// relay.
 func probeThroughRelay(ctx context.Context, via *rpc.Link, addr string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout+probeTimeout/4)
 	defer cancel()
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -39,7 +39,7 @@
 	Type       *wire.MachineType
 }
 
-// Accepted returns the entry that accepts a job. at is the wall-clock time of the acceptance in ms.
+// NewAcceptance returns the entry that accepts a job. at is the wall-clock time of the acceptance in ms.
 func NewAcceptance(spec *wire.JobSpec, wallTimeMS int64) *Entry {
 	n, _ := wire.JobNumber(spec.ID)
 	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: wallTimeMS}
@@ -48,7 +48,7 @@
 // NewCancellation returns the entry that cancels a job.
 func NewCancellation(job JobID) *Entry { return &Entry{Kind: EntryCancel, Job: job} }
 
-// NewPlacement returns the entry that allows an attempt of a task to be started on a machine. session is the only epoch
+// NewPlacement returns the entry that allows an attempt of a task to be started on a machine. epoch is the only epoch
 // of the machine's agent in which it may be started.
 func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, epoch uint64) *Entry {
 	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: epoch}
@@ -80,7 +80,8 @@
 // NewSuspicion returns the entry that marks a machine as suspect, after which only the leader may renew its lease.
 func NewSuspicion(id MachineID) *Entry { return &Entry{Kind: EntrySuspect, Machine: id} }
 
-// NewTrust returns the entry that clears the suspicion of a machine, after which any replica may renew its lease.
+// NewSuspicionCleared returns the entry that clears the suspicion of a machine, after which any replica may renew its
+// lease.
 func NewSuspicionCleared(id MachineID) *Entry { return &Entry{Kind: EntryTrust, Machine: id} }
 
 // NewRelease returns the entry after which a machine may be released at any time.
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -195,7 +195,7 @@
 	return longest
 }
 
-// latestRunSession returns the latest epoch of the machine's runs, which the log proves the agent to have reached.
+// latestRunEpoch returns the latest epoch of the machine's runs, which the log proves the agent to have reached.
 func (machine *Machine) latestRunEpoch() (epoch uint64) {
 	for _, r := range machine.Runs {
 		epoch = max(epoch, r.AgentEpoch)
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -101,7 +101,7 @@
 		contact.TokenOffset++ // messages to the earlier incarnation carry lower tokens
 	}
 	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
-	// Session is 0 until the first report of the term. Only an epoch that was observed in this term can have ended
+	// AgentEpoch is 0 until the first report of the term. Only an epoch that was observed in this term can have ended
 	// since.
 	hasNewEpoch := contact.Reported && o.report.AgentEpoch > contact.AgentEpoch
 	leaseExpired := !o.isProbeResponse && hasNewEpoch
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestNewerSessionEndsRuns checks that a report with a newer agent epoch, which does not list a run, ends the run only
-// if it shows a token that was raised since the first such report, or if it responds to a probe.
+// TestNewerEpochEndsRuns checks that a report with a newer agent epoch, which does not list a run, ends the run only if
+// it shows a token that was raised since the first such report, or if it responds to a probe.
 func TestNewerEpochEndsRuns(t *testing.T) {
 	m, machine, run := newPlacedModel(t)
 	run.Phase = Running
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -73,20 +73,20 @@
 	machine.Contact.startsAnswered(commands, token, accepted)
 }
 
-// StartsLost records that direct commands got no response and may be executed later.
+// StartsUnanswered records that direct commands got no response and may be executed later.
 func (t *leaderTerm) StartsUnanswered(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsUnanswered(commands, token)
 }
 
-// SealReapable records seq as the log sequence number of the entries that result from the last report. The agent may
+// SetReapableSeq records seq as the log sequence number of the entries that result from the last report. The agent may
 // forget the exited attempts only after that number is committed, because their listing is the evidence for the
 // entries.
 func (t *leaderTerm) SetReapableSeq(machine *Machine, seq uint64) {
 	machine.Contact.setReapableSeq(seq)
 }
 
-// ReapPending reports whether an exited attempt on the machine cannot be forgotten yet because of entries that are not
-// committed.
+// HasPendingReap reports whether an exited attempt on the machine cannot be forgotten yet because of entries that are
+// not committed.
 func (t *leaderTerm) HasPendingReap(machine *Machine, committed uint64) bool {
 	return machine.Contact.hasPendingReap(committed)
 }
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -22,8 +22,8 @@
 func TestMain(m *testing.M) { virtualtime.Main(m) }
 
 // TestCommandsInFlightAreBounded checks that when commands are sent to hundreds of unresponsive machines at once, the
-// commands above the bound fail with fate Unsent within slotTimeout. Without the bound they could use up the sockets of
-// the process.
+// commands above the bound fail with outcome Unsent within slotTimeout. Without the bound they could use up the sockets
+// of the process.
 func TestCommandsInFlightAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const conns, machines = 20, 200
@@ -53,7 +53,7 @@
 		}
 		wg.Wait()
 		if outcomes[Unknown] != conns/2 || outcomes[Unsent] != machines-conns/2 {
-			t.Errorf("%d commands have fate Unknown and %d Unsent, of %d; want %d Unknown and the rest Unsent",
+			t.Errorf("%d commands have outcome Unknown and %d Unsent, of %d; want %d Unknown and the rest Unsent",
 				outcomes[Unknown], outcomes[Unsent], machines, conns/2)
 		}
 		client.Close()
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -171,7 +171,7 @@
 	})
 }
 
-// Follow returns the changes under a prefix after the revision after, and waits for up to hold if there are none. A
+// Watch returns the changes under a prefix after the revision after, and waits for up to hold if there are none. A
 // status error with code 410 means that the store no longer has all changes after that revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
 	query := url.Values{"starts": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -58,7 +58,8 @@
 const (
 	// maxDoublings is the maximum number of times that the periods of a fresh process are doubled.
 	maxDoublings = 7
-	// retriesPerYield is the minimum number of times that a yielding node calls MayStand within YieldToUnreachable.
+	// retriesPerYield is the minimum number of times that a yielding node calls MayBeCandidate within
+	// YieldToUnreachable.
 	retriesPerYield = 8
 )
 
@@ -126,7 +127,7 @@
 	startedAt       Time
 	peers           []peerState
 	leaderless      bool // no leader is known
-	leaderlessSince Time // when vacant last became true
+	leaderlessSince Time // when leaderless last became true
 	sawLeader       bool // a leader was known at least once since this process started
 }
 
@@ -195,7 +196,7 @@
 	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
 
-// MayStand reports whether this node may stand for election now. If not, the caller must call it again after
+// MayBeCandidate reports whether this node may stand for election now. If not, the caller must call it again after
 // retryAfter, or earlier if a status or the leader changes.
 func (e *Eligibility) MayBeCandidate(now Time) (ok bool, retryAfter Time) {
 	if !e.leaderless {
@@ -229,7 +230,7 @@
 	return true, 0
 }
 
-// VacantSince returns when RecordLeader first recorded that no leader is known, and false if a leader is known.
+// LeaderlessSince returns when RecordLeader first recorded that no leader is known, and false if a leader is known.
 func (e *Eligibility) LeaderlessSince() (Time, bool) { return e.leaderlessSince, e.leaderless }
 
 // HasWarmPeer reports whether a peer is reachable and its latest status, if still valid, says that it is warm.
--- a/internal/replication/candidacy/eligibility_test.go
+++ b/internal/replication/candidacy/eligibility_test.go
@@ -15,7 +15,7 @@
 const millisecond = time.Millisecond
 
 // standsAfter returns how long after its start a fresh process that sees no leader stands for election, or a minute if
-// it has not stood by then. Like the controller, it calls MayStand again after each retryAfter. Before each call,
+// it has not stood by then. Like the controller, it calls MayBeCandidate again after each retryAfter. Before each call,
 // receive may record what has arrived from the peers.
 func standsAfter(t *testing.T, eligibility *Eligibility, receive func(now Time)) Time {
 	const until = time.Minute
@@ -118,11 +118,11 @@
 	eligibility.RecordStatus(0, Status{Warm: true, RecentIncarnations: 1}, now)
 	eligibility.RecordLeader(true, now)
 	if ok, _ := eligibility.MayBeCandidate(now); ok {
-		t.Error("MayStand returned true while a leader is known, want false")
+		t.Error("MayBeCandidate returned true while a leader is known, want false")
 	}
 	eligibility.RecordLeader(false, now)
 	if ok, _ := eligibility.MayBeCandidate(now); !ok {
-		t.Error("MayStand returned false for a process that is not fresh, want true")
+		t.Error("MayBeCandidate returned false for a process that is not fresh, want true")
 	}
 }
 
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -110,7 +110,7 @@
 	r.unconfirmed--
 }
 
-// Proven reports whether the reports of all peers met the conditions. If so, this node counts as complete at
+// CompleteAt reports whether the reports of all peers met the conditions. If so, this node counts as complete at
 // completeAt, the start of the round.
 func (r *BarrierRound) CompleteAt() (completeAt Time, ok bool) {
 	return r.startedAt, r.unconfirmed == 0
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -104,8 +104,8 @@
 	return max(after, changes.Revision), arrived, nil
 }
 
-// DropIntake deletes the intake records of jobs that are in the log. No request waits for these deletions, so they use
-// only the spare write budget.
+// DeleteIntake deletes the intake records of jobs that are in the log. No request waits for these deletions, so they
+// use only the spare write budget.
 func (r intakeRecords) DeleteIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// MaxData returns the maximum size in bytes of the data in one value, such as Batch.Data.
+// MaxBatchBytes returns the maximum size in bytes of the data in one value, such as Batch.Data.
 func (l *Log) MaxBatchBytes() int { return l.store.maxDataBytes }
 
 // loadAttempts is the maximum number of times that Load reads the log while concurrent compactions change it.
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -46,8 +46,8 @@
 	valueOverhead = 256
 )
 
-// MaxPartitionedNodeParts returns the maximum number of values of MaxData bytes in a record, Data included. The number
-// is limited because a record is written in one transaction.
+// MaxPartitionedNodeParts returns the maximum number of values of MaxBatchBytes bytes in a record, Data included. The
+// number is limited because a record is written in one transaction.
 func (p partitionRecords) MaxPartitionedNodeParts() int {
 	partBytes := base64.StdEncoding.EncodedLen(p.store.maxDataBytes) + valueOverhead
 	return max(1, min(p.store.maxTxnOps, maxTxnBytes/partBytes))
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -9,11 +9,11 @@
 // successful renewal. So a holder may act for the role for that long after sending, as measured by its own clock, less
 // the maximum drift between two clocks.
 //
-// A holder renews only while the role makes progress. After Rules.Patience without progress it releases the role and
-// backs off, for longer each time, so that a node with a better connection to the cloud or store can acquire the role.
-// The number of consecutive holders without progress is stored in a key beside the role's (ObserveStalledHolders). When
-// it shows that all nodes have failed to make progress, the cloud or store is probably unavailable to all of them, and
-// the time allowed without progress grows.
+// A holder renews only while the role makes progress. After Rules.StallTimeout without progress it releases the role
+// and backs off, for longer each time, so that a node with a better connection to the cloud or store can acquire the
+// role. The number of consecutive holders without progress is stored in a key beside the role's
+// (ObserveStalledHolders). When it shows that all nodes have failed to make progress, the cloud or store is probably
+// unavailable to all of them, and the time allowed without progress grows.
 package singleton
 
 import (
@@ -95,10 +95,11 @@
 	Since Time   // when this node observed the key's current content
 }
 
-// View is what a node knows about the nodes of the cluster.
+// ClusterView is what a node knows about the nodes of the cluster.
 type ClusterView struct {
-	// All nodes take part. While any runs an older version, the leader performs the roles itself.
-	RolesDistributed bool     // all nodes take part in roles; while a node runs a version without roles, the leader performs them
+	// RolesDistributed reports whether all nodes take part in roles. While any runs a version without roles, the leader
+	// performs them itself.
+	RolesDistributed bool
 	LiveNodes        []string // responding nodes, this one included
 	Leader           string   // empty if unknown
 }
@@ -111,7 +112,9 @@
 	NoAction Decision = iota
 	Acquire           // request a lease, and create the key unless it exists; then call Acquired
 	Renew             // renew the lease; then call Renewed
-	Release           // store StalledHolders if NoProgress; revoke the lease, which deletes the key; then call Released
+	// Release: store StalledHolders if ReleasedWithoutProgress; revoke the lease, which deletes the key; then call
+	// Released.
+	Release
 )
 
 // Reasons for releasing or losing a role, as shown in the admin API and the log.
@@ -145,7 +148,7 @@
 	heldSince               Time
 	lastProgress            Time
 	progressed              bool // the role made progress in this term
-	betterHolderSince       Time // since when this node has led beside other live nodes, which are better holders; else 0
+	betterHolderSince       Time // since when this node leads beside other live nodes, which are better holders; else 0
 	backoffUntil            Time
 	backoff                 Time
 	releasedWithoutProgress bool   // the role was released for lack of progress
@@ -204,18 +207,18 @@
 // ReleaseReason returns why this node last released or lost the role.
 func (r *Role) ReleaseReason() string { return r.releaseReason }
 
-// NoProgress reports whether this node has released the role for lack of progress and has not acquired it since. On
-// such a release, StalledHolders must be stored for the next holders.
+// ReleasedWithoutProgress reports whether this node has released the role for lack of progress and has not acquired it
+// since. On such a release, StalledHolders must be stored for the next holders.
 func (r *Role) ReleasedWithoutProgress() bool { return r.releasedWithoutProgress }
 
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrent reports whether a result that a holder reports under its term is valid, that is, whether the term is not
-// older than that of the observed key.
+// IsCurrentTerm reports whether a result that a holder reports under its term is valid, that is, whether the term is
+// not older than that of the observed key.
 func (r *Role) IsCurrentTerm(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// patience returns how long this node may hold the role without progress. The limit doubles for every full round of
+// stallTimeout returns how long this node may hold the role without progress. The limit doubles for every full round of
 // live nodes that held the role one after the other without progress.
 func (r *Role) stallTimeout(v *ClusterView) Time {
 	limit := r.Rules.StallTimeout
--- a/internal/replication/singleton/singleton_test.go
+++ b/internal/replication/singleton/singleton_test.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if !role.IsCurrentTerm(9) || role.IsCurrentTerm(8) || role.IsCurrentTerm(0) {
-		t.Errorf("IsCurrent of terms 9, 8 and 0 is %v, %v, %v; want true, false, false",
+		t.Errorf("IsCurrentTerm of terms 9, 8 and 0 is %v, %v, %v; want true, false, false",
 			role.IsCurrentTerm(9), role.IsCurrentTerm(8), role.IsCurrentTerm(0))
 	}
 	if role.Observe(RoleHolder{Term: 12}, 2*time.Second); role.Trusted(2*time.Second) || role.Term() != 0 {
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -34,7 +34,7 @@
 	ScaleOuts []ScaleOut
 	// ScaleIn lists the machines that no demand needs and that have been idle for the minimum time.
 	ScaleIn []*model.Machine
-	// Drain holds the machines that only low-priority work uses and whose price this work does not justify. They
+	// Draining holds the machines that only low-priority work uses and whose price this work does not justify. They
 	// receive no new tasks and are released once empty.
 	Draining map[*model.Machine]bool
 	// ServiceHeadroom is the number of CPUs that low-priority work must leave free for services.
@@ -47,8 +47,8 @@
 	// rental of an expensive machine after its last gang has ended, by up to the run time of the longest low-priority
 	// task.
 	LowPriorityAllowed map[*model.Machine]bool
-	// Vacate is a machine with GPUs that runs only services and whose replicas all fit on other machines, or nil. The
-	// replicas are moved one at a time, and the machine is then released.
+	// DrainTarget is a machine with GPUs that runs only services and whose replicas all fit on other machines, or nil.
+	// The replicas are moved one at a time, and the machine is then released.
 	DrainTarget *model.Machine
 }
 
@@ -60,7 +60,7 @@
 
 	arrivals arrivals
 	refusals map[InstanceOffer]refusal
-	// drainTarget is Plan.Vacate of the latest plan.
+	// drainTarget is Plan.DrainTarget of the latest plan.
 	drainTarget *model.Machine
 	// machineCounts is the number of machines of each offer. Price comparisons use it to spread machines over offers of
 	// equal price.
--- a/internal/scheduling/autoscaler/autoscaler_test.go
+++ b/internal/scheduling/autoscaler/autoscaler_test.go
@@ -137,7 +137,8 @@
 			want = 1
 		}
 		if p := a.Plan(m, model.Time(n+1)*1e9); len(p.ServiceSlots) != want {
-			t.Errorf("%d waiting replicas: allowed on %d machines with gangs, want %d", 3*n+3, len(p.ServiceSlots), want)
+			t.Errorf("%d waiting replicas: allowed on %d machines with gangs, want %d",
+				3*n+3, len(p.ServiceSlots), want)
 		}
 	}
 }
@@ -263,6 +264,7 @@
 		t.Fatal("Guaranteed is false for the array, want true")
 	}
 	if p.DrainTarget != m.Machines[2] {
-		t.Error("Plan.Vacate is not the expensive machine, although low-priority tasks elsewhere yield to its replicas")
+		t.Error("Plan.DrainTarget is not the expensive machine, " +
+			"although low-priority tasks elsewhere yield to its replicas")
 	}
 }
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -80,7 +80,7 @@
 // selectDrainTarget selects the machine to vacate: among the machines with GPUs that run only services, the one with
 // the fewest CPUs reserved for them. It returns nil if there is none, or if not all of its replicas fit on other
 // machines in addition to waiting and standby demand. Replicas that fit only on other machines with GPUs are counted in
-// ForServices.
+// ServiceSlots.
 func (p *planner) selectDrainTarget() *model.Machine {
 	source := p.leastLoadedServiceMachine()
 	if source == nil {
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// SplitListed splits a machine list into results of at most MaxListedMachines machines and about maxBytes bytes each.
+// SplitListing splits a machine list into results of at most MaxListedMachines machines and about maxBytes bytes each.
 // An empty list gives one result without machines, which proves that the cloud answered.
 func SplitListing(machines []wire.ListedMachine, maxBytes int) (parts []*Result) {
 	start, size := 0, 0
--- a/internal/scheduling/provisioner/result_test.go
+++ b/internal/scheduling/provisioner/result_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestSplitListedRoundTrip checks that machine lists of any length are split into results that other controllers can
+// TestSplitListingRoundTrip checks that machine lists of any length are split into results that other controllers can
 // read, without loss, and that an empty list gives one result.
 func TestSplitListingRoundTrip(t *testing.T) {
 	const maxBytes = 64 << 10
--- a/internal/scheduling/scheduler/guarantee.go
+++ b/internal/scheduling/scheduler/guarantee.go
@@ -59,8 +59,8 @@
 	return math.MaxFloat64
 }
 
-// MarkGuarantees updates, for each job, whether it is within its team's guarantee and whether it is scheduled as such.
-// A job is within the guarantee if it fits together with the team's earlier unfinished jobs.
+// UpdateGuarantees updates, for each job, whether it is within its team's guarantee and whether it is scheduled as
+// such. A job is within the guarantee if it fits together with the team's earlier unfinished jobs.
 //
 // If a team wants more than its guarantee, the guarantee must be distributed among its jobs. Giving all of it to the
 // oldest jobs would mean first come, first served among low-priority arrays, ahead of more urgent work: with twice as
--- a/internal/scheduling/scheduler/minimum_share.go
+++ b/internal/scheduling/scheduler/minimum_share.go
@@ -195,8 +195,8 @@
 	return shareOf(s.minimumShare.classes, int(class))
 }
 
-// TeamStanding returns the served share of the team with the given index, from 0 to 1, and whether it is under-served.
-// The share of an unknown team is 1.
+// TeamShare returns the served share of the team with the given index, from 0 to 1, and whether it is under-served. The
+// share of an unknown team is 1.
 func (s *Scheduler) TeamShare(team int) (share float64, underServed bool) {
 	return shareOf(s.minimumShare.teams, team)
 }
@@ -208,12 +208,12 @@
 	return shares[i].share, shares[i].underServed
 }
 
-// WorstClass returns the lowest served share of any class and the number of under-served classes.
+// LowestClassShare returns the lowest served share of any class and the number of under-served classes.
 func (s *Scheduler) LowestClassShare() (share float64, underServed int) {
 	return lowestShare(s.minimumShare.classes)
 }
 
-// WorstTeam returns the lowest served share of any team and the number of under-served teams.
+// LowestTeamShare returns the lowest served share of any team and the number of under-served teams.
 func (s *Scheduler) LowestTeamShare() (share float64, underServed int) {
 	return lowestShare(s.minimumShare.teams)
 }
--- a/internal/scheduling/scheduler/resources.go
+++ b/internal/scheduling/scheduler/resources.go
@@ -75,7 +75,7 @@
 	return Resources{machine.Reserved.CPUs, machine.Reserved.GPUs, machine.Reserved.Mem}
 }
 
-// MovableWork summarizes the work on a machine that could run in another zone if the machine were lost. It returns
+// MovableTasks summarizes the work on a machine that could run in another zone if the machine were lost. It returns
 // whether any of this work is above low priority, so that other work would be preempted for it, and the total demand of
 // the low-priority work.
 func MovableTasks(machine *model.Machine) (urgent bool, low Resources) {
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -237,12 +237,14 @@
 	for round := 1; round <= 2; round++ {
 		for range 3 {
 			if s.Round(env.model, 0, false, env); second.PlacedTasks != 0 {
-				t.Fatalf("%d tasks placed, want 0: a round without tick was counted as a wait round", second.PlacedTasks)
+				t.Fatalf("%d tasks placed, want 0: a round without tick was counted as a wait round",
+					second.PlacedTasks)
 			}
 		}
 		s.Round(env.model, 0, true, env)
 		if reason := second.Scheduling.PendingReason; second.PlacedTasks != 0 || reason.Code != pending.ImageBusy {
-			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q, want ImageBusy", round, second.PlacedTasks, reason)
+			t.Fatalf("round %d: %d tasks placed, want 0; pending reason %q, want ImageBusy",
+				round, second.PlacedTasks, reason)
 		}
 	}
 	s.Round(env.model, 0, true, env)
@@ -263,7 +265,8 @@
 	}
 	free := env.submit(2, func(s *wire.JobSpec) { s.Shape, s.Tasks, s.CPUs = wire.Gang, 2, 3 })
 	if s.Round(env.model, 0, true, env); free.PlacedTasks != 2 || free.Tasks[0].Attempt != free.Tasks[1].Attempt {
-		t.Errorf("gang that fits: %d members placed, want 2 with the same attempt number: %v", free.PlacedTasks, env.placed)
+		t.Errorf("gang that fits: %d members placed, want 2 with the same attempt number: %v",
+			free.PlacedTasks, env.placed)
 	}
 }
 
