--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -97,7 +97,7 @@
 	fmt.Printf("user API: %s; controller settings and logs: %s\n", c.addr(loadBalancerOffset), c.Dir)
 	reportStatus(ctx, environment)
 	for i := range controllerCount {
-		environment.Crash(i)
+		environment.StopAndWait(i)
 	}
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
@@ -156,9 +156,9 @@
 			return
 		case <-ticker.C:
 		}
-		finished, accepted := environment.Checker.Finished()
+		finished, accepted := environment.Checker.JobCounts()
 		fmt.Printf("%d machines, %d tasks running; %d jobs accepted, %d finished\n",
-			len(environment.Cloud.Workers()), environment.Checker.Tasks(), accepted, finished)
+			len(environment.Cloud.Workers()), environment.Checker.RunningTaskCount(), accepted, finished)
 		violations := environment.Checker.Violations()
 		for _, violation := range violations[printedViolations:] {
 			fmt.Println("BROKEN RULE", violation)
--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "job.hex", body)
-	golden.Check(t, "job.txt", []byte(golden.Body(body)))
+	golden.Check(t, "job.txt", []byte(golden.FormatBody(body)))
 	for _, keyRange := range regexp.MustCompile(`(?m)^\w+ =`).FindAllIndex(stored, -1) {
 		renamed := bytes.Clone(stored)
 		renamed[keyRange[0]] = 'q'
@@ -169,7 +169,7 @@
 
 // TestGoldenClient checks the request, the output and the exit code of each client command for each kind of response.
 func TestGoldenClient(t *testing.T) {
-	r := golden.Record(t)
+	r := golden.NewRecorder(t)
 	userEnv, adminEnv := []string{"FIELDHILL_ADDR=" + r.Addr}, []string{"FIELDHILL_OPERATE=" + r.Addr}
 	record := func(code int, retryAfter string, body []byte, env []string, args ...string) {
 		header := http.Header{}
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -70,7 +70,7 @@
 	}
 	handle(wire.PathAdminJobs+"/{id}"+wire.WhySuffix, func(r *http.Request) result.Result {
 		id := r.PathValue("id")
-		if _, ok := wire.JobNumber(id); !ok {
+		if _, ok := wire.ParseJobID(id); !ok {
 			return result.Invalid{Reason: fmt.Sprintf("id: %q is not a job's id, such as req-000412", id)}
 		}
 		return service.Explain(r.Context(), id)
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -143,7 +143,7 @@
 		s, w := &scriptedService{result: c.result}, httptest.NewRecorder()
 		Handler(s).ServeHTTP(w, httptest.NewRequest(c.method, c.path, nil))
 		fmt.Fprintf(&b, "=== %s %s\nasked: %s\n%d\n%s", c.method, c.path, s.received, w.Code,
-			golden.Message(w.Header(), w.Body.Bytes()))
+			golden.FormatMessage(w.Header(), w.Body.Bytes()))
 	}
 	golden.Check(t, "http.txt", []byte(b.String()))
 }
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -18,7 +18,7 @@
 	wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited,
 	wire.CauseDone, wire.CauseStopped, wire.CausePeers, wire.CauseGangIncomplete, wire.CauseError,
 	wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown,
-	wire.Start, wire.Stop, wire.Forget, "",
+	wire.VerbStart, wire.VerbStop, wire.VerbForget, "",
 }
 
 const (
@@ -70,7 +70,7 @@
 	for _, v := range []uint64{report.AgentEpoch, report.Seq, report.FencingToken} {
 		b = codec.Uint(b, v)
 	}
-	b = appendSeconds(b, report.NoticeS)
+	b = appendSeconds(b, report.ReclaimNoticeS)
 	b = codec.Uint(b, uint64(len(report.Tasks)))
 	for i := range report.Tasks {
 		task := &report.Tasks[i]
@@ -100,7 +100,7 @@
 	for _, v := range []*uint64{&report.AgentEpoch, &report.Seq, &report.FencingToken} {
 		*v = r.Uint()
 	}
-	report.NoticeS = readSeconds(r)
+	report.ReclaimNoticeS = readSeconds(r)
 	n := r.Max(maxTasks)
 	report.Tasks = make([]wire.TaskStatus, 0, min(n, len(r.Data)))
 	for range n {
@@ -119,11 +119,11 @@
 }
 
 // AppendOrders appends the encoding of direct commands to an agent.
-func AppendOrders(b []byte, orders *wire.Orders) []byte {
-	b = codec.Uint(codec.Uint(b, orders.FencingToken), orders.AgentEpoch)
-	b = codec.Uint(b, uint64(len(orders.Commands)))
-	for i := range orders.Commands {
-		command := &orders.Commands[i]
+func AppendOrders(b []byte, batch *wire.CommandBatch) []byte {
+	b = codec.Uint(codec.Uint(b, batch.FencingToken), batch.AgentEpoch)
+	b = codec.Uint(b, uint64(len(batch.Commands)))
+	for i := range batch.Commands {
+		command := &batch.Commands[i]
 		b = appendText(b, command.Verb)
 		b = codec.Uint(codec.String(b, command.Task), command.Attempt)
 		b = appendSeconds(b, command.GraceS)
@@ -132,16 +132,16 @@
 }
 
 // ReadOrders decodes direct commands to an agent.
-func ReadOrders(b []byte) (*wire.Orders, error) {
+func ReadOrders(b []byte) (*wire.CommandBatch, error) {
 	r := &codec.Reader{Data: b}
-	orders := &wire.Orders{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
+	batch := &wire.CommandBatch{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
 	n := r.Max(maxCommands)
-	orders.Commands = make([]wire.Command, 0, min(n, len(r.Data)))
+	batch.Commands = make([]wire.Command, 0, min(n, len(r.Data)))
 	for range n {
 		if r.Err != nil {
 			break
 		}
-		orders.Commands = append(orders.Commands, wire.Command{
+		batch.Commands = append(batch.Commands, wire.Command{
 			Verb:    readText(r),
 			Task:    r.String(),
 			Attempt: r.Uint(),
@@ -151,7 +151,7 @@
 	if !r.Done() {
 		return nil, ErrMalformed
 	}
-	return orders, nil
+	return batch, nil
 }
 
 // CommandResult is the outcome of commands that another controller sent to an agent.
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -13,7 +13,7 @@
 // text that is encoded as a number, and texts that are encoded in full.
 func TestGoldenMessages(t *testing.T) {
 	full := &wire.Heartbeat{Machine: "host-1", Addr: "10.1.0.1:9", Type: "small", Zone: "a", Spot: true,
-		AgentEpoch: 1 << 40, Seq: 300, FencingToken: 1<<63 + 5, NoticeS: ptr(12.5)}
+		AgentEpoch: 1 << 40, Seq: 300, FencingToken: 1<<63 + 5, ReclaimNoticeS: ptr(12.5)}
 	states := []string{wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, "other"}
 	for i, state := range states {
 		full.Tasks = append(full.Tasks, wire.TaskStatus{Task: "req-000007.0", Attempt: uint64(100 + i), State: state})
@@ -29,16 +29,16 @@
 	golden.RoundTrip(t, "report.hex", full, encodeReport, ReadReport)
 	golden.RoundTrip(t, "report-short.hex", short, encodeReport, ReadReport)
 
-	orders := &wire.Orders{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
-		{Verb: wire.Start, Task: "job-1.0", Attempt: 1},
-		{Verb: wire.Stop, Task: "job-1.1", Attempt: 200, GraceS: ptr(0.0)},
-		{Verb: wire.Stop, Task: "job-2.0", Attempt: 1, GraceS: ptr(2.5)},
-		{Verb: wire.Forget, Task: "job-3.4095", Attempt: 3},
+	batch := &wire.CommandBatch{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
+		{Verb: wire.VerbStart, Task: "job-1.0", Attempt: 1},
+		{Verb: wire.VerbStop, Task: "job-1.1", Attempt: 200, GraceS: ptr(0.0)},
+		{Verb: wire.VerbStop, Task: "job-2.0", Attempt: 1, GraceS: ptr(2.5)},
+		{Verb: wire.VerbForget, Task: "job-3.4095", Attempt: 3},
 		{Verb: "another"},
 	}}
-	encodeOrders := func(o *wire.Orders) []byte { return AppendOrders(nil, o) }
-	golden.RoundTrip(t, "orders.hex", orders, encodeOrders, ReadOrders)
-	golden.RoundTrip(t, "orders-none.hex", &wire.Orders{Commands: []wire.Command{}}, encodeOrders, ReadOrders)
+	encodeBatch := func(o *wire.CommandBatch) []byte { return AppendOrders(nil, o) }
+	golden.RoundTrip(t, "orders.hex", batch, encodeBatch, ReadOrders)
+	golden.RoundTrip(t, "orders-none.hex", &wire.CommandBatch{Commands: []wire.Command{}}, encodeBatch, ReadOrders)
 
 	encodeResult := func(o CommandResult) []byte { return o.Append(nil) }
 	golden.RoundTrip(t, "outcome.hex", CommandResult{Outcome: 1, Report: short}, encodeResult, ReadCommandResult)
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -135,7 +135,7 @@
 	}
 	if rapid.Bool().Draw(t, "notice") {
 		s := rapid.Float64Range(0, 1e6).Draw(t, "notice_s")
-		report.NoticeS = &s
+		report.ReclaimNoticeS = &s
 	}
 	knownOrRandom := rapid.OneOf(rapid.SampledFrom(knownTexts), text)
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
@@ -155,14 +155,14 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := drawReport(t)
-		orders := &wire.Orders{
+		batch := &wire.CommandBatch{
 			FencingToken: report.FencingToken,
 			AgentEpoch:   report.AgentEpoch,
 			Commands:     []wire.Command{},
 		}
 		for _, s := range report.Tasks {
-			command := wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.NoticeS}
-			orders.Commands = append(orders.Commands, command)
+			command := wire.Command{Verb: s.State, Task: s.Task, Attempt: s.Attempt, GraceS: report.ReclaimNoticeS}
+			batch.Commands = append(batch.Commands, command)
 		}
 		result := CommandResult{Outcome: uint8(len(report.Tasks)), Report: report}
 		offer := Offer{Node: report.Machine, HasCapacity: report.Spot}
@@ -172,7 +172,7 @@
 			decode  func([]byte) (any, error)
 		}{
 			{AppendReport(nil, report), report, func(b []byte) (any, error) { return ReadReport(b) }},
-			{AppendOrders(nil, orders), orders, func(b []byte) (any, error) { return ReadOrders(b) }},
+			{AppendOrders(nil, batch), batch, func(b []byte) (any, error) { return ReadOrders(b) }},
 			{result.Append(nil), result, func(b []byte) (any, error) { return ReadCommandResult(b) }},
 			{offer.Append(nil), offer, func(b []byte) (any, error) { return ReadOffer(b) }},
 			{AppendOfferResponse(nil, report.Spot), report.Spot,
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -43,7 +43,7 @@
 
 func (s *scriptedService) Heartbeat(_ context.Context, r *wire.Heartbeat) result.Result {
 	body, _ := wire.Marshal(r)
-	s.received = "report\n" + golden.Body(body)
+	s.received = "report\n" + golden.FormatBody(body)
 	return s.result
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	renewed := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.Start,
+	renewed := result.Renewed{FencingToken: 7, Commands: []wire.Command{{Verb: wire.VerbStart,
 		Task: "req-000412/3", Attempt: 2}}}
 	return []exchange{
 		{"POST", wire.PathHeartbeat, bytes.NewReader(heartbeat), renewed, 0},
@@ -152,7 +152,7 @@
 		if s.received != "" {
 			fmt.Fprintf(&b, "\nasked: %s", strings.TrimSuffix(s.received, "\n"))
 		}
-		fmt.Fprintf(&b, "\n%s%d\n%s", observed, w.Code, golden.Message(w.Header(), w.Body.Bytes()))
+		fmt.Fprintf(&b, "\n%s%d\n%s", observed, w.Code, golden.FormatMessage(w.Header(), w.Body.Bytes()))
 	}
 	fmt.Fprintf(&b, "=== kinds %q\n", RequestKinds)
 	golden.Check(t, "http.txt", []byte(b.String()))
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -9,8 +9,8 @@
 	"math"
 )
 
-// ErrShort reports a record that is truncated or has an invalid value.
-var ErrShort = errors.New("codec: truncated or malformed")
+// ErrMalformed reports a record that is truncated or has an invalid value.
+var ErrMalformed = errors.New("codec: truncated or malformed")
 
 // Uint appends an unsigned varint.
 func Uint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
@@ -46,7 +46,7 @@
 
 // fail sets the error and discards the rest, because the field boundaries after a malformed field are unknown.
 func (r *Reader) fail() {
-	r.Err = ErrShort
+	r.Err = ErrMalformed
 	r.Data = nil
 }
 
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -54,8 +54,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &Reader{Data: encodeRecord()}
-			if read(r); !errors.Is(r.Err, ErrShort) || r.Done() {
-				t.Fatalf("got error %v, want ErrShort; done %v", r.Err, r.Done())
+			if read(r); !errors.Is(r.Err, ErrMalformed) || r.Done() {
+				t.Fatalf("got error %v, want ErrMalformed; done %v", r.Err, r.Done())
 			}
 			if v := r.Uint() + uint64(r.Byte()) + math.Float64bits(r.Float()); v != 0 || len(r.String()) != 0 {
 				t.Errorf("decoded %d after the error, want zero values", v)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -26,7 +26,7 @@
 // Cancel cancels a job and returns its state. If this controller does not lead, or cannot reach the key-value store, it
 // first forwards the request to another controller.
 func (cn *cancellations) Cancel(ctx context.Context, id string) result.Result {
-	if _, ok := wire.JobNumber(id); !ok {
+	if _, ok := wire.ParseJobID(id); !ok {
 		return noSuchJob
 	}
 	request := &rpc.Request{Op: rpc.OpCancel, ID: id}
@@ -52,7 +52,7 @@
 // cancelAsLeader cancels a job as the leader. If the model does not contain the job, it is first looked up in the
 // intake, because another controller may have accepted it there.
 func (cn *cancellations) cancelAsLeader(ctx context.Context, id string) result.Result {
-	jobNumber, ok := wire.JobNumber(id)
+	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
 		return noSuchJob
 	}
--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -30,7 +30,7 @@
 		if err := pollEndedOrUnknown(w, id); err != nil {
 			t.Error(err)
 		}
-		if k := w.Checker.Running(id); k != 0 {
+		if k := w.Checker.RunningTasks(id); k != 0 {
 			t.Errorf("%s still has %d running tasks", id, k)
 		}
 	}
@@ -68,7 +68,7 @@
 // servicesUp returns the number of running replicas of services 1 to services.
 func servicesUp(w *emulator.Environment, services int) (up int) {
 	for k := 1; k <= services; k++ {
-		up += w.Checker.Running(wire.JobID(uint64(k)))
+		up += w.Checker.RunningTasks(wire.JobID(uint64(k)))
 	}
 	return up
 }
@@ -79,7 +79,7 @@
 	unexpected := map[string]int{}
 	for n := first; n <= last; n++ {
 		id := wire.JobID(uint64(n))
-		if running := w.Checker.Running(id); running != want {
+		if running := w.Checker.RunningTasks(id); running != want {
 			unexpected[id] = running
 		}
 	}
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -92,7 +92,7 @@
 
 // waitRunning waits until a task of a job runs, for at most a minute after began.
 func waitRunning(w *emulator.Environment, id string, began time.Time) {
-	for w.Checker.Running(id) == 0 && time.Since(began) < time.Minute {
+	for w.Checker.RunningTasks(id) == 0 && time.Since(began) < time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -144,8 +144,8 @@
 		}
 		startAll(w)
 		f(w)
-		finished, accepted := w.Checker.Finished()
-		writes, keys := w.Store.Load()
+		finished, accepted := w.Checker.JobCounts()
+		writes, keys := w.Store.WriteStats()
 		t.Logf("%d task starts, %d jobs accepted, %d ended; %d writes, at most %d keys",
 			w.Checker.Starts(), accepted, finished, writes, keys)
 		for _, violation := range w.Checker.Violations() {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -95,10 +95,10 @@
 	cd.replica.model.StartsSent(machine, commands, sent.token)
 	machine.Contact.DirectInFlight = true
 	term.leadership.timeline.Mark(candidacy.FirstCommand, cd.now())
-	orders := &wire.Orders{FencingToken: sent.token, AgentEpoch: machine.Contact.AgentEpoch, Commands: commands}
+	batch := &wire.CommandBatch{FencingToken: sent.token, AgentEpoch: machine.Contact.AgentEpoch, Commands: commands}
 	addr, via := machine.Info.Addr, cd.assignments.relayFor(machine)
 	go func() {
-		outcome, report, err := cd.assignments.sendOrders(term.ctx, via, addr, orders)
+		outcome, report, err := cd.assignments.sendCommands(term.ctx, via, addr, batch)
 		cd.loop.post(func() { cd.onCommandOutcome(sent, outcome, report, err) })
 	}()
 }
--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -25,7 +25,7 @@
 			w.Submit(newJobSpec(100+i, wire.Array, 60, 3))
 		}
 		time.Sleep(40 * time.Second) // until the machines have booted
-		before, _ := w.Store.Load()
+		before, _ := w.Store.WriteStats()
 		const seconds = 20
 		for i := range seconds {
 			began := time.Now()
@@ -37,7 +37,7 @@
 			}
 			time.Sleep(time.Until(began.Add(time.Second)))
 		}
-		after, _ := w.Store.Load()
+		after, _ := w.Store.WriteStats()
 		if rate := float64(after-before) / seconds; rate > 8 {
 			t.Errorf("%.1f store writes/s with one submission/s and low-priority load, want at most 8", rate)
 		}
@@ -101,7 +101,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		w.Store.SetLatency(100 * time.Millisecond)
-		before, _ := w.Store.Load()
+		before, _ := w.Store.WriteStats()
 		for i, record := range records {
 			go func() {
 				time.Sleep(time.Duration(i) * 60 * time.Millisecond)
@@ -113,7 +113,7 @@
 		time.Sleep(2 * time.Second)
 		w.Submit(newJobSpec(200, wire.Array, 1, 500))
 		time.Sleep(20 * time.Second)
-		after, _ := w.Store.Load()
+		after, _ := w.Store.WriteStats()
 		if writes := after - before; writes > 2*len(records)+10 { // two per record, and a few others
 			t.Errorf("%d store writes for %d intake records, want at most %d", writes, len(records), 2*len(records)+10)
 		}
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -296,9 +296,9 @@
 func newRelayState(connections, sockets int) *relayState {
 	limit := relayedLimit(connections)
 	return &relayState{
-		reports: make(slots, limit),
-		orders:  make(slots, limit),
-		probes:  make(slots, relayedProbeLimit(sockets)),
+		reports:  make(slots, limit),
+		commands: make(slots, limit),
+		probes:   make(slots, relayedProbeLimit(sockets)),
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -217,7 +217,7 @@
 		}
 		return api.Respond(result.NoLeader{})
 	case rpc.OpStatus:
-		jobNumber, ok := wire.JobNumber(request.ID)
+		jobNumber, ok := wire.ParseJobID(request.ID)
 		if leads, storeReachable := c.forward.routingState(); ok && !leads {
 			if !storeReachable {
 				return api.Respond(result.NoLeader{})
@@ -237,10 +237,10 @@
 		return api.Respond(c.fence.replyWatermarks(ctx))
 	case rpc.OpRelayOffer:
 		return api.Respond(c.assignments.onRelayOffer(ctx, request))
-	case rpc.OpRelayReport:
+	case rpc.OpRelayHeartbeat:
 		return api.Respond(c.heartbeatRouter.onRelayedReport(ctx, request))
-	case rpc.OpRelayOrders:
-		return api.Respond(c.relay.forwardOrders(ctx, request))
+	case rpc.OpRelayCommands:
+		return api.Respond(c.relay.forwardCommands(ctx, request))
 	case rpc.OpRelayProbe:
 		return api.Respond(c.relay.forwardProbe(ctx, request))
 	}
--- a/internal/controller/edge_test.go
+++ b/internal/controller/edge_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("submission before any controller is ready: %v, want status 503", err)
 		}
 		time.Sleep(6 * time.Second)
-		w.Crash((findLeader() + 1) % 3)
+		w.StopAndWait((findLeader() + 1) % 3)
 		time.Sleep(3 * time.Second)
 		for n := 1; n <= 6; n++ {
 			if _, err := do(wire.PathJobs, newJobSpec(n, wire.Array, 1, 500)); msgpackhttp.StatusCode(err) != 201 {
@@ -45,7 +45,7 @@
 		if err != nil || status.State != wire.JobCancelled {
 			t.Errorf("cancellation: %v, %v", status, err)
 		}
-		if finished, accepted := w.Checker.Finished(); finished != 1 || accepted != 6 {
+		if finished, accepted := w.Checker.JobCounts(); finished != 1 || accepted != 6 {
 			t.Errorf("the invariant checker recorded %d accepted jobs, %d ended; want 6 and 1", accepted, finished)
 		}
 	})
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -193,7 +193,7 @@
 		}
 		w.Store.SetLatency(3 * time.Millisecond)
 		time.Sleep(40 * time.Second)
-		if running := w.Checker.Running("req-000001"); running != 1 {
+		if running := w.Checker.RunningTasks("req-000001"); running != 1 {
 			t.Errorf("%d replicas are running, want 1", running)
 		}
 	})
--- a/internal/controller/event_loop_test.go
+++ b/internal/controller/event_loop_test.go
@@ -15,7 +15,7 @@
 		node, result := nodeAt(0), 0
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			w.Crash(0)
+			w.StopAndWait(0)
 		}()
 		node.loop.postAndWait(func() {
 			time.Sleep(time.Second)
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -50,7 +50,7 @@
 // Explain returns the reasons why a job is pending. A controller that gets no answer from the leader answers from its
 // replica.
 func (ex *explanations) Explain(ctx context.Context, id string) result.Result {
-	jobNumber, ok := wire.JobNumber(id)
+	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
 		return noSuchJob
 	}
@@ -99,7 +99,7 @@
 		return result.NoLeader{}
 	}
 	if request.Op == rpc.OpPendingReasons {
-		if jobNumber, ok := wire.JobNumber(request.ID); ok {
+		if jobNumber, ok := wire.ParseJobID(request.ID); ok {
 			return ex.explainAsLeader(ctx, model.JobID(jobNumber))
 		}
 		return noSuchJob
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -134,7 +134,7 @@
 		w.RefuseStore(leaderIndex, false)
 		time.Sleep(40 * time.Second)
 		for _, id := range ids[20:] {
-			if w.Checker.Running(id) == 0 {
+			if w.Checker.RunningTasks(id) == 0 {
 				t.Errorf("job %s was not cancelled but is not running", id)
 			}
 		}
@@ -312,7 +312,7 @@
 			k := rng.IntN(len(q.open[team]))
 			id := q.open[team][k]
 			q.open[team] = slices.Delete(q.open[team], k, k+1)
-			running += w.Checker.Running(id)
+			running += w.Checker.RunningTasks(id)
 			go w.Cancel(id)
 			q.submit(team) // competes with the pending jobs for the freed resources
 		}
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -237,14 +237,14 @@
 				go w.Submit(j)
 			}
 		}
-		capacity.available = append(capacity.available, w.Cloud.CPUs())
+		capacity.available = append(capacity.available, w.Cloud.BootedCPUs())
 		if scenario.everySecond != nil {
 			scenario.everySecond(w, second)
 		}
 		time.Sleep(time.Second - time.Since(began))
 	}
 	checkLargestServed(t, w)
-	classes, teams := w.Checker.ServedCounts()
+	classes, teams := w.Checker.CompletionCountsByGroup()
 	checkHalfServed(t, capacity, "class", classes, func(j demand) string { return j.spec.Class })
 	checkHalfServed(t, capacity, "team", teams, func(j demand) string { return j.spec.Team })
 }
@@ -269,7 +269,7 @@
 	t *testing.T,
 	capacity *capacityModel,
 	kind string,
-	counts map[string]*emulator.ServedCount,
+	counts map[string]*emulator.CompletionCounts,
 	nameOf func(demand) string,
 ) {
 	t.Helper()
@@ -278,7 +278,7 @@
 		kind, needJobs, needTasks)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		count := counts[name]
-		jobs, tasks, up := count.Shares()
+		jobs, tasks, up := count.CompletedShares()
 		t.Logf("%s %s: %v", kind, name, count)
 		if jobs < 0.5 && needJobs < feasibleShare || tasks < 0.5 && needTasks < feasibleShare || up < 0.5 {
 			t.Errorf("%s %s: less than half was served", kind, name)
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -130,7 +130,7 @@
 			}
 			time.Sleep(10 * time.Second)
 			cancelByNewLeader(t, w, rng, ids[:3], seed%2 == 1)
-			if k := w.Checker.Running(ids[3]); k == 0 {
+			if k := w.Checker.RunningTasks(ids[3]); k == 0 {
 				t.Errorf("%s was not cancelled but is not running", ids[3])
 			}
 			w.Cancel(ids[3])
@@ -381,7 +381,7 @@
 	j := newHighArray(1, 6, 1, 400)
 	w.Submit(j)
 	time.Sleep(50 * time.Second)
-	if k := w.Checker.Running(j.ID); k != 6 {
+	if k := w.Checker.RunningTasks(j.ID); k != 6 {
 		t.Fatalf("%d of 6 tasks are running", k)
 	}
 	starts, busy := w.Checker.Starts(), busyMachines(w)
@@ -393,7 +393,7 @@
 	}
 	w.Restart(leaderOrFirst(), 500*time.Millisecond)
 	time.Sleep(90 * time.Second)
-	if k := w.Checker.Running(j.ID); k != 6 {
+	if k := w.Checker.RunningTasks(j.ID); k != 6 {
 		t.Errorf("%d of 6 tasks are running at the end", k)
 	}
 	if k := w.Checker.Starts() - starts; tasksStay && k != 0 || !tasksStay && k == 0 {
@@ -565,7 +565,7 @@
 		restrictAgentsTo(w, old, false)
 		time.Sleep(60 * time.Second)
 		for k := 4; k <= 6; k++ {
-			if w.Checker.Running(wire.JobID(uint64(k))) != 1 {
+			if w.Checker.RunningTasks(wire.JobID(uint64(k))) != 1 {
 				t.Errorf("service %d is not running", k)
 			}
 		}
@@ -669,7 +669,7 @@
 	blocker.Zone, blocker.Team = &zone, "blue"
 	w.Submit(blocker)
 	time.Sleep(20 * time.Second)
-	if k := w.Checker.Running(blocker.ID); k != 4 {
+	if k := w.Checker.RunningTasks(blocker.ID); k != 4 {
 		t.Fatalf("%d of 4 tasks occupy capacity in the other zone", k)
 	}
 	partitionZoneAgents(w, true)
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -167,7 +167,7 @@
 	}},
 	{"invalid requests and repeated polls", func(w *emulator.Environment, rng *rand.Rand) func() {
 		for k, id := range w.Checker.OpenJobs(4) {
-			n, _ := wire.JobNumber(id)
+			n, _ := wire.ParseJobID(id)
 			go w.PollRepeatedly(w.Checker.Spec(n), 10, 30*time.Millisecond)
 			if k == 0 {
 				go w.Cancel(id)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -95,7 +95,7 @@
 // crashAll crashes all controllers and waits until they have ended.
 func crashAll(w *emulator.Environment) {
 	for i := range 3 {
-		w.Crash(i)
+		w.StopAndWait(i)
 	}
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -53,7 +53,7 @@
 	if got := decodeCleared(&oplog.PartitionedNode{Data: golden.Read(t, "cleared.hex")}); !maps.Equal(got, want) {
 		t.Errorf("decoded %v, want %v", got, want)
 	}
-	golden.FlipFinds(t, "cleared.hex", func(b []byte) (again []byte, err error) {
+	golden.CheckDetectsByteChanges(t, "cleared.hex", func(b []byte) (again []byte, err error) {
 		for _, id := range slices.Sorted(maps.Keys(decodeCleared(&oplog.PartitionedNode{Data: b}))) {
 			again = codec.Uint(again, uint64(id))
 		}
@@ -144,8 +144,8 @@
 		ScaleOut: provisioner.ScaleOut{Name: "fh-3-1", Count: 2},
 		Machines: []string{"host-1"},
 	}
-	orders := &wire.Orders{FencingToken: 1, AgentEpoch: 2,
-		Commands: []wire.Command{{Verb: wire.Start, Task: "req-000007.0", Attempt: 1}}}
+	batch := &wire.CommandBatch{FencingToken: 1, AgentEpoch: 2,
+		Commands: []wire.Command{{Verb: wire.VerbStart, Task: "req-000007.0", Attempt: 1}}}
 	return []func(){
 		func() { c.submissions.Submit(ctx, mustMarshal(t, newJobSpec(7, wire.Array, 1, 1))) },
 		func() { c.jobStatus.Status(ctx, "req-000007") },
@@ -164,7 +164,7 @@
 			c.relay.state.enabled.Store(true)
 			c.heartbeatRouter.forwardReport(ctx, report)
 		},
-		func() { _, _, _ = c.assignments.sendOrders(ctx, c.link, "10.1.0.1:9", orders) },
+		func() { _, _, _ = c.assignments.sendCommands(ctx, c.link, "10.1.0.1:9", batch) },
 		func() { _, _ = probeThroughRelay(ctx, c.link, "10.1.0.1:9") },
 	}
 }
@@ -191,7 +191,8 @@
 			status := c.handlePeerRequest(ctx, request).Status
 			fmt.Fprintf(&all, "%d %q %x -> %d\n", request.Op, request.ID, request.Body, status)
 			switch request.Op {
-			case rpc.OpQueue, rpc.OpRoleResult, rpc.OpRenewals, rpc.OpRelayOffer, rpc.OpRelayReport, rpc.OpRelayOrders:
+			case rpc.OpQueue, rpc.OpRoleResult, rpc.OpRenewals, rpc.OpRelayOffer, rpc.OpRelayHeartbeat,
+				rpc.OpRelayCommands:
 				request.Body = bytes.Clone(request.Body[:len(request.Body)-1])
 				fmt.Fprintf(&all, "  cut short -> %d\n", c.handlePeerRequest(ctx, request).Status)
 			}
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -69,7 +69,7 @@
 		return hr.renewRelayed(ctx, report)
 	}
 	defer state.reports.release()
-	request := &rpc.Request{Op: rpc.OpRelayReport, ID: hr.settings.Node, Body: relay.AppendReport(nil, report)}
+	request := &rpc.Request{Op: rpc.OpRelayHeartbeat, ID: hr.settings.Node, Body: relay.AppendReport(nil, report)}
 	relayCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply, err := target.Do(relayCtx, request)
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -38,14 +38,14 @@
 		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
 		waitState(t, w, "req-000002", wire.JobDone, time.Minute)
 		waitState(t, w, "req-000003", wire.JobRunning, time.Minute)
-		if n := w.Checker.Running("req-000003"); n != 3 {
+		if n := w.Checker.RunningTasks("req-000003"); n != 3 {
 			t.Errorf("%d replicas run, want 3", n)
 		}
 		if c := w.Cancel("req-000003"); c != 200 {
 			t.Errorf("cancellation got %d, want 200", c)
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.Checker.Running("req-000003"); n != 0 {
+		if n := w.Checker.RunningTasks("req-000003"); n != 0 {
 			t.Errorf("%d replicas run after the cancellation, want 0", n)
 		}
 		if c := w.Submit(newJobSpec(1, wire.Array, 12, 5)); c != 200 {
@@ -94,7 +94,7 @@
 		time.Sleep(17 * time.Second)
 		w.Store.SetOutage(false)
 		time.Sleep(30 * time.Second)
-		running, again := w.Checker.Running("req-000001"), w.Checker.Starts()-starts
+		running, again := w.Checker.RunningTasks("req-000001"), w.Checker.Starts()-starts
 		if again != 0 || running != 4 {
 			t.Errorf("%d replicas run, want 4; %d tasks were restarted", running, again)
 		}
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -26,7 +26,7 @@
 // Status returns the committed state of a job. If no other controller that can answer is reachable, a controller that
 // does not lead answers from its replica, after reading the log to its end.
 func (js *jobStatus) Status(ctx context.Context, id string) result.Result {
-	jobNumber, ok := wire.JobNumber(id)
+	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
 		return noSuchJob
 	}
@@ -53,7 +53,7 @@
 // answerAsLeader answers from the leader's model. If the model does not contain the job, it is first looked up in the
 // intake.
 func (js *jobStatus) answerAsLeader(ctx context.Context, id string) result.Result {
-	jobNumber, ok := wire.JobNumber(id)
+	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
 		return noSuchJob
 	}
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -115,7 +115,7 @@
 			break
 		}
 		commands = append(commands, wire.Command{
-			Verb: wire.Stop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64),
+			Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64),
 		})
 	}
 	return commands
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -67,7 +67,7 @@
 		time.Sleep(20 * time.Second)
 		w.Store.SetLatency(40 * time.Millisecond)
 		for i := range 3 { // one of them leads
-			w.Crash(i)
+			w.StopAndWait(i)
 			ctx, stop := context.WithCancel(context.Background())
 			for k := range 300 { // users polling while there is no leader
 				id, delay := wire.JobID(uint64(300+k%40)), time.Duration(k)*3*time.Millisecond
@@ -117,7 +117,7 @@
 // expire, and the rest for the election, probes, and an image fetch of 1.5 s.
 func checkPlacedAfterCrash(t *testing.T, w *emulator.Environment, node int, s *wire.JobSpec) {
 	t.Helper()
-	w.Crash(node)
+	w.StopAndWait(node)
 	began := time.Now()
 	w.Submit(s)
 	waitRunning(w, s.ID, began)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -240,7 +240,7 @@
 	for sockets, atLeast := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
 		withIdleController(t, sockets, func(c *Controller) {
 			state := c.relay.state
-			for kind, free := range map[string]slots{"heartbeats": state.reports, "commands": state.orders} {
+			for kind, free := range map[string]slots{"heartbeats": state.reports, "commands": state.commands} {
 				acquired := 0
 				for free.tryAcquire() {
 					acquired++
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -39,7 +39,7 @@
 		hung := busy[len(busy)-1]
 		hung.Hang(50 * time.Second)
 		time.Sleep(time.Second)
-		w.Crash(findLeader())
+		w.StopAndWait(findLeader())
 		began := time.Now()
 		for slices.Contains(w.Cloud.Workers(), hung) && time.Since(began) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
@@ -112,7 +112,7 @@
 		for n := 10; n < 14; n++ {
 			checkRetryRate(t, w, wire.JobID(uint64(n)))
 		}
-		if n := w.Checker.Running("req-000001"); n != 3 {
+		if n := w.Checker.RunningTasks("req-000001"); n != 3 {
 			t.Errorf("%d of 3 replicas are running", n)
 		}
 	})
@@ -184,7 +184,7 @@
 		waitState(t, w, "req-000001", wire.JobDone, 2*time.Minute)
 		w.Cloud.DelayDeletions(25 * time.Second) // idle machines are released from here on
 		time.Sleep(16 * time.Second)
-		w.Crash(findLeader())
+		w.StopAndWait(findLeader())
 		time.Sleep(4 * time.Second)
 		for n := 2; n <= 6; n++ {
 			w.Submit(newWebService(n, 3))
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -30,11 +30,11 @@
 		time.Sleep(50 * time.Second)
 		partition(false)
 		time.Sleep(20 * time.Second)
-		if n := w.Checker.Running("req-000002"); n != 0 {
+		if n := w.Checker.RunningTasks("req-000002"); n != 0 {
 			t.Errorf("%d replicas of the cancelled service are running", n)
 		}
 		for _, n := range []uint64{1, 3, 4} {
-			if k := w.Checker.Running(wire.JobID(n)); k != 2 {
+			if k := w.Checker.RunningTasks(wire.JobID(n)); k != 2 {
 				t.Errorf("%d replicas of service %d are running, want 2", k, n)
 			}
 		}
@@ -114,8 +114,8 @@
 		}
 		partition(true)
 		time.Sleep(70 * time.Second)
-		w.Crash(0)
-		w.Crash(2)
+		w.StopAndWait(0)
+		w.StopAndWait(2)
 		w.Start(0)
 		w.Start(2)
 		time.Sleep(70 * time.Second)
@@ -151,7 +151,7 @@
 			w.PartitionStore(i, false)
 			time.Sleep(20 * time.Second)
 		}
-		if k := w.Checker.Running("req-000001"); k != 2 {
+		if k := w.Checker.RunningTasks("req-000001"); k != 2 {
 			t.Errorf("%d of 2 replicas are running", k)
 		}
 	})
--- a/internal/controller/pending_test.go
+++ b/internal/controller/pending_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("explanation of a job that can't be spread: %+v, %d", explanation, code)
 	}
 	w.Store.SetOutage(true)
-	w.Crash(leader)
+	w.StopAndWait(leader)
 	time.Sleep(4 * time.Second)
 	explanation, code = queryPending(w, (leader+1)%3, wide.ID)
 	if code != 200 || fmt.Sprint(bindingCodes(explanation)) != "[no-leader]" || explanation.AgeS <= 0 {
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -254,7 +254,7 @@
 	offer := pv.offerOf(order)
 	pv.metrics.Provisioned.Add(len(outcome.Machines))
 	if len(outcome.Machines) < order.Count {
-		pv.metrics.ProvisionRefused.Inc()
+		pv.metrics.ProvisionRejected.Inc()
 		pv.autoscaler.OnRefused(offer, pv.now())
 		pv.log.Info("scale-out incomplete", "type", order.Type, "zone", order.Zone, "spot", order.Spot,
 			"requested", order.Count, "provisioned", len(outcome.Machines))
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -139,7 +139,7 @@
 // toggleController crashes controller i if it is running and otherwise starts it.
 func (r *randomRun) toggleController(i int) {
 	if r.up[i] {
-		r.w.Crash(i)
+		r.w.StopAndWait(i)
 	} else {
 		r.w.Start(i)
 	}
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -78,7 +78,7 @@
 	}
 	if *extraMachines > 0 {
 		time.Sleep(4 * time.Minute)
-		t.Logf("%d machines, %d tasks", len(w.Cloud.Workers()), w.Checker.Tasks())
+		t.Logf("%d machines, %d tasks", len(w.Cloud.Workers()), w.Checker.RunningTaskCount())
 	}
 	leader := nodeAt(findLeader())
 	leader.loop.postAndWait(func() {
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -29,7 +29,7 @@
 	leaderLink atomic.Pointer[rpc.Link] // to the leader; nil if this controller leads or cannot reach the leader
 	enabled    atomic.Bool              // the leader accepts forwarded heartbeats
 	reports    slots                    // heartbeats in flight
-	orders     slots                    // direct commands in flight
+	commands   slots                    // direct commands in flight
 	probes     slots                    // probes in flight
 	offeredAt  time.Time                // when the last offer was sent
 	offeredTo  *rpc.Link                // to which leader the last offer was sent
@@ -103,17 +103,17 @@
 	return result.Done{Body: relay.AppendReport(nil, report)}
 }
 
-// forwardOrders sends a direct command to an agent on behalf of the leader.
-func (ry *relayAgent) forwardOrders(ctx context.Context, request *rpc.Request) result.Result {
-	orders, err := relay.ReadOrders(request.Body)
+// forwardCommands sends a direct command to an agent on behalf of the leader.
+func (ry *relayAgent) forwardCommands(ctx context.Context, request *rpc.Request) result.Result {
+	batch, err := relay.ReadOrders(request.Body)
 	if err != nil {
 		return result.Invalid{Reason: err.Error()}
 	}
-	if !ry.state.orders.tryAcquire() {
+	if !ry.state.commands.tryAcquire() {
 		return result.Overloaded{}
 	}
-	defer ry.state.orders.release()
-	outcome, report, _ := ry.agents.SendOrders(ctx, request.ID, orders)
+	defer ry.state.commands.release()
+	outcome, report, _ := ry.agents.SendOrders(ctx, request.ID, batch)
 	commandResult := relay.CommandResult{Outcome: uint8(outcome), Report: report}
 	return result.Done{Body: commandResult.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -111,17 +111,17 @@
 	}
 }
 
-// sendOrders sends a direct command, through the given relay or, if via is nil, directly. If the relay is lost
+// sendCommands sends a direct command, through the given relay or, if via is nil, directly. If the relay is lost
 // meanwhile, the command may be executed at any later time, like a command that is delayed in the network.
-func (ra *relayAssignments) sendOrders(
-	ctx context.Context, via *rpc.Link, addr string, orders *wire.Orders,
+func (ra *relayAssignments) sendCommands(
+	ctx context.Context, via *rpc.Link, addr string, batch *wire.CommandBatch,
 ) (agent.CommandOutcome, *wire.Heartbeat, error) {
 	if via == nil {
-		return ra.agents.SendOrders(ctx, addr, orders)
+		return ra.agents.SendOrders(ctx, addr, batch)
 	}
 	ctx, cancel := context.WithTimeout(ctx, directCommandTimeout+time.Second)
 	defer cancel()
-	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayOrders, ID: addr, Body: relay.AppendOrders(nil, orders)})
+	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayCommands, ID: addr, Body: relay.AppendOrders(nil, batch)})
 	switch {
 	case rpc.IsNotSent(err):
 		return agent.Unsent, nil, err
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -145,7 +145,7 @@
 		node := nodeAt(relayIndex)
 		report := w.Cloud.Workers()[0].LastHeartbeat()
 		request := &rpc.Request{
-			Op:   rpc.OpRelayReport,
+			Op:   rpc.OpRelayHeartbeat,
 			ID:   emulator.ControllerName(third),
 			Body: relay.AppendReport(nil, report),
 		}
@@ -225,7 +225,7 @@
 		link := rpc.NewLink(network.Host("leader"), "relay", "10.0.0.9:81", logger)
 		node := &Controller{}
 		outcomeOf := func(id string) agent.CommandOutcome {
-			outcome, _, _ := node.assignments.sendOrders(ctx, link, id, &wire.Orders{})
+			outcome, _, _ := node.assignments.sendCommands(ctx, link, id, &wire.CommandBatch{})
 			return outcome
 		}
 		if outcome := outcomeOf("executed"); outcome != agent.Unsent {
--- a/internal/controller/scheduling_rounds.go
+++ b/internal/controller/scheduling_rounds.go
@@ -33,7 +33,7 @@
 func (sr *schedulingRounds) Bind(job *model.Job, task int32, attempt uint32, machine *model.Machine, score float64) {
 	sr.log.Debug("task placed", "job", job.Spec.ID, "task", task, "attempt", attempt, "machine", machine.Info.Name,
 		"image_cached", machine.HasImage(job.Image), "score", score)
-	sr.metrics.Placed.Inc()
+	sr.metrics.TasksPlaced.Inc()
 	sr.term.ownTerm.leadership.timeline.Mark(candidacy.FirstPlacement, sr.now())
 	sr.commits.propose(model.NewPlacement(job.ID, task, attempt, machine.ID, machine.Contact.AgentEpoch))
 	sr.dispatch.markForCommands(machine)
@@ -48,7 +48,7 @@
 	sr.log.Info("task preempted", "task", wire.TaskID(uint64(run.Job.ID), int(run.Task)),
 		"machine", run.Machine.Info.Name, "reason", reason)
 	run.Stop, run.SkipCheckpoint = true, skipCheckpoint
-	sr.metrics.Stopped.Inc()
+	sr.metrics.TasksStopped.Inc()
 	sr.dispatch.stopRun(run)
 }
 
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -147,7 +147,7 @@
 func TestOlderNodeDisablesRoles(t *testing.T) {
 	runClusterWithRoles(t, 44, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
-		w.Crash(2)
+		w.StopAndWait(2)
 		distributedRoles = false
 		w.Start(2)
 		time.Sleep(5 * time.Second)
@@ -159,7 +159,7 @@
 		w.Submit(newWebService(1, 4, "small"))
 		waitState(t, w, "req-000001", wire.JobRunning, 40*time.Second)
 		checkMachinesKnown(t, w)
-		w.Crash(2)
+		w.StopAndWait(2)
 		distributedRoles = true
 		w.Start(2)
 		time.Sleep(10 * time.Second)
@@ -184,9 +184,9 @@
 			runCluster(t, seed, func(w *emulator.Environment) {
 				time.Sleep(45*time.Second + time.Duration(seed)*130*time.Millisecond)
 				took = append(took, provisionerFailoverTime(t, w))
-				writes, _ := w.Store.Load()
+				writes, _ := w.Store.WriteStats()
 				time.Sleep(time.Minute)
-				if after, _ := w.Store.Load(); seed == 20 {
+				if after, _ := w.Store.WriteStats(); seed == 20 {
 					t.Logf("distributed %v: %d writes in a minute without workload", distributedRoles, after-writes)
 				}
 			})
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -289,7 +289,7 @@
 // task that may move. It returns the machines of zone b that hold tasks.
 func zoneWithoutController(w *emulator.Environment) (busy []*emulator.Worker) {
 	for i := range 3 {
-		w.Crash(i)
+		w.StopAndWait(i)
 		w.SetZone(i, "a")
 	}
 	startAll(w)
@@ -326,7 +326,7 @@
 					t.Fatalf("%d machines of the zone hold tasks, want at least 3", len(busy))
 				}
 				if c.crashed {
-					w.Crash((findLeader() + 1) % 3)
+					w.StopAndWait((findLeader() + 1) % 3)
 				}
 				if d := partitionZoneUntilEvicted(w); d < c.from || d > c.to {
 					t.Errorf("the zone's tasks were evicted after %v, want %v to %v", d, c.from, c.to)
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -212,7 +212,7 @@
 		partitionControllers(w, false)
 		endDelay()
 		time.Sleep(20 * time.Second)
-		if k := w.Checker.Running(running.ID); k != 0 {
+		if k := w.Checker.RunningTasks(running.ID); k != 0 {
 			t.Errorf("%d tasks of the cancelled job still run", k)
 		}
 	})
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -95,8 +95,8 @@
 	c.deletionDelay = d
 }
 
-// CPUs returns the total CPUs of the machines that have booted.
-func (c *Cloud) CPUs() (sum float64) {
+// BootedCPUs returns the total CPUs of the machines that have booted.
+func (c *Cloud) BootedCPUs() (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, worker := range c.Machines {
@@ -188,7 +188,7 @@
 		}
 	}()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+wire.PathTypes, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+wire.PathMachineTypes, func(w http.ResponseWriter, _ *http.Request) {
 		c.handleRequest(w, func() any { return &wire.MachineTypes{Types: c.machineTypes} })
 	})
 	mux.HandleFunc("GET "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
@@ -284,7 +284,7 @@
 // scaleOut launches as many of the requested machines as capacity allows. A repeated request gets the same machines as
 // the first. It returns nil if there is no capacity.
 func (c *Cloud) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) any {
-	if names, ok := c.machinesByRequest[request.Request]; ok {
+	if names, ok := c.machinesByRequest[request.IdempotencyKey]; ok {
 		return &wire.MachineNames{Machines: names}
 	}
 	existing := 0
@@ -305,7 +305,7 @@
 	for range count {
 		names = append(names, c.launch(ctx, request.Type, request.Zone, request.Spot))
 	}
-	c.machinesByRequest[request.Request] = names
+	c.machinesByRequest[request.IdempotencyKey] = names
 	return &wire.MachineNames{Machines: names}
 }
 
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -91,8 +91,8 @@
 	}()
 }
 
-// Crash cancels a controller's context and waits until the controller has returned.
-func (g *controllerGroup) Crash(i int) {
+// StopAndWait cancels a controller's context and waits until the controller has returned.
+func (g *controllerGroup) StopAndWait(i int) {
 	g.processes[i].stop()
 	<-g.processes[i].done
 }
--- a/internal/emulator/invariant_queries.go
+++ b/internal/emulator/invariant_queries.go
@@ -72,15 +72,15 @@
 func (c *InvariantChecker) StartsOf(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	if job := c.jobs[n]; job != nil {
 		return job.starts
 	}
 	return 0
 }
 
-// Finished returns the number of jobs reported to users as done or cancelled, and the number of accepted jobs.
-func (c *InvariantChecker) Finished() (finished, accepted int) {
+// JobCounts returns the number of jobs reported to users as done or cancelled, and the number of accepted jobs.
+func (c *InvariantChecker) JobCounts() (finished, accepted int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, job := range c.jobs {
@@ -94,11 +94,11 @@
 	return finished, accepted
 }
 
-// Running returns the number of tasks of a job that are on machines.
-func (c *InvariantChecker) Running(id string) int {
+// RunningTasks returns the number of tasks of a job that are on machines.
+func (c *InvariantChecker) RunningTasks(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	if job := c.jobs[n]; job != nil {
 		return len(job.taskZones)
 	}
@@ -112,8 +112,8 @@
 	return c.usage[team][0]
 }
 
-// Tasks returns the number of tasks that are on machines.
-func (c *InvariantChecker) Tasks() int {
+// RunningTaskCount returns the number of tasks that are on machines.
+func (c *InvariantChecker) RunningTaskCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.placements)
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -49,7 +49,7 @@
 func (c *InvariantChecker) RecordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	job := c.jobs[n]
 	switch {
 	case job == nil || !c.faultsOver || !job.accepted || job.cancelRequested:
@@ -104,7 +104,7 @@
 func (c *InvariantChecker) RegisterJob(s *wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(s.ID)
+	n, _ := wire.ParseJobID(s.ID)
 	if job := c.jobs[n]; job != nil { // a repeated submission, or a new one after a refusal
 		if !job.accepted && job.starts == 0 {
 			job.spec = s
@@ -118,7 +118,7 @@
 func (c *InvariantChecker) RegisterFinishedJob(s *wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(s.ID)
+	n, _ := wire.ParseJobID(s.ID)
 	job := &jobRecord{
 		spec:        s,
 		done:        map[int]bool{},
@@ -297,7 +297,7 @@
 func (c *InvariantChecker) RecordCancelRequest(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	if job := c.jobs[n]; job != nil {
 		job.cancelRequested = true
 	}
@@ -318,7 +318,7 @@
 func (c *InvariantChecker) ClientViewOf(id string) ClientView {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	job := c.jobs[n]
 	if job == nil {
 		return ClientView{}
@@ -335,7 +335,7 @@
 func (c *InvariantChecker) RecordResponse(id, operation string, before ClientView, code int, status *wire.JobStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, _ := wire.JobNumber(id)
+	n, _ := wire.ParseJobID(id)
 	job := c.jobs[n]
 	ok := code == http.StatusOK || code == http.StatusCreated
 	if job == nil {
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -178,8 +178,8 @@
 	s.changeLimiter = rate.NewLimiter(rate.Limit(changesPerSecond), int(changesPerSecond))
 }
 
-// Load returns the number of changes requested and the highest number of keys held at once.
-func (s *KVStore) Load() (writes, keys int) {
+// WriteStats returns the number of changes requested and the highest number of keys held at once.
+func (s *KVStore) WriteStats() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes, s.peakKeys
--- a/internal/emulator/served_counts.go
+++ b/internal/emulator/served_counts.go
@@ -16,18 +16,18 @@
 	replicaStartupGrace = 15 * time.Second
 )
 
-// ServedCount counts the submitted jobs of a class or team and how many of them started and completed. It includes jobs
-// that were not accepted, and excludes jobs cancelled by their users. Services, which don't complete, count with the
-// time for which their replicas were up.
-type ServedCount struct {
+// CompletionCounts counts the submitted jobs of a class or team and how many of them started and completed. It includes
+// jobs that were not accepted, and excludes jobs cancelled by their users. Services, which don't complete, count with
+// the time for which their replicas were up.
+type CompletionCounts struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
 	ReplicaWantedSeconds, ReplicaUpSeconds float64 // summed over replicas
 }
 
-// Shares returns the completed share of the jobs and of the tasks, and the share of the replica time for which replicas
-// were up, each from 0 to 1; 1 if there are none.
-func (c *ServedCount) Shares() (jobs, tasks, up float64) {
+// CompletedShares returns the completed share of the jobs and of the tasks, and the share of the replica time for which
+// replicas were up, each from 0 to 1; 1 if there are none.
+func (c *CompletionCounts) CompletedShares() (jobs, tasks, up float64) {
 	jobs, tasks, up = 1, 1, 1
 	if c.Jobs > 0 {
 		jobs, tasks = float64(c.Done)/float64(c.Jobs), float64(c.TasksDone)/float64(c.Tasks)
@@ -39,7 +39,7 @@
 }
 
 // String formats the counts for a test log.
-func (c *ServedCount) String() string {
+func (c *CompletionCounts) String() string {
 	s := ""
 	if c.Jobs > 0 {
 		s = fmt.Sprintf("started %d, done %d of %d jobs; %d of %d tasks",
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (c *ServedCount) add(job *jobRecord) {
+func (c *CompletionCounts) add(job *jobRecord) {
 	if job.spec.Shape == wire.Service {
 		c.ReplicaWantedSeconds += job.replicaWantedSeconds
 		c.ReplicaUpSeconds += job.replicaUpSeconds
@@ -71,14 +71,14 @@
 	}
 }
 
-// ServedCounts returns the counts of all jobs by class and by team.
-func (c *InvariantChecker) ServedCounts() (classes, teams map[string]*ServedCount) {
+// CompletionCountsByGroup returns the counts of all jobs by class and by team.
+func (c *InvariantChecker) CompletionCountsByGroup() (classes, teams map[string]*CompletionCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	classes, teams = map[string]*ServedCount{}, map[string]*ServedCount{}
-	countOf := func(counts map[string]*ServedCount, name string) *ServedCount {
+	classes, teams = map[string]*CompletionCounts{}, map[string]*CompletionCounts{}
+	countOf := func(counts map[string]*CompletionCounts, name string) *CompletionCounts {
 		if counts[name] == nil {
-			counts[name] = &ServedCount{}
+			counts[name] = &CompletionCounts{}
 		}
 		return counts[name]
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -66,8 +66,8 @@
 		panic(err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathOrders, w.handleCommands)
-	mux.HandleFunc("GET "+wire.PathShow, w.handleProbe)
+	mux.HandleFunc("POST "+wire.PathCommands, w.handleCommands)
+	mux.HandleFunc("GET "+wire.PathProbe, w.handleProbe)
 	serve(ctx, ln, mux)
 	w.mu.Lock()
 	w.epoch, w.leaseExpiry = 1, time.Now().Add(w.environment.leaseDuration)
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -67,7 +67,7 @@
 func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	time.Sleep(commandLatency)
 	body, _ := io.ReadAll(r.Body) // a truncated body fails to decode
-	var batch wire.Orders
+	var batch wire.CommandBatch
 	if err := wire.Unmarshal(body, &batch); err != nil {
 		respond(rw, http.StatusBadRequest, payload{})
 		return
@@ -99,7 +99,7 @@
 
 // executeDelayed executes direct commands after a delay, if they are still valid then. Commands sent to an earlier
 // incarnation of the agent are lost with its connections.
-func (w *Worker) executeDelayed(batch *wire.Orders, delay time.Duration) {
+func (w *Worker) executeDelayed(batch *wire.CommandBatch, delay time.Duration) {
 	w.mu.Lock()
 	incarnation := w.incarnation
 	w.mu.Unlock()
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -107,11 +107,11 @@
 	for _, command := range commands {
 		t := w.findTask(command.Task, command.Attempt)
 		switch {
-		case command.Verb == wire.Start && t == nil:
+		case command.Verb == wire.VerbStart && t == nil:
 			w.startTask(command)
-		case command.Verb == wire.Stop && t != nil && t.state != wire.TaskExited:
+		case command.Verb == wire.VerbStop && t != nil && t.state != wire.TaskExited:
 			w.stopTask(t, command.GraceS)
-		case command.Verb == wire.Forget && t != nil && t.state == wire.TaskExited:
+		case command.Verb == wire.VerbForget && t != nil && t.state == wire.TaskExited:
 			w.tasks = slices.DeleteFunc(slices.Clone(w.tasks), func(other *taskAttempt) bool { return other == t })
 			w.heartbeatDue = true
 		}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -66,10 +66,10 @@
 	return decoded
 }
 
-// FlipFinds checks that a format's reader uses every byte. rewrite decodes the bytes and encodes the result again.
-// Given the stored bytes, it must reproduce them; given the stored bytes with one bit flipped, in each byte in turn, it
-// must return an error or different bytes.
-func FlipFinds(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
+// CheckDetectsByteChanges checks that a format's reader uses every byte. rewrite decodes the bytes and encodes the
+// result again. Given the stored bytes, it must reproduce them; given the stored bytes with one bit flipped, in each
+// byte in turn, it must return an error or different bytes.
+func CheckDetectsByteChanges(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	stored := Read(t, name)
 	rewritten, err := rewrite(bytes.Clone(stored))
@@ -101,7 +101,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s: decoded value differs (-want +got):\n%s", name, diff)
 	}
-	FlipFinds(t, name, func(b []byte) ([]byte, error) {
+	CheckDetectsByteChanges(t, name, func(b []byte) ([]byte, error) {
 		got, err := read(b)
 		if err != nil {
 			return nil, err
@@ -110,9 +110,9 @@
 	})
 }
 
-// TagFinds checks that a renamed msgpack tag is detected. It renames each key of the stored map in turn; rewrite, which
-// decodes into the struct and encodes it again, must then return an error or different bytes.
-func TagFinds(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
+// CheckDetectsRenamedTags checks that a renamed msgpack tag is detected. It renames each key of the stored map in turn;
+// rewrite, which decodes into the struct and encodes it again, must then return an error or different bytes.
+func CheckDetectsRenamedTags(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	var fields map[string]msgpack.RawMessage
 	if err := msgpack.Unmarshal(stored, &fields); err != nil {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -31,10 +31,10 @@
 		"extra byte":   func(t testing.TB) { Check(t, "bytes.hex", append(stored[:len(stored):len(stored)], 0)) },
 		"changed text": func(t testing.TB) { Check(t, "text.txt", []byte("Text\n")) },
 		"ignored byte": func(t testing.TB) {
-			FlipFinds(t, "bytes.hex", func([]byte) ([]byte, error) { return stored, nil })
+			CheckDetectsByteChanges(t, "bytes.hex", func([]byte) ([]byte, error) { return stored, nil })
 		},
 		"ignored tag": func(t testing.TB) {
-			TagFinds(t, "", tagged, func([]byte) ([]byte, error) { return tagged, nil })
+			CheckDetectsRenamedTags(t, "", tagged, func([]byte) ([]byte, error) { return tagged, nil })
 		},
 	} {
 		r := &failureRecorder{TB: t}
@@ -44,6 +44,6 @@
 			}
 		}
 	}
-	FlipFinds(t, "bytes.hex", func(b []byte) ([]byte, error) { return b, nil })
-	TagFinds(t, "", tagged, func(b []byte) ([]byte, error) { return b, nil })
+	CheckDetectsByteChanges(t, "bytes.hex", func(b []byte) ([]byte, error) { return b, nil })
+	CheckDetectsRenamedTags(t, "", tagged, func(b []byte) ([]byte, error) { return b, nil })
 }
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -27,8 +27,8 @@
 	bodies [][]byte
 }
 
-// Record starts a server that responds as set with Reply and is closed when the test ends.
-func Record(t testing.TB) *Recorder {
+// NewRecorder starts a server that responds as set with Reply and is closed when the test ends.
+func NewRecorder(t testing.TB) *Recorder {
 	t.Helper()
 	r := &Recorder{status: http.StatusOK}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		r.Note("%s %s\n%s", request.Method, request.RequestURI, Message(request.Header, body))
+		r.Note("%s %s\n%s", request.Method, request.RequestURI, FormatMessage(request.Header, body))
 		r.respond(w)
 	}))
 	t.Cleanup(server.Close)
@@ -78,20 +78,20 @@
 	return bytes.ReplaceAll(r.text.Bytes(), []byte(r.Addr), []byte("ADDR"))
 }
 
-// Message formats the headers and the body of an HTTP message: a MessagePack body as JSON and a hex dump, any other
-// body unchanged.
-func Message(header http.Header, body []byte) string {
+// FormatMessage formats the headers and the body of an HTTP message: a MessagePack body as JSON and a hex dump, any
+// other body unchanged.
+func FormatMessage(header http.Header, body []byte) string {
 	var b strings.Builder
 	for name, values := range header {
 		fmt.Fprintf(&b, "%s: %s\n", name, strings.Join(values, ", "))
 	}
 	lines := strings.SplitAfter(b.String(), "\n")
 	slices.Sort(lines)
-	return strings.Join(lines, "") + Body(body)
+	return strings.Join(lines, "") + FormatBody(body)
 }
 
-// Body formats a body as Message does.
-func Body(body []byte) string {
+// FormatBody formats a body as FormatMessage does.
+func FormatBody(body []byte) string {
 	var message map[string]any
 	if len(body) == 0 {
 		return ""
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -15,10 +15,10 @@
 // fullRegistry returns a registry with a distinct value in every series, so that swapped names are detected too.
 func fullRegistry() *Registry {
 	r := New(api.RequestKinds...)
-	r.Placed.Set(101)
-	r.Stopped.Set(102)
+	r.TasksPlaced.Set(101)
+	r.TasksStopped.Set(102)
 	r.Provisioned.Set(103)
-	r.ProvisionRefused.Set(104)
+	r.ProvisionRejected.Set(104)
 	r.ScaledIn.Set(105)
 	r.Terms.Set(106)
 	r.Relayed.Set(107)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -30,10 +30,10 @@
 	snapshot atomic.Pointer[Snapshot]
 	requests map[string]*requestSeries
 
-	// Placed and Stopped count decisions to start and to stop a task.
-	Placed, Stopped *metrics.Counter
-	// Provisioned and ScaledIn count machines, ProvisionRefused the scale-out requests that the cloud rejected.
-	Provisioned, ProvisionRefused, ScaledIn *metrics.Counter
+	// TasksPlaced and TasksStopped count decisions to start and to stop a task.
+	TasksPlaced, TasksStopped *metrics.Counter
+	// Provisioned and ScaledIn count machines, ProvisionRejected the scale-out requests that the cloud rejected.
+	Provisioned, ProvisionRejected, ScaledIn *metrics.Counter
 	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
 	// Relayed counts agents' heartbeats that were forwarded to the leader and answered by it, AnsweredLocally those
@@ -110,21 +110,21 @@
 func New(requestKinds ...string) *Registry {
 	set := metrics.NewSet()
 	r := &Registry{
-		set:              set,
-		requests:         make(map[string]*requestSeries, len(requestKinds)),
-		Placed:           set.NewCounter("fieldhill_tasks_placed_total"),
-		Stopped:          set.NewCounter("fieldhill_tasks_stopped_total"),
-		Provisioned:      set.NewCounter("fieldhill_machines_rented_total"),
-		ProvisionRefused: set.NewCounter("fieldhill_rentals_refused_total"),
-		ScaledIn:         set.NewCounter("fieldhill_machines_given_up_total"),
-		Terms:            set.NewCounter("fieldhill_terms_total"),
-		Relayed:          set.NewCounter("fieldhill_reports_relayed_total"),
-		AnsweredLocally:  set.NewCounter("fieldhill_reports_kept_total"),
-		Reassigned:       set.NewCounter("fieldhill_workers_moved_total"),
-		LogBytes:         set.NewCounter("fieldhill_log_bytes_total"),
-		NotAdmitted:      set.NewCounter("fieldhill_jobs_not_admitted_total"),
-		SchedulingRound:  set.NewPrometheusHistogramExt("fieldhill_round_seconds", bucketBounds),
-		LogWrite:         set.NewPrometheusHistogramExt("fieldhill_log_write_seconds", bucketBounds),
+		set:               set,
+		requests:          make(map[string]*requestSeries, len(requestKinds)),
+		TasksPlaced:       set.NewCounter("fieldhill_tasks_placed_total"),
+		TasksStopped:      set.NewCounter("fieldhill_tasks_stopped_total"),
+		Provisioned:       set.NewCounter("fieldhill_machines_rented_total"),
+		ProvisionRejected: set.NewCounter("fieldhill_rentals_refused_total"),
+		ScaledIn:          set.NewCounter("fieldhill_machines_given_up_total"),
+		Terms:             set.NewCounter("fieldhill_terms_total"),
+		Relayed:           set.NewCounter("fieldhill_reports_relayed_total"),
+		AnsweredLocally:   set.NewCounter("fieldhill_reports_kept_total"),
+		Reassigned:        set.NewCounter("fieldhill_workers_moved_total"),
+		LogBytes:          set.NewCounter("fieldhill_log_bytes_total"),
+		NotAdmitted:       set.NewCounter("fieldhill_jobs_not_admitted_total"),
+		SchedulingRound:   set.NewPrometheusHistogramExt("fieldhill_round_seconds", bucketBounds),
+		LogWrite:          set.NewPrometheusHistogramExt("fieldhill_log_write_seconds", bucketBounds),
 	}
 	for phase := range candidacy.PhaseCount {
 		name := `fieldhill_takeover_seconds{part="` + phase.String() + `"}`
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -34,7 +34,7 @@
 // exited, otherwise to stop it.
 func (t *leaderTerm) reapCommand(machine *Machine, d reapableTask, committed uint64) (_ wire.Command, ok bool) {
 	if !d.exited {
-		return commandFor(d.key, wire.Stop, new(float64)), true
+		return commandFor(d.key, wire.VerbStop, new(float64)), true
 	}
 	// If a start of the attempt arrived after the agent has forgotten it, the agent would run it again. So no start of
 	// it, by this leader or an earlier one, may be in flight.
@@ -46,7 +46,7 @@
 	if open || committed < d.seq || contact.Reports.Token() < t.MinToken || !contact.Reports.Fenced() {
 		return wire.Command{}, false
 	}
-	return commandFor(d.key, wire.Forget, nil), true
+	return commandFor(d.key, wire.VerbForget, nil), true
 }
 
 // runCommand returns the command to start or stop a run, if one is due.
@@ -59,18 +59,18 @@
 	case r.Job.Cancelled:
 		// The stop does not have to wait for the cancellation to be committed. If the cancellation is lost, the stop
 		// only ends this attempt, and the task is retried once the agent reports the end.
-		return commandFor(r.key(), wire.Stop, new(float64)), true
+		return commandFor(r.key(), wire.VerbStop, new(float64)), true
 	case r.Stop:
 		grace := new(float64)
 		if !r.SkipCheckpoint && r.Job.Spec.CheckpointIntervalS > 0 {
 			*grace = r.Job.Spec.CheckpointWriteS + 1
 		}
-		return commandFor(r.key(), wire.Stop, grace), true
+		return commandFor(r.key(), wire.VerbStop, grace), true
 	case r.Phase == Unseen && !m.mustHoldStart(r):
 		if inResponse {
 			r.startResponseSeq = contact.Reports.Number().Seq
 		}
-		return commandFor(r.key(), wire.Start, nil), true
+		return commandFor(r.key(), wire.VerbStart, nil), true
 	}
 	return wire.Command{}, false
 }
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -159,7 +159,7 @@
 func (w *exploredState) execute(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Verb {
-		case wire.Start:
+		case wire.VerbStart:
 			switch {
 			case w.agentAttempt == c.Attempt, w.agentAttempt != 0 && !w.exited: // known, or machine busy
 			case w.agentAttempt != 0: // the simulated agent can hold one attempt and rejects others
@@ -170,9 +170,9 @@
 			default:
 				w.agentAttempt = c.Attempt
 			}
-		case wire.Stop:
+		case wire.VerbStop:
 			w.exited = w.exited || w.agentAttempt == c.Attempt
-		case wire.Forget:
+		case wire.VerbForget:
 			if w.agentAttempt == c.Attempt && w.exited {
 				w.agentAttempt, w.exited = 0, false
 			}
@@ -186,7 +186,7 @@
 	w.model.SetReapableSeq(machine, 1)
 	commands := w.model.Commands(machine, 9, inResponse)
 	if w.earlyReaped != 0 {
-		commands = append(commands, wire.Command{Verb: wire.Forget, Task: testTaskID, Attempt: w.earlyReaped})
+		commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: testTaskID, Attempt: w.earlyReaped})
 	}
 	return commands
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -41,7 +41,7 @@
 
 // NewAcceptance returns the entry that accepts a job. at is the wall-clock time of the acceptance in ms.
 func NewAcceptance(spec *wire.JobSpec, wallTimeMS int64) *Entry {
-	n, _ := wire.JobNumber(spec.ID)
+	n, _ := wire.ParseJobID(spec.ID)
 	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: wallTimeMS}
 }
 
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -66,7 +66,7 @@
 		e.WallTimeMS = int64(r.Uint())
 		e.Spec = readSpec(r)
 		if r.Err == nil {
-			n, ok := wire.JobNumber(e.Spec.ID)
+			n, ok := wire.ParseJobID(e.Spec.ID)
 			if !ok {
 				return nil, &JobIDError{e.Spec.ID}
 			}
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -170,7 +170,8 @@
 	}
 	golden.Check(t, "snapshot-v4.hex", m.Snapshot())
 	for version := byte(1); version <= 4; version++ {
-		golden.FlipFinds(t, fmt.Sprintf("snapshot-v%d.hex", version), func(b []byte) (_ []byte, err error) {
+		name := fmt.Sprintf("snapshot-v%d.hex", version)
+		golden.CheckDetectsByteChanges(t, name, func(b []byte) (_ []byte, err error) {
 			// Restore panics on a duplicate machine; that also counts as detecting the change.
 			defer func() {
 				if p := recover(); p != nil {
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -133,7 +133,7 @@
 // updatePreemptionNotice records whether the cloud has announced that it will reclaim the machine.
 func (o *observation) updatePreemptionNotice() {
 	lifecycle := &o.machine.Lifecycle
-	switch notice := o.report.NoticeS; {
+	switch notice := o.report.ReclaimNoticeS; {
 	case notice == nil:
 		lifecycle.PreemptionAt = 0
 	case lifecycle.PreemptionAt == 0:
--- a/internal/model/observe_test.go
+++ b/internal/model/observe_test.go
@@ -67,7 +67,7 @@
 	}
 	m.SetReapableSeq(machine, 5)
 	for _, c := range m.Commands(machine, 9, true) {
-		if c.Verb == wire.Forget {
+		if c.Verb == wire.VerbForget {
 			t.Error("the attempt is reaped while a copy of its start is in flight, which would run it again")
 		}
 	}
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -193,7 +193,7 @@
 		}
 	}
 	if !r.Done() {
-		return &CorruptSnapshotError{sectionEnd, codec.ErrShort}
+		return &CorruptSnapshotError{sectionEnd, codec.ErrMalformed}
 	}
 	return nil
 }
@@ -272,11 +272,11 @@
 		if r.Err != nil {
 			return r.Err
 		}
-		if _, ok := wire.JobNumber(spec.ID); !ok {
+		if _, ok := wire.ParseJobID(spec.ID); !ok {
 			return &JobIDError{spec.ID}
 		}
 		if spec.Tasks < 1 {
-			return codec.ErrShort
+			return codec.ErrMalformed
 		}
 		j := r.model.addJob(NewAcceptance(spec, at), r.seq, r.now)
 		if err := r.readTasks(j); err != nil {
@@ -295,7 +295,7 @@
 		attempt := uint32(r.Max(maxID))
 		n := r.Max(uint64(len(j.Tasks) - i))
 		if r.Err != nil || n == 0 || state > Done || state == Placed && n != 1 {
-			return codec.ErrShort
+			return codec.ErrMalformed
 		}
 		if state == Placed {
 			e := NewPlacement(j.ID, int32(i), attempt, MachineID(r.Max(maxID)), r.Uint())
@@ -329,7 +329,7 @@
 			return err
 		}
 		if e.Kind != EntryIntent {
-			return codec.ErrShort
+			return codec.ErrMalformed
 		}
 		if err := r.model.Apply(e, r.seq, r.now); err != nil {
 			return err
--- a/internal/model/snapshot_test.go
+++ b/internal/model/snapshot_test.go
@@ -119,8 +119,8 @@
 	for n := 1; n < len(whole); n++ {
 		var corrupt *CorruptSnapshotError
 		err := New(params()).Restore(whole[:n], 9, 0)
-		if !errors.As(err, &corrupt) || !errors.Is(err, codec.ErrShort) {
-			t.Fatalf("restore of a snapshot truncated to %d bytes: got error %v, want %v", n, err, codec.ErrShort)
+		if !errors.As(err, &corrupt) || !errors.Is(err, codec.ErrMalformed) {
+			t.Fatalf("restore of a snapshot truncated to %d bytes: got error %v, want %v", n, err, codec.ErrMalformed)
 		}
 		if len(sections) == 0 || sections[len(sections)-1] != corrupt.Section {
 			sections = append(sections, corrupt.Section)
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -168,7 +168,7 @@
 // forEachStart calls f with the attempt of each start command.
 func forEachStart(commands []wire.Command, f func(runKey)) {
 	for _, c := range commands {
-		if c.Verb == wire.Start {
+		if c.Verb == wire.VerbStart {
 			n, task, _ := wire.ParseTaskID(c.Task)
 			f(runKey{JobID(n), int32(task), uint32(c.Attempt)})
 		}
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -96,12 +96,12 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var heartbeat wire.Heartbeat
-	return &heartbeat, c.transport.Do(ctx, http.MethodGet, addr, wire.PathShow, nil, &heartbeat, wire.MaxBody)
+	return &heartbeat, c.transport.Do(ctx, http.MethodGet, addr, wire.PathProbe, nil, &heartbeat, wire.MaxBody)
 }
 
 // SendOrders sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
 func (c *Client) SendOrders(
-	ctx context.Context, addr string, orders *wire.Orders,
+	ctx context.Context, addr string, batch *wire.CommandBatch,
 ) (CommandOutcome, *wire.Heartbeat, error) {
 	timer := time.NewTimer(slotTimeout)
 	defer timer.Stop()
@@ -116,7 +116,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var heartbeat wire.Heartbeat
-	err := c.transport.Do(ctx, http.MethodPost, addr, wire.PathOrders, orders, &heartbeat, wire.MaxBody)
+	err := c.transport.Do(ctx, http.MethodPost, addr, wire.PathCommands, batch, &heartbeat, wire.MaxBody)
 	if err == nil {
 		return Executed, &heartbeat, nil
 	}
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -41,8 +41,8 @@
 			defer closeOrFail(t, ln)
 			wg.Go(func() {
 				start := time.Now()
-				orders := &wire.Orders{FencingToken: 1, AgentEpoch: 1}
-				outcome, _, _ := client.SendOrders(context.Background(), addr, orders)
+				batch := &wire.CommandBatch{FencingToken: 1, AgentEpoch: 1}
+				outcome, _, _ := client.SendOrders(context.Background(), addr, batch)
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[outcome]++
@@ -137,7 +137,8 @@
 			probed, probedAddr := listen(fmt.Sprint("probed", i))
 			defer closeOrFail(t, probed)
 			wg.Go(func() {
-				_, _, _ = client.SendOrders(context.Background(), addr, &wire.Orders{FencingToken: 1, AgentEpoch: 1})
+				batch := &wire.CommandBatch{FencingToken: 1, AgentEpoch: 1}
+				_, _, _ = client.SendOrders(context.Background(), addr, batch)
 			})
 			wg.Go(func() {
 				time.Sleep(time.Second)
--- a/internal/platform/agent/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -21,20 +21,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := golden.Record(t)
+	recorder := golden.NewRecorder(t)
 	c := New(host.TCP{}, 10*time.Second, 4)
 	defer c.Close()
 	grace := 2.5
-	orders := &wire.Orders{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []wire.Command{
-		{Verb: wire.Start, Task: "req-000412/3", Attempt: 2},
-		{Verb: wire.Stop, Task: "req-000412/4", Attempt: 1, GraceS: &grace},
-		{Verb: wire.Forget, Task: "req-000412/5", Attempt: 9}}}
+	batch := &wire.CommandBatch{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []wire.Command{
+		{Verb: wire.VerbStart, Task: "req-000412/3", Attempt: 2},
+		{Verb: wire.VerbStop, Task: "req-000412/4", Attempt: 1, GraceS: &grace},
+		{Verb: wire.VerbForget, Task: "req-000412/5", Attempt: 9}}}
 	describe := func(heartbeat *wire.Heartbeat) string {
 		if heartbeat == nil {
 			return "none\n"
 		}
 		b, _ := wire.Marshal(heartbeat)
-		return golden.Body(b)
+		return golden.FormatBody(b)
 	}
 	for _, response := range []struct {
 		status int
@@ -43,7 +43,7 @@
 		{503, nil}} {
 		recorder.Reply(response.status, nil, response.body)
 		recorder.Note("=== orders, answered with %d and %d bytes", response.status, len(response.body))
-		outcome, got, err := c.SendOrders(context.Background(), recorder.Addr, orders)
+		outcome, got, err := c.SendOrders(context.Background(), recorder.Addr, batch)
 		recorder.Note("fate %d, error %v, report %s", int(outcome), err, describe(got))
 	}
 	for _, response := range []struct {
@@ -55,7 +55,7 @@
 		got, err := c.Probe(context.Background(), recorder.Addr, 10*time.Second)
 		recorder.Note("error %v, report %s", err, describe(got))
 	}
-	outcome, _, err := c.SendOrders(context.Background(), "127.0.0.1:0", orders) // no connection can be made
+	outcome, _, err := c.SendOrders(context.Background(), "127.0.0.1:0", batch) // no connection can be made
 	recorder.Note("=== orders to nobody\nfate %d, error %t", int(outcome), err != nil)
 	recorder.Note("=== fates %s", fmt.Sprint(int(Executed), int(Refused), int(Unsent), int(Unknown)))
 	golden.Check(t, "requests.txt", recorder.Text())
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -54,7 +54,7 @@
 // MachineTypes returns the machine types that can be provisioned.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var types wire.MachineTypes
-	err := c.do(ctx, http.MethodGet, wire.PathTypes, nil, &types)
+	err := c.do(ctx, http.MethodGet, wire.PathMachineTypes, nil, &types)
 	return types.Types, err
 }
 
--- a/internal/platform/cloud/golden_test.go
+++ b/internal/platform/cloud/golden_test.go
@@ -18,13 +18,13 @@
 		State: wire.MachineRunning, AgeS: 7.25}
 	second := machine
 	second.Name, second.State = "m-8 &", wire.MachineFailed
-	recorder := golden.Record(t)
+	recorder := golden.NewRecorder(t)
 	c := New(host.TCP{}, recorder.Addr, 1000)
 	defer c.Close()
 	ctx := context.Background()
 	machineType := wire.MachineType{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1,
 		Price: 3.5, SpotPrice: 1.25, BootS: 40, Zones: []string{"a", "b"}}
-	request := &wire.ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2}
+	request := &wire.ScaleOutRequest{IdempotencyKey: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 2}
 	for _, call := range []struct {
 		name      string
 		do        func() (any, error)
@@ -62,7 +62,7 @@
 			recorder.Note("=== %s, answered with %d", call.name, status)
 			got, err := call.do()
 			body, _ := wire.Marshal(got)
-			recorder.Note("error %v, code %d, read %s", err, msgpackhttp.StatusCode(err), golden.Body(body))
+			recorder.Note("error %v, code %d, read %s", err, msgpackhttp.StatusCode(err), golden.FormatBody(body))
 		}
 	}
 	golden.Check(t, "requests.txt", recorder.Text())
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -452,7 +452,7 @@
 		corrupted[at+i] ^= 1
 		requireDifference(fmt.Sprintf("byte %d of the leader's value", i), corrupted)
 	}
-	golden.FlipFinds(t, "answer-meta.hex", func(b []byte) ([]byte, error) {
+	golden.CheckDetectsByteChanges(t, "answer-meta.hex", func(b []byte) ([]byte, error) {
 		var it wire.Item
 		if err := wire.Unmarshal(b, &it); err != nil {
 			return nil, err
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -44,7 +44,7 @@
 // TestGoldenFrames checks the encoding of requests with every operation, and of responses, against the golden files.
 func TestGoldenFrames(t *testing.T) {
 	ops := []Op{OpPing, OpSubmit, OpStatus, OpCancel, OpPendingReasons, OpQueue, OpRoleResult, OpRenewals, OpWatermark,
-		OpRelayOffer, OpRelayReport, OpRelayOrders, OpRelayProbe}
+		OpRelayOffer, OpRelayHeartbeat, OpRelayCommands, OpRelayProbe}
 	var requests []frame[Request]
 	for i, op := range ops {
 		if int(op) != i+1 {
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -28,8 +28,8 @@
 	OpRenewals          // returns when the leases of a zone's machines were last renewed, once a log batch is applied
 	OpWatermark         // returns the process's age and the highest log position that it has seen
 	OpRelayOffer        // offers to relay agents' heartbeats
-	OpRelayReport       // relays a heartbeat; ID is the relaying node
-	OpRelayOrders       // relays commands to the agent at the address ID
+	OpRelayHeartbeat    // relays a heartbeat; ID is the relaying node
+	OpRelayCommands     // relays commands to the agent at the address ID
 	OpRelayProbe        // probes the agent at the address ID
 )
 
@@ -76,12 +76,12 @@
 
 func readRequest(payload []byte) (*Request, error) {
 	if len(payload) == 0 {
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	r := codec.Reader{Data: payload[1:]}
 	request := &Request{Op: Op(payload[0]), ID: r.String(), Body: r.Bytes()}
 	if !r.Done() {
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	return request, nil
 }
@@ -96,7 +96,7 @@
 	r := codec.Reader{Data: payload}
 	response := &Response{Status: r.Max(maxStatus), RetryAfter: r.Max(maxRetryAfter), Body: r.Bytes()}
 	if !r.Done() || response.Status < minStatus {
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	return response, nil
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -110,7 +110,7 @@
 				t.Fatalf("no response for %v while %d requests are in flight", silence, requestCount)
 			}
 		}
-		if _, err := link.Do(ctx, &Request{Op: OpRelayReport}); !IsNotSent(err) {
+		if _, err := link.Do(ctx, &Request{Op: OpRelayHeartbeat}); !IsNotSent(err) {
 			t.Errorf("request over the limit: got %v, want an error that means not sent", err)
 		}
 		if response, err := link.Do(ctx, &Request{Op: OpPing}); err != nil || response.Status != http.StatusOK {
@@ -150,7 +150,7 @@
 	counts := &requestCounts{}
 	for range count {
 		counts.wg.Go(func() {
-			response, err := link.Do(ctx, &Request{Op: OpRelayReport, ID: "n1", Body: make([]byte, 500)})
+			response, err := link.Do(ctx, &Request{Op: OpRelayHeartbeat, ID: "n1", Body: make([]byte, 500)})
 			switch {
 			case IsNotSent(err):
 				counts.unsent.Add(1)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -175,7 +175,7 @@
 		},
 		StartsPerS:       float64(after.starts-before.starts) / seconds,
 		TargetStartsPerS: r.profile.startRate(r.index, r.profile.WarmupS+r.profile.RunS/2),
-		TasksRunning:     r.environment.Checker.Tasks(),
+		TasksRunning:     r.environment.Checker.RunningTaskCount(),
 		StartLatency:     map[string]Latency{},
 		SubmitLatency:    r.submitLatency.summary(),
 		Accepted:         r.accepted.Load(),
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -36,7 +36,7 @@
 		cancel(nil)
 		for _, r := range regions {
 			for i := range p.ControllersPerRegion {
-				r.environment.Crash(i)
+				r.environment.StopAndWait(i)
 			}
 		}
 	}()
@@ -177,7 +177,7 @@
 		workers, running, starts, violations := 0, 0, 0, 0
 		for _, r := range regions {
 			workers += len(r.environment.Cloud.Workers())
-			running += r.environment.Checker.Tasks()
+			running += r.environment.Checker.RunningTaskCount()
 			starts += r.environment.Checker.Starts()
 			violations += len(r.environment.Checker.Violations())
 		}
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -182,11 +182,11 @@
 // runScaleOut sends a scale-out request and repeats it until the cloud has granted or refused it.
 func (p *Provisioner) runScaleOut(scaleOut ScaleOut, state *scaleOutState) {
 	request := &wire.ScaleOutRequest{
-		Request: scaleOut.Name,
-		Type:    scaleOut.Type,
-		Zone:    scaleOut.Zone,
-		Spot:    scaleOut.Spot,
-		Count:   scaleOut.Count,
+		IdempotencyKey: scaleOut.Name,
+		Type:           scaleOut.Type,
+		Zone:           scaleOut.Zone,
+		Spot:           scaleOut.Spot,
+		Count:          scaleOut.Count,
 	}
 	backoff := minBackoff
 	for {
@@ -213,7 +213,7 @@
 			})
 			return
 		}
-		p.logger.Debug("scale-out outcome unknown", "request", request.Request, "err", err)
+		p.logger.Debug("scale-out outcome unknown", "request", request.IdempotencyKey, "err", err)
 		if !p.sleep(backoff) {
 			return
 		}
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -117,7 +117,7 @@
 // ReadResult decodes a result. Truncated input and trailing bytes are errors.
 func ReadResult(b []byte) (*Result, error) {
 	if len(b) == 0 {
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	result := &Result{Kind: ResultKind(b[0])}
 	r := &codec.Reader{Data: b[1:]}
@@ -144,10 +144,10 @@
 		}
 	case CloudUnavailable:
 	default:
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	if !r.Done() {
-		return nil, codec.ErrShort
+		return nil, codec.ErrMalformed
 	}
 	return result, nil
 }
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -1,11 +1,11 @@
 package wire
 
-// Paths between controllers and agents. Controllers serve PathHeartbeat; agents serve PathOrders for commands and
-// PathShow, which returns their current state as a heartbeat.
+// Paths between controllers and agents. Controllers serve PathHeartbeat; agents serve PathCommands for commands and
+// PathProbe, which returns their current state as a heartbeat.
 const (
 	PathHeartbeat = "/v1/report"
-	PathOrders    = "/orders"
-	PathShow      = "/show"
+	PathCommands  = "/orders"
+	PathProbe     = "/show"
 )
 
 // States of a task on its machine.
@@ -14,7 +14,7 @@
 	TaskWaiting       = "gathering" // it waits for the other tasks of its gang
 	TaskRunning       = "running"
 	TaskCheckpointing = "flushing" // it was stopped and is saving its progress
-	TaskExited        = "exited"   // reported until the controller sends Forget
+	TaskExited        = "exited"   // reported until the controller sends VerbForget
 )
 
 // Causes of a task's exit.
@@ -31,9 +31,9 @@
 
 // Verbs of commands to an agent.
 const (
-	Start  = "run"
-	Stop   = "kill"
-	Forget = "reap" // drops an exited task from the agent's heartbeats
+	VerbStart  = "run"
+	VerbStop   = "kill"
+	VerbForget = "reap" // drops an exited task from the agent's heartbeats
 )
 
 // Heartbeat reports the state of an agent's machine. It renews the agent's lease, and its task states are reconciled
@@ -50,9 +50,9 @@
 	Seq        uint64 `msgpack:"tick"`
 	// FencingToken is the highest token that the agent has seen; it rejects commands with a lower one.
 	FencingToken uint64 `msgpack:"baton"`
-	// NoticeS is the time until the cloud reclaims the machine; nil if it has given no notice.
-	NoticeS *float64     `msgpack:"recall_s"`
-	Tasks   []TaskStatus `msgpack:"pieces"`
+	// ReclaimNoticeS is the time until the cloud reclaims the machine; nil if it has given no notice.
+	ReclaimNoticeS *float64     `msgpack:"recall_s"`
+	Tasks          []TaskStatus `msgpack:"pieces"`
 }
 
 // TaskStatus is one task in a heartbeat.
@@ -67,10 +67,10 @@
 
 // Command instructs an agent to start, stop or forget a task.
 type Command struct {
-	Verb    string `msgpack:"verb"` // Start, Stop or Forget
+	Verb    string `msgpack:"verb"` // VerbStart, VerbStop or VerbForget
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"try"`
-	// GraceS is the time that a stopped task has to save its progress; nil for commands other than Stop.
+	// GraceS is the time that a stopped task has to save its progress; nil for commands other than VerbStop.
 	GraceS *float64 `msgpack:"windup_s,omitempty"`
 }
 
@@ -85,9 +85,9 @@
 	Node string `msgpack:"foreman,omitempty"` // empty for any other controller
 }
 
-// Orders is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects it if
-// it has seen a higher fencing token or has another epoch.
-type Orders struct {
+// CommandBatch is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects it
+// if it has seen a higher fencing token or has another epoch.
+type CommandBatch struct {
 	FencingToken uint64    `msgpack:"baton"`
 	AgentEpoch   uint64    `msgpack:"shift"`
 	Commands     []Command `msgpack:"orders"`
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -2,9 +2,9 @@
 
 // Paths of the cloud API.
 const (
-	PathTypes    = "/flavors"
-	PathMachines = "/hosts"
-	PathRelease  = "/hosts/release"
+	PathMachineTypes = "/flavors"
+	PathMachines     = "/hosts"
+	PathRelease      = "/hosts/release"
 )
 
 // Limits of the cloud API.
@@ -40,13 +40,14 @@
 	Types []MachineType `msgpack:"models"`
 }
 
-// ScaleOutRequest requests machines from the cloud. Repeating it with the same Request returns the same machines.
+// ScaleOutRequest requests machines from the cloud. Repeating it with the same IdempotencyKey returns the same
+// machines.
 type ScaleOutRequest struct {
-	Request string `msgpack:"hire"` // idempotency key
-	Type    string `msgpack:"model"`
-	Zone    string `msgpack:"hall"`
-	Spot    bool   `msgpack:"loaners"`
-	Count   int    `msgpack:"number"`
+	IdempotencyKey string `msgpack:"hire"`
+	Type           string `msgpack:"model"`
+	Zone           string `msgpack:"hall"`
+	Spot           bool   `msgpack:"loaners"`
+	Count          int    `msgpack:"number"`
 }
 
 // MachineNames lists machines by name: in a response those that were provisioned, in a request those to release.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -59,25 +59,25 @@
 }
 
 func fullAgentMessages() map[string]any {
-	command := Command{Verb: Stop, Task: "req-000412/3", Attempt: 2, GraceS: ptr(2.5)}
+	command := Command{Verb: VerbStop, Task: "req-000412/3", Attempt: 2, GraceS: ptr(2.5)}
 	return map[string]any{
 		"report": &Heartbeat{
-			Machine:      "m-7",
-			Addr:         "10.1.0.7:70",
-			Type:         "g8",
-			Zone:         "a",
-			Spot:         true,
-			AgentEpoch:   1 << 40,
-			Seq:          300,
-			FencingToken: 7,
-			NoticeS:      ptr(30.5),
+			Machine:        "m-7",
+			Addr:           "10.1.0.7:70",
+			Type:           "g8",
+			Zone:           "a",
+			Spot:           true,
+			AgentEpoch:     1 << 40,
+			Seq:            300,
+			FencingToken:   7,
+			ReclaimNoticeS: ptr(30.5),
 			Tasks: []TaskStatus{
 				{Task: "req-000412/3", Attempt: 2, State: TaskExited, Cause: CauseStopped, Checkpointed: true},
 			},
 		},
 		"report-answer": &HeartbeatResponse{FencingToken: 7, Commands: []Command{command}},
 		"redirect":      &Redirect{Node: "10.0.0.2:80"},
-		"orders":        &Orders{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []Command{command}},
+		"orders":        &CommandBatch{FencingToken: 7, AgentEpoch: 1 << 40, Commands: []Command{command}},
 	}
 }
 
@@ -87,7 +87,7 @@
 			{Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 0.1, Price: 3.5, SpotPrice: 1e-9,
 				BootS: 40, Zones: []string{"a", "b"}},
 		}},
-		"hire":          &ScaleOutRequest{Request: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 50},
+		"hire":          &ScaleOutRequest{IdempotencyKey: "fh-1-2", Type: "g8", Zone: "a", Spot: true, Count: 50},
 		"machine-names": &MachineNames{Machines: []string{"m-7", "m-8"}},
 		"machine-list": &MachineList{More: true, Machines: []ListedMachine{
 			{Name: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a", Spot: true, State: MachineRunning, AgeS: 7.25},
@@ -131,13 +131,13 @@
 			State: TaskRunning}}},
 		"report-answer-empty": &HeartbeatResponse{FencingToken: 7, Commands: []Command{}},
 		"report-answer-nulls": &HeartbeatResponse{},
-		"report-answer-starts": &HeartbeatResponse{Commands: []Command{{Verb: Start, Task: "req-000412/0", Attempt: 1},
-			{Verb: Forget}}},
+		"report-answer-starts": &HeartbeatResponse{Commands: []Command{
+			{Verb: VerbStart, Task: "req-000412/0", Attempt: 1}, {Verb: VerbForget}}},
 		"redirect-nowhere": &Redirect{},
-		"orders-no-grace": &Orders{
+		"orders-no-grace": &CommandBatch{
 			FencingToken: 1,
 			AgentEpoch:   2,
-			Commands:     []Command{{Verb: Stop, GraceS: ptr(0.0)}},
+			Commands:     []Command{{Verb: VerbStop, GraceS: ptr(0.0)}},
 		},
 		"machine-types-nulls": &MachineTypes{Types: []MachineType{{}}},
 		"hire-zeros":          &ScaleOutRequest{},
@@ -214,8 +214,8 @@
 		}
 		fmt.Fprintf(&listing, "%s %s\n", name, b)
 		if full[name] != nil {
-			golden.FlipFinds(t, file, reencoder(want))
-			golden.TagFinds(t, name, stored, reencoder(want))
+			golden.CheckDetectsByteChanges(t, file, reencoder(want))
+			golden.CheckDetectsRenamedTags(t, name, stored, reencoder(want))
 		}
 	}
 	golden.Check(t, "messages.txt", []byte(listing.String()))
@@ -230,8 +230,8 @@
 			t.Errorf("PeekJobID of %s: got job %d, %v", name, number, err)
 		}
 	}
-	golden.FlipFinds(t, "messages/job-spec.hex", reencodeJob)
-	golden.TagFinds(t, "job-spec", golden.Read(t, "messages/job-spec.hex"), reencodeJob)
+	golden.CheckDetectsByteChanges(t, "messages/job-spec.hex", reencodeJob)
+	golden.CheckDetectsRenamedTags(t, "job-spec", golden.Read(t, "messages/job-spec.hex"), reencodeJob)
 }
 
 // TestGoldenParseErrors compares the errors for malformed submissions, which are sent to users, with the golden file.
@@ -279,9 +279,9 @@
 		name string
 		all  []any
 	}{
-		{"paths", []any{PathJobs, PathReady, PathHeartbeat, PathOrders, PathShow, PathTypes, PathMachines, PathRelease,
-			PathKeys, PathTxn, PathLeases, PathWatch, CancelSuffix, PathAdminJobs, WhySuffix, PathAdminQueue,
-			PathAdminRoles}},
+		{"paths", []any{PathJobs, PathReady, PathHeartbeat, PathCommands, PathProbe, PathMachineTypes, PathMachines,
+			PathRelease, PathKeys, PathTxn, PathLeases, PathWatch, CancelSuffix, PathAdminJobs, WhySuffix,
+			PathAdminQueue, PathAdminRoles}},
 		{"limits", []any{MaxBody, MaxTasks, MaxScaleOut, MaxRelease, MaxList, maxDepth, uint64(maxJobNumber),
 			MaxQueued}},
 		{"content", []any{ContentType, jobIDPrefix, JobID(0), JobID(412), JobID(1_000_000), TaskID(412, 31)}},
@@ -291,7 +291,7 @@
 		{"task states", []any{TaskFetching, TaskWaiting, TaskRunning, TaskCheckpointing, TaskExited}},
 		{"causes", []any{CauseDone, CauseStopped, CausePeers, CauseGangIncomplete, CauseError, CauseNoCapacity,
 			CauseBusy, CauseUnknown}},
-		{"verbs", []any{Start, Stop, Forget}},
+		{"verbs", []any{VerbStart, VerbStop, VerbForget}},
 		{"machine states", []any{MachineBooting, MachineRunning, MachineFailed}},
 	} {
 		fmt.Fprintf(&b, "%s: %v\n", group.name, group.all)
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -12,9 +12,9 @@
 	maxJobNumber = 999_999_999_999_999
 )
 
-// JobNumber parses a job id: the prefix and six digits, or more without a leading zero. Each number has exactly one id,
-// so that the service can store the number alone.
-func JobNumber(id string) (uint64, bool) {
+// ParseJobID parses a job id: the prefix and six digits, or more without a leading zero. Each number has exactly one
+// id, so that the service can store the number alone.
+func ParseJobID(id string) (uint64, bool) {
 	s, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || len(s) < 6 || len(s) > 15 || (len(s) > 6 && s[0] == '0') {
 		return 0, false
@@ -29,7 +29,7 @@
 	return n, n <= maxJobNumber
 }
 
-// JobID formats the id of a job, the inverse of JobNumber.
+// JobID formats the id of a job, the inverse of ParseJobID.
 func JobID(n uint64) string { return fmt.Sprintf("%s%06d", jobIDPrefix, n) }
 
 // TaskID formats the id of a task: its job's id, a slash and its index in the job.
@@ -43,7 +43,7 @@
 	if !found {
 		return 0, 0, false
 	}
-	job, ok = JobNumber(id)
+	job, ok = ParseJobID(id)
 	if !ok {
 		return 0, 0, false
 	}
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return 0, &FieldError{Field: fieldID, Err: err}
 		}
-		found, ok = JobNumber(id)
+		found, ok = ParseJobID(id)
 	}
 	if !ok {
 		return 0, fieldError(fieldID, "missing or not a job id")
@@ -164,7 +164,7 @@
 
 // validate checks the values of decoded fields.
 func (s *JobSpec) validate() error {
-	if _, ok := JobNumber(s.ID); !ok {
+	if _, ok := ParseJobID(s.ID); !ok {
 		return fieldError(fieldID, "not a job id")
 	}
 	for _, name := range []struct{ field, value string }{
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -108,9 +108,9 @@
 
 func TestIDRoundTrip(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000412", "req-999999", "req-1000000"} {
-		n, ok := JobNumber(id)
+		n, ok := ParseJobID(id)
 		if !ok || JobID(n) != id {
-			t.Errorf("JobNumber(%q) = %d, %v", id, n, ok)
+			t.Errorf("ParseJobID(%q) = %d, %v", id, n, ok)
 		}
 		j, k, ok := ParseTaskID(TaskID(n, 31))
 		if !ok || j != n || k != 31 {
@@ -131,7 +131,7 @@
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ParseJob(b); err == nil {
-			if _, ok := JobNumber(s.ID); !ok || s.Tasks < 1 || !(s.CPUs >= 0) {
+			if _, ok := ParseJobID(s.ID); !ok || s.Tasks < 1 || !(s.CPUs >= 0) {
 				t.Errorf("accepted invalid job %+v", s)
 			}
 			if _, err := PeekJobID(b); err != nil {
