--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -10,12 +10,12 @@
 	"fieldhill/wire"
 )
 
-// checkConvergence requires that the cluster recovers once all faults are over: every job is in a known state, and
-// after all jobs are cancelled no task or machine is left over.
+// checkConvergence requires that the cluster recovers after all faults have ended: every job is in a known state, no
+// task of a cancelled job runs, and the leader's replica lists exactly the machines in the cloud.
 func checkConvergence(t *testing.T, w *emulator.Environment, ids []string) {
 	t.Helper()
 	w.Checker.MarkFaultsOver()
-	for range 20 { // no job may starve: each is polled, as users do
+	for range 20 { // the invariant checker reports jobs without progress; users poll all jobs meanwhile
 		for _, id := range ids {
 			go w.Request("poll", id, nil)
 		}
@@ -26,12 +26,12 @@
 	}
 	time.Sleep(60 * time.Second)
 	for _, id := range ids {
-		// A job that no controller could accept for a minute may be unknown.
+		// The status of a job is unknown if no controller could accept its submission for a minute.
 		if err := pollEndedOrUnknown(w, id); err != nil {
 			t.Error(err)
 		}
 		if k := w.Checker.Running(id); k != 0 {
-			t.Errorf("%s still has %d running tasks", id, k)
+			t.Errorf("cancelled job %s has %d running tasks, want none", id, k)
 		}
 	}
 	time.Sleep(30 * time.Second)
@@ -51,21 +51,21 @@
 	}
 }
 
-// compareMachines compares the machines in the cloud with those that a controller knows, and returns an error if they
-// differ or a scale-out is still open.
+// compareMachines returns an error if the machines in the cloud differ from those in a controller's replica of the log,
+// or if the log contains an open scale-out.
 func compareMachines(w *emulator.Environment, node *Controller) (err error) {
 	node.loop.postAndWait(func() {
 		if intents := node.replica.model.Intents; len(intents) > 0 {
-			err = fmt.Errorf("open scale-outs: %+v", intents)
+			err = fmt.Errorf("got open scale-outs %+v, want none", intents)
 		}
 		if up, known := len(w.Cloud.Workers()), len(node.replica.model.Order); up != known {
-			err = errors.Join(err, fmt.Errorf("%d machines are provisioned, the controller knows %d", up, known))
+			err = errors.Join(err, fmt.Errorf("the controller knows %d machines, want the %d provisioned", known, up))
 		}
 	})
 	return err
 }
 
-// servicesUp returns the number of running replicas of services 1 to services.
+// servicesUp returns the number of running replicas of the services numbered 1 to services.
 func servicesUp(w *emulator.Environment, services int) (up int) {
 	for k := 1; k <= services; k++ {
 		up += w.Checker.Running(wire.JobID(uint64(k)))
@@ -73,8 +73,8 @@
 	return up
 }
 
-// otherTaskCounts returns the jobs from first to last whose number of running tasks differs from want, with that
-// number.
+// otherTaskCounts returns the number of running tasks, by job ID, of each job numbered first to last for which it
+// differs from want.
 func otherTaskCounts(w *emulator.Environment, first, last, want int) map[string]int {
 	unexpected := map[string]int{}
 	for n := first; n <= last; n++ {
@@ -86,7 +86,8 @@
 	return unexpected
 }
 
-// waitServicesUp waits until all services of one replica run, and returns how long that took, at most limit.
+// waitServicesUp waits until as many replicas run as there are services, each of which has one, but at most for limit.
+// It returns the time waited.
 func waitServicesUp(w *emulator.Environment, services int, limit time.Duration) time.Duration {
 	began := time.Now()
 	for servicesUp(w, services) < services && time.Since(began) < limit {
@@ -95,7 +96,7 @@
 	return time.Since(began)
 }
 
-// checkMachinesKnown requires that the leader knows exactly the machines in the cloud.
+// checkMachinesKnown requires that the leader's replica lists exactly the machines in the cloud.
 func checkMachinesKnown(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	if err := compareMachines(w, nodeAt(findLeader())); err != nil {
@@ -103,15 +104,15 @@
 	}
 }
 
-// checkEpochsUnchanged requires that no agent's lease has expired and no task was restarted.
+// checkEpochsUnchanged requires that no agent's lease has expired and that the number of task starts is still starts.
 func checkEpochsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
 	t.Helper()
 	if k := w.Checker.Starts() - starts; k != 0 {
-		t.Errorf("%s: %d tasks were restarted", label, k)
+		t.Errorf("%s: %d tasks were restarted, want none", label, k)
 	}
 	for _, worker := range w.Cloud.Workers() {
 		if r := worker.LastHeartbeat(); r != nil && r.AgentEpoch != 1 {
-			t.Errorf("%s: the lease of %s expired", label, r.Machine)
+			t.Errorf("%s: %s is in agent epoch %d, want 1: its lease expired", label, r.Machine, r.AgentEpoch)
 		}
 	}
 }
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -9,7 +9,8 @@
 	"fieldhill/wire"
 )
 
-// newJobSpec returns a low-priority job of team red with tasks of one CPU.
+// newJobSpec returns job n: low priority, team red, one CPU per task, with the given shape, number of tasks, and
+// runtime in seconds.
 func newJobSpec(n int, shape string, tasks int, run float64) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID:        wire.JobID(uint64(n)),
@@ -47,14 +48,14 @@
 	return s
 }
 
-// toGang turns a job into a gang that writes a checkpoint every three seconds.
+// toGang turns a job into a gang of the given number of tasks that writes a checkpoint every three seconds.
 func toGang(s *wire.JobSpec, tasks int) {
 	s.Shape, s.Tasks = wire.Gang, tasks
 	s.CheckpointIntervalS, s.CheckpointWriteS = 3, 1
 }
 
-// drawShape turns a quarter of the jobs into gangs and a quarter into replicated services, and leaves the rest as they
-// are.
+// drawShape turns a job into a gang or a replicated service, with a probability of 1/4 each, and otherwise leaves it
+// unchanged.
 func drawShape(s *wire.JobSpec, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
@@ -90,14 +91,14 @@
 	}
 }
 
-// waitRunning waits until a task of a job runs, for at most a minute after began.
+// waitRunning waits until a task of a job runs, but not longer than a minute after began.
 func waitRunning(w *emulator.Environment, id string, began time.Time) {
 	for w.Checker.Running(id) == 0 && time.Since(began) < time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// waitState polls a job until it is in the given state, and fails the test after the time limit.
+// waitState polls a job until it is in the given state, and reports a test failure if that takes longer than within.
 func waitState(t *testing.T, w *emulator.Environment, id, state string, within time.Duration) {
 	t.Helper()
 	end := time.Now().Add(within)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -16,19 +16,20 @@
 )
 
 // The tests of this package run complete deployments in virtual time: three real controllers against the emulator,
-// whose invariant checker verifies the guarantees to users independently of the controllers' code.
+// whose invariant checker verifies the guarantees to users without using the controllers' code.
 
-// nodeRegistry holds the running controllers of a test, for faults and checks that access their internals.
+// nodeRegistry holds the running controllers of a test by name, for faults and checks that access controller internals.
 type nodeRegistry struct {
 	mu     sync.Mutex
 	byName map[string]*Controller
 }
 
-// runningNodes holds the controllers of the current test. Tests of this package don't run in parallel in one process.
+// runningNodes holds the controllers of the current test. It is a single variable because tests of this package don't
+// run in parallel in one process.
 var runningNodes = nodeRegistry{byName: map[string]*Controller{}}
 
-// nodeAt returns the running controller with an index, or nil. It must be called from the test's own goroutine, as it
-// waits until all other goroutines are blocked; that orders it after the writes of a starting controller.
+// nodeAt returns the running controller with index i, or nil. It must be called from the test's own goroutine: it waits
+// until all other goroutines are blocked, so that a starting controller has written its fields before they are read.
 func nodeAt(i int) *Controller {
 	synctest.Wait()
 	runningNodes.mu.Lock()
@@ -53,10 +54,11 @@
 	return -1
 }
 
-// leaderOrFirst returns the index of the leader, or 0 if there is none, for faults that always need a target.
+// leaderOrFirst returns the index of the leader, or 0 if there is none. Faults use it if they need a target in any
+// case.
 func leaderOrFirst() int { return max(0, findLeader()) }
 
-// currentTerm returns the term known to the leader, or 0 if there is none.
+// currentTerm returns the leader's term, or 0 if there is no leader.
 func currentTerm() (term uint64) {
 	if leader := nodeAt(leaderOrFirst()); leader != nil {
 		leader.loop.postAndWait(func() {
@@ -68,18 +70,19 @@
 	return term
 }
 
-// compactEvery is the number of batches between log compactions of controllers started from now on; 0 is the default.
+// compactEvery is the number of batches between log compactions of controllers started from now on; 0 selects the
+// controller's default.
 var compactEvery int
 
-// relayThreshold is the number of machines above which controllers started from now on assign agents to relays; 0 is
-// the default.
+// relayThreshold is the number of machines above which controllers started from now on assign agents to relays; 0
+// selects the controller's default.
 var relayThreshold = flag.Int("relays", 0, "in every test, assign agents to relays above this number of machines")
 
-// maxSilentProbes is the number of silent machines per zone that controllers started from now on probe at once; 0 is
-// the default.
+// maxSilentProbes is the number of silent machines per zone that controllers started from now on probe at the same
+// time; 0 selects the controller's default.
 var maxSilentProbes int
 
-// distributedRoles sets whether controllers started from now on hold the singleton roles independently of leadership.
+// distributedRoles is true if controllers started from now on hold the singleton roles independently of leadership.
 var distributedRoles bool
 
 // metricsAddr returns the address of a controller's metrics page.
@@ -95,11 +98,12 @@
 		return slog.DiscardHandler
 	}
 	level := slog.LevelInfo
-	_ = level.UnmarshalText([]byte(name)) // an unknown level leaves the default
+	_ = level.UnmarshalText([]byte(name)) // level stays the default if LOG_LEVEL names no level
 	return slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
 }
 
-// runController runs a controller in the emulator as the program does, with the limits set by the test.
+// runController runs a controller in the emulator with the same options as the program, apart from the limits that the
+// test's variables set, and adds it to runningNodes.
 func runController(ctx context.Context, network host.Net, settings *config.Settings) error {
 	options := Options{
 		Beta:           0.8,
@@ -127,13 +131,14 @@
 	return node.Run(ctx)
 }
 
-// runCluster runs f against a started deployment and then fails the test for every violated invariant.
+// runCluster runs f against a started deployment with the default teams, and then reports a test failure for every
+// invariant that was violated.
 func runCluster(t *testing.T, seed uint64, f func(w *emulator.Environment)) {
 	t.Helper()
 	runClusterWithTeams(t, seed, nil, f)
 }
 
-// runClusterWithTeams is runCluster with teams other than the default ones.
+// runClusterWithTeams is like runCluster, with the given teams instead of the default ones.
 func runClusterWithTeams(t *testing.T, seed uint64, teams []config.Team, f func(w *emulator.Environment)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -152,7 +157,7 @@
 			t.Error(violation)
 		}
 		stop()
-		time.Sleep(time.Minute) // all goroutines end
+		time.Sleep(time.Minute) // until all goroutines have ended
 		synctest.Wait()
 	})
 }
--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -15,9 +15,9 @@
 	"fieldhill/wire"
 )
 
-// TestLogWriteBudget checks that task ends and low-priority placements are batched, so that bulk load needs few of the
-// store's writes, compactions get the rest, and a submission finds the log idle. Without batching, the log is written
-// as often as the store allows at any load, and submissions have to wait.
+// TestLogWriteBudget checks that task ends and low-priority placements are written to the log in batches, so that bulk
+// load needs few of the store's writes, compactions can use the rest, and no write is in progress when a submission
+// arrives. Without batching, the log is written as often as the store allows at any load, and submissions have to wait.
 func TestLogWriteBudget(t *testing.T) {
 	runCluster(t, 11, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -57,7 +57,7 @@
 		latencies := make([]time.Duration, 0, pairs)
 		var mu sync.Mutex
 		var users sync.WaitGroup
-		for i := range 2 * pairs { // pairs of submissions 40 ms apart, every 650 ms
+		for i := range 2 * pairs { // a pair of submissions, 40 ms apart, every 650 ms
 			users.Go(func() {
 				time.Sleep(time.Duration(i/2)*650*time.Millisecond + time.Duration(i%2)*40*time.Millisecond)
 				j := newJobSpec(401+i, wire.Array, 4, 2)
@@ -65,7 +65,7 @@
 				b, _ := wire.Marshal(j)
 				began := time.Now()
 				if code, _ := w.Request("submit", j.ID, b); code != 201 && code != 200 {
-					t.Errorf("submission returned status %d", code)
+					t.Errorf("submission returned status %d, want 200 or 201", code)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -114,7 +114,7 @@
 		w.Submit(newJobSpec(200, wire.Array, 1, 500))
 		time.Sleep(20 * time.Second)
 		after, _ := w.Store.Load()
-		if writes := after - before; writes > 2*len(records)+10 { // two per record, and a few others
+		if writes := after - before; writes > 2*len(records)+10 { // two writes per record, and up to ten others
 			t.Errorf("%d store writes for %d intake records, want at most %d", writes, len(records), 2*len(records)+10)
 		}
 		if left, _, err := leader.oplog.ListIntake(leader.ctx); err != nil || len(left) > 0 {
@@ -149,7 +149,7 @@
 		time.Sleep(5 * time.Second)
 		leader.loop.postAndWait(func() {
 			if len(committedAtReport) != 2 || slices.Min(committedAtReport) < finalSeq {
-				t.Errorf("cancellation reported when batches %v were committed, want two reports after batch %d",
+				t.Errorf("the last committed batches at the reports of the cancellation are %v, want two, at least %d",
 					committedAtReport, finalSeq)
 			}
 		})
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -10,8 +10,8 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// TestEnqueue checks which batch an entry is added to: the last one unless it is full, and with firstFit the first one
-// that has space.
+// TestEnqueue checks which batch of the queue an entry is added to: the last batch unless it is full or, with firstFit,
+// the first batch that has space.
 func TestEnqueue(t *testing.T) {
 	const maxData = 8
 	for name, test := range map[string]struct {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestCommitWaiters checks that a commit notifies the waiters for its batch and earlier ones, in order of registration,
-// and that the end of a term notifies the others of an unknown outcome.
+// TestCommitWaiters checks that a commit notifies the waiters for its batch and for earlier ones, in order of
+// registration, and that the end of a term notifies the remaining waiters of an unknown outcome.
 func TestCommitWaiters(t *testing.T) {
 	commits := &commitPipelineTerm{}
 	var results []string
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestSequenceGap checks that a batch that does not follow the last one applied is rejected with a sequenceGapError,
-// and that one already applied is ignored.
+// TestSequenceGap checks that a log batch that does not directly follow the last one applied is rejected with a
+// sequenceGapError, and that a batch that was applied before is ignored.
 func TestSequenceGap(t *testing.T) {
 	withIdleController(t, 800, func(c *Controller) {
 		if err := c.replica.applyBatches([]oplog.Batch{{Seq: 1}, {Seq: 1}, {Seq: 2}}); err != nil {
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestListenersAreClosed checks that a controller that cannot listen on one of its addresses closes the listeners that
-// it opened for the others.
+// TestListenersAreClosed checks that a controller that fails to listen on one of its addresses closes the listeners
+// that it has opened on the others.
 func TestListenersAreClosed(t *testing.T) {
 	withIdleController(t, 800, func(c *Controller) {
 		c.settings.Bind, c.settings.PeerListen = "n0:1", "n0:2"
@@ -100,7 +100,7 @@
 		}
 		opened, err := c.listen()
 		if err != nil {
-			t.Fatalf("listen after a failed attempt: %v", err)
+			t.Fatalf("listen after a failed attempt: got error %v, want none", err)
 		}
 		if err := opened.close(); err != nil {
 			t.Error(err)
--- a/internal/controller/edge_test.go
+++ b/internal/controller/edge_test.go
@@ -15,8 +15,8 @@
 	"fieldhill/wire"
 )
 
-// TestLoadBalancer: the load balancer in front of the controllers of a local cluster skips a controller that has ended,
-// and reports the responses to the invariant checker.
+// TestLoadBalancer checks that the load balancer in front of the controllers of a local cluster skips a controller that
+// has ended, and reports the responses to the invariant checker.
 func TestLoadBalancer(t *testing.T) {
 	runCluster(t, 26, func(w *emulator.Environment) {
 		const addr = "10.3.0.1:80"
@@ -31,19 +31,19 @@
 			return status, client.Do(ctx, "POST", addr, path, in, &status, wire.MaxBody)
 		}
 		if _, err := do(wire.PathJobs, newJobSpec(1, wire.Array, 1, 500)); msgpackhttp.StatusCode(err) != 503 {
-			t.Errorf("submission before any controller is ready: %v, want status 503", err)
+			t.Errorf("submission before any controller is ready: got error %v, want status 503", err)
 		}
 		time.Sleep(6 * time.Second)
 		w.Crash((findLeader() + 1) % 3)
 		time.Sleep(3 * time.Second)
 		for n := 1; n <= 6; n++ {
 			if _, err := do(wire.PathJobs, newJobSpec(n, wire.Array, 1, 500)); msgpackhttp.StatusCode(err) != 201 {
-				t.Errorf("submission of job %d: %v, want status 201", n, err)
+				t.Errorf("submission of job %d: got error %v, want status 201", n, err)
 			}
 		}
 		status, err := do(wire.PathJobs+"/req-000002"+wire.CancelSuffix, struct{}{})
 		if err != nil || status.State != wire.JobCancelled {
-			t.Errorf("cancellation: %v, %v", status, err)
+			t.Errorf("cancellation: got state %q, error %v; want %q", status.State, err, wire.JobCancelled)
 		}
 		if finished, accepted := w.Checker.Finished(); finished != 1 || accepted != 6 {
 			t.Errorf("the invariant checker recorded %d accepted jobs, %d ended; want 6 and 1", accepted, finished)
@@ -51,7 +51,7 @@
 	})
 }
 
-// operatorClient returns an HTTP client on an operator's host.
+// operatorClient returns an HTTP client on an operator's host in the emulated network.
 func operatorClient(w *emulator.Environment) *http.Client {
 	operator := w.Network.Host("operator")
 	return &http.Client{
@@ -65,7 +65,7 @@
 	}
 }
 
-// readMetrics returns a controller's metrics page.
+// readMetrics returns the text of a controller's metrics page.
 func readMetrics(t *testing.T, w *emulator.Environment, i int) string {
 	t.Helper()
 	resp, err := operatorClient(w).Get("http://" + metricsAddr(emulator.ControllerName(i)) + metrics.Path)
@@ -82,8 +82,8 @@
 	return string(page)
 }
 
-// TestMetricsPage: the leader's metrics report leadership, jobs, tasks and request counts, and a follower's metrics
-// report the same jobs.
+// TestMetricsPage checks that the leader's metrics report leadership, jobs, tasks and request counts, and that a
+// follower's metrics report the same jobs.
 func TestMetricsPage(t *testing.T) {
 	runCluster(t, 27, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -15,7 +15,8 @@
 	"fieldhill/wire"
 )
 
-// waitForLeader waits until a controller other than except leads, and returns its index and how long that took.
+// waitForLeader waits until a controller other than the one with index except leads. It returns the index of the leader
+// and the time waited, and fails the test if that exceeds within.
 func waitForLeader(t *testing.T, except int, within time.Duration) (i int, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -31,8 +32,8 @@
 
 // TestLeaderCrashLoop checks that a leader that crashes repeatedly and restarts within a fraction of a second is
 // replaced: another controller leads as soon as the new process has revoked the old lease, and stays leader through all
-// later crashes. Without the eligibility rule, the restarted process wins the election again with an empty replica
-// while others are warm. No task may be started again.
+// later crashes. Without the rule that warm controllers, whose replica is up to date, go first, the restarted process
+// wins the election again with an empty replica. No task may be started again.
 func TestLeaderCrashLoop(t *testing.T) {
 	for k, downtime := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		runCluster(t, uint64(40+k), func(w *emulator.Environment) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestElectionWithoutWarmCandidate checks that a newly started controller becomes leader if no warm one can: all were
-// restarted, or the others are stopped or unreachable.
+// TestElectionWithoutWarmCandidate checks that a newly started controller becomes leader if no warm one can, either
+// because all controllers were restarted or because the others are stopped or unreachable.
 func TestElectionWithoutWarmCandidate(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject func(w *emulator.Environment)
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestColdPartitionedNodeYields checks that a restarted controller that reaches none of the others leaves the election
-// to a warm one that sees the leader key disappear.
+// TestColdPartitionedNodeYields checks that a restarted controller that cannot reach any other controller leaves the
+// election to a warm controller, one with an up-to-date replica, that sees the leader key disappear.
 func TestColdPartitionedNodeYields(t *testing.T) {
 	runCluster(t, 51, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -123,9 +124,9 @@
 	})
 }
 
-// TestDelayedElectionTransaction checks the case in which an election transaction of an ended process is applied after
-// the next process of that node has read the log. The leader key then names a running controller that does not lead; it
-// has to revoke that lease, so that the others need not wait for it to expire.
+// TestDelayedElectionTransaction checks the case in which the store applies an election transaction of an ended process
+// after the next process of that node has read the log. The leader key then names a running controller that does not
+// lead. That controller has to revoke the lease of the key, so that the others need not wait for it to expire.
 func TestDelayedElectionTransaction(t *testing.T) {
 	runCluster(t, 54, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -162,8 +163,8 @@
 	})
 }
 
-// TestRequestsBeforeLogLoaded checks that a controller that receives requests before it has loaded the log, right after
-// a restart that no other controller has noticed, reports no job as unknown, ends no agent's lease, and tells clients
+// TestRequestsBeforeLogLoaded checks how a controller answers requests before it has loaded the log, right after a
+// restart that no other controller has noticed: it reports no job as unknown, ends no agent's lease, and tells clients
 // to retry.
 func TestRequestsBeforeLogLoaded(t *testing.T) {
 	runCluster(t, 52, func(w *emulator.Environment) {
@@ -171,7 +172,7 @@
 		w.Submit(newWebService(1, 1, "small"))
 		time.Sleep(20 * time.Second)
 		i := (findLeader() + 1) % 3
-		w.Store.SetLatency(400 * time.Millisecond) // leaves time for requests during the load
+		w.Store.SetLatency(400 * time.Millisecond) // requests arrive while the log is being loaded
 		w.Restart(i, 20*time.Millisecond)
 		time.Sleep(20 * time.Millisecond)
 		node := nodeAt(i)
@@ -199,8 +200,9 @@
 	})
 }
 
-// TestIdleFollowerConnected checks that a follower of an idle log counts as connected to the store. Judged by the age
-// of its replica, it would count as disconnected for a third of the time and forward requests to other controllers.
+// TestIdleFollowerConnected checks that a follower of an idle log counts as connected to the store. Without this, if
+// the age of its replica decided, it would count as disconnected for a third of the time and forward requests to other
+// controllers.
 func TestIdleFollowerConnected(t *testing.T) {
 	runCluster(t, 53, func(w *emulator.Environment) {
 		time.Sleep(30 * time.Second)
@@ -212,7 +214,7 @@
 			}
 		}
 		w.Store.SetOutage(true)
-		time.Sleep(2*followTimeout + linkFreshness) // an open watch may still be answered
+		time.Sleep(2*followTimeout + linkFreshness) // a watch opened before the outage may still be answered
 		if _, connected := follower.forward.routingState(); connected {
 			t.Error("follower counts as connected to the store during an outage")
 		}
@@ -220,9 +222,9 @@
 	})
 }
 
-// TestFailoverTimeline checks that a silent machine with work does not delay an urgent task after a failover: the task
-// is placed while the machine is still being probed, which takes more than a second. All phases of the failover have to
-// be recorded in order.
+// TestFailoverTimeline checks that a silent machine with tasks does not delay an urgent task after a failover: the task
+// is placed while the new leader is still probing the machine, which takes more than a second. All phases of the
+// failover have to be recorded in order.
 func TestFailoverTimeline(t *testing.T) {
 	runCluster(t, 55, func(w *emulator.Environment) {
 		startServices(w, 5)
@@ -247,7 +249,8 @@
 		for phase := range candidacy.AgentsAccounted {
 			after, reached := timeline.ReachedAfter(phase)
 			if !reached || after < last {
-				t.Errorf("phase %s: reached %v after %v, previous phase after %v", phase, reached, after, last)
+				t.Errorf("phase %s: reached %v after %v, want true, not before the previous phase at %v",
+					phase, reached, after, last)
 			}
 			last = after
 		}
@@ -260,9 +263,10 @@
 	})
 }
 
-// TestFailoverDuringZonePartition checks that a new leader does not wait for every machine of a partitioned zone. Once
-// some probes are unanswered and only agents of other zones have been seen, it stops waiting for the zone's machines
-// and probes those of other zones first. Tasks on the partitioned machines stay placed there and are not started again.
+// TestFailoverDuringZonePartition checks that a new leader does not wait for every machine of a partitioned zone. After
+// some unanswered probes, if it has received heartbeats only from agents of other zones, it stops waiting for the
+// zone's machines and probes those of other zones first. The log still places the tasks of the partitioned machines
+// there, and they are not started again.
 func TestFailoverDuringZonePartition(t *testing.T) {
 	defer func(saved int) { maxSilentProbes = saved }(maxSilentProbes)
 	maxSilentProbes = 6
--- a/internal/controller/event_loop_test.go
+++ b/internal/controller/event_loop_test.go
@@ -7,8 +7,8 @@
 	"fieldhill/internal/emulator"
 )
 
-// TestStopDuringLoopRequest checks that postAndWait returns only when the loop has run the work or never will, also
-// when the controller stops meanwhile.
+// TestStopDuringLoopRequest checks that postAndWait returns only after the event loop has run the function, or after
+// the loop has ended without running it, even if the controller stops in the meantime.
 func TestStopDuringLoopRequest(t *testing.T) {
 	runCluster(t, 24, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -22,10 +22,10 @@
 			result = 1
 		})
 		if result != 1 {
-			t.Error("postAndWait returned before the loop had written the result")
+			t.Errorf("got result %d when postAndWait returned, want 1", result)
 		}
 		if nodeAt(0) != nil {
-			t.Error("the controller did not stop")
+			t.Error("the controller is still running after w.Crash")
 		}
 		node.loop.postAndWait(func() { t.Error("work was run by a stopped controller") })
 	})
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -15,8 +15,9 @@
 
 // The tests in this file combine faults with failovers.
 
-// changeLeader injects a random fault that makes the leader change: the leader is restarted, refused by the store, or
-// frozen, with a probability of 1/3 during a store outage. end ends the fault.
+// changeLeader injects a random fault that makes the leader change: it restarts the leader, makes the store refuse the
+// leader's requests, or freezes the leader for 4 s. With a probability of 1/3, a store outage of up to 5.5 s begins at
+// the same time. end makes the store accept the requests again.
 func changeLeader(w *emulator.Environment, rng *rand.Rand) (end func()) {
 	i := leaderOrFirst()
 	if rng.IntN(3) == 0 {
@@ -37,7 +38,8 @@
 
 // TestCancelDuringFailover checks that the tasks of cancelled jobs end in time if jobs are cancelled within seconds of
 // a leader change, while their tasks fetch images or run. The leader changes ten times in two minutes, also during
-// store outages, with and without distributed singleton roles. Tasks that start after the confirmation are counted.
+// store outages, with and without distributed singleton roles. The log of the test states how many tasks started after
+// the cancellation of their job was confirmed.
 func TestCancelDuringFailover(t *testing.T) {
 	defer func() { distributedRoles = false }()
 	for _, distributedRoles = range []bool{false, true} {
@@ -45,7 +47,7 @@
 	}
 }
 
-// cancelDuringFailover runs TestCancelDuringFailover for one setting of distributedRoles.
+// cancelDuringFailover runs TestCancelDuringFailover with the current setting of distributedRoles.
 func cancelDuringFailover(t *testing.T) {
 	cancelled, late := atomic.Int64{}, 0
 	runFaultCombination(t, 1, 70, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -53,7 +55,7 @@
 		terms := map[uint64]bool{}
 		next := 100 // number of the next job
 		for range 10 {
-			for range 6 { // some are fetching images and some are running when the leader changes
+			for range 6 { // some jobs are fetching images and some are running when the leader changes
 				submitAndCancel(w, rng, next, &cancelled)
 				next++
 				time.Sleep(randomMillis(rng, 0, 400))
@@ -75,7 +77,7 @@
 			}
 		}
 		if up := servicesUp(w, 3); up != 3 {
-			t.Errorf("%d of 3 services are running", up)
+			t.Errorf("%d services are running, want 3", up)
 		}
 		late += w.Checker.StartsAfterCancel()
 	})
@@ -85,8 +87,8 @@
 	}
 }
 
-// submitAndCancel submits an array job and cancels it after some seconds, without waiting, and counts confirmed
-// cancellations.
+// submitAndCancel submits array job n and cancels it after some seconds, in the background, and adds a confirmed
+// cancellation to cancelled.
 func submitAndCancel(w *emulator.Environment, rng *rand.Rand, n int, cancelled *atomic.Int64) {
 	j := newHighArray(n, 1+rng.IntN(3), 0.25, 30)
 	j.Image = fmt.Sprint("img-", n%9)
@@ -100,9 +102,9 @@
 	}()
 }
 
-// TestCancelAsStoreRefusesLeader checks that the tasks of every confirmed cancellation end in time if jobs are
-// cancelled at the moment at which the store refuses the leader only. A second later, an outage begins for all
-// controllers that lasts longer than a cancellation may take.
+// TestCancelAsStoreRefusesLeader checks that the tasks of every job whose cancellation is confirmed end in time if the
+// store begins to refuse the leader's requests, but no other controller's, while jobs are being cancelled. A second
+// later, a store outage begins for all controllers that lasts longer than the cancellation deadline.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
 	var confirmed atomic.Int64
 	runFaultCombination(t, 2, 72, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -135,19 +137,19 @@
 		time.Sleep(40 * time.Second)
 		for _, id := range ids[20:] {
 			if w.Checker.Running(id) == 0 {
-				t.Errorf("job %s was not cancelled but is not running", id)
+				t.Errorf("job %s, which was not cancelled, has no running task", id)
 			}
 		}
 	})
 	if confirmed.Load() == 0 {
-		t.Error("no cancellation was confirmed: the fault combination did not occur")
+		t.Error("got 0 confirmed cancellations, want at least 1: the fault combination did not occur")
 	}
 }
 
-// TestStaleReportsAfterFailover checks that stale heartbeats are ignored after a failover. Copies of heartbeats, of
-// machines that were released, rebooted, got a new agent epoch, hang or are suspect, arrive at all controllers just as
-// a new leader begins its term, and shortly before and after. No task may start twice or be started again because of
-// them.
+// TestStaleReportsAfterFailover checks that stale heartbeats are ignored after a failover. Copies of heartbeats from
+// machines that were released, rebooted, got a new agent epoch, hang or are suspect arrive at all controllers just as a
+// new leader begins its term, and shortly before and after. These copies must not cause any task to be started a second
+// time.
 func TestStaleReportsAfterFailover(t *testing.T) {
 	runFaultCombination(t, 2, 74, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 5)
@@ -174,19 +176,20 @@
 		}
 		w.RetainHeartbeats(0)
 		if sent < 40 {
-			t.Errorf("%d copies were sent as a leader began, want at least 40: the fault combination did not occur",
+			t.Errorf("%d copies were sent to a new leader, want at least 40: the fault combination did not occur",
 				sent)
 		}
 		for n := 100; n < next; n++ {
 			waitState(t, w, wire.JobID(uint64(n)), wire.JobDone, 3*time.Minute)
 		}
 		if up := servicesUp(w, 5); up != 5 {
-			t.Errorf("%d of 5 services are running", up)
+			t.Errorf("%d services are running, want 5", up)
 		}
 	})
 }
 
-// disturbMachines reboots an eighth of the machines, hangs an eighth, and reclaims an eighth unless they have tasks.
+// disturbMachines reboots, hangs or reclaims machines, with a probability of 1/8 each; a machine with tasks is not
+// reclaimed.
 func disturbMachines(w *emulator.Environment, rng *rand.Rand) {
 	for _, worker := range w.Cloud.Workers() {
 		switch rng.IntN(8) {
@@ -202,9 +205,9 @@
 	}
 }
 
-// replayAtNextLeader replays the retained heartbeats as soon as a controller other than the old leader leads, and at
-// random before, and returns how many were sent to the new leader. Most machines hang meanwhile, so that the copies
-// arrive before the answers to the new leader's probes.
+// replayAtNextLeader sends the retained heartbeats again as soon as a controller other than the one with index old
+// leads, and at random times before. It returns how many were sent once the new leader led. Most machines hang
+// meanwhile, so that the copies arrive before the answers to the new leader's probes.
 func replayAtNextLeader(w *emulator.Environment, rng *rand.Rand, old int) (sent int) {
 	for _, worker := range w.Cloud.Workers() {
 		if rng.IntN(3) > 0 {
@@ -222,6 +225,7 @@
 	return 0
 }
 
+// quotaTest is the state of TestTeamsAtQuota.
 type quotaTest struct {
 	w    *emulator.Environment
 	rng  *rand.Rand
@@ -232,10 +236,10 @@
 // quotaTeams are the teams that TestTeamsAtQuota keeps at their limits of 24 and 20 CPUs.
 var quotaTeams = []string{"red", "blue"}
 
-// TestTeamsAtQuota checks that no team exceeds its limit if jobs are cancelled while their machines are partitioned or
-// hang and the leader changes, with every team at its limit and more jobs pending. The resources of a cancelled job
-// count until its tasks are proven to have ended, also across the log and its snapshots (compaction runs every few
-// batches). Afterwards each team has to use its whole limit again.
+// TestTeamsAtQuota checks that no team exceeds its limit if jobs are cancelled while machines are partitioned or hang
+// and the leader changes, with every team at its limit and more jobs pending. The resources of a cancelled job count
+// towards the limit until its tasks are proven to have ended. That state must survive in the log and in its snapshots,
+// so the log is compacted every few batches. After the faults, each team has to use its whole limit again.
 func TestTeamsAtQuota(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 5
@@ -286,13 +290,13 @@
 	for _, team := range quotaTeams {
 		limit := teams[slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == team })].CPUsMax
 		if used := q.w.Checker.UsedCPUs(team); used < limit-1.5 {
-			t.Errorf("%s: team %s uses %g of %g CPUs", phase, team, used, limit)
+			t.Errorf("%s: team %s uses %g CPUs, want at least %g", phase, team, used, limit-1.5)
 		}
 	}
 }
 
-// cancelDuringFaults replaces four jobs of each team while machines are partitioned or hang, and restarts the leader.
-// It returns how many tasks of the cancelled jobs were running.
+// cancelDuringFaults cancels four jobs of each team and submits as many new ones while machines are partitioned or
+// hang, and restarts the leader. It returns how many tasks of the cancelled jobs were running.
 func (q *quotaTest) cancelDuringFaults() (running int) {
 	w, rng := q.w, q.rng
 	duration := randomSeconds(rng, 10, 60)
@@ -314,7 +318,7 @@
 			q.open[team] = slices.Delete(q.open[team], k, k+1)
 			running += w.Checker.Running(id)
 			go w.Cancel(id)
-			q.submit(team) // competes with the pending jobs for the freed resources
+			q.submit(team) // this job and the pending ones compete for the freed resources
 		}
 	}
 	time.Sleep(randomMillis(rng, 0, 3000))
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -19,19 +19,19 @@
 type workload struct {
 	class, team, shape, priority string
 	jobsPerSecond                float64
-	from, to                     int   // in seconds of the scenario
+	from, to                     int   // first second of the scenario with jobs, and the first without
 	tasks                        []int // each job has one of these numbers of tasks, chosen at random
 	cpus, runSeconds             float64
 }
 
-// overloadScenario is a workload that exceeds the capacity, with faults injected at certain seconds.
+// overloadScenario is a set of workloads that together exceed the capacity, and the faults injected meanwhile.
 type overloadScenario struct {
 	name          string
-	inCI          bool // also run without -hard
+	inCI          bool // whether the scenario also runs without -hard
 	teams         []config.Team
 	loads         []workload
-	runtimeFactor float64 // actual runtime as a multiple of the estimate; 0 means 1
-	everySecond   func(w *emulator.Environment, second int)
+	runtimeFactor float64                                   // actual runtime as a multiple of the estimate; 0 means 1
+	everySecond   func(w *emulator.Environment, second int) // injects the scenario's faults; called every second
 }
 
 const (
@@ -50,7 +50,8 @@
 	gangLoad  = workload{"sim", "red", wire.Gang, wire.High, 0.06, 0, 240, []int{1, 2}, 8, 20}
 )
 
-// scaled returns the workload with f times the jobs per second, between two seconds of the scenario.
+// scaled returns the workload with f times the jobs per second, limited to the seconds from (inclusive) to to
+// (exclusive) of the scenario.
 func (l workload) scaled(f float64, from, to int) workload {
 	l.jobsPerSecond, l.from, l.to = l.jobsPerSecond*f, from, to
 	return l
@@ -143,7 +144,8 @@
 	},
 }
 
-// reclaimHalfOfTheMachines reclaims every second machine at second 100, when the cloud has little capacity left.
+// reclaimHalfOfTheMachines makes the cloud reclaim every second machine at second 100, when it has little capacity
+// left.
 func reclaimHalfOfTheMachines(w *emulator.Environment, second int) {
 	if second != 100 {
 		return
@@ -196,9 +198,10 @@
 var allScenarios = flag.Bool("hard", false, "run all overload scenarios and measurements, not only those run in CI")
 
 // TestOverloadFairness runs deployments whose workload exceeds their capacity, with additional faults. By the end of a
-// scenario every class and every team must have been served by half, by each measure, where that was feasible. Each
-// scenario takes half a minute under the race detector, so only two run by default: one with a class of few large
-// arrays, and one where a team without a guarantee queues behind a burst.
+// scenario, half of the jobs and half of the tasks of every class and every team must have been served if the capacity
+// was sufficient for that, and services must have been up for half of the time. Each scenario takes half a minute under
+// the race detector, so only two run by default: one with a class of few large arrays, and one in which a team without
+// a guarantee queues behind a burst.
 func TestOverloadFairness(t *testing.T) {
 	for i, scenario := range overloadScenarios {
 		if !*allScenarios && !scenario.inCI {
@@ -212,8 +215,9 @@
 	}
 }
 
-// feasibleShare is the share of the capacity model's CPU time up to which serving half of the work is required. It is
-// below 1 because real machines boot, fetch images and have fragmented capacity.
+// feasibleShare is the largest share of the capacity according to capacityModel that half of the work may need for the
+// test to require that this half is served. It is below 1 because, unlike in the model, machines have to boot and to
+// fetch images, and their capacity is fragmented.
 const feasibleShare = 0.7
 
 // runOverload submits the workloads of a scenario and then checks which jobs were served.
@@ -249,22 +253,24 @@
 	checkHalfServed(t, capacity, "team", teams, func(j demand) string { return j.spec.Team })
 }
 
-// checkLargestServed requires that half of the largest jobs of each class started, and started in time.
+// checkLargestServed requires that, of the largest jobs of each class, at least half started and at most half started
+// late or are still waiting after that time.
 func checkLargestServed(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	for class, l := range w.Checker.LargestByClass(time.Minute) {
 		t.Logf("largest jobs of class %s: %+v", class, *l)
 		if 2*l.Started < l.Jobs {
-			t.Errorf("class %s: only %d of the %d largest jobs started", class, l.Started, l.Jobs)
+			t.Errorf("class %s: %d of the %d largest jobs started, want at least half", class, l.Started, l.Jobs)
 		}
 		if 2*l.Late > l.Jobs {
-			t.Errorf("class %s: %d of the %d largest jobs did not start within four minutes", class, l.Late, l.Jobs)
+			t.Errorf("class %s: %d of the %d largest jobs did not start within four minutes, want at most half",
+				class, l.Late, l.Jobs)
 		}
 	}
 }
 
-// checkHalfServed requires that half of the jobs and half of the tasks of each class or team were served where the
-// capacity model finds that feasible, and that services were up half of the time.
+// checkHalfServed requires that half of the jobs and half of the tasks of each class or team were served, where that is
+// feasible according to the capacity model, and that services were up half of the time.
 func checkHalfServed(
 	t *testing.T,
 	capacity *capacityModel,
@@ -281,7 +287,8 @@
 		jobs, tasks, up := count.Shares()
 		t.Logf("%s %s: %v", kind, name, count)
 		if jobs < 0.5 && needJobs < feasibleShare || tasks < 0.5 && needTasks < feasibleShare || up < 0.5 {
-			t.Errorf("%s %s: less than half was served", kind, name)
+			t.Errorf("%s %s: %.2f of jobs and %.2f of tasks served, services up %.2f of the time; want 0.5 if feasible",
+				kind, name, jobs, tasks, up)
 		}
 	}
 }
@@ -294,11 +301,11 @@
 	runtimeFactor float64   // actual runtime as a multiple of the estimate
 }
 
-// demand is a job in the capacity model.
+// demand is a submitted job in the capacity model.
 type demand struct {
-	second     int // when the job was submitted
+	second     int // second of the scenario at which the job was submitted
 	spec       *wire.JobSpec
-	cpuSeconds float64
+	cpuSeconds float64 // estimated CPU time of all tasks together
 }
 
 // add records a job submitted at a second of the scenario.
@@ -307,9 +314,9 @@
 	c.jobs = append(c.jobs, demand{second, j, float64(j.Tasks) * j.CPUs * taskSeconds})
 }
 
-// requiredShare returns the share of the capacity needed to serve, besides all services, half of the jobs of each class
-// or team (the smallest ones) or half of all tasks. It is the maximum, over all seconds of the scenario, of the work
-// submitted from that second on divided by the capacity from that second on.
+// requiredShare returns the share of the capacity left by all services that is needed to serve half of the jobs of each
+// class or team (the smallest ones) if jobs is set, or else half of the work of all jobs. It is the maximum, over all
+// seconds of the scenario, of the work submitted from that second on divided by the capacity from that second on.
 func (c *capacityModel) requiredShare(nameOf func(demand) string, jobs bool) float64 {
 	byName := map[string][]demand{}
 	left, wanted := slices.Clone(c.available), make([]float64, len(c.available))
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -12,11 +12,12 @@
 	"fieldhill/wire"
 )
 
-// These tests combine two faults each, and check that the combination occurred.
+// The tests in this file combine two faults each, and check that both occurred together.
 
-// TestDelayedStartOfCancelledJob delays a start command to a machine that can then no longer reach the leader, but
-// another controller, which renews its lease. The job is cancelled, and the start arrives after the cancellation
-// deadline. The agent epoch must have ended by then.
+// TestDelayedStartOfCancelledJob delays start commands to the machines of a zone that is then partitioned from the
+// leader, but not from another controller, which renews the machines' leases. The job is cancelled, and the start
+// commands arrive after the cancellation deadline. The agent epoch for which they were sent must have ended by then, so
+// that the agents reject them.
 func TestDelayedStartOfCancelledJob(t *testing.T) {
 	runCluster(t, 40, func(w *emulator.Environment) {
 		startServices(w, 6)
@@ -25,7 +26,7 @@
 			time.Sleep(20 * time.Second)
 		}
 		if l := findLeader(); l == 1 || l < 0 {
-			t.Fatalf("node %d leads", l)
+			t.Fatalf("node %d leads, want node 0 or 2", l)
 		}
 		// Zone b can still reach its own controller, n1, but not the others.
 		machines := zoneMachines(w, "b")
@@ -36,7 +37,7 @@
 		j := newHighArray(500, 4, 0.5, 200)
 		j.Zone = &zone
 		if code := w.Submit(j); code != 201 {
-			t.Fatalf("submission returned status %d", code)
+			t.Fatalf("submission returned status %d, want 201", code)
 		}
 		delayed := waitDelayedCommand(w, zone)
 		partitionZone(w, true)
@@ -44,11 +45,12 @@
 			worker.DelayCommands(0)
 		}
 		if len(machines) == 0 || delayed == 0 {
-			t.Fatalf("%d machines, %d starts are delayed: the fault combination did not occur", len(machines), delayed)
+			t.Fatalf("%d machines, %d starts are delayed, want at least 1 of each: the fault combination did not occur",
+				len(machines), delayed)
 		}
 		time.Sleep(500 * time.Millisecond)
 		if code := w.Cancel(j.ID); code != 200 {
-			t.Fatalf("cancellation returned status %d", code)
+			t.Fatalf("cancellation returned status %d, want 200", code)
 		}
 		time.Sleep(90 * time.Second)
 		partitionZone(w, false)
@@ -61,8 +63,8 @@
 	return slices.DeleteFunc(w.Cloud.Workers(), func(worker *emulator.Worker) bool { return worker.Zone != zone })
 }
 
-// waitDelayedCommand waits for up to four seconds until a command to a machine of the zone is delayed, and returns the
-// largest number of delayed commands on one machine.
+// waitDelayedCommand waits until a command to a machine of the zone is delayed, but at most four seconds. It returns
+// the largest number of delayed commands on one machine.
 func waitDelayedCommand(w *emulator.Environment, zone string) (delayed int) {
 	for range 40 {
 		time.Sleep(100 * time.Millisecond)
@@ -76,8 +78,8 @@
 	return delayed
 }
 
-// runFaultCombination runs f against a separate deployment for each seed, with a random number generator; seedOffset
-// separates its random numbers from those of other tests.
+// runFaultCombination runs f once for each of count seeds, each time against a new deployment and with a random number
+// generator. seedOffset makes its random numbers differ from those of other tests.
 func runFaultCombination(
 	t *testing.T,
 	count, seedOffset uint64,
@@ -92,8 +94,8 @@
 	}
 }
 
-// lastRenewalBy returns when a controller last renewed any agent's lease, in its own time since start, or 0 if it has
-// not renewed any.
+// lastRenewalBy returns the time at which a controller last renewed any agent's lease, as the time since the controller
+// started, or 0 if it has renewed none.
 func lastRenewalBy(node *Controller) (last time.Duration) {
 	node.loop.postAndWait(func() {
 		for _, machine := range node.replica.model.Order {
@@ -103,16 +105,16 @@
 	return last
 }
 
-// controllerTime returns a controller's current time.
+// controllerTime returns the time since a controller started, according to its own clock.
 func controllerTime(node *Controller) (now time.Duration) {
 	node.loop.postAndWait(func() { now = node.now() })
 	return now
 }
 
-// TestCancelledByNewLeaderDuringOutage makes the store refuse only the leader, so that another controller takes over
-// and confirms cancellations. A store outage for all controllers follows that lasts longer than the cancellation
-// deadline, while agents can reach the old leader only. This happens twice. The invariant checker requires that the
-// tasks of cancelled jobs end in time.
+// TestCancelledByNewLeaderDuringOutage makes the store refuse the requests of the leader only, so that another
+// controller takes over and confirms cancellations. A store outage for all controllers follows that lasts longer than
+// the cancellation deadline, while agents can reach the old leader only. The test does this twice. The invariant
+// checker requires that the tasks of cancelled jobs end in time.
 func TestCancelledByNewLeaderDuringOutage(t *testing.T) {
 	runFaultCombination(t, 2, 41, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -123,27 +125,27 @@
 				if rng.IntN(3) == 0 {
 					toGang(j, j.Tasks)
 				}
-				if w.Submit(j) != 201 {
-					t.Fatalf("%s was not accepted", j.ID)
+				if code := w.Submit(j); code != 201 {
+					t.Fatalf("submission of %s returned status %d, want 201", j.ID, code)
 				}
 				ids = append(ids, j.ID)
 			}
 			time.Sleep(10 * time.Second)
 			cancelByNewLeader(t, w, rng, ids[:3], seed%2 == 1)
 			if k := w.Checker.Running(ids[3]); k == 0 {
-				t.Errorf("%s was not cancelled but is not running", ids[3])
+				t.Errorf("%s, which was not cancelled, has no running task", ids[3])
 			}
 			w.Cancel(ids[3])
 		}
 		if k := servicesUp(w, 6); k != 6 {
-			t.Errorf("%d of 6 services are running", k)
+			t.Errorf("%d services are running, want 6", k)
 		}
 	})
 }
 
-// cancelByNewLeader makes the store refuse the leader, cancels jobs through the next leader, and begins an outage
-// during which the agents can reach the old leader only. With restartOthers, the controllers that know of the
-// cancellations are restarted.
+// cancelByNewLeader makes the store refuse the leader's requests, cancels jobs through the next leader, and begins a
+// store outage during which the agents can reach the old leader only. If restartOthers is set, it restarts the
+// controllers that know of the cancellations.
 func cancelByNewLeader(t *testing.T, w *emulator.Environment, rng *rand.Rand, ids []string, restartOthers bool) {
 	t.Helper()
 	old := findLeader()
@@ -154,14 +156,14 @@
 	var cancelledAt time.Duration
 	for i, id := range ids {
 		if code := w.Cancel(id); code != 200 {
-			t.Fatalf("cancellation of %s returned status %d", id, code)
+			t.Fatalf("cancellation of %s returned status %d, want 200", id, code)
 		}
 		if i == 0 {
 			cancelledAt = controllerTime(oldLeader)
 		}
 	}
 	if l := findLeader(); l == old || l < 0 {
-		t.Fatalf("node %d leads", l)
+		t.Fatalf("node %d leads, want a node other than %d", l, old)
 	}
 	time.Sleep(randomMillis(rng, 0, 3000))
 	w.Store.SetOutage(true)
@@ -174,7 +176,8 @@
 	}
 	time.Sleep(65 * time.Second)
 	if last := lastRenewalBy(oldLeader); last <= cancelledAt {
-		t.Errorf("the old leader renewed no lease after the cancellations: the fault combination did not occur")
+		t.Errorf("the old leader last renewed a lease at %v, want after %v: the fault combination did not occur",
+			last, cancelledAt)
 	}
 	w.Store.SetOutage(false)
 	restrictAgentsTo(w, old, false)
@@ -182,8 +185,9 @@
 }
 
 // TestLongOutage runs a store outage that lasts longer than the cancellation deadline. Controllers that can reach each
-// other prove to each other that no cancellation was confirmed that they don't know of, and work continues. If one of
-// them restarted meanwhile or is unreachable, this can't be proven, and the stale renewal limit applies.
+// other prove to each other that no cancellation was confirmed that they don't know of, and tasks keep running. If a
+// controller was restarted during the outage or is unreachable, there is no such proof, and the stale renewal limit
+// applies: all tasks end.
 func TestLongOutage(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -206,24 +210,24 @@
 				c.fault(w, leaderOrFirst())
 				time.Sleep(100 * time.Second)
 				if up := servicesUp(w, 6); c.workGoesOn && up != 6 || !c.workGoesOn && up != 0 {
-					t.Errorf("%d of 6 services are running after 108 s", up)
+					t.Errorf("%d of 6 services are running after 108 s; want all: %v, otherwise none", up, c.workGoesOn)
 				}
 				w.Store.SetOutage(false)
 				partitionControllers(w, false)
 				time.Sleep(30 * time.Second)
 				if up := servicesUp(w, 6); up != 6 {
-					t.Errorf("%d of 6 services are running after the outage", up)
+					t.Errorf("%d services are running after the outage, want 6", up)
 				}
 				if k := w.Checker.Starts() - starts; c.workGoesOn && k != 0 {
-					t.Errorf("%d tasks were restarted", k)
+					t.Errorf("%d tasks were restarted, want none", k)
 				}
 			})
 		})
 	}
 }
 
-// TestRepeatedFailovers checks that no task is restarted while leadership alternates, and while all controllers are
-// killed and started again one by one, also within a second and during an election.
+// TestRepeatedFailovers checks that no task is restarted while leadership moves back and forth, and while all
+// controllers are killed and started again one by one, also within a second and during an election.
 func TestRepeatedFailovers(t *testing.T) {
 	for _, maxPause := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(maxPause), func(t *testing.T) {
@@ -237,21 +241,22 @@
 					time.Sleep(10 * time.Second)
 				}
 				if terms := currentTerm() - firstTerm; terms < 8 {
-					t.Errorf("leadership changed %d times: the fault combination did not occur", terms)
+					t.Errorf("leadership changed %d times, want at least 8: the fault combination did not occur", terms)
 				}
 				time.Sleep(15 * time.Second)
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services are running", k)
+					t.Errorf("%d services are running, want 5", k)
 				}
 				if k := w.Checker.Starts() - starts; k != 0 {
-					t.Errorf("%d tasks were restarted", k)
+					t.Errorf("%d tasks were restarted, want none", k)
 				}
 			})
 		})
 	}
 }
 
-// alternateLeaders makes the store refuse two successive leaders, each until another controller leads.
+// alternateLeaders makes the store refuse the requests of two successive leaders, each for 4.5 s, so that another
+// controller takes over.
 func alternateLeaders(w *emulator.Environment, rng *rand.Rand, maxPause time.Duration) {
 	for range 2 {
 		i := leaderOrFirst()
@@ -262,8 +267,8 @@
 	}
 }
 
-// restartDuringElection kills all controllers and starts them one after the other. The first may be restarted during
-// the election that it has begun.
+// restartDuringElection kills all controllers and starts them one after the other, beginning with the controller with
+// index first%3. In half of the cases, this controller is restarted during the election that it has begun.
 func restartDuringElection(w *emulator.Environment, rng *rand.Rand, maxPause time.Duration, first int) {
 	killAll(w)
 	for i := range 3 {
@@ -277,7 +282,7 @@
 }
 
 // TestDelayedCommands delays direct commands (starts, stops and reaps) and their responses by seconds before the
-// machines execute them, within a term and, for odd seeds, across failovers.
+// machines execute the commands, within a term and, for odd seeds, across failovers. All jobs must end.
 func TestDelayedCommands(t *testing.T) {
 	runFaultCombination(t, 2, 45, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -304,7 +309,7 @@
 			time.Sleep(randomMillis(rng, 0, 3000))
 		}
 		if delayed < 20 {
-			t.Errorf("%d commands were delayed: the fault combination did not occur", delayed)
+			t.Errorf("%d commands were delayed, want at least 20: the fault combination did not occur", delayed)
 		}
 		time.Sleep(60 * time.Second)
 		for _, id := range ids {
@@ -315,7 +320,8 @@
 	})
 }
 
-// submitShortJobs submits four arrays or gangs that run for a few seconds, and returns their IDs.
+// submitShortJobs submits four arrays or gangs, numbered from first, whose tasks run for a few seconds, and returns
+// their IDs.
 func submitShortJobs(w *emulator.Environment, rng *rand.Rand, first int) (ids []string) {
 	for n := first; n < first+4; n++ {
 		j := newJobSpec(n, wire.Array, 1+rng.IntN(3), 1+8*rng.Float64())
@@ -330,13 +336,13 @@
 	return ids
 }
 
-// hangFault is a fault of the cloud or the leader while machines of a partitioned zone hang across the expiry of their
-// leases.
+// hangFault is an additional fault, of the cloud or of the leader, while machines of a partitioned zone hang until
+// their leases have expired.
 type hangFault struct {
 	name  string
 	begin func(w *emulator.Environment)
-	then  func(w *emulator.Environment)
-	waits bool // no task may start elsewhere before then is called
+	then  func(w *emulator.Environment) // called after the leases have expired
+	waits bool                          // whether no task may start on other machines until then is called
 }
 
 // TestFailoverWithUnreachableMachines restarts the leader while machines with long tasks hang or have an inbound
@@ -344,7 +350,7 @@
 func TestFailoverWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		inbound   bool // an inbound partition instead of a hang
+		inbound   bool // whether the machines have an inbound partition instead of hanging
 		duration  time.Duration
 		tasksStay bool
 	}{
@@ -368,8 +374,8 @@
 	}
 }
 
-// failoverWithUnreachableMachines restarts the leader while two of the machines that run six tasks are unreachable, and
-// requires that the tasks stay or are restarted, as tasksStay tells.
+// failoverWithUnreachableMachines makes two of the machines that run the six tasks of a job unreachable and restarts
+// the leader. It requires that no task is restarted if tasksStay is set, and that some are restarted otherwise.
 func failoverWithUnreachableMachines(
 	t *testing.T,
 	w *emulator.Environment,
@@ -382,11 +388,11 @@
 	w.Submit(j)
 	time.Sleep(50 * time.Second)
 	if k := w.Checker.Running(j.ID); k != 6 {
-		t.Fatalf("%d of 6 tasks are running", k)
+		t.Fatalf("%d tasks are running before the fault, want 6", k)
 	}
 	starts, busy := w.Checker.Starts(), busyMachines(w)
 	if len(busy) == 0 {
-		t.Fatal("no machine was unreachable: the fault combination did not occur")
+		t.Fatal("got 0 machines with tasks, want at least 1: the fault combination did not occur")
 	}
 	for _, worker := range busy[:min(2, len(busy))] {
 		makeUnreachable(worker)
@@ -394,20 +400,22 @@
 	w.Restart(leaderOrFirst(), 500*time.Millisecond)
 	time.Sleep(90 * time.Second)
 	if k := w.Checker.Running(j.ID); k != 6 {
-		t.Errorf("%d of 6 tasks are running at the end", k)
+		t.Errorf("%d tasks are running at the end, want 6", k)
 	}
 	if k := w.Checker.Starts() - starts; tasksStay && k != 0 || !tasksStay && k == 0 {
-		t.Errorf("%d tasks were restarted", k)
+		t.Errorf("%d tasks were restarted; want none: %v, otherwise at least one", k, tasksStay)
 	}
 }
 
-// TestStaggeredTaskEndsAcrossFailover runs jobs of two or three tasks that end far apart, with failovers in between. No
-// job may be reported done early, no finished task may run again, and no task may be forgotten.
+// TestStaggeredTaskEndsAcrossFailover runs jobs of two or three tasks whose ends are far apart, with failovers in
+// between. A new leader must not report a job as done before all its tasks have ended, run a finished task again, or
+// lose a task.
 func TestStaggeredTaskEndsAcrossFailover(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	for seed := range seeds(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			compactEvery = int(seed%2) * 5 // the task ends are in the log or in its snapshot
+			// With 5, a new leader may find the task ends in the snapshot; with 0, in the log.
+			compactEvery = int(seed%2) * 5
 			rng := rand.New(rand.NewPCG(seed, 47))
 			runCluster(t, 48+seed, func(w *emulator.Environment) { staggeredTaskEnds(t, w, rng) })
 		})
@@ -435,21 +443,23 @@
 		w.Restart(leaderOrFirst(), randomMillis(rng, 20, 900))
 	}
 	if partlyDone < 3 {
-		t.Errorf("a job was partly done at a failover only %d times: the fault combination did not occur", partlyDone)
+		t.Errorf("%d jobs were partly done at a failover, want at least 3: the fault combination did not occur",
+			partlyDone)
 	}
 	time.Sleep(60 * time.Second)
 	for _, j := range jobs {
 		if code, s := w.Request("poll", j.ID, nil); code != 200 || s.State != wire.JobDone {
-			t.Errorf("%s: %d %+v", j.ID, code, s)
+			t.Errorf("%s: poll returned status %d, %+v; want 200 and state %q", j.ID, code, s, wire.JobDone)
 		}
 		if k := w.Checker.StartsOf(j.ID); k != j.Tasks {
-			t.Errorf("%s: tasks were started %d times, want %d", j.ID, k, j.Tasks)
+			t.Errorf("%s: got %d task starts, want %d", j.ID, k, j.Tasks)
 		}
 	}
 }
 
-// TestSlowThenRefusingStore makes the store slow, then refuse the leader, then fail for all controllers, while users
-// cancel and poll jobs at every controller. The invariant checker verifies that no reported state is retracted.
+// TestSlowThenRefusingStore makes the store slow, then refuse the leader's requests, then fail for all controllers,
+// while users cancel and poll jobs at every controller. The invariant checker verifies that no controller reports an
+// older state of a job than was reported before.
 func TestSlowThenRefusingStore(t *testing.T) {
 	runFaultCombination(t, 1, 49, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -471,7 +481,7 @@
 		close(done)
 		time.Sleep(40 * time.Second)
 		if cancelled, polled := answers.cancelled.Load(), answers.polled.Load(); cancelled < 5 || polled < 100 {
-			t.Errorf("%d cancellations and %d polls were answered: the fault combination did not occur",
+			t.Errorf("%d cancellations, %d polls answered; want at least 5, 100: the fault combination did not occur",
 				cancelled, polled)
 		}
 		for _, id := range ids {
@@ -482,7 +492,8 @@
 	})
 }
 
-// slowThenRefuse makes the store slow, then refuse the leader, and then fail completely for almost a minute.
+// slowThenRefuse makes the store slow, then refuse the leader's requests, and then fail for all controllers for almost
+// a minute.
 func slowThenRefuse(w *emulator.Environment, rng *rand.Rand) {
 	w.Store.SetLatency(randomMillis(rng, 100, 700))
 	time.Sleep(randomMillis(rng, 0, 4000))
@@ -531,8 +542,8 @@
 }
 
 // TestCancelDuringLeaderPartition partitions a leader from the store and the other controllers, but not from its agents
-// and users. Jobs are cancelled through the next leader, which the agents cannot reach for a while. Their tasks must
-// end in time, and the partitioned leader must not report a state that contradicts the cancellations.
+// and users. Jobs are cancelled through the next leader, which the agents cannot reach for a while. The tasks of these
+// jobs must end in time, and the partitioned leader must not report a state that contradicts the cancellations.
 func TestCancelDuringLeaderPartition(t *testing.T) {
 	runFaultCombination(t, 2, 51, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -548,7 +559,7 @@
 				time.Sleep(200 * time.Millisecond)
 			}
 			if code != 200 {
-				t.Fatalf("cancellation returned status %d", code)
+				t.Fatalf("cancellation returned status %d, want 200", code)
 			}
 		}
 		cancelledAt := controllerTime(oldLeader)
@@ -559,23 +570,24 @@
 			}
 		}
 		if last := lastRenewalBy(oldLeader); last <= cancelledAt {
-			t.Errorf("the old leader renewed no lease after the cancellations: the fault combination did not occur")
+			t.Errorf("the old leader last renewed a lease at %v, want after %v: the fault combination did not occur",
+				last, cancelledAt)
 		}
 		w.PartitionFromStoreAndPeers(old, false)
 		restrictAgentsTo(w, old, false)
 		time.Sleep(60 * time.Second)
 		for k := 4; k <= 6; k++ {
-			if w.Checker.Running(wire.JobID(uint64(k))) != 1 {
-				t.Errorf("service %d is not running", k)
+			if running := w.Checker.Running(wire.JobID(uint64(k))); running != 1 {
+				t.Errorf("service %d has %d running replicas, want 1", k, running)
 			}
 		}
 	})
 }
 
-// TestDelayedTransactions checks transactions that get no response and are applied two to twelve seconds later, after
-// newer ones of the same controller, while leaders change, the log is compacted repeatedly, jobs arrive through the
-// intake, and users cancel jobs. Every kind of write must have been delayed, and a controller that reloads everything
-// must know all that was reported.
+// TestDelayedTransactions checks store transactions that get no response and are applied two to twelve seconds later,
+// after newer ones of the same controller, while leaders change, the log is compacted repeatedly, jobs arrive through
+// the intake, and users cancel jobs. Every kind of write must have been delayed at least once. After a restart,
+// controllers that load the log and its snapshot again must know everything that was reported to users.
 func TestDelayedTransactions(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 4
@@ -606,14 +618,14 @@
 		"put f/log", "put f/snap", "put f/meta", "delete f/log", "put f/in", "delete f/in", "put f/term",
 	} {
 		if delayed[kind] == 0 {
-			t.Errorf("no %q transaction was delayed: %v", kind, delayed)
+			t.Errorf("got delayed transactions by kind %v, want at least one %q", delayed, kind)
 		}
 	}
 	t.Log(delayed)
 }
 
-// submitDuringRestarts submits sixty jobs over more than a minute, polls and cancels some of them, and occasionally
-// restarts the leader. It returns the IDs of the jobs.
+// submitDuringRestarts submits sixty jobs over more than a minute, polls and cancels some of them, and restarts the
+// leader now and then. It returns the IDs of the jobs.
 func submitDuringRestarts(w *emulator.Environment, rng *rand.Rand) (ids []string) {
 	for n := 100; n < 160; n++ {
 		j := newJobSpec(n, wire.Array, 1+rng.IntN(2), 2+10*rng.Float64())
@@ -634,9 +646,9 @@
 }
 
 // TestHangAcrossLeaseExpiry hangs machines of a partitioned zone while their leases expire, so that their agents cannot
-// end the tasks, which count as running until the machines recover. The tasks start elsewhere once the cloud has
-// released the machines; not at all during a cloud outage; and if the leader restarts during the release, only once the
-// next leader has the cloud's response.
+// end the tasks, which therefore count as running until the machines recover. The tasks start on other machines once
+// the cloud has released these machines. During a cloud outage, they don't start on other machines at all. If the
+// leader restarts during the release, they start only when the next leader has received the cloud's response.
 func TestHangAcrossLeaseExpiry(t *testing.T) {
 	nothing := func(*emulator.Environment) {}
 	for _, fault := range []hangFault{
@@ -663,14 +675,15 @@
 	t.Helper()
 	machines := zoneWithoutController(w)
 	if len(machines) < 3 {
-		t.Fatalf("%d machines hang: the fault combination did not occur", len(machines))
+		t.Fatalf("%d machines of the zone hold tasks, want at least 3: the fault combination did not occur",
+			len(machines))
 	}
-	zone, blocker := "a", newHighArray(100, 4, 3, 500) // cancelling it frees capacity in the other zone
+	zone, blocker := "a", newHighArray(100, 4, 3, 500) // its cancellation frees capacity in zone a
 	blocker.Zone, blocker.Team = &zone, "blue"
 	w.Submit(blocker)
 	time.Sleep(20 * time.Second)
 	if k := w.Checker.Running(blocker.ID); k != 4 {
-		t.Fatalf("%d of 4 tasks occupy capacity in the other zone", k)
+		t.Fatalf("%d tasks occupy capacity in zone a, want 4", k)
 	}
 	partitionZoneAgents(w, true)
 	time.Sleep(15 * time.Second)
@@ -682,7 +695,8 @@
 	}
 	time.Sleep(28 * time.Second)
 	if k := w.Checker.Starts() - starts; fault.waits != (k == 0) {
-		t.Errorf("%d tasks were started elsewhere after the leases expired, which must be none: %v", k, fault.waits)
+		t.Errorf("%d tasks were started on other machines after the leases expired; want none: %v, otherwise some",
+			k, fault.waits)
 	}
 	fault.then(w)
 	time.Sleep(12 * time.Second)
@@ -690,7 +704,7 @@
 	partitionZoneAgents(w, false)
 	time.Sleep(45 * time.Second)
 	if k := servicesUp(w, 5); k != 5 {
-		t.Errorf("%d of 5 services are running at the end", k)
+		t.Errorf("%d services are running at the end, want 5", k)
 	}
 	if other := otherTaskCounts(w, 6, 12, 2); len(other) > 0 {
 		t.Errorf("jobs without exactly 2 running tasks at the end: %v", other)
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -10,7 +10,7 @@
 	"fieldhill/wire"
 )
 
-// fault is a fault to inject: begin starts it and returns a function that ends it.
+// fault is a fault to inject. begin starts the fault and returns a function that ends it.
 type fault struct {
 	name  string
 	begin func(w *emulator.Environment, rng *rand.Rand) (end func())
@@ -36,7 +36,8 @@
 	}
 }
 
-// faults are the faults that pairs are drawn from. Their order determines what a seed injects.
+// faults are the faults that pairs are drawn from. A seed selects faults by index, so a change of the order changes
+// what each seed injects.
 var faults = []fault{
 	{"store outage", func(w *emulator.Environment, _ *rand.Rand) func() {
 		w.Store.SetOutage(true)
@@ -211,8 +212,8 @@
 }
 
 // TestFaultPairs injects random pairs of faults, the second beginning within a second of the beginning or the end of
-// the first, and restarts controllers in between, while users submit, poll and cancel. All invariants hold, no job is
-// lost, and the cluster recovers.
+// the first, and restarts controllers in between, while users submit, poll and cancel jobs. All invariants must hold,
+// no job may be lost, and the cluster must recover.
 func TestFaultPairs(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	seenPairs := map[string]bool{}
@@ -232,7 +233,8 @@
 	}
 }
 
-// runFaultPairs injects four pairs of faults while users are active, and returns their names.
+// runFaultPairs injects four pairs of faults one after the other while users are active, and returns the names of the
+// pairs.
 func runFaultPairs(t *testing.T, w *emulator.Environment, rng *rand.Rand) (pairs []string) {
 	t.Helper()
 	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
@@ -256,8 +258,8 @@
 	return pairs
 }
 
-// submitPollAndCancel simulates the users of a deployment with three services until done is closed, and returns all
-// jobs.
+// submitPollAndCancel simulates the users of a deployment with three services until done is closed, and returns the IDs
+// of all jobs.
 func submitPollAndCancel(
 	w *emulator.Environment,
 	rng *rand.Rand,
@@ -290,8 +292,8 @@
 	}
 }
 
-// injectPair injects two faults, the second within a second of the beginning or the end of the first, and returns their
-// names when both have ended.
+// injectPair injects two faults, the second within a second of the beginning or the end of the first. When both have
+// ended, it returns the name of the pair.
 func injectPair(w *emulator.Environment, rng *rand.Rand) string {
 	first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
 	duration := randomSeconds(rng, 1, 75)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -24,8 +24,8 @@
 	return busy
 }
 
-// hangBusyMachine makes a machine that holds tasks hang for the given duration, and returns it, or nil if there is
-// none.
+// hangBusyMachine makes a machine that holds tasks hang for the given duration, and returns the machine, or nil if no
+// machine holds tasks.
 func hangBusyMachine(w *emulator.Environment, d time.Duration) *emulator.Worker {
 	busy := busyMachines(w)
 	if len(busy) == 0 {
@@ -35,7 +35,7 @@
 	return busy[0]
 }
 
-// delayCommands delays the direct commands to all machines, and returns a function that removes the delay.
+// delayCommands delays the direct commands to all machines by d, and returns a function that removes the delay.
 func delayCommands(w *emulator.Environment, d time.Duration) (end func()) {
 	all := w.Cloud.Workers()
 	for _, worker := range all {
@@ -48,7 +48,7 @@
 	}
 }
 
-// restrictAgentsTo partitions the agents from all controllers but one, or ends that partition.
+// restrictAgentsTo partitions the agents from all controllers but the one with the given index, or ends that partition.
 func restrictAgentsTo(w *emulator.Environment, node int, on bool) {
 	for k := range 3 {
 		if k != node {
@@ -63,8 +63,8 @@
 	w.PartitionWorkers("b", node, on)
 }
 
-// partitionZone partitions zone b, which is controller 1 and its agents, from controllers 0 and 2 in zone a, or ends
-// that partition.
+// partitionZone partitions zone b, which consists of controller 1 and its agents, from controllers 0 and 2 in zone a,
+// or ends that partition.
 func partitionZone(w *emulator.Environment, on bool) {
 	w.PartitionControllers(0, 1, on)
 	w.PartitionControllers(1, 2, on)
@@ -72,7 +72,7 @@
 	w.PartitionWorkers("b", 2, on)
 }
 
-// partitionControllers partitions the controllers from each other, or ends that partition. The store remains reachable.
+// partitionControllers partitions the controllers from each other but not from the store, or ends that partition.
 func partitionControllers(w *emulator.Environment, on bool) {
 	for k := range 3 {
 		w.PartitionControllers(k, (k+1)%3, on)
@@ -92,7 +92,7 @@
 	}
 }
 
-// crashAll crashes all controllers and waits until they have ended.
+// crashAll crashes all controllers and returns when they have ended.
 func crashAll(w *emulator.Environment) {
 	for i := range 3 {
 		w.Crash(i)
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -23,7 +23,7 @@
 	"fieldhill/wire"
 )
 
-// These tests check size limits with fleets of 4,000 machines and more.
+// The tests in this file check limits on message and record sizes with large numbers of machines or jobs.
 
 // awaitAnyLeader waits until a controller leads, and returns the indexes of the leader and of one follower.
 func awaitAnyLeader(t *testing.T) (leader, follower int) {
@@ -39,7 +39,7 @@
 }
 
 // TestRenewalReportOfLargeZone checks that the leader learns when the leases of a zone of 4,000 machines with names of
-// twenty characters were last renewed, and that the link to the queried controller stays up.
+// twenty characters were last renewed, and that the link to the controller that it asks stays up.
 func TestRenewalReportOfLargeZone(t *testing.T) {
 	const machines = 4000
 	runCluster(t, 61, func(w *emulator.Environment) {
@@ -55,7 +55,7 @@
 		request := &rpc.Request{Op: rpc.OpRenewals, ID: "a", Body: codec.Uint(nil, suspectSeq)}
 		response, err := link.Do(ctx, request)
 		if err != nil || response.Status != http.StatusOK {
-			t.Errorf("renewal query for a large zone: %+v, %v", response, err)
+			t.Errorf("renewal query for a large zone: got response %+v, error %v; want status 200", response, err)
 			return
 		}
 		report, err := lease.ReadReport(response.Body)
@@ -65,17 +65,19 @@
 		}
 		if age := report.RenewalAges[name(machines-1)]; age < (machines-1)*time.Millisecond ||
 			age > (machines+1000)*time.Millisecond {
-			t.Errorf("the lease of the suspect machine was renewed %v ago", age)
+			t.Errorf("the lease of the suspect machine was renewed %v ago, want %v to 1 s more",
+				age, (machines-1)*time.Millisecond)
 		}
 		if time.Since(link.LastResponse()) > linkFreshness {
-			t.Error("the link is down")
+			t.Errorf("last response over the link %v ago, want at most %v",
+				time.Since(link.LastResponse()), linkFreshness)
 		}
 	})
 }
 
-// addRenewedMachines applies machines of zone a to a controller's replica of the log and records lease renewals for
-// them: each machine's renewal is one millisecond older than that of the machine before it. The last machine is
-// suspect, and the sequence number of its suspicion is returned. It must be called on the event loop.
+// addRenewedMachines adds machines of zone a to a controller's replica of the log and records lease renewals for them:
+// each machine's renewal is one millisecond older than that of the machine before it. The last machine is suspect, and
+// the sequence number of its suspicion is returned. addRenewedMachines must be called on the event loop.
 func addRenewedMachines(t *testing.T, n *Controller, machines int, name func(i int) string) (suspectSeq uint64) {
 	t.Helper()
 	const first = 100_000
@@ -94,10 +96,12 @@
 	return n.replica.appliedSeq
 }
 
-// TestQueueListingThroughFollower checks that an operator who asks a follower for the maximum number of jobs gets those
-// that fit into a frame and the number of the others, and that the follower stays connected to the leader.
+// TestQueueListingThroughFollower checks that an operator who asks a follower for the maximum number of pending jobs
+// gets as many jobs as fit into a frame and the number of jobs left out, and that the follower stays connected to the
+// leader.
 func TestQueueListingThroughFollower(t *testing.T) {
-	const jobs, run = 500, 6 // run: how many more the team's limit allows to run
+	// jobs is the number of jobs that stay queued, run the number of further jobs, which run within the team's limit.
+	const jobs, run = 500, 6
 	runCluster(t, 62, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		leader, follower := awaitAnyLeader(t)
@@ -105,7 +109,7 @@
 			job := newWebService(i+1, 4)
 			job.Class = fmt.Sprintf("%s-%04d", strings.Repeat("class", 10), i)
 			if code := w.Submit(job); code != http.StatusOK && code != http.StatusCreated {
-				t.Errorf("job %d: submission returned status %d", i, code)
+				t.Errorf("job %d: submission returned status %d, want 200 or 201", i, code)
 				return
 			}
 		}
@@ -115,27 +119,29 @@
 			var queue wire.Queue
 			code, err := queryAdmin(w, node, wire.PathAdminQueue+fmt.Sprintf("?most=%d", wire.MaxQueued), &queue)
 			if err != nil || code != http.StatusOK {
-				t.Errorf("node %d returned status %d, %v", node, code, err)
+				t.Errorf("node %d returned status %d, error %v; want status 200", node, code, err)
 				continue
 			}
 			if listed := len(queue.Jobs); listed+queue.More != jobs || queue.Tasks != jobs || listed < 100 {
-				t.Errorf("node %d listed %d jobs of %d tasks, and %d more", node, listed, queue.Tasks, queue.More)
+				t.Errorf("node %d listed %d jobs, %d more, %d tasks; want %d jobs and tasks, at least 100 listed",
+					node, listed, queue.More, queue.Tasks, jobs)
 			}
 			if node == leader && queue.More > 0 {
-				t.Errorf("the listing by the leader itself omits %d jobs", queue.More)
+				t.Errorf("the leader's own listing omits %d jobs, want none", queue.More)
 			}
 		}
 		if time.Since(link.LastResponse()) > linkFreshness {
-			t.Error("the link to the leader is down")
+			t.Errorf("last response over the link to the leader %v ago, want at most %v",
+				time.Since(link.LastResponse()), linkFreshness)
 		}
 	})
 }
 
-// listingLeader is the RPC server of a leader to which a provisioner publishes its results.
+// listingLeader is the RPC server of a leader that receives machine listings from a provisioner.
 type listingLeader struct {
 	t         *testing.T
 	term      uint64
-	machines  map[string]bool // machines in all listings
+	machines  map[string]bool // names in all listings received
 	published int             // number of listings received
 }
 
@@ -148,7 +154,8 @@
 	term := r.Uint()
 	result, err := provisioner.ReadResult(r.Data)
 	if err != nil || term != l.term || result.Kind != provisioner.MachinesListed {
-		l.t.Errorf("received %d bytes of term %d: %v", len(request.Body), term, err)
+		l.t.Errorf("got %d bytes of term %d and error %v, want a machine listing of term %d",
+			len(request.Body), term, err, l.term)
 		return &rpc.Response{Status: http.StatusBadRequest}
 	}
 	l.published++
@@ -158,8 +165,9 @@
 	return &rpc.Response{Status: http.StatusOK}
 }
 
-// TestMachineListingPublishedInFull checks that a provisioner that does not lead publishes all machines that the log
-// does not know to the leader. The number of machines per listing was once limited to 300.
+// TestMachineListingPublishedInFull checks that a provisioner that does not lead sends the leader all machines that the
+// log does not know. A limit on the number of machines per listing, for example 300, would withhold the others from the
+// leader.
 func TestMachineListingPublishedInFull(t *testing.T) {
 	const machines = 4000
 	synctest.Test(t, func(t *testing.T) {
@@ -193,12 +201,12 @@
 		}
 		publish(listing)
 		if got := len(leader.machines); got != machines {
-			t.Errorf("the leader received %d of %d machines", got, machines)
+			t.Errorf("the leader received %d machines, want %d", got, machines)
 		}
 		before := leader.published
 		publish(nil)
 		if leader.published != before+1 {
-			t.Errorf("an empty listing was published %d times", leader.published-before)
+			t.Errorf("an empty listing was published %d times, want once", leader.published-before)
 		}
 		stop()
 		time.Sleep(time.Minute)
@@ -206,10 +214,11 @@
 }
 
 // TestClearedMachinesRecordOfLargeFleet checks that the leader learns of all 10,000 machines that reported to a
-// controller that cannot reach it and held no task of a cancelled job. A record of a single 8 KiB value holds only
-// 1,997 of them, and the leader then releases the others.
+// controller that cannot reach the leader and that held no task of a cancelled job. If the record were a single value
+// of 8 KiB, it would contain only 1,997 machines, and the leader would release the others.
 func TestClearedMachinesRecordOfLargeFleet(t *testing.T) {
-	const machines, first = 10_000, 20_000 // varints of three bytes, as in a fleet that is some weeks old
+	// IDs from 20,000 are varints of three bytes, as in a fleet that is some weeks old.
+	const machines, first = 10_000, 20_000
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		network, logger := emulator.NewNetwork(), slog.New(slog.DiscardHandler)
@@ -235,12 +244,13 @@
 		time.Sleep(time.Second)
 		records, err := store.PartitionedNodes(ctx)
 		if err != nil || len(records) != 1 {
-			t.Errorf("got %d records, want 1: %v", len(records), err)
+			t.Errorf("got %d records and error %v, want 1 and none", len(records), err)
 		} else {
 			cleared := decodeCleared(&records[0])
 			for _, machine := range n.replica.model.Order {
 				if !cleared[machine.ID] {
-					t.Errorf("machine %d is not among the %d cleared machines", machine.ID, len(cleared))
+					t.Errorf("got %d cleared machines without machine %d, want all %d",
+						len(cleared), machine.ID, machines)
 					break
 				}
 			}
@@ -250,7 +260,7 @@
 	})
 }
 
-// applyCancelledTasks applies machines to a controller's replica of the log, each with a task of a job that is then
+// applyCancelledTasks adds machines to a controller's replica of the log, each with a task of a job that is then
 // cancelled.
 func applyCancelledTasks(t *testing.T, n *Controller, first, machines int) {
 	t.Helper()
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -29,7 +29,7 @@
 )
 
 // TestGoldenClearedMachines checks that the encoding of the list of cleared machines, which controllers write to the
-// store, is unchanged.
+// store, has not changed.
 func TestGoldenClearedMachines(t *testing.T) {
 	now, settings := time.Now(), emulator.DefaultParams()
 	m, all := model.New(&settings), clearedMachines{}
@@ -61,24 +61,25 @@
 	})
 }
 
-// TestGoldenCommandFates checks the numbers of command fates, which controllers exchange.
+// TestGoldenCommandFates checks the numbers that stand for the command fates in messages between controllers.
 func TestGoldenCommandFates(t *testing.T) {
 	for number, fate := range []agent.CommandFate{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(fate) != number {
-			t.Errorf("fate has number %d, want %d", fate, number)
+			t.Errorf("got number %d for a command fate, want %d", fate, number)
 		}
 	}
 }
 
-// recordingPeer is a controller that runs only queued work, connected to a single peer. The peer records the requests
-// it receives, and the controller regards it as the leader.
+// recordingPeer is a controller that is connected to a single peer and runs the work queued for its event loop, but not
+// the loop's periodic work. The peer records the requests that it receives. The controller regards the peer as the
+// leader.
 type recordingPeer struct {
 	*Controller
 	link     *rpc.Link
 	requests chan *rpc.Request
 }
 
-// withRecordingPeer runs f with a recordingPeer.
+// withRecordingPeer starts a recordingPeer, runs f with it, and stops it.
 func withRecordingPeer(t *testing.T, f func(ctx context.Context, c *recordingPeer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +114,7 @@
 	})
 }
 
-// runQueues runs work queued for the event loop, without the loop's periodic work.
+// runQueues runs the work queued for the event loop until ctx ends, without the loop's periodic work.
 func (c *recordingPeer) runQueues(ctx context.Context) {
 	for {
 		select {
@@ -127,8 +128,8 @@
 	}
 }
 
-// requestSenders returns functions that each make the controller send one kind of request to another controller, in the
-// order of the golden file.
+// requestSenders returns functions that each make the controller send one kind of request to its peer, in the order of
+// the golden file.
 func (c *recordingPeer) requestSenders(ctx context.Context, t *testing.T) []func() {
 	t.Helper()
 	report := &wire.Heartbeat{
@@ -169,9 +170,10 @@
 	}
 }
 
-// TestGoldenPeerRequests checks that the encoding of each request to another controller is unchanged, and that requests
-// in this encoding are accepted. The golden file lists, for each request, its operation number, ID and body, and the
-// status of the answer by this controller, which does not lead. A truncated body has to be rejected as malformed.
+// TestGoldenPeerRequests checks that the encoding of each request to another controller has not changed, and that
+// requests in this encoding are accepted. The golden file lists, for each request, its operation number, ID and body,
+// and the status with which this controller, which does not lead, responds to the request. A truncated body has to be
+// rejected as malformed.
 func TestGoldenPeerRequests(t *testing.T) {
 	var all strings.Builder
 	withRecordingPeer(t, func(ctx context.Context, c *recordingPeer) {
@@ -179,14 +181,14 @@
 			send()
 			time.Sleep(200 * time.Millisecond)
 			if len(c.requests) == 0 {
-				t.Errorf("no request was sent after\n%s", all.String())
+				t.Errorf("got no request after these, want one:\n%s", all.String())
 				continue
 			}
 			request := <-c.requests
 			for len(c.requests) > 0 {
 				<-c.requests
 			}
-			// Only a leader decodes the filter.
+			// Only a leader decodes the filter of a queue request.
 			c.forward.routing.Store(&routingView{leader: "n1", leads: request.Op == rpc.OpQueue})
 			status := c.handlePeerRequest(ctx, request).Status
 			fmt.Fprintf(&all, "%d %q %x -> %d\n", request.Op, request.ID, request.Body, status)
@@ -201,8 +203,8 @@
 	golden.Check(t, "calls.txt", []byte(all.String()))
 }
 
-// registerJob registers a job with the invariant checker and returns its encoded submission, for tests that submit it
-// to a particular controller or expect a refusal.
+// registerJob registers a job with the invariant checker and returns its encoded submission. It is for tests that
+// submit the job to a particular controller or expect a refusal.
 func registerJob(t *testing.T, w *emulator.Environment, s *wire.JobSpec) []byte {
 	t.Helper()
 	w.Checker.RegisterJob(s)
@@ -218,7 +220,7 @@
 	}
 }
 
-// endedError returns an error unless the response to a poll reports a final state.
+// endedError returns an error unless a poll of job id, which returned code and status, reports a final state.
 func endedError(id string, code int, status *wire.JobStatus) error {
 	if code != http.StatusOK || status.State != wire.JobDone && status.State != wire.JobCancelled {
 		return fmt.Errorf("job %s: poll returned status %d, %+v; want a final state", id, code, status)
@@ -232,8 +234,8 @@
 	return endedError(id, code, status)
 }
 
-// pollEndedOrUnknown polls a job and returns an error unless it is done, cancelled or unknown. Whether an unknown job
-// was never accepted is verified by the invariant checker.
+// pollEndedOrUnknown polls a job and returns an error unless it is done, cancelled or unknown. The invariant checker
+// verifies that a job reported as unknown was never accepted.
 func pollEndedOrUnknown(w *emulator.Environment, id string) error {
 	code, status := w.Request("poll", id, nil)
 	if code == http.StatusNotFound {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFrozenLeader checks that a frozen leader is replaced within a lease period and does not act as a leader when it
-// continues: it releases no machine because of heartbeats that it missed while frozen, and no task is started again.
+// continues: it does not release machines whose heartbeats it missed while it was frozen, and no task is started again.
 func TestFrozenLeader(t *testing.T) {
 	runCluster(t, 20, func(w *emulator.Environment) {
 		startServices(w, 6)
@@ -55,9 +55,9 @@
 	time.Sleep(time.Until(began.Add(pause + 10*time.Second)))
 }
 
-// TestElectionUnderPolls checks that status requests received while there is no leader do not delay the election. If
-// each of them reads the end of the log itself, the election waits behind these reads for this controller's share of
-// the store's request rate.
+// TestElectionUnderPolls checks that status requests received while there is no leader do not delay the election. If a
+// controller read the end of the log once per status request, the election would wait behind these reads for the
+// controller's share of the store's request rate.
 func TestElectionUnderPolls(t *testing.T) {
 	runCluster(t, 12, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -66,7 +66,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		w.Store.SetLatency(40 * time.Millisecond)
-		for i := range 3 { // one of them leads
+		for i := range 3 { // in one of the rounds, node i is the leader
 			w.Crash(i)
 			ctx, stop := context.WithCancel(context.Background())
 			for k := range 300 { // users polling while there is no leader
@@ -74,7 +74,7 @@
 				go pollEverySecond(ctx, w, (i+1+k%2)%3, id, delay)
 			}
 			began := time.Now()
-			for { // a cancellation needs a leader
+			for { // a cancellation succeeds only if there is a leader
 				code, _ := w.RequestAt((i+1)%3, "cancel", wire.JobID(uint64(300+i)), nil)
 				if code == 200 {
 					break
@@ -100,12 +100,12 @@
 	}
 }
 
-// TestNewLeaderProbesMachines checks that a new leader probes the machines with tasks, and so can place new tasks long
-// before all of their agents have sent it a heartbeat.
+// TestNewLeaderProbesMachines checks that a new leader probes the machines with tasks, so that it can place new tasks
+// long before all of their agents have sent it a heartbeat.
 func TestNewLeaderProbesMachines(t *testing.T) {
 	runCluster(t, 18, func(w *emulator.Environment) {
 		startServices(w, 5)
-		for i := range 3 { // one of them leads
+		for i := range 3 { // in one of the rounds, node i is the leader
 			checkPlacedAfterCrash(t, w, i, newWebService(10+i, 0.5, "small"))
 			w.Start(i)
 			time.Sleep(10 * time.Second)
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestNewLeaderProbeUnanswered checks that one silent machine with tasks does not keep a new leader from placing new
-// tasks for a whole heartbeat interval, which would be 8.0 s after the crash.
+// TestNewLeaderProbeUnanswered checks that one silent machine with tasks does not prevent a new leader from placing new
+// tasks for a whole heartbeat interval. That would delay them until 8.0 s after the crash.
 func TestNewLeaderProbeUnanswered(t *testing.T) {
 	runCluster(t, 18, func(w *emulator.Environment) {
 		startServices(w, 5)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -17,9 +17,10 @@
 	"fieldhill/wire"
 )
 
-// The tests in this file check limits against fleets larger than those of the cluster tests.
+// The tests in this file check limits with fleets that are larger than those of the tests that run a complete
+// deployment.
 
-// withIdleController runs f with a controller that is limited to the given number of sockets and is not running.
+// withIdleController runs f with a controller that has the given limit of sockets and whose event loop does not run.
 func withIdleController(t *testing.T, sockets int, f func(c *Controller)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,10 +35,10 @@
 	})
 }
 
-// largeFleets are the fleet sizes that limits are tested with.
+// largeFleets are the numbers of machines that limits are tested with.
 var largeFleets = []int{400, 4001, 10_000}
 
-// hostName returns the name of a machine in tests without an emulated cloud.
+// hostName returns the name of machine i in tests without an emulated cloud.
 func hostName(i int) string { return fmt.Sprintf("host-%06d", i) }
 
 // addMachine adds a machine to a controller's model.
@@ -52,8 +53,8 @@
 }
 
 // TestRetentionOfLargeFleet checks that a controller that cannot reach the leader retains each agent that contacts it
-// for a while and then redirects it, for a fleet of any size, without forgetting any of them meanwhile, and that it
-// deletes its entries later.
+// for firstRetention and then redirects it, that it keeps an entry for each agent of a fleet of any size until then,
+// and that it deletes the entries later.
 func TestRetentionOfLargeFleet(t *testing.T) {
 	for _, fleet := range largeFleets {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
@@ -66,7 +67,7 @@
 					}
 					return redirected
 				}
-				countRedirected() // first contact of each agent
+				countRedirected() // this is the first contact of each agent
 				c.runMaintenance()
 				time.Sleep(firstRetention + time.Second)
 				c.runMaintenance()
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestRetentionOfUnknownNamesBounded checks that memory stays bounded if heartbeats arrive under many names that no
-// machine has.
+// TestRetentionOfUnknownNamesBounded checks that the number of entries stays bounded if heartbeats arrive under many
+// names that no machine has.
 func TestRetentionOfUnknownNamesBounded(t *testing.T) {
 	withIdleController(t, 2500, func(c *Controller) {
 		for i := range 200_000 {
@@ -99,8 +100,9 @@
 	})
 }
 
-// TestClearedMachinesOfLargeFleet checks that every machine of a large fleet that has no task of a cancelled job any
-// more is listed as cleared for as long as that is reported, and is removed from the list afterwards.
+// TestClearedMachinesOfLargeFleet checks that every machine of a large fleet whose last heartbeat showed no task of a
+// cancelled job any more is listed as cleared until that heartbeat is too old to be reported, and is removed from the
+// list afterwards.
 func TestClearedMachinesOfLargeFleet(t *testing.T) {
 	for _, fleet := range largeFleets {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
@@ -128,8 +130,7 @@
 	}
 }
 
-// placeAndCancel adds a job to a controller's model that has a task on each of the given number of machines and was
-// cancelled.
+// placeAndCancel adds a cancelled job to a controller's model, with one task on each of the given number of machines.
 func placeAndCancel(t *testing.T, c *Controller, machines int) {
 	t.Helper()
 	job := &wire.JobSpec{ID: wire.JobID(1), Class: "c", Team: "guest", Shape: wire.Array, Priority: wire.Low,
@@ -148,8 +149,8 @@
 	}
 }
 
-// TestSilentZoneDoesNotDelayProbes checks that a machine that cannot reach the controllers but answers probes is probed
-// and not replaced while all machines of another zone are silent and are probed repeatedly.
+// TestSilentZoneDoesNotDelayProbes checks that a machine that cannot reach the controllers but answers probes is
+// probed, and therefore not released, while all machines of another zone are silent and are probed repeatedly.
 func TestSilentZoneDoesNotDelayProbes(t *testing.T) {
 	defer func(saved int) { maxSilentProbes = saved }(maxSilentProbes)
 	maxSilentProbes = 2
@@ -186,8 +187,8 @@
 	})
 }
 
-// TestProbeConcurrencyByMaxSockets checks that the number of suspect machines probed concurrently grows with the socket
-// limit. An unanswered probe holds its slot for more than a second.
+// TestProbeConcurrencyByMaxSockets checks that the number of suspect machines that are probed concurrently grows with
+// the socket limit. An unanswered probe occupies its slot for more than a second.
 func TestProbeConcurrencyByMaxSockets(t *testing.T) {
 	for sockets, atLeast := range map[int]int{800: 32, 3526: 100, 8000: 240} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -214,11 +215,11 @@
 	}
 }
 
-// TestConnectionsStayBelowMaxSockets checks that the connections that a controller may have open as a leader or as a
-// relay leave enough sockets for the store, the cloud and the other controllers. With fewer than 1,250 sockets, the
-// minimum numbers of probes may exceed the limit; idle connections to agents are then closed first.
+// TestConnectionsStayBelowMaxSockets checks that the connections that a controller may have open to agents, as a leader
+// or as a relay, leave enough sockets for the store, the cloud and the other controllers. With fewer than 1,250
+// sockets, the minimum numbers of probes may exceed the limit; idle connections to agents are then closed first.
 func TestConnectionsStayBelowMaxSockets(t *testing.T) {
-	const others = 8 + 4 + 4*4 // the store, the cloud, and other controllers and operators
+	const others = 8 + 4 + 4*4 // sockets for the store, for the cloud, and for other controllers and operators
 	for _, sockets := range []int{1250, 1500, 2500, 2680, 3526, 8000} {
 		for zones := 1; zones <= 3; zones++ {
 			withIdleController(t, sockets, func(c *Controller) {
@@ -227,7 +228,7 @@
 				asLeader := c.connLimiter.MaxConns + max(toAgents, toAgents/2+probes)
 				asRelay := c.connLimiter.MaxConns + max(toAgents, toAgents/2+cap(c.relay.state.probes))
 				if needed := max(asLeader, asRelay) + others; needed > sockets {
-					t.Errorf("%d zones: %d connections, want at most %d", zones, needed, sockets)
+					t.Errorf("%d zones: %d sockets needed, want at most %d", zones, needed, sockets)
 				}
 			})
 		}
@@ -255,8 +256,8 @@
 }
 
 // TestSlowMachineListing checks that a silent machine missing from the cloud's machine listing is released only if it
-// has been known for longer than reading the listing took. For a listing that was read quickly, the default time
-// applies.
+// has been known for longer than reading the listing took. If the listing was read quickly, a fixed minimum time
+// applies instead.
 func TestSlowMachineListing(t *testing.T) {
 	runCluster(t, 92, func(w *emulator.Environment) {
 		startServices(w, 3)
@@ -281,10 +282,10 @@
 			return released
 		}
 		if releasedAfter(30 * time.Second) {
-			t.Error("a machine known for 25 s was released because it is missing from a listing that took 30 s to read")
+			t.Error("machine known for 25 s and missing from a listing read in 30 s was released, want it kept")
 		}
 		if !releasedAfter(time.Second) {
-			t.Error("a silent machine missing from a listing that took 1 s to read was not released")
+			t.Error("machine known for 25 s and missing from a listing read in 1 s was kept, want it released")
 		}
 		time.Sleep(20 * time.Second)
 	})
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -11,12 +11,12 @@
 	"fieldhill/wire"
 )
 
-// These tests combine faults with machine lifecycle events.
+// The tests in this file combine faults with the boot, loss and release of machines.
 
-// TestImmediateBoot checks machines that boot within two seconds, or before the cloud has answered, and get work at
-// once, while transactions are applied late and the leader restarts. Such machines may run tasks before any controller
-// but their leader knows them, while their scale-out request has no response yet. They must be used or released, and no
-// task may start twice.
+// TestImmediateBoot checks machines that boot within two seconds, or before the cloud has answered the scale-out
+// request, and get tasks at once, while transactions are applied late and the leader restarts. Such machines may run
+// tasks while only the leader knows of them, before their scale-out request has a response. They must be used or
+// released, and no task may start twice.
 func TestImmediateBoot(t *testing.T) {
 	var justBooted atomic.Int64
 	runFaultCombination(t, 2, 80, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -32,7 +32,7 @@
 				open = append(open, submitForNewMachine(w, rng, n))
 				n++
 			}
-			for range 40 { // until some have booted
+			for range 40 { // until a machine has booted
 				time.Sleep(50 * time.Millisecond)
 				if len(w.Cloud.Workers()) > before {
 					break
@@ -54,7 +54,7 @@
 		checkConvergence(t, w, open)
 	})
 	if justBooted.Load() < 6 {
-		t.Errorf("%d machines had just booted when their leader restarted: the fault combination did not occur",
+		t.Errorf("%d machines had just booted at leader restarts, want at least 6: fault combination did not occur",
 			justBooted.Load())
 	}
 }
@@ -71,9 +71,9 @@
 	return s.ID
 }
 
-// TestOutboundPartition checks that all jobs run again after agents could not open connections to any controller for
-// longer than a lease, while probes and direct commands reached them. The partition affects one machine, a zone, or all
-// machines; jobs are cancelled during it, and the leader changes.
+// TestOutboundPartition checks that all jobs run again after agents were unable to open connections to any controller
+// for longer than a lease, while probes and direct commands reached the agents. The partition affects one machine, a
+// zone, or all machines. During the partition, jobs are cancelled and the leader changes.
 func TestOutboundPartition(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -91,7 +91,8 @@
 	}
 }
 
-// outboundPartition runs TestOutboundPartition for the busy machines that pick selects.
+// outboundPartition runs TestOutboundPartition with a partition of the busy machines for which pick returns true;
+// partitioned is the number of machines picked before.
 func outboundPartition(
 	t *testing.T,
 	w *emulator.Environment,
@@ -112,12 +113,12 @@
 		}
 	}
 	if partitioned == 0 {
-		t.Fatal("no machine is partitioned: the fault combination did not occur")
+		t.Fatal("got 0 partitioned machines, want at least 1: the fault combination did not occur")
 	}
 	time.Sleep(randomSeconds(rng, 5, 15))
 	for n := 100; n < 103; n++ {
 		if code := w.Cancel(wire.JobID(uint64(n))); code != 200 {
-			t.Errorf("cancellation returned status %d", code)
+			t.Errorf("cancellation returned status %d, want 200", code)
 		}
 	}
 	w.Restart(leaderOrFirst(), 300*time.Millisecond)
@@ -129,16 +130,16 @@
 	}
 	time.Sleep(40 * time.Second)
 	if up := servicesUp(w, 4); up != 4 {
-		t.Errorf("%d of 4 services are running", up)
+		t.Errorf("%d services are running, want 4", up)
 	}
 	if other := otherTaskCounts(w, 103, 107, 2); len(other) > 0 {
 		t.Errorf("jobs without exactly 2 running tasks: %v", other)
 	}
 }
 
-// TestZoneConstrainedJobs checks that arrays, gangs and services that must be in one zone complete there although its
-// machines are reclaimed, hang and reboot, with failovers. There is more work than capacity, and images are fetched
-// over slow links.
+// TestZoneConstrainedJobs checks that arrays and gangs complete although two thirds of them may run in one zone only,
+// and that zone's machines are reclaimed, hang and reboot, with failovers in between. There is more work than capacity,
+// and images are fetched over slow links.
 func TestZoneConstrainedJobs(t *testing.T) {
 	runFaultCombination(t, 1, 84, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		w.Cloud.SetCapacity(2)
@@ -171,7 +172,7 @@
 			}
 		}
 		if lost < 3 {
-			t.Errorf("%d machines of the zone were lost: the fault combination did not occur", lost)
+			t.Errorf("%d machines of the zone were lost, want at least 3: the fault combination did not occur", lost)
 		}
 		w.Checker.MarkFaultsOver()
 		for _, id := range ids {
@@ -180,8 +181,8 @@
 	})
 }
 
-// loseZoneMachines reclaims, hangs or reboots about three quarters of the busy machines of a zone, and returns how
-// many.
+// loseZoneMachines reclaims, hangs or reboots each busy machine of a zone with a probability of 3/4, and returns the
+// number of machines affected.
 func loseZoneMachines(w *emulator.Environment, rng *rand.Rand, zone string) (lost int) {
 	for _, worker := range busyMachines(w) {
 		if worker.Zone != zone {
@@ -201,18 +202,19 @@
 	return lost
 }
 
-// floodJobs is how many jobs TestSubmissionFlood submits, at four per second for two minutes.
+// floodJobs is the number of jobs that TestSubmissionFlood submits, at four per second for two minutes.
 const floodJobs = 480
 
-// submissionFlood is the state of TestSubmissionFlood.
+// submissionFlood counts the requests of TestSubmissionFlood that were slow, refused or unanswered, and all polls.
 type submissionFlood struct {
 	w                                *emulator.Environment
 	slow, refused, unanswered, polls atomic.Int64
 }
 
-// TestSubmissionFlood submits one-task jobs at four per second for two minutes, with the store's rate limits in effect.
-// A quarter of the jobs is cancelled, some of them at the moment of their completion. Each submission must be accepted
-// within a second, polls must be answered, all jobs must end, and the log must not fall behind.
+// TestSubmissionFlood submits one-task jobs at four per second for two minutes, while the store enforces its rate
+// limits. A quarter of the jobs is cancelled, some of them at the moment of their completion. Submissions must be
+// accepted, at most 2 % of them after more than a second; at most 1 % of the polls may be unanswered; all jobs must
+// end; and the queue of log batches must be short at the end.
 func TestSubmissionFlood(t *testing.T) {
 	runFaultCombination(t, 1, 86, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
@@ -228,11 +230,13 @@
 		t.Logf("%d cancelled; %d submissions slow, %d refused; %d of %d polls unanswered",
 			cancelled, slow, refused, unanswered, polls)
 		if cancelled < floodJobs/6 {
-			t.Errorf("%d of %d jobs were cancelled: the fault combination did not occur", cancelled, floodJobs)
+			t.Errorf("%d of %d jobs were cancelled, want at least %d: the fault combination did not occur",
+				cancelled, floodJobs, floodJobs/6)
 		}
 		if slow > floodJobs/50 || refused > 0 || unanswered > polls/100 {
-			t.Errorf("%d submissions took over a second, %d were refused; %d of %d polls were not answered in time",
-				slow, refused, unanswered, polls)
+			t.Errorf("%d submissions took over a second, want at most %d; %d were refused, want none; "+
+				"%d polls were not answered in time, want at most %d",
+				slow, floodJobs/50, refused, unanswered, polls/100)
 		}
 		for n := range floodJobs {
 			if err := pollEnded(w, wire.JobID(uint64(100+n))); err != nil {
@@ -246,13 +250,14 @@
 		leader.loop.postAndWait(func() {
 			if leader.term.ownTerm == nil || len(leader.term.ownTerm.commits.queue) > 2 ||
 				len(leader.replica.model.Jobs) > 3 {
-				t.Errorf("the log has fallen behind: %d jobs are unfinished", len(leader.replica.model.Jobs))
+				t.Errorf("the log has fallen behind: %d unfinished jobs, want at most 3 and at most 2 queued batches",
+					len(leader.replica.model.Jobs))
 			}
 		})
 	})
 }
 
-// pollUntil polls jobs, sixteen times per second, until done is closed.
+// pollUntil polls random jobs, sixteen times per second, until done is closed.
 func (f *submissionFlood) pollUntil(done <-chan struct{}, rng *rand.Rand) {
 	for {
 		select {
@@ -274,7 +279,8 @@
 	}
 }
 
-// submit submits all jobs, and returns how many are cancelled within 8 s after their submission.
+// submit submits all jobs and cancels some of them within 8 s after their submission. It returns the number of jobs
+// that it cancels.
 func (f *submissionFlood) submit(rng *rand.Rand) (cancelled int) {
 	for n := range floodJobs {
 		j := newJobSpec(100+n, wire.Array, 1, 4+10*rng.Float64())
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// TestHungMachine checks that the tasks of a silent machine run elsewhere only once the machine is known to be gone,
-// and that a machine that recovers does not run them twice.
+// TestHungMachine checks that the tasks of a silent machine are not started on another machine while the silent one may
+// still run them, and that a machine that recovers does not run them a second time.
 func TestHungMachine(t *testing.T) {
 	runCluster(t, 4, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -26,8 +26,9 @@
 	})
 }
 
-// TestHungMachineAtFailover checks that a machine that hangs during a failover is replaced as soon as without one,
-// because the new leader probes it. Without the probe it was kept six seconds longer, with its replicas down.
+// TestHungMachineAtFailover checks that a machine that hangs during a failover is released as early as one that hangs
+// without a failover, because the new leader probes it. Without the probe, the machine is kept six seconds longer, and
+// its replicas are down for that time.
 func TestHungMachineAtFailover(t *testing.T) {
 	runCluster(t, 25, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -44,13 +45,13 @@
 		for slices.Contains(w.Cloud.Workers(), hung) && time.Since(began) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if d := time.Since(began); d > 12500*time.Millisecond { // a lease and 7.5 s of silence
-			t.Errorf("the machine was released %v after the leader crashed", d)
+		if d := time.Since(began); d > 12500*time.Millisecond { // a lease period and 7.5 s of silence
+			t.Errorf("the machine was released %v after the leader crashed, want at most 12.5 s", d)
 		}
 	})
 }
 
-// TestFaultyMachine checks that a machine on which every task fails gets no more work and is released.
+// TestFaultyMachine checks that a machine on which every task fails is assigned no more tasks and is released.
 func TestFaultyMachine(t *testing.T) {
 	runCluster(t, 5, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -58,7 +59,7 @@
 		waitState(t, w, "req-000001", wire.JobDone, time.Minute)
 		up := w.Cloud.Workers()
 		if len(up) == 0 {
-			t.Fatal("no machine has booted")
+			t.Fatal("got 0 booted machines, want at least 1")
 		}
 		faulty := up[0]
 		faulty.FailAllTasks()
@@ -69,21 +70,21 @@
 			waitState(t, w, wire.JobID(uint64(n)), wire.JobDone, 2*time.Minute)
 		}
 		if slices.Contains(w.Cloud.Workers(), faulty) {
-			t.Errorf("the faulty machine was not released")
+			t.Errorf("faulty machine %s is still provisioned, want it released", faulty.Name)
 		}
 	})
 }
 
-// TestFaultyJobs checks that failures of several jobs that fail on every machine are attributed to the jobs: only the
-// machine that is really faulty is released, other work continues, and the jobs are retried at a low rate. Two such
-// jobs could otherwise cause the release of every machine that they ran on.
+// TestFaultyJobs checks that, if all tasks of several jobs fail on every machine, the failures are attributed to the
+// jobs: only the machine that is really faulty is released, other work continues, and the jobs are retried at a low
+// rate. Without this, two such jobs can cause the release of every machine that they ran on.
 func TestFaultyJobs(t *testing.T) {
 	runCluster(t, 19, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newReplicatedService(1, 3))
 		w.Submit(newJobSpec(2, wire.Array, 12, 3))
 		waitState(t, w, "req-000002", wire.JobDone, time.Minute)
-		var serving []*emulator.Worker // must not be released
+		var serving []*emulator.Worker // machines that must not be released
 		var faulty *emulator.Worker
 		for _, worker := range w.Cloud.Workers() {
 			if w.Checker.HasTasks(worker.Name) {
@@ -102,7 +103,7 @@
 		}
 		up := w.Cloud.Workers()
 		if slices.Contains(up, faulty) {
-			t.Error("the faulty machine was not released")
+			t.Errorf("faulty machine %s is still provisioned, want it released", faulty.Name)
 		}
 		for _, worker := range serving {
 			if !slices.Contains(up, worker) {
@@ -113,7 +114,7 @@
 			checkRetryRate(t, w, wire.JobID(uint64(n)))
 		}
 		if n := w.Checker.Running("req-000001"); n != 3 {
-			t.Errorf("%d of 3 replicas are running", n)
+			t.Errorf("%d replicas are running, want 3", n)
 		}
 	})
 }
@@ -136,15 +137,15 @@
 	before := w.Checker.StartsOf(id)
 	time.Sleep(10 * time.Second)
 	if k := w.Checker.StartsOf(id) - before; k > 3 {
-		t.Errorf("%s was started %d times within 10 s", id, k)
+		t.Errorf("%s was started %d times within 10 s, want at most 3", id, k)
 	}
 	if c := w.Cancel(id); c != 200 {
-		t.Errorf("cancellation of %s returned status %d", id, c)
+		t.Errorf("cancellation of %s returned status %d, want 200", id, c)
 	}
 }
 
-// TestBootFaults checks that machines that boot before the cloud has answered are adopted once, that those that fail to
-// boot are replaced and released, and that work continues.
+// TestBootFaults checks that a machine that boots before the cloud has answered the scale-out request is counted once,
+// that a machine that fails to boot is replaced and released, and that work continues.
 func TestBootFaults(t *testing.T) {
 	runCluster(t, 22, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -156,7 +157,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		if k := w.Cloud.Launched(); k != 4 {
-			t.Errorf("%d machines were provisioned for four services", k)
+			t.Errorf("%d machines were provisioned for four services, want 4", k)
 		}
 		w.Cloud.SetBootFaults(1, 2)
 		for n := 5; n <= 8; n++ {
@@ -170,13 +171,13 @@
 		}
 		time.Sleep(60 * time.Second)
 		if k := len(w.Cloud.Workers()); k != 8 {
-			t.Errorf("%d machines remain for eight services", k)
+			t.Errorf("%d machines remain for eight services, want 8", k)
 		}
 	})
 }
 
-// TestDelayedMachineDeletion checks that a machine deletion requested by one leader and carried out under the next
-// interrupts no work, because the release is logged and the machine is assigned no tasks.
+// TestDelayedMachineDeletion checks that a machine deletion that one leader requests and the cloud carries out under
+// the next leader interrupts no task: the release is in the log, so neither leader assigns tasks to the machine.
 func TestDelayedMachineDeletion(t *testing.T) {
 	runCluster(t, 21, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -194,7 +195,7 @@
 		time.Sleep(40 * time.Second)
 		for n := 2; n <= 6; n++ {
 			if k := w.Checker.StartsOf(wire.JobID(uint64(n))); k != 1 {
-				t.Errorf("service %d was started %d times", n, k)
+				t.Errorf("service %d was started %d times, want once", n, k)
 			}
 		}
 	})
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestZonePartition checks that agents that cannot reach the leader, but another controller, keep their tasks running,
-// and that a job cancelled during the partition loses its tasks there in time.
+// TestZonePartition checks that agents that cannot reach the leader but can reach another controller keep their tasks
+// running, and that the tasks of a job cancelled during the partition end there in time.
 func TestZonePartition(t *testing.T) {
 	runCluster(t, 6, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -31,7 +31,7 @@
 		partition(false)
 		time.Sleep(20 * time.Second)
 		if n := w.Checker.Running("req-000002"); n != 0 {
-			t.Errorf("%d replicas of the cancelled service are running", n)
+			t.Errorf("%d replicas of the cancelled service are running, want none", n)
 		}
 		for _, n := range []uint64{1, 3, 4} {
 			if k := w.Checker.Running(wire.JobID(n)); k != 2 {
@@ -39,19 +39,19 @@
 			}
 		}
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were restarted", k)
+			t.Errorf("%d tasks were restarted, want none", k)
 		}
 	})
 }
 
-// TestZoneFullyPartitioned checks that work in a partitioned zone, including its controller, continues for the stale
-// renewal limit and ends with its agents' leases. Only then does it start elsewhere, and the machines are used again
-// after the partition.
+// TestZoneFullyPartitioned checks that, if a zone and its controller are partitioned from everything else, tasks in the
+// zone keep running for the stale renewal limit and end when their agents' leases expire. Only then do they start in
+// another zone. After the partition, the zone's machines are used again.
 func TestZoneFullyPartitioned(t *testing.T) {
 	runCluster(t, 14, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		zone := "b"
-		for n := 1; n <= 7; n++ { // one machine each; three must be in zone b
+		for n := 1; n <= 7; n++ { // each service needs a machine of its own; three must run in zone b
 			s := newWebService(n, 3, "small")
 			if n <= 3 {
 				s.Zone = &zone
@@ -70,14 +70,14 @@
 		partition(true)
 		time.Sleep(35 * time.Second)
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were restarted within the stale renewal limit", k)
+			t.Errorf("%d tasks were restarted within the stale renewal limit, want none", k)
 		}
 		time.Sleep(50 * time.Second) // the zone is still partitioned
 		if other := otherTaskCounts(w, 4, 7, 1); len(other) > 0 {
 			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k == 0 {
-			t.Error("no task was restarted in another zone")
+			t.Error("0 tasks were restarted in another zone, want at least 1")
 		}
 		partition(false)
 		time.Sleep(40 * time.Second)
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestPartitionedZoneNotReleased checks that a leader elected during the partition does not release the machines of the
-// zone, which are empty according to the log and have not sent it a heartbeat.
+// TestPartitionedZoneNotReleased checks that a leader elected while a zone is partitioned does not release the zone's
+// machines, which are empty according to the log and have not sent this leader a heartbeat.
 func TestPartitionedZoneNotReleased(t *testing.T) {
 	runCluster(t, 15, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -123,7 +123,7 @@
 			delete(lost, worker.Name)
 		}
 		if len(lost) > 0 {
-			t.Errorf("machines %v were released during the partition", lost)
+			t.Errorf("machines %v were released during the partition, want none", lost)
 		}
 		partition(false)
 		time.Sleep(40 * time.Second)
@@ -131,14 +131,14 @@
 }
 
 // TestLeaderLosesStore checks that a leader that has lost only its connection to the store forwards users' requests to
-// the new leader. Otherwise it refuses all requests until it can read the log again, while the load balancer still
+// the next leader. Without this, it refuses all requests until it can read the log again, while the load balancer still
 // routes users to it.
 func TestLeaderLosesStore(t *testing.T) {
 	runCluster(t, 16, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
 		w.Submit(newReplicatedService(1, 2))
 		time.Sleep(20 * time.Second)
-		for i := range 3 { // one of them leads
+		for i := range 3 { // in one of the rounds, node i is the leader
 			w.PartitionStore(i, true)
 			time.Sleep(8 * time.Second)
 			for k := range 5 {
@@ -146,35 +146,35 @@
 				time.Sleep(time.Second)
 			}
 			if code, _ := w.RequestAt(i, "cancel", wire.JobID(uint64(10+10*i)), nil); code != 200 {
-				t.Errorf("node %d: cancellation returned status %d", i, code)
+				t.Errorf("node %d: cancellation returned status %d, want 200", i, code)
 			}
 			w.PartitionStore(i, false)
 			time.Sleep(20 * time.Second)
 		}
 		if k := w.Checker.Running("req-000001"); k != 2 {
-			t.Errorf("%d of 2 replicas are running", k)
+			t.Errorf("%d replicas are running, want 2", k)
 		}
 	})
 }
 
-// checkRequestsForwarded requires that a controller without access to the store answers a submission and a poll, the
-// submission within 500 ms.
+// checkRequestsForwarded requires that a controller without access to the store accepts a submission, within 500 ms,
+// and answers a poll of the job.
 func checkRequestsForwarded(t *testing.T, w *emulator.Environment, node int, s *wire.JobSpec) {
 	t.Helper()
 	body, began := registerJob(t, w, s), time.Now()
 	if code, _ := w.RequestAt(node, "submit", s.ID, body); code != 201 {
-		t.Errorf("node %d: submission returned status %d", node, code)
+		t.Errorf("node %d: submission returned status %d, want 201", node, code)
 	}
 	if d := time.Since(began); d > 500*time.Millisecond {
-		t.Errorf("node %d: submission took %v", node, d)
+		t.Errorf("node %d: submission took %v, want at most 500 ms", node, d)
 	}
 	if code, _ := w.RequestAt(node, "poll", s.ID, nil); code != 200 {
-		t.Errorf("node %d: poll returned status %d", node, code)
+		t.Errorf("node %d: poll returned status %d, want 200", node, code)
 	}
 }
 
-// TestLeaderLosesWorkers checks that a leader that no agent can reach hands over to a controller that they can reach,
-// before their leases expire.
+// TestLeaderLosesWorkers checks that a leader that no agent can reach hands leadership over to a controller that agents
+// can reach, before the agents' leases expire.
 func TestLeaderLosesWorkers(t *testing.T) {
 	savedThreshold := *relayThreshold
 	defer func() { *relayThreshold = savedThreshold }()
@@ -184,7 +184,7 @@
 		submitOnePerMachine(w)
 		time.Sleep(40 * time.Second)
 		starts := w.Checker.Starts()
-		for i := range 3 { // one of them leads
+		for i := range 3 { // in one of the rounds, node i is the leader
 			led := findLeader() == i
 			partitionAgents(w, i, true)
 			began := time.Now()
@@ -192,7 +192,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			if d := time.Since(began); d > 5500*time.Millisecond { // a heartbeat interval and 1.5 s for responses
-				t.Errorf("node %d led for %v after the partition began", i, d)
+				t.Errorf("node %d led for %v after the partition began, want at most 5.5 s", i, d)
 			}
 			time.Sleep(time.Until(began.Add(40 * time.Second)))
 			partitionAgents(w, i, false)
@@ -202,7 +202,7 @@
 			t.Errorf("services without exactly 1 running replica: %v", other)
 		}
 		if k := w.Checker.Starts() - starts; k != 0 {
-			t.Errorf("%d tasks were restarted", k)
+			t.Errorf("%d tasks were restarted, want none", k)
 		}
 	})
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -21,7 +21,8 @@
 // defaultSeeds is the number of seeds that TestRandomFaults runs with in CI.
 const defaultSeeds = 8
 
-// seeds returns the seeds of a random test: count by default, or as many as the flags request.
+// seeds returns the seeds of a randomized test, beginning with the one set with -from: count seeds, or the number set
+// with -days.
 func seeds(count uint64) func(yield func(uint64) bool) {
 	end := *firstSeed + count
 	if *seedCount != defaultSeeds {
@@ -35,8 +36,9 @@
 
 // TestRandomFaults injects every fault of the emulator, at random but with fixed seeds, and checks that the invariants
 // hold and that the deployment converges afterwards. Every other seed compacts the log every few batches: with the
-// default interval most runs would not compact it at all, and would miss faults such as a compaction that deletes too
-// much after a failover. Half of the seeds distribute the singleton roles, and two of three assign agents to relays.
+// default interval most runs would not compact it at all, and would not detect faults such as a compaction that deletes
+// too much after a failover. Half of the seeds distribute the singleton roles, and two of three assign agents to
+// relays.
 func TestRandomFaults(t *testing.T) {
 	savedThreshold := *relayThreshold
 	defer func() { compactEvery, distributedRoles, *relayThreshold = 0, false, savedThreshold }()
@@ -58,13 +60,14 @@
 	open []string // IDs of submitted jobs
 }
 
-// runRandomFaults injects random submissions, polls, cancellations and faults for some minutes, then ends all faults
+// runRandomFaults submits, polls and cancels jobs and injects faults at random for some minutes, then ends all faults
 // and checks that the deployment converges.
 func runRandomFaults(t *testing.T, w *emulator.Environment, rng *rand.Rand) {
 	t.Helper()
 	endBackground := backgroundFaults(w, rand.New(rand.NewPCG(rng.Uint64(), 10)))
 	w.SetFaults(0.1, 20*time.Second)
-	// Enforced by the store, so that a restarted controller does not get the rate used by its predecessor again.
+	// The store enforces the rate limits, because a restarted controller does not know how much of its rate the
+	// ended process has used.
 	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
 	time.Sleep(6 * time.Second)
 	run := &randomRun{w: w, rng: rng, up: []bool{true, true, true}}
@@ -110,8 +113,9 @@
 	go r.w.Submit(s)
 }
 
-// randomFaults are the faults from which each step of a run draws one; i is the controller that it affects, if any.
-// Faults that last are ended by other entries. The order determines what a seed does; nil does nothing.
+// randomFaults are the faults from which each step of a run draws one; i is the index of the controller that the fault
+// affects, if any. Lasting faults are ended by other entries. Entries that are nil do nothing. A seed selects faults by
+// index, so a change of the order changes what each seed injects.
 var randomFaults = [23]func(r *randomRun, i int){
 	0:  (*randomRun).toggleController,
 	1:  (*randomRun).toggleController,
@@ -146,7 +150,8 @@
 	r.up[i] = !r.up[i]
 }
 
-// restartRepeatedly restarts controller i up to three times, each time within a fraction of a second.
+// restartRepeatedly restarts controller i up to three times, each time within a fraction of a second, unless it is
+// stopped.
 func (r *randomRun) restartRepeatedly(i int) {
 	for range 1 + r.rng.IntN(3) {
 		if r.up[i] {
@@ -236,10 +241,10 @@
 	}
 }
 
-// backgroundFaults starts the faults that are independent of the steps of a random run: inbound partitions of a machine
-// or a zone, heartbeats duplicated with a delay of seconds up to twice the lease duration, controllers partitioned from
-// the store and from their peers but not from agents, and machines that reboot quickly and keep their names. end ends
-// all of them.
+// backgroundFaults starts the faults that are injected independently of the steps of a random run: inbound partitions
+// of a machine or a zone, heartbeats duplicated with a delay of seconds up to twice the lease duration, controllers
+// partitioned from the store and from their peers but not from agents, and machines that reboot quickly and keep their
+// names. end ends all these faults.
 func backgroundFaults(w *emulator.Environment, rng *rand.Rand) (end func()) {
 	var ended atomic.Bool
 	if rng.IntN(2) == 0 {
@@ -270,7 +275,8 @@
 	}
 }
 
-// injectBackgroundFault injects a random fault of backgroundFaults, which ends after at most a minute.
+// injectBackgroundFault injects a random one of the faults listed at backgroundFaults. The fault ends after at most a
+// minute.
 func injectBackgroundFault(w *emulator.Environment, rng *rand.Rand, all []*emulator.Worker) {
 	target, wholeZone, i := all[rng.IntN(len(all))], rng.IntN(4) == 0, rng.IntN(3)
 	duration := randomSeconds(rng, 0, 60)
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -26,14 +26,14 @@
 
 const (
 	firstFinishedJob = 100_000 // number of the first finished job
-	statusPollers    = 300     // users polling job status
-	liveJobPollers   = 60      // of these, those polling running jobs
+	statusPollers    = 300     // number of users that poll a job's status
+	liveJobPollers   = 60      // number of statusPollers that poll a running job
 )
 
-// TestStatusAfterFullRestart checks that, after a restart of all controllers at once, the status of every job is
-// answered within a time limit, both of live jobs and of those that finished long ago. All users poll at the same time,
-// the store enforces its rate limits, and a snapshot with many finished jobs has to be read. One case has a store with
-// thirty times the default latency. docs/DESIGN.md ("Known") derives the worst case.
+// TestStatusAfterFullRestart checks that, after a restart of all controllers at once, status requests are answered
+// within a time limit, both for live jobs and for jobs that finished long ago. All users poll at the same time, the
+// store enforces its rate limits, and a snapshot with many finished jobs has to be read. In one case, the store has
+// thirty times the default latency. The section "Known" of docs/DESIGN.md derives the worst case.
 func TestStatusAfterFullRestart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -64,8 +64,8 @@
 	}
 }
 
-// startWithHistory starts services, and array jobs for the additional machines, and makes the leader write a snapshot
-// with many finished jobs.
+// startWithHistory starts six services, submits array jobs for the additional machines, and makes the leader write a
+// snapshot with many finished jobs.
 func startWithHistory(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
@@ -91,13 +91,14 @@
 	time.Sleep(20 * time.Second)
 }
 
-// answeredPolls counts answered polls and records the longest time that a user was without an answer.
+// answeredPolls counts answered polls and records the longest time for which a user received no answer.
 type answeredPolls struct {
 	mu         sync.Mutex
 	answered   int
 	longestGap time.Duration
 }
 
+// add adds to the number of answered polls and records that a user received no answer for the time gap.
 func (p *answeredPolls) add(answers int, gap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +106,8 @@
 	p.longestGap = max(p.longestGap, gap)
 }
 
-// pollAllAfterRestart simulates users that each poll a job about every five seconds, for forty seconds.
+// pollAllAfterRestart simulates users that each poll one job about every five seconds, for forty seconds, and returns
+// the counts for all users together.
 func pollAllAfterRestart(t *testing.T, w *emulator.Environment) *answeredPolls {
 	t.Helper()
 	began, polls := time.Now(), &answeredPolls{}
@@ -126,7 +128,8 @@
 	return polls
 }
 
-// pollAfterRestart polls a job until forty seconds after the restart.
+// pollAfterRestart polls a job until forty seconds after the restart, which was at the time began, and records the
+// answers in polls.
 func pollAfterRestart(
 	t *testing.T,
 	w *emulator.Environment,
@@ -148,16 +151,16 @@
 				t.Errorf("job %s is reported as %s, want %s", id, s.State, wire.JobDone)
 			}
 		case http.StatusNotFound:
-			t.Errorf("job %s is reported as unknown", id)
+			t.Errorf("job %s is reported as unknown, want its status", id)
 		}
 		time.Sleep(5 * time.Second)
 	}
 	polls.add(0, time.Since(lastAnswer))
 }
 
-// TestPollsDuringSubmissionFlood: no poll waits behind submissions. While the leader is not reachable and hundreds of
-// users submit at once, far more than the intake may accept, the polls of others are answered; a poll that was held to
-// the limit of submissions would be refused with them.
+// TestPollsDuringSubmissionFlood checks that polls don't wait behind submissions. While the other controllers cannot
+// reach the leader, hundreds of users submit jobs at the same time, far more than the intake may accept, and the polls
+// of other users have to be answered. If polls counted towards the limit on submissions, they would be refused too.
 func TestPollsDuringSubmissionFlood(t *testing.T) {
 	runCluster(t, 60, func(w *emulator.Environment) {
 		w.Store.SetRateLimits(w.Params.KVStore.RPS, w.Params.KVStore.WriteRPS)
@@ -167,7 +170,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		old := findLeader()
-		for k := range 3 { // it leads on, and nobody reaches it
+		for k := range 3 { // the leader continues to lead, but no other controller reaches it
 			if k != old {
 				w.PartitionControllers(old, k, true)
 			}
@@ -193,10 +196,11 @@
 		}
 		stop()
 		if refused.Load() < 100 {
-			t.Errorf("%d submissions were refused: there was no flood", refused.Load())
+			t.Errorf("%d submissions were refused, want at least 100: there was no flood", refused.Load())
 		}
-		if answered < polls-2 || slowest > 2*time.Second { // users wait for two seconds
-			t.Errorf("%d of %d polls were answered, the slowest after %v", answered, polls, slowest)
+		if answered < polls-2 || slowest > 2*time.Second { // users wait two seconds for an answer
+			t.Errorf("%d of %d polls were answered, want at least %d; the slowest after %v, want at most 2 s",
+				answered, polls, polls-2, slowest)
 		}
 		for k := range 3 {
 			w.PartitionControllers(old, (old+k)%3, false)
@@ -205,7 +209,8 @@
 	})
 }
 
-// submitEverySecond submits a job at a controller until it is accepted or the context ends, and counts the refusals.
+// submitEverySecond submits a job to the given controller until it is accepted or the context ends, and adds the
+// refusals to refused.
 func submitEverySecond(
 	ctx context.Context,
 	w *emulator.Environment,
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -18,8 +18,8 @@
 	"fieldhill/wire"
 )
 
-// withRelays runs f against a deployment whose agents are distributed across three controllers, with a service on each
-// of twelve machines.
+// withRelays runs f against a deployment that assigns agents to all three controllers, with a service on each of twelve
+// machines.
 func withRelays(t *testing.T, seed uint64, f func(w *emulator.Environment)) {
 	t.Helper()
 	savedThreshold := *relayThreshold
@@ -43,16 +43,17 @@
 	}
 }
 
-// agentsPerNode returns how many agents report through each controller, the leader first, according to the leader's
-// relay table.
+// agentsPerNode returns the number of agents that report through each controller according to the leader's relay table,
+// the leader first.
 func agentsPerNode(leader *Controller) (perNode []int) {
 	leader.loop.postAndWait(func() { perNode = append(perNode, leader.term.ownTerm.assignments.table.Counts()...) })
 	return perNode
 }
 
-// TestRelayFaults checks that agents are distributed evenly, and that no task is restarted, no lease expires and new
-// work starts while the leader or a relay restarts, a controller is partitioned from the agents, a relay from the
-// leader or from the store and all peers, or the leader is frozen.
+// TestRelayFaults checks that agents are distributed evenly over the controllers. It also checks that no task is
+// restarted, no lease expires and new work starts during each of these faults: the leader or a relay restarts, a
+// controller is partitioned from the agents, a relay is partitioned from the leader or from the store and all peers, or
+// the leader is frozen.
 func TestRelayFaults(t *testing.T) {
 	n := 100
 	for name, begin := range map[string]func(w *emulator.Environment, leader, follower int) (end func()){
@@ -89,7 +90,7 @@
 			withRelays(t, 61, func(w *emulator.Environment) {
 				leader := findLeader()
 				if c := agentsPerNode(nodeAt(leader)); slices.Min(c) < 3 || slices.Max(c) > 10 {
-					t.Errorf("agents are not distributed evenly, by node: %v", c)
+					t.Errorf("agents by node: got %v, want 3 to 10 at each", c)
 				}
 				starts := w.Checker.Starts()
 				end := begin(w, leader, (leader+1)%3)
@@ -110,8 +111,8 @@
 }
 
 // TestRelayRenewsLeases checks that no agent loses its lease while the leader is too slow to answer heartbeats for the
-// duration of several leases. Relays renew the leases themselves, within the stale renewal limit, and send stops for
-// cancelled jobs.
+// duration of several leases. During that time, the relays renew the leases without the leader, within the stale
+// renewal limit, and send stop commands for the tasks of cancelled jobs.
 func TestRelayRenewsLeases(t *testing.T) {
 	withRelays(t, 62, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -119,7 +120,7 @@
 		starts := w.Checker.Starts()
 		for began := time.Now(); time.Since(began) < 80*time.Second; time.Sleep(100 * time.Millisecond) {
 			if findLeader() != leaderIndex {
-				t.Error("the leader was replaced: the slow leader was not tested")
+				t.Error("the leader was replaced, want the slow one to stay leader: the slow leader was not tested")
 				break
 			}
 			leader.loop.post(func() { time.Sleep(2300 * time.Millisecond) })
@@ -129,15 +130,16 @@
 			answered += nodeAt(i).metrics.AnsweredLocally.Get()
 		}
 		if answered < 10 {
-			t.Errorf("relays answered only %d heartbeats themselves: renewal by relays was not tested", answered)
+			t.Errorf("relays answered %d heartbeats without the leader, want at least 10: renewal was not tested",
+				answered)
 		}
 		time.Sleep(20 * time.Second)
 		checkEpochsUnchanged(t, w, starts, "slow leader")
 	})
 }
 
-// TestRelayRenewalBound checks that a relay that cannot reach the log renews leases no longer than any other
-// controller, and that a heartbeat relayed to a controller that does not lead is answered as such.
+// TestRelayRenewalBound checks that a relay that cannot read the log stops renewing leases after the stale renewal
+// limit, as any other controller does. It also checks that a controller that does not lead rejects a relayed heartbeat.
 func TestRelayRenewalBound(t *testing.T) {
 	withRelays(t, 63, func(w *emulator.Environment) {
 		leader := findLeader()
@@ -150,24 +152,26 @@
 			Body: relay.AppendReport(nil, report),
 		}
 		if r := node.handlePeerRequest(context.Background(), request); r.Status != http.StatusGone {
-			t.Errorf("node that does not lead answered a relayed heartbeat with status %d", r.Status)
+			t.Errorf("node that does not lead answered a relayed heartbeat with status %d, want %d",
+				r.Status, http.StatusGone)
 		}
 		request.Body = request.Body[1:]
 		if r := nodeAt(leader).handlePeerRequest(context.Background(), request); r.Status != http.StatusBadRequest {
-			t.Errorf("malformed heartbeat was answered with status %d", r.Status)
+			t.Errorf("malformed heartbeat was answered with status %d, want %d", r.Status, http.StatusBadRequest)
 		}
 		w.PartitionFromStoreAndPeers(relayIndex, true)
 		time.Sleep(node.settings.StaleRenewalLimit() + 2*time.Second)
 		r := api.Respond(node.heartbeatRouter.renewRelayed(context.Background(), report))
 		if r.Status == http.StatusOK {
-			t.Error("a lease was renewed after the stale renewal limit")
+			t.Errorf("heartbeat after the stale renewal limit returned status %d, want a refusal", r.Status)
 		}
 		w.PartitionFromStoreAndPeers(relayIndex, false)
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// TestMixedVersions checks that a controller of an older version without relaying is assigned no agents.
+// TestMixedVersions checks that the leader assigns no agents to a controller of an older version, which does not
+// support relaying.
 func TestMixedVersions(t *testing.T) {
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -182,8 +186,8 @@
 	})
 }
 
-// relayWithOutcome answers a relayed command as selected by the request ID; for other IDs it blocks until hang is
-// closed.
+// relayWithOutcome answers a relayed command with the outcome that the request ID names. For other IDs, it responds
+// only when hang is closed.
 func relayWithOutcome(request *rpc.Request, hang <-chan struct{}) *rpc.Response {
 	if request.Op == rpc.OpPing {
 		return &rpc.Response{Status: http.StatusOK}
@@ -206,9 +210,9 @@
 	return &rpc.Response{Status: http.StatusOK}
 }
 
-// TestCommandOutcomeThroughRelay checks which outcome the leader assigns to a command that a relay was to send. A
-// command counts as unsent only if it is known not to have been sent; otherwise it may still be executed at any later
-// time.
+// TestCommandOutcomeThroughRelay checks which outcome the leader records for a command that it gave to a relay to send.
+// The outcome is unsent only if it is certain that the command was not sent; otherwise the command may still be
+// executed at any later time.
 func TestCommandOutcomeThroughRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -19,7 +19,7 @@
 	runCluster(t, seed, f)
 }
 
-// findRoleHolder returns the index of the controller that holds a role, or -1 if none does.
+// findRoleHolder returns the index of the controller that holds a role, or -1 if no controller holds it.
 func findRoleHolder(name singleton.Name) int {
 	for i := range 3 {
 		holds := false
@@ -33,8 +33,9 @@
 	return -1
 }
 
-// TestProvisionerFailover: the provisioner need not be the leader. When it is frozen, another controller takes over
-// within the lease duration, and what the frozen one does when it resumes has no effect.
+// TestProvisionerFailover checks that the provisioner can be a controller other than the leader, and that another
+// controller takes over within the lease duration if the provisioner is frozen. When the frozen controller resumes, its
+// provisioning has no effect.
 func TestProvisionerFailover(t *testing.T) {
 	runClusterWithRoles(t, 41, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second) // long enough for the leader to hand over the roles that it acquired first
@@ -49,10 +50,10 @@
 		began, launched := time.Now(), w.Cloud.Launched()
 		w.Submit(newWebService(3, 16, "large"))
 		if took := waitLaunched(w, launched, began, 30*time.Second, 100*time.Millisecond); took > 10*time.Second {
-			t.Errorf("no machine was launched for %v after the provisioner was frozen", took)
+			t.Errorf("no machine was launched for %v after the provisioner was frozen, want at most 10 s", took)
 		}
 		if h := findRoleHolder(singleton.Provisioning); h == holder || h < 0 {
-			t.Errorf("provisioner is %d after %d was frozen", h, holder)
+			t.Errorf("provisioner is %d after %d was frozen, want another controller", h, holder)
 		}
 		waitState(t, w, "req-000003", wire.JobRunning, 30*time.Second)
 		time.Sleep(60 * time.Second)
@@ -61,7 +62,7 @@
 			var list wire.RoleList
 			_, err := queryAdmin(w, i, wire.PathAdminRoles, &list)
 			if err != nil || !list.Distributed || len(list.Roles) != 2 || len(list.UncertainProvisioning) != 0 {
-				t.Fatalf("node %d lists %+v, %v", i, list, err)
+				t.Fatalf("node %d lists %+v, error %v; want 2 distributed roles", i, list, err)
 			}
 			h := findRoleHolder(singleton.Provisioning)
 			if h >= 0 && list.Roles[0].Holder != emulator.ControllerName(h) {
@@ -71,8 +72,8 @@
 	})
 }
 
-// waitLaunched waits until the cloud has launched more machines than before, and returns the time since began, at most
-// limit.
+// waitLaunched waits until the cloud has launched more than before machines in total, but at most until limit after
+// began. It checks at the given interval and returns the time since began.
 func waitLaunched(w *emulator.Environment, before int, began time.Time, limit, interval time.Duration) time.Duration {
 	for w.Cloud.Launched() == before && time.Since(began) < limit {
 		time.Sleep(interval)
@@ -80,9 +81,10 @@
 	return time.Since(began)
 }
 
-// TestProvisionerWithoutCloud: a provisioner that is the only controller without a connection to the cloud resigns,
-// though it is otherwise healthy, and does not compete for the role; another controller acquires it. When no controller
-// reaches the cloud, holders resign less often, but keep trying.
+// TestProvisionerWithoutCloud checks that a provisioner that is the only controller without a connection to the cloud
+// resigns, though it is otherwise healthy, and does not compete for the role, and that another controller acquires the
+// role. While no controller can reach the cloud, holders resign less often, and the role still moves between
+// controllers.
 func TestProvisionerWithoutCloud(t *testing.T) {
 	runClusterWithRoles(t, 42, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second)
@@ -118,8 +120,9 @@
 	})
 }
 
-// TestScaleOutResponseLost: the response to a scale-out request is lost, and all controllers end. The request is in the
-// log, and the next holder of the role repeats it under the same name, so no machine is provisioned twice.
+// TestScaleOutResponseLost checks the case in which the response to a scale-out request is lost and all controllers
+// end. The request is in the log, and the next provisioner repeats it under the same name, so no machine is provisioned
+// twice.
 func TestScaleOutResponseLost(t *testing.T) {
 	runClusterWithRoles(t, 43, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -137,13 +140,14 @@
 		time.Sleep(20 * time.Second)
 		checkMachinesKnown(t, w)
 		if total := w.Cloud.Launched(); total > launched+1 { // one spare machine is allowed
-			t.Errorf("%d machines were launched before the restart, %d in total after it", launched, total)
+			t.Errorf("%d machines were launched in total, want at most 1 more than the %d before the restart",
+				total, launched)
 		}
 	})
 }
 
-// TestOlderNodeDisablesRoles: while one controller does not support singleton roles or runs with them disabled, the
-// leader does the work of all roles, and logs nothing that such a controller can't read.
+// TestOlderNodeDisablesRoles checks that, while one controller does not support singleton roles or has them disabled,
+// the leader does the work of all roles and logs no entry that such a controller can't read.
 func TestOlderNodeDisablesRoles(t *testing.T) {
 	runClusterWithRoles(t, 44, func(w *emulator.Environment) {
 		time.Sleep(10 * time.Second)
@@ -153,7 +157,7 @@
 		time.Sleep(5 * time.Second)
 		for _, name := range []singleton.Name{singleton.Provisioning, singleton.Compaction} {
 			if h := findRoleHolder(name); h >= 0 {
-				t.Errorf("node %d holds %v although a node does not participate", h, name)
+				t.Errorf("node %d holds %v while a node does not participate, want no holder", h, name)
 			}
 		}
 		w.Submit(newWebService(1, 4, "small"))
@@ -164,15 +168,15 @@
 		w.Start(2)
 		time.Sleep(10 * time.Second)
 		if findRoleHolder(singleton.Provisioning) < 0 {
-			t.Error("no provisioner although all nodes participate")
+			t.Error("got no provisioner while all nodes participate, want one")
 		}
 		w.Submit(newWebService(2, 16, "large"))
 		waitState(t, w, "req-000002", wire.JobRunning, 40*time.Second)
 	})
 }
 
-// TestProvisionerFailoverTime measures the time from freezing the provisioner to the next scale-out, with distributed
-// roles and with the leader doing the work of all roles. It runs only with -hard.
+// TestProvisionerFailoverTime measures the time from freezing the provisioner to the next scale-out, once with
+// distributed roles and once with a leader that does the work of all roles. It runs only with -hard.
 func TestProvisionerFailoverTime(t *testing.T) {
 	if !*allScenarios {
 		t.Skip("measurement, runs only with -hard")
@@ -197,7 +201,7 @@
 	}
 }
 
-// provisionerFailoverTime freezes the provisioner, submits a service that needs a new machine to another controller,
+// provisionerFailoverTime freezes the provisioner, submits to another controller a service that needs a new machine,
 // and returns the time until a machine was launched.
 func provisionerFailoverTime(t *testing.T, w *emulator.Environment) time.Duration {
 	t.Helper()
--- a/internal/controller/slow_leader_test.go
+++ b/internal/controller/slow_leader_test.go
@@ -7,10 +7,11 @@
 	"fieldhill/internal/emulator"
 )
 
-// TestSlowLeaderDelaysEviction checks that a leader with a slow event loop, whose single delays are all below a second,
-// does not count as silence the time in which it did not process heartbeats. It receives only a part of the heartbeats;
-// when that counted against the machines, 400 healthy ones were released within 3 s. A machine that is really silent is
-// released after ten seconds of processed heartbeats, which take this leader about three times as long.
+// TestSlowLeaderDelaysEviction checks that a leader whose event loop is slow, with individual delays below a second,
+// does not count the time in which it processes no heartbeats as silence of the machines. It receives only a part of
+// the heartbeats. If the missing ones counted against the machines, 400 healthy machines would be released within 3 s.
+// A machine that is really silent is released after ten seconds of processed heartbeats, which take this leader about
+// three times as long.
 func TestSlowLeaderDelaysEviction(t *testing.T) {
 	evictedAfter := func(delay time.Duration) (took time.Duration) {
 		runCluster(t, 60, func(w *emulator.Environment) {
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -10,12 +10,13 @@
 	"fieldhill/wire"
 )
 
-// These tests cover what a heartbeat proves, and one-way partitions of machines.
+// The tests in this file check which conclusions a leader draws from heartbeats, also from delayed ones, and how it
+// handles machines that are partitioned in one direction only.
 
-// TestAgentRestart checks that a machine whose agent restarts quickly under the same name is known to hold no tasks any
-// more, whether its sequence numbers continue or start again at 1, also shortly after a failover and when it restarts
-// repeatedly. If an agent whose numbers start at 1 is mistaken for a delayed duplicate of its own heartbeats, it is
-// answered but assigned nothing, and its replicas stay down permanently.
+// TestAgentRestart checks that the leader regards a machine as holding no tasks after its agent has restarted quickly
+// under the same name. The sequence numbers of its heartbeats may continue or start again at 1, and the restart may be
+// shortly after a failover or repeated. If an agent whose numbers start again at 1 is mistaken for a delayed duplicate
+// of its own heartbeats, it is answered but assigned nothing, and its replicas stay down permanently.
 func TestAgentRestart(t *testing.T) {
 	for _, resetNumbers := range []bool{false, true} {
 		for _, times := range []int{1, 3} {
@@ -30,8 +31,9 @@
 	}
 }
 
-// agentRestart runs TestAgentRestart for one combination. If failover is not negative, the leader is restarted first,
-// and failover is the time from then until the agents restart.
+// agentRestart runs TestAgentRestart for one combination: the agents restart the given number of times, with sequence
+// numbers that start again at 1 if resetNumbers is set. If failover is not negative, the leader is restarted first, and
+// failover is the time between its restart and that of the agents.
 func agentRestart(t *testing.T, w *emulator.Environment, resetNumbers bool, times int, failover time.Duration) {
 	t.Helper()
 	startServices(w, 5)
@@ -49,11 +51,12 @@
 		}
 	}
 	if d := waitServicesUp(w, 5, time.Minute); d > 12*time.Second {
-		t.Errorf("%d of 5 services are running %v after the agents restarted", servicesUp(w, 5), d)
+		t.Errorf("%d of 5 services are running %v after the agents restarted, want all within 12 s",
+			servicesUp(w, 5), d)
 	}
 	time.Sleep(30 * time.Second)
 	if k := servicesUp(w, 5); k != 5 {
-		t.Errorf("%d of 5 services are running 30 s later", k)
+		t.Errorf("%d services are running 30 s later, want 5", k)
 	}
 }
 
@@ -75,15 +78,16 @@
 	leader.loop.postAndWait(func() {
 		for _, r := range reports {
 			if leader.replica.model.ByName[r.Machine] != nil {
-				t.Errorf("%s is registered although it was reclaimed or never existed", r.Machine)
+				t.Errorf("machine %s is registered at the leader, want it unknown: it was reclaimed or never existed",
+					r.Machine)
 			}
 		}
 	})
 }
 
-// TestStaleReportCopies checks that duplicates of heartbeats that machines sent before they were reclaimed or
-// partitioned prove nothing about the present: neither to the leader that received the originals, nor to the next one,
-// which has not seen their sequence numbers.
+// TestStaleReportCopies checks that a leader draws no conclusion about the current state from duplicates of heartbeats
+// that machines sent before they were reclaimed or partitioned. This holds for the leader that received the originals
+// and for the next leader, which does not know their sequence numbers.
 func TestStaleReportCopies(t *testing.T) {
 	for _, failover := range []bool{false, true} {
 		t.Run(fmt.Sprint("reclaimed, failover ", failover), func(t *testing.T) {
@@ -107,7 +111,7 @@
 	})
 }
 
-// replayOfReclaimedMachines replays the heartbeats of two machines that the cloud has reclaimed.
+// replayOfReclaimedMachines makes the cloud reclaim two machines and sends their last heartbeats again afterwards.
 func replayOfReclaimedMachines(t *testing.T, w *emulator.Environment, failover bool) {
 	t.Helper()
 	startServices(w, 5)
@@ -122,14 +126,15 @@
 	began := time.Now()
 	go replayHeartbeats(w, reports)
 	if d := waitServicesUp(w, 5, time.Minute); d > 25*time.Second {
-		t.Errorf("%d of 5 services are running %v after two machines were reclaimed", servicesUp(w, 5), d)
+		t.Errorf("%d of 5 services are running %v after two machines were reclaimed, want all within 25 s",
+			servicesUp(w, 5), d)
 	}
 	time.Sleep(time.Until(began.Add(100 * time.Second)))
 	checkNotRegistered(t, reports...)
 	time.Sleep(30 * time.Second)
 }
 
-// replayOfPartitionedZone replays the heartbeats of the machines of a zone that is partitioned.
+// replayOfPartitionedZone partitions a zone and sends the last heartbeats of its machines again during the partition.
 func replayOfPartitionedZone(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	startServices(w, 6)
@@ -146,18 +151,20 @@
 	began := time.Now()
 	go replayHeartbeats(w, reports)
 	time.Sleep(20 * time.Second)
-	// The limit covers the silence limit, the stale renewal limit of 25 s less its margin, a lease of 24 s and a task
-	// start, the same as without duplicates.
+	// The time limit, which is the same as without duplicates, is the sum of the silence limit, the stale renewal
+	// limit of 25 s less its margin, a lease of 24 s, and the time for a task start.
 	if d := waitServicesUp(w, 6, 2*time.Minute); d > 50*time.Second {
-		t.Errorf("%d of 6 services are running %v after the zone was partitioned", servicesUp(w, 6), d+20*time.Second)
+		t.Errorf("%d of 6 services are running %v after the zone was partitioned, want all within 70 s",
+			servicesUp(w, 6), d+20*time.Second)
 	}
 	partition(false)
 	time.Sleep(time.Until(began.Add(3 * time.Minute)))
 }
 
-// TestInboundPartition checks that a machine whose heartbeats arrive while nothing can reach it gets no work, and that
-// its tasks run elsewhere after its lease has expired or it was released. The partition affects one machine or a zone,
-// with or without a failover. The invariant checker verifies that jobs cancelled meanwhile end in time.
+// TestInboundPartition checks that a machine whose heartbeats arrive at the controllers, but which nothing can reach,
+// is assigned no tasks, and that its tasks run on another machine after its lease has expired or it was released. The
+// partition affects one machine or a zone, with or without a failover. The invariant checker verifies that the tasks of
+// a job cancelled during the partition end in time.
 func TestInboundPartition(t *testing.T) {
 	oneMachine := func(w *emulator.Environment) []*emulator.Worker { return busyMachines(w)[:1] }
 	wholeZone := func(w *emulator.Environment) []*emulator.Worker { return zoneMachines(w, "b") }
@@ -174,7 +181,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runCluster(t, 35, func(w *emulator.Environment) {
-				startServices(w, 5) // the other zone has four such machines
+				startServices(w, 5) // zone a has four machines of the size that a service needs
 				affected := c.affected(w)
 				for _, worker := range affected {
 					worker.SetInboundPartition(true)
@@ -215,28 +222,29 @@
 	}
 }
 
-// TestPartitionedController checks that a controller that has lost the store and its peers, but not its agents, does
-// not report itself ready for users' requests, and does not retain agents that the next leader needs.
+// TestPartitionedController checks that a controller that has lost its connections to the store and its peers, but not
+// to its agents, does not report that it is ready for users' requests, and does not retain agents that the next leader
+// needs.
 func TestPartitionedController(t *testing.T) {
 	for _, duration := range []time.Duration{5 * time.Second, 70 * time.Second} {
 		t.Run(fmt.Sprint(duration), func(t *testing.T) {
 			runCluster(t, 36, func(w *emulator.Environment) {
 				startServices(w, 5)
-				first := findLeader() // while there are idle machines
+				first := findLeader() // the first leader is partitioned first, while there are idle machines
 				for k := range 3 {
 					partitionController(t, w, (first+k)%3, duration)
 				}
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services are running", k)
+					t.Errorf("%d services are running, want 5", k)
 				}
 			})
 		})
 	}
 }
 
-// partitionController partitions a controller from the store and its peers and checks that a new service runs
-// nevertheless. If the partition lasts long enough, it also checks that the controller is not ready and that all agents
-// have found the next leader.
+// partitionController partitions the controller with index i from the store and its peers, and checks that a new
+// service runs nevertheless. If the partition lasts longer than 10 s, it also checks that the controller is not ready,
+// and if longer than 20 s, that all agents have found the next leader.
 func partitionController(t *testing.T, w *emulator.Environment, i int, duration time.Duration) {
 	t.Helper()
 	starts := w.Checker.Starts()
@@ -254,24 +262,25 @@
 	}
 	waitRunning(w, j.ID, began)
 	if d := time.Since(began); d > 4*time.Second+4*time.Second {
-		t.Errorf("node %d: new service started %v after the partition began", i, d)
+		t.Errorf("node %d: new service started %v after the partition began, want at most 8 s", i, d)
 	}
 	if duration > 10*time.Second {
 		time.Sleep(time.Until(began.Add(10 * time.Second)))
 		if node := nodeAt(i); node.readiness.Ready() {
-			t.Errorf("node %d reports itself ready while partitioned", i)
+			t.Errorf("node %d reports that it is ready while partitioned, want not ready", i)
 		}
 	}
 	w.Cancel(j.ID)
 	if duration > 20*time.Second {
-		// Idle machines, which the next leader does not probe, have found it by now: each agent was retained for 3 s
-		// and then redirected.
+		// The next leader does not probe idle machines. Their agents have found this leader after 16 s, because the
+		// partitioned controller retains each agent for 3 s only and then redirects it.
 		time.Sleep(time.Until(began.Add(16 * time.Second)))
 		node := nodeAt(findLeader())
 		node.loop.postAndWait(func() {
 			for _, machine := range node.replica.model.Order {
 				if !machine.Contact.Reported {
-					t.Errorf("node %d: %s has not found the next leader after 16 s", i, machine.Info.Name)
+					t.Errorf("node %d: %s has sent the next leader no heartbeat after 16 s, want one",
+						i, machine.Info.Name)
 				}
 			}
 		})
@@ -280,13 +289,14 @@
 	w.PartitionFromStoreAndPeers(i, false)
 	time.Sleep(20 * time.Second)
 	if k := w.Checker.Starts() - starts - 1; k != 0 {
-		t.Errorf("node %d: %d tasks were restarted", i, k)
+		t.Errorf("node %d: %d tasks were restarted, want none", i, k)
 	}
 }
 
-// zoneWithoutController moves all controllers into zone a. Two services may run anywhere, three must run in zone b, and
-// arrays that may run anywhere fill the remaining capacity of their machines, so that each machine of the zone holds a
-// task that may move. It returns the machines of zone b that hold tasks.
+// zoneWithoutController moves all controllers into zone a and submits services and arrays: two services may run
+// anywhere, three must run in zone b, and arrays that may run anywhere fill the remaining capacity of the machines.
+// Each machine of zone b then holds a task that may run in zone a too. It returns the machines of zone b that hold
+// tasks.
 func zoneWithoutController(w *emulator.Environment) (busy []*emulator.Worker) {
 	for i := range 3 {
 		w.Crash(i)
@@ -307,14 +317,15 @@
 	return slices.DeleteFunc(busyMachines(w), func(worker *emulator.Worker) bool { return worker.Zone != zone })
 }
 
-// TestZoneWithoutController checks the time until the tasks of a partitioned zone without controllers start elsewhere.
-// If all controllers are reachable, they prove that none has renewed the leases in that zone, and its machines are
-// released as soon as the leases have expired. An unreachable controller might have renewed them, so the leader then
-// also waits for the stale renewal limit (24 s of lease and 25 s less a margin: 57 s after the partition began).
+// TestZoneWithoutController checks the time until the tasks of a partitioned zone without controllers are evicted. If
+// all controllers are reachable, they prove that none of them has renewed the leases of that zone's machines, and the
+// machines are released as soon as the leases have expired. An unreachable controller may have renewed the leases, so
+// the leader then also waits for the stale renewal limit (24 s of lease and 25 s less a margin: 57 s after the
+// partition began).
 func TestZoneWithoutController(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		crashed  bool // one controller is unreachable and may have renewed leases
+		crashed  bool // whether one controller has crashed, so that it may have renewed leases
 		from, to time.Duration
 	}{
 		{"all reachable", false, 24 * time.Second, 34 * time.Second},
@@ -334,15 +345,15 @@
 				partitionZoneAgents(w, false)
 				time.Sleep(30 * time.Second)
 				if k := servicesUp(w, 5); k != 5 {
-					t.Errorf("%d of 5 services are running at the end", k)
+					t.Errorf("%d services are running at the end, want 5", k)
 				}
 			})
 		})
 	}
 }
 
-// partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns how long it takes until
-// the leader assigns no tasks to their machines any more, at most 90 s. The partition stays in place.
+// partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns the time until the leader
+// assigns no tasks to the zone's machines any more, at most 90 s. It does not end the partition.
 func partitionZoneUntilEvicted(w *emulator.Environment) time.Duration {
 	partitionZoneAgents(w, true)
 	began := time.Now()
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -12,13 +12,14 @@
 	"fieldhill/wire"
 )
 
-// These tests compare the states that all controllers report within milliseconds of each other.
+// The tests in this file compare the states of a job that all controllers report within milliseconds of each other.
 
-// pollInterval is the pause between polls right after an event.
+// pollInterval is the pause between polls right after a job's state has changed.
 const pollInterval = 3 * time.Millisecond
 
-// submitAndObserve submits jobs and cancels some of them, some at once. It polls each job repeatedly right after its
-// acceptance, its confirmed cancellation and its completion.
+// submitAndObserve submits jobs, numbered from first, with the given pause in between, and cancels some of them, in
+// part immediately. It polls each job repeatedly right after its acceptance, its confirmed cancellation and its
+// completion.
 func submitAndObserve(w *emulator.Environment, rng *rand.Rand, first, jobs int, pause time.Duration) {
 	for n := first; n < first+jobs; n++ {
 		j := newHighArray(n, 1, 0.25, 1+4*rng.Float64())
@@ -33,7 +34,7 @@
 			w.PollRepeatedly(j, 4, pollInterval)
 			if cancel {
 				time.Sleep(after)
-				go w.PollRepeatedly(j, 15, 100*time.Millisecond) // also while the cancellation is being written
+				go w.PollRepeatedly(j, 15, 100*time.Millisecond) // polls also while the cancellation is being written
 				w.Cancel(j.ID)
 				w.PollRepeatedly(j, 4, pollInterval)
 				return
@@ -44,8 +45,8 @@
 	}
 }
 
-// observeCompletion polls a job until it is done, for about half a minute at most, and then repeatedly right after
-// that.
+// observeCompletion polls a job until it is done, but for at most about half a minute, and then polls it repeatedly
+// right after its completion.
 func observeCompletion(w *emulator.Environment, j *wire.JobSpec) {
 	for range 100 {
 		if code, s := w.Request("poll", j.ID, nil); code == 200 && s.State == wire.JobDone {
@@ -56,12 +57,12 @@
 	}
 }
 
-// statusFault is a fault injected by TestStatusConsistency.
+// statusFault is a fault that TestStatusConsistency injects, with the minimum effects that the test requires of it.
 type statusFault struct {
 	name                string
-	minRacingPolls      int      // minimum number of polls that must race with an event
-	lostWriteKinds      []string // kinds of writes that must have lost a response
-	minLogResponsesLost int      // minimum number of log writes that must have lost a response
+	minRacingPolls      int      // minimum number of polls that race with a change of state
+	lostWriteKinds      []string // kinds of writes of which at least one lost its response
+	minLogResponsesLost int      // minimum number of log writes that lost their response
 	begin               func(w *emulator.Environment, rng *rand.Rand) (end func())
 }
 
@@ -121,8 +122,8 @@
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			w.Store.DropResponses(0.4)
 			partitionControllers(w, true)
-			// Stop commands are sent with heartbeat responses, which are delayed so that the cancelled job does not end
-			// at once.
+			// Stop commands are sent with heartbeat responses. These are delayed, so that the tasks of a cancelled job
+			// do not end at once.
 			endDelay := delayCommands(w, 10*time.Second)
 			return func() {
 				w.Store.DropResponses(0)
@@ -133,11 +134,11 @@
 	},
 }
 
-// TestStatusConsistency: users poll all controllers within milliseconds, and resubmit, right after a job was accepted,
-// has ended or was confirmed as cancelled, through every path by which a controller answers. No controller may report
-// an older state than any controller has reported before, which the invariant checker verifies. The last two faults
-// apply writes but lose their responses, while other controllers read the writes: this guards against a leader that
-// reports a job as running because it does not know yet that its cancellation was committed.
+// TestStatusConsistency checks that no controller reports an older state of a job than any controller has reported
+// before, which the invariant checker verifies. Users poll all controllers within milliseconds, and resubmit, right
+// after a job was accepted, has ended or was confirmed as cancelled, through every path by which a controller answers.
+// The last two faults apply writes but lose their responses, while other controllers read the writes. Without a rule
+// for this case, a leader reports a job as running because it does not know yet that its cancellation was committed.
 func TestStatusConsistency(t *testing.T) {
 	for _, fault := range statusFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -164,16 +165,17 @@
 			})
 			if lost["put f/log"] < fault.minLogResponsesLost ||
 				slices.ContainsFunc(fault.lostWriteKinds, func(kind string) bool { return lost[kind] == 0 }) {
-				t.Errorf("lost responses by kind of write: %v: the fault combination did not occur", lost)
+				t.Errorf("lost responses by kind of write: got %v, want at least %d of put f/log and one each of %v: "+
+					"the fault combination did not occur", lost, fault.minLogResponsesLost, fault.lostWriteKinds)
 			}
 		})
 	}
 }
 
-// TestCommitResponseLost: the leader's write is applied and only its response is lost, while the other controllers read
-// the write. The leader must not contradict what they report of the job's acceptance, cancellation or completion while
-// it does not know the outcome. This guards against a leader that reports a job as running after others reported it as
-// cancelled.
+// TestCommitResponseLost checks the case in which the leader's write is applied and only its response is lost, while
+// the other controllers read the write. The leader must not contradict what they report of the job's acceptance,
+// cancellation or completion while it does not know the outcome of the write. Without a rule for this case, the leader
+// reports a job as running after others reported it as cancelled.
 func TestCommitResponseLost(t *testing.T) {
 	runFaultCombination(t, 2, 66, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -183,7 +185,7 @@
 		w.Submit(ending)
 		waitRunning(w, ending.ID, time.Now())
 		partitionControllers(w, true)
-		endDelay := delayCommands(w, 10*time.Second) // so that the cancelled job does not end at once
+		endDelay := delayCommands(w, 10*time.Second) // so that the tasks of the cancelled job do not end at once
 		time.Sleep(2 * time.Second)
 		late := newJobSpec(102, wire.Array, 1, 500)
 		lateBody := registerJob(t, w, late)
@@ -202,25 +204,25 @@
 			w.Store.DropResponses(0)
 			time.Sleep(3 * time.Second)
 			if !reported || agreed.Load() == 0 {
-				t.Errorf("%s: reported by another node: %v, by the leader %d times: the combination did not occur",
+				t.Errorf("%s: reported by another node: %v, by the leader %d times; want true, at least 1",
 					c.event, reported, agreed.Load())
 			}
 			if w.Store.DroppedResponses()["put f/log"] == 0 {
-				t.Errorf("%s: no response was lost", c.event)
+				t.Errorf("%s: 0 responses to log writes were lost, want at least 1", c.event)
 			}
 		}
 		partitionControllers(w, false)
 		endDelay()
 		time.Sleep(20 * time.Second)
 		if k := w.Checker.Running(running.ID); k != 0 {
-			t.Errorf("%d tasks of the cancelled job still run", k)
+			t.Errorf("%d tasks of the cancelled job are running, want none", k)
 		}
 	})
 }
 
-// waitLeaderAgrees polls a job at the other controllers until one reports the state, and from then on at the leader too
-// until it reports the same; the invariant checker compares the answers. It counts the leader's matching answers in
-// agreed, and returns whether another controller reported the state.
+// waitLeaderAgrees polls a job at the other controllers until one of them reports the state, and from then on also at
+// the leader until the leader reports the same state. The invariant checker compares the answers. waitLeaderAgrees adds
+// the leader's matching answers to agreed, and returns whether another controller reported the state.
 func waitLeaderAgrees(
 	w *emulator.Environment,
 	rng *rand.Rand,
@@ -247,8 +249,8 @@
 	return reported
 }
 
-// TestCancelAtCompletion: users cancel jobs at the moment their last task completes, without other faults, while all
-// users poll. A job is reported as done or as cancelled, never as both.
+// TestCancelAtCompletion checks that a job is reported either as done or as cancelled, never as both, if users cancel
+// it at the moment at which its last task completes. No other faults are injected, and all users poll.
 func TestCancelAtCompletion(t *testing.T) {
 	runFaultCombination(t, 1, 62, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -281,12 +283,13 @@
 			states[s.State]++
 		}
 		if states[wire.JobDone] == 0 || states[wire.JobCancelled] == 0 {
-			t.Errorf("reported states %v: the fault combination did not occur", states)
+			t.Errorf("got final states %v, want done and cancelled jobs: the fault combination did not occur", states)
 		}
 	})
 }
 
-// invalidField is a field value that makes a submission invalid, and the status code of the refusal.
+// invalidField is a field value that makes a submission invalid, and the status code with which such a submission is
+// refused.
 type invalidField struct {
 	field string
 	value any
@@ -294,10 +297,10 @@
 	spec  func(s *wire.JobSpec) // further changes needed to make the job invalid, or nil
 }
 
-// TestInvalidRequests: jobs that can't run, lack a field or have an invalid one are refused permanently, with the same
-// status by the leader, by a follower that forwards the request, and by the intake. An accepted job is never reported
-// as refused, whatever is submitted under its ID, even while it is only in the intake. The cancellation of a completed
-// job reports it as done.
+// TestInvalidRequests checks that jobs that can't run, lack a field or have an invalid one are refused permanently,
+// with the same status by the leader, by a follower that forwards the request, and by the intake. An accepted job is
+// never reported as refused, whatever is submitted under its ID, even while it is only in the intake. A cancellation of
+// a completed job returns that the job is done.
 func TestInvalidRequests(t *testing.T) {
 	runCluster(t, 64, func(w *emulator.Environment) {
 		startServices(w, 1)
@@ -309,18 +312,18 @@
 			s := f.newJob(1000 + k)
 			for _, i := range []int{leader, (leader + 1) % 3} {
 				if code, _ := w.RequestAt(i, "submit", s.ID, f.body(t, s)); code != f.code {
-					t.Errorf("node %d: %s = %v got %d, want %d", i, f.field, f.value, code, f.code)
+					t.Errorf("node %d: %s = %v got status %d, want %d", i, f.field, f.value, code, f.code)
 				}
 			}
 		}
 		checkResubmission(t, w, "done", completed, leader)
 		if code, s := w.RequestAt(leader, "cancel", completed.ID, nil); code != 200 || s.State != wire.JobDone {
-			t.Errorf("cancellation of a completed job got %d, %+v; want it reported as done", code, s)
+			t.Errorf("cancellation of a completed job got status %d, %+v; want it reported as done", code, s)
 		}
 		partitionControllers(w, true)
 		time.Sleep(2 * time.Second)
 		checkInvalidAtIntake(t, w, (leader+1)%3)
-		for k := range 3 { // without a leader the next job is only in the intake
+		for k := range 3 { // without a leader, the next job stays in the intake
 			w.RefuseStore(k, k == leader)
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -331,7 +334,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if code != 201 {
-			t.Errorf("submission to the intake got %d, want 201", code)
+			t.Errorf("submission to the intake got status %d, want 201", code)
 		}
 		checkResubmission(t, w, "in the intake", intakeOnly, (leader+2)%3)
 		w.RefuseStore(leader, false)
@@ -342,14 +345,14 @@
 	})
 }
 
-// checkResubmission requires that resubmitting an accepted job returns its status or a retryable error, whatever else
-// is in the body.
+// checkResubmission requires that a submission with an accepted job's ID returns the job's status or a retryable error,
+// even if the rest of the body is invalid.
 func checkResubmission(t *testing.T, w *emulator.Environment, phase string, accepted *wire.JobSpec, node int) {
 	t.Helper()
 	for _, f := range invalidFields {
 		code, _ := w.RequestAt(node, "submit", accepted.ID, f.body(t, accepted))
 		if code != 200 && code != 503 && code != 429 {
-			t.Errorf("%s: resubmission of %s with %s = %v got %d, want 200, 429 or 503",
+			t.Errorf("%s: resubmission of %s with %s = %v got status %d, want 200, 429 or 503",
 				phase, accepted.ID, f.field, f.value, code)
 		}
 	}
@@ -361,19 +364,19 @@
 	for k, f := range invalidFields {
 		s := f.newJob(2000 + k)
 		body, code := f.body(t, s), 0
-		for range 40 { // the intake's share of the write rate is small
+		for range 40 { // the intake may be busy: its share of the store's write rate is small
 			if code, _ = w.RequestAt(node, "submit", s.ID, body); code != http.StatusServiceUnavailable {
 				break
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		if code != f.code {
-			t.Errorf("at the intake: %s = %v got %d, want %d", f.field, f.value, code, f.code)
+			t.Errorf("at the intake: %s = %v got status %d, want %d", f.field, f.value, code, f.code)
 		}
 	}
 }
 
-// missingField marks a field that is left out.
+// missingField is the value of an invalidField whose field is left out of the submission.
 var missingField = new(int)
 
 // invalidFields are the invalid submissions of TestInvalidRequests.
@@ -400,7 +403,7 @@
 	{"pieces", 2, 422, func(s *wire.JobSpec) { s.Shape, s.Spread, s.SameZone = wire.Gang, true, true }},
 }
 
-// newJob returns the job that the field will be applied to.
+// newJob returns job n, to which the invalid field has not been applied yet.
 func (f *invalidField) newJob(n int) *wire.JobSpec {
 	s := newJobSpec(n, wire.Array, 1, 2)
 	if f.spec != nil {
@@ -409,7 +412,7 @@
 	return s
 }
 
-// body encodes the submission of a job with the field applied.
+// body encodes the submission of a job with the invalid field applied.
 func (f *invalidField) body(t *testing.T, s *wire.JobSpec) []byte {
 	t.Helper()
 	var fields map[string]any
