--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -70,7 +70,7 @@
 		}
 		if time.Since(link.LastResponse()) > linkTimeout {
 			t.Errorf("last response over the link %v ago, want at most %v",
-				time.Since(link.LastResponse()), linkFreshness)
+				time.Since(link.LastResponse()), linkTimeout)
 		}
 	})
 }
@@ -132,7 +132,7 @@
 		}
 		if time.Since(link.LastResponse()) > linkTimeout {
 			t.Errorf("last response over the link to the leader %v ago, want at most %v",
-				time.Since(link.LastResponse()), linkFreshness)
+				time.Since(link.LastResponse()), linkTimeout)
 		}
 	})
 }
