--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -18,7 +18,8 @@
 	"fieldhill/wire"
 )
 
-// Filter selects jobs of the queue; empty fields match all. Its JSON encoding is also used between controllers.
+// Filter selects jobs of the queue; an empty field matches all jobs. Controllers also send filters to each other as
+// JSON.
 type Filter struct {
 	Team   string `json:"team,omitempty"`
 	Class  string `json:"class,omitempty"`
@@ -36,22 +37,22 @@
 	Roles(ctx context.Context) result.Result
 }
 
-// MaxConns limits the connections to the operators' address, and thereby the concurrent requests.
+// MaxConns is the maximum number of connections to the admin API, and thereby of concurrent requests.
 const MaxConns = 8
 
 const (
-	// defaultLimit is the Filter.Limit of a query without one.
+	// defaultLimit is the Filter.Limit of a query that does not set a limit.
 	defaultLimit = 50
 	// maxQueryValue is the maximum length in bytes of a query parameter's value.
 	maxQueryValue = 200
 )
 
-// Serve serves HTTP on a listener until the context is done.
+// Serve serves the admin API on a listener until the context is done.
 func Serve(ctx context.Context, listener net.Listener, service Service, logger *slog.Logger) error {
 	return api.Serve(ctx, listener, &api.ConnLimiter{MaxConns: MaxConns}, Handler(service), logger)
 }
 
-// encoding is used for operators, and for requests between controllers on their behalf.
+// encoding is the encoding for operators, and for requests between controllers on behalf of operators.
 var encoding = api.Encoding{
 	Marshal: json.Marshal,
 	Problem: func(reason string) any { return &wire.AdminProblem{Error: reason} },
@@ -86,14 +87,14 @@
 	return mux
 }
 
-// queryError reports an invalid query parameter. Its text is part of the response.
+// queryError reports an invalid query parameter. Its text is sent in the response.
 type queryError struct{ field, problem string }
 
-// Error implements error.
+// Error names the parameter and the problem.
 func (e *queryError) Error() string { return e.field + ": " + e.problem }
 
-// readFilter decodes the query parameters. Unknown ones are errors, because a misspelled filter would otherwise match
-// all jobs.
+// readFilter decodes the query parameters. An unknown parameter is an error, because a query with a misspelled one
+// would otherwise match all jobs.
 func readFilter(r *http.Request) (filter Filter, err error) {
 	filter.Limit = defaultLimit
 	for field, values := range r.URL.Query() {
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -67,7 +67,7 @@
 	return t.Name()
 }
 
-// newStubService returns a service with a result for each request.
+// newStubService returns a service with a valid result for each kind of request.
 func newStubService() *stubService {
 	reason := wire.Reason{
 		Code:    "team-limit",
@@ -107,7 +107,7 @@
 			w := get(newStubService(), c.path)
 			doc, err := validate.UnmarshalJSON(w.Body)
 			if err != nil || w.Code != 200 {
-				t.Fatal(w.Code, err)
+				t.Fatalf("GET %s: got status %d, %v, want status 200 and JSON", c.path, w.Code, err)
 			}
 			if err := schema.Validate(doc); err != nil {
 				t.Errorf("invalid response at %s: %v", c.path, err)
@@ -115,10 +115,10 @@
 			m := doc.(map[string]any)
 			m["node"] = 7
 			if schema.Validate(m) == nil {
-				t.Errorf("%s accepts a number as the node", c.file)
+				t.Errorf("%s: got no error for a response with a number as the node, want one", c.file)
 			}
 			if delete(m, "node"); schema.Validate(m) == nil {
-				t.Errorf("%s accepts a response without a node", c.file)
+				t.Errorf("%s: got no error for a response without a node, want one", c.file)
 			}
 		})
 	}
@@ -175,11 +175,11 @@
 		}
 	}
 	if len(s.requests) != 0 {
-		t.Errorf("malformed requests reached the service: %v", s.requests)
+		t.Errorf("malformed requests: the service received %v, want none", s.requests)
 	}
 	get(s, "/v1/queue?team=red&reason=paced&most=500")
 	if len(s.requests) != 1 || s.requests[0] != (Filter{Team: "red", Reason: "paced", Limit: 500}) {
-		t.Errorf("the service received %+v", s.requests)
+		t.Errorf("valid query: the service received %+v, want one request with the filter of the query", s.requests)
 	}
 	if w := get(s, "/api/jobs"); w.Code != 404 {
 		t.Errorf("path of the user API: got status %d, want 404", w.Code)
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -20,7 +20,7 @@
 	"fieldhill/wire"
 )
 
-// operatorMessages has every message of the admin API with no field at its zero value.
+// operatorMessages returns every message of the admin API by its golden file. No field has its zero value.
 func operatorMessages() map[string]any {
 	return map[string]any{
 		"why.json": &wire.Explanation{
@@ -77,13 +77,13 @@
 			return json.Marshal(message)
 		}
 		if reencoded, err := reencode(stored); err != nil || !bytes.Equal(reencoded, stored) {
-			t.Errorf("%s was re-encoded as %s, %v", file, reencoded, err)
+			t.Errorf("%s after decoding and encoding: got %s, %v, want %s", file, reencoded, err, stored)
 		}
 		for _, name := range regexp.MustCompile(`[{,]"\w+":`).FindAllIndex(stored, -1) {
 			changed := bytes.Clone(stored)
 			changed[name[0]+2] = '~'
 			if _, err := reencode(changed); err == nil {
-				t.Errorf("%s: changing the field name at byte %d went undetected", file, name[0])
+				t.Errorf("%s with the field name at byte %d changed: got no error, want one", file, name[0])
 			}
 		}
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -29,13 +29,13 @@
 	Status(ctx context.Context, id string) result.Result
 	// Cancel cancels a job and returns its status.
 	Cancel(ctx context.Context, id string) result.Result
-	// Heartbeat processes an agent's heartbeat and renews its lease.
+	// Heartbeat processes an agent's heartbeat and renews the agent's lease.
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) result.Result
 	// Ready reports whether the load balancer may send requests to this controller.
 	Ready() bool
 }
 
-// Request kinds, which are labels of metrics.
+// Request kinds. They are label values of metrics.
 const (
 	kindSubmit    = "submit"
 	kindStatus    = "status"
@@ -67,8 +67,8 @@
 	}
 }
 
-// Handler routes requests to a service and calls onResponse with the status and duration of each. The limiter must be
-// the one of the server that uses the handler.
+// Handler routes requests to a service, and calls onResponse with the kind, status and duration of each user request
+// and heartbeat. The limiter must be the one passed to Serve with the handler.
 func Handler(
 	service Service,
 	logger *slog.Logger,
@@ -119,7 +119,7 @@
 	return mux
 }
 
-// Errors of request bodies. Their texts are part of the response.
+// Errors for request bodies. Their texts are sent in the response.
 var (
 	errBodyTooLarge     = errors.New("body too large")
 	errNoMachineOrEpoch = errors.New("no machine or session")
@@ -169,7 +169,7 @@
 	_, _ = w.Write(response.Body) // a client that did not receive the response retries
 }
 
-// Time and size limits of a server. Requests are small, and responses take at most seconds.
+// Time and size limits of a server. They are low because requests are small and responses take seconds at most.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 15 * time.Second
@@ -201,10 +201,11 @@
 	return err
 }
 
-// trimmingHandler trims white space around the messages of http.Server, which report errors caused by clients.
+// trimmingHandler is a slog.Handler that trims white space around messages. It is used for those of http.Server, which
+// end in a newline and report errors caused by clients.
 type trimmingHandler struct{ slog.Handler }
 
-// Handle implements slog.Handler.
+// Handle trims the message of a record and passes the record on.
 func (h trimmingHandler) Handle(ctx context.Context, record slog.Record) error {
 	record.Message = strings.TrimSpace(record.Message)
 	return h.Handler.Handle(ctx, record)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -32,8 +32,8 @@
 func (stubService) Ready() bool { return true }
 
 // TestAgentsReleaseConnections checks that a server whose connection limit is a third of the number of agents still
-// answers all agents and health checks. It guards against agents that keep their connections between heartbeats and
-// thereby lock out all other clients.
+// answers all agents and health checks. The failure that it guards against is that agents keep their connections
+// between heartbeats, so that no other client can connect.
 func TestAgentsReleaseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const maxConns, agents, every = 20, 60, 5 * time.Second
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -9,14 +9,14 @@
 	"fieldhill/wire"
 )
 
-// Encoding converts results into responses of one interface. Users, operators and other controllers get the same
-// statuses, but different bodies.
+// Encoding converts results into responses of one API. The user API and the admin API have the same statuses, but
+// different bodies.
 type Encoding struct {
-	Marshal func(message any) ([]byte, error)
-	Problem func(reason string) any // returns the message of an error response
+	Marshal func(message any) ([]byte, error) // encodes a message as a body
+	Problem func(reason string) any           // returns the message of an error response
 }
 
-// encoding is used for users and agents, and for requests between controllers on their behalf.
+// encoding is the encoding for users and agents, and for requests between controllers on behalf of users and agents.
 var encoding = Encoding{
 	Marshal: wire.Marshal,
 	Problem: func(reason string) any { return &wire.Problem{Error: reason} },
@@ -25,7 +25,7 @@
 // Respond converts a result into a response for users, agents and other controllers.
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
-// noLeaderReason and noLeaderRetryAfter are the response to result.NoLeader.
+// Reason and Retry-After of the response for result.NoLeader.
 const (
 	noLeaderReason     = "no leader at the moment"
 	noLeaderRetryAfter = time.Second
--- a/internal/api/encode_test.go
+++ b/internal/api/encode_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		result             result.Result
 		status, retryAfter int
-		reason             string // of the wire.Problem in the body; "" if the body is none
+		reason             string // in the wire.Problem of the body; "" if the body is no wire.Problem
 		empty              bool
 	}{
 		{result.Accepted{}, 201, 0, "", false},
@@ -47,12 +47,13 @@
 		t.Run(fmt.Sprintf("%T %d", c.result, c.status), func(t *testing.T) {
 			got := Respond(c.result)
 			if got.Status != c.status || got.RetryAfter != c.retryAfter || (len(got.Body) == 0) != c.empty {
-				t.Errorf("%+v was converted into %+v", c.result, got)
+				t.Errorf("response for %+v: got %+v, want status %d, Retry-After %d, empty body %v",
+					c.result, got, c.status, c.retryAfter, c.empty)
 			}
 			var problem wire.Problem
 			err := wire.Unmarshal(got.Body, &problem)
 			if c.reason != "" && (err != nil || problem.Error != c.reason) {
-				t.Errorf("%+v: got reason %q, %v, want %q", c.result, problem.Error, err, c.reason)
+				t.Errorf("response for %+v: got reason %q, %v, want %q", c.result, problem.Error, err, c.reason)
 			}
 		})
 	}
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -49,7 +49,7 @@
 
 func (s *scriptedService) Ready() bool { return s.ready }
 
-// exchange is a request and the result that the service returns if it receives the request.
+// exchange is a request, and the result that the service returns if the request reaches it.
 type exchange struct {
 	method, path string
 	body         io.Reader
@@ -60,7 +60,8 @@
 // goldenStatus is the job status that the service returns.
 var goldenStatus = wire.JobStatus{ID: "req-000412", State: wire.JobPending}
 
-// jobExchanges has each kind of response to users, and requests that are rejected before they reach the service.
+// jobExchanges returns exchanges with each kind of response to users, and requests that are rejected before they reach
+// the service.
 func jobExchanges() []exchange {
 	ok := result.JobState{Status: goldenStatus}
 	overloaded := result.Overloaded{Reason: "not now", RetryAfter: 2 * time.Second}
@@ -97,7 +98,8 @@
 	}
 }
 
-// heartbeatExchanges has each kind of response to agents, and requests that are rejected before they reach the service.
+// heartbeatExchanges returns exchanges with each kind of response to agents, and requests that are rejected before they
+// reach the service.
 func heartbeatExchanges(t *testing.T) []exchange {
 	t.Helper()
 	heartbeat, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -38,13 +38,14 @@
 	return append(b, 0)
 }
 
-// Reader decodes what the functions of this package appended.
+// Reader decodes values that the functions of this package appended, in the same order.
 type Reader struct {
-	Data []byte // not yet decoded
-	Err  error  // set by the first failure
+	Data []byte // data that is not decoded yet
+	Err  error  // ErrShort once a value could not be decoded
 }
 
-// fail sets the error and discards the rest, because the field boundaries after a malformed field are unknown.
+// fail sets the error and discards the remaining data, because the field boundaries after a malformed field are
+// unknown.
 func (r *Reader) fail() {
 	r.Err = ErrShort
 	r.Data = nil
@@ -61,7 +62,8 @@
 	return v
 }
 
-// Max decodes a varint and fails if it exceeds the limit, for example for a count of elements to allocate.
+// Max decodes an unsigned varint and fails if it exceeds a limit. It is used for numbers with a valid range, such as
+// the count of elements to allocate.
 func (r *Reader) Max(limit uint64) int {
 	v := r.Uint()
 	if v > limit {
@@ -71,7 +73,7 @@
 	return int(v)
 }
 
-// Float decodes a float64.
+// Float decodes a float64 of eight bytes, little endian.
 func (r *Reader) Float() float64 {
 	if len(r.Data) < 8 {
 		r.fail()
@@ -82,7 +84,7 @@
 	return v
 }
 
-// Bytes decodes a length-prefixed byte slice, which aliases the input.
+// Bytes decodes a length-prefixed byte slice. The result shares memory with Data.
 func (r *Reader) Bytes() []byte {
 	n := r.Uint()
 	if r.Err != nil || n > uint64(len(r.Data)) {
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("bytes decoded as %v, want [1 2]", v)
 	}
 	if !r.Bool() {
-		t.Error("true decoded as false")
+		t.Error("bool decoded as false, want true")
 	}
 	if v := r.Byte(); v != 7 || !r.Done() {
 		t.Errorf("last byte decoded as %d, want 7; done %v, error %v", v, r.Done(), r.Err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads and validates the settings file that the platform provides. Unknown fields are ignored, so that
-// newer platform versions can add some. A missing or invalid field is reported as a FieldError.
+// newer platform versions can add fields. A missing or invalid field is reported as a FieldError.
 package config
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the whole file. The platform defines the keys; where they differ, the Go names are the terms that the
-// rest of the code uses.
+// Settings holds the content of the settings file. The platform defines the keys; Go names that differ from their keys
+// are the terms that the rest of the code uses.
 type Settings struct {
 	Node       string    `toml:"node"`        // this controller's name
 	Zone       string    `toml:"zone"`        // this controller's zone
@@ -30,13 +30,13 @@
 	Addr string `toml:"endpoint"`
 }
 
-// Endpoints are the addresses of the external services.
+// Endpoints holds the addresses of the external services.
 type Endpoints struct {
 	Cloud   string `toml:"cloud"`
 	KVStore string `toml:"state"`
 }
 
-// Params are the parameters of the deployment.
+// Params holds the parameters of the deployment.
 type Params struct {
 	InitialSize int         `toml:"initial_size"` // number of machines at the start
 	Zones       []string    `toml:"zones"`
@@ -49,7 +49,8 @@
 	Limits      Limits      `toml:"machine_limits"`
 }
 
-// Team is a team's guaranteed resources and its limits (the fields that end in Max); a limit of 0 means no limit.
+// Team holds the guaranteed resources of a team and its limits (the fields that end in Max). A limit of 0 means no
+// limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -78,7 +79,7 @@
 	return seconds, ok
 }
 
-// Workers are the timing parameters of the agents.
+// Workers holds the timing parameters of the agents, which run on the machines.
 type Workers struct {
 	HeartbeatS float64 `toml:"report_s"`    // heartbeat interval
 	LeaseS     float64 `toml:"lease_s"`     // time after the last lease renewal at which an agent stops its tasks
@@ -87,7 +88,7 @@
 	CancelS    float64 `toml:"cancel_s"`    // time within which the tasks of a cancelled job must have ended
 }
 
-// KVStore has the limits of the key-value store.
+// KVStore holds the limits of the key-value store.
 type KVStore struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // writes per second
@@ -95,13 +96,13 @@
 	TxnOps   int     `toml:"txn_ops"`   // maximum number of conditions and writes in one transaction
 }
 
-// Cloud has the limits and properties of the cloud's API.
+// Cloud holds the limits and properties of the cloud's API.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // usual staleness of its machine list
+	ListLagS float64 `toml:"list_lag_s"` // usual time by which the machine list is out of date
 }
 
-// Limits are the resources that a controller may use on its machine.
+// Limits holds the resources that a controller may use on its machine.
 type Limits struct {
 	CPUShare   float64 `toml:"cpu_share"`
 	MemoryMB   float64 `toml:"memory_mb"`
@@ -142,7 +143,8 @@
 // allows between two clocks.
 const clockDriftShare = 0.001
 
-// maxUnmeasuredSeconds limits the part of cancel_s reserved for delays that nothing measures.
+// maxUnmeasuredSeconds is the maximum part of cancel_s, in seconds, reserved for delays that controllers do not
+// measure.
 const maxUnmeasuredSeconds = 2
 
 // StaleRenewalLimit is how long a controller that is partitioned from the log may keep renewing agents' leases. A
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -58,12 +58,12 @@
 		t.Fatal(err)
 	}
 	if s.Members[0].Addr != "10.0.0.2:81" || s.Params.Workers.CancelS != 49 || s.Params.Teams[0].CPUsMax != 0 {
-		t.Errorf("parsed as %+v", s)
+		t.Errorf("got %+v, want the values of validSettings", s)
 	}
-	// Tasks of agents that are partitioned for the whole limit must still end within cancel_s.
+	// A lease that is renewed for the last time when the limit is reached must end within cancel_s.
 	if limit := s.StaleRenewalLimit(); limit <= 0 ||
 		limit+Seconds(s.Params.Workers.LeaseS) >= Seconds(s.Params.Workers.CancelS) {
-		t.Errorf("stale renewal limit of %v does not leave room for the lease within cancel_s", limit)
+		t.Errorf("stale renewal limit: got %v, want more than 0 s and less than cancel_s - lease_s", limit)
 	}
 }
 
@@ -96,9 +96,9 @@
 
 // TestLeasesEndInTime computes, for random settings, the longest time that a task can outlive the cancellation of its
 // job, and checks that it stays below cancel_s. In the worst case the job is cancelled just after a controller lost
-// contact with the log. The controller then renews leases until its limit, measured on its own clock when it reads a
-// heartbeat; the agent counts the lease on its own clock from when it sent the heartbeat, which is earlier. Both clocks
-// are as slow as the platform allows. docs/DESIGN.md has the derivation.
+// contact with the log. The controller then renews leases until StaleRenewalLimit has passed on its own clock, read
+// when a heartbeat arrives; the agent counts the lease on its own clock from when it sent the heartbeat, which is
+// earlier. Both clocks are as slow as the platform allows. docs/DESIGN.md has the derivation.
 func TestLeasesEndInTime(t *testing.T) {
 	rejected, tight := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -117,13 +117,13 @@
 		const clockRate = 1 - 0.0005
 		lastEnd := limit.Seconds()/clockRate + w.LeaseS/clockRate
 		if margin := w.CancelS - lastEnd; margin <= 0 {
-			t.Fatalf("the last task ends %v s after cancel_s", -margin)
+			t.Fatalf("got a last task that ends %v s after cancel_s, want it to end before", -margin)
 		} else if required := min(1.9, (w.CancelS-w.LeaseS)/4); margin < required {
 			t.Fatalf("margin for unmeasured delays is %v s, want at least %v s", margin, required)
 		}
 	})
 	if rejected == 0 || tight == 0 {
-		t.Errorf("drew %d rejected settings and %d with less than 2 s between lease_s and cancel_s, want some of each",
+		t.Errorf("got %d rejected settings and %d with less than 2 s between lease_s and cancel_s, want some of each",
 			rejected, tight)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -27,8 +27,9 @@
 		Limits:     Limits{CPUShare: 0.5, MemoryMB: 100, MaxSockets: 100}},
 }
 
-// TestGoldenSettings checks that settings.toml, which has every key, is decoded as fullSettings and that encoding uses
-// the same keys. Renaming any key in the file must change the result, so that a wrong tag in a struct is detected.
+// TestGoldenSettings checks that settings.toml, which has every key, is decoded as fullSettings, and that fullSettings
+// is encoded with the same keys. To detect a wrong tag in a struct, it also checks that renaming any key in the file
+// gives an error or other settings.
 func TestGoldenSettings(t *testing.T) {
 	stored := golden.Read(t, "settings.toml")
 	got, err := Parse(stored)
@@ -48,13 +49,14 @@
 		renamed := bytes.Clone(stored)
 		renamed[key[0]+bytes.LastIndexAny(stored[key[0]:key[1]], "[.")+1] = 'q'
 		if got, err := Parse(renamed); err == nil && cmp.Equal(fullSettings, got) {
-			t.Errorf("renaming the key at byte %d went undetected:\n%s", key[0], renamed[key[0]:key[1]])
+			t.Errorf("after renaming the key at byte %d to %s: got the same settings, want an error or other settings",
+				key[0], renamed[key[0]:key[1]])
 		}
 	}
 }
 
-// TestGoldenErrors compares the error for each line of the settings that is missing or has another value with the
-// golden file.
+// TestGoldenErrors compares errors with the golden file: those for each line of the settings file that is left out or
+// has another value, for malformed files, and for inconsistent settings.
 func TestGoldenErrors(t *testing.T) {
 	lines := strings.SplitAfter(string(golden.Read(t, "settings.toml")), "\n")
 	var b strings.Builder
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,18 +9,19 @@
 
 // FieldError reports a missing or invalid setting.
 type FieldError struct {
-	Field   string // name in the file
+	Field   string // key in the settings file, with its tables, for example params.state.rps
 	Problem string
 }
 
-// Error implements error.
+// Error names the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Minimum limits of the key-value store: a value must fit a log entry, and a transaction a fenced write.
+// Lowest supported limits of the key-value store: a value must have room for a log entry, and a transaction for a
+// fenced write.
 const (
 	minValueKB = 1
 	minTxnOps  = 3
@@ -47,10 +48,10 @@
 	return nil
 }
 
-// namedString is a string setting and its name in the file.
+// namedString is a string setting and its key in the settings file.
 type namedString struct{ field, value string }
 
-// namedNumber is a numeric setting and its name in the file.
+// namedNumber is a numeric setting and its key in the settings file.
 type namedNumber struct {
 	field  string
 	number float64
@@ -171,7 +172,8 @@
 	return nil
 }
 
-// validateTimes checks that heartbeat interval, lease and cancellation time are consistent.
+// validateTimes checks that the lease is longer than the heartbeat interval, and the time limit for cancellations
+// longer than the lease by enough to cover delays and clock drift.
 func (s *Settings) validateTimes() error {
 	w := &s.Params.Workers
 	switch {
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -12,7 +12,7 @@
 	"fieldhill/internal/replication/candidacy"
 )
 
-// fullRegistry returns a registry with a distinct value in every series, so that swapped names are detected too.
+// fullRegistry returns a registry in which every series has a distinct value, so that swapped names are detected.
 func fullRegistry() *Registry {
 	r := New(api.RequestKinds...)
 	r.Placed.Set(101)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// fullSnapshot returns a snapshot with a distinct value in every number.
+// fullSnapshot returns a snapshot in which every number is distinct.
 func fullSnapshot() Snapshot {
 	return Snapshot{
 		IsLeader:           true,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,9 @@
 // Package metrics holds a controller's counters and latency histograms, and serves them in the Prometheus text format.
-// Updating a metric takes no lock that serving the page holds for long. No label has a job, class or machine as its
-// value, so that the size of the page does not depend on that of the fleet.
+// Updating a metric takes no lock that is held for long while the page is served. No label has a job, class or machine
+// as its value, so that the size of the page does not grow with the fleet.
 //
-// Dashboards and alerts depend on the names of the series, so they must not change even where the code uses another
-// term.
+// Dashboards and alerts depend on the names of the series, so these must not change, even where the code uses other
+// terms.
 package metrics
 
 import (
@@ -23,8 +23,8 @@
 // ProfilePath is the path of the CPU profile; the seconds parameter sets its duration.
 const ProfilePath = "/debug/pprof/profile"
 
-// Registry holds the counters and histograms of one controller since its process started. The instrumented components
-// update its fields; the gauges show the last Snapshot.
+// Registry holds the metrics of one controller since its process started. The instrumented components update the
+// counters and histograms; the gauges show the last Snapshot.
 type Registry struct {
 	set      *metrics.Set
 	snapshot atomic.Pointer[Snapshot]
@@ -32,7 +32,8 @@
 
 	// Placed and Stopped count decisions to start and to stop a task.
 	Placed, Stopped *metrics.Counter
-	// Provisioned and ScaledIn count machines, ProvisionRefused the scale-out requests that the cloud rejected.
+	// Provisioned counts the machines that the cloud provisioned, ProvisionRefused the scale-out requests that it
+	// rejected, and ScaledIn the machines that were released.
 	Provisioned, ProvisionRefused, ScaledIn *metrics.Counter
 	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
@@ -60,19 +61,19 @@
 // Snapshot is the state of a controller when the page is served. Values that only the leader knows are 0 elsewhere.
 type Snapshot struct {
 	IsLeader                              bool
-	Term, Applied                         uint64
-	Jobs, Waiting, Running                int
-	Up, Booting, Idle, Suspect, Releasing int // machines
+	Term, Applied                         uint64 // leader's term, and position of the last applied log batch
+	Jobs, Waiting, Running                int    // Waiting and Running count tasks
+	Up, Booting, Idle, Suspect, Releasing int    // number of machines by state
 	// WorstClass and WorstTeam are the service levels of the worst-served class and team, from 0 to 1.
-	// UnderServedClasses and UnderServedTeams count those below their minimum share.
+	// UnderServedClasses and UnderServedTeams count the classes and teams that get less than their minimum share.
 	WorstClass, WorstTeam                float64
 	UnderServedClasses, UnderServedTeams int
 	// HoldsProvisioning and HoldsCompaction report which singleton roles this controller holds; OpenProvisioning is the
 	// number of scale-out requests without a result.
 	HoldsProvisioning, HoldsCompaction bool
 	OpenProvisioning                   int
-	// PeerFrames, PeerBytes and PeerWrites count what was written to other controllers; AssignedAgents is the number of
-	// agents that send their heartbeats to this controller.
+	// PeerFrames, PeerBytes and PeerWrites count the frames and bytes sent to other controllers, and the write calls
+	// that sent them; AssignedAgents is the number of agents that send their heartbeats to this controller.
 	PeerFrames, PeerBytes, PeerWrites int64
 	AssignedAgents                    int
 }
@@ -80,7 +81,7 @@
 // bucketBounds are the upper bounds of the histogram buckets in seconds.
 var bucketBounds = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
-// gauges maps each series that shows the last snapshot to its value.
+// gauges maps each series that shows a value of the last snapshot to the function that returns this value.
 var gauges = map[string]func(s *Snapshot) float64{
 	"fieldhill_leads":                        func(s *Snapshot) float64 { return boolValue(s.IsLeader) },
 	`fieldhill_holds{duty="rent"}`:           func(s *Snapshot) float64 { return boolValue(s.HoldsProvisioning) },
@@ -106,7 +107,7 @@
 	`fieldhill_owed{of="team"}`:              func(s *Snapshot) float64 { return float64(s.UnderServedTeams) },
 }
 
-// New returns a registry for the given kinds of requests. Every series is on the page from the start.
+// New returns a registry for the given kinds of requests. Every series is on the page even before its first update.
 func New(requestKinds ...string) *Registry {
 	set := metrics.NewSet()
 	r := &Registry{
@@ -181,7 +182,7 @@
 }
 
 // Handler serves all series in the Prometheus text format, and CPU profiles. It calls snapshot for each page. If the
-// controller is too busy to take one, ok is false and the response is status 503 rather than a page with old values.
+// controller is too busy to take a snapshot, ok is false, and the response has status 503 instead of outdated values.
 func (r *Registry) Handler(snapshot func() (s Snapshot, ok bool)) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -19,18 +19,18 @@
 // JobState is the status of a job that was already known.
 type JobState struct{ Status wire.JobStatus }
 
-// Invalid means that the request is malformed. For a submission it is final, so it is never returned for a job that was
-// accepted before.
+// Invalid means that the request is malformed. For a submission this result is final, so a job that was accepted before
+// never gets it.
 type Invalid struct{ Reason string }
 
-// Unschedulable means that no machine type can run the job. Like Invalid, it is final.
+// Unschedulable means that no machine type can run the job. Like Invalid, this result is final.
 type Unschedulable struct{ Reason string }
 
 // Unknown means that the requested id is not known.
 type Unknown struct{ Reason string }
 
-// Overloaded means that the request was rejected because of the load and not because of its content. Between
-// controllers it has no reason.
+// Overloaded means that the request was rejected because of the load and not because of its content. In results for
+// other controllers, Reason is empty.
 type Overloaded struct {
 	Reason     string
 	RetryAfter time.Duration // transmitted in whole seconds; 0 for none
@@ -40,23 +40,25 @@
 // lease nor can reach the leader.
 type NoLeader struct{}
 
-// Unavailable means that the request cannot be handled at the moment. Between controllers it may have no reason.
+// Unavailable means that the request cannot be handled at the moment. In results for other controllers, Reason may be
+// empty.
 type Unavailable struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// NotHandled means that the controller did not start or finish handling the request in time. Clients see it as
-// Unavailable. It is the only failure after which a relay of heartbeats may answer the heartbeat itself.
+// NotHandled means that the controller did not start or finish handling the request in time. Clients get the same
+// status as for Unavailable. Only after this failure may a controller that relayed a heartbeat to the leader answer the
+// agent in the leader's place.
 type NotHandled struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Redirected sends an agent to another controller.
-type Redirected struct{ Node string } // empty for any other controller
+// Redirected sends an agent to another controller: the one named Node or, if Node is empty, any other one.
+type Redirected struct{ Node string }
 
-// Renewed renews the lease of an agent under a fencing token and carries commands for it.
+// Renewed means that the lease of an agent was renewed under a fencing token. It carries commands for the agent.
 type Renewed struct {
 	FencingToken uint64
 	Commands     []wire.Command
@@ -68,7 +70,7 @@
 // Superseded tells the holder of a singleton role that its term has ended.
 type Superseded struct{ Reason string }
 
-// Unsupported means that this controller does not know the operation, or that it is disabled here.
+// Unsupported means that this controller does not know the operation or has it disabled.
 type Unsupported struct{ Reason string }
 
 // Done is the successful result of an operation between controllers. The encoding of the body depends on the operation;
@@ -129,8 +131,8 @@
 	return false
 }
 
-// IsRejection reports whether the result is the final rejection of a submission. It is never returned for a job that
-// was accepted before.
+// IsRejection reports whether the result is the final rejection of a submission. A job that was accepted before is
+// never rejected.
 func IsRejection(r Result) bool {
 	switch r.(type) {
 	case Invalid, Unschedulable:
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -31,7 +31,8 @@
 	} {
 		got := [4]bool{IsUnavailable(c.result), IsDone(c.result), IsRejection(c.result), IsUnsupported(c.result)}
 		if got != [4]bool{c.unavailable, c.done, c.rejected, c.unsupported} {
-			t.Errorf("%T%+v: got unavailable, done, rejected, unsupported = %v", c.result, c.result, got)
+			t.Errorf("%T%+v: got unavailable, done, rejected, unsupported = %v, want %v", c.result, c.result, got,
+				[4]bool{c.unavailable, c.done, c.rejected, c.unsupported})
 		}
 	}
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
+// Version and sizes of frames; the sizes are in bytes.
 const (
 	protocolVersion = 1
 	lengthSize      = 4
 	headerSize      = 10 // version, kind and request number
-	// maxPayload fits the largest user request (wire.MaxBody) with room for its envelope.
+	// maxPayload is the maximum size of a payload. The largest user request (wire.MaxBody) fits with its other fields.
 	maxPayload = 80 << 10
-	// MaxBody limits the bytes of a request's ID and body, or of a response's body; the rest of the payload is for the
-	// envelope. The peer closes the connection on a larger frame, which fails every request in flight on it.
+	// MaxBody is the maximum size of a request's ID and body together, or of a response's body; the rest of the payload
+	// is for the other fields. A larger message is never sent, because the peer closes the connection on a frame over
+	// its limit, which fails every request in flight on it.
 	MaxBody = maxPayload - 1<<10
 )
 
@@ -29,25 +31,27 @@
 
 // Connection limits.
 const (
-	// maxPending limits the requests in flight. It exceeds the heartbeats that a controller relaying for a third of
-	// 10,000 machines has in flight at once.
+	// maxPending is the maximum number of requests in flight on a connection. It is greater than the number of
+	// heartbeats that a controller relaying for a third of 10,000 machines has in flight at once.
 	maxPending = 4096
-	// pingSlots is the queue space reserved for pings beyond maxPending, so that a busy link is not taken for a dead
-	// one.
+	// pingSlots is the number of queue slots reserved for pings in addition to maxPending. Without them, pings would
+	// fail on a link at its request limit, and the link would be closed as dead.
 	pingSlots = 16
-	// maxBatchBytes is the size at which a write takes no further queued frames; the last one may exceed it.
+	// maxBatchBytes is the size at which no further queued frames are added to a write. The last frame added may exceed
+	// it.
 	maxBatchBytes  = 32 << 10
 	readBufferSize = 16 << 10
-	// minWriteInterval separates consecutive writes, so that on a busy link several frames share one write.
+	// minWriteInterval is the minimum time between writes, so that on a busy link several frames share one write.
 	minWriteInterval = 2 * time.Millisecond
-	// writeTimeout closes the connection of a peer that has stopped reading.
+	// writeTimeout is the time after which a blocked write fails, which closes the connection to a peer that has
+	// stopped reading.
 	writeTimeout = 5 * time.Second
 )
 
 // FrameSizeError reports a frame length that is below the header size or above the limit.
 type FrameSizeError struct{ Bytes uint32 }
 
-// Error implements error.
+// Error names the invalid length.
 func (e *FrameSizeError) Error() string {
 	return fmt.Sprintf("rpc: invalid frame length of %d bytes", e.Bytes)
 }
@@ -55,15 +59,16 @@
 // FrameVersionError reports a frame of an unsupported protocol version.
 type FrameVersionError struct{ Version byte }
 
-// Error implements error.
+// Error names the unsupported version.
 func (e *FrameVersionError) Error() string {
 	return fmt.Sprintf("rpc: unsupported frame version %d", e.Version)
 }
 
-// FrameKindError reports a frame of a kind that the peer must not send in this direction.
+// FrameKindError reports a frame of an unknown kind, or of a kind that the sender must not use, such as a response from
+// the client side of a connection.
 type FrameKindError struct{ Kind byte }
 
-// Error implements error.
+// Error names the unexpected kind.
 func (e *FrameKindError) Error() string { return fmt.Sprintf("rpc: unexpected frame kind %d", e.Kind) }
 
 func appendFrame(b []byte, kind byte, id uint64, payload []byte) []byte {
@@ -90,7 +95,7 @@
 	return header[lengthSize+1], binary.BigEndian.Uint64(header[lengthSize+2:]), payload, err
 }
 
-// Traffic counts the frames, bytes and write calls sent to other controllers.
+// Traffic counts the frames and bytes sent to other controllers, and the write calls that sent them.
 type Traffic struct{ Frames, Bytes, Writes atomic.Int64 }
 
 // writeFrames writes queued frames until the context is done or a write fails. It is the connection's only writer, so
@@ -113,7 +118,7 @@
 				}
 			}
 			lastWrite = time.Now()
-			_ = conn.SetWriteDeadline(lastWrite.Add(writeTimeout)) // on a closed connection the write fails as well
+			_ = conn.SetWriteDeadline(lastWrite.Add(writeTimeout)) // if this fails, the write fails too
 			b, frames := appendQueued(b, outgoing)
 			if _, err := conn.Write(b); err != nil {
 				return
@@ -125,7 +130,8 @@
 	}
 }
 
-// appendQueued appends the frames already queued, so that a busy link sends several in one write.
+// appendQueued appends queued frames to a first frame, without waiting for more, so that a busy link sends several
+// frames in one write. It returns the number of frames, including the first.
 func appendQueued(b []byte, outgoing <-chan []byte) (batch []byte, frames int64) {
 	frames = 1
 	for len(b) < maxBatchBytes {
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -16,7 +16,7 @@
 	Message *T
 }
 
-// checkFrames checks that a sequence of checkFrames is encoded as in a golden file and decoded from it.
+// checkFrames checks that a sequence of frames is encoded as in a golden file and decoded from it.
 func checkFrames[T any](t *testing.T, name string, want []frame[T], write func([]byte, *T) []byte,
 	read func([]byte) (*T, error)) {
 	t.Helper()
@@ -48,7 +48,7 @@
 	var requests []frame[Request]
 	for i, op := range ops {
 		if int(op) != i+1 {
-			t.Errorf("got number %d for operation %d", op, i+1)
+			t.Errorf("operation at index %d: got number %d, want %d", i, op, i+1)
 		}
 		request := &Request{Op: op, ID: fmt.Sprint("id-", i), Body: []byte{byte(i)}}
 		requests = append(requests, frame[Request]{kindRequest, uint64(i) << 32, request})
@@ -79,7 +79,7 @@
 	oversized[0] = 1 // a length of more than 16 MiB
 	for name, b := range map[string][]byte{"frame of version 2": otherVersion, "frame of 16 MiB": oversized} {
 		if _, _, _, err := readFrame(bytes.NewReader(b)); err == nil {
-			t.Errorf("%s was accepted", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
--- a/internal/rpc/link.go
+++ b/internal/rpc/link.go
@@ -20,14 +20,14 @@
 	// controllers that start together are not all listening yet.
 	initialBackoff = 30 * time.Millisecond
 	maxBackoff     = pingInterval
-	// keepaliveTimeout is the time without any response after which a connection is closed: a peer that lost power
-	// never closes it.
+	// keepaliveTimeout is the time without any response after which a connection is closed. It detects a peer that has
+	// lost power, which never closes its connections.
 	keepaliveTimeout = 2500 * time.Millisecond
 )
 
 // Link is the client side of the connection to one other controller. Run establishes and re-establishes it.
 type Link struct {
-	// Node is the name of the controller, and Addr the address that it listens on.
+	// Node is the name of the other controller, and Addr its listen address.
 	Node, Addr string
 	// PingBody, if set, returns the body of each ping. OnPong, if set, is called with the body of each ping response,
 	// and OnDown, if set, whenever a connection has ended. They must be set before Run.
@@ -41,8 +41,8 @@
 	mu           sync.Mutex
 	outgoing     chan []byte // frames for the writer; nil while not connected
 	lastID       uint64
-	pending      map[uint64]chan *Response // by request number; closed when the connection ends
-	lastResponse time.Time                 // on the current connection
+	pending      map[uint64]chan *Response // channels for the responses, by request number; closed on disconnect
+	lastResponse time.Time                 // when the last response on the current connection was received
 }
 
 // NewLink returns a link that is not connected yet.
@@ -57,14 +57,15 @@
 	}
 }
 
-// LastResponse returns when the last response of any kind was received, and the zero time while not connected.
+// LastResponse returns when the last response, to a ping or any other request, was received on the current connection.
+// It returns the zero time if there is none.
 func (l *Link) LastResponse() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastResponse
 }
 
-// Run connects, sends pings and reconnects until the context is done.
+// Run connects to the other controller, sends pings, and reconnects after failures until the context is done.
 func (l *Link) Run(ctx context.Context) {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
@@ -72,7 +73,7 @@
 		conn, err := l.network.Dial(ctx, l.Addr, dialTimeout)
 		if err == nil {
 			l.runConn(ctx, conn)
-			if time.Since(start) > pingInterval { // the peer did not accept it only to close it at once
+			if time.Since(start) > pingInterval { // not a peer that accepts connections and closes them at once
 				backoff = initialBackoff
 			}
 		}
@@ -84,7 +85,7 @@
 	}
 }
 
-// errMalformedResponse reports a protocol violation by the peer.
+// errMalformedResponse means that the peer sent a frame that is not a valid response.
 var errMalformedResponse = errors.New("malformed response")
 
 // runConn reads responses from a connection until it ends, and waits for its writer and keepalive goroutines.
@@ -112,7 +113,7 @@
 	}
 }
 
-// connect creates the queue of outgoing frames, from which point Do accepts requests.
+// connect creates the queue of outgoing frames. From then on, Do accepts requests.
 func (l *Link) connect() (outgoing <-chan []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +121,7 @@
 	return l.outgoing
 }
 
-// disconnect closes the connection and fails the pending requests. Do fails until the next connection.
+// disconnect closes the connection and fails the pending requests. Do then fails until the link is connected again.
 func (l *Link) disconnect(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,8 +137,8 @@
 	}
 }
 
-// runKeepalive sends pings until the context is done or no response has been received for keepaliveTimeout. The pings
-// run in the wait group and end with the context.
+// runKeepalive sends pings until the context is done or no response has been received for keepaliveTimeout. Each ping
+// runs in a goroutine of the wait group, which ends with the context.
 func (l *Link) runKeepalive(ctx context.Context, pings *sync.WaitGroup) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -155,7 +156,7 @@
 		case <-ticker.C:
 		}
 		if time.Since(pingedAt) > 2*pingInterval {
-			activeSince = time.Now() // the process was suspended: responses may still be unread
+			activeSince = time.Now() // this process was suspended: responses may have arrived but not been read
 		}
 		if last := l.LastResponse(); time.Since(last) > keepaliveTimeout && time.Since(activeSince) > keepaliveTimeout {
 			return
@@ -225,7 +226,8 @@
 	}
 }
 
-// send queues a request for the writer. The response arrives on the channel, which is closed if the connection ends.
+// send queues a request for the writer. The response is sent on the returned channel, which is closed if the connection
+// ends first.
 func (l *Link) send(request *Request) (id uint64, waiter <-chan *Response, err error) {
 	if len(request.ID)+len(request.Body) > MaxBody {
 		return 0, nil, ErrTooLarge
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -1,8 +1,9 @@
 // Package rpc implements request-response calls between controllers: binary frames over one persistent connection in
 // each direction.
 //
-// A frame is: length of the rest (4 bytes, big endian), version (1), kind (1), request number (8, big endian), payload.
-// A frame of another version or over the size limit closes the connection.
+// A frame consists of the length of the rest (4 bytes, big endian), the version (1 byte), the kind (1 byte), the
+// request number (8 bytes, big endian) and the payload. The receiver of a frame of another version or over the size
+// limit closes the connection.
 //
 // Serve handles the requests of other controllers; a Link sends requests to one of them.
 package rpc
@@ -16,7 +17,8 @@
 // Op identifies the operation of a request.
 type Op uint8
 
-// Operations. Their numbers are part of the protocol. A node that does not know one responds with status 501.
+// Operations. Their numbers are part of the protocol. A controller that does not know an operation responds with status
+// 501.
 const (
 	OpPing           Op = iota + 1
 	OpSubmit            // submits a job to the leader
@@ -24,8 +26,8 @@
 	OpCancel            // cancels a job at the leader
 	OpPendingReasons    // explains why a job is pending
 	OpQueue             // lists the pending jobs
-	OpRoleResult        // reports the result of a singleton role, under the role's term
-	OpRenewals          // returns when the leases of a zone's machines were last renewed, once a log batch is applied
+	OpRoleResult        // reports the result of work under a singleton role, with the role's term
+	OpRenewals          // returns the last lease renewals of a zone's machines, after applying a given log batch
 	OpWatermark         // returns the process's age and the highest log position that it has seen
 	OpRelayOffer        // offers to relay agents' heartbeats
 	OpRelayReport       // relays a heartbeat; ID is the relaying node
@@ -40,15 +42,15 @@
 	Body []byte // encoding depends on the operation
 }
 
-// Response is the response to a Request. It mirrors an HTTP response without headers, because most are passed on to a
-// user.
+// Response is the response to a Request. It mirrors an HTTP response without headers, because most responses are passed
+// on to users over HTTP.
 type Response struct {
 	Status     int
 	RetryAfter int // seconds; 0 for none
 	Body       []byte
 }
 
-// Valid ranges of a response's numbers.
+// Valid range of a response's status, and maximum of its Retry-After in seconds.
 const (
 	minStatus     = 100
 	maxStatus     = 599
@@ -65,7 +67,7 @@
 	ErrConnectionLost = errors.New("connection lost")
 )
 
-// IsNotSent reports whether an error of Do means that the request was certainly not sent.
+// IsNotSent reports whether an error returned by Link.Do means that the request was certainly not sent.
 func IsNotSent(err error) bool { return errors.Is(err, ErrNotConnected) || errors.Is(err, ErrTooLarge) }
 
 func appendRequest(b []byte, request *Request) []byte {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -53,12 +53,12 @@
 		start := time.Now()
 		timeoutCtx, cancel := context.WithTimeout(ctx, time.Second)
 		if _, err := link.Do(timeoutCtx, &Request{Op: OpPing}); err == nil {
-			t.Error("Do succeeded on a peer that never responds")
+			t.Error("Do on a peer that never responds: got no error, want a timeout")
 		}
 		cancel()
 		link.LastResponse()
 		if elapsed := time.Since(start); elapsed > 1100*time.Millisecond {
-			t.Errorf("Do took %v with a timeout of 1 s", elapsed)
+			t.Errorf("Do with a timeout of 1 s: took %v, want at most 1.1 s", elapsed)
 		}
 		stop()
 		closeConn(t, remote)
@@ -86,7 +86,7 @@
 		response, err := link.Do(ctx, &Request{Op: OpSubmit, ID: "x", Body: []byte("yz")})
 		want := &Response{Status: http.StatusTeapot, RetryAfter: 7, Body: []byte("xyz")}
 		if diff := cmp.Diff(want, response); diff != "" || err != nil {
-			t.Error(err, diff)
+			t.Errorf("response (-want +got):\n%s, error %v", diff, err)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -107,7 +107,7 @@
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
 			if silence := time.Since(link.LastResponse()); silence > time.Second {
-				t.Fatalf("no response for %v while %d requests are in flight", silence, requestCount)
+				t.Fatalf("with %d requests in flight: got no response for %v, want at most 1 s", requestCount, silence)
 			}
 		}
 		if _, err := link.Do(ctx, &Request{Op: OpRelayReport}); !IsNotSent(err) {
@@ -119,8 +119,8 @@
 		close(release)
 		counts.wg.Wait()
 		if counts.answered.Load() != requestCount {
-			t.Errorf("%d of %d requests answered, %d not sent",
-				counts.answered.Load(), requestCount, counts.unsent.Load())
+			t.Errorf("got %d requests answered and %d not sent, want all %d answered",
+				counts.answered.Load(), counts.unsent.Load(), requestCount)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -140,7 +140,7 @@
 	}
 }
 
-// requestCounts counts the outcomes of many concurrent heartbeat requests.
+// requestCounts counts the outcomes of concurrent heartbeat requests.
 type requestCounts struct {
 	wg               sync.WaitGroup
 	unsent, answered atomic.Int64
@@ -197,13 +197,13 @@
 		}
 		fitting := &Request{Op: OpSubmit, Body: make([]byte, MaxBody)}
 		if response, err := link.Do(ctx, fitting); err != nil || len(response.Body) != MaxBody {
-			t.Errorf("request of MaxBody bytes: %v", err)
+			t.Errorf("request of MaxBody bytes: got error %v, want a response with as many bytes", err)
 		}
 		if err := <-inFlight; err != nil {
-			t.Errorf("request in flight: %v", err)
+			t.Errorf("request in flight: got error %v, want a response", err)
 		}
 		if len(conns) > 0 {
-			t.Error("the link reconnected")
+			t.Errorf("got %d further connections, want the first one kept", len(conns))
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -247,11 +247,11 @@
 		if request, err := readRequest(payload); err == nil {
 			decoded, err := readRequest(appendRequest(nil, request))
 			if err != nil || !cmp.Equal(request.ID, decoded.ID) || !bytes.Equal(request.Body, decoded.Body) {
-				t.Errorf("request %+v was decoded as %+v, %v", request, decoded, err)
+				t.Errorf("decoding an encoded request: got %+v, %v, want %+v", decoded, err, request)
 			}
 		}
 		if response, err := readResponse(payload); err == nil && (response.Status < 100 || response.Status > 599) {
-			t.Errorf("accepted a response with invalid status %d", response.Status)
+			t.Errorf("readResponse: got status %d, want an error or a status from 100 to 599", response.Status)
 		}
 	})
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -19,7 +19,8 @@
 const (
 	// acceptBackoff is the delay after a failed Accept.
 	acceptBackoff = 100 * time.Millisecond
-	// idleTimeout closes a connection without requests; a live peer sends a ping every pingInterval.
+	// idleTimeout is the time without requests after which a connection is closed; a live peer sends a ping every
+	// pingInterval.
 	idleTimeout = 30 * time.Second
 )
 
@@ -58,11 +59,12 @@
 	conn     net.Conn
 	handler  Handler
 	outgoing chan []byte // frames for the writer
-	// Semaphores for the requests in flight. While one is full, no further request is read. Pings have their own, so
-	// that they are handled while maxPending requests are in flight.
+	// Semaphores for the requests in flight. While one is full, no further request is read. Pings have a semaphore of
+	// their own, so that they are handled while maxPending other requests are in flight.
 	requests, pings chan struct{}
 }
 
+// serveConn handles the requests on a connection until it ends, and returns the cause.
 func serveConn(ctx context.Context, conn net.Conn, handler Handler, traffic *Traffic) error {
 	s := &serverConn{
 		conn: conn, handler: handler, outgoing: make(chan []byte, maxPending+pingSlots),
@@ -102,7 +104,7 @@
 }
 
 func (s *serverConn) readRequest(r io.Reader) (id uint64, request *Request, err error) {
-	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // on a closed connection the read fails as well
+	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // if this fails, the read fails too
 	kind, id, payload, err := readFrame(r)
 	if err != nil {
 		return 0, nil, err
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -3,9 +3,9 @@
 // Paths of the admin API, which listens on the operators' address (--operate). It is defined by this service, not by
 // the platform, and uses JSON. The schemas in docs/schema are generated from the structs in this file.
 const (
-	PathAdminJobs  = "/v1/jobs" // followed by /{id}/why
+	PathAdminJobs  = "/v1/jobs" // followed by a slash, a job id and WhySuffix
 	WhySuffix      = "/why"
-	PathAdminQueue = "/v1/queue" // ?team=&class=&reason=&most=
+	PathAdminQueue = "/v1/queue" // query parameters: team, class, reason, most
 	PathAdminRoles = "/v1/duties"
 )
 
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -10,10 +10,10 @@
 
 // States of a task on its machine.
 const (
-	TaskFetching      = "pulling"   // its image is being fetched
-	TaskWaiting       = "gathering" // it waits for the other tasks of its gang
+	TaskFetching      = "pulling"   // the task's image is being fetched
+	TaskWaiting       = "gathering" // the task waits for the other tasks of its gang
 	TaskRunning       = "running"
-	TaskCheckpointing = "flushing" // it was stopped and is saving its progress
+	TaskCheckpointing = "flushing" // the task was stopped and is saving its progress
 	TaskExited        = "exited"   // reported until the controller sends Forget
 )
 
@@ -21,12 +21,12 @@
 const (
 	CauseDone           = "done"
 	CauseStopped        = "halted"     // stopped by a command
-	CausePeers          = "peers"      // another task of its gang ended
-	CauseGangIncomplete = "incomplete" // the other tasks of its gang did not start in time
-	CauseError          = "error"
-	CauseNoCapacity     = "no_room"
-	CauseBusy           = "busy"
-	CauseUnknown        = "unknown"
+	CausePeers          = "peers"      // another task of the gang ended
+	CauseGangIncomplete = "incomplete" // the other tasks of the gang did not start in time
+	CauseError          = "error"      // the task failed
+	CauseNoCapacity     = "no_room"    // the machine lacks the resources
+	CauseBusy           = "busy"       // another attempt of the task is on the machine
+	CauseUnknown        = "unknown"    // the job is not known
 )
 
 // Verbs of commands to an agent.
@@ -36,8 +36,8 @@
 	Forget = "reap" // drops an exited task from the agent's heartbeats
 )
 
-// Heartbeat reports the state of an agent's machine. It renews the agent's lease, and its task states are reconciled
-// with the replicated state.
+// Heartbeat reports the state of an agent's machine. It renews the agent's lease, and the leader reconciles the task
+// states in it with the replicated state.
 type Heartbeat struct {
 	Machine string `msgpack:"box"`
 	Addr    string `msgpack:"endpoint"` // listen address of the agent, for commands
@@ -48,9 +48,9 @@
 	// heartbeats are detected.
 	AgentEpoch uint64 `msgpack:"shift"`
 	Seq        uint64 `msgpack:"tick"`
-	// FencingToken is the highest token that the agent has seen; it rejects commands with a lower one.
+	// FencingToken is the highest token that the agent has seen. The agent rejects commands with a lower token.
 	FencingToken uint64 `msgpack:"baton"`
-	// NoticeS is the time until the cloud reclaims the machine; nil if it has given no notice.
+	// NoticeS is the time until the cloud reclaims the machine; nil if the cloud has given no notice.
 	NoticeS *float64     `msgpack:"recall_s"`
 	Tasks   []TaskStatus `msgpack:"pieces"`
 }
@@ -60,8 +60,8 @@
 	Task    string `msgpack:"piece"` // formatted by TaskID
 	Attempt uint64 `msgpack:"try"`
 	State   string `msgpack:"status"`
-	Cause   string `msgpack:"cause,omitempty"` // of the exit; empty before it
-	// Checkpointed reports that the progress of an exited task was saved.
+	Cause   string `msgpack:"cause,omitempty"` // cause of the exit; empty until the task exits
+	// Checkpointed reports whether the progress of an exited task was saved.
 	Checkpointed bool `msgpack:"stored,omitempty"`
 }
 
@@ -70,7 +70,7 @@
 	Verb    string `msgpack:"verb"` // Start, Stop or Forget
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"try"`
-	// GraceS is the time that a stopped task has to save its progress; nil for commands other than Stop.
+	// GraceS is the time within which a stopped task may save its progress; nil for commands other than Stop.
 	GraceS *float64 `msgpack:"windup_s,omitempty"`
 }
 
@@ -82,11 +82,11 @@
 
 // Redirect is the response that sends an agent to another controller.
 type Redirect struct {
-	Node string `msgpack:"foreman,omitempty"` // empty for any other controller
+	Node string `msgpack:"foreman,omitempty"` // name of the controller; empty: any other controller
 }
 
-// Orders is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects it if
-// it has seen a higher fencing token or has another epoch.
+// Orders is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects the
+// request if it has seen a higher fencing token or has another epoch.
 type Orders struct {
 	FencingToken uint64    `msgpack:"baton"`
 	AgentEpoch   uint64    `msgpack:"shift"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -9,10 +9,10 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is the maximum nesting depth of maps and lists, far above that of any message of the protocol.
+// maxDepth is the maximum nesting depth of maps and lists, far more than any message of the protocol needs.
 const maxDepth = 16
 
-// Marshal encodes a message.
+// Marshal encodes a message as MessagePack.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
 // Unmarshal decodes one message: a single map without trailing bytes, nested no deeper than maxDepth. The depth is
@@ -53,8 +53,8 @@
 	return msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32
 }
 
-// checkDepth skips one value at the given nesting depth. It rejects what no message contains: maps with keys that are
-// not strings, binary data and extensions.
+// checkDepth skips one value at the given nesting depth. It rejects values that occur in no message: maps with keys
+// that are not strings, binary data and extensions.
 func checkDepth(d *msgpack.Decoder, depth int) error {
 	if depth > maxDepth {
 		return errors.New("nested too deeply")
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -17,8 +17,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// fullMessages has every message of the platform's interfaces with no field at its zero value, so that the tests detect
-// a tag or a byte that is not decoded.
+// fullMessages returns every message of the platform's interfaces by the name of its golden file. No field has its zero
+// value, so that the tests detect a tag or a byte that is not decoded.
 func fullMessages() map[string]any {
 	all := map[string]any{}
 	for _, messages := range []map[string]any{
@@ -116,7 +116,7 @@
 	}
 }
 
-// sparseMessages has messages with fields that are omitted, null or empty.
+// sparseMessages returns messages with fields that are omitted, null or empty, by the names of their golden files.
 func sparseMessages() map[string]any {
 	raw, _ := Marshal(&LogValue{Version: 1})
 	all := map[string]any{
@@ -161,7 +161,7 @@
 	return all
 }
 
-// reencoder returns a function that decodes a message of value's type and encodes it again.
+// reencoder returns a function that decodes a message into a new value of the given value's type and encodes it again.
 func reencoder(value any) func(b []byte) ([]byte, error) {
 	return func(b []byte) ([]byte, error) {
 		message := reflect.New(reflect.TypeOf(value).Elem()).Interface()
@@ -181,7 +181,8 @@
 }
 
 // TestGoldenMessages checks that every message is encoded as in its golden file and decoded from it, and that changing
-// any byte or renaming any tag in the file changes the result. messages.txt has all messages as JSON with their tags.
+// any byte or renaming any tag in the file is detected. It also compares the messages as JSON with messages.txt, which
+// shows their tags.
 func TestGoldenMessages(t *testing.T) {
 	messages, full := fullMessages(), fullMessages()
 	maps.Copy(messages, sparseMessages())
@@ -199,10 +200,10 @@
 			t.Errorf("decoding %s: %v", name, err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
-			t.Errorf("%s was decoded wrongly (-want +got):\n%s", name, d)
+			t.Errorf("%s after decoding (-want +got):\n%s", name, d)
 		}
 		if reencoded, err := reencoder(want)(stored); err != nil || string(reencoded) != string(stored) {
-			t.Errorf("%s was re-encoded as %x, %v", name, reencoded, err)
+			t.Errorf("%s after decoding and encoding: got %x, %v, want %x", name, reencoded, err, stored)
 		}
 		var tagged map[string]any
 		if err := msgpack.Unmarshal(encoded, &tagged); err != nil {
@@ -227,7 +228,7 @@
 			t.Errorf("ParseJob of %s (-want +got):\n%s, %v", name, d, err)
 		}
 		if number, err := PeekJobID(stored); err != nil || JobID(number) != job.ID {
-			t.Errorf("PeekJobID of %s: got job %d, %v", name, number, err)
+			t.Errorf("PeekJobID of %s: got job %d, %v, want %s", name, number, err, job.ID)
 		}
 	}
 	golden.FlipFinds(t, "messages/job-spec.hex", reencodeJob)
@@ -266,7 +267,7 @@
 // sortedMap is a map that is encoded in key order, so that the first invalid field is the same in each run.
 type sortedMap map[string]any
 
-// EncodeMsgpack implements msgpack.CustomEncoder.
+// EncodeMsgpack encodes the map with sorted keys.
 func (s sortedMap) EncodeMsgpack(e *msgpack.Encoder) error {
 	e.SetSortMapKeys(true)
 	return e.EncodeMapSorted(s)
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -8,12 +8,12 @@
 
 const (
 	jobIDPrefix = "req-"
-	// maxJobNumber is the largest number with fifteen digits, all of which a float64 represents exactly.
+	// maxJobNumber is the largest number of fifteen digits. A float64 represents every number up to it exactly.
 	maxJobNumber = 999_999_999_999_999
 )
 
-// JobNumber parses a job id: the prefix and six digits, or more without a leading zero. Each number has exactly one id,
-// so that the service can store the number alone.
+// JobNumber returns the number in a job id: jobIDPrefix and six digits, or up to fifteen without a leading zero. It
+// returns false if the id is malformed. Each number has exactly one id, so that the service can store the number alone.
 func JobNumber(id string) (uint64, bool) {
 	s, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || len(s) < 6 || len(s) > 15 || (len(s) > 6 && s[0] == '0') {
@@ -32,12 +32,13 @@
 // JobID formats the id of a job, the inverse of JobNumber.
 func JobID(n uint64) string { return fmt.Sprintf("%s%06d", jobIDPrefix, n) }
 
-// TaskID formats the id of a task: its job's id, a slash and its index in the job.
+// TaskID formats the id of a task: the job's id, a slash and the index of the task in the job.
 func TaskID(job uint64, task int) string {
 	return JobID(job) + "/" + strconv.Itoa(task)
 }
 
-// ParseTaskID parses a task id into the job's number and the task's index, the inverse of TaskID.
+// ParseTaskID returns the job number and the task index in a task id, the inverse of TaskID; ok is false if the id is
+// malformed.
 func ParseTaskID(s string) (job uint64, task int, ok bool) {
 	id, t, found := strings.Cut(s, "/")
 	if !found {
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -10,15 +10,15 @@
 	PathWatch  = "/follow"
 )
 
-// LogValue is the format of every value that this service stores: a short header and Data, whose encoding is defined by
-// the package that owns the key.
+// LogValue is the format of every value that this service stores: header fields, of which each kind of key uses some,
+// and Data, whose encoding is defined by the package that owns the key.
 type LogValue struct {
-	Version int    `msgpack:"v"` // format version
-	Term    uint64 `msgpack:"t"` // term of the leader that wrote it
-	Node    string `msgpack:"n,omitempty"`
-	Lease   uint64 `msgpack:"l,omitempty"`
-	Seq     uint64 `msgpack:"s,omitempty"`
-	Count   int    `msgpack:"c,omitempty"`
+	Version int    `msgpack:"v"`           // format version
+	Term    uint64 `msgpack:"t"`           // term of the leader that wrote the value
+	Node    string `msgpack:"n,omitempty"` // controller that the value is about
+	Lease   uint64 `msgpack:"l,omitempty"` // lease that the key is attached to
+	Seq     uint64 `msgpack:"s,omitempty"` // log position
+	Count   int    `msgpack:"c,omitempty"` // for example the number of parts of a snapshot
 	Data    string `msgpack:"d,omitempty"`
 }
 
@@ -37,13 +37,14 @@
 	Revision uint64 `msgpack:"ledger"` // store revision at which the page was read
 }
 
-// Condition requires a key to be at a version; version 0 requires that it does not exist.
+// Condition requires a key to be at a version; version 0 requires that the key does not exist.
 type Condition struct {
 	Key     string `msgpack:"key"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Write is one write of a transaction. Either Put names the key, with a value and optionally a lease, or Delete does.
+// Write is one write of a transaction. Either Put names a key to set to Value, attached to a lease unless Lease is 0,
+// or Delete names a key to delete.
 type Write struct {
 	Put    string    `msgpack:"put,omitempty"`
 	Value  *LogValue `msgpack:"value,omitempty"`
@@ -73,7 +74,8 @@
 	Lease uint64 `msgpack:"permit"`
 }
 
-// Event is one change of a watched key. Either Put or Delete names the key.
+// Event is one change of a watched key. Either Put names the key that was set to Value, or Delete the key that was
+// deleted.
 type Event struct {
 	Put     string             `msgpack:"put,omitempty"`
 	Delete  string             `msgpack:"delete,omitempty"`
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// fieldID is the key of a submission's job id.
+	// fieldID is the key of the job id in a submission.
 	fieldID = "name_id"
 	// maxNameLength is the maximum length in bytes of a class, team or image name.
 	maxNameLength = 200
@@ -18,23 +18,23 @@
 
 // FieldError reports a malformed field of a submission. Its text is sent to the user.
 type FieldError struct {
-	Field string // name in the protocol
+	Field string // key in the submission
 	Err   error
 }
 
-// Error implements error.
+// Error names the field and what is wrong with it.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the cause, such as an error of the decoder.
+// Unwrap returns what is wrong with the field, for example an error of the decoder.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func fieldError(field, problem string) error {
 	return &FieldError{Field: field, Err: errors.New(problem)}
 }
 
-// ParseJob decodes and validates a submission. Every error means that the body is malformed; it is a *FieldError if the
-// cause is one field. ParseJob does not check whether any machine can run the job. Fields are decoded one by one,
-// because the library converts between types where the protocol requires that the submission is rejected.
+// ParseJob decodes and validates a submission. Every error means that the body is malformed; the error is a *FieldError
+// if one field is the cause. ParseJob does not check whether any machine can run the job. Fields are decoded one by
+// one, because the library converts between types where the protocol requires that the submission is rejected.
 func ParseJob(b []byte) (*JobSpec, error) {
 	if err := checkNesting(b); err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 	return &s, s.validate()
 }
 
-// PeekJobID returns the job id of a submission without validating the other fields, so that a repeated submission of a
-// known job is recognized as idempotent before anything else is checked.
+// PeekJobID returns the job number of a submission without validating the other fields, so that a repeated submission
+// of a known job is recognized before the rest is checked.
 func PeekJobID(b []byte) (uint64, error) {
 	if err := checkNesting(b); err != nil {
 		return 0, err
--- a/wire/users.go
+++ b/wire/users.go
@@ -56,9 +56,9 @@
 	Spread   bool `msgpack:"spread"`
 	// Spot allows the job to run on spot instances, which the cloud may reclaim.
 	Spot      bool    `msgpack:"loaners"`
-	EstimateS float64 `msgpack:"runtime_s"`
-	// CheckpointIntervalS is the interval at which a task saves its progress, 0 for never; CheckpointWriteS is how long
-	// it takes to do so when it is stopped.
+	EstimateS float64 `msgpack:"runtime_s"` // expected runtime of a task
+	// CheckpointIntervalS is the interval at which a task saves its progress, 0 for never; CheckpointWriteS is the time
+	// that a stopped task needs to save its progress.
 	CheckpointIntervalS float64 `msgpack:"snapshot_s"`
 	CheckpointWriteS    float64 `msgpack:"flush_s"`
 	// DeadlineS is the time after submission by which the job should have finished; nil for no deadline.
@@ -69,6 +69,6 @@
 type JobStatus struct {
 	ID      string `msgpack:"name_id"`
 	State   string `msgpack:"status"`
-	Done    int    `msgpack:"done"`
-	Running int    `msgpack:"running"`
+	Done    int    `msgpack:"done"`    // number of completed tasks
+	Running int    `msgpack:"running"` // number of running tasks
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -3,8 +3,8 @@
 // messages, and does not depend on the rest of the service, so that clients can import it.
 //
 // The platform has its own names for many concepts ("baton" for a fencing token, "shift" for an agent epoch). They
-// occur only here, in struct tags and constants; the Go names are the usual terms, which docs/GLOSSARY.md lists. Fields
-// that end in S are in seconds, and those that end in GB in gigabytes.
+// occur only in the struct tags and constants of this package; the Go names are the usual terms, which docs/GLOSSARY.md
+// lists. Fields whose names end in S are in seconds, and those whose names end in GB in gigabytes.
 //
 // Messages are MessagePack maps, except in the admin API, which uses JSON.
 package wire
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -41,7 +41,7 @@
 	}
 	if s.ID != "req-000412" || s.Tasks != 16 || s.CPUs != 8 || len(s.Types) != 1 || s.Zone != nil ||
 		*s.DeadlineS != 900 || !s.SameZone {
-		t.Errorf("parsed as %+v", s)
+		t.Errorf("got %+v, want the values of validJob", s)
 	}
 	// Amounts may be encoded as integers, and fields that may be null may be omitted.
 	j["cores"] = 8
@@ -49,7 +49,7 @@
 	delete(j, "models")
 	b, _ = Marshal(j)
 	if s, err = ParseJob(b); err != nil || s.CPUs != 8 || s.DeadlineS != nil || s.Types != nil {
-		t.Errorf("parsed as %+v, %v", s, err)
+		t.Errorf("integer CPUs, no deadline, no types: got %+v, %v, want 8 CPUs and nil for the others", s, err)
 	}
 }
 
@@ -76,7 +76,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ParseJob(b); err == nil {
-				t.Errorf("%s = %v was accepted", field, v)
+				t.Errorf("ParseJob with %s = %v: got no error, want one", field, v)
 			}
 		}
 	}
@@ -92,10 +92,10 @@
 	for name, body := range map[string][]byte{"empty": nil, "list": {0x90}, "trailing": append(b[:len(b):len(b)], 0xc0),
 		"cut": b[:len(b)-1], "text": []byte("hello"), "deep": append([]byte{0x81, 0xa1, 'x'}, nestedLists(60_000)...)} {
 		if _, err := ParseJob(body); err == nil {
-			t.Errorf("ParseJob accepted body %q", name)
+			t.Errorf("ParseJob of body %q: got no error, want one", name)
 		}
 		if _, err := PeekJobID(body); err == nil {
-			t.Errorf("PeekJobID accepted body %q", name)
+			t.Errorf("PeekJobID of body %q: got no error, want one", name)
 		}
 	}
 }
@@ -110,16 +110,16 @@
 	for _, id := range []string{"req-000000", "req-000412", "req-999999", "req-1000000"} {
 		n, ok := JobNumber(id)
 		if !ok || JobID(n) != id {
-			t.Errorf("JobNumber(%q) = %d, %v", id, n, ok)
+			t.Errorf("JobNumber(%q) = %d, %v, want the number of that id", id, n, ok)
 		}
 		j, k, ok := ParseTaskID(TaskID(n, 31))
 		if !ok || j != n || k != 31 {
-			t.Errorf("task 31 of %s was parsed as %d/%d", id, j, k)
+			t.Errorf("ParseTaskID of task 31 of %s: got job %d, task %d, %v, want job %d, task 31", id, j, k, ok, n)
 		}
 	}
 	for _, s := range []string{"req-000412", "req-000412/", "req-000412/-1", "req-000412/100000", "x/1"} {
 		if _, _, ok := ParseTaskID(s); ok {
-			t.Errorf("ParseTaskID accepted %q", s)
+			t.Errorf("ParseTaskID(%q) succeeded, want false", s)
 		}
 	}
 }
@@ -132,10 +132,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ParseJob(b); err == nil {
 			if _, ok := JobNumber(s.ID); !ok || s.Tasks < 1 || !(s.CPUs >= 0) {
-				t.Errorf("accepted invalid job %+v", s)
+				t.Errorf("ParseJob: got invalid job %+v, want an error", s)
 			}
 			if _, err := PeekJobID(b); err != nil {
-				t.Errorf("PeekJobID failed on a valid job: %v", err)
+				t.Errorf("PeekJobID of a valid job: got error %v, want none", err)
 			}
 		}
 		var r Heartbeat
