--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -16,8 +16,9 @@
 // probeInterval is the interval between the readiness probes of a controller.
 const probeInterval = time.Second
 
-// ServeBalancer emulates the load balancer of a development deployment: users send their requests to an address, and
-// the invariant checker sees every job and response. Requests go only to controllers that are ready.
+// ServeBalancer starts to emulate the load balancer of a development deployment, and returns. The load balancer
+// forwards the requests that users send to an address to controllers that are ready, and passes every job and response
+// to the invariant checker.
 func (e *Environment) ServeBalancer(ctx context.Context, addr string) error {
 	ln, err := e.networkOf("balancer").Listen(addr)
 	if err != nil {
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// loadBalancer forwards users' requests to ready controllers.
 type loadBalancer struct {
 	environment *Environment
 	mu          sync.Mutex
@@ -98,7 +100,7 @@
 	return ready
 }
 
-// forward sends a request to one ready controller after the other until one answers, up to maxForwards.
+// forward sends a request to ready controllers, one after the other and at most maxForwards, until one answers.
 func (b *loadBalancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
 	ready := b.readyControllers()
 	for _, i := range ready[:min(len(ready), maxForwards)] {
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -6,8 +6,8 @@
 	"fieldhill/wire"
 )
 
-// maxUnusedCapacityDuration is how long a job may wait, once all faults are over, while there is room for it on the
-// machines and its team is below its limit.
+// maxUnusedCapacityDuration is how long a job may wait, once all faults are over, although its tasks fit the free
+// capacity of the machines and the limit of its team.
 const maxUnusedCapacityDuration = 90 * time.Second
 
 // freeCapacity is the unused capacity of a machine.
@@ -27,7 +27,8 @@
 	return all
 }
 
-// freeCapacity returns the unused capacity of the machine; ok is false if a fault prevents it from accepting tasks.
+// freeCapacity returns the unused capacity of the machine; ok is false if the agent has not started yet or a fault
+// prevents the machine from accepting tasks.
 func (w *Worker) freeCapacity(machineType *wire.MachineType) (remaining freeCapacity, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +44,7 @@
 	return remaining, w.epoch > 0 && reachable && healthy
 }
 
-// checkUnusedCapacity checks, once all faults are over, that no job waits for long although there is room for it.
+// checkUnusedCapacity checks, once all faults are over, that no job waits for too long while there is room for it.
 func (e *Environment) checkUnusedCapacity() {
 	if !e.Checker.areFaultsOver() {
 		return
@@ -86,8 +87,9 @@
 	}
 }
 
-// canPlaceNext reports whether there is room for the next task of a job, or for all tasks of a gang. Gangs are packed
-// with a simple heuristic that may miss a possible placement but never reports an impossible one.
+// canPlaceNext reports whether there is room for the next task of a job, or for all tasks of a gang. quotaLeft is the
+// number of CPUs that the team may still use; it is ignored if the team is unlimited. For gangs the result is that of a
+// simple heuristic, which may miss a possible placement but never reports an impossible one.
 func (j *jobRecord) canPlaceNext(free []freeCapacity, quotaLeft float64, unlimited bool) bool {
 	spec := j.spec
 	needed := 1
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -16,7 +16,7 @@
 const (
 	// defaultMaxMachines is the default number of machines available per type, zone and kind (spot or on-demand).
 	defaultMaxMachines = 4
-	// listingInterval is how often the machine list is updated; the list lags behind by up to this time.
+	// listingInterval is how often the machine list is updated, and thus the maximum time by which it is out of date.
 	listingInterval = 3 * time.Second
 	// cloudLatency is the time that the cloud takes to answer a request.
 	cloudLatency = 80 * time.Millisecond
@@ -29,21 +29,21 @@
 	environment   *Environment
 	machineTypes  []wire.MachineType
 	pageSize      int                             // of the machine list
-	maxMachinesOf func(typ string, spot bool) int // per type, zone and kind; nil: maxMachines
+	maxMachinesOf func(typ string, spot bool) int // per type, zone and kind; if nil, maxMachines applies
 
 	mu                 sync.Mutex
-	Machines           map[string]*Worker // by name; those that exist
+	Machines           map[string]*Worker // existing machines by name
 	machinesByRequest  map[string][]string
 	bootedAt           map[string]time.Time
 	listing            []wire.ListedMachine // at most listingInterval old
 	launched           int
 	maxMachines        int
 	outage             bool
-	dropResponseChance float64 // that a request is executed and not answered
-	bootSlowdown       float64 // factor on boot times; 0: 1
-	neverBootsEvery    int     // every n-th machine never comes up; 0: none
-	// deletionDelay is the delay after which machines are deleted, without an answer to the request; 0: deletions are
-	// executed at once and answered.
+	dropResponseChance float64 // probability that a request is executed and not answered
+	bootSlowdown       float64 // factor on boot times; 0 means 1
+	neverBootsEvery    int     // every n-th machine never comes up; 0 means none
+	// deletionDelay is the delay after which machines are deleted without an answer to the request; 0 means that
+	// deletions are executed at once and answered.
 	deletionDelay time.Duration
 }
 
@@ -74,7 +74,7 @@
 	c.outage = on
 }
 
-// SetBootFaults sets a factor on boot times, and makes every n-th machine never come up (0: none).
+// SetBootFaults sets a factor on boot times, and makes every n-th machine never come up; n of 0 means none.
 func (c *Cloud) SetBootFaults(slowdown float64, neverBootsEvery int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	c.dropResponseChance = probability
 }
 
-// DelayDeletions makes machine deletions be executed after a delay and not answered.
+// DelayDeletions makes the cloud delete machines only after a delay, and not answer the requests for it.
 func (c *Cloud) DelayDeletions(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +163,7 @@
 	},
 }
 
-// machineType returns a type by name. An unknown type has no resources.
+// machineType returns a machine type by name, or a type without resources if the name is unknown.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.machineTypes {
 		if c.machineTypes[i].Name == name {
@@ -175,7 +175,7 @@
 
 func (c *Cloud) hasBooted(machine string) bool { return !time.Now().Before(c.bootedAt[machine]) }
 
-// serve starts to serve the cloud API and returns; the server stops when the context ends.
+// serve starts a server of the cloud API and returns. The server stops when the context ends.
 func (c *Cloud) serve(ctx context.Context) error {
 	ln, err := c.environment.networkOf("cloud").Listen(c.environment.addresses.Cloud)
 	if err != nil {
@@ -220,8 +220,8 @@
 	return true
 }
 
-// handleRequest calls buildResponse under the lock, unless there is an outage, and responds with its result; nil means
-// that there is no capacity.
+// handleRequest calls buildResponse with c.mu locked, unless there is an outage, and responds with its result. A nil
+// result means that there is no capacity.
 func (c *Cloud) handleRequest(w http.ResponseWriter, buildResponse func() any) {
 	time.Sleep(cloudLatency)
 	c.mu.Lock()
@@ -338,8 +338,8 @@
 	return name
 }
 
-// randomBootDuration returns the boot time of the machine launched last: 0.6 to 1.5 times the usual one of its type, if
-// no boot fault applies.
+// randomBootDuration returns the boot time of the machine launched last. Without boot faults, it is 0.6 to 1.5 times
+// the usual boot time of the machine's type.
 func (c *Cloud) randomBootDuration(worker *Worker) time.Duration {
 	d := time.Duration(c.machineType(worker.Type).BootS * (0.6 + 0.9*worker.rng.Float64()) * float64(time.Second))
 	if c.bootSlowdown > 0 {
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -13,7 +13,7 @@
 // ControllerFunc runs a controller until its context ends, either in this process or as a child process.
 type ControllerFunc func(ctx context.Context, h host.Net, s *config.Settings) error
 
-// ControllerName returns the name of a controller in its settings.
+// ControllerName returns the name that a controller, given by its index, has in the settings.
 func ControllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // controllerGroup starts and stops the controllers of a deployment, each in a goroutine that represents its process.
@@ -33,7 +33,7 @@
 	host   host.Net
 	stop   context.CancelFunc
 	done   chan struct{}
-	killed *atomic.Bool // ended by Kill
+	killed *atomic.Bool // Kill has ended the process
 }
 
 func newControllerGroup(
@@ -56,7 +56,7 @@
 	return g
 }
 
-// settings returns the settings of a controller as if read from its settings file.
+// settings returns the settings of a controller, as config.Load would read them from its settings file.
 func (g *controllerGroup) settings(process *controllerProcess) *config.Settings {
 	settings := &config.Settings{
 		Node:       process.name,
@@ -75,6 +75,7 @@
 	return settings
 }
 
+// Start starts a controller with settings made from the environment's current parameters.
 func (g *controllerGroup) Start(i int) {
 	process := g.processes[i]
 	settings := g.settings(process)
@@ -101,7 +102,7 @@
 // hosts, its leases stay valid and requests already sent are still processed. A new process may be started at once.
 func (g *controllerGroup) Kill(i int) {
 	process := g.processes[i]
-	process.killed.Store(true) // before its listeners close, so that their errors are ignored
+	process.killed.Store(true) // before the listeners close, so that the resulting errors are ignored
 	if h, ok := process.host.(*Host); ok {
 		h.Terminate()
 	}
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -16,9 +16,9 @@
 // defaultFetchDuration is the default time that a machine takes to fetch an image.
 const defaultFetchDuration = 1500 * time.Millisecond
 
-// Environment is a whole deployment: controllers, and emulators of everything that they interact with. The embedded
-// types, each with its own state, implement the behavior of controllers, users, tasks and the network; their exported
-// methods are part of the environment's API.
+// Environment is a whole deployment: controllers, and emulators of the services, machines and users that they interact
+// with. The embedded types implement the behavior of controllers, users, heartbeat copies and tasks, each with its own
+// state; their exported methods are part of the environment's API.
 type Environment struct {
 	Network *Network // nil unless the in-memory network is used
 	Store   *KVStore
@@ -32,7 +32,7 @@
 	*taskBehavior
 	gangs *gangRegistry
 
-	ctx               context.Context // ends with the environment
+	ctx               context.Context // the environment stops when it is done
 	networkOf         networkFunc
 	addresses         Addresses
 	random            *randomSource
@@ -40,18 +40,18 @@
 	heartbeatInterval time.Duration
 
 	mu                   sync.Mutex
-	delayedCommandChance float64       // that a direct command is executed late and not answered
-	maxCommandDelay      time.Duration // of these commands
+	delayedCommandChance float64       // probability that a direct command is executed late and not answered
+	maxCommandDelay      time.Duration // maximum delay of a command that is executed late
 }
 
 // networkFunc returns the network interface of the named host.
 type networkFunc func(name string) host.Net
 
-// Addresses are the listen addresses of a deployment.
+// Addresses holds the listen addresses of a deployment.
 type Addresses struct {
 	Store, Cloud string
-	Users, Peers func(controller int) string
-	Worker       func(machine int) string
+	Users, Peers func(controller int) string // for users and agents, and for other controllers
+	Worker       func(machine int) string    // of the agent
 }
 
 var inMemoryAddresses = Addresses{
@@ -80,12 +80,12 @@
 	}
 }
 
-// Deployment describes a deployment.
+// Deployment describes the parameters, the machine types and the capacity of an Environment.
 type Deployment struct {
 	Params config.Params
-	Types  []wire.MachineType
-	// MaxMachines returns the number of machines of a type and kind available in each zone; nil: the number set by
-	// Cloud.SetCapacity.
+	Types  []wire.MachineType // machine types that the cloud offers
+	// MaxMachines returns the maximum number of machines of a type, either spot or on-demand, in each zone. If it is
+	// nil, the maximum is the one set by Cloud.SetCapacity.
 	MaxMachines func(typ string, spot bool) int
 	// PageSize is the number of machines on a page of the cloud's machine list.
 	PageSize int
@@ -93,13 +93,14 @@
 	OnTaskStart func(s *wire.JobSpec)
 }
 
-// SmallDeployment is the deployment that tests run on.
+// SmallDeployment returns the deployment that New and NewOnNetwork use: two zones, three teams and two machine types.
 func SmallDeployment() Deployment {
-	// small pages, so that tests exercise paging
+	// The pages are small, so that tests exercise paging.
 	return Deployment{Params: DefaultParams(), Types: smallDeploymentTypes, PageSize: 2}
 }
 
-// New creates an environment on an in-memory network. The controllers are not started yet.
+// New creates an environment of the small deployment on an in-memory network, and starts everything except the
+// controllers.
 func New(ctx context.Context, controllers int, seed uint64, run ControllerFunc) *Environment {
 	network := NewNetwork()
 	networkOf := func(name string) host.Net { return network.Host(name) }
@@ -111,8 +112,8 @@
 	return e
 }
 
-// NewOnNetwork creates an environment of the small deployment on any network. Unless it is the in-memory network,
-// partitions and freezes are not available.
+// NewOnNetwork creates an environment of the small deployment on any network, and starts everything except the
+// controllers. Partitions and freezes are available only on the in-memory network.
 func NewOnNetwork(
 	ctx context.Context,
 	networkOf func(name string) host.Net,
@@ -125,7 +126,7 @@
 }
 
 // NewDeployment creates an environment of any deployment on any network, and starts everything except the controllers.
-// It stops when the context ends.
+// The environment stops when the context ends.
 func NewDeployment(
 	ctx context.Context,
 	networkOf func(name string) host.Net,
@@ -196,7 +197,7 @@
 	e.Checker.setLimits(teamLimits(teams))
 }
 
-// Context returns the context of the environment.
+// Context returns the context with which the environment was created.
 func (e *Environment) Context() context.Context { return e.ctx }
 
 // ClientFor returns a client on the named host, for tests that send requests to an emulator directly.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -20,8 +20,8 @@
 	return delayed, e.random.delayUpTo(e.maxCommandDelay)
 }
 
-// Freeze stops a controller's host from sending and receiving for a duration. The controller itself keeps running; a
-// test that wants it stopped has to do that.
+// Freeze stops a controller's host from sending and receiving for a duration. The controller keeps running; a test that
+// needs it stopped has to stop it separately.
 func (e *Environment) Freeze(controller int, d time.Duration) {
 	e.Network.Freeze(e.processes[controller].name, d)
 }
@@ -37,7 +37,7 @@
 	e.Network.SetPartition(e.processes[controller].name, e.addresses.Store, partitioned)
 }
 
-// RefuseStore makes the key-value store refuse the requests of one controller, or ends that.
+// RefuseStore makes the key-value store start or stop refusing the requests of one controller.
 func (e *Environment) RefuseStore(controller int, on bool) {
 	e.Store.RefuseHost(e.processes[controller].name, on)
 }
--- a/internal/emulator/heartbeat_copies.go
+++ b/internal/emulator/heartbeat_copies.go
@@ -12,6 +12,7 @@
 // maxRetainedHeartbeats limits the heartbeat copies that are retained for replay to the next leader.
 const maxRetainedHeartbeats = 500
 
+// copyTimeout is the time that the sender of a copy waits for the response.
 const copyTimeout = 4 * time.Second
 
 // heartbeatCopier emulates a network that delivers heartbeats more than once, late, or to another controller.
@@ -22,9 +23,9 @@
 	random      *randomSource
 
 	mu                sync.Mutex
-	duplicateChance   float64 // that a heartbeat is delivered twice
+	duplicateChance   float64 // probability that a heartbeat is delivered twice
 	maxDuplicateDelay time.Duration
-	retainChance      float64 // that a copy of a heartbeat is retained for replay to the next leader
+	retainChance      float64 // probability that a copy of a heartbeat is retained for replay to the next leader
 	retained          []*wire.Heartbeat
 }
 
@@ -36,7 +37,8 @@
 	c.duplicateChance, c.maxDuplicateDelay = probability, maxDelay
 }
 
-// maybeDuplicate delivers a heartbeat a second time with the set probability. The response is discarded.
+// maybeDuplicate delivers a heartbeat a second time with the probability set by DuplicateHeartbeats, and may retain a
+// copy. The response to the second delivery is discarded.
 func (c *heartbeatCopier) maybeDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
 	duplicate, delay := c.drawCopies(heartbeat)
 	if !duplicate {
@@ -66,7 +68,7 @@
 	return duplicate, delay
 }
 
-// SendDuplicate sends a copy of a heartbeat from another host than its machine, and discards the response.
+// SendDuplicate sends a copy of a heartbeat from a host other than the heartbeat's machine, and discards the response.
 func (c *heartbeatCopier) SendDuplicate(controllerAddr string, heartbeat *wire.Heartbeat) {
 	client := msgpackhttp.New(c.networkOf("copies"), 1, 1, time.Second)
 	defer client.Close()
--- a/internal/emulator/invariant_queries.go
+++ b/internal/emulator/invariant_queries.go
@@ -6,14 +6,15 @@
 	"fieldhill/wire"
 )
 
-// Violations returns the violations so far, each with its time and rule.
+// Violations returns a description of each violation so far, with its time and rule.
 func (c *InvariantChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// isLastTask reports whether a task is the only one not done of an accepted job that its user did not cancel.
+// isLastTask reports whether a task is the last one of its job that is not done, and the job is accepted and not
+// cancelled by its user.
 func (c *InvariantChecker) isLastTask(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,8 +31,8 @@
 	return c.racingReads
 }
 
-// OpenJobs returns up to limit accepted jobs that have tasks on machines and are neither finished nor cancelled by
-// their users.
+// OpenJobs returns the IDs of up to limit accepted jobs that have tasks on machines and are neither finished nor
+// cancelled by their users.
 func (c *InvariantChecker) OpenJobs(limit int) (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +45,8 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// isDone reports whether a task has completed. Its result is stored, so it is done at once if it is started again.
+// isDone reports whether a task has completed. The result of a completed task is stored, so that another attempt of the
+// task is done at once.
 func (c *InvariantChecker) isDone(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +56,7 @@
 }
 
 // StartsAfterCancel returns the number of task starts after the cancellation of the job was confirmed. The protocol
-// allows them for a limited time; later ones are also recorded as violations.
+// allows such starts for a limited time; later ones are also recorded as violations.
 func (c *InvariantChecker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -16,14 +16,14 @@
 type InvariantChecker struct {
 	mu                sync.Mutex
 	limits            map[string][2]float64 // by team: maximum CPUs and GPUs, 0: unlimited
-	maxCancelDuration time.Duration         // within which a confirmed cancellation must take effect
+	maxCancelDuration time.Duration         // time within which a confirmed cancellation must take effect
 	jobs              map[uint64]*jobRecord
 	placements        map[string]map[string]bool // by task: machines on which it has started
 	usage             map[string][2]float64      // by team: CPUs and GPUs of the tasks in placements
 	violations        []string
 	starts            int
-	// racingReads counts the responses to requests sent within racingReadWindow after a response that first said that
-	// the job is accepted, done or cancelled.
+	// racingReads counts the responses to requests sent within racingReadWindow after a user was first told that the
+	// job is accepted, done or cancelled.
 	racingReads       int
 	startsAfterCancel int  // task starts after the cancellation of the job was confirmed
 	faultsOver        bool // no more faults are injected
@@ -65,23 +65,23 @@
 type jobRecord struct {
 	spec            *wire.JobSpec
 	starts          int
-	accepted        bool         // as told to a user
-	done            map[int]bool // by task index
-	finalState      string       // as told to a user; "": none
-	cancelRequested bool         // by its user
-	cancelledAt     time.Time    // when the cancellation was confirmed; zero: it was not
-	taskZones       map[int]string
-	stateChangedAt  time.Time // when a user was first told that it is accepted, done or cancelled
-	submittedAt     time.Time // when its user first tried to submit it
-	startedAt       time.Time // when its first task started, or all tasks of a gang; zero: not yet
-	// unansweredSince is the time since which no poll was answered after all faults were over; zero: the last poll was
-	// answered.
+	accepted        bool           // a user was told that the job is accepted
+	done            map[int]bool   // completed tasks by index
+	finalState      string         // done or cancelled, as a user was told; "" until then
+	cancelRequested bool           // the job's user requested the cancellation
+	cancelledAt     time.Time      // when the cancellation was confirmed; zero until then
+	taskZones       map[int]string // zones of the tasks on machines, by task index
+	stateChangedAt  time.Time      // when the state known to users last changed
+	submittedAt     time.Time      // when the job's user first tried to submit it
+	startedAt       time.Time      // when the first task started, or the last one of a gang; zero until then
+	// unansweredSince is the time of the first of the latest polls that all failed, once faults are over; zero if the
+	// latest poll was answered.
 	unansweredSince time.Time
-	// placeableSince is the time since which a task waits, after all faults were over, although there is room for it
-	// and its team is below its limit; zero: none does.
+	// placeableSince is the time since which the job has been waiting, once faults are over, although there is room for
+	// its next task and its team is below its limit; zero if this is not the case.
 	placeableSince       time.Time
-	replicaUpSeconds     float64 // summed over replicas, after replicaStartupGrace
-	replicaWantedSeconds float64
+	replicaUpSeconds     float64 // time that replicas were up after replicaStartupGrace, summed over replicas
+	replicaWantedSeconds float64 // time that replicas should have been up after replicaStartupGrace, summed likewise
 }
 
 // NewInvariantChecker returns a checker, given the CPU and GPU limits of each team and the time within which a
@@ -105,7 +105,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, _ := wire.JobNumber(s.ID)
-	if job := c.jobs[n]; job != nil { // a repeated submission, or a new one after a refusal
+	if job := c.jobs[n]; job != nil { // a repeated submission, or a new job with the ID of a rejected one
 		if !job.accepted && job.starts == 0 {
 			job.spec = s
 		}
@@ -133,7 +133,7 @@
 	c.jobs[n] = job
 }
 
-// Spec returns a job as it was submitted, or nil if it was not.
+// Spec returns a job as its user submitted it, or nil if no job with the number was submitted.
 func (c *InvariantChecker) Spec(n uint64) *wire.JobSpec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// RecordStart records that a task starts on a machine, and checks whether it may run there.
+// RecordStart records that a task starts on a machine, and checks that the task may run there.
 func (c *InvariantChecker) RecordStart(task string, worker *Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +180,7 @@
 	c.checkQuota(job.spec.Team)
 }
 
-// checkPlacement checks whether a task's job may use a machine, given the zones of the job's other tasks.
+// checkPlacement checks that a task's job may use a machine, given the zones of the job's other tasks.
 func (c *InvariantChecker) checkPlacement(job *jobRecord, task string, index int, worker *Worker) {
 	sameZone, otherZones := 0, 0
 	for other, zone := range job.taskZones {
@@ -241,7 +241,7 @@
 	return sum
 }
 
-// RecordExit records that a task has left a machine.
+// RecordExit records that a task has ended on a machine; done means that it completed.
 func (c *InvariantChecker) RecordExit(task string, worker *Worker, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,8 +263,8 @@
 	}
 }
 
-// Check runs the checks that depend on time, of tasks of cancelled jobs that are still on machines, and verifies the
-// checker's own usage sums. It also accumulates the replica times, and must be called every checkInterval.
+// Check checks that tasks of cancelled jobs leave their machines in time, and that the checker's own usage sums are
+// correct. It also accumulates the replica times, for which it must be called every checkInterval.
 func (c *InvariantChecker) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -288,7 +288,7 @@
 		job := c.jobs[n]
 		if sinceCancel := time.Since(job.cancelledAt); !job.cancelledAt.IsZero() && sinceCancel > c.maxCancelDuration {
 			c.recordViolation("ran_cancelled", "%s is on %v %v after its cancellation", task, machines, sinceCancel)
-			job.cancelledAt = time.Now() // restart the period, not to report it at every check
+			job.cancelledAt = time.Now() // so that the violation is not reported again at each check
 		}
 	}
 }
@@ -303,12 +303,12 @@
 	}
 }
 
-// ClientView is what users had been told about a job when a request was sent. The response must be compared only with
-// that: what another user is told in the meantime may be newer.
+// ClientView is what users had been told about a job when a request was sent. The response to the request is checked
+// only against this view, because another user may be told a newer state before the response arrives.
 type ClientView struct {
 	accepted    bool
 	finalState  string
-	justChanged bool // within racingReadWindow
+	justChanged bool // the state changed within racingReadWindow before the request
 }
 
 // racingReadWindow is the time after a change of a job's state within which a request counts as a racing read.
@@ -340,12 +340,12 @@
 	ok := code == http.StatusOK || code == http.StatusCreated
 	if job == nil {
 		if ok {
-			c.recordViolation("invented", "%s of %s got %d", operation, id, code)
+			c.recordViolation("invented", "%s of %s, which was never submitted, got status %d", operation, id, code)
 		}
 		return
 	}
 	if denied := deniesAcceptedJob(operation, code); before.accepted && denied {
-		c.recordViolation("forgotten", "%s of %s got %d", operation, id, code)
+		c.recordViolation("forgotten", "%s of %s, which was accepted, got status %d", operation, id, code)
 	} else if !ok {
 		return
 	}
@@ -360,13 +360,13 @@
 	c.recordState(job, operation, before, status)
 }
 
-// deniesAcceptedJob reports whether a response is one that an accepted job must never get.
+// deniesAcceptedJob reports whether a status code is one that requests about an accepted job must never get.
 func deniesAcceptedJob(operation string, code int) bool {
 	malformed := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
 	return code == http.StatusNotFound || operation == operationSubmit && malformed
 }
 
-// recordState checks and records the job state in a response.
+// recordState checks and records the job state in a successful response.
 func (c *InvariantChecker) recordState(job *jobRecord, operation string, before ClientView, status *wire.JobStatus) {
 	id := job.spec.ID
 	if status.State == wire.JobDone && len(job.done) < job.spec.Tasks {
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// maxHistory is the number of changes retained for watches; a watch that needs an older one is answered 410.
+	// maxHistory is the number of changes retained for watches; a watch that needs an older change gets status 410.
 	maxHistory          = 10000
 	leaseExpiryInterval = 50 * time.Millisecond
-	// maxListPage is the maximum number of keys on a page; low so that tests exercise paging.
+	// maxListPage is the maximum number of keys on a page. It is low, so that tests exercise paging.
 	maxListPage = 50
 	// minTxnDelay is the minimum delay of a transaction selected by DelayTxns.
 	minTxnDelay = 2 * time.Second
@@ -44,7 +44,7 @@
 
 	outage       bool
 	refusedHosts map[string]bool // hosts whose requests are refused as in an outage
-	latency      time.Duration   // of every response
+	latency      time.Duration   // time before each response
 	txnFaults    txnFaults
 	delayedTxns  map[string]int // transactions applied late, by the kind of their first write
 	// droppedResponses counts the transactions selected by dropAfterCommitChance, by the kind of their first write.
@@ -52,10 +52,11 @@
 	requestLimiter, changeLimiter *rate.Limiter // nil: unlimited
 }
 
-// txnFaults are the probabilities of the faults injected into transactions.
+// txnFaults holds the probabilities of the faults injected into transactions, and the delay of late ones.
 type txnFaults struct {
-	dropResponseChance      float64 // the transaction is applied late and not answered
-	dropRequestChance       float64 // the transaction is neither applied nor answered
+	dropResponseChance float64 // probability that a transaction is applied late and not answered
+	dropRequestChance  float64 // probability that a transaction is neither applied nor answered
+	// minDelay plus a random time of up to maxExtraDelay is the delay of a transaction that is applied late.
 	minDelay, maxExtraDelay time.Duration
 	// dropAfterCommitChance is the probability that a transaction is applied at once and only its response is lost.
 	dropAfterCommitChance float64
@@ -79,7 +80,7 @@
 	version uint64
 }
 
-// NewKVStore returns an empty store.
+// NewKVStore returns an empty store. The seed determines the random faults.
 func NewKVStore(seed uint64) *KVStore {
 	return &KVStore{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -118,8 +119,8 @@
 	s.txnFaults.maxExtraDelay = maxExtraDelay
 }
 
-// DropResponses makes a share of the transactions lose their response after they were applied at once: the client runs
-// into its timeout, or its connection is closed.
+// DropResponses makes the store apply a share of the transactions at once without sending the response: the client
+// waits until its timeout, or its connection is closed.
 func (s *KVStore) DropResponses(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 	s.changeLimiter = rate.NewLimiter(rate.Limit(changesPerSecond), int(changesPerSecond))
 }
 
-// Load returns the number of changes requested and the highest number of keys held at once.
+// Load returns the number of changes requested, and the highest number of keys that the store has held at once.
 func (s *KVStore) Load() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +196,7 @@
 	return StoreTraffic{s.requests, s.writes, s.requestBytes, len(s.keys)}
 }
 
-// revokeExpiredLeases does nothing during an outage, in which leases do not expire.
+// revokeExpiredLeases revokes the leases whose TTL has passed. During an outage leases do not expire.
 func (s *KVStore) revokeExpiredLeases() {
 	if s.outage {
 		return
--- a/internal/emulator/kvstore_http.go
+++ b/internal/emulator/kvstore_http.go
@@ -23,10 +23,10 @@
 	minLeaseTTLMillis  = 100
 )
 
-// payload is a message body for which package wire has no struct that the emulator can send.
+// payload is a message body for which package wire has no suitable struct.
 type payload = map[string]any
 
-// Serve starts to serve requests on an address and returns; the server stops when the context ends.
+// Serve starts a server of the store's API on an address and returns. The server stops when the context ends.
 func (s *KVStore) Serve(ctx context.Context, h host.Net, addr string) error {
 	ln, err := h.Listen(addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}()
 }
 
-// remoteHost returns the name of the client host on the in-memory network, and its address and port on other networks.
+// remoteHost returns the client of a request: its host name on the in-memory network, its address and port on others.
 func remoteHost(r *http.Request) string { return r.RemoteAddr }
 
 // respond writes a message as the response. Write errors are ignored, since the client may have disconnected.
@@ -140,7 +140,7 @@
 // kind returns the kind of the first write; the transaction must have one.
 func (t *rawTxn) kind() string { return txnKind(t.Writes[0].Put, t.Writes[0].Delete) }
 
-// handleTxn applies a transaction, or injects a fault.
+// handleTxn applies a transaction and responds with the result, unless a fault is injected.
 func (s *KVStore) handleTxn(w http.ResponseWriter, body []byte, clientGone <-chan struct{}) {
 	var txn rawTxn
 	if err := wire.Unmarshal(body, &txn); err != nil {
@@ -206,8 +206,8 @@
 	s.delayedTxns[txn.kind()]++
 }
 
-// handleWatch is a long poll: it responds with the changes after a revision as soon as there are any, and with none
-// after hold_ms. During an outage an open watch waits.
+// handleWatch handles a watch, which is a long poll: it responds with the changes after a revision as soon as there are
+// any, or with an empty list after hold_ms. During an outage, open watches get no response.
 func (s *KVStore) handleWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,7 +1,8 @@
 // Package emulator emulates the environment of the service, for tests and for development deployments: an in-memory
-// network, the key-value store, the cloud, the agents of machines, and users. Tests run it in virtual time; it delays,
-// drops, reorders and refuses messages as the protocol allows. An invariant checker observes every task and records
-// violations; it implements the protocol's rules in a simple, slow way and shares no logic with the service.
+// network, the key-value store, the cloud, the agents of machines, and users. Tests run the emulators in virtual time.
+// The emulators delay, drop, reorder and refuse messages as the protocol allows. An invariant checker observes every
+// task and records violations. The checker implements the protocol's rules in a simple, slow way and shares no logic
+// with the service.
 package emulator
 
 import (
@@ -26,7 +27,7 @@
 	partitions     map[[2]string]bool   // by host and the address that it can't reach
 	routes         map[net.Conn]string  // "host>address" of open connections
 	pendingDialers map[net.Conn]string  // dialing hosts of connections that are not accepted yet
-	frozenUntil    map[string]time.Time // by host: neither sends nor receives until then
+	frozenUntil    map[string]time.Time // by host: time until which it neither sends nor receives
 }
 
 // NewNetwork returns a network without hosts, partitions or frozen hosts.
@@ -65,25 +66,26 @@
 	net.Conn
 	network *Network
 	host    string
-	peer    string // the dialing host at the listener's end, the dialed address at the other
+	peer    string // at the listener's end the name of the dialing host, at the other end the dialed address
 }
 
-// RemoteAddr returns the name of the dialing host or, on its own end, the dialed address.
+// RemoteAddr returns the name of the dialing host at the listener's end, and the dialed address at the other end.
 func (c *hostConn) RemoteAddr() net.Addr { return memAddr(c.peer) }
 
-// Read delays data that arrives while the host is frozen.
+// Read reads data. Data that arrives while the host is frozen is returned when the host is not frozen any more.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.network.waitUntilThawed(c.host)
 	return n, err
 }
 
-// Write waits while the host is frozen.
+// Write writes data, after waiting while the host is frozen.
 func (c *hostConn) Write(b []byte) (int, error) {
 	c.network.waitUntilThawed(c.host)
 	return c.Conn.Write(b)
 }
 
+// listener receives the connections to one address of a host.
 type listener struct {
 	host    string
 	network *Network
@@ -96,9 +98,13 @@
 // memAddr is an address on the in-memory network: a host name, or the host and port from Addresses.
 type memAddr string
 
-func (memAddr) Network() string  { return "mem" }
+// Network returns the name of the in-memory network.
+func (memAddr) Network() string { return "mem" }
+
+// String returns the host name, or the host and port.
 func (a memAddr) String() string { return string(a) }
 
+// Accept returns the next connection, after waiting while the host is frozen.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -113,6 +119,7 @@
 	}
 }
 
+// Close removes the listener from the network, and closes the connections that were not accepted.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.done)
@@ -134,9 +141,10 @@
 	return nil
 }
 
+// Addr returns the address that the listener receives connections for.
 func (l *listener) Addr() net.Addr { return memAddr(l.addr) }
 
-// Host is the network interface of one process on a host.
+// Host is the network interface of one process on a named host.
 type Host struct {
 	network    *Network
 	name       string
@@ -150,7 +158,7 @@
 var errProcessTerminated = errors.New("process terminated")
 
 // Terminate ends a process as seen by the network: its connections and listeners are closed, and its later network
-// operations fail. Requests that it sent before are still processed.
+// operations fail. Requests that the process has sent before are still processed.
 func (h *Host) Terminate() {
 	h.terminated.Store(true)
 	h.network.mu.Lock()
@@ -175,7 +183,7 @@
 	closeAll(resetConns)
 }
 
-// Listen fails if another listener has the address.
+// Listen creates a listener on an address. It fails if another listener has the address.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	if h.terminated.Load() {
 		return nil, errProcessTerminated
@@ -251,21 +259,22 @@
 	closeAll(resetConns)
 }
 
-// closeAll ignores errors, since closing an in-memory connection can't fail.
+// closeAll closes connections. It ignores errors, since closing an in-memory connection can't fail.
 func closeAll(conns []net.Conn) {
 	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// dialTimeout applies to users and the load balancer.
+// dialTimeout is the time after which users and the load balancer give up connecting to a controller.
 const dialTimeout = 500 * time.Millisecond
 
 func dialFunc(h host.Net) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) { return h.Dial(ctx, addr, dialTimeout) }
 }
 
-// bodyReader returns a nil reader for a nil body: a request with an empty reader would have a body.
+// bodyReader returns a reader of a request body. For a nil body it returns nil, because a request with an empty reader
+// would have a body.
 func bodyReader(b []byte) io.Reader {
 	if b == nil {
 		return nil
--- a/internal/emulator/served_counts.go
+++ b/internal/emulator/served_counts.go
@@ -16,17 +16,17 @@
 	replicaStartupGrace = 15 * time.Second
 )
 
-// ServedCount counts the submitted jobs of a class or team and how many of them started and completed. It includes jobs
-// that were not accepted, and excludes jobs cancelled by their users. Services, which don't complete, count with the
-// time for which their replicas were up.
+// ServedCount counts the submitted jobs of a class or team, and how many of them started and completed. It includes
+// jobs that were not accepted, and excludes jobs cancelled by their users. Services don't complete; for them it sums
+// the time that replicas were up and the time that they should have been.
 type ServedCount struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
 	ReplicaWantedSeconds, ReplicaUpSeconds float64 // summed over replicas
 }
 
-// Shares returns the completed share of the jobs and of the tasks, and the share of the replica time for which replicas
-// were up, each from 0 to 1; 1 if there are none.
+// Shares returns the completed share of the jobs and of the tasks, and the share of the wanted time that replicas were
+// up. Each is from 0 to 1, and 1 if there are no jobs or no replicas.
 func (c *ServedCount) Shares() (jobs, tasks, up float64) {
 	jobs, tasks, up = 1, 1, 1
 	if c.Jobs > 0 {
@@ -92,24 +92,24 @@
 // maxLargestJobWait is the time within which even the largest jobs should start.
 const maxLargestJobWait = 4 * time.Minute
 
-// LargestJobStats describes how the largest jobs of a class were served: those with the most tasks, and the tenth with
-// the highest resource demand.
+// LargestJobStats describes how the largest jobs of a class were served: the jobs with the most tasks, and the tenth of
+// the jobs with the highest resource demand.
 type LargestJobStats struct {
 	Jobs, Started int
-	Late          int           // started after maxLargestJobWait, or still waiting after it
-	WorstWait     time.Duration // until the start, or until now
+	Late          int           // jobs that started after maxLargestJobWait, or are still waiting after it
+	WorstWait     time.Duration // longest wait until the start or, of a job that has not started, until now
 }
 
 // gpuWeight is the number of CPUs that a GPU counts as when jobs are compared by size.
 const gpuWeight = 8
 
-// resourceDemand returns the weighted demand of all tasks of a job.
+// resourceDemand returns the demand of all tasks of a job in CPUs, with each GPU counted as gpuWeight CPUs.
 func (j *jobRecord) resourceDemand() float64 {
 	return float64(j.spec.Tasks) * (j.spec.CPUs + gpuWeight*j.spec.GPUs)
 }
 
-// LargestByClass returns the statistics by class, of accepted jobs that were not cancelled and were submitted at least
-// minAge ago.
+// LargestByClass returns the statistics of the largest jobs of each class. It considers accepted jobs that their users
+// did not cancel and submitted at least minAge ago.
 func (c *InvariantChecker) LargestByClass(minAge time.Duration) map[string]*LargestJobStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +126,7 @@
 	return stats
 }
 
-// countLargest returns the statistics of the largest of the given jobs.
+// countLargest returns the statistics of the largest of the given jobs of a class.
 func countLargest(jobs []*jobRecord) *LargestJobStats {
 	slices.SortFunc(jobs, func(a, b *jobRecord) int { return cmp.Compare(b.resourceDemand(), a.resourceDemand()) })
 	maxTasks := 0
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -14,7 +14,7 @@
 
 	mu            sync.Mutex
 	fetchDuration time.Duration
-	runtimeFactor float64         // multiplies the estimated runtime of tasks; 0: 1
+	runtimeFactor float64         // ratio of actual to estimated runtime of tasks; 0 means 1
 	failingJobs   map[string]bool // jobs whose tasks fail on every machine
 }
 
@@ -52,7 +52,7 @@
 	return b.fetchDuration
 }
 
-// SetRuntimeFactor sets the factor by which the runtime of tasks differs from the owner's estimate.
+// SetRuntimeFactor sets the ratio of the actual runtime of tasks to the owner's estimate.
 func (b *taskBehavior) SetRuntimeFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,9 +69,10 @@
 	return time.Duration(estimateS * float64(time.Second))
 }
 
-// gangRegistry tracks the members of gangs, which start together and end together.
+// gangRegistry tracks which tasks of gangs are ready to run on their machines. The tasks of a gang start and end
+// together.
 type gangRegistry struct {
-	timeout time.Duration // for which a member waits for the others to arrive
+	timeout time.Duration // how long a member waits for the others to join
 
 	mu       sync.Mutex
 	members  map[string]map[string]bool // tasks that have joined, by job and attempt
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -20,7 +20,7 @@
 
 const (
 	userTimeout = 5 * time.Second
-	// maxUserAttempts is the maximum number of attempts, one second apart, of a request that is retried until final.
+	// maxUserAttempts is the maximum number of attempts, one second apart, to get a final response to a request.
 	maxUserAttempts = 60
 )
 
@@ -33,8 +33,8 @@
 	random      *randomSource
 
 	mu                sync.Mutex
-	cancelAtEndChance float64 // that a job is cancelled as its last task ends
-	cancelledAtEnd    int     // number of these cancellations
+	cancelAtEndChance float64 // probability that a job is cancelled as its last task ends
+	cancelledAtEnd    int     // number of jobs cancelled as their last task ended
 }
 
 // CancelAtEnd sets the probability that a user cancels a job as its last task ends.
@@ -44,14 +44,15 @@
 	u.cancelAtEndChance = probability
 }
 
-// CancelledAtEnd returns the number of jobs cancelled due to CancelAtEnd.
+// CancelledAtEnd returns the number of jobs that users cancelled as the last task ended.
 func (u *userGroup) CancelledAtEnd() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.cancelledAtEnd
 }
 
-// onTaskEnding is called just before a task completes.
+// onTaskEnding is called just before a task completes. If it is the last task of its job, the job is cancelled with the
+// probability set by CancelAtEnd.
 func (u *userGroup) onTaskEnding(task string) {
 	u.mu.Lock()
 	selected := u.random.chanceIfSet(u.cancelAtEndChance)
@@ -70,8 +71,8 @@
 	}()
 }
 
-// PollRepeatedly polls a job at all controllers the given number of times with a pause after each, and repeats its
-// submission at every third.
+// PollRepeatedly polls a job at all controllers the given number of times, with a pause after each time. Every third
+// time, it also submits the job again.
 func (u *userGroup) PollRepeatedly(spec *wire.JobSpec, times int, pause time.Duration) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
@@ -88,8 +89,8 @@
 	}
 }
 
-// Submit submits a job, retrying up to maxUserAttempts times until it is accepted or finally refused. It returns the
-// last status code.
+// Submit submits a job. It retries until the job is accepted or rejected as malformed or unschedulable, or until
+// maxUserAttempts, and returns the last status code.
 func (u *userGroup) Submit(spec *wire.JobSpec) int {
 	u.checker.RegisterJob(spec)
 	body, err := wire.Marshal(spec)
@@ -116,7 +117,8 @@
 	return code
 }
 
-// Request sends a user's request to a random controller. It returns the status code, or 0 if there is no response.
+// Request sends a user's request to a random controller. It returns the status code and the job status in the response,
+// or 0 if there is no response.
 func (u *userGroup) Request(operation, id string, body []byte) (int, *wire.JobStatus) {
 	return u.RequestAt(u.random.intN(len(u.controllers.processes)), operation, id, body)
 }
@@ -174,7 +176,7 @@
 	if err != nil {
 		return userResponse{}
 	}
-	defer func() { _ = resp.Body.Close() }() // an incomplete body has already been handled
+	defer func() { _ = resp.Body.Close() }() // an incomplete body is an error of ReadAll
 	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return userResponse{}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -23,19 +23,19 @@
 	sequence        uint64
 	fencingToken    uint64
 	tasks           []*taskAttempt
-	leaseExpiry     time.Time // lease_s after the last acknowledged heartbeat was sent
-	heartbeatDue    bool      // the next heartbeat is to be sent without waiting for the interval
+	leaseExpiry     time.Time // the lease duration after the last acknowledged heartbeat was sent
+	heartbeatDue    bool      // the next heartbeat is sent without waiting for the interval
 	terminated      bool      // the machine was deleted
 	incarnation     int       // number of reboots
 	lastHeartbeat   *wire.Heartbeat
 	cachedImages    map[string]bool
 	controllerIndex int // controller that receives the heartbeats
 
-	hungUntil           time.Time // the agent and the tasks make no progress until then
-	failAllTasks        bool
+	hungUntil           time.Time     // the agent and the tasks make no progress until then
+	failAllTasks        bool          // every task that runs on the machine fails
 	inboundPartitioned  bool          // heartbeats arrive; responses and commands are lost
 	outboundPartitioned bool          // heartbeats are lost; commands and probes arrive
-	commandDelay        time.Duration // direct commands are executed late and not answered; 0: none
+	commandDelay        time.Duration // direct commands are executed after this delay and not answered; 0: at once
 	delayedCommands     int           // number of delayed command requests
 }
 
@@ -52,7 +52,7 @@
 	recordedOnMachine bool          // RecordStart was called, RecordExit not yet
 }
 
-// isGang reports whether the task belongs to a job whose tasks run only all together.
+// isGang reports whether the task belongs to a gang, whose tasks must all run at the same time.
 func (t *taskAttempt) isGang() bool { return t.spec.Shape == wire.Gang }
 
 // tickInterval is the step by which task execution advances.
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -8,9 +8,9 @@
 )
 
 // Hang suspends the machine for a duration. It does nothing if the machine hangs already, and it advances the tasks
-// before each hang. Otherwise consecutive hangs could exceed the time within which a cancellation must take effect: no
-// service can prevent that while the key-value store is unavailable, and the protocol excludes it, since a machine that
-// hangs resumes within its lease or not at all.
+// before each hang. Otherwise consecutive hangs could be longer than the time within which a cancellation must take
+// effect, which no service can prevent while the key-value store is unavailable. The protocol excludes such hangs: a
+// machine that hangs resumes within its lease or not at all.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,8 +59,8 @@
 	return w.delayedCommands
 }
 
-// inboundPartitionHoldTicks is the number of ticks for which a request waits for the end of an inbound partition. It
-// exceeds the sender's timeout.
+// inboundPartitionHoldTicks is the number of ticks for which a request waits for the end of an inbound partition. The
+// sender's timeout is shorter.
 const inboundPartitionHoldTicks = 50
 
 // dropIfInboundPartitioned drops a request to a machine in an inbound partition, unless the partition ends while the
@@ -79,8 +79,8 @@
 }
 
 // Reboot ends the machine's agent and all tasks, and starts the agent again under the same name. The protocol does not
-// define the values of its counters after a reboot: they continue in a new epoch or, with resetCounters, start again as
-// on a new machine, with epoch 1.
+// define the values of the agent's counters after a reboot: the epoch increases and the others continue or, with
+// resetCounters, all start again as on a new machine, with epoch 1.
 func (w *Worker) Reboot(resetCounters bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,14 +98,14 @@
 	}
 }
 
-// LastHeartbeat returns the heartbeat that the machine sent last.
+// LastHeartbeat returns the heartbeat that the machine sent last, or nil if it has sent none.
 func (w *Worker) LastHeartbeat() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lastHeartbeat
 }
 
-// FailAllTasks makes every task fail that runs on the machine from now on.
+// FailAllTasks makes every task that runs on the machine from now on fail.
 func (w *Worker) FailAllTasks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -14,9 +14,10 @@
 
 const (
 	heartbeatTimeout = 4 * time.Second
-	// minHeartbeatPause and the other delays of the heartbeat loop keep heartbeats at least half a second apart;
-	// heartbeatRetryPause keeps them somewhat less far apart after a failure.
-	minHeartbeatPause   = 400 * time.Millisecond
+	// minHeartbeatPause is the pause after a successful heartbeat. Together with the other delays of the heartbeat
+	// loop, it keeps heartbeats at least half a second apart.
+	minHeartbeatPause = 400 * time.Millisecond
+	// heartbeatRetryPause is the pause after a failed heartbeat.
 	heartbeatRetryPause = 300 * time.Millisecond
 	// failedDialDuration is how long a connection attempt takes to fail during an outbound partition.
 	failedDialDuration = 500 * time.Millisecond
@@ -24,7 +25,7 @@
 	commandLatency = time.Millisecond
 )
 
-// errNoResponse is the error of a heartbeat whose response is lost in an inbound partition.
+// errNoResponse is the error for a heartbeat whose response is lost in an inbound partition.
 var errNoResponse = errors.New("no response to heartbeat")
 
 // buildHeartbeat returns the machine's next heartbeat, which also serves as the response to probes and direct commands.
@@ -52,7 +53,7 @@
 	return heartbeat
 }
 
-// handleProbe answers a controller's request for the machine's state.
+// handleProbe answers a controller's request for the machine's state, after waiting while the machine hangs.
 func (w *Worker) handleProbe(rw http.ResponseWriter, _ *http.Request) {
 	for w.isHung() {
 		time.Sleep(tickInterval)
@@ -97,8 +98,8 @@
 	respond(rw, code, w.buildHeartbeat())
 }
 
-// executeDelayed executes direct commands after a delay, if they are still valid then. Commands sent to an earlier
-// incarnation of the agent are lost with its connections.
+// executeDelayed executes direct commands after a delay, if the fencing token and the epoch are still valid then.
+// Commands that were sent to the agent before a reboot are lost with its connections.
 func (w *Worker) executeDelayed(batch *wire.Orders, delay time.Duration) {
 	w.mu.Lock()
 	incarnation := w.incarnation
@@ -128,13 +129,13 @@
 	}
 }
 
-// heartbeatAttempt is a heartbeat to send, and the state of the agent when it was built.
+// heartbeatAttempt is a heartbeat to send, and the state of the agent when the heartbeat was built.
 type heartbeatAttempt struct {
 	heartbeat      *wire.Heartbeat
 	controllerAddr string
 	sentAt         time.Time
 	incarnation    int
-	partitioned    bool // outbound
+	partitioned    bool // in an outbound partition
 }
 
 func (w *Worker) heartbeatLoop(ctx context.Context, h host.Net) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// prepareHeartbeat builds a heartbeat if one is due, and schedules the next one. It returns nil if none is due.
+// prepareHeartbeat builds a heartbeat and schedules the next one. It returns nil if no heartbeat is due.
 func (w *Worker) prepareHeartbeat(next *time.Time) *heartbeatAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,7 +184,7 @@
 	return attempt
 }
 
-// sendHeartbeat sends a heartbeat, handles the response and pauses.
+// sendHeartbeat sends a heartbeat, handles the response, and pauses to keep heartbeats apart.
 func (w *Worker) sendHeartbeat(
 	ctx context.Context, client *msgpackhttp.Client, attempt *heartbeatAttempt, next *time.Time,
 ) {
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -7,7 +7,8 @@
 	"fieldhill/wire"
 )
 
-// capacityTolerance is by how much the summed resources of tasks may exceed a machine's due to rounding.
+// capacityTolerance is the amount by which the summed resources of tasks may exceed those of a machine, to allow for
+// rounding errors.
 const capacityTolerance = 1e-9
 
 // advance advances the tasks by one tick. If the lease has expired, it ends all tasks and starts a new epoch instead.
@@ -63,7 +64,8 @@
 	}
 }
 
-// advanceRunning ends a task that is done or fails, or whose gang has finished or lost a member.
+// advanceRunning advances a running task. It ends the task if it is done or fails, or if its gang has finished or has
+// lost a member.
 func (w *Worker) advanceRunning(t *taskAttempt) {
 	switch {
 	case w.failAllTasks || w.environment.isFailing(t.spec.ID):
@@ -102,7 +104,7 @@
 	}
 }
 
-// execute executes commands. It ignores those that don't apply to the state of their task, such as repeated ones.
+// execute executes commands. It ignores commands that don't apply to the state of their task, such as repeated ones.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		t := w.findTask(command.Task, command.Attempt)
