--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -1,6 +1,6 @@
 // Command devcluster runs a development cluster on one machine: it emulates the key-value store, the cloud, the agents
 // and the load balancer on loopback, runs three controllers as separate processes, restarts them when they exit, as the
-// platform would, and checks the protocol's invariants. Its machines are emulated and execute nothing.
+// platform would, and checks the protocol's invariants. The emulated machines execute nothing.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	statusInterval  = 5 * time.Second
 )
 
-// Port offsets from the --port flag. Where each controller or worker has a port, this is the offset of the first.
+// Offsets of ports from the --port flag. If each controller or worker has a port, the offset is that of the first one.
 const (
 	loadBalancerOffset = 0
 	userAPIOffset      = 1
@@ -41,6 +41,7 @@
 	workerOffset       = 100
 )
 
+// maxPort is the highest value of --port. Ports up to 65535 remain for the offsets.
 const maxPort = 60000
 
 // cli defines the command-line flags.
@@ -53,7 +54,7 @@
 	Seed    uint64 `default:"1" help:"Random seed of the emulators."`
 }
 
-// Validate is called by kong after parsing.
+// Validate checks the flags. It is called by kong after parsing.
 func (c *cli) Validate() error {
 	if c.Port < 1 || c.Port > maxPort {
 		return errors.New("port must be from 1 to 60000")
@@ -110,8 +111,8 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(c.Port+offset))
 }
 
-// newEnvironment emulates the platform and runs the controllers as processes. If a controller can't be started, it
-// cancels the context with the error.
+// newEnvironment starts the emulated platform. Controllers that are started in the returned environment run as child
+// processes; if one can't be started, the context is cancelled with the error.
 func (c *cli) newEnvironment(ctx context.Context, cancel context.CancelCauseFunc) (*emulator.Environment, error) {
 	metricsAddrs, adminAddrs := map[string]string{}, map[string]string{}
 	for i := range controllerCount {
--- a/cmd/fieldhill/admin.go
+++ b/cmd/fieldhill/admin.go
@@ -24,11 +24,12 @@
 	JSON    bool          `help:"Print the JSON response unchanged."`
 }
 
-// maxAdminBody limits the response body of the admin API, in bytes. A queue of the maximum length fits in.
+// maxAdminBody is the maximum size of a response body of the admin API, in bytes. A queue of wire.MaxQueued jobs is
+// smaller.
 const maxAdminBody = 1 << 20
 
-// get sends a request and decodes the response into out. With --json it prints the response instead and reports that it
-// did.
+// get sends a request and decodes the response into out. With --json it prints the response instead of decoding it, and
+// printed is true.
 func (a *adminAPIFlags) get(path string, out any) (printed bool, err error) {
 	resp, body, err := roundTrip(a.Addr, http.MethodGet, path, nil, a.Timeout, maxAdminBody)
 	if err != nil {
@@ -78,7 +79,7 @@
 	WhatIf bool   `help:"Show for each reason what the next round would do without it."`
 }
 
-// Run executes the command.
+// Run requests the explanation and prints it.
 func (c *whyCmd) Run() error {
 	var explanation wire.Explanation
 	path := wire.PathAdminJobs + "/" + url.PathEscape(c.ID) + wire.WhySuffix
@@ -120,7 +121,7 @@
 	return p.err
 }
 
-// printReasons prints either the binding or the other reasons, and reports whether there are any.
+// printReasons prints either the binding or the other reasons, and reports whether there are any such reasons.
 func (p *textPrinter) printReasons(reasons []wire.Reason, binding, whatIf bool) (found bool) {
 	mark := " "
 	if binding {
@@ -141,8 +142,8 @@
 	return found
 }
 
-// printHistory prints the reasons reported by the scheduler, the current one first. Each period ended when the one
-// before it in the list began.
+// printHistory prints the reasons reported by the scheduler, the current one first. Except for the current one, each
+// reason's period ended when that of the preceding list entry began.
 func (p *textPrinter) printHistory(history []wire.ReasonPeriod) {
 	for i, period := range history {
 		if i == 0 {
@@ -168,7 +169,7 @@
 	Most   int    `default:"50" help:"Maximum number of jobs to list, 1 to 500."`
 }
 
-// Run executes the command.
+// Run requests the queue and prints it.
 func (c *queueCmd) Run() error {
 	query := url.Values{"most": {strconv.Itoa(c.Most)}}
 	for key, value := range map[string]string{"team": c.Team, "class": c.Class, "reason": c.Reason} {
--- a/cmd/fieldhill/admin_test.go
+++ b/cmd/fieldhill/admin_test.go
@@ -39,7 +39,7 @@
   no-room       for 1m0s until 5s ago
 `
 	if b.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", b.String(), want)
+		t.Errorf("printExplanation: got\n%s\nwant\n%s", b.String(), want)
 	}
 	b.Reset()
 	e.AgeS = 7
@@ -47,7 +47,7 @@
 		t.Error(err)
 	}
 	if !strings.Contains(b.String(), "(from n1, up to 7 s out of date)") || strings.Contains(b.String(), "without it") {
-		t.Errorf("got\n%s", b.String())
+		t.Errorf("got\n%s\nwant the age of the explanation, and no effects of removing reasons", b.String())
 	}
 }
 
@@ -65,11 +65,11 @@
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	for _, l := range lines {
 		if len(l) > 80 {
-			t.Errorf("%d columns: %q", len(l), l)
+			t.Errorf("got a line of %d columns, want at most 80: %q", len(l), l)
 		}
 	}
 	if len(lines) != 4 || !strings.HasPrefix(lines[1], "1 ") || !strings.HasPrefix(lines[2], "- ") ||
 		lines[3] != "1209 tasks waiting; 3 more jobs" {
-		t.Errorf("got\n%s", b.String())
+		t.Errorf("got\n%s\nwant a header, jobs with places 1 and -, and the totals", b.String())
 	}
 }
--- a/cmd/fieldhill/client.go
+++ b/cmd/fieldhill/client.go
@@ -21,16 +21,16 @@
 	exitRetry   = 3 // temporary error: the request may be retried
 )
 
-// exitError is an error with the program's exit code, which tells scripts whether to retry.
+// exitError is an error with an exit code of the program, by which scripts decide whether to retry.
 type exitError struct {
 	code int
 	text string
 }
 
-// Error implements error.
+// Error returns the message for the user.
 func (e *exitError) Error() string { return e.text }
 
-// ExitCode is called by kong.
+// ExitCode returns the exit code of the program. It is called by kong.
 func (e *exitError) ExitCode() int { return e.code }
 
 // userAPIFlags are the flags of the commands that use the user API.
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, nil, &exitError{exitRetry, fmt.Sprintf("no response from %s: %v", addr, err)}
 	}
-	defer func() { _ = resp.Body.Close() }() // the body was read, or the read error is returned
+	defer func() { _ = resp.Body.Close() }() // ReadAll reports an incomplete body
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit))
 	if err != nil {
 		return nil, nil, &exitError{exitRetry, fmt.Sprintf("incomplete response from %s: %v", addr, err)}
@@ -105,8 +105,8 @@
 	File string `arg:"" help:"Job file (TOML), see docs/OPERATING.md." type:"existingfile"`
 }
 
-// jobFile is the format of job files. Its keys are the usual terms of cluster schedulers, also where the protocol has
-// different names.
+// jobFile is the format of job files. Its keys are the usual terms of cluster schedulers, even where the protocol uses
+// other names.
 type jobFile struct {
 	ID                  string   `toml:"id"`
 	Class               string   `toml:"class"`
@@ -185,7 +185,7 @@
 	}, nil
 }
 
-// Run executes the command. It refuses a malformed job without sending it to the controller.
+// Run submits the job and prints its status. A malformed job is rejected without sending it to the controller.
 func (c *submitCmd) Run() error {
 	b, err := os.ReadFile(c.File)
 	if err != nil {
@@ -229,19 +229,19 @@
 // statusCmd prints the status of a job.
 type statusCmd struct{ jobCommand }
 
-// Run executes the command.
+// Run requests the status of the job and prints it.
 func (c *statusCmd) Run() error { return c.printResult(http.MethodGet, "") }
 
 // cancelCmd cancels a job.
 type cancelCmd struct{ jobCommand }
 
-// Run executes the command.
+// Run cancels the job and prints its status.
 func (c *cancelCmd) Run() error { return c.printResult(http.MethodPost, wire.CancelSuffix) }
 
 // readyCmd checks whether a controller accepts requests.
 type readyCmd struct{ userAPIFlags }
 
-// Run executes the command.
+// Run prints ready, or returns an error if the controller does not accept requests.
 func (c *readyCmd) Run() error {
 	if err := c.send(http.MethodGet, wire.PathReady, nil, nil); err != nil {
 		return err
--- a/cmd/fieldhill/client_test.go
+++ b/cmd/fieldhill/client_test.go
@@ -52,14 +52,14 @@
 		DeadlineS: &deadlineS,
 	}
 	if d := cmp.Diff(want, spec); d != "" {
-		t.Error(d)
+		t.Errorf("parseJobFile (-want +got):\n%s", d)
 	}
 	b, err := wire.Marshal(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := wire.ParseJob(b); err != nil {
-		t.Error(err)
+		t.Errorf("ParseJob of the encoded job: got error %v, want none", err)
 	}
 	for _, change := range [][2]string{
 		{"tasks", "pieces"},
@@ -68,7 +68,7 @@
 		{"= 8", "= eight"},
 	} {
 		if _, err := parseJobFile([]byte(strings.Replace(jobDescription, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s in place of %s: no error", change[1], change[0])
+			t.Errorf("%s in place of %s: got no error, want one", change[1], change[0])
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	status, retryAfter := http.StatusOK, ""
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/api/jobs/req-000001/cancel" {
-			t.Errorf("%s %s", r.Method, r.URL.Path)
+			t.Errorf("got request %s %s, want POST /api/jobs/req-000001/cancel", r.Method, r.URL.Path)
 		}
 		var b []byte
 		if status == http.StatusOK {
@@ -108,12 +108,12 @@
 		status, retryAfter = tc.status, tc.after
 		var f *exitError
 		if err := c.Run(); !errors.As(err, &f) || f.code != tc.code || !strings.Contains(f.text, tc.want) {
-			t.Errorf("status %d: %v", tc.status, err)
+			t.Errorf("status %d: got error %v, want exit code %d and text %q", tc.status, err, tc.code, tc.want)
 		}
 	}
 	srv.Close()
 	var f *exitError
 	if err := c.Run(); !errors.As(err, &f) || f.code != exitRetry {
-		t.Errorf("server not running: %v", err)
+		t.Errorf("server not running: got error %v, want exit code %d", err, exitRetry)
 	}
 }
--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -76,12 +76,12 @@
 	golden.Check(t, "help.txt", []byte(b.String()))
 	output := runProgram(t, nil, "version")
 	if !regexp.MustCompile(`^\$ fieldhill version\nfieldhill \d+\.\d+\.\d+( \w+)?\nexit 0\n`).MatchString(output) {
-		t.Errorf("got\n%s", output)
+		t.Errorf("version: got\n%s\nwant a version number and exit code 0", output)
 	}
 }
 
-// TestGoldenSettings checks the output of check, and the errors for invalid values of flags and environment variables,
-// which show that each is read under its name.
+// TestGoldenSettings checks the output of the check command, and the errors for invalid values of flags and environment
+// variables. These errors show that each flag and variable is read under its name.
 func TestGoldenSettings(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(runProgram(t, nil, "check", settingsFile))
@@ -104,8 +104,9 @@
 	golden.Check(t, "settings.txt", []byte(b.String()))
 }
 
-// TestGoldenDeploy checks the lines of the deploy files, and that the program accepts the flags in them: it is run with
-// an invalid log level, and must reject only that.
+// TestGoldenDeploy compares the lines of the deploy files with the golden file, and checks that the program accepts the
+// flags in them: it runs the program with these flags and an invalid log level, and expects an error only about the log
+// level.
 func TestGoldenDeploy(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
@@ -150,7 +151,7 @@
 		renamed := bytes.Clone(stored)
 		renamed[keyRange[0]] = 'q'
 		if _, err := parseJobFile(renamed); err == nil {
-			t.Errorf("unknown key %s: no error", renamed[keyRange[0]:keyRange[1]])
+			t.Errorf("unknown key %s: got no error, want one", renamed[keyRange[0]:keyRange[1]])
 		}
 	}
 	var translations strings.Builder
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -21,7 +21,7 @@
 	"fieldhill/internal/platform/host"
 )
 
-// cli defines the commands.
+// cli defines the commands of the program.
 type cli struct {
 	Serve serveCmd `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
 	Check checkCmd `cmd:"" help:"Validate a settings file and print the parsed settings."`
@@ -51,7 +51,7 @@
 	SingletonRoles bool          `name:"duties" env:"FIELDHILL_DUTIES" help:"Assign the singleton roles (cloud provisioning and cleanup) to the best-suited controllers, each under its own lease, once all controllers set this flag; otherwise the leader holds them all."`
 }
 
-// Validate is called by kong after parsing.
+// Validate checks the flags. It is called by kong after parsing.
 func (s *serveCmd) Validate() error {
 	switch {
 	case !(s.Beta >= 0 && s.Beta <= 1):
@@ -124,7 +124,7 @@
 	File string `arg:"" help:"Settings file (TOML)." type:"existingfile"`
 }
 
-// Run executes the command.
+// Run loads the settings file and prints the parsed settings.
 func (c *checkCmd) Run() error {
 	settings, err := config.Load(c.File)
 	if err != nil {
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -18,7 +18,7 @@
 	"fieldhill/internal/scale"
 )
 
-// cli defines the commands.
+// cli defines the commands of the program.
 type cli struct {
 	Run    runCmd    `cmd:"" help:"Run a profile and print the measurements."`
 	Sweep  sweepCmd  `cmd:"" help:"Run a profile at several sizes, varying one parameter at a time."`
@@ -64,7 +64,7 @@
 	JSON    string `name:"json" type:"path" help:"File to which the report is also written as JSON."`
 }
 
-// Run executes the command. It returns an error if a rule was broken.
+// Run runs the profile and prints the report. It returns an error if a rule of the protocol was broken.
 func (c *runCmd) Run(ctx context.Context) error {
 	profile, err := scale.LoadProfile(c.Profile)
 	if err != nil {
@@ -121,8 +121,8 @@
 	Out   string `required:"" type:"path" help:"File to which one line of JSON is appended for each run."`
 }
 
-// Run executes the command. Each measurement is written as soon as its run ends, so an error loses none of the earlier
-// ones.
+// Run executes the runs of the sweep. Each measurement is written as soon as its run ends, so that an error in a later
+// run does not lose it.
 func (c *sweepCmd) Run(ctx context.Context) (err error) {
 	sweep, err := scale.LoadSweep(c.Sweep)
 	if err != nil {
@@ -154,7 +154,7 @@
 	Sweep string `default:"deploy/scale/sweep.toml" type:"existingfile" help:"Sweep file of the measurements."`
 }
 
-// Run executes the command.
+// Run computes the tables and prints them.
 func (c *reportCmd) Run() error {
 	text, err := scale.CapacityTables(c.Dir, c.Sweep)
 	if err != nil {
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		return userResponse{}
 	}
-	defer func() { _ = resp.Body.Close() }() // an incomplete body is an error of ReadAll
+	defer func() { _ = resp.Body.Close() }() // ReadAll reports an incomplete body
 	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return userResponse{}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,6 @@
 // Package golden compares output with golden files that an earlier version wrote, so that tests detect changes of
-// stored and transmitted formats. Only tests import it. `go test PACKAGE -run Golden -update` rewrites the files.
+// stored and transmitted formats. Only tests import this package. `go test PACKAGE -run Golden -update` rewrites the
+// files.
 package golden
 
 import (
@@ -17,13 +18,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// bytesPerLine is the number of bytes per line of a .hex file, small enough that diffs are easy to read.
+// bytesPerLine is the number of bytes per line of a .hex file. It is small, so that diffs are easy to read.
 const bytesPerLine = 32
 
 // update makes Check write the golden files instead of comparing with them.
 var update = flag.Bool("update", false, "rewrite the golden files with the current output")
 
-// Updating reports whether golden files are being rewritten, for tests that write further files.
+// Updating reports whether golden files are being rewritten. Tests that compare with other files use it to rewrite
+// them.
 func Updating() bool { return *update }
 
 // Check fails the test unless got equals the content of testdata/golden/NAME. Files with the extension .hex are stored
@@ -66,9 +68,9 @@
 	return decoded
 }
 
-// FlipFinds checks that a format's reader uses every byte. rewrite decodes the bytes and encodes the result again.
-// Given the stored bytes, it must reproduce them; given the stored bytes with one bit flipped, in each byte in turn, it
-// must return an error or different bytes.
+// FlipFinds checks that a format's decoder uses every byte of a golden file. The function rewrite decodes bytes and
+// encodes the result again. Given the stored bytes, it must reproduce them; given the stored bytes with one bit
+// flipped, in each byte in turn, it must return an error or different bytes.
 func FlipFinds(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	stored := Read(t, name)
@@ -83,14 +85,14 @@
 		mutated := bytes.Clone(stored)
 		mutated[offset] ^= 1
 		if rewritten, err := rewrite(mutated); err == nil && bytes.Equal(rewritten, stored) {
-			t.Errorf("%s: change of byte %d from %#x to %#x not detected",
+			t.Errorf("%s: byte %d changed from %#x to %#x: got the stored bytes, want an error or other bytes",
 				name, offset, stored[offset], mutated[offset])
 		}
 	}
 }
 
-// RoundTrip checks a format in both directions: write encodes want as the stored bytes, read decodes these as want, and
-// the change of any one byte is detected.
+// RoundTrip checks a format in both directions: write must encode want as the stored bytes, read must decode the stored
+// bytes as want, and a change of any one byte must be detected.
 func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, write(want))
@@ -110,8 +112,9 @@
 	})
 }
 
-// TagFinds checks that a renamed msgpack tag is detected. It renames each key of the stored map in turn; rewrite, which
-// decodes into the struct and encodes it again, must then return an error or different bytes.
+// TagFinds checks that a renamed MessagePack tag is detected. It renames each key of the stored map in turn. The
+// function rewrite, which decodes bytes into the struct and encodes it again, must then return an error or different
+// bytes.
 func TagFinds(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	var fields map[string]msgpack.RawMessage
@@ -126,12 +129,12 @@
 		renamedKey, _ := msgpack.Marshal(strings.Repeat("~", len(tag)))
 		mutated := bytes.Replace(stored, key, renamedKey, 1)
 		if rewritten, err := rewrite(mutated); err == nil && bytes.Equal(rewritten, stored) {
-			t.Errorf("%s: renamed tag %q not detected", name, tag)
+			t.Errorf("%s: tag %q renamed: got the stored bytes, want an error or other bytes", name, tag)
 		}
 	}
 }
 
-// goldenPath is relative to the package directory, in which tests run.
+// goldenPath returns the path of a golden file, relative to the package directory, in which tests run.
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // excerpt returns the bytes around a difference, for a failure message.
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,13 +7,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// failureRecorder records the failures of a check instead of failing the test, which expects them.
+// failureRecorder records the failures of a check. The test expects these failures, so they must not make it fail.
 type failureRecorder struct {
 	testing.TB
 	failures []string
 }
 
-// Errorf implements testing.TB.
+// Errorf records a failure.
 func (r *failureRecorder) Errorf(format string, args ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
@@ -40,7 +40,7 @@
 		r := &failureRecorder{TB: t}
 		if !*update {
 			if check(r); len(r.failures) == 0 {
-				t.Errorf("%s: not detected", name)
+				t.Errorf("%s: got no failure, want one", name)
 			}
 		}
 	}
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -27,7 +27,7 @@
 	bodies [][]byte
 }
 
-// Record starts a server that responds as set with Reply and is closed when the test ends.
+// Record starts a server that sends the responses set with Reply, and closes it when the test ends.
 func Record(t testing.TB) *Recorder {
 	t.Helper()
 	r := &Recorder{status: http.StatusOK}
@@ -90,7 +90,7 @@
 	return strings.Join(lines, "") + Body(body)
 }
 
-// Body formats a body as Message does.
+// Body formats the body of an HTTP message as Message does.
 func Body(body []byte) string {
 	var message map[string]any
 	if len(body) == 0 {
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -28,13 +28,13 @@
 	return id
 }
 
-// Find returns the index of a name, and whether the table has it.
+// Find returns the index of a name, and whether the table has the name.
 func (t *Table) Find(name string) (int32, bool) {
 	id, ok := t.ids[name]
 	return id, ok
 }
 
-// Name returns the name with an index.
+// Name returns the name with the given index, which must be one that ID has returned.
 func (t *Table) Name(id int32) string { return t.names[id] }
 
 // Len returns the number of names.
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -13,14 +13,15 @@
 // regionSize is the size of a region: a value for each of sizeParameters.
 type regionSize map[string]float64
 
-// capacityPlan is the size that the operators plan for, the total of all regions.
+// capacityPlan is the size of the deployment that the operators plan for, in total over all regions.
 var capacityPlan = struct {
 	regions                           int
 	workers, runningTasks, startsPerS float64
 	teams, finishedPerDay             float64
 }{4, 4700, 26_000, 2200, 55, 21_000}
 
-// plannedControllers is the number of controllers per region; sixteen machines in all are reserved for controllers.
+// plannedControllers is the number of controllers per region. Sixteen machines are reserved for the controllers of the
+// four regions.
 const plannedControllers = 4
 
 // plannedRegion returns the size of a region of the plan at a start rate.
@@ -96,7 +97,7 @@
 // estimate is an estimated metric at a region size.
 type estimate struct {
 	value, stdErr       float64
-	extrapolationFactor float64 // the largest of the parameters that contribute noticeably
+	extrapolationFactor float64 // maximum over the parameters that contribute more than 2% of the value
 }
 
 // isStorageMetric reports whether a metric is an amount of stored data rather than a rate.
@@ -108,8 +109,8 @@
 // the slope times the difference in size.
 //
 // A slope that isn't significantly above zero is ignored, so that no cost is estimated to fall with size. The slopes of
-// rates over finished jobs are ignored too: these jobs end just before the measurement, which then includes their
-// cleanup, and that isn't a cost of keeping finished jobs.
+// rates over the number of finished jobs are ignored too: these jobs end just before the measurement, so the rates
+// include their cleanup, which isn't a cost of keeping finished jobs.
 func estimateMetric(stored map[string][]Measurement, target, base regionSize, metric string) (estimate, error) {
 	var result estimate
 	lines := map[string]Line{}
@@ -138,7 +139,7 @@
 	return result, nil
 }
 
-// confidence describes how far beyond the measured range an estimate lies.
+// confidence describes how far the size of an estimate lies beyond the measured range.
 func (e estimate) confidence() string {
 	switch {
 	case e.extrapolationFactor <= 1:
--- a/internal/scale/linefit.go
+++ b/internal/scale/linefit.go
@@ -21,14 +21,14 @@
 	SlopeChange float64 `json:"bend"`
 }
 
-// ErrTooFewSizes is returned by FitLine for points of fewer than three sizes, to which a line can't be fitted with a
-// meaningful error.
-var ErrTooFewSizes = errors.New("scale: fewer than three sizes")
+// ErrTooFewSizes is returned by FitLine for points of fewer than three sizes, for which the standard error of a slope
+// has no meaning.
+var ErrTooFewSizes = errors.New("scale: fit line: fewer than three sizes")
 
 // Point is a measured cost at a size.
 type Point struct{ Size, Cost float64 }
 
-// FitLine fits a line to points, which must have at least three distinct sizes.
+// FitLine fits a line to points by least squares. The points must have at least three distinct sizes.
 func FitLine(points []Point) (Line, error) {
 	sizes := map[float64]bool{}
 	for _, p := range points {
@@ -54,7 +54,7 @@
 	return l, nil
 }
 
-// medianSize returns the median, the larger of the two middle sizes if their number is even.
+// medianSize returns the median of the sizes or, if their number is even, the larger of the two middle sizes.
 func medianSize(sizes map[float64]bool) float64 {
 	all := slices.Sorted(maps.Keys(sizes))
 	return all[len(all)/2]
@@ -68,7 +68,7 @@
 	return len(sizes)
 }
 
-// leastSquares fits a line but leaves SlopeChange zero.
+// leastSquares fits a line to points by least squares. It leaves SlopeChange zero.
 func leastSquares(points []Point) Line {
 	n := float64(len(points))
 	l := Line{PointCount: len(points), MinSize: math.Inf(1), MaxSize: math.Inf(-1)}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -17,7 +17,7 @@
 	"fieldhill/internal/emulator"
 )
 
-// metricSamples are the samples of a controller's metrics page by name, labels included.
+// metricSamples holds the values on a controller's metrics page by series name, labels included.
 type metricSamples map[string]float64
 
 var scraper = http.Client{Timeout: 5 * time.Second}
@@ -95,14 +95,14 @@
 	}
 	for line := range strings.SplitSeq(string(b), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == name {
-			n, _ := strconv.Atoi(f[1]) // the kernel writes a number here
+			n, _ := strconv.Atoi(f[1]) // the kernel always writes a number
 			return n
 		}
 	}
 	return 0
 }
 
-// cpuTimes are the CPU times of the host from /proc/stat, in clock ticks.
+// cpuTimes holds the CPU times of the host from /proc/stat, in clock ticks.
 type cpuTimes struct{ total, idle, steal float64 }
 
 func readCPUTimes() (times cpuTimes) {
@@ -129,12 +129,13 @@
 // lagInterval is the duration of the timers whose lag is measured.
 const lagInterval = 20 * time.Millisecond
 
-// timerLag records how late the timers of this process fire, and so how late the hollow workers act.
+// timerLag records how late the timers of this process fire, and thus how late the hollow workers act.
 type timerLag struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // microseconds
 }
 
+// measureTimerLag starts to measure the timer lag, until the context ends.
 func measureTimerLag(ctx context.Context) *timerLag {
 	l := &timerLag{histogram: hdrhistogram.New(1, 60_000_000, 3)}
 	go func() {
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -44,10 +44,10 @@
 	return fmt.Sprintf("127.%d.254.%d:%d", netByte, controller+1, metricsPort)
 }
 
-// traffic counts the transferred bytes, protocol headers included, and the open connections of a group of connections.
+// traffic counts the bytes transferred over a group of connections, protocol headers included, and how many are open.
 type traffic struct{ in, out, open atomic.Int64 }
 
-// countedConn is a connection that is counted in a traffic.
+// countedConn is a connection whose bytes are counted in a traffic, and which is counted as open until it is closed.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -59,21 +59,21 @@
 	return &countedConn{Conn: c, traffic: t}
 }
 
-// Read implements net.Conn.
+// Read reads data and counts the received bytes.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.in.Add(int64(n))
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write writes data and counts the sent bytes.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.out.Add(int64(n))
 	return n, err
 }
 
-// Close implements net.Conn. The connection is counted as closed once, however often it is closed.
+// Close closes the connection. Only the first call reduces the number of open connections.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.traffic.open.Add(-1) })
 	return c.Conn.Close()
@@ -110,20 +110,20 @@
 		l := n.listeners[c.LocalAddr().String()]
 		n.mu.Unlock()
 		if l == nil || !l.enqueue(countConn(c, &n.workerTraffic)) {
-			_ = c.Close() // no listener, or its queue is full: the client sees a closed connection
+			_ = c.Close() // the worker does not listen, or its queue is full; the client sees a closed connection
 		}
 	}
 }
 
-// hostNetwork returns the network as the host with a name sees it.
+// hostNetwork returns the network as the named host sees it.
 func (n *network) hostNetwork(name string) host.Net {
 	return &hostNet{network: n, worker: strings.HasPrefix(name, "host-")}
 }
 
-// hostNet is the network as a host sees it.
+// hostNet is the network as one host sees it.
 type hostNet struct {
 	network *network
-	worker  bool
+	worker  bool // the host is a worker's machine
 }
 
 func (h *hostNet) traffic() *traffic {
@@ -133,7 +133,7 @@
 	return &h.network.otherTraffic
 }
 
-// Listen implements host.Net.
+// Listen creates a listener. A worker's listener receives its connections from the shared socket.
 func (h *hostNet) Listen(addr string) (net.Listener, error) {
 	if !h.worker {
 		return host.Real{}.Listen(addr)
@@ -145,7 +145,7 @@
 	return l, nil
 }
 
-// Dial implements host.Net.
+// Dial connects to an address, and counts the connection.
 func (h *hostNet) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	c, err := host.Real{}.Dial(ctx, addr, timeout)
 	if err != nil {
@@ -173,7 +173,7 @@
 	}
 }
 
-// Accept implements net.Listener.
+// Accept returns the next connection to the worker.
 func (l *workerListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -183,7 +183,7 @@
 	}
 }
 
-// Close implements net.Listener.
+// Close stops the dispatch of connections to the worker.
 func (l *workerListener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -194,11 +194,14 @@
 	return nil
 }
 
-// Addr implements net.Listener.
+// Addr returns the worker's address.
 func (l *workerListener) Addr() net.Addr { return workerAddr(l.addr) }
 
 // workerAddr is a worker's address on the shared socket.
 type workerAddr string
 
-func (workerAddr) Network() string  { return "tcp" }
+// Network returns the name of the network.
+func (workerAddr) Network() string { return "tcp" }
+
+// String returns the address as host:port.
 func (a workerAddr) String() string { return string(a) }
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -45,20 +45,20 @@
 	FirstRegionShare float64 `toml:"one_share" json:"one_share"`
 }
 
-// Shapes of the rate over time.
+// Shapes of the rate of task starts over time.
 const (
 	shapeSteady = "steady"
 	shapeRamp   = "ramp"  // grows linearly from 0 to the full rate
 	shapeBurst  = "burst" // the full rate in the middle third of the measurement, a fifth of it otherwise
 )
 
-// Gangs are the gangs that run on the GPU machines.
+// Gangs describes the gangs that run on the GPU machines.
 type Gangs struct {
-	Sizes []int   `toml:"sizes" json:"sizes"`
-	RunS  float64 `toml:"run_s" json:"run_s"`
+	Sizes []int   `toml:"sizes" json:"sizes"` // numbers of tasks of the gangs, which are used in turn
+	RunS  float64 `toml:"run_s" json:"run_s"` // mean runtime of a gang
 }
 
-// Failures are the rates of injected failures by kind, per minute.
+// Failures holds the rates of injected failures by kind, per minute, and the number of workers in a rack.
 type Failures struct {
 	WorkerStops    float64 `toml:"worker_stops" json:"worker_stops"`
 	WorkerRestarts float64 `toml:"worker_restarts" json:"worker_restarts"`
@@ -68,14 +68,14 @@
 	RackSize       int     `toml:"rack_size" json:"rack_size"`
 }
 
-// Workload describes the jobs.
+// Workload describes the jobs of short tasks and the urgent jobs.
 type Workload struct {
 	TasksPerJob int     `toml:"tasks_per_job" json:"tasks_per_job"`
 	UrgentPerS  float64 `toml:"urgent_per_s" json:"urgent_per_s"` // high-priority jobs of one task
 	ColdShare   float64 `toml:"cold_share" json:"cold_share"`     // share of jobs whose image no machine has cached
 }
 
-// Limits are the platform limits in the controllers' settings.
+// Limits holds the platform limits in the controllers' settings.
 type Limits struct {
 	HeartbeatS     float64 `toml:"report_s" json:"report_s"`
 	LeaseS         float64 `toml:"lease_s" json:"lease_s"`
@@ -96,7 +96,7 @@
 	maxGangSize  = 64
 )
 
-// DefaultProfile returns the default values of the fields of a profile.
+// DefaultProfile returns the profile with the values of fields that a profile file omits.
 func DefaultProfile() Profile {
 	return Profile{
 		Seed:                 1,
@@ -213,7 +213,7 @@
 
 func (p *Profile) gpuMachines() int { return p.GPUs / gpusPerMachine }
 
-// regionShare returns a region's share of a total; the first regions get the remainder.
+// regionShare returns a region's share of a total. A remainder is distributed to the first regions, one each.
 func (p *Profile) regionShare(total, region int) int {
 	n := total / p.Regions
 	if region < total%p.Regions {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -34,7 +34,7 @@
 	shortClass      = "short"
 	// baseRuntimeS is the runtime of base tasks, longer than any run.
 	baseRuntimeS = 100_000
-	// churnShare is the share of the CPUs left by the base tasks that the short tasks use.
+	// churnShare is the share of the CPUs not used by base tasks that the short tasks use.
 	churnShare = 0.85
 	// meanRuntimeFactor is the emulator's mean ratio of actual to estimated runtime of a task.
 	meanRuntimeFactor = 1.2
@@ -78,7 +78,7 @@
 }
 
 // startRegion starts a region's controllers and emulators, without submitting jobs. If it fails after some of them were
-// started, it also returns the region.
+// started, it returns the region together with the error.
 func startRegion(ctx context.Context, profile *Profile, index, netByte int, program, dir string) (*region, error) {
 	regionNetwork, err := newNetwork(ctx, netByte)
 	if err != nil {
@@ -183,8 +183,8 @@
 	}
 }
 
-// params returns the controllers' settings. The teams are guaranteed equal parts of a quarter of all CPUs; the limit of
-// each is twice its equal part of all CPUs.
+// params returns the parameters in the controllers' settings. With n teams, each team is guaranteed 1/(4n) of all CPUs
+// and limited to 2/n of them, but not to less than 8 CPUs.
 func (r *region) params() config.Params {
 	profile, limits := r.profile, r.profile.Limits
 	params := emulator.DefaultParams()
@@ -218,7 +218,8 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// onTaskStart records the start latency of a job that has an active user, if the measurement is in progress.
+// onTaskStart records the time from the submission of a job to the start of a task, if a simulated user is still
+// submitting or polling the job and the measurement is in progress.
 func (r *region) onTaskStart(spec *wire.JobSpec) {
 	if submittedAt, ok := r.submittedAt.Load(spec.ID); ok && r.measuring.Load() {
 		r.startLatencies[spec.Class].add(time.Since(submittedAt.(time.Time)))
@@ -267,7 +268,7 @@
 		return
 	}
 	for {
-		//nolint:contextcheck // users don't cancel a request: it is answered or times out
+		//nolint:contextcheck // users don't cancel a request; they wait for the response or a timeout
 		code, _ := r.environment.Request("submit", spec.ID, body)
 		if code == http.StatusOK || code == http.StatusCreated {
 			break
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -16,8 +16,8 @@
 	Regions    []Region  `json:"regions"`
 	Host       HostUsage `json:"machine"`
 	Violations []string  `json:"rules_broken"`
-	// HostBottleneck says why the host limited the run, in which case the report doesn't show what the service can do.
-	// It is empty if the host had capacity to spare.
+	// HostBottleneck describes why the host limited the run, in which case the report doesn't show what the service can
+	// do. It is empty if the host had capacity to spare.
 	HostBottleneck string `json:"machine_was_the_limit,omitempty"`
 }
 
@@ -36,12 +36,12 @@
 	StartsPerS       float64            `json:"starts_per_s"`
 	TargetStartsPerS float64            `json:"starts_per_s_asked"`
 	TasksRunning     int                `json:"tasks_running"`
-	JobsKnown        int                `json:"jobs_known"`
+	JobsKnown        int                `json:"jobs_known"` // by the leader
 	StartLatency     map[string]Latency `json:"start_latency_ms"`
 	SubmitLatency    Latency            `json:"submit_latency_ms"`
 	Accepted         int64              `json:"submissions_accepted"`
 	Abandoned        int64              `json:"submissions_given_up"`
-	Failovers        map[string]float64 `json:"takeovers"`
+	Failovers        map[string]float64 `json:"takeovers"` // terms: number of leadership terms that began
 }
 
 // ControllerCost is the resource usage and the request rates of a controller.
@@ -109,7 +109,7 @@
 	return sum
 }
 
-// responseCounters returns the names of the counters of the responses to some kinds of requests.
+// responseCounters returns the names of the counters of responses to the given kinds of requests.
 func responseCounters(kinds ...string) (names []string) {
 	for _, kind := range kinds {
 		for _, outcome := range []string{"ok", "refused", "later"} {
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -7,7 +7,7 @@
 	"fieldhill/internal/golden"
 )
 
-// costWithDistinctValues returns a cost whose fields all differ.
+// costWithDistinctValues returns a cost whose fields have distinct values, counted from base.
 func costWithDistinctValues(base float64) (cost ControllerCost) {
 	for i, field := range cost.values() {
 		*field = base + 1000*float64(i) + 0.125
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,14 +18,14 @@
 const (
 	progressInterval    = 5 * time.Second
 	memoryCheckInterval = 2 * time.Second
-	// Beyond these limits the host is the bottleneck, and the measured values aren't those of the service.
+	// If a run exceeds one of these limits, the host is the bottleneck, and the measurements don't show what the
+	// service can do.
 	maxTimerLagMS = 50.0
 	minIdleShare  = 0.05
 	maxStealShare = 0.1
 )
 
-// Run executes a profile. Before it returns, also because the context was cancelled, it stops everything that it
-// started.
+// Run executes a profile. Before it returns, also if the context is cancelled, it stops everything that it started.
 func Run(ctx context.Context, p Profile, o Options) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	return newReport(p, regions, before, after, lag), nil
 }
 
-// startRegions starts all regions. If it fails, it also returns the regions that are running.
+// startRegions starts all regions. If it fails, it returns the regions that are running together with the error.
 func startRegions(ctx context.Context, p *Profile, o Options) (regions []*region, err error) {
 	if o.FirstNetByte == 0 {
 		o.FirstNetByte = defaultNetByte
@@ -126,7 +126,7 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// hostBottleneck says why the host limited the run, or returns "" if it didn't.
+// hostBottleneck describes why the host limited the run, or returns "" if it didn't.
 func hostBottleneck(host HostUsage) string {
 	switch {
 	case host.HollowLagP99MS > maxTimerLagMS:
@@ -146,7 +146,7 @@
 	return all
 }
 
-// watchMemory cancels a run that uses too much of the host's memory.
+// watchMemory cancels a run that uses more than half of the host's memory.
 func watchMemory(ctx context.Context, cancel context.CancelCauseFunc, regions []*region) {
 	for ctx.Err() == nil {
 		sleep(ctx, memoryCheckInterval)
@@ -163,7 +163,8 @@
 	}
 }
 
-// waitWithProgress waits and reports progress periodically. It returns the cause if the context ends.
+// waitWithProgress waits for a duration and calls onProgress every progressInterval. If the context ends first, it
+// returns the cause.
 func waitWithProgress(ctx context.Context, regions []*region, duration time.Duration, onProgress func(string)) error {
 	deadline := time.Now().Add(duration)
 	for time.Now().Before(deadline) {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -23,13 +23,13 @@
 	l, err := FitLine(points)
 	if err != nil || math.Abs(l.Slope-0.02) > 4*l.SlopeErr || math.Abs(l.Intercept-5) > 4*l.InterceptErr ||
 		l.SlopeErr > 0.002 || l.MinSize != 100 || l.MaxSize != 1000 || l.PointCount != 30 {
-		t.Errorf("%+v, %v", l, err)
+		t.Errorf("got %+v, %v, want slope 0.02 and intercept 5 for 30 points from 100 to 1000", l, err)
 	}
 	if l, err := FitLine(bent); err != nil || l.SlopeChange < 0.5 {
-		t.Errorf("change of slope not detected: %+v, %v", l, err)
+		t.Errorf("points with a change of slope: got %+v, %v, want a SlopeChange of at least 0.5", l, err)
 	}
 	if _, err := FitLine(points[:6]); err == nil {
-		t.Error("fitted a line to points of only two sizes")
+		t.Error("points of two sizes: got no error, want one")
 	}
 }
 
@@ -44,7 +44,7 @@
 		"[workload]\ncold_share = 2.0":           "workload.cold_share:",
 	} {
 		if _, err := ParseProfile([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), field) {
-			t.Errorf("%q: %v, want %s", text, err, field)
+			t.Errorf("%q: got error %v, want one with prefix %s", text, err, field)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 func TestDeployedProfilesLoad(t *testing.T) {
 	files, err := os.ReadDir("../../deploy/scale")
 	if err != nil || len(files) < 5 {
-		t.Fatal(err, len(files))
+		t.Fatalf("deploy/scale: got %d files, %v, want at least 5", len(files), err)
 	}
 	for _, f := range files {
 		path := "../../deploy/scale/" + f.Name()
@@ -63,7 +63,7 @@
 			_, err = LoadProfile(path)
 		}
 		if err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got error %v, want none", path, err)
 		}
 	}
 }
@@ -79,6 +79,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), tables) {
-		t.Error("docs/CAPACITY.md differs from `go run ./cmd/scale report`")
+		t.Error("docs/CAPACITY.md does not contain the current output of `go run ./cmd/scale report`")
 	}
 }
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -16,7 +16,7 @@
 	Series  []Series `toml:"series"`
 }
 
-// Series is a parameter of the profile and the values that it takes.
+// Series is a parameter of the profile and the values that the runs set it to.
 type Series struct {
 	Parameter string    `toml:"vary"`
 	Values    []float64 `toml:"values"`
@@ -26,13 +26,14 @@
 // all workers are up when the measurement begins.
 const workerStartsPerS = 40
 
-// Fewer sizes per series or fewer runs per size would give unreliable standard errors of the slopes.
+// Minimum number of sizes per series and of runs per size. With fewer, the standard errors of the slopes are
+// unreliable.
 const (
 	minSizes   = 4
 	minRepeats = 3
 )
 
-// variations sets each parameter that a series may vary to a value.
+// variations has a function for each parameter that a series may vary. The function sets the parameter in a profile.
 var variations = map[string]func(p *Profile, v float64){
 	// Each worker runs one long task; the start rate and the number of short tasks stay constant, and the socket limit
 	// grows with the number of workers.
@@ -96,7 +97,7 @@
 	return points
 }
 
-// Measurement is the stored result of one run of a sweep: the metrics that lines are fitted to.
+// Measurement is the stored result of one run of a sweep. Lines are fitted to its Metrics.
 type Measurement struct {
 	Parameter      string             `json:"vary"`
 	Value          float64            `json:"x"`
@@ -106,7 +107,7 @@
 	Metrics        map[string]float64 `json:"figures"`
 }
 
-// Metrics are rounded to multiples of 1/metricScale.
+// metricScale determines the precision of stored metrics, which are rounded to multiples of 1/metricScale.
 const metricScale = 1e5
 
 // reportMetrics returns the metrics of the first region of a run.
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// submitUrgent submits high-priority jobs of one task.
+// submitUrgent submits high-priority jobs of one task at the profile's rate.
 func (r *region) submitUrgent(ctx context.Context) {
 	rate := r.profile.Workload.UrgentPerS / float64(r.profile.Regions)
 	if rate <= 0 {
@@ -102,7 +102,7 @@
 // finishedJobsPerS is the rate at which submitFinishedBefore submits jobs.
 const finishedJobsPerS = 120
 
-// submitFinishedBefore submits the short jobs that are to finish before the measurement begins.
+// submitFinishedBefore submits the short jobs that have to finish before the measurement begins.
 func (r *region) submitFinishedBefore(ctx context.Context) {
 	for range r.profile.regionShare(r.profile.FinishedBefore, r.index) {
 		sleep(ctx, time.Second/finishedJobsPerS)
@@ -162,7 +162,7 @@
 	return sample
 }
 
-// reclaim terminates machines without notice.
+// reclaim terminates the machines of workers without notice.
 func (r *region) reclaim(workers []*emulator.Worker) {
 	for _, w := range workers {
 		r.environment.Cloud.Reclaim(w.Name)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Run runs a controller, restarting it when it exits, until the context ends, and then returns nil. An error means that
+// Run runs a controller and restarts it when it exits, until the context ends; it then returns nil. An error means that
 // the controller could not be started.
 func (s *Supervisor) Run(ctx context.Context, settings *config.Settings, args ...string) (err error) {
 	node := settings.Node
@@ -56,10 +56,11 @@
 	for {
 		cmd := exec.CommandContext(ctx, s.Executable, append([]string{"--config", settingsPath}, args...)...)
 		cmd.Stderr = logFile
-		// A process group of its own keeps Ctrl-C from reaching the controller, which this process stops itself.
+		// In a separate process group the controller does not receive Ctrl-C; this process kills it when the context
+		// ends.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
-			return err // already names the operation and the program
+			return err // the error already names the operation and the program
 		}
 		s.setProcess(node, cmd.Process)
 		s.reportEvent("controller %s in zone %s started: pid %d, user API %s",
@@ -78,7 +79,7 @@
 	}
 }
 
-// setProcess records a controller's running process; nil means that it has none.
+// setProcess records the running process of a controller; nil means that no process is running.
 func (s *Supervisor) setProcess(node string, process *os.Process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/modelcheck/modelcheck.go
+++ b/internal/testing/modelcheck/modelcheck.go
@@ -1,6 +1,7 @@
 // Package modelcheck is an explicit-state model checker for small systems. It explores every order of a system's steps
 // to a given depth, breadth first, so that the first violation found has a trace of minimal length. A system models the
-// environment of production code without I/O and calls that code the way the service does. Only tests import it.
+// environment of production code without I/O and calls that code the way the service does. Only tests import this
+// package.
 package modelcheck
 
 import (
@@ -11,7 +12,7 @@
 
 // State is an immutable state of a system: NextSteps creates new states and doesn't modify this one.
 type State interface {
-	// Key identifies the state. States with equal keys must have the same behavior from there on.
+	// Key identifies the state. Of states with equal keys only one is explored, so they must have the same behavior.
 	Key() string
 	// NextSteps lists all steps that are possible in the state.
 	NextSteps() []Step
@@ -30,7 +31,7 @@
 	States    int      // distinct states visited
 	Depth     int      // depth to which all states were visited
 	Exhausted bool     // all reachable states were visited, regardless of depth
-	Violation string   // of the first violating state, "" if there is none
+	Violation string   // violation of the first violating state; "" if there is none
 	Trace     []string // names of the steps from the start to that state
 }
 
--- a/internal/testing/virtualtime/isolated.go
+++ b/internal/testing/virtualtime/isolated.go
@@ -22,8 +22,8 @@
 }
 
 // MainIsolated is a variant of Main for packages with many long tests: it runs each top-level test in a separate
-// process, several at a time, each on one processor as in Main. In one process they would all share one processor,
-// which took five minutes under the race detector. With any of singleProcessFlags it behaves like Main.
+// process, several at a time, each on one processor as in Main. In one process, all tests would share one processor and
+// take five minutes under the race detector. With any of singleProcessFlags it behaves like Main.
 func MainIsolated(m *testing.M) {
 	flag.Parse()
 	if os.Getenv(singleTestEnv) != "" || requiresSingleProcess() {
--- a/internal/testing/virtualtime/virtualtime.go
+++ b/internal/testing/virtualtime/virtualtime.go
@@ -1,5 +1,5 @@
 // Package virtualtime contains TestMain helpers for tests that run in virtual time (testing/synctest) and gives them
-// deterministic results under the race detector. Only tests import it.
+// deterministic results under the race detector. Only tests import this package.
 //
 // The runtime runs all timers of a synctest bubble in one race detector context, which only one thread may use at a
 // time. Two threads can use it concurrently: while the root of the bubble runs the timers of an instant, a goroutine
--- a/internal/testing/virtualtime/virtualtime_test.go
+++ b/internal/testing/virtualtime/virtualtime_test.go
@@ -9,8 +9,8 @@
 
 func TestMain(m *testing.M) { Main(m) }
 
-// TestTimersOfOneInstant guards against the race detector failure described in the package comment: goroutines receive
-// from timer channels at the instant at which other timers start goroutines. With eight processors and the race
+// TestTimersOfOneInstant guards against the race detector failure described in the package comment. It makes goroutines
+// receive from timer channels at the instant at which other timers start goroutines. With eight processors and the race
 // detector, nine of nine runs ended in a segmentation fault or a failed internal check of the detector.
 func TestTimersOfOneInstant(t *testing.T) {
 	const rounds, timersPerRound = 1000, 64
@@ -32,8 +32,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		if started.Load() != rounds*timersPerRound || received.Load() != rounds*timersPerRound {
-			t.Errorf("of %d timers of each kind, %d started a goroutine and %d were received",
-				rounds*timersPerRound, started.Load(), received.Load())
+			t.Errorf("got %d started goroutines and %d received timers, want %d of each",
+				started.Load(), received.Load(), rounds*timersPerRound)
 		}
 	})
 }
