--- a/cmd/fieldhill/admin_test.go
+++ b/cmd/fieldhill/admin_test.go
@@ -8,8 +8,8 @@
 	"fieldhill/wire"
 )
 
-// TestPrintExplanation checks that binding reasons come first, that the effect of removing a reason is printed only on
-// request, and that an outdated explanation says so.
+// TestPrintExplanation checks that binding reasons are printed first, that the effect of removing a reason is printed
+// only on request, and that the age of an outdated explanation is printed.
 func TestPrintExplanation(t *testing.T) {
 	e := &wire.Explanation{
 		ID:      "req-000412",
--- a/cmd/fieldhill/golden_test.go
+++ b/cmd/fieldhill/golden_test.go
@@ -207,7 +207,7 @@
 		record(code, "", refused, userEnv, "status", "req-000412")
 	}
 	record(http.StatusServiceUnavailable, "7", refused, userEnv, "cancel", "req-000412")
-	record(http.StatusOK, "", job, nil, "status", "req-000412") // no address
+	record(http.StatusOK, "", job, nil, "status", "req-000412") // without an address
 
 	why := adminapi.Respond(result.Explanation{Explanation: &wire.Explanation{
 		ID: "req-000412", State: wire.JobPending, Node: "n1", Waiting: 4,
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -103,7 +103,7 @@
 	}
 	logLevel, _ := parseLogLevel(s.LogLevel)
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel}))
-	// The machine's limit counts all memory, not only the Go heap, so the heap must stay well below it.
+	// memory_mb limits all memory of the process, not only the Go heap, so the heap limit must be well below memory_mb.
 	debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryMB * 0.55 * (1 << 20)))
 	if share := settings.Params.Limits.CPUShare; share < 1.5 {
 		runtime.GOMAXPROCS(1) // more threads than the CPU share only cause context switches
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,5 +1,6 @@
 // Package adminapi is the HTTP interface of a controller for operators: read-only queries about jobs and roles, in
-// JSON, on a separate address. It validates and routes requests and encodes the results; a Service handles them.
+// JSON, on a separate address. The package validates and routes requests and encodes the results; a Service handles the
+// requests.
 package adminapi
 
 import (
@@ -27,7 +28,7 @@
 	Limit  int    `json:"most"`             // maximum number of jobs to list, from 1 to wire.MaxQueued
 }
 
-// Service handles requests. Its methods are called concurrently.
+// Service handles the requests of operators. Its methods are called concurrently.
 type Service interface {
 	// Explain returns the reasons why a job is pending.
 	Explain(ctx context.Context, id string) result.Result
@@ -61,7 +62,7 @@
 // Respond converts a result into a response for operators.
 func Respond(r result.Result) *rpc.Response { return encoding.Respond(r) }
 
-// Handler routes requests to a service.
+// Handler returns a handler that validates requests, passes them to a service and encodes the results.
 func Handler(service Service) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, answer func(r *http.Request) result.Result) {
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,7 +19,7 @@
 	"fieldhill/wire"
 )
 
-// stubService returns fixed results and records the requests that it received.
+// stubService returns fixed results and records the requests that it receives.
 type stubService struct {
 	explanation *wire.Explanation
 	queue       *wire.Queue
@@ -52,8 +52,8 @@
 	return w
 }
 
-// publishedName returns the name of a type's definition in a schema. Definitions keep the names under which they were
-// first published, even if the Go type has been renamed since.
+// publishedName returns the name of a type's definition in a schema. A published definition keeps its name, even where
+// the Go type has another one.
 func publishedName(t reflect.Type) string {
 	published := map[string]string{
 		"RoleList":     "Duties",
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -92,7 +92,7 @@
 	golden.Check(t, "why-empty.json", encoding.Message(http.StatusOK, emptyReason).Body)
 }
 
-// scriptedService is a service that returns a fixed result and records the request that it received.
+// scriptedService is a service that returns a fixed result and records the request that it receives.
 type scriptedService struct {
 	result   result.Result
 	received string
@@ -126,7 +126,7 @@
 		{"GET", why, ok},
 		{"GET", why, result.Unknown{Reason: "unknown"}},
 		{"GET", why, result.Unavailable{Reason: "no leader", RetryAfter: 2 * time.Second}},
-		{"GET", why, unencodable}, // cannot be encoded
+		{"GET", why, unencodable}, // a result whose body cannot be encoded
 		{"POST", why, ok},
 		{"GET", wire.PathAdminJobs + "/x" + wire.WhySuffix, ok},
 		{"GET", wire.PathAdminJobs + "/req-000412", ok},
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface of a controller for users, agents and health checks. It decodes requests, limits
-// their size and encodes the results; a Service handles them.
+// Package api is the HTTP interface of a controller for users, agents and health checks. The package decodes requests,
+// limits their size and encodes the results; a Service handles the requests.
 package api
 
 import (
@@ -21,7 +21,7 @@
 	"fieldhill/wire"
 )
 
-// Service handles requests. Its methods are called concurrently.
+// Service handles the requests of users, agents and the load balancer. Its methods are called concurrently.
 type Service interface {
 	// Submit accepts the job in the body. Submitting a job again has no further effect.
 	Submit(ctx context.Context, body []byte) result.Result
@@ -52,9 +52,9 @@
 	open     atomic.Int64
 }
 
-// NearLimit reports whether more than 7/8 of the connections are in use, so that agents must close theirs after each
-// heartbeat. Otherwise a leader with more agents than connections could not accept users and health checks, because
-// agents keep their connections between heartbeats.
+// NearLimit reports whether more than 7/8 of the connections are in use, in which case agents must close their
+// connections after each heartbeat. Without this, agents, which keep connections between heartbeats, could use all
+// connections of a leader, so that users and health checks could not connect.
 func (c *ConnLimiter) NearLimit() bool { return c.open.Load()*8 > int64(c.MaxConns)*7 }
 
 // onConnState counts connections; it is the http.Server.ConnState hook.
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -56,7 +56,7 @@
 	return e.respondError(r)
 }
 
-// respondError converts a result of a request that was not carried out.
+// respondError converts a result that means that the request was not carried out.
 func (e *Encoding) respondError(r result.Result) *rpc.Response {
 	switch r := r.(type) {
 	case result.Invalid:
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -19,7 +19,7 @@
 	"fieldhill/wire"
 )
 
-// scriptedService is a service that returns a fixed result and records the request that it received.
+// scriptedService is a service that returns a fixed result and records the request that it receives.
 type scriptedService struct {
 	result   result.Result
 	ready    bool
@@ -80,9 +80,9 @@
 		{"POST", wire.PathJobs, strings.NewReader(""), ok, 0},
 		{"POST", wire.PathJobs, bytes.NewReader(oversized[1:]), ok, 0},
 		{"POST", wire.PathJobs, bytes.NewReader(oversized), ok, 0},
-		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized[1:])), ok, 0}, // of unknown length
+		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized[1:])), ok, 0}, // a body of unknown length
 		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized)), ok, 0},
-		{"POST", wire.PathJobs, strings.NewReader("body"), unencodable, 0}, // cannot be encoded
+		{"POST", wire.PathJobs, strings.NewReader("body"), unencodable, 0}, // a result whose body cannot be encoded
 		{"POST", wire.PathJobs, strings.NewReader("body"), unsupported, 0},
 		{"GET", wire.PathJobs, nil, ok, 0},
 		{"GET", job, nil, ok, 0},
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -12,7 +12,7 @@
 // ErrShort reports a record that is truncated or has an invalid value.
 var ErrShort = errors.New("codec: truncated or malformed")
 
-// Uint appends an unsigned varint.
+// Uint appends a number as an unsigned varint.
 func Uint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
 // Float appends a float64 in eight bytes, little endian.
@@ -30,7 +30,7 @@
 	return append(Uint(b, uint64(len(s))), s...)
 }
 
-// Bool appends one byte, 0 or 1.
+// Bool appends a boolean as one byte, 0 or 1.
 func Bool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
@@ -110,7 +110,7 @@
 	return v
 }
 
-// Bool decodes one byte, which must be 0 or 1.
+// Bool decodes a boolean from one byte, which must be 0 or 1.
 func (r *Reader) Bool() bool {
 	if len(r.Data) < 1 || r.Data[0] > 1 {
 		r.fail()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -90,23 +90,23 @@
 
 // KVStore holds the limits of the key-value store.
 type KVStore struct {
-	RPS      float64 `toml:"rps"`       // requests per second
-	WriteRPS float64 `toml:"write_rps"` // writes per second
+	RPS      float64 `toml:"rps"`       // maximum number of requests per second
+	WriteRPS float64 `toml:"write_rps"` // maximum number of writes per second
 	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value
 	TxnOps   int     `toml:"txn_ops"`   // maximum number of conditions and writes in one transaction
 }
 
 // Cloud holds the limits and properties of the cloud's API.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`        // requests per second
+	RPS      float64 `toml:"rps"`        // maximum number of requests per second
 	ListLagS float64 `toml:"list_lag_s"` // usual time by which the machine list is out of date
 }
 
 // Limits holds the resources that a controller may use on its machine.
 type Limits struct {
-	CPUShare   float64 `toml:"cpu_share"`
-	MemoryMB   float64 `toml:"memory_mb"`
-	MaxSockets int     `toml:"max_sockets"`
+	CPUShare   float64 `toml:"cpu_share"`   // number of CPUs, which may be a fraction
+	MemoryMB   float64 `toml:"memory_mb"`   // all memory of the process
+	MaxSockets int     `toml:"max_sockets"` // number of open sockets
 }
 
 // Load reads and validates a settings file.
@@ -148,9 +148,9 @@
 const maxUnmeasuredSeconds = 2
 
 // StaleRenewalLimit is how long a controller that is partitioned from the log may keep renewing agents' leases. A
-// cancellation that it has not seen must still take effect within cancel_s, so the limit is what remains of cancel_s
-// after the lease, a margin for unmeasured delays (a third of the remainder, at most two seconds), and the drift of the
-// controller's clock and the agent's. docs/DESIGN.md has the derivation.
+// cancellation that the controller has not seen must still take effect within cancel_s, so the limit is what remains of
+// cancel_s after the lease, a margin for unmeasured delays (a third of the remainder, at most two seconds), and the
+// drift of the controller's clock and the agent's. docs/DESIGN.md has the derivation.
 func (s *Settings) StaleRenewalLimit() time.Duration {
 	w := &s.Params.Workers
 	slack := w.CancelS - w.LeaseS
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// validateNumbers checks the numbers that must be greater than 0, and those that may be 0.
+// validateNumbers checks that numbers are finite and greater than 0 or, if 0 is valid, at least 0.
 func (p *Params) validateNumbers() error {
 	for _, f := range []namedNumber{
 		{"workers.report_s", p.Workers.HeartbeatS},
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -28,14 +28,14 @@
 type Cloud struct {
 	environment   *Environment
 	machineTypes  []wire.MachineType
-	pageSize      int                             // of the machine list
+	pageSize      int                             // number of machines on a page of the machine list
 	maxMachinesOf func(typ string, spot bool) int // per type, zone and kind; if nil, maxMachines applies
 
 	mu                 sync.Mutex
 	Machines           map[string]*Worker // existing machines by name
 	machinesByRequest  map[string][]string
 	bootedAt           map[string]time.Time
-	listing            []wire.ListedMachine // at most listingInterval old
+	listing            []wire.ListedMachine // machine list that clients see, at most listingInterval old
 	launched           int
 	maxMachines        int
 	outage             bool
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -18,11 +18,11 @@
 
 // controllerGroup starts and stops the controllers of a deployment, each in a goroutine that represents its process.
 type controllerGroup struct {
-	ctx       context.Context // of the environment
+	ctx       context.Context // context of the environment
 	run       ControllerFunc
 	networkOf networkFunc
 	addresses Addresses
-	params    *config.Params // of the environment; tests may change them before a controller starts
+	params    *config.Params // parameters of the environment; tests may change them before a controller starts
 	processes []*controllerProcess
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// SetFaults sets the base probability of lost responses and late execution in all emulators, and the maximum delay of
-// late execution.
+// SetFaults sets the probability that a direct command is executed late and not answered, and the maximum delay. It
+// also sets the faults of the key-value store and the cloud, with probabilities and delays in fixed ratios to the given
+// ones.
 func (e *Environment) SetFaults(probability float64, maxDelay time.Duration) {
 	e.mu.Lock()
 	e.delayedCommandChance, e.maxCommandDelay = probability, maxDelay
--- a/internal/emulator/heartbeat_copies.go
+++ b/internal/emulator/heartbeat_copies.go
@@ -9,7 +9,7 @@
 	"fieldhill/wire"
 )
 
-// maxRetainedHeartbeats limits the heartbeat copies that are retained for replay to the next leader.
+// maxRetainedHeartbeats is the maximum number of heartbeat copies retained for replay to the next leader.
 const maxRetainedHeartbeats = 500
 
 // copyTimeout is the time that the sender of a copy waits for the response.
@@ -17,7 +17,7 @@
 
 // heartbeatCopier emulates a network that delivers heartbeats more than once, late, or to another controller.
 type heartbeatCopier struct {
-	ctx         context.Context // of the environment
+	ctx         context.Context // context of the environment
 	networkOf   networkFunc
 	controllers *controllerGroup
 	random      *randomSource
@@ -85,8 +85,8 @@
 	c.retainChance = probability
 }
 
-// ReplayRetained sends retained heartbeats to every controller, all concurrently: the oldest, middle and newest one of
-// each machine. It returns their number.
+// ReplayRetained sends the oldest, the middle and the newest retained heartbeat of each machine to every controller,
+// all concurrently. It returns the number of heartbeats sent.
 func (c *heartbeatCopier) ReplayRetained() (sent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -38,14 +38,16 @@
 	c.limits = limits
 }
 
-// MarkFaultsOver tells the checker that no more faults are injected, so that it also checks for progress.
+// MarkFaultsOver tells the checker that no more faults are injected. From then on, the checker also checks that jobs
+// make progress and that polls are answered.
 func (c *InvariantChecker) MarkFaultsOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultsOver = true
 }
 
-// RecordUnanswered records a poll of a job that failed: it got no response, or one with an error status.
+// RecordUnanswered records that a poll of a job got no response, or one with an error status. Once faults are over, it
+// records a violation if all polls of an accepted job have failed for longer than maxUnansweredDuration.
 func (c *InvariantChecker) RecordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +63,7 @@
 	}
 }
 
-// jobRecord contains what users were told about a job, and what its tasks did.
+// jobRecord holds what users were told about a job, and the starts, placements and completions of its tasks.
 type jobRecord struct {
 	spec            *wire.JobSpec
 	starts          int
@@ -217,7 +219,7 @@
 	c.usage[s.Team] = [2]float64{used[0] + tasks*s.CPUs, used[1] + tasks*s.GPUs}
 }
 
-// roundingTolerance allows for rounding errors that accumulate in usage over many changes.
+// roundingTolerance is the tolerance, in CPUs or GPUs, for rounding errors that accumulate in usage over many changes.
 const roundingTolerance = 1e-6
 
 // checkQuota checks that a team does not exceed its limits.
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -186,10 +186,11 @@
 	return s.writes, s.peakKeys
 }
 
-// StoreTraffic is the cumulative request load of the store and the number of keys it holds.
+// StoreTraffic holds the cumulative numbers of requests, changes and request bytes of the store, and the current number
+// of keys.
 type StoreTraffic struct{ Requests, Changes, Bytes, Keys int }
 
-// Traffic returns the load since the store was created.
+// Traffic returns the traffic since the store was created.
 func (s *KVStore) Traffic() StoreTraffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -20,7 +20,7 @@
 	"fieldhill/internal/platform/host"
 )
 
-// Network is an in-memory network.
+// Network is an in-memory network that emulates partitions and hosts that freeze.
 type Network struct {
 	mu             sync.Mutex
 	listeners      map[string]*listener
--- a/internal/emulator/served_counts.go
+++ b/internal/emulator/served_counts.go
@@ -22,7 +22,7 @@
 type ServedCount struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
-	ReplicaWantedSeconds, ReplicaUpSeconds float64 // summed over replicas
+	ReplicaWantedSeconds, ReplicaUpSeconds float64 // summed over the replicas of services
 }
 
 // Shares returns the completed share of the jobs and of the tasks, and the share of the wanted time that replicas were
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,10 +17,10 @@
 	"fieldhill/internal/replication/candidacy"
 )
 
-// Path is the path of the metrics page.
+// Path is the URL path of the metrics page.
 const Path = "/metrics"
 
-// ProfilePath is the path of the CPU profile; the seconds parameter sets its duration.
+// ProfilePath is the URL path of the CPU profile, whose duration is set by the query parameter seconds.
 const ProfilePath = "/debug/pprof/profile"
 
 // Registry holds the metrics of one controller since its process started. The instrumented components update the
@@ -37,9 +37,9 @@
 	Provisioned, ProvisionRefused, ScaledIn *metrics.Counter
 	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
-	// Relayed counts agents' heartbeats that were forwarded to the leader and answered by it, AnsweredLocally those
-	// that this controller answered because the leader did not answer in time, and Reassigned the agents that it
-	// redirected to another controller.
+	// Relayed counts the agents' heartbeats that this controller forwarded to the leader and the leader answered,
+	// AnsweredLocally the heartbeats that this controller answered because the leader did not answer in time, and
+	// Reassigned the agents that this controller redirected to another one.
 	Relayed, AnsweredLocally, Reassigned *metrics.Counter
 	// NotAdmitted counts new jobs that were rejected because this controller was overloaded.
 	NotAdmitted *metrics.Counter
@@ -58,7 +58,8 @@
 	ok, rejected, retryable *metrics.Counter
 }
 
-// Snapshot is the state of a controller when the page is served. Values that only the leader knows are 0 elsewhere.
+// Snapshot is the state of a controller when the page is served. Values that only the leader knows are 0 on other
+// controllers.
 type Snapshot struct {
 	IsLeader                              bool
 	Term, Applied                         uint64 // leader's term, and position of the last applied log batch
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -64,10 +64,10 @@
 	Commands     []wire.Command
 }
 
-// NotLeader tells another controller that this one is not the leader.
+// NotLeader means that this controller is not the leader. It is returned only to other controllers.
 type NotLeader struct{}
 
-// Superseded tells the holder of a singleton role that its term has ended.
+// Superseded means that the term of a singleton role has ended. It is returned to the controller that held the role.
 type Superseded struct{ Reason string }
 
 // Unsupported means that this controller does not know the operation or has it disabled.
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -23,7 +23,7 @@
 		{Unschedulable{}, false, false, true, false},
 		{Unsupported{}, false, false, false, true},
 		{Forwarded{&rpc.Response{Status: 200}}, false, true, false, false},
-		// A rejection by another controller is not final: it is based on the state known there.
+		// A rejection by another controller is not final: it is based on the state that the other controller knows.
 		{Forwarded{&rpc.Response{Status: 400}}, false, false, false, false},
 		{Forwarded{&rpc.Response{Status: 429}}, false, false, false, false},
 		{Forwarded{&rpc.Response{Status: 501}}, false, false, false, true},
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		conns, link := runLink(ctx)
-		remote := <-conns // accepted, never read
+		remote := <-conns // this end never reads
 		time.Sleep(10 * time.Millisecond)
 		start := time.Now()
 		timeoutCtx, cancel := context.WithTimeout(ctx, time.Second)
@@ -162,8 +162,8 @@
 	return counts
 }
 
-// TestOversizedMessageKeepsConnection checks that a request or response over MaxBody fails alone. If it were sent, the
-// receiver would close the connection and every request in flight would be lost.
+// TestOversizedMessageKeepsConnection checks that a request or response over MaxBody fails without affecting other
+// requests. If the message were sent, the receiver would close the connection and all requests in flight would fail.
 func TestOversizedMessageKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -94,7 +94,7 @@
 	return l, nil
 }
 
-// estimate is an estimated metric at a region size.
+// estimate is the estimated value of a metric at a region size, with its standard error.
 type estimate struct {
 	value, stdErr       float64
 	extrapolationFactor float64 // maximum over the parameters that contribute more than 2% of the value
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -143,7 +143,7 @@
 			startedAt := time.Now()
 			time.Sleep(lagInterval)
 			l.mu.Lock()
-			// fails only for a lag of more than a minute, longer than in any run
+			// RecordValue fails only for a lag of more than a minute, which is longer than in any run.
 			_ = l.histogram.RecordValue(max(1, (time.Since(startedAt) - lagInterval).Microseconds()))
 			l.mu.Unlock()
 		}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -56,7 +56,7 @@
 func (l *latencyRecorder) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // fails only above an hour, longer than any run
+	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // fails only above an hour, which is longer than any run
 }
 
 // region is a running region: its controllers, emulators and hollow workers.
@@ -257,7 +257,7 @@
 	submitTimeout = time.Minute     // after which a user abandons a submission
 )
 
-// simulateUser submits a job, with retries, and polls its status until it ends.
+// simulateUser submits a job, with retries, and polls the status of the job until the job ends.
 func (r *region) simulateUser(ctx context.Context, spec *wire.JobSpec) {
 	startedAt := time.Now()
 	r.submittedAt.Store(spec.ID, startedAt)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -21,7 +21,7 @@
 	HostBottleneck string `json:"machine_was_the_limit,omitempty"`
 }
 
-// Region is the part of a report that concerns one region.
+// Region holds the measurements of one region in a report.
 type Region struct {
 	Leader  ControllerCost `json:"leader"`
 	Others  ControllerCost `json:"others"` // mean over the controllers other than the leader
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -49,7 +49,8 @@
 	Count   int    `msgpack:"number"`
 }
 
-// MachineNames lists machines by name: in a response those that were provisioned, in a request those to release.
+// MachineNames lists machines by name: in a response the machines that were provisioned, in a request the machines to
+// release.
 type MachineNames struct {
 	Machines []string `msgpack:"boxes"`
 }
@@ -62,11 +63,11 @@
 	Zone  string  `msgpack:"hall"`
 	Spot  bool    `msgpack:"loaners"`
 	State string  `msgpack:"status"`
-	AgeS  float64 `msgpack:"held_s"` // since it was provisioned
+	AgeS  float64 `msgpack:"held_s"` // time since the machine was provisioned
 }
 
-// MachineList is a page of the cloud's machine list. The list is eventually consistent: provisioned and released
-// machines show up late.
+// MachineList is a page of the cloud's machine list. The list is eventually consistent: provisioned machines appear in
+// it, and released machines disappear from it, with a delay.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"boxes"`
 	More     bool            `msgpack:"truncated"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -111,7 +111,7 @@
 	return err == nil && c == msgpcode.Nil
 }
 
-// decodeString decodes a string. The library would also accept binary data and nil.
+// decodeString decodes a string. It rejects binary data and nil, which the library would accept.
 func decodeString(d *msgpack.Decoder) (string, error) {
 	c, err := d.PeekCode()
 	if err != nil {
--- a/wire/users.go
+++ b/wire/users.go
@@ -1,7 +1,7 @@
 package wire
 
-// Paths of the user API. The path of a job is PathJobs, a slash and its id; with CancelSuffix appended, it cancels the
-// job.
+// Paths of the user API. The path of a job is PathJobs, a slash and the job's id. A request to that path with
+// CancelSuffix appended cancels the job.
 const (
 	PathJobs     = "/api/jobs"
 	PathReady    = "/ready"
