--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -110,7 +110,7 @@
 				t.Fatalf("GET %s: got status %d, %v, want status 200 and JSON", c.path, w.Code, err)
 			}
 			if err := schema.Validate(doc); err != nil {
-				t.Errorf("invalid response at %s: %v", c.path, err)
+				t.Errorf("response at %s: got schema error %v, want none", c.path, err)
 			}
 			m := doc.(map[string]any)
 			m["node"] = 7
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -48,7 +48,7 @@
 		handler := Handler(stubService{}, log, limiter, func(string, int, time.Duration) {})
 		go func() {
 			if err := Serve(ctx, ln, limiter, handler, log); !errors.Is(err, context.Canceled) {
-				failed <- fmt.Errorf("Serve returned: %w", err)
+				failed <- fmt.Errorf("Serve: got error %w, want context.Canceled", err)
 			}
 		}()
 		for i := range agents {
@@ -60,7 +60,7 @@
 					heartbeat := &wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1}
 					err := c.Do(cctx, "POST", "node:80", wire.PathHeartbeat, heartbeat, nil, wire.MaxBody)
 					if cancel(); err != nil && ctx.Err() == nil {
-						failed <- fmt.Errorf("agent %d: %w", i, err)
+						failed <- fmt.Errorf("heartbeat of agent %d: got error %w, want none", i, err)
 					}
 					time.Sleep(every)
 				}
@@ -72,7 +72,7 @@
 			c := msgpackhttp.New(net.Host("balancer"), 1, 1, time.Second) // a new connection each time
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := c.Do(cctx, "GET", "node:80", wire.PathReady, nil, nil, 100); err != nil {
-				t.Errorf("health check %d: %v", i, err)
+				t.Errorf("health check %d: got error %v, want none", i, err)
 			}
 			cancel()
 			c.Close()
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -155,7 +155,7 @@
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
 // errProcessTerminated is returned by all network operations of a terminated process.
-var errProcessTerminated = errors.New("process terminated")
+var errProcessTerminated = errors.New("emulator: network operation of a terminated process")
 
 // Terminate ends a process as seen by the network: its connections and listeners are closed, and its later network
 // operations fail. Requests that the process has sent before are still processed.
@@ -191,7 +191,7 @@
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.network.listeners[addr] != nil {
-		return nil, errors.New("address in use")
+		return nil, errors.New("emulator: listen on " + addr + ": address in use")
 	}
 	l := &listener{
 		host:    h.name,
@@ -220,13 +220,13 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			return nil, errors.New("timeout")
+			return nil, errors.New("emulator: dial " + addr + ": timeout")
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	if l == nil {
-		return nil, errors.New("connection refused")
+		return nil, errors.New("emulator: dial " + addr + ": connection refused")
 	}
 	client, server := net.Pipe()
 	h.network.mu.Lock()
@@ -237,7 +237,7 @@
 	case l.conns <- server:
 		return &hostConn{client, h.network, h.name, addr}, nil
 	case <-l.done:
-		return nil, errors.New("connection refused")
+		return nil, errors.New("emulator: dial " + addr + ": connection refused")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -26,7 +26,7 @@
 )
 
 // errNoResponse is the error for a heartbeat whose response is lost in an inbound partition.
-var errNoResponse = errors.New("no response to heartbeat")
+var errNoResponse = errors.New("emulator: no response to heartbeat")
 
 // buildHeartbeat returns the machine's next heartbeat, which also serves as the response to probes and direct commands.
 func (w *Worker) buildHeartbeat() *wire.Heartbeat {
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -70,7 +70,7 @@
 		for scanner := bufio.NewScanner(strings.NewReader(string(content))); scanner.Scan(); {
 			var measured Measurement
 			if err := json.Unmarshal(scanner.Bytes(), &measured); err != nil {
-				return nil, fmt.Errorf("%s: %w", f, err)
+				return nil, fmt.Errorf("decode measurement in %s: %w", f, err)
 			}
 			name := strings.TrimSuffix(filepath.Base(f), ".jsonl")
 			byFile[name] = append(byFile[name], measured)
@@ -89,7 +89,7 @@
 	}
 	l, err := FitLine(points)
 	if err != nil {
-		return l, fmt.Errorf("%s by %s: %w", metric, parameter, err)
+		return l, fmt.Errorf("fit %s by %s: %w", metric, parameter, err)
 	}
 	return l, nil
 }
--- a/internal/scale/linefit.go
+++ b/internal/scale/linefit.go
@@ -23,7 +23,7 @@
 
 // ErrTooFewSizes is returned by FitLine for points of fewer than three sizes, for which the standard error of a slope
 // has no meaning.
-var ErrTooFewSizes = errors.New("scale: fit line: fewer than three sizes")
+var ErrTooFewSizes = errors.New("scale: points have fewer than three sizes")
 
 // Point is a measured cost at a size.
 type Point struct{ Size, Cost float64 }
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -182,7 +182,7 @@
 	variations[parameter](&p, value)
 	report, err := Run(ctx, p, o)
 	if err != nil {
-		return Measurement{}, nil, fmt.Errorf("%s: %w", p.Name, err)
+		return Measurement{}, nil, fmt.Errorf("run %s: %w", p.Name, err)
 	}
 	return Measurement{
 		Parameter:      parameter,
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -197,7 +197,7 @@
 		stored := golden.Read(t, file)
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 		if err := Unmarshal(stored, got); err != nil {
-			t.Errorf("decoding %s: %v", name, err)
+			t.Errorf("decoding %s: got error %v, want none", name, err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s after decoding (-want +got):\n%s", name, d)
