--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -21,7 +21,7 @@
 	"fieldhill/internal/platform/host"
 )
 
-// cli defines the commands.
+// cli defines the commands of the program.
 type cli struct {
 	Serve serveCmd `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
 	Check checkCmd `cmd:"" help:"Validate a settings file and print the parsed settings."`
@@ -51,7 +51,7 @@
 	SingletonRoles bool          `name:"duties" env:"FIELDHILL_DUTIES" help:"Assign the singleton roles (cloud provisioning and cleanup) to the best-suited controllers, each under its own lease, once all controllers set this flag; otherwise the leader holds them all."`
 }
 
-// Validate is called by kong after parsing.
+// Validate checks the flags. It is called by kong after parsing.
 func (s *serveCmd) Validate() error {
 	switch {
 	case !(s.Beta >= 0 && s.Beta <= 1):
@@ -103,7 +103,7 @@
 	}
 	logLevel, _ := parseLogLevel(s.LogLevel)
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel}))
-	// The machine's limit counts all memory, not only the Go heap, so the heap must stay well below it.
+	// memory_mb limits all memory of the process, not only the Go heap, so the heap limit must be well below memory_mb.
 	debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryMB * 0.55 * (1 << 20)))
 	if share := settings.Params.Limits.CPUShare; share < 1.5 {
 		runtime.GOMAXPROCS(1) // more threads than the CPU share only cause context switches
@@ -124,7 +124,7 @@
 	File string `arg:"" help:"Settings file (TOML)." type:"existingfile"`
 }
 
-// Run executes the command.
+// Run loads the settings file and prints the parsed settings.
 func (c *checkCmd) Run() error {
 	settings, err := config.Load(c.File)
 	if err != nil {
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -20,7 +20,7 @@
 	"fieldhill/wire"
 )
 
-// operatorMessages has every message of the admin API with no field at its zero value.
+// operatorMessages returns every message of the admin API by its golden file. No field has its zero value.
 func operatorMessages() map[string]any {
 	return map[string]any{
 		"why.json": &wire.Explanation{
@@ -77,13 +77,13 @@
 			return json.Marshal(message)
 		}
 		if reencoded, err := reencode(stored); err != nil || !bytes.Equal(reencoded, stored) {
-			t.Errorf("%s was re-encoded as %s, %v", file, reencoded, err)
+			t.Errorf("%s after decoding and encoding: got %s, %v, want %s", file, reencoded, err, stored)
 		}
 		for _, name := range regexp.MustCompile(`[{,]"\w+":`).FindAllIndex(stored, -1) {
 			changed := bytes.Clone(stored)
 			changed[name[0]+2] = '~'
 			if _, err := reencode(changed); err == nil {
-				t.Errorf("%s: changing the field name at byte %d went undetected", file, name[0])
+				t.Errorf("%s with the field name at byte %d changed: got no error, want one", file, name[0])
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 	golden.Check(t, "why-empty.json", encoding.Message(http.StatusOK, emptyReason).Body)
 }
 
-// scriptedService is a service that returns a fixed result and records the request that it received.
+// scriptedService is a service that returns a fixed result and records the request that it receives.
 type scriptedService struct {
 	result   result.Result
 	received string
@@ -126,7 +126,7 @@
 		{"GET", why, ok},
 		{"GET", why, result.Unknown{Reason: "unknown"}},
 		{"GET", why, result.Unavailable{Reason: "no leader", RetryAfter: 2 * time.Second}},
-		{"GET", why, unencodable}, // cannot be encoded
+		{"GET", why, unencodable}, // a result whose body cannot be encoded
 		{"POST", why, ok},
 		{"GET", wire.PathAdminJobs + "/x" + wire.WhySuffix, ok},
 		{"GET", wire.PathAdminJobs + "/req-000412", ok},
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface of a controller for users, agents and health checks. It decodes requests, limits
-// their size and encodes the results; a Service handles them.
+// Package api is the HTTP interface of a controller for users, agents and health checks. The package decodes requests,
+// limits their size and encodes the results; a Service handles the requests.
 package api
 
 import (
@@ -21,7 +21,7 @@
 	"fieldhill/wire"
 )
 
-// Service handles requests. Its methods are called concurrently.
+// Service handles the requests of users, agents and the load balancer. Its methods are called concurrently.
 type Service interface {
 	// Submit accepts the job in the body. Submitting a job again has no further effect.
 	Submit(ctx context.Context, body []byte) result.Result
@@ -29,13 +29,13 @@
 	Status(ctx context.Context, id string) result.Result
 	// Cancel cancels a job and returns its status.
 	Cancel(ctx context.Context, id string) result.Result
-	// Heartbeat processes an agent's heartbeat and renews its lease.
+	// Heartbeat processes an agent's heartbeat and renews the agent's lease.
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) result.Result
 	// Ready reports whether the load balancer may send requests to this controller.
 	Ready() bool
 }
 
-// Request kinds, which are labels of metrics.
+// Request kinds. They are label values of metrics.
 const (
 	kindSubmit    = "submit"
 	kindStatus    = "status"
@@ -52,9 +52,9 @@
 	open     atomic.Int64
 }
 
-// NearLimit reports whether more than 7/8 of the connections are in use, so that agents must close theirs after each
-// heartbeat. Otherwise a leader with more agents than connections could not accept users and health checks, because
-// agents keep their connections between heartbeats.
+// NearLimit reports whether more than 7/8 of the connections are in use, in which case agents must close their
+// connections after each heartbeat. Without this, agents, which keep connections between heartbeats, could use all
+// connections of a leader, so that users and health checks could not connect.
 func (c *ConnLimiter) NearLimit() bool { return c.open.Load()*8 > int64(c.MaxConns)*7 }
 
 // onConnState counts connections; it is the http.Server.ConnState hook.
@@ -67,8 +67,8 @@
 	}
 }
 
-// Handler routes requests to a service and calls onResponse with the status and duration of each. The limiter must be
-// the one of the server that uses the handler.
+// Handler routes requests to a service, and calls onResponse with the kind, status and duration of each user request
+// and heartbeat. The limiter must be the one passed to Serve with the handler.
 func Handler(
 	service Service,
 	logger *slog.Logger,
@@ -119,7 +119,7 @@
 	return mux
 }
 
-// Errors of request bodies. Their texts are part of the response.
+// Errors for request bodies. Their texts are sent in the response.
 var (
 	errBodyTooLarge     = errors.New("body too large")
 	errNoMachineOrEpoch = errors.New("no machine or session")
@@ -169,7 +169,7 @@
 	_, _ = w.Write(response.Body) // a client that did not receive the response retries
 }
 
-// Time and size limits of a server. Requests are small, and responses take at most seconds.
+// Time and size limits of a server. They are low because requests are small and responses take seconds at most.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 15 * time.Second
@@ -201,10 +201,11 @@
 	return err
 }
 
-// trimmingHandler trims white space around the messages of http.Server, which report errors caused by clients.
+// trimmingHandler is a slog.Handler that trims white space around messages. It is used for those of http.Server, which
+// end in a newline and report errors caused by clients.
 type trimmingHandler struct{ slog.Handler }
 
-// Handle implements slog.Handler.
+// Handle trims the message of a record and passes the record on.
 func (h trimmingHandler) Handle(ctx context.Context, record slog.Record) error {
 	record.Message = strings.TrimSpace(record.Message)
 	return h.Handler.Handle(ctx, record)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -32,8 +32,8 @@
 func (stubService) Ready() bool { return true }
 
 // TestAgentsReleaseConnections checks that a server whose connection limit is a third of the number of agents still
-// answers all agents and health checks. It guards against agents that keep their connections between heartbeats and
-// thereby lock out all other clients.
+// answers all agents and health checks. The failure that it guards against is that agents keep their connections
+// between heartbeats, so that no other client can connect.
 func TestAgentsReleaseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const maxConns, agents, every = 20, 60, 5 * time.Second
@@ -48,7 +48,7 @@
 		handler := Handler(stubService{}, log, limiter, func(string, int, time.Duration) {})
 		go func() {
 			if err := Serve(ctx, ln, limiter, handler, log); !errors.Is(err, context.Canceled) {
-				failed <- fmt.Errorf("Serve returned: %w", err)
+				failed <- fmt.Errorf("Serve: got error %w, want context.Canceled", err)
 			}
 		}()
 		for i := range agents {
@@ -60,7 +60,7 @@
 					heartbeat := &wire.Heartbeat{Machine: fmt.Sprint("m", i), AgentEpoch: 1}
 					err := c.Do(cctx, "POST", "node:80", wire.PathHeartbeat, heartbeat, nil, wire.MaxBody)
 					if cancel(); err != nil && ctx.Err() == nil {
-						failed <- fmt.Errorf("agent %d: %w", i, err)
+						failed <- fmt.Errorf("heartbeat of agent %d: got error %w, want none", i, err)
 					}
 					time.Sleep(every)
 				}
@@ -72,7 +72,7 @@
 			c := msgpackhttp.New(net.Host("balancer"), 1, 1, time.Second) // a new connection each time
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := c.Do(cctx, "GET", "node:80", wire.PathReady, nil, nil, 100); err != nil {
-				t.Errorf("health check %d: %v", i, err)
+				t.Errorf("health check %d: got error %v, want none", i, err)
 			}
 			cancel()
 			c.Close()
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -19,7 +19,7 @@
 	"fieldhill/wire"
 )
 
-// scriptedService is a service that returns a fixed result and records the request that it received.
+// scriptedService is a service that returns a fixed result and records the request that it receives.
 type scriptedService struct {
 	result   result.Result
 	ready    bool
@@ -49,7 +49,7 @@
 
 func (s *scriptedService) Ready() bool { return s.ready }
 
-// exchange is a request and the result that the service returns if it receives the request.
+// exchange is a request, and the result that the service returns if the request reaches it.
 type exchange struct {
 	method, path string
 	body         io.Reader
@@ -60,7 +60,8 @@
 // goldenStatus is the job status that the service returns.
 var goldenStatus = wire.JobStatus{ID: "req-000412", State: wire.JobPending}
 
-// jobExchanges has each kind of response to users, and requests that are rejected before they reach the service.
+// jobExchanges returns exchanges with each kind of response to users, and requests that are rejected before they reach
+// the service.
 func jobExchanges() []exchange {
 	ok := result.JobState{Status: goldenStatus}
 	overloaded := result.Overloaded{Reason: "not now", RetryAfter: 2 * time.Second}
@@ -79,9 +80,9 @@
 		{"POST", wire.PathJobs, strings.NewReader(""), ok, 0},
 		{"POST", wire.PathJobs, bytes.NewReader(oversized[1:]), ok, 0},
 		{"POST", wire.PathJobs, bytes.NewReader(oversized), ok, 0},
-		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized[1:])), ok, 0}, // of unknown length
+		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized[1:])), ok, 0}, // a body of unknown length
 		{"POST", wire.PathJobs, io.MultiReader(bytes.NewReader(oversized)), ok, 0},
-		{"POST", wire.PathJobs, strings.NewReader("body"), unencodable, 0}, // cannot be encoded
+		{"POST", wire.PathJobs, strings.NewReader("body"), unencodable, 0}, // a result whose body cannot be encoded
 		{"POST", wire.PathJobs, strings.NewReader("body"), unsupported, 0},
 		{"GET", wire.PathJobs, nil, ok, 0},
 		{"GET", job, nil, ok, 0},
@@ -97,7 +98,8 @@
 	}
 }
 
-// heartbeatExchanges has each kind of response to agents, and requests that are rejected before they reach the service.
+// heartbeatExchanges returns exchanges with each kind of response to agents, and requests that are rejected before they
+// reach the service.
 func heartbeatExchanges(t *testing.T) []exchange {
 	t.Helper()
 	heartbeat, err := wire.Marshal(&wire.Heartbeat{Machine: "m-7", Addr: "10.1.0.7:70", Type: "g8", Zone: "a",
