--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -61,8 +61,8 @@
 	return &s
 }
 
-// AppendReport appends the encoding of an agent's heartbeat to b.
-func AppendReport(b []byte, report *wire.Heartbeat) []byte {
+// AppendHeartbeat appends the encoding of an agent's heartbeat to b.
+func AppendHeartbeat(b []byte, report *wire.Heartbeat) []byte {
 	for _, s := range []string{report.Machine, report.Addr, report.Type, report.Zone} {
 		b = codec.String(b, s)
 	}
@@ -81,8 +81,8 @@
 	return b
 }
 
-// ReadReport decodes an agent's heartbeat.
-func ReadReport(b []byte) (*wire.Heartbeat, error) {
+// ReadHeartbeat decodes an agent's heartbeat.
+func ReadHeartbeat(b []byte) (*wire.Heartbeat, error) {
 	r := &codec.Reader{Data: b}
 	report := readReport(r)
 	if !r.Done() {
@@ -118,8 +118,8 @@
 	return report
 }
 
-// AppendOrders appends the encoding of direct commands to an agent.
-func AppendOrders(b []byte, batch *wire.CommandBatch) []byte {
+// AppendCommands appends the encoding of direct commands to an agent.
+func AppendCommands(b []byte, batch *wire.CommandBatch) []byte {
 	b = codec.Uint(codec.Uint(b, batch.FencingToken), batch.AgentEpoch)
 	b = codec.Uint(b, uint64(len(batch.Commands)))
 	for i := range batch.Commands {
@@ -131,8 +131,8 @@
 	return b
 }
 
-// ReadOrders decodes direct commands to an agent.
-func ReadOrders(b []byte) (*wire.CommandBatch, error) {
+// ReadCommands decodes direct commands to an agent.
+func ReadCommands(b []byte) (*wire.CommandBatch, error) {
 	r := &codec.Reader{Data: b}
 	batch := &wire.CommandBatch{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
 	n := r.Max(maxCommands)
@@ -165,7 +165,7 @@
 	b = codec.Uint(b, uint64(r.Outcome))
 	b = codec.Bool(b, r.Report != nil)
 	if r.Report != nil {
-		b = AppendReport(b, r.Report)
+		b = AppendHeartbeat(b, r.Report)
 	}
 	return b
 }
--- a/internal/agents/relay/golden_test.go
+++ b/internal/agents/relay/golden_test.go
@@ -25,9 +25,9 @@
 		full.Tasks = append(full.Tasks, exited)
 	}
 	short := &wire.Heartbeat{Machine: "host-2", Tasks: []wire.TaskStatus{}}
-	encodeReport := func(r *wire.Heartbeat) []byte { return AppendReport(nil, r) }
-	golden.RoundTrip(t, "report.hex", full, encodeReport, ReadReport)
-	golden.RoundTrip(t, "report-short.hex", short, encodeReport, ReadReport)
+	encodeReport := func(r *wire.Heartbeat) []byte { return AppendHeartbeat(nil, r) }
+	golden.RoundTrip(t, "report.hex", full, encodeReport, ReadHeartbeat)
+	golden.RoundTrip(t, "report-short.hex", short, encodeReport, ReadHeartbeat)
 
 	batch := &wire.CommandBatch{FencingToken: 1 << 24, AgentEpoch: 3, Commands: []wire.Command{
 		{Verb: wire.VerbStart, Task: "job-1.0", Attempt: 1},
@@ -36,9 +36,9 @@
 		{Verb: wire.VerbForget, Task: "job-3.4095", Attempt: 3},
 		{Verb: "another"},
 	}}
-	encodeBatch := func(o *wire.CommandBatch) []byte { return AppendOrders(nil, o) }
-	golden.RoundTrip(t, "orders.hex", batch, encodeBatch, ReadOrders)
-	golden.RoundTrip(t, "orders-none.hex", &wire.CommandBatch{Commands: []wire.Command{}}, encodeBatch, ReadOrders)
+	encodeBatch := func(o *wire.CommandBatch) []byte { return AppendCommands(nil, o) }
+	golden.RoundTrip(t, "orders.hex", batch, encodeBatch, ReadCommands)
+	golden.RoundTrip(t, "orders-none.hex", &wire.CommandBatch{Commands: []wire.Command{}}, encodeBatch, ReadCommands)
 
 	encodeResult := func(o CommandResult) []byte { return o.Append(nil) }
 	golden.RoundTrip(t, "outcome.hex", CommandResult{Outcome: 1, Report: short}, encodeResult, ReadCommandResult)
--- a/internal/agents/relay/relay_test.go
+++ b/internal/agents/relay/relay_test.go
@@ -171,8 +171,8 @@
 			want    any
 			decode  func([]byte) (any, error)
 		}{
-			{AppendReport(nil, report), report, func(b []byte) (any, error) { return ReadReport(b) }},
-			{AppendOrders(nil, batch), batch, func(b []byte) (any, error) { return ReadOrders(b) }},
+			{AppendHeartbeat(nil, report), report, func(b []byte) (any, error) { return ReadHeartbeat(b) }},
+			{AppendCommands(nil, batch), batch, func(b []byte) (any, error) { return ReadCommands(b) }},
 			{result.Append(nil), result, func(b []byte) (any, error) { return ReadCommandResult(b) }},
 			{offer.Append(nil), offer, func(b []byte) (any, error) { return ReadOffer(b) }},
 			{AppendOfferResponse(nil, report.Spot), report.Spot,
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -69,7 +69,7 @@
 		return hr.renewRelayed(ctx, report)
 	}
 	defer state.reports.release()
-	request := &rpc.Request{Op: rpc.OpRelayHeartbeat, ID: hr.settings.Node, Body: relay.AppendReport(nil, report)}
+	request := &rpc.Request{Op: rpc.OpRelayHeartbeat, ID: hr.settings.Node, Body: relay.AppendHeartbeat(nil, report)}
 	relayCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply, err := target.Do(relayCtx, request)
@@ -105,7 +105,7 @@
 // onRelayedReport processes a heartbeat forwarded by a relay. If the event loop does not finish it in time, the relay
 // gets Overloaded and renews the lease itself.
 func (hr *heartbeatRouter) onRelayedReport(ctx context.Context, request *rpc.Request) result.Result {
-	report, err := relay.ReadReport(request.Body)
+	report, err := relay.ReadHeartbeat(request.Body)
 	if err != nil || report.Machine == "" || report.AgentEpoch == 0 {
 		return result.Invalid{Reason: "malformed report"}
 	}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -32,7 +32,7 @@
 // provisioningTerm is the state of provisioning for one term of leadership. It is owned by the event loop.
 type provisioningTerm struct {
 	scaleOutCount    int                             // scale-out requests of this term; used to number their names
-	orders           map[string]provisioner.ScaleOut // pending requests that are not in the log, by name
+	scaleOuts        map[string]provisioner.ScaleOut // pending requests that are not in the log, by name
 	provisioner      *provisioner.Provisioner        // the leader's own, while the singleton roles are not distributed
 	lastAutoscale    time.Time
 	cloudUnavailable bool // the last attempt to list the machines failed
@@ -128,12 +128,12 @@
 	term := pv.term.ownTerm
 	desired := pv.desiredCapacity()
 	if pv.roles.rolesDistributed() {
-		if len(term.provisioning.orders) == 0 {
+		if len(term.provisioning.scaleOuts) == 0 {
 			return
 		}
 		desired = provisioner.Desired{}
 	}
-	for _, order := range term.provisioning.orders {
+	for _, order := range term.provisioning.scaleOuts {
 		desired.ScaleOuts = append(desired.ScaleOuts, order)
 	}
 	term.provisioning.provisioner.Reconcile(now, desired)
@@ -142,7 +142,7 @@
 // openScaleOuts counts, by offer, the machines of scale-out requests that have no result yet.
 func (pv *provisioning) openScaleOuts() map[autoscaler.InstanceOffer]int {
 	counts := map[autoscaler.InstanceOffer]int{}
-	for _, order := range pv.term.ownTerm.provisioning.orders {
+	for _, order := range pv.term.ownTerm.provisioning.scaleOuts {
 		counts[pv.offerOf(&order)] += order.Count
 	}
 	for _, intent := range pv.replica.model.Intents {
@@ -175,7 +175,7 @@
 	pv.log.Info("scale-out requested", "type", order.Type, "zone", order.Zone, "spot", order.Spot,
 		"count", order.Count, "request", order.Name, "reason", request.Purpose)
 	if !pv.roles.rolesDistributed() {
-		term.provisioning.orders[order.Name] = order
+		term.provisioning.scaleOuts[order.Name] = order
 		return
 	}
 	// The holder of the provisioning role picks the intent up from the log.
@@ -245,12 +245,12 @@
 // more.
 func (pv *provisioning) onScaledOut(term *leaderTerm, outcome *provisioner.Result) {
 	order := &outcome.ScaleOut
-	_, requested := term.provisioning.orders[order.Name]
+	_, requested := term.provisioning.scaleOuts[order.Name]
 	intent := slices.ContainsFunc(pv.replica.model.Intents, func(i model.Intent) bool { return i.Name == order.Name })
 	if !requested && !intent {
 		return // duplicate result
 	}
-	delete(term.provisioning.orders, order.Name)
+	delete(term.provisioning.scaleOuts, order.Name)
 	offer := pv.offerOf(order)
 	pv.metrics.Provisioned.Add(len(outcome.Machines))
 	if len(outcome.Machines) < order.Count {
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -100,12 +100,12 @@
 	if err != nil {
 		return result.Unavailable{}
 	}
-	return result.Done{Body: relay.AppendReport(nil, report)}
+	return result.Done{Body: relay.AppendHeartbeat(nil, report)}
 }
 
 // forwardCommands sends a direct command to an agent on behalf of the leader.
 func (ry *relayAgent) forwardCommands(ctx context.Context, request *rpc.Request) result.Result {
-	batch, err := relay.ReadOrders(request.Body)
+	batch, err := relay.ReadCommands(request.Body)
 	if err != nil {
 		return result.Invalid{Reason: err.Error()}
 	}
@@ -113,7 +113,7 @@
 		return result.Overloaded{}
 	}
 	defer ry.state.commands.release()
-	outcome, report, _ := ry.agents.SendOrders(ctx, request.ID, batch)
+	outcome, report, _ := ry.agents.SendCommands(ctx, request.ID, batch)
 	commandResult := relay.CommandResult{Outcome: uint8(outcome), Report: report}
 	return result.Done{Body: commandResult.Append(nil)}
 }
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -117,11 +117,11 @@
 	ctx context.Context, via *rpc.Link, addr string, batch *wire.CommandBatch,
 ) (agent.CommandOutcome, *wire.Heartbeat, error) {
 	if via == nil {
-		return ra.agents.SendOrders(ctx, addr, batch)
+		return ra.agents.SendCommands(ctx, addr, batch)
 	}
 	ctx, cancel := context.WithTimeout(ctx, directCommandTimeout+time.Second)
 	defer cancel()
-	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayCommands, ID: addr, Body: relay.AppendOrders(nil, batch)})
+	reply, err := via.Do(ctx, &rpc.Request{Op: rpc.OpRelayCommands, ID: addr, Body: relay.AppendCommands(nil, batch)})
 	switch {
 	case rpc.IsNotSent(err):
 		return agent.Unsent, nil, err
@@ -194,5 +194,5 @@
 	if reply.Status != http.StatusOK {
 		return nil, errNotForwarded
 	}
-	return relay.ReadReport(reply.Body)
+	return relay.ReadHeartbeat(reply.Body)
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -149,7 +149,7 @@
 		request := &rpc.Request{
 			Op:   rpc.OpRelayHeartbeat,
 			ID:   emulator.ControllerName(third),
-			Body: relay.AppendReport(nil, report),
+			Body: relay.AppendHeartbeat(nil, report),
 		}
 		if r := node.handlePeerRequest(context.Background(), request); r.Status != http.StatusGone {
 			t.Errorf("node that does not lead answered a relayed heartbeat with status %d, want %d",
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -58,7 +58,7 @@
 	return &leaderTerm{
 		leader: leader, ctx: ctx, cancel: cancel, errs: make(chan error, maxTermErrors),
 		commits:      commitPipelineTerm{batches: make(chan oplog.Batch, 1), snapshots: make(chan snapshot, 1)},
-		provisioning: provisioningTerm{orders: map[string]provisioner.ScaleOut{}},
+		provisioning: provisioningTerm{scaleOuts: map[string]provisioner.ScaleOut{}},
 		dispatch: commandDispatcherTerm{
 			dirtyMachines:    map[*model.Machine]bool{},
 			dirtyAfterCommit: map[*model.Machine]bool{},
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -99,8 +99,8 @@
 	return &heartbeat, c.transport.Do(ctx, http.MethodGet, addr, wire.PathProbe, nil, &heartbeat, wire.MaxBody)
 }
 
-// SendOrders sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
-func (c *Client) SendOrders(
+// SendCommands sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
+func (c *Client) SendCommands(
 	ctx context.Context, addr string, batch *wire.CommandBatch,
 ) (CommandOutcome, *wire.Heartbeat, error) {
 	timer := time.NewTimer(slotTimeout)
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/agent/agent_test.go
@@ -42,7 +42,7 @@
 			wg.Go(func() {
 				start := time.Now()
 				batch := &wire.CommandBatch{FencingToken: 1, AgentEpoch: 1}
-				outcome, _, _ := client.SendOrders(context.Background(), addr, batch)
+				outcome, _, _ := client.SendCommands(context.Background(), addr, batch)
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[outcome]++
@@ -138,7 +138,7 @@
 			defer closeOrFail(t, probed)
 			wg.Go(func() {
 				batch := &wire.CommandBatch{FencingToken: 1, AgentEpoch: 1}
-				_, _, _ = client.SendOrders(context.Background(), addr, batch)
+				_, _, _ = client.SendCommands(context.Background(), addr, batch)
 			})
 			wg.Go(func() {
 				time.Sleep(time.Second)
--- a/internal/platform/agent/golden_test.go
+++ b/internal/platform/agent/golden_test.go
@@ -43,7 +43,7 @@
 		{503, nil}} {
 		recorder.Reply(response.status, nil, response.body)
 		recorder.Note("=== orders, answered with %d and %d bytes", response.status, len(response.body))
-		outcome, got, err := c.SendOrders(context.Background(), recorder.Addr, batch)
+		outcome, got, err := c.SendCommands(context.Background(), recorder.Addr, batch)
 		recorder.Note("fate %d, error %v, report %s", int(outcome), err, describe(got))
 	}
 	for _, response := range []struct {
@@ -55,7 +55,7 @@
 		got, err := c.Probe(context.Background(), recorder.Addr, 10*time.Second)
 		recorder.Note("error %v, report %s", err, describe(got))
 	}
-	outcome, _, err := c.SendOrders(context.Background(), "127.0.0.1:0", batch) // no connection can be made
+	outcome, _, err := c.SendCommands(context.Background(), "127.0.0.1:0", batch) // no connection can be made
 	recorder.Note("=== orders to nobody\nfate %d, error %t", int(outcome), err != nil)
 	recorder.Note("=== fates %s", fmt.Sprint(int(Executed), int(Refused), int(Unsent), int(Unknown)))
 	golden.Check(t, "requests.txt", recorder.Text())
