--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -41,7 +41,7 @@
 // Reader decodes values that the functions of this package appended, in the same order.
 type Reader struct {
 	Data []byte // data that is not decoded yet
-	Err  error  // ErrShort once a value could not be decoded
+	Err  error  // ErrMalformed once a value could not be decoded
 }
 
 // fail sets the error and discards the remaining data, because the field boundaries after a malformed field are
--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -73,7 +73,7 @@
 	return up
 }
 
-// otherTaskCounts returns the number of running tasks, by job ID, of each job numbered first to last for which it
+// unexpectedTaskCounts returns the number of running tasks, by job ID, of each job numbered first to last for which it
 // differs from want.
 func unexpectedTaskCounts(w *emulator.Environment, first, last, want int) map[string]int {
 	unexpected := map[string]int{}
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -54,8 +54,8 @@
 	s.CheckpointIntervalS, s.CheckpointWriteS = 3, 1
 }
 
-// drawShape turns a job into a gang or a replicated service, with a probability of 1/4 each, and otherwise leaves it
-// unchanged.
+// randomizeShape turns a job into a gang or a replicated service, with a probability of 1/4 each, and otherwise leaves
+// it unchanged.
 func randomizeShape(s *wire.JobSpec, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -61,11 +61,11 @@
 	})
 }
 
-// TestGoldenCommandFates checks the numbers that stand for the command fates in messages between controllers.
+// TestGoldenCommandOutcomes checks the numbers that stand for the command outcomes in messages between controllers.
 func TestGoldenCommandOutcomes(t *testing.T) {
 	for number, outcome := range []agent.CommandOutcome{agent.Executed, agent.Refused, agent.Unsent, agent.Unknown} {
 		if int(outcome) != number {
-			t.Errorf("got number %d for a command fate, want %d", outcome, number)
+			t.Errorf("got number %d for a command outcome, want %d", outcome, number)
 		}
 	}
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -179,7 +179,7 @@
 	s.changeLimiter = rate.NewLimiter(rate.Limit(changesPerSecond), int(changesPerSecond))
 }
 
-// Load returns the number of changes requested, and the highest number of keys that the store has held at once.
+// WriteStats returns the number of changes requested, and the highest number of keys that the store has held at once.
 func (s *KVStore) WriteStats() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/served_counts.go
+++ b/internal/emulator/served_counts.go
@@ -16,17 +16,17 @@
 	replicaStartupGrace = 15 * time.Second
 )
 
-// ServedCount counts the submitted jobs of a class or team, and how many of them started and completed. It includes
-// jobs that were not accepted, and excludes jobs cancelled by their users. Services don't complete; for them it sums
-// the time that replicas were up and the time that they should have been.
+// CompletionCounts counts the submitted jobs of a class or team, and how many of them started and completed. It
+// includes jobs that were not accepted, and excludes jobs cancelled by their users. Services don't complete; for them
+// it sums the time that replicas were up and the time that they should have been.
 type CompletionCounts struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
 	ReplicaWantedSeconds, ReplicaUpSeconds float64 // summed over the replicas of services
 }
 
-// Shares returns the completed share of the jobs and of the tasks, and the share of the wanted time that replicas were
-// up. Each is from 0 to 1, and 1 if there are no jobs or no replicas.
+// CompletedShares returns the completed share of the jobs and of the tasks, and the share of the wanted time that
+// replicas were up. Each is from 0 to 1, and 1 if there are no jobs or no replicas.
 func (c *CompletionCounts) CompletedShares() (jobs, tasks, up float64) {
 	jobs, tasks, up = 1, 1, 1
 	if c.Jobs > 0 {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -68,9 +68,9 @@
 	return decoded
 }
 
-// FlipFinds checks that a format's decoder uses every byte of a golden file. The function rewrite decodes bytes and
-// encodes the result again. Given the stored bytes, it must reproduce them; given the stored bytes with one bit
-// flipped, in each byte in turn, it must return an error or different bytes.
+// CheckDetectsByteChanges checks that a format's decoder uses every byte of a golden file. The function rewrite decodes
+// bytes and encodes the result again. Given the stored bytes, it must reproduce them; given the stored bytes with one
+// bit flipped, in each byte in turn, it must return an error or different bytes.
 func CheckDetectsByteChanges(t testing.TB, name string, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	stored := Read(t, name)
@@ -112,9 +112,9 @@
 	})
 }
 
-// TagFinds checks that a renamed MessagePack tag is detected. It renames each key of the stored map in turn. The
-// function rewrite, which decodes bytes into the struct and encodes it again, must then return an error or different
-// bytes.
+// CheckDetectsRenamedTags checks that a renamed MessagePack tag is detected. It renames each key of the stored map in
+// turn. The function rewrite, which decodes bytes into the struct and encodes it again, must then return an error or
+// different bytes.
 func CheckDetectsRenamedTags(t testing.TB, name string, stored []byte, rewrite func(b []byte) ([]byte, error)) {
 	t.Helper()
 	var fields map[string]msgpack.RawMessage
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -27,7 +27,7 @@
 	bodies [][]byte
 }
 
-// Record starts a server that sends the responses set with Reply, and closes it when the test ends.
+// NewRecorder starts a server that sends the responses set with Reply, and closes it when the test ends.
 func NewRecorder(t testing.TB) *Recorder {
 	t.Helper()
 	r := &Recorder{status: http.StatusOK}
@@ -90,7 +90,7 @@
 	return strings.Join(lines, "") + FormatBody(body)
 }
 
-// Body formats the body of an HTTP message as Message does.
+// FormatBody formats the body of an HTTP message as FormatMessage does.
 func FormatBody(body []byte) string {
 	var message map[string]any
 	if len(body) == 0 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -32,7 +32,7 @@
 
 	// TasksPlaced and TasksStopped count decisions to start and to stop a task.
 	TasksPlaced, TasksStopped *metrics.Counter
-	// Provisioned counts the machines that the cloud provisioned, ProvisionRefused the scale-out requests that it
+	// Provisioned counts the machines that the cloud provisioned, ProvisionRejected the scale-out requests that it
 	// rejected, and ScaledIn the machines that were released.
 	Provisioned, ProvisionRejected, ScaledIn *metrics.Counter
 	// Terms counts the terms in which this controller was the leader.
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -50,7 +50,7 @@
 	Seq        uint64 `msgpack:"tick"`
 	// FencingToken is the highest token that the agent has seen. The agent rejects commands with a lower token.
 	FencingToken uint64 `msgpack:"baton"`
-	// NoticeS is the time until the cloud reclaims the machine; nil if the cloud has given no notice.
+	// ReclaimNoticeS is the time until the cloud reclaims the machine; nil if the cloud has given no notice.
 	ReclaimNoticeS *float64     `msgpack:"recall_s"`
 	Tasks          []TaskStatus `msgpack:"pieces"`
 }
@@ -70,7 +70,7 @@
 	Verb    string `msgpack:"verb"` // VerbStart, VerbStop or VerbForget
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"try"`
-	// GraceS is the time within which a stopped task may save its progress; nil for commands other than Stop.
+	// GraceS is the time within which a stopped task may save its progress; nil for commands other than VerbStop.
 	GraceS *float64 `msgpack:"windup_s,omitempty"`
 }
 
@@ -85,8 +85,8 @@
 	Node string `msgpack:"foreman,omitempty"` // name of the controller; empty: any other controller
 }
 
-// Orders is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects the
-// request if it has seen a higher fencing token or has another epoch.
+// CommandBatch is the body of a request that sends commands without waiting for the next heartbeat. An agent rejects
+// the request if it has seen a higher fencing token or has another epoch.
 type CommandBatch struct {
 	FencingToken uint64    `msgpack:"baton"`
 	AgentEpoch   uint64    `msgpack:"shift"`
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -12,7 +12,7 @@
 	maxJobNumber = 999_999_999_999_999
 )
 
-// JobNumber returns the number in a job id: jobIDPrefix and six digits, or up to fifteen without a leading zero. It
+// ParseJobID returns the number in a job id: jobIDPrefix and six digits, or up to fifteen without a leading zero. It
 // returns false if the id is malformed. Each number has exactly one id, so that the service can store the number alone.
 func ParseJobID(id string) (uint64, bool) {
 	s, ok := strings.CutPrefix(id, jobIDPrefix)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -110,7 +110,7 @@
 	for _, id := range []string{"req-000000", "req-000412", "req-999999", "req-1000000"} {
 		n, ok := ParseJobID(id)
 		if !ok || JobID(n) != id {
-			t.Errorf("JobNumber(%q) = %d, %v, want the number of that id", id, n, ok)
+			t.Errorf("ParseJobID(%q) = %d, %v, want the number of that id", id, n, ok)
 		}
 		j, k, ok := ParseTaskID(TaskID(n, 31))
 		if !ok || j != n || k != 31 {
