--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -9,6 +9,7 @@
 	"bytes"
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"slices"
@@ -157,6 +158,13 @@
 // errProcessTerminated is returned by all network operations of a terminated process.
 var errProcessTerminated = errors.New("emulator: network operation of a terminated process")
 
+// Causes of failed Listen and Dial calls. The returned errors wrap them and name the operation and the address.
+var (
+	errAddressInUse      = errors.New("address in use")
+	errConnectionRefused = errors.New("connection refused")
+	errTimeout           = errors.New("timeout")
+)
+
 // Terminate ends a process as seen by the network: its connections and listeners are closed, and its later network
 // operations fail. Requests that the process has sent before are still processed.
 func (h *Host) Terminate() {
@@ -191,7 +199,7 @@
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.network.listeners[addr] != nil {
-		return nil, errors.New("emulator: listen on " + addr + ": address in use")
+		return nil, fmt.Errorf("emulator: listen on %s: %w", addr, errAddressInUse)
 	}
 	l := &listener{
 		host:    h.name,
@@ -220,13 +228,13 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			return nil, errors.New("emulator: dial " + addr + ": timeout")
+			return nil, fmt.Errorf("emulator: dial %s: %w", addr, errTimeout)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	if l == nil {
-		return nil, errors.New("emulator: dial " + addr + ": connection refused")
+		return nil, fmt.Errorf("emulator: dial %s: %w", addr, errConnectionRefused)
 	}
 	client, server := net.Pipe()
 	h.network.mu.Lock()
@@ -237,7 +245,7 @@
 	case l.conns <- server:
 		return &hostConn{client, h.network, h.name, addr}, nil
 	case <-l.done:
-		return nil, errors.New("emulator: dial " + addr + ": connection refused")
+		return nil, fmt.Errorf("emulator: dial %s: %w", addr, errConnectionRefused)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
