--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -44,7 +44,7 @@
 	LogLevel       string        `env:"LOG_LEVEL" default:"info" help:"Log level: error, info or debug."`
 	Beta           float64       `env:"FIELDHILL_BETA" default:"0.8" help:"DAD: weight of image locality against load, 0 to 1."`
 	Threshold      float64       `env:"FIELDHILL_THRESHOLD" default:"0.5" help:"DAD: scores below this value count as local."`
-	WaitRounds     int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: maximum number of rounds that a task waits for a busy machine with its image."`
+	WaitRounds     int           `env:"FIELDHILL_WAIT_ROUNDS" default:"2" help:"DAD: max rounds to await a local machine."`
 	Round          time.Duration `env:"FIELDHILL_ROUND" default:"2s" help:"DAD: interval between scheduling rounds."`
 	Metrics        string        `env:"FIELDHILL_METRICS" placeholder:"HOST:PORT" help:"Listen address of the read-only metrics page (/metrics); disabled by default."`
 	Operate        string        `env:"FIELDHILL_OPERATE" placeholder:"HOST:PORT" help:"Listen address of the admin API (fieldhill why, queue); :PORT uses the host of the user API; disabled by default."`
