--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -171,7 +171,7 @@
 }
 
 // TestMixedVersions checks that the leader assigns no agents to a controller of an older version, which does not
-// support relaying.
+// support relaying, and that no agent's lease expires.
 func TestMixedVersions(t *testing.T) {
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
