--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -68,7 +68,7 @@
 func (c *runCmd) Run(ctx context.Context) error {
 	profile, err := scale.LoadProfile(c.Profile)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Profile, err)
+		return fmt.Errorf("load profile %s: %w", c.Profile, err)
 	}
 	options, err := c.options()
 	if err != nil {
@@ -126,7 +126,7 @@
 func (c *sweepCmd) Run(ctx context.Context) (err error) {
 	sweep, err := scale.LoadSweep(c.Sweep)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Sweep, err)
+		return fmt.Errorf("load sweep %s: %w", c.Sweep, err)
 	}
 	options, err := c.options()
 	if err != nil {
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -100,7 +100,8 @@
 	return ready
 }
 
-// forward sends a request to ready controllers, one after the other and at most maxForwards, until one answers.
+// forward sends a request to up to maxForwards ready controllers, one after the other, until one answers. If none
+// answers, it responds with 503.
 func (b *loadBalancer) forward(rw http.ResponseWriter, r *http.Request, operation, id string, body []byte) {
 	ready := b.readyControllers()
 	for _, i := range ready[:min(len(ready), maxForwards)] {
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -44,7 +44,9 @@
 	return remaining, w.epoch > 0 && reachable && healthy
 }
 
-// checkUnusedCapacity checks, once all faults are over, that no job waits for too long while there is room for it.
+// checkUnusedCapacity checks, once all faults are over, that no accepted job waits longer than
+// maxUnusedCapacityDuration while the free capacity of the machines has room for its next task, or for all tasks of a
+// gang.
 func (e *Environment) checkUnusedCapacity() {
 	if !e.Checker.areFaultsOver() {
 		return
@@ -58,7 +60,8 @@
 	return c.faultsOver
 }
 
-// checkPlaceableJobs checks that no job waits longer than maxUnusedCapacityDuration while it fits the free capacity.
+// checkPlaceableJobs records a violation for each accepted job that canPlaceNext has reported as placeable for longer
+// than maxUnusedCapacityDuration, given the free capacity of the machines.
 func (c *InvariantChecker) checkPlaceableJobs(free []freeCapacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -88,7 +88,8 @@
 	c.dropResponseChance = probability
 }
 
-// DelayDeletions makes the cloud delete machines only after a delay, and not answer the requests for it.
+// DelayDeletions makes the cloud delete machines only after a delay, and leave requests to delete machines unanswered.
+// A delay of 0 makes the cloud delete machines at once and answer.
 func (c *Cloud) DelayDeletions(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,8 +221,8 @@
 	return true
 }
 
-// handleRequest calls buildResponse with c.mu locked, unless there is an outage, and responds with its result. A nil
-// result means that there is no capacity.
+// handleRequest calls buildResponse with c.mu locked, unless there is an outage, and responds with its result, unless
+// the response is dropped (see DropResponses). A nil result means that there is no capacity.
 func (c *Cloud) handleRequest(w http.ResponseWriter, buildResponse func() any) {
 	time.Sleep(cloudLatency)
 	c.mu.Lock()
@@ -281,8 +282,9 @@
 	return page
 }
 
-// scaleOut launches as many of the requested machines as capacity allows. A repeated request gets the same machines as
-// the first. It returns nil if there is no capacity.
+// scaleOut launches as many of the requested machines as capacity allows, and returns their names. A request with the
+// idempotency key of an earlier successful one gets the machines launched for that one. The result is nil if there
+// is no capacity.
 func (c *Cloud) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) any {
 	if names, ok := c.machinesByRequest[request.IdempotencyKey]; ok {
 		return &wire.MachineNames{Machines: names}
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -32,7 +32,7 @@
 	*taskBehavior
 	gangs *gangRegistry
 
-	ctx               context.Context // the environment stops when it is done
+	ctx               context.Context // when this context is done, the environment stops
 	networkOf         networkFunc
 	addresses         Addresses
 	random            *randomSource
@@ -50,8 +50,8 @@
 // Addresses holds the listen addresses of a deployment.
 type Addresses struct {
 	Store, Cloud string
-	Users, Peers func(controller int) string // for users and agents, and for other controllers
-	Worker       func(machine int) string    // of the agent
+	Users, Peers func(controller int) string // where a controller serves users and agents, and other controllers
+	Worker       func(machine int) string    // of the agent of a machine
 }
 
 var inMemoryAddresses = Addresses{
--- a/internal/emulator/invariant_queries.go
+++ b/internal/emulator/invariant_queries.go
@@ -13,7 +13,7 @@
 	return append([]string(nil), c.violations...)
 }
 
-// isLastTask reports whether a task is the last one of its job that is not done, and the job is accepted and not
+// isLastTask reports whether a task is the only task of its job that is not done, and the job is accepted and not
 // cancelled by its user.
 func (c *InvariantChecker) isLastTask(task string) bool {
 	c.mu.Lock()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -83,7 +83,7 @@
 	// its next task and its team is below its limit; zero if this is not the case.
 	placeableSince       time.Time
 	replicaUpSeconds     float64 // time that replicas were up after replicaStartupGrace, summed over replicas
-	replicaWantedSeconds float64 // time that replicas should have been up after replicaStartupGrace, summed likewise
+	replicaWantedSeconds float64 // time that replicas should have been up after replicaStartupGrace, over all replicas
 }
 
 // NewInvariantChecker returns a checker, given the CPU and GPU limits of each team and the time within which a
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -52,7 +52,8 @@
 	requestLimiter, changeLimiter *rate.Limiter // nil: unlimited
 }
 
-// txnFaults holds the probabilities of the faults injected into transactions, and the delay of late ones.
+// txnFaults holds the probabilities of the faults injected into transactions, and the delay of transactions that are
+// applied late.
 type txnFaults struct {
 	dropResponseChance float64 // probability that a transaction is applied late and not answered
 	dropRequestChance  float64 // probability that a transaction is neither applied nor answered
@@ -170,8 +171,8 @@
 	s.latency = latency
 }
 
-// SetRateLimits limits requests and changes per second for all controllers together, with bursts of up to one second's
-// worth.
+// SetRateLimits limits requests and changes per second for all controllers together. Each limit allows a burst as large
+// as the number allowed per second.
 func (s *KVStore) SetRateLimits(requestsPerSecond, changesPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +191,8 @@
 // of keys.
 type StoreTraffic struct{ Requests, Changes, Bytes, Keys int }
 
-// Traffic returns the traffic since the store was created.
+// Traffic returns the numbers of requests, changes and request bytes since the store was created, and the current
+// number of keys.
 func (s *KVStore) Traffic() StoreTraffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/kvstore_http.go
+++ b/internal/emulator/kvstore_http.go
@@ -137,7 +137,7 @@
 	} `msgpack:"writes"`
 }
 
-// kind returns the kind of the first write; the transaction must have one.
+// kind returns the kind of the transaction (see txnKind). The transaction must have at least one write.
 func (t *rawTxn) kind() string { return txnKind(t.Writes[0].Put, t.Writes[0].Delete) }
 
 // handleTxn applies a transaction and responds with the result, unless a fault is injected.
@@ -178,7 +178,8 @@
 	respond(w, code, response)
 }
 
-// applyWithoutResponse applies a transaction whose response will be dropped, and counts it.
+// applyWithoutResponse applies a transaction whose response will be dropped. It counts the transaction in
+// droppedResponses if it was committed and has a write.
 func (s *KVStore) applyWithoutResponse(txn *rawTxn) {
 	if code, _ := s.apply(txn); code != http.StatusOK || len(txn.Writes) == 0 {
 		return
@@ -191,7 +192,8 @@
 	s.droppedResponses[txn.kind()]++
 }
 
-// applyDelayed applies a transaction after a delay, when its client may have timed out already, and counts it.
+// applyDelayed applies a transaction after a delay, when its client may have timed out already. It counts the
+// transaction in delayedTxns if it has a write.
 func (s *KVStore) applyDelayed(txn *rawTxn, delay time.Duration) {
 	time.Sleep(delay)
 	s.apply(txn)
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -24,7 +24,7 @@
 	maxUserAttempts = 60
 )
 
-// userGroup sends the requests of users, each on its own connection, and passes every response to the invariant
+// userGroup sends the requests of users, each request on a new connection, and passes every response to the invariant
 // checker.
 type userGroup struct {
 	networkOf   networkFunc
@@ -71,8 +71,8 @@
 	}()
 }
 
-// PollRepeatedly polls a job at all controllers the given number of times, with a pause after each time. Every third
-// time, it also submits the job again.
+// PollRepeatedly polls a job at all controllers in the given number of rounds, with a pause after each round. In the
+// first of every three rounds, it also submits the job again to all controllers.
 func (u *userGroup) PollRepeatedly(spec *wire.JobSpec, times int, pause time.Duration) {
 	body, err := wire.Marshal(spec)
 	if err != nil {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -23,7 +23,7 @@
 	sequence        uint64
 	fencingToken    uint64
 	tasks           []*taskAttempt
-	leaseExpiry     time.Time // the lease duration after the last acknowledged heartbeat was sent
+	leaseExpiry     time.Time // the time at which the last acknowledged heartbeat was sent, plus the lease duration
 	heartbeatDue    bool      // the next heartbeat is sent without waiting for the interval
 	terminated      bool      // the machine was deleted
 	incarnation     int       // number of reboots
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -45,7 +45,8 @@
 }
 
 // DelayCommands delays direct commands to the machine that arrive from now on: they are not answered, and are executed
-// after the delay if fencing token and epoch still match. A delay of 0 ends this for later commands.
+// after the delay if fencing token and epoch still match. With a delay of 0, later commands are executed at once and
+// answered.
 func (w *Worker) DelayCommands(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -99,7 +99,8 @@
 }
 
 // executeDelayed executes direct commands after a delay, if the fencing token and the epoch are still valid then.
-// Commands that were sent to the agent before a reboot are lost with its connections.
+// Commands are dropped if the machine was rebooted during the delay, since a reboot closes the connections on which
+// they were sent, or if the machine was deleted or is in an inbound partition.
 func (w *Worker) executeDelayed(batch *wire.CommandBatch, delay time.Duration) {
 	w.mu.Lock()
 	incarnation := w.incarnation
@@ -160,7 +161,8 @@
 	}
 }
 
-// prepareHeartbeat builds a heartbeat and schedules the next one. It returns nil if no heartbeat is due.
+// prepareHeartbeat builds a heartbeat and schedules the next one. It returns nil if no heartbeat is due or the machine
+// hangs.
 func (w *Worker) prepareHeartbeat(next *time.Time) *heartbeatAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +215,8 @@
 	}
 }
 
-// handleResponse renews the lease and executes commands or, after an error, selects another controller.
+// handleResponse handles the response to a heartbeat, or the error in place of one. After a response with valid fencing
+// token and epoch, it renews the lease and executes the commands; after an error, it selects another controller.
 func (w *Worker) handleResponse(
 	attempt *heartbeatAttempt, response *wire.HeartbeatResponse, err error, next *time.Time,
 ) {
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -11,7 +11,8 @@
 // rounding errors.
 const capacityTolerance = 1e-9
 
-// advance advances the tasks by one tick. If the lease has expired, it ends all tasks and starts a new epoch instead.
+// advance simulates one tick of all tasks on the machine. If the lease has expired, it instead ends all tasks and
+// starts a new epoch.
 func (w *Worker) advance() {
 	if w.terminated {
 		return
@@ -45,7 +46,8 @@
 	}
 }
 
-// advanceFetching starts a task once its image is fetched. A task that has completed before is done at once.
+// advanceFetching starts a task once its image is fetched. A task that an earlier attempt completed, or whose gang has
+// finished, is done at once. A member of an unfinished gang waits for the other members.
 func (w *Worker) advanceFetching(t *taskAttempt, now time.Time) {
 	if !w.cachedImages[t.spec.Image] && now.Sub(t.stateSince) <= w.environment.imageFetchDuration() {
 		return
@@ -64,8 +66,9 @@
 	}
 }
 
-// advanceRunning advances a running task. It ends the task if it is done or fails, or if its gang has finished or has
-// lost a member.
+// advanceRunning simulates one tick of a running task: it ends the task if the task fails, or if its gang has finished
+// or has lost a member. Otherwise it reduces the remaining runtime, and ends the task as done when none is left; a
+// service runs until it is stopped.
 func (w *Worker) advanceRunning(t *taskAttempt) {
 	switch {
 	case w.failAllTasks || w.environment.isFailing(t.spec.ID):
@@ -86,7 +89,7 @@
 	t.state, t.stateSince, w.heartbeatDue = state, time.Now(), true
 }
 
-// exitTask ends a task. Heartbeats report it until a forget command arrives.
+// exitTask ends a task with a cause. Heartbeats report the ended task until a forget command for it arrives.
 func (w *Worker) exitTask(t *taskAttempt, cause string, checkpointed bool) {
 	w.setTaskState(t, wire.TaskExited)
 	t.cause, t.checkpointed = cause, checkpointed
@@ -104,7 +107,8 @@
 	}
 }
 
-// execute executes commands. It ignores commands that don't apply to the state of their task, such as repeated ones.
+// execute applies a controller's start, stop and forget commands to the tasks on the machine. It ignores commands that
+// don't apply to the state of their task, such as repeated ones.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		t := w.findTask(command.Task, command.Attempt)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -63,7 +63,7 @@
 	}
 	decoded, err := hex.DecodeString(strings.Join(strings.Fields(string(b)), ""))
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: decode hex dump: %v", name, err)
 	}
 	return decoded
 }
@@ -98,7 +98,7 @@
 	Check(t, name, write(want))
 	got, err := read(Read(t, name))
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: decode stored bytes: %v", name, err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s: decoded value differs (-want +got):\n%s", name, diff)
@@ -119,7 +119,7 @@
 	t.Helper()
 	var fields map[string]msgpack.RawMessage
 	if err := msgpack.Unmarshal(stored, &fields); err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: decode stored map: %v", name, err)
 	}
 	if len(fields) == 0 {
 		t.Fatalf("%s: map has no keys", name)
--- a/internal/golden/record.go
+++ b/internal/golden/record.go
@@ -34,7 +34,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(request.Body)
 		if err != nil {
-			t.Error(err)
+			t.Errorf("read request body: %v", err)
 		}
 		r.Note("%s %s\n%s", request.Method, request.RequestURI, FormatMessage(request.Header, body))
 		r.respond(w)
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -150,7 +150,7 @@
 	return fmt.Sprintf("a guess, %.1f times the range", e.extrapolationFactor)
 }
 
-// slopeMetrics are the metrics whose slopes are printed.
+// slopeMetrics are the metrics whose slopes CapacityTables prints.
 var slopeMetrics = []string{
 	"leader cpu",
 	"other cpu",
@@ -209,7 +209,7 @@
 	return b.String(), nil
 }
 
-// slopeTables are the measurement files whose slopes are printed, with the parameters that they vary.
+// slopeTables are the measurement files for which CapacityTables prints slopes, with the parameters varied in each.
 var slopeTables = []struct {
 	file, suffix string
 	parameters   []string
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -87,7 +87,8 @@
 	return cpuS, float64(readProcKB("/proc/self/status", "VmRSS:")) / 1024
 }
 
-// readProcKB reads a value in KB from a file in /proc. It returns 0 if the file has no line with that name.
+// readProcKB reads a value in KB from a file in /proc. It returns 0 if the file can't be read or has no line with that
+// name.
 func readProcKB(path, name string) int {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -143,7 +144,7 @@
 			startedAt := time.Now()
 			time.Sleep(lagInterval)
 			l.mu.Lock()
-			// RecordValue fails only for a lag of more than a minute, which is longer than in any run.
+			// RecordValue fails only for a lag above the histogram's maximum of one minute; such a lag is not recorded.
 			_ = l.histogram.RecordValue(max(1, (time.Since(startedAt) - lagInterval).Microseconds()))
 			l.mu.Unlock()
 		}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -32,9 +32,9 @@
 	churnClass      = "churn"
 	urgentClass     = "urgent"
 	shortClass      = "short"
-	// baseRuntimeS is the runtime of base tasks, longer than any run.
+	// baseRuntimeS is the estimated runtime of base tasks, longer than the longest run that a profile may have.
 	baseRuntimeS = 100_000
-	// churnShare is the share of the CPUs not used by base tasks that the short tasks use.
+	// churnShare is the share that the short tasks use of the CPUs left free by base tasks.
 	churnShare = 0.85
 	// meanRuntimeFactor is the emulator's mean ratio of actual to estimated runtime of a task.
 	meanRuntimeFactor = 1.2
@@ -56,7 +56,7 @@
 func (l *latencyRecorder) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // fails only above an hour, which is longer than any run
+	_ = l.histogram.RecordValue(max(1, d.Milliseconds())) // fails only above an hour; not recorded then
 }
 
 // region is a running region: its controllers, emulators and hollow workers.
@@ -133,7 +133,7 @@
 	return r
 }
 
-// controllerIndex returns the index of the controller with a name.
+// controllerIndex returns the index of the controller with the given name, or 0 if there is none.
 func (r *region) controllerIndex(name string) int {
 	for i := range r.profile.ControllersPerRegion {
 		if emulator.ControllerName(i) == name {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -41,7 +41,7 @@
 	SubmitLatency    Latency            `json:"submit_latency_ms"`
 	Accepted         int64              `json:"submissions_accepted"`
 	Abandoned        int64              `json:"submissions_given_up"`
-	Failovers        map[string]float64 `json:"takeovers"` // terms: number of leadership terms that began
+	Failovers        map[string]float64 `json:"takeovers"` // key terms: number of leadership terms that began
 }
 
 // ControllerCost is the resource usage and the request rates of a controller.
