--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -8,12 +8,12 @@
 // one term of leadership.
 //
 // An expired lease does not prove that a machine's tasks have ended: a hung agent ends them only when it resumes, and
-// they may run until then. The cloud's confirmation of a release proves it in any case, and the cloud is not part of
-// any zone. A machine in a partitioned zone is kept until its lease has expired, since its tasks keep running. After
-// that it is released if it runs urgent tasks that may run elsewhere, or low-priority tasks for which there is free
-// capacity elsewhere. Releasing the other machines gains nothing, and they are available again when the partition ends.
-// Releasing all machines of a zone, half of them for low-priority tasks that then only queue elsewhere, can require a
-// third of the fleet to be booted again.
+// they may run until then. The cloud's confirmation of a release always proves that they have ended, and the cloud is
+// not part of any zone. A machine in a partitioned zone is kept until its lease has expired, since its tasks keep
+// running. After that it is released if it runs urgent tasks that may run elsewhere, or low-priority tasks for which
+// there is free capacity elsewhere. Releasing the other machines gains nothing, and they are available again when the
+// partition ends. Releasing all machines of a zone, half of them for low-priority tasks that then only queue elsewhere,
+// can require a third of the fleet to be booted again.
 //
 // An agent ends the tasks of a cancelled job within the permitted time, unless it hangs. A silent machine with such
 // tasks is therefore released before that time is over, even if its zone is partitioned from the leader only, unless a
@@ -49,11 +49,11 @@
 	// searching for the leader. It does not apply to an agent with tasks and a known address: such an agent is probed
 	// as soon as a leader is elected, and stays silent only if it hangs or is gone.
 	firstHeartbeatGrace = 6 * time.Second
-	// latenessInterval is the interval of the checks that read all tasks of all machines, and of raising the fencing
-	// tokens in a zone that receives no responses.
+	// latenessInterval is the interval of the lateness checks, which read all tasks of all machines, and of raising the
+	// fencing tokens in a zone that receives no responses.
 	latenessInterval = 5 * time.Second
-	// minInboundPartitioned is the number of machines without responses in a zone from which on the fencing tokens of
-	// all machines in the zone are raised, to test whether they receive responses.
+	// minInboundPartitioned is the number of machines of a zone that must be without responses before the fencing
+	// tokens of all machines in the zone are raised, to test whether they receive responses.
 	minInboundPartitioned = 2
 	// minSilentInZone is the minimum number of silent machines for a zone to be considered partitioned.
 	minSilentInZone = 3
@@ -104,8 +104,8 @@
 	Cleared() bool
 	// LeaseExpired reports whether the lease of a suspect machine has certainly expired.
 	LeaseExpired() bool
-	// MovableTasks reports whether urgent tasks on the machine may run in another zone, and the resources needed by
-	// low-priority tasks that may.
+	// MovableTasks reports whether urgent tasks on the machine may run in another zone, and returns the resources
+	// needed by its low-priority tasks that may run in another zone.
 	MovableTasks() (urgent bool, low Resources)
 	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called once
 	// per round and zone.
@@ -165,8 +165,8 @@
 	freeOutside       map[int32]*Resources // by zone: resources free in other zones and not yet used in this round
 }
 
-// Begin starts a round with the counts of all machines. While the cloud is unavailable, no machine is released that may
-// return at the end of a partition.
+// Begin starts a round with the counts of all machines. While the cloud is unavailable, no machine is released because
+// of its tasks.
 func (d *Detector) Begin(rules *Rules, census *Census, now Time, cloudUnavailable bool) *Round {
 	r := &Round{
 		rules: rules, detector: d, census: census, now: now, checksLateness: now > d.nextLatenessCheck,
@@ -186,7 +186,8 @@
 	return r
 }
 
-// ChecksLateness reports whether tasks are compared with their peers on other machines in this round.
+// ChecksLateness reports whether this round includes the lateness checks, which compare tasks with their peers on other
+// machines.
 func (r *Round) ChecksLateness() bool { return r.checksLateness }
 
 // QueriesPartitions reports whether a decision depended on which machines the controllers of a zone still reach.
@@ -222,7 +223,7 @@
 	case !r.isPartitioned(m.Zone) || m.SilentFor >= maxPartitionSilence:
 		return append(actions, Action{Release, HeartbeatsMissing})
 	}
-	// This includes idle machines: tasks placed on them would wait for the end of the partition.
+	// Idle machines are marked too: tasks placed on them would wait for the end of the partition.
 	actions = append(actions, Action{Kind: MarkPartitioned}, Action{Kind: RaiseToken})
 	if !m.Suspect && m.Occupied {
 		r.queriesPartitions = true
--- a/internal/agents/health/health_test.go
+++ b/internal/agents/health/health_test.go
@@ -148,7 +148,7 @@
 	}{{0, false}, {15*time.Second - 1, false}, {15 * time.Second, true}} {
 		round := detector.Begin(&rules, censusOf(machinesInZone(4, 0)), time.Hour+test.after, false)
 		if got := round.ReleasesUnbooted(1); got != test.want {
-			t.Errorf("%v after the last detection: releases unbooted machines: %v, want %v", test.after, got, test.want)
+			t.Errorf("%v after the last detection: ReleasesUnbooted returned %v, want %v", test.after, got, test.want)
 		}
 		if !round.ReleasesUnbooted(2) {
 			t.Error("another zone is considered partitioned")
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -18,8 +18,8 @@
 }
 
 // Add counts a machine. A single missed heartbeat makes a machine silent here: when the first machine of a partitioned
-// zone reaches SilentAfter, every other machine of the zone has missed a heartbeat too. Without a partition few
-// machines have.
+// zone reaches SilentAfter, every other machine of the zone has missed a heartbeat too. Without a partition, few
+// machines have missed one.
 func (c *Census) Add(rules *Rules, m *Machine) {
 	if !m.hasBeenUp() {
 		return
@@ -103,7 +103,7 @@
 // it stayed the leader.
 func (d *Detector) CheckIsolation(rules *Rules, census *Census, reach Reach, now Time) IsolationAction {
 	total, silent := census.Totals()
-	minZones := min(2, rules.Zones) // from one zone alone, its partition cannot be told from the leader's isolation
+	minZones := min(2, rules.Zones) // a partition of the only zone looks like isolation of the leader
 	nothingReceived := total >= minIsolationMachines && len(census.zones) >= minZones &&
 		reach.SinceHeartbeat > rules.silenceLimit(total)
 	mostSilent := silent >= minIsolationMachines && silent*10 >= total*9 && census.zonesWithSilent() >= minZones
--- a/internal/agents/lease/golden_test.go
+++ b/internal/agents/lease/golden_test.go
@@ -16,8 +16,8 @@
 	golden.RoundTrip(t, "word-none.hex", none, encode, ReadReport)
 	one := RenewalReport{Age: 2 * time.Second, RenewalAges: map[string]Time{"host-1": 1500 * time.Millisecond}}
 	golden.RoundTrip(t, "word-one.hex", one, encode, ReadReport)
-	// The order of machines is not part of the format. So the report decoded from the file is compared, and only the
-	// length of the encoded one.
+	// The order of machines is not part of the format. The test therefore compares the report decoded from the file,
+	// but only the length of the encoded report.
 	several := RenewalReport{Age: 3 * time.Second,
 		RenewalAges: map[string]Time{"host-1": 0, "host-22": time.Millisecond, "h3": time.Minute}}
 	if golden.Updating() {
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -212,7 +212,7 @@
 
 // Record stores the time of the last renewal by a controller that has applied the log entry marking the machine as
 // suspect. controller is its index among the other controllers, whose number is others. Only the first report of each
-// counts.
+// controller counts.
 func (p *ExpiryProof) Record(controller, others int, last Time) {
 	if len(p.lastRenewals) != others {
 		p.lastRenewals = make([]Time, others)
--- a/internal/agents/lease/renewal_test.go
+++ b/internal/agents/lease/renewal_test.go
@@ -171,12 +171,12 @@
 }
 
 // TestProofNeedsAllOthers checks that a proof needs a report from every other controller, that only the first report of
-// each counts, and that malformed reports are rejected.
+// each controller counts, and that malformed reports are rejected.
 func TestProofNeedsAllOthers(t *testing.T) {
 	var proof ExpiryProof
 	proof.Record(0, 2, 5*time.Second)
 	if _, complete := proof.LeaseStart(2, 0); complete || proof.AwaitsReport(0, 2) || !proof.AwaitsReport(1, 2) {
-		t.Error("proof is complete with one of two reports, or the wrong report is missing")
+		t.Error("after one of two reports, the proof is complete or does not await exactly the other report")
 	}
 	proof.Record(1, 2, 9*time.Second)
 	proof.Record(1, 2, time.Second)
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -105,13 +105,13 @@
 	tracker.RecordResponse(101)
 	acknowledged := tracker.Accept(newStamp(1, 3, 101), Fresh, 0, true)
 	if !acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("after a received response: acknowledged %v, one-way %v; want true, false",
+		t.Errorf("after a received response: acknowledged %v, inbound partitioned %v; want true, false",
 			acknowledged, tracker.InboundPartitioned())
 	}
 	tracker.RecordResponse(101) // the agent already has this token, so the response proves nothing
 	acknowledged = tracker.Accept(newStamp(1, 4, 101), Fresh, 0, true)
 	if acknowledged || tracker.InboundPartitioned() {
-		t.Errorf("without a new token: acknowledged %v, one-way %v; want false, false",
+		t.Errorf("without a new token: acknowledged %v, inbound partitioned %v; want false, false",
 			acknowledged, tracker.InboundPartitioned())
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -201,8 +201,8 @@
 	return err
 }
 
-// trimmingHandler is a slog.Handler that trims white space around messages. It is used for those of http.Server, which
-// end in a newline and report errors caused by clients.
+// trimmingHandler is a slog.Handler that trims white space around messages. It is used for the messages of http.Server,
+// which end in a newline and report errors caused by clients.
 type trimmingHandler struct{ slog.Handler }
 
 // Handle trims the message of a record and passes the record on.
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -10,7 +10,7 @@
 )
 
 // ErrMalformed reports a record that is truncated or has an invalid value.
-var ErrMalformed = errors.New("codec: truncated or malformed")
+var ErrMalformed = errors.New("codec: truncated or malformed data")
 
 // Uint appends a number as an unsigned varint.
 func Uint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -117,7 +117,7 @@
 		const clockRate = 1 - 0.0005
 		lastEnd := limit.Seconds()/clockRate + w.LeaseS/clockRate
 		if margin := w.CancelS - lastEnd; margin <= 0 {
-			t.Fatalf("got a last task that ends %v s after cancel_s, want it to end before", -margin)
+			t.Fatalf("the last task ends %v s after cancel_s, want it to end earlier", -margin)
 		} else if required := min(1.9, (w.CancelS-w.LeaseS)/4); margin < required {
 			t.Fatalf("margin for unmeasured delays is %v s, want at least %v s", margin, required)
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -37,7 +37,7 @@
 	Provisioned, ProvisionRejected, ScaledIn *metrics.Counter
 	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
-	// Relayed counts the agents' heartbeats that this controller forwarded to the leader and the leader answered,
+	// Relayed counts the agents' heartbeats that this controller forwarded to the leader and that the leader answered,
 	// AnsweredLocally the heartbeats that this controller answered because the leader did not answer in time, and
 	// Reassigned the agents that this controller redirected to another one.
 	Relayed, AnsweredLocally, Reassigned *metrics.Counter
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -70,8 +70,8 @@
 	return c.Conn.Close()
 }
 
-// slotTimeout is how long a command waits while too many others are in flight. After that it is not sent, and the agent
-// gets it in the response to its next heartbeat instead.
+// slotTimeout is how long a command waits while too many others are in flight. After this time the command is not sent,
+// and the agent gets it in the response to its next heartbeat instead.
 const slotTimeout = 500 * time.Millisecond
 
 // ErrTooManyInFlight is returned for a command that was not sent because too many others are awaiting responses.
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.userBudget.Wait(ctx); err != nil {
-		return fmt.Errorf("kvstore: request budget for users: %w", err)
+		return fmt.Errorf("kvstore: wait for request budget of users: %w", err)
 	}
 	select {
 	case c.userSlots <- struct{}{}:
@@ -82,7 +82,7 @@
 // do waits until the budget permits a request, and sends the request.
 func (c *Client) do(ctx context.Context, r request) error {
 	if err := c.budget.Wait(ctx); err != nil {
-		return fmt.Errorf("kvstore: %s: %w", r.operation, err)
+		return fmt.Errorf("kvstore: %s: wait for request budget: %w", r.operation, err)
 	}
 	return c.doUnbudgeted(ctx, r)
 }
@@ -126,7 +126,7 @@
 func (c *Client) Txn(ctx context.Context, txn *wire.Txn) (*wire.TxnResponse, error) {
 	var response wire.TxnResponse
 	if err := c.budget.Wait(ctx); err != nil {
-		return &response, fmt.Errorf("kvstore: transaction: %w", err)
+		return &response, fmt.Errorf("kvstore: transaction: wait for request budget: %w", err)
 	}
 	sent := time.Now()
 	err := c.doUnbudgeted(ctx, request{
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -22,7 +22,7 @@
 // Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Rules are the periods for which a candidate yields.
+// Rules are the periods that determine whether a candidate yields, and for how long.
 type Rules struct {
 	FreshPeriod        Time // how long a process is fresh; doubled for each recent restart of its node
 	MaxFreshPeriod     Time // upper bound of FreshPeriod after doubling
@@ -49,7 +49,7 @@
 // Status is what a node reports about itself in response to a ping.
 type Status struct {
 	Warm               bool // the node has read the log to its end, reaches the key-value store and is not fresh
-	RecentIncarnations int  // recent processes of the pinging node that the node has seen, the current one included
+	RecentIncarnations int  // recent processes of the pinging node that the responder has seen, this one included
 }
 
 // statusVersion is the format version of statuses and queries.
@@ -197,7 +197,7 @@
 }
 
 // MayBeCandidate reports whether this node may stand for election now. If not, the caller must call it again after
-// retryAfter, or earlier if a status or the leader changes.
+// retryAfter, or earlier if a peer's status or the leader changes.
 func (e *Eligibility) MayBeCandidate(now Time) (ok bool, retryAfter Time) {
 	if !e.leaderless {
 		return false, e.rules.FreshPeriod
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -13,11 +13,11 @@
 //     ended by then and can't have confirmed a batch that this node lacks; and
 //   - that their process has never seen a batch beyond the last one that this node has.
 //
-// If all do, no batch that this node lacks had been confirmed when the node asked: the node counts as complete at the
-// time of asking. The bounded time for extending leases then starts anew at that time, and the node may ask again. If a
-// controller does not respond, started later or has seen a later batch, the previous bound stands. Reports hold ages
-// and batch numbers rather than wall-clock times; a delayed response makes a process seem younger than it is, never
-// older.
+// If all controllers report both, no batch that this node lacks had been confirmed when the node asked: the node counts
+// as complete at the time of asking. The bounded time for extending leases then starts anew at that time, and the node
+// may ask again. If a controller does not respond, started later or has seen a later batch, the bounded time does not
+// start anew. Reports hold ages and batch numbers rather than wall-clock times; a delayed response makes a process seem
+// younger than it is, never older.
 //
 // A report covers the entire life of its process: a batch that the process has seen stays in its Watermarks even if the
 // process discards and reloads its replica.
@@ -76,7 +76,8 @@
 // platform allows.
 const driftDivisor = 1000
 
-// BarrierRound evaluates the responses to one request to each of the other controllers, as described at the package.
+// BarrierRound evaluates the responses to one request to each of the other controllers, as described in the package
+// comment.
 type BarrierRound struct {
 	startedAt   Time   // start of the round, before the first request was sent
 	completeAt  Time   // when this node was last complete
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// runRound performs one round. If the round is proven, no batch that the requester lacks may have been confirmed before
-// it began.
+// runRound performs one round. If all reports meet the conditions, no batch that the requester lacks may have been
+// confirmed before it began.
 func (h *history) runRound() {
 	startedAt := h.now
 	watermarks := &h.requester.watermarks
@@ -140,7 +140,8 @@
 
 // TestNothingConfirmedUnknown draws histories of several controllers: batches are committed; processes see them,
 // confirm them and end; the requester is complete at some time and asks later, while responses are delayed or lost. If
-// a round is proven, no batch that the requester lacks may have been confirmed before the round began.
+// all reports of a round meet the conditions, no batch that the requester lacks may have been confirmed before the
+// round began.
 func TestNothingConfirmedUnknown(t *testing.T) {
 	proven, unproven := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -151,7 +152,7 @@
 		proven, unproven = proven+h.proven, unproven+h.unproven
 	})
 	if proven < 100 || unproven < 100 {
-		t.Errorf("%d rounds proven and %d not proven, want at least 100 of each", proven, unproven)
+		t.Errorf("%d rounds succeeded and %d failed, want at least 100 of each", proven, unproven)
 	}
 }
 
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -326,7 +326,7 @@
 		s.service.DropResponses(0)
 		loaded, err := s.open("n1").Load(s.ctx)
 		if err != nil || len(loaded.Batches) != batches {
-			t.Errorf("load returned error %v or not the wanted %d batches", err, batches)
+			t.Errorf("load: got error %v or a wrong number of batches, want no error and %d batches", err, batches)
 			return
 		}
 		for i, b := range loaded.Batches {
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -40,7 +40,7 @@
 }
 
 // NewCompactor returns a compactor whose writes require the given fence. The compactor reads the manifest from the
-// store rather than rely on the one that this node has loaded: another node may have compacted the log between that
+// store rather than relying on the one that this node has loaded: another node may have compacted the log between that
 // load and this node's election. Two compactors under different fences do not harm each other: the manifest is written
 // under a condition on its own version, and only the compactor whose manifest is current deletes anything, and only
 // what that manifest has replaced.
@@ -167,7 +167,7 @@
 }
 
 // replacedKeys lists the keys that a snapshot at seq replaces: the parts of the previous snapshot, and the batches from
-// its last one to the one before seq.
+// the last one that the previous snapshot covers to the one before seq.
 //
 // Batch seq, the last one covered by the new snapshot, is kept until the next compaction, so that a reader that has
 // fallen behind finds it and learns that the batches in between were deleted. Without it, a node that resumes after a
@@ -189,7 +189,7 @@
 		n := min(len(keys), c.store.maxTxnOps, max(1, c.store.writeLimiter.Burst()/2))
 		txn := deleteTxn(c.fence.condition(), keys[:n])
 		if err := c.store.commitPaced(ctx, txn, c.fence.deposed); err != nil {
-			return fmt.Errorf("delete %s and %d more: %w", keys[0], n-1, err)
+			return fmt.Errorf("delete %d keys, the first being %s: %w", n, keys[0], err)
 		}
 		c.notifyProgress()
 		keys = keys[n:]
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -116,7 +116,7 @@
 		}
 		deposed := func([]string) error { return ErrDeposed }
 		if err := r.store.commitPaced(ctx, deleteTxn(fence, keys), deposed); err != nil {
-			return fmt.Errorf("oplog: delete %s and %d more: %w", keys[0], n-1, err)
+			return fmt.Errorf("oplog: delete %d keys, the first being %s: %w", n, keys[0], err)
 		}
 		jobs = jobs[n:]
 	}
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -6,7 +6,8 @@
 // does not exist. The writer repeats that same transaction until its outcome is known, and writes no later batch before
 // then. A copy that is applied late finds the batch's key present or the leader key changed, and fails. Otherwise it is
 // the first copy to be applied, while its writer still leads and waits for it, and so it is the intended write. A new
-// leader reads the log after its own election, when no older copy can satisfy (a) any more, so what it reads is final.
+// leader reads the log after its own election, when no copy from an earlier term can satisfy (a) any more, so no
+// earlier leader can still add to what it reads.
 //
 // Compaction deletes the keys of the batches covered by the snapshot (except that of the last one), so a copy that is
 // applied very late can recreate such a key. No reader uses the recreated batch, since the snapshot covers its number,
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -92,13 +92,13 @@
 	maxCopies           = 3
 )
 
-// send sends a transaction, and sends further copies of it while there is no response. Otherwise, if a response is
-// lost, all later writes would be delayed until the request times out after two seconds. send returns the first
-// response that decides the outcome. The remaining copies may still be applied late, which is harmless for every
-// transaction that is sent here (see the package comment).
+// send sends a transaction, and sends further copies of it while there is no response. Without further copies, a lost
+// response would delay all later writes until the request times out after two seconds. send returns the first response
+// that decides the outcome. The remaining copies may still be applied late, which is harmless for every transaction
+// that is sent here (see the package comment).
 //
 // The requests of the remaining copies are cancelled when send returns. The results channel has room for the results of
-// all copies, so that no goroutine blocks after that.
+// all copies, so that the goroutines that send them do not block after send has returned.
 func (s *store) send(ctx context.Context, txn *wire.Txn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -12,8 +12,8 @@
 // A holder renews only while the role makes progress. After Rules.StallTimeout without progress it releases the role
 // and backs off, for longer each time, so that a node with a better connection to the cloud or store can acquire the
 // role. The number of consecutive holders without progress is stored in a key beside the role's
-// (ObserveStalledHolders). When it shows that all nodes have failed to make progress, the cloud or store is probably
-// unavailable to all of them, and the time allowed without progress grows.
+// (ObserveStalledHolders). When this number shows that all nodes have failed to make progress, the cloud or store is
+// probably unavailable to all of them, and the time allowed without progress grows.
 package singleton
 
 import (
@@ -55,7 +55,7 @@
 	StallTimeout   Time // how long a holder keeps the role without progress
 	InitialBackoff Time // how long a node that made no progress does not acquire the role again; doubled each time
 	MaxBackoff     Time // upper bound of the backoff
-	RankDelay      Time // a node of rank n waits n times as long before it acquires a free role
+	RankDelay      Time // a node of rank n waits n times this period before it acquires a free role
 	SettleTime     Time // how long a holder must have led beside other live nodes before it releases the role to them
 }
 
@@ -148,7 +148,7 @@
 	heldSince               Time
 	lastProgress            Time
 	progressed              bool // the role made progress in this term
-	betterHolderSince       Time // since when this node leads beside other live nodes, which are better holders; else 0
+	betterHolderSince       Time // since when this node leads beside other live nodes, which are better holders; or 0
 	backoffUntil            Time
 	backoff                 Time
 	releasedWithoutProgress bool   // the role was released for lack of progress
@@ -158,8 +158,8 @@
 // New returns the state of a role that this node does not hold and has not observed.
 func New(n RoleName, node string, rules Rules) *Role { return &Role{Name: n, Node: node, Rules: rules} }
 
-// Observe records the content of the role's key. Updates older than the last observed one are ignored. They are
-// recognized by their terms: with a holder and without, a term is a revision of the store.
+// Observe records the content of the role's key. Updates older than the last observed one are ignored. Older updates
+// are recognized by their terms, since a term is a revision of the store whether or not the role has a holder.
 func (r *Role) Observe(holder RoleHolder, now Time) {
 	if r.observed && (holder.Term < r.holder.Term || holder.Term == r.holder.Term && holder.Node == r.holder.Node) {
 		return
@@ -228,7 +228,7 @@
 	return limit
 }
 
-// RecordProgress records that the role made progress. It reports whether that ends a series of holders without
+// RecordProgress records that the role made progress. It reports whether this progress ends a series of holders without
 // progress, in which case the caller must store 0 as the number of stalled holders.
 func (r *Role) RecordProgress(now Time) (endsStall bool) {
 	if r.term == 0 {
@@ -269,7 +269,7 @@
 }
 
 // Decide returns the action that this node has to take now for the role. The caller takes it and reports its outcome by
-// the method that is named at the Decision.
+// the method that the Decision's comment names.
 func (r *Role) Decide(now Time, v *ClusterView) Decision {
 	switch {
 	case r.awaitingResponse || !r.observed:
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -19,11 +19,11 @@
 // JobState is the status of a job that was already known.
 type JobState struct{ Status wire.JobStatus }
 
-// Invalid means that the request is malformed. For a submission this result is final, so a job that was accepted before
-// never gets it.
+// Invalid means that the request is malformed. For a submission it is a final rejection (IsRejection), which is never
+// returned for a job that was accepted before.
 type Invalid struct{ Reason string }
 
-// Unschedulable means that no machine type can run the job. Like Invalid, this result is final.
+// Unschedulable means that no machine type can run the job. Like Invalid, it is a final rejection of a submission.
 type Unschedulable struct{ Reason string }
 
 // Unknown means that the requested id is not known.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -114,7 +114,7 @@
 	}
 	request, err = readRequest(payload)
 	if err != nil {
-		return 0, nil, fmt.Errorf("rpc: request %d: %w", id, err)
+		return 0, nil, fmt.Errorf("rpc: decode request %d: %w", id, err)
 	}
 	return id, request, nil
 }
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -56,7 +56,8 @@
 	History     []ReasonPeriod `json:"past" jsonschema:"description=what the scheduler gave as the reason, the present one first"`
 }
 
-// Reason is one reason why tasks of a job are pending, and what the next round would do without it.
+// Reason is one reason why tasks of a job are pending, and what the next scheduling round would do if this reason did
+// not apply.
 //
 //nolint:lll // a struct tag cannot be broken over lines
 type Reason struct {
