--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -28,8 +28,8 @@
 
 // Error names the task and the machine.
 func (e *InvalidPlacementError) Error() string {
-	return fmt.Sprintf("model: place task %d/%d on machine %d: unknown task or machine, or task not waiting",
-		e.Job, e.Task, e.Machine)
+	return fmt.Sprintf("model: place task %d/%d on machine %d: "+
+		"unknown task or machine, job cancelled, or task not waiting", e.Job, e.Task, e.Machine)
 }
 
 // Apply applies the log entry with sequence number seq. Late and repeated entries are ignored if they can occur in
@@ -139,8 +139,8 @@
 	}
 }
 
-// completeTask marks a task as completed, whichever of its attempts completed it. That may be an attempt whose end was
-// logged before its completion was reported.
+// completeTask marks a task as completed. The attempt that completed it need not be the current one: its end may have
+// been logged before its completion was reported.
 func (m *Model) completeTask(e *Entry, seq uint64, now Time) {
 	j := m.Jobs[e.Job]
 	if j == nil || int(e.Task) >= len(j.Tasks) {
@@ -167,8 +167,8 @@
 	m.recordTaskCompletion(j)
 }
 
-// dropRun detaches a run from its machine and its job. Its task waits again until completeTask, if that is the caller,
-// marks it as completed.
+// dropRun detaches a run from its machine and its job. A placed task becomes waiting again. If completeTask is the
+// caller, it then marks the task as completed.
 func (m *Model) dropRun(r *Run, now Time) {
 	r.setPhase(Unseen)
 	j, machine := r.Job, r.Machine
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -83,7 +83,8 @@
 	t.updateStats(j, func(s *CompletionStats) { s.TasksDone++ })
 }
 
-// recordEnd counts a completed or cancelled job.
+// recordEnd counts a completed or cancelled job in the statistics of its class and team. The tasks of a cancelled job
+// are no longer counted.
 func (t *completionTable) recordEnd(j *Job, now Time) {
 	t.updateStats(j, func(s *CompletionStats) {
 		if j.Cancelled {
--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -53,7 +53,7 @@
 type exploredState struct {
 	mutation      mutation
 	model         *Model // of the leader
-	incarnation   uint64 // of the agent, as are the fields up to exited
+	incarnation   uint64 // of the agent, like the following fields up to exited
 	epoch         uint64
 	seq           uint64
 	token         uint64 // highest seen by the agent
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -16,7 +16,7 @@
 const (
 	// How long a job is not placed again on a machine where it failed.
 	avoidPeriod = Time(60e9)
-	// How long jobs that failed on a machine have to fail elsewhere before the machine is quarantined.
+	// How long a machine stays cordoned before it is quarantined, unless the jobs that failed on it prove faulty.
 	cordonPeriod = Time(10e9)
 	// Base of the exponential backoff of a faulty job. The first backoff is twice as long and each further one doubles,
 	// up to maxBackoffDoublings doublings.
--- a/internal/model/golden_test.go
+++ b/internal/model/golden_test.go
@@ -175,7 +175,7 @@
 			// Restore panics on a duplicate machine; that also counts as detecting the change.
 			defer func() {
 				if p := recover(); p != nil {
-					err = fmt.Errorf("panic: %v", p)
+					err = fmt.Errorf("restore snapshot: panic: %v", p)
 				}
 			}()
 			restored := New(params())
@@ -191,7 +191,7 @@
 	for version := byte(0); version <= 5; version++ {
 		b := golden.Read(t, "snapshot-v4.hex")
 		if b[0] = version; (New(params()).Restore(b, 50, 0) == nil) != (version == 4) {
-			t.Errorf("restore of a version 4 snapshot marked as version %d: want an error unless that is 4", version)
+			t.Errorf("restore of a version 4 snapshot marked as version %d: want an error except for 4", version)
 		}
 	}
 }
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -34,7 +34,7 @@
 	CPUs          float64 // used by its runs, like GPUs and Mem (in GB)
 	GPUs          float64
 	Mem           float64
-	Reserved      ReservedResources // part of these used by services without GPUs
+	Reserved      ReservedResources // part of CPUs, GPUs and Mem used by services without GPUs
 	cache         []cachedImage
 	fetches       []pendingFetch
 
@@ -78,7 +78,7 @@
 	ProbedAt         Time                   // when the machine was last probed because of a report
 	DirectFailed     bool                   // the last direct command got no response
 	unresolvedStarts map[runKey]startTokens // direct starts that may still be executed
-	reapable         []reapableTask         // listed attempts that are to be forgotten or stopped
+	reapable         []reapableTask         // attempts listed by the agent that it must forget or stop
 	observationCount uint64                 // number of valid messages
 	lastObservedAt   Time                   // time of the last valid message
 	silenceEndedAt   Time                   // time of the first valid message after the last long silence
@@ -152,8 +152,8 @@
 func (machine *Machine) SuspectSeq() uint64 { return machine.suspectSeq }
 
 // SuspicionCommitted records that the entry with the given sequence number, which marked the machine as suspect, is
-// committed. Only the latest such entry counts: between two such entries the machine was trusted, and a replica that
-// has read the log only up to there may renew its lease.
+// committed. Only the latest such entry counts: between two such entries the machine was not suspect, and a replica
+// that has applied the log only up to a point between them may still renew the machine's lease.
 func (machine *Machine) SuspicionCommitted(seq uint64, now Time) {
 	if machine.Suspect && machine.suspectSeq == seq {
 		machine.Contact.SuspectFrom = now
--- a/internal/model/machine_table.go
+++ b/internal/model/machine_table.go
@@ -97,7 +97,7 @@
 }
 
 // setSuspect sets or clears the suspicion of a machine. Either way it discards the evidence that the machine's lease
-// has expired, which applies only to one suspicion.
+// has expired, because that evidence applies only to the previous suspicion.
 func (t *machineTable) setSuspect(id MachineID, suspect bool, seq uint64) {
 	machine := t.Machines[id]
 	if machine == nil {
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -23,8 +23,8 @@
 // have ended: a machine that hangs holds its tasks until it resumes. But no more work is lost by releasing the machine
 // at that point, and the cloud's response to the release is evidence. If the leader receives a report of the agent
 // meanwhile, it clears the suspicion before it responds. A leader whose term began after the entry counts the time from
-// its own election. (Older versions logged EntryLeaseExpired when the lease had expired, which ends the runs; Apply
-// supports it.)
+// its own election. (Older versions logged EntryLeaseExpired when the lease had expired. Apply still supports that
+// entry, and ends the machine's runs.)
 
 // noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources. In
 // that case the machine's actual usage differs from that in the model, and without a delay the job would be placed
@@ -101,8 +101,8 @@
 		contact.TokenOffset++ // messages to the earlier incarnation carry lower tokens
 	}
 	tokenSeen := contact.Reports.Accept(stamp, o.verdict.Freshness, m.Token(machine), !o.isProbeResponse)
-	// AgentEpoch is 0 until the first report of the term. Only an epoch that was observed in this term can have ended
-	// since.
+	// AgentEpoch is 0 until the first report of the term, so the first report does not show that an earlier epoch has
+	// ended.
 	hasNewEpoch := contact.Reported && o.report.AgentEpoch > contact.AgentEpoch
 	leaseExpired := !o.isProbeResponse && hasNewEpoch
 	deliveryUncertain = leaseExpired || !o.isProbeResponse && contact.DirectFailed
@@ -305,10 +305,10 @@
 }
 
 // provesEnd reports whether a report that does not list a run, or that shows a newer epoch, is sufficient evidence that
-// the run has ended. The response to a probe is. Any other report may be older than it seems: a report that an agent
-// sent before it restarted with numbers from 1 may arrive after newer reports whose numbers are no higher. So the first
-// such report only causes a probe, which is affordable because these reports are rare, and raises the token. A later
-// one is sufficient if it shows the raised token.
+// the run has ended. A response to a probe is sufficient. Any other report may be older than it seems: a report that an
+// agent sent before it restarted with numbers from 1 may arrive after newer reports whose numbers are no higher. So the
+// first such report only causes a probe, which is affordable because these reports are rare, and raises the token. A
+// later report is sufficient if it shows the raised token.
 func (o *observation) provesEnd(run *Run) bool {
 	if o.isProbeResponse || run.endMinToken != 0 && o.report.FencingToken >= run.endMinToken {
 		return true
--- a/internal/model/reason_history.go
+++ b/internal/model/reason_history.go
@@ -2,7 +2,8 @@
 
 import "fieldhill/internal/scheduling/pending"
 
-// ReasonSince is a pending reason and the time at which it began to apply. It applied until that of the next record.
+// ReasonSince is a pending reason and the time at which it began to apply. It applied until the next reason was
+// recorded.
 type ReasonSince struct {
 	Code  pending.Code
 	Since Time
@@ -11,8 +12,8 @@
 // maxReasonHistory is the number of reasons kept per job.
 const maxReasonHistory = 8
 
-// RecordReason appends the current pending reason to the history if it has changed. It is called once per scheduling
-// round, after the reason of the round is known.
+// RecordReason adds the job's pending reason to the history if its code differs from that of the latest record. The
+// oldest record is dropped. RecordReason is called once per scheduling round, after the reason of the round is known.
 func (j *Job) RecordReason(now Time) {
 	if j.Scheduling.reasonHistory[0].Code == j.Scheduling.PendingReason.Code {
 		return
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -122,9 +122,9 @@
 	h.lastSlowdownJob = 0
 }
 
-// DetectSlow reports whether the running tasks on a machine show that it is slow: tasks of at least two jobs have taken
-// much longer than their peers, and no task that started as late as they did has completed in time on the machine.
-// Completed tasks would show that the machine is slow as well, but much later.
+// DetectSlow reports whether the running tasks on a machine show that it is slow, and if so marks it as slow. At least
+// minComparedTasks running tasks must be late (see isLate), and they must belong to at least two jobs unless completed
+// tasks already exceed the slow factor. Completed tasks alone would show that the machine is slow much later.
 func (d *durationStats) DetectSlow(machine *Machine, now Time) bool { return machine.detectSlow(now) }
 
 func (machine *Machine) detectSlow(now Time) bool {
--- a/internal/scheduling/autoscaler/displace.go
+++ b/internal/scheduling/autoscaler/displace.go
@@ -78,9 +78,9 @@
 }
 
 // selectDrainTarget selects the machine to vacate: among the machines with GPUs that run only services, the one with
-// the fewest CPUs reserved for them. It returns nil if there is none, or if not all of its replicas fit on other
-// machines in addition to waiting and standby demand. Replicas that fit only on other machines with GPUs are counted in
-// ServiceSlots.
+// the fewest CPUs reserved for them. It returns nil if there is no such machine, or if not all replicas on that machine
+// fit on other machines in addition to waiting and standby demand. Replicas that fit only on other machines with GPUs
+// are counted in ServiceSlots.
 func (p *planner) selectDrainTarget() *model.Machine {
 	source := p.leastLoadedServiceMachine()
 	if source == nil {
--- a/internal/scheduling/explanation/simulation.go
+++ b/internal/scheduling/explanation/simulation.go
@@ -41,8 +41,8 @@
 func (d *dryRunBinder) Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, _ float64) {
 	d.seq++
 	err := d.model.Apply(model.NewPlacement(j.ID, task, attempt, machine.ID, machine.Contact.AgentEpoch), d.seq, 0)
-	// The model rejects an invalid placement, which the scheduler should not decide on. Such a placement is not counted
-	// here, just as it would have no effect on the leader.
+	// An invalid placement, which the scheduler should not make, is rejected by the model and therefore not counted. It
+	// would have no effect on the leader either.
 	if err == nil && j == d.job {
 		d.Placed++
 	}
@@ -134,7 +134,8 @@
 func (s *simulation) endAttempt() {
 	for i := range s.job.Tasks {
 		if r := s.job.Tasks[i].Run; r != nil {
-			// Applying the entry cannot fail because the run exists. If the job is cancelled, the entry may settle it.
+			// Applying the entry cannot fail because the run exists. If the job is cancelled, the entry may end its
+			// last run, and so remove the job from the model.
 			ended := model.NewAttemptEnd(s.job.ID, r.Task, r.Attempt)
 			_ = s.model.Apply(ended, 0, s.now)
 		}
--- a/internal/scheduling/provisioner/result.go
+++ b/internal/scheduling/provisioner/result.go
@@ -114,7 +114,8 @@
 	return list
 }
 
-// ReadResult decodes a result. Truncated input and trailing bytes are errors.
+// ReadResult decodes a result. It returns codec.ErrMalformed if the input is empty, truncated or of an unknown kind, or
+// has trailing bytes.
 func ReadResult(b []byte) (*Result, error) {
 	if len(b) == 0 {
 		return nil, codec.ErrMalformed
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -64,7 +64,7 @@
 			env.finishSome(machine, func() bool { return true })
 		}
 	}
-	for round := range 12 { // 12 CPUs per round, and as much work of the small class
+	for round := range 12 { // each round submits 12 small tasks of 1 CPU, enough for all 12 CPUs
 		small()
 		s.Round(env.model, model.Time(100+10*round)*1e9, true, env)
 		end()
--- a/internal/scheduling/scheduler/moves.go
+++ b/internal/scheduling/scheduler/moves.go
@@ -17,9 +17,10 @@
 	moveInterval         = model.Time(300e6)
 	moveIntervalReplicas = 1000
 	minMoveInterval      = model.Time(50e6)
-	// fetchMoveInterval is how long no replica must have found a machine that has its image before one may be moved to
-	// a machine without it. The moved replica is down while its image is fetched, so such moves must be rare. Without
-	// them, a replica with a rare image would keep an expensive machine in use for minutes.
+	// fetchMoveInterval is the time that must pass without any replica finding a machine that has its image before a
+	// replica may be moved to a machine without its image. The moved replica is down while its image is fetched, so
+	// such moves must be rare. Without such moves, a replica with a rare image would keep an expensive machine in use
+	// for minutes.
 	fetchMoveInterval = model.Time(5e9)
 	// reservationTTL is how long resources are reserved for a replica that is to move; maxReservations limits the
 	// number of reservations.
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -37,7 +37,7 @@
 	machine             *model.Machine
 	capacity            Resources
 	claimed             Resources // resources claimed for waiting work
-	stopping            Resources // resources that preempted tasks are about to release
+	stopping            Resources // resources that stopping tasks are about to release
 	stoppingKnown       bool      // stopping has been computed
 	reservedForServices Resources // resources reserved for a replica that is to move there
 }
@@ -88,7 +88,8 @@
 	return r.directives.serviceAllowed(j, view.machine, view.capacity, r.gpuDemand)
 }
 
-// stoppingResources returns the resources of the tasks on the machine that are being preempted.
+// stoppingResources returns the resources of the tasks on the machine that are being preempted or whose job is
+// cancelled.
 func (view *machineView) stoppingResources() Resources {
 	if !view.stoppingKnown {
 		view.stoppingKnown, view.stopping = true, Resources{}
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -55,8 +55,8 @@
 type Binder interface {
 	// Bind places a task. It applies the placement to the model before it returns.
 	Bind(j *model.Job, task int32, attempt uint32, machine *model.Machine, score float64)
-	// Preempt stops a run, with skipCheckpoint without saving a checkpoint. If the run is preempted for a job, the
-	// reason ends with a space and the ID of that job, which dry runs match.
+	// Preempt stops a run. If skipCheckpoint is true, the run does not save a checkpoint first. If the run is preempted
+	// for a job, the reason ends with a space and the ID of that job; dry runs rely on this to recognize the job.
 	Preempt(r *model.Run, skipCheckpoint bool, reason string)
 }
 
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -373,11 +373,11 @@
 		at   model.Time
 		want []*model.Job
 	}{
-		{100, []*model.Job{other, again, small, fresh, once, late}}, // once misses 40 s, late 40 s and 60 s
+		{100, []*model.Job{other, again, small, fresh, once, late}}, // once misses 40 s; late, 40 and 60 s
 		{119, []*model.Job{other, again, small, fresh, once, late}},
 		{120, []*model.Job{late, other, again, small, fresh, once}}, // the last objective of late is near
-		{190, []*model.Job{once, other, again, small, fresh, late}}, // late misses all, the last of once is near
-		{541, []*model.Job{late, other, again, once, small, fresh}}, // late has waited for 3 times its last one
+		{190, []*model.Job{once, other, again, small, fresh, late}}, // late misses all; the last one of once is near
+		{541, []*model.Job{late, other, again, once, small, fresh}}, // late has waited for 3 times its last objective
 	} {
 		var want []model.JobID
 		for _, j := range c.want {
@@ -547,7 +547,7 @@
 	}
 	one, other := gang(1, 1), gang(2, 1)
 	s.Round(env.model, 0, true, env)
-	low := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.Team = 5, "red" }) // exceeds its guarantee
+	low := env.submit(3, func(s *wire.JobSpec) { s.Tasks, s.Team = 5, "red" }) // exceeds the guarantee of team red
 	s.Round(env.model, 1e9, true, env)
 	pair, late := gang(4, 2), gang(5, 1)
 	s.Round(env.model, 700e9, true, env)
--- a/internal/scheduling/scheduler/team_quota.go
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -31,7 +31,8 @@
 			t.UsedGPUs+reserved.GPUs+spec.GPUs*float64(n) <= t.GPUsMax+epsilon)
 }
 
-// reserve reserves the share of the team limit that n tasks of a job take.
+// reserve reserves the part of the team limit that n tasks of a job take, so that less urgent jobs of the team cannot
+// take it in this round.
 func (q *teamQuota) reserve(j *model.Job, n int) {
 	reserved := &q.reserved[j.Team.Index]
 	*reserved = reserved.Plus(Resources{CPUs: j.Spec.CPUs * float64(n), GPUs: j.Spec.GPUs * float64(n)})
@@ -88,7 +89,7 @@
 	pool       []victim
 }
 
-// subtract reduces the shortfall by the resources of one task of a job that ends.
+// subtract reduces the shortfall by the resources that one task of a job releases when it ends.
 func (t *teamShortfall) subtract(j *model.Job) {
 	t.cpus, t.gpus = t.cpus-j.Spec.CPUs, t.gpus-j.Spec.GPUs
 }
