--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -114,7 +114,7 @@
 	})
 }
 
-// advance moves provenAt forward if the round has proven a later time.
+// advance moves provenAt forward if the round has proven that the local copy of the log was complete at a later time.
 func (cf *commitFence) advance(round *barrierRound) {
 	provenOffset, ok := round.CompleteAt()
 	if !ok || cf.replica.generation != round.generation || !cf.replica.loaded {
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -234,7 +234,8 @@
 	}
 }
 
-// failWaiters calls all waiters with false when the term ends.
+// failWaiters calls all remaining waiters with false at the end of the term, because the outcome of their batches is
+// then unknown.
 func (commits *commitPipelineTerm) failWaiters() {
 	for _, waiter := range commits.commitWaiters {
 		waiter.onResult(false)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,7 @@
 		}
 		listener, err := c.network.Listen(endpoint.addr)
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("controller: %s listener: %w", endpoint.name, err), opened.close())
+			return nil, errors.Join(fmt.Errorf("controller: open %s listener: %w", endpoint.name, err), opened.close())
 		}
 		*endpoint.listener = listener
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-// taskError adds to an error what the task that failed was serving.
+// taskError adds to a task's error the name of what the task was serving. It returns nil if err is nil.
 func taskError(name string, err error) error {
 	if err == nil {
 		return nil
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// tryPost queues work, or returns errQueueFull.
+// tryPost queues work without waiting for space. If the queue is full, it returns errQueueFull.
 func (el *eventLoop) tryPost(work func()) error {
 	select {
 	case el.workQueue <- work:
@@ -175,7 +175,7 @@
 	resultStopping = result.NotHandled{Reason: "stopping", RetryAfter: time.Second}
 )
 
-// tryPostRequest queues a user's request, or returns errQueueFull.
+// tryPostRequest queues a user's request without waiting for space. If the queue is full, it returns errQueueFull.
 func (el *eventLoop) tryPostRequest(work func()) error {
 	select {
 	case el.requestQueue <- queuedRequest{run: work, queuedAt: time.Now()}:
--- a/internal/controller/event_loop_test.go
+++ b/internal/controller/event_loop_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("got result %d when postAndWait returned, want 1", result)
 		}
 		if nodeAt(0) != nil {
-			t.Error("the controller is still running after w.Crash")
+			t.Error("the controller is still running after StopAndWait")
 		}
 		node.loop.postAndWait(func() { t.Error("work was run by a stopped controller") })
 	})
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -47,8 +47,8 @@
 // started within explainInterval.
 var tooManyExplanations = result.Overloaded{Reason: "another question is being answered", RetryAfter: time.Second}
 
-// Explain returns the reasons why a job is pending. A controller that gets no answer from the leader answers from its
-// replica.
+// Explain returns the reasons why a job is pending. A controller that does not lead and gets no answer from the leader
+// explains the job from its own replica.
 func (ex *explanations) Explain(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// feasibleShare is the largest share of the capacity according to capacityModel that half of the work may need for the
-// test to require that this half is served. It is below 1 because, unlike in the model, machines have to boot and to
-// fetch images, and their capacity is fragmented.
+// feasibleShare decides when the test requires that half of the work is served: only if, according to capacityModel,
+// this half needs at most this share of the capacity. It is below 1 because, unlike in the model, machines have to boot
+// and to fetch images, and their capacity is fragmented.
 const feasibleShare = 0.7
 
 // runOverload submits the workloads of a scenario and then checks which jobs were served.
@@ -253,8 +253,8 @@
 	checkHalfServed(t, capacity, "team", teams, func(j demand) string { return j.spec.Team })
 }
 
-// checkLargestServed requires that, of the largest jobs of each class, at least half started and at most half started
-// late or are still waiting after that time.
+// checkLargestServed requires that, of the largest jobs of each class, at least half started, and at most half waited
+// for their start for more than four minutes.
 func checkLargestServed(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	for class, l := range w.Checker.LargestByClass(time.Minute) {
@@ -314,9 +314,10 @@
 	c.jobs = append(c.jobs, demand{second, j, float64(j.Tasks) * j.CPUs * taskSeconds})
 }
 
-// requiredShare returns the share of the capacity left by all services that is needed to serve half of the jobs of each
-// class or team (the smallest ones) if jobs is set, or else half of the work of all jobs. It is the maximum, over all
-// seconds of the scenario, of the work submitted from that second on divided by the capacity from that second on.
+// requiredShare returns the share of the capacity left by all services that is needed to serve the smaller half of the
+// jobs of each class or team if jobs is set, or else half of the work of each job. It is the maximum, over all seconds
+// of the scenario, of the part of this work that is submitted from that second on, divided by the capacity from that
+// second on.
 func (c *capacityModel) requiredShare(nameOf func(demand) string, jobs bool) float64 {
 	byName := map[string][]demand{}
 	left, wanted := slices.Clone(c.available), make([]float64, len(c.available))
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -131,7 +131,7 @@
 // the lease expiry again and again.
 func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(result.Result)) {
 	if machine.Contact.Reported {
-		hb.observe(machine, report, nil) // the report's epoch and sequence number are valid evidence nevertheless
+		hb.observe(machine, report, nil) // the epoch and sequence number are valid evidence despite the suspicion
 	}
 	term := hb.term.ownTerm
 	onProbed := func() {
@@ -212,7 +212,7 @@
 }
 
 // observe records a status report, from a heartbeat or in response to a request, and proposes the log entries that
-// follow from the report. question is what BeginProbe returned for the request, or nil for a heartbeat. A stale report
+// follow from the report. baseline is what BeginProbe returned for the request, or nil for a heartbeat. A stale report
 // has no further effect.
 func (hb *heartbeats) observe(
 	machine *model.Machine, report *wire.Heartbeat, baseline *staleness.ProbeBaseline,
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -31,7 +31,7 @@
 	dropPending  map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
 	droppable    []uint64        // jobs in dropPending that are committed, whose records can be deleted now
 	dropInFlight bool            // a deletion of records is in progress
-	rescanNeeded bool            // records were skipped, as their deletion was pending; list the intake again after it
+	rescanNeeded bool            // list the intake again after the deletion: records that wait for it were skipped
 }
 
 const (
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -157,8 +157,8 @@
 	})
 }
 
-// checkServiceStarts submits a service and requires that it is accepted within 300 ms and runs within 4 s, as without
-// other load. It returns two seconds after the submission or later.
+// checkServiceStarts submits a service and requires that it is accepted within 300 ms and runs within 4 s, the same
+// times as without other load. It returns no earlier than two seconds after the submission.
 func checkServiceStarts(t *testing.T, w *emulator.Environment, s *wire.JobSpec) {
 	t.Helper()
 	began := time.Now()
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -50,8 +50,8 @@
 	return js.answerFromReplica(ctx, model.JobID(jobNumber))
 }
 
-// answerAsLeader answers from the leader's model. If the model does not contain the job, it is first looked up in the
-// intake.
+// answerAsLeader answers a request for a job's status from the leader's model. If the model does not contain the job,
+// it is first looked up in the intake.
 func (js *jobStatus) answerAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
@@ -77,8 +77,9 @@
 	})
 }
 
-// answerFromReplica answers from the replica after catching up with the log. Every state reported to a user was in the
-// log before it was reported, so a replica that reads the log after the request arrived can't return an older state.
+// answerFromReplica answers a request for a job's status from this controller's replica, after the replica has caught
+// up with the log. Every state reported to a user was in the log before it was reported, so a replica that reads the
+// log after the request arrived can't return an older state.
 func (js *jobStatus) answerFromReplica(ctx context.Context, id model.JobID) result.Result {
 	known := false
 	js.loop.postAndWait(func() { known = js.replica.model.Jobs[id] != nil })
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -127,8 +127,8 @@
 	term.commits.batchesSinceSnapshot = 0
 	ls.replica.model.BeginTerm(term.leader.Term<<machineTokenBits, ls.now())
 	ls.components.prepare(term)
-	// Agents that were known to the previous leader send a heartbeat by then: this is the longest interval between two
-	// heartbeats.
+	// The grace period is the longest interval between two heartbeats: by its end, every agent that was known to the
+	// previous leader should have sent a heartbeat.
 	term.leadership.reportGraceEnd = time.Now().Add(config.Seconds(ls.settings.Params.Workers.HeartbeatS * 1.25))
 	term.leadership.timeline.Mark(candidacy.Leading, ls.now())
 	ls.loop.requestRound()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -127,8 +127,8 @@
 	return ls.follow(ctx, revision, followDuration)
 }
 
-// findLeader reports whether the log names a leader. It first revokes a stale lease of this controller's own, after
-// which there is none.
+// findLeader reports whether the log names a leader. If the named leader is this node under a stale lease, it first
+// revokes that lease and returns false.
 func (ls *leadership) findLeader(ctx context.Context) bool {
 	var leader *oplog.Leader
 	ls.loop.postAndWait(func() { leader = ls.term.leader })
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -127,7 +127,8 @@
 }
 
 // TestNewLeaderProbeUnanswered checks that one silent machine with tasks does not prevent a new leader from placing new
-// tasks for a whole heartbeat interval. That would delay them until 8.0 s after the crash.
+// tasks for a whole heartbeat interval. If the leader waited that long for the machine, the tasks would start 8.0 s
+// after the crash.
 func TestNewLeaderProbeUnanswered(t *testing.T) {
 	runCluster(t, 18, func(w *emulator.Environment) {
 		startServices(w, 5)
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -92,9 +92,9 @@
 func (lr *leaseRenewal) retention() model.Time { return 2 * lr.leaseDuration() }
 
 // latestOwnRenewal returns the latest time from which a machine's lease may count, as far as this controller knows.
-// This is the later of two times: the last renewal by this controller, where an earlier process may have renewed the
-// lease until this one started, and the last heartbeat from the agent epoch that holds the placed tasks, whose lease
-// begins with the epoch.
+// This is the later of two times: when this controller last renewed the lease, where earlier processes of this
+// controller are assumed to have renewed it until this process started; and the last heartbeat from the agent epoch
+// that holds the placed tasks, whose lease begins with the epoch.
 func (lr *leaseRenewal) latestOwnRenewal(machine *model.Machine) model.Time {
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
@@ -128,7 +128,9 @@
 	})
 }
 
-// queryRenewals queries the other controllers about the zones that have suspect machines with tasks.
+// queryRenewals asks the other controllers, at most once per renewalQueryInterval, when they last renewed the leases of
+// the machines in each zone that has suspect machines with tasks. It also removes entries from the table of renewals
+// that are older than the retention period.
 func (lr *leaseRenewal) queryRenewals(term *leaderTerm) {
 	lr.renewals.Forget(lr.now() - lr.retention())
 	if time.Since(term.leases.lastRenewalQuery) < renewalQueryInterval {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -13,8 +13,9 @@
 	minFollowUpProbes = 32 // lower bound of followUpProbeLimit
 )
 
-// newIntakeLimiter limits the rate at which a controller accepts jobs without a leader: to its share, among the given
-// number of controllers, of intakeWriteShare of the key-value store's write rate, with bursts of intakeBurstSeconds.
+// newIntakeLimiter returns the limiter for the jobs that a controller accepts without a leader. Its rate is an equal
+// share, among the given number of controllers, of intakeWriteShare of the key-value store's write rate; its bursts are
+// as large as the rate over intakeBurstSeconds.
 func newIntakeLimiter(writeRPS float64, controllers int) *rate.Limiter {
 	share := writeRPS * intakeWriteShare / float64(controllers)
 	return rate.NewLimiter(rate.Limit(share), max(1, int(intakeBurstSeconds*share)))
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// outboundPartition runs TestOutboundPartition with a partition of the busy machines for which pick returns true;
-// partitioned is the number of machines picked before.
+// outboundPartition runs TestOutboundPartition with an outbound partition of the busy machines for which pick returns
+// true. The second argument of pick is the number of machines picked so far.
 func outboundPartition(
 	t *testing.T,
 	w *emulator.Environment,
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -174,8 +174,8 @@
 	})
 }
 
-// checkSelfIsolation detects that machines cannot reach this controller, although they may reach others. It probes some
-// of the machines to find out, and then resigns, so that another controller can lead.
+// checkSelfIsolation detects that machines cannot reach this controller, although they may reach others. As package
+// health decides, it probes some of the machines to verify this, or resigns, so that another controller can lead.
 func (mh *machineHealth) checkSelfIsolation(term *leaderTerm, rules *health.Rules, census *health.Census) {
 	now := mh.now()
 	reach := health.Reach{
@@ -240,8 +240,8 @@
 	return urgent, health.Resources{CPUs: resources.CPUs, GPUs: resources.GPUs}
 }
 
-// FreeOutsideZone returns the resources that are free for low-priority work in the other zones, which exclude the
-// headroom reserved for services.
+// FreeOutsideZone returns the resources in the other zones that are free for low-priority work, without the headroom
+// reserved for services.
 func (e *healthEvidence) FreeOutsideZone() health.Resources {
 	outside := scheduler.FreeOutsideZone(e.replica.model, e.machine.Zone)
 	return health.Resources{CPUs: outside.CPUs - e.rounds.scheduler.ServiceHeadroom, GPUs: outside.GPUs}
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -53,8 +53,8 @@
 	return sinceStart - model.Time(rd.lastMaintenance.Swap(int64(sinceStart)))
 }
 
-// observeDelay processes by how much a maintenance run was late, as a measure of how busy the event loop is: the delay
-// affects the admission of jobs, the silence of machines, and the limit on low-priority placements.
+// observeDelay processes the delay of a maintenance run, which measures how busy the event loop is. The delay affects
+// the admission of jobs, the detection of silent machines, and the limit on low-priority placements.
 func (c *Controller) observeDelay(delay time.Duration) {
 	if len(c.loop.requestQueue) == 0 { // otherwise drainRequests observes the delay of the waiting requests
 		c.loop.admissionGate.ObserveWait(max(0, delay), c.now())
@@ -67,7 +67,8 @@
 	}
 }
 
-// maintainTerm runs the leader's part of the maintenance.
+// maintainTerm runs the maintenance that only the leader performs: it sends pending commands, runs the autoscaler and
+// the provisioner, maintains the relay assignments, accounts for service time, and logs the failover.
 func (c *Controller) maintainTerm(term *leaderTerm, now time.Time, elapsed time.Duration) {
 	for machine := range term.dispatch.dirtyMachines {
 		c.dispatch.sendDirect(machine)
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -29,8 +29,9 @@
 // linkTimeout is the maximum age of the last response over a link for its other end to count as reachable.
 const linkTimeout = 1500 * time.Millisecond
 
-// updateReadiness updates the readiness, on the event loop. A short time without a leader does not make a controller
-// unready: it affects all controllers alike, and requests are refused with a Retry-After.
+// updateReadiness determines, on the event loop, whether this controller reports itself as ready, and whether it counts
+// as warm for elections. A short time without a leader does not make a controller unready: it affects all controllers
+// alike, and requests are refused with a Retry-After.
 func (rd *readiness) updateReadiness() {
 	rd.leadership.eligibility.warm.Store(rd.replica.isStoreReachable())
 	rd.ready.Store(rd.canServe())
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -65,7 +65,8 @@
 	return link
 }
 
-// maintainRelay updates the link to the leader and offers this controller as a relay.
+// maintainRelay updates the link to the leader and offers this controller as a relay: to a new leader at once, and then
+// once per offerInterval.
 func (ry *relayAgent) maintainRelay() {
 	state := ry.state
 	target := ry.reachableLeader()
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -44,7 +44,8 @@
 // requests in flight or is shutting down.
 var errNotForwarded = errors.New("controller: relay did not send the request")
 
-// onRelayOffer answers a controller that offers itself as a relay.
+// onRelayOffer records another controller's offer to act as a relay, and whether that controller accepts more agents.
+// The response states whether the leader currently distributes agents across the controllers.
 func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) result.Result {
 	offer, err := relay.ReadOffer(request.Body)
 	if err != nil {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -14,11 +14,12 @@
 )
 
 // replica is this controller's copy of the replicated state: a model built from the log. It loads the log, applies the
-// updates that a watch returns, and reads the log to its end when a request needs that.
+// updates that a watch returns, and reads the log to its end for requests that must see every batch committed before
+// they arrived.
 //
-// The event loop owns all fields except those of the catch-up. On the leader, commitPipeline also applies entries to
-// model before they are committed and advances appliedSeq, and leadership advances caughtUpAt with each renewal of the
-// leader's lease.
+// The event loop owns all fields except catchUpMu and catchUpRead. On the leader, commitPipeline also applies entries
+// to model before they are committed and advances appliedSeq, and leadership advances caughtUpAt with each renewal of
+// the leader's lease.
 type replica struct {
 	*environment
 	loop    *eventLoop
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -259,8 +259,8 @@
 		sent := rs.now()
 		err := rs.store.Renew(rs.ctx, lease, roleRenewTimeout)
 		rs.loop.post(func() {
-			// This is needed even if the role was lost meanwhile: the role makes no other request while a renewal is
-			// pending.
+			// The result is passed to the role even if the role was lost meanwhile, because the role makes no other
+			// request while a renewal is pending.
 			role.Renewed(sent, err == nil, msgpackhttp.StatusCode(err) == http.StatusNotFound)
 			rs.syncRole(role)
 		})
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -320,8 +320,8 @@
 // TestZoneWithoutController checks the time until the tasks of a partitioned zone without controllers are evicted. If
 // all controllers are reachable, they prove that none of them has renewed the leases of that zone's machines, and the
 // machines are released as soon as the leases have expired. An unreachable controller may have renewed the leases, so
-// the leader then also waits for the stale renewal limit (24 s of lease and 25 s less a margin: 57 s after the
-// partition began).
+// the leader then also waits for the stale renewal limit (25 s less a margin) and after it for a whole lease (24 s),
+// which ends 57 s after the partition began.
 func TestZoneWithoutController(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -15,8 +15,8 @@
 // submissions accepts jobs, each exactly once, no matter how often or at which controllers it is submitted. The leader
 // appends a job to the log; other controllers forward it to the leader or write it to the intake.
 //
-// Its methods run on request goroutines, except for functions that they post to the event loop. Only those access the
-// model and propose log entries.
+// Its methods run on request goroutines, except for functions that they post to the event loop. Only these functions
+// access the model and propose log entries.
 type submissions struct {
 	*environment
 	commits   *commitPipeline
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -94,8 +94,8 @@
 
 // mayBeAlive reports whether work in a zone may continue without this controller, because a controller in the zone is
 // reachable, or reads the log and therefore renews the leases of the zone's agents. In the latter case the zone is
-// partitioned from the leader only, not from the log. While there are no recent reports to decide this by, the result
-// is true.
+// partitioned from the leader only, not from the log. If the controllers' reports were not read recently, the result is
+// true.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
 		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
@@ -168,7 +168,7 @@
 	}
 	zl.lastPartitionReport = now
 	maxBatchBytes := zl.oplog.MaxBatchBytes()
-	// Each part ends between two varints, so it may not be full.
+	// Parts are split between varints, so a part may stay up to the length of a varint below maxBatchBytes.
 	room := (maxBatchBytes - binary.MaxVarintLen32) * zl.oplog.MaxPartitionedNodeParts()
 	parts := splitVarints(zl.keepalives.clearedMachines.encode(zl.replica.model, now, room), maxBatchBytes)
 	record := oplog.PartitionedNode{
