--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -16,9 +16,9 @@
 // probeInterval is the interval between the readiness probes of a controller.
 const probeInterval = time.Second
 
-// ServeBalancer starts to emulate the load balancer of a development deployment, and returns. The load balancer
-// forwards the requests that users send to an address to controllers that are ready, and passes every job and response
-// to the invariant checker.
+// ServeBalancer starts the emulated load balancer of a development deployment on an address, and returns. The load
+// balancer forwards users' requests to controllers that are ready, and passes every submitted job and every response to
+// the invariant checker.
 func (e *Environment) ServeBalancer(ctx context.Context, addr string) error {
 	ln, err := e.networkOf("balancer").Listen(addr)
 	if err != nil {
@@ -87,7 +87,8 @@
 	}
 }
 
-// readyControllers returns the controllers that are ready, in round-robin order.
+// readyControllers returns the indices of the controllers that are ready. The search for them starts one index further
+// at each call (round-robin).
 func (b *loadBalancer) readyControllers() (ready []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -91,8 +91,9 @@
 }
 
 // canPlaceNext reports whether there is room for the next task of a job, or for all tasks of a gang. quotaLeft is the
-// number of CPUs that the team may still use; it is ignored if the team is unlimited. For gangs the result is that of a
-// simple heuristic, which may miss a possible placement but never reports an impossible one.
+// number of CPUs that the team may still use; it is ignored if the team is unlimited. Only CPUs and memory are
+// considered, not GPUs. For gangs the result is that of a simple heuristic, which may miss a possible placement but
+// reports none that CPUs or memory rule out.
 func (j *jobRecord) canPlaceNext(free []freeCapacity, quotaLeft float64, unlimited bool) bool {
 	spec := j.spec
 	needed := 1
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -67,7 +67,8 @@
 	c.maxMachines = maxMachines
 }
 
-// SetOutage starts or ends an outage, in which the cloud API answers all requests with 503.
+// SetOutage starts or ends an outage, in which the cloud API answers well-formed requests with 503. Deletions that are
+// delayed by DelayDeletions are executed nevertheless.
 func (c *Cloud) SetOutage(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,8 +222,9 @@
 	return true
 }
 
-// handleRequest calls buildResponse with c.mu locked, unless there is an outage, and responds with its result, unless
-// the response is dropped (see DropResponses). A nil result means that there is no capacity.
+// handleRequest calls buildResponse with c.mu locked, and either responds with its result or drops the response (see
+// DropResponses). A nil result means that there is no capacity. During an outage it responds with 503 instead, without
+// calling buildResponse.
 func (c *Cloud) handleRequest(w http.ResponseWriter, buildResponse func() any) {
 	time.Sleep(cloudLatency)
 	c.mu.Lock()
@@ -283,8 +285,8 @@
 }
 
 // scaleOut launches as many of the requested machines as capacity allows, and returns their names. A request with the
-// idempotency key of an earlier successful one gets the machines launched for that one. The result is nil if there
-// is no capacity.
+// idempotency key of an earlier successful request launches nothing and gets the names of that request's machines. The
+// result is nil if there is no capacity.
 func (c *Cloud) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) any {
 	if names, ok := c.machinesByRequest[request.IdempotencyKey]; ok {
 		return &wire.MachineNames{Machines: names}
@@ -340,8 +342,8 @@
 	return name
 }
 
-// randomBootDuration returns the boot time of the machine launched last. Without boot faults, it is 0.6 to 1.5 times
-// the usual boot time of the machine's type.
+// randomBootDuration returns a random boot time for a worker's machine, which must be the machine launched last.
+// Without boot faults, it is 0.6 to 1.5 times the usual boot time of the machine's type.
 func (c *Cloud) randomBootDuration(worker *Worker) time.Duration {
 	d := time.Duration(c.machineType(worker.Type).BootS * (0.6 + 0.9*worker.rng.Float64()) * float64(time.Second))
 	if c.bootSlowdown > 0 {
--- a/internal/emulator/heartbeat_copies.go
+++ b/internal/emulator/heartbeat_copies.go
@@ -9,7 +9,8 @@
 	"fieldhill/wire"
 )
 
-// maxRetainedHeartbeats is the maximum number of heartbeat copies retained for replay to the next leader.
+// maxRetainedHeartbeats is the maximum number of heartbeat copies, besides the newest, retained for replay to the next
+// leader.
 const maxRetainedHeartbeats = 500
 
 // copyTimeout is the time that the sender of a copy waits for the response.
--- a/internal/emulator/invariant_queries.go
+++ b/internal/emulator/invariant_queries.go
@@ -55,8 +55,8 @@
 	return job != nil && job.done[k]
 }
 
-// StartsAfterCancel returns the number of task starts after the cancellation of the job was confirmed. The protocol
-// allows such starts for a limited time; later ones are also recorded as violations.
+// StartsAfterCancel returns the number of task starts of jobs whose cancellation was already confirmed. The protocol
+// allows such starts for a limited time; later starts are recorded as violations, too.
 func (c *InvariantChecker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -76,11 +76,11 @@
 	stateChangedAt  time.Time      // when the state known to users last changed
 	submittedAt     time.Time      // when the job's user first tried to submit it
 	startedAt       time.Time      // when the first task started, or the last one of a gang; zero until then
-	// unansweredSince is the time of the first of the latest polls that all failed, once faults are over; zero if the
-	// latest poll was answered.
+	// unansweredSince is when the current series of failed polls began, once faults are over; zero if the latest poll
+	// was answered.
 	unansweredSince time.Time
-	// placeableSince is the time since which the job has been waiting, once faults are over, although there is room for
-	// its next task and its team is below its limit; zero if this is not the case.
+	// placeableSince is when the current period began in which the job has been pending although canPlaceNext is true
+	// for it, once faults are over; zero outside such periods.
 	placeableSince       time.Time
 	replicaUpSeconds     float64 // time that replicas were up after replicaStartupGrace, summed over replicas
 	replicaWantedSeconds float64 // time that replicas should have been up after replicaStartupGrace, over all replicas
@@ -145,7 +145,9 @@
 	return nil
 }
 
-// RecordStart records that a task starts on a machine, and checks that the task may run there.
+// RecordStart records that a task starts on a machine. It checks that the job was submitted and may use the machine,
+// that the task is on no machine yet, that maxCancelDuration has not passed since a cancellation, and that the team
+// stays within its limits.
 func (c *InvariantChecker) RecordStart(task string, worker *Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +205,7 @@
 	}
 }
 
-// allowsMachine reports whether a job may use machines of a type, zone and kind.
+// allowsMachine reports whether a job may use machines of a type and zone, either spot or on-demand ones.
 func allowsMachine(s *wire.JobSpec, machineType, zone string, spot bool) bool {
 	return (s.Types == nil || slices.Contains(s.Types, machineType)) &&
 		(s.Zone == nil || *s.Zone == zone) &&
@@ -265,8 +267,8 @@
 	}
 }
 
-// Check checks that tasks of cancelled jobs leave their machines in time, and that the checker's own usage sums are
-// correct. It also accumulates the replica times, for which it must be called every checkInterval.
+// Check checks that tasks of cancelled jobs leave their machines within maxCancelDuration, and that the checker's own
+// usage sums are correct. It also accumulates the replica times, for which it must be called every checkInterval.
 func (c *InvariantChecker) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -362,7 +364,8 @@
 	c.recordState(job, operation, before, status)
 }
 
-// deniesAcceptedJob reports whether a status code is one that requests about an accepted job must never get.
+// deniesAcceptedJob reports whether a status code denies that the job was accepted. No response about an accepted job
+// may have such a code.
 func deniesAcceptedJob(operation string, code int) bool {
 	malformed := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
 	return code == http.StatusNotFound || operation == operationSubmit && malformed
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -44,10 +44,11 @@
 
 	outage       bool
 	refusedHosts map[string]bool // hosts whose requests are refused as in an outage
-	latency      time.Duration   // time before each response
+	latency      time.Duration   // time before each request is processed
 	txnFaults    txnFaults
-	delayedTxns  map[string]int // transactions applied late, by the kind of their first write
-	// droppedResponses counts the transactions selected by dropAfterCommitChance, by the kind of their first write.
+	delayedTxns  map[string]int // delayed transactions that have a write, by kind (see DelayedTxns)
+	// droppedResponses counts the committed transactions that have a write and were selected by dropAfterCommitChance,
+	// by kind (see DelayedTxns).
 	droppedResponses              map[string]int
 	requestLimiter, changeLimiter *rate.Limiter // nil: unlimited
 }
@@ -74,7 +75,7 @@
 	expiresAt time.Time
 }
 
-// change is one watch event.
+// change is a change of one key, as reported to watches.
 type change struct {
 	key     string
 	value   msgpack.RawMessage // nil: deleted
@@ -92,7 +93,8 @@
 	}
 }
 
-// SetOutage starts or ends an outage. Leases do not expire during an outage, and have their full TTL when it ends.
+// SetOutage starts or ends an outage. Leases do not expire during an outage; when it ends, each lease is valid for its
+// full TTL again.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +111,8 @@
 	s.setTxnFaults(share, 0, minTxnDelay, maxExtraDelay)
 }
 
-// setTxnFaults sets the probabilities that a response or a whole request is lost, and the delay after which a
-// transaction whose response is lost is applied.
+// setTxnFaults sets dropResponseChance and dropRequestChance, and the range of the delays of transactions that are
+// applied late.
 func (s *KVStore) setTxnFaults(dropResponse, dropRequest float64, minDelay, maxExtraDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,30 +122,32 @@
 	s.txnFaults.maxExtraDelay = maxExtraDelay
 }
 
-// DropResponses makes the store apply a share of the transactions at once without sending the response: the client
-// waits until its timeout, or its connection is closed.
+// DropResponses makes the store apply a share of the transactions at once without sending the response. At random, the
+// connection is either closed at once or held open until the client gives up, at most for droppedResponseHold.
 func (s *KVStore) DropResponses(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnFaults.dropAfterCommitChance = share
 }
 
-// DroppedResponses returns the number of responses dropped by DropResponses, by transaction kind as in DelayedTxns.
+// DroppedResponses returns the number of committed transactions that have a write and whose responses were dropped
+// because of DropResponses, by kind as in DelayedTxns.
 func (s *KVStore) DroppedResponses() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.droppedResponses)
 }
 
-// DelayedTxns returns the number of transactions applied late, by kind: the operation and the first two path segments
-// of the key that it wrote or deleted first.
+// DelayedTxns returns the number of delayed transactions that have a write, by kind. The kind of a transaction is the
+// operation of its first write, put or delete, and the first two path segments of that write's key.
 func (s *KVStore) DelayedTxns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.delayedTxns)
 }
 
-// txnKind returns the kind of a transaction, given the key that its first write puts, or else deletes.
+// txnKind returns the kind of a transaction, given the key that its first write puts or, if putKey is empty, the key
+// that the write deletes.
 func txnKind(putKey, deletedKey string) string {
 	key, operation := putKey, "put "
 	if putKey == "" {
@@ -153,8 +157,8 @@
 	return operation + strings.Join(parts[:min(2, len(parts))], "/")
 }
 
-// RefuseHost starts or stops answering the requests of one host with 503 while the other hosts are served. Meanwhile
-// the open watches of the host wait and its leases expire.
+// RefuseHost starts or stops refusing the requests of one host with 503, while the other hosts are served. While the
+// host is refused, its watches get no response, and its leases expire because they are not renewed.
 func (s *KVStore) RefuseHost(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +168,7 @@
 	s.refusedHosts[host] = on
 }
 
-// SetLatency sets the latency of every response.
+// SetLatency sets the time that the store waits before it processes a request.
 func (s *KVStore) SetLatency(latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +184,8 @@
 	s.changeLimiter = rate.NewLimiter(rate.Limit(changesPerSecond), int(changesPerSecond))
 }
 
-// WriteStats returns the number of changes requested, and the highest number of keys that the store has held at once.
+// WriteStats returns the number of writes in transactions, also if their conditions failed, and the highest number of
+// keys that the store has held at once.
 func (s *KVStore) WriteStats() (writes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,7 +270,8 @@
 	return payload{"items": items, "truncated": len(items) < len(keys), "ledger": s.revision}
 }
 
-// apply commits a transaction if its conditions hold, and returns the status code and body of the response.
+// apply commits a transaction, and returns the status code and body of the response. The transaction is rejected during
+// an outage, above the limit of changes, and if a lease is unknown or a condition does not hold.
 func (s *KVStore) apply(txn *rawTxn) (int, payload) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/kvstore_http.go
+++ b/internal/emulator/kvstore_http.go
@@ -75,7 +75,8 @@
 	_, _ = w.Write(b)
 }
 
-// handle serves any request to the store after the set latency, unless a rate limit or an outage prevents it.
+// handle processes a request to the store, after the latency set by SetLatency. It responds with 429 above the request
+// limit and, except to watches, with 503 if the request is refused.
 func (s *KVStore) handle(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body) // a truncated body fails to decode
 	s.mu.Lock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// isRefused reports whether there is an outage for all hosts or for the client host of a request.
+// isRefused reports whether the store has an outage or refuses the requests of the host that sent the given request.
 func (s *KVStore) isRefused(r *http.Request) bool { return s.outage || s.refusedHosts[remoteHost(r)] }
 
 func (s *KVStore) handleGet(w http.ResponseWriter, key string) {
@@ -140,7 +141,8 @@
 // kind returns the kind of the transaction (see txnKind). The transaction must have at least one write.
 func (t *rawTxn) kind() string { return txnKind(t.Writes[0].Put, t.Writes[0].Delete) }
 
-// handleTxn applies a transaction and responds with the result, unless a fault is injected.
+// handleTxn applies a transaction and responds with the result, unless one of the faults in txnFaults is selected at
+// random.
 func (s *KVStore) handleTxn(w http.ResponseWriter, body []byte, clientGone <-chan struct{}) {
 	var txn rawTxn
 	if err := wire.Unmarshal(body, &txn); err != nil {
@@ -192,8 +194,8 @@
 	s.droppedResponses[txn.kind()]++
 }
 
-// applyDelayed applies a transaction after a delay, when its client may have timed out already. It counts the
-// transaction in delayedTxns if it has a write.
+// applyDelayed applies a transaction after a delay, during which its client may time out. It counts the transaction in
+// delayedTxns if it has a write.
 func (s *KVStore) applyDelayed(txn *rawTxn, delay time.Duration) {
 	time.Sleep(delay)
 	s.apply(txn)
@@ -209,7 +211,8 @@
 }
 
 // handleWatch handles a watch, which is a long poll: it responds with the changes after a revision as soon as there are
-// any, or with an empty list after hold_ms. During an outage, open watches get no response.
+// any, or with an empty list after hold_ms. If some of the changes have been discarded, it responds with 410. Other
+// responses are withheld while the client is refused (see isRefused).
 func (s *KVStore) handleWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Freeze stops a host from sending, receiving and connecting for a duration, while its clock continues. Data sent to it
-// is delivered afterwards.
+// Freeze stops a host from sending, receiving and connecting for a duration, while its clock continues. Data sent to
+// the host is delivered after this time.
 func (n *Network) Freeze(host string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,7 +73,7 @@
 // RemoteAddr returns the name of the dialing host at the listener's end, and the dialed address at the other end.
 func (c *hostConn) RemoteAddr() net.Addr { return memAddr(c.peer) }
 
-// Read reads data. Data that arrives while the host is frozen is returned when the host is not frozen any more.
+// Read reads data. Data that arrives while the host is frozen is returned when the freeze has ended.
 func (c *hostConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.network.waitUntilThawed(c.host)
@@ -155,7 +155,7 @@
 // Host returns the network interface of a new process on the named host.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// errProcessTerminated is returned by all network operations of a terminated process.
+// errProcessTerminated is returned by Listen and Dial of a terminated process.
 var errProcessTerminated = errors.New("emulator: network operation of a terminated process")
 
 // Causes of failed Listen and Dial calls. The returned errors wrap them and name the operation and the address.
@@ -212,7 +212,8 @@
 	return l, nil
 }
 
-// Dial connects to an address. If a partition separates the host from the address, it blocks until the timeout.
+// Dial connects to an address. During a partition of the host from the address, it fails when the timeout has passed or
+// the context ends.
 func (h *Host) Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	h.network.waitUntilThawed(h.name)
--- a/internal/emulator/served_counts.go
+++ b/internal/emulator/served_counts.go
@@ -17,8 +17,8 @@
 )
 
 // CompletionCounts counts the submitted jobs of a class or team, and how many of them started and completed. It
-// includes jobs that were not accepted, and excludes jobs cancelled by their users. Services don't complete; for them
-// it sums the time that replicas were up and the time that they should have been.
+// includes jobs that were not accepted, and excludes jobs cancelled by their users. Services don't complete; instead,
+// the time that their replicas were up and the time that they should have been up are summed.
 type CompletionCounts struct {
 	Jobs, Started, Done                    int
 	Tasks, TasksDone                       int
@@ -92,8 +92,8 @@
 // maxLargestJobWait is the time within which even the largest jobs should start.
 const maxLargestJobWait = 4 * time.Minute
 
-// LargestJobStats describes how the largest jobs of a class were served: the jobs with the most tasks, and the tenth of
-// the jobs with the highest resource demand.
+// LargestJobStats describes how the largest jobs of a class were served: the jobs with the most tasks, and the top
+// tenth of the jobs by resource demand.
 type LargestJobStats struct {
 	Jobs, Started int
 	Late          int           // jobs that started after maxLargestJobWait, or are still waiting after it
@@ -108,8 +108,8 @@
 	return float64(j.spec.Tasks) * (j.spec.CPUs + gpuWeight*j.spec.GPUs)
 }
 
-// LargestByClass returns the statistics of the largest jobs of each class. It considers accepted jobs that their users
-// did not cancel and submitted at least minAge ago.
+// LargestByClass returns the statistics of the largest jobs of each class. It considers the accepted jobs that were
+// submitted at least minAge ago and whose cancellation was not requested.
 func (c *InvariantChecker) LargestByClass(minAge time.Duration) map[string]*LargestJobStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -14,7 +14,7 @@
 
 	mu            sync.Mutex
 	fetchDuration time.Duration
-	runtimeFactor float64         // ratio of actual to estimated runtime of tasks; 0 means 1
+	runtimeFactor float64         // factor on the estimated runtime of tasks; 0 means 1
 	failingJobs   map[string]bool // jobs whose tasks fail on every machine
 }
 
@@ -52,14 +52,16 @@
 	return b.fetchDuration
 }
 
-// SetRuntimeFactor sets the ratio of the actual runtime of tasks to the owner's estimate.
+// SetRuntimeFactor sets a factor on the owners' estimates of the runtime of tasks. Workers draw the actual runtimes
+// from the range around the resulting values.
 func (b *taskBehavior) SetRuntimeFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runtimeFactor = factor
 }
 
-// taskDuration returns how long a task runs, given its owner's estimate in seconds.
+// taskDuration returns the owner's estimate of a task's runtime, given in seconds, times the runtime factor. The worker
+// multiplies it by a random factor from 0.7 to 1.7.
 func (b *taskBehavior) taskDuration(estimateS float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -44,15 +44,15 @@
 	u.cancelAtEndChance = probability
 }
 
-// CancelledAtEnd returns the number of jobs that users cancelled as the last task ended.
+// CancelledAtEnd returns the number of jobs that users cancelled as the last task of the job ended.
 func (u *userGroup) CancelledAtEnd() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.cancelledAtEnd
 }
 
-// onTaskEnding is called just before a task completes. If it is the last task of its job, the job is cancelled with the
-// probability set by CancelAtEnd.
+// onTaskEnding is called just before a task completes. If it is the last task of its job, a user cancels the job less
+// than 30 ms later, with the probability set by CancelAtEnd.
 func (u *userGroup) onTaskEnding(task string) {
 	u.mu.Lock()
 	selected := u.random.chanceIfSet(u.cancelAtEndChance)
@@ -89,8 +89,8 @@
 	}
 }
 
-// Submit submits a job. It retries until the job is accepted or rejected as malformed or unschedulable, or until
-// maxUserAttempts, and returns the last status code.
+// Submit submits a job. It retries until the job is accepted or rejected as malformed or unschedulable, but at most
+// maxUserAttempts times, and returns the last status code.
 func (u *userGroup) Submit(spec *wire.JobSpec) int {
 	u.checker.RegisterJob(spec)
 	body, err := wire.Marshal(spec)
@@ -100,7 +100,7 @@
 	return u.retryUntilFinal(operationSubmit, spec.ID, body)
 }
 
-// Cancel cancels a job, retrying like Submit.
+// Cancel cancels a job. It retries like Submit, until the response is final; 404 is final too.
 func (u *userGroup) Cancel(id string) int { return u.retryUntilFinal(operationCancel, id, nil) }
 
 func (u *userGroup) retryUntilFinal(operation, id string, body []byte) int {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -31,7 +31,7 @@
 	cachedImages    map[string]bool
 	controllerIndex int // controller that receives the heartbeats
 
-	hungUntil           time.Time     // the agent and the tasks make no progress until then
+	hungUntil           time.Time     // until this time, the agent and the tasks make no progress
 	failAllTasks        bool          // every task that runs on the machine fails
 	inboundPartitioned  bool          // heartbeats arrive; responses and commands are lost
 	outboundPartitioned bool          // heartbeats are lost; commands and probes arrive
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -7,10 +7,10 @@
 	"fieldhill/wire"
 )
 
-// Hang suspends the machine for a duration. It does nothing if the machine hangs already, and it advances the tasks
-// before each hang. Otherwise consecutive hangs could be longer than the time within which a cancellation must take
-// effect, which no service can prevent while the key-value store is unavailable. The protocol excludes such hangs: a
-// machine that hangs resumes within its lease or not at all.
+// Hang suspends the machine for a duration. It does nothing if the machine already hangs, and it advances the tasks
+// before each hang. Otherwise consecutive hangs could together be longer than the time within which a cancellation must
+// take effect, which no service can prevent while the key-value store is unavailable. The protocol excludes such hangs:
+// a machine that hangs resumes within its lease or not at all.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,8 +80,8 @@
 }
 
 // Reboot ends the machine's agent and all tasks, and starts the agent again under the same name. The protocol does not
-// define the values of the agent's counters after a reboot: the epoch increases and the others continue or, with
-// resetCounters, all start again as on a new machine, with epoch 1.
+// define the values of the agent's counters after a reboot. Without resetCounters, the epoch increases and the other
+// counters continue; with resetCounters, the epoch is 1 and the others are 0. A terminated machine is not rebooted.
 func (w *Worker) Reboot(resetCounters bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -98,9 +98,9 @@
 	respond(rw, code, w.buildHeartbeat())
 }
 
-// executeDelayed executes direct commands after a delay, if the fencing token and the epoch are still valid then.
-// Commands are dropped if the machine was rebooted during the delay, since a reboot closes the connections on which
-// they were sent, or if the machine was deleted or is in an inbound partition.
+// executeDelayed executes direct commands after a delay, if their fencing token and epoch are still valid after the
+// delay. Commands are dropped if the machine was rebooted during the delay, since a reboot closes the connections on
+// which they were sent, or if the machine was deleted or is in an inbound partition.
 func (w *Worker) executeDelayed(batch *wire.CommandBatch, delay time.Duration) {
 	w.mu.Lock()
 	incarnation := w.incarnation
@@ -215,8 +215,9 @@
 	}
 }
 
-// handleResponse handles the response to a heartbeat, or the error in place of one. After a response with valid fencing
-// token and epoch, it renews the lease and executes the commands; after an error, it selects another controller.
+// handleResponse handles the response to a heartbeat, or the error that occurred instead. After a response with a valid
+// fencing token and epoch, it renews the lease and executes the commands; after an error, it selects another
+// controller.
 func (w *Worker) handleResponse(
 	attempt *heartbeatAttempt, response *wire.HeartbeatResponse, err error, next *time.Time,
 ) {
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -133,8 +133,8 @@
 	return found
 }
 
-// stopTask ends a task, after writing a checkpoint if the grace period is long enough for that. A stop without a grace
-// period also ends a task that is writing a checkpoint.
+// stopTask ends a task. A running task writes a checkpoint first if its job uses checkpoints and the grace period is
+// long enough for the write. A stop without a grace period also ends a task that is writing a checkpoint.
 func (w *Worker) stopTask(t *taskAttempt, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
@@ -150,7 +150,8 @@
 	}
 }
 
-// startTask starts to fetch a task's image, unless the machine can't run the task.
+// startTask adds a task to the machine, which first fetches the task's image. The task ends at once if its job is
+// unknown or the machine can't run it.
 func (w *Worker) startTask(command wire.Command) {
 	w.heartbeatDue = true
 	t := &taskAttempt{
