--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -112,7 +112,7 @@
 }
 
 // newEnvironment starts the emulated platform. Controllers that are started in the returned environment run as child
-// processes; if one can't be started, the context is cancelled with the error.
+// processes; if one can't be started, cancel is called with the error.
 func (c *cli) newEnvironment(ctx context.Context, cancel context.CancelCauseFunc) (*emulator.Environment, error) {
 	metricsAddrs, adminAddrs := map[string]string{}, map[string]string{}
 	for i := range controllerCount {
--- a/cmd/fieldhill/admin.go
+++ b/cmd/fieldhill/admin.go
@@ -28,8 +28,8 @@
 // smaller.
 const maxAdminBody = 1 << 20
 
-// get sends a request and decodes the response into out. With --json it prints the response instead of decoding it, and
-// printed is true.
+// get sends a GET request to the admin API and decodes the response into out. With --json it instead prints the
+// response and returns true.
 func (a *adminAPIFlags) get(path string, out any) (printed bool, err error) {
 	resp, body, err := roundTrip(a.Addr, http.MethodGet, path, nil, a.Timeout, maxAdminBody)
 	if err != nil {
--- a/cmd/fieldhill/client.go
+++ b/cmd/fieldhill/client.go
@@ -21,7 +21,7 @@
 	exitRetry   = 3 // temporary error: the request may be retried
 )
 
-// exitError is an error with an exit code of the program, by which scripts decide whether to retry.
+// exitError is an error with an exit code of the program, which tells scripts whether to retry.
 type exitError struct {
 	code int
 	text string
--- a/cmd/fieldhill/main.go
+++ b/cmd/fieldhill/main.go
@@ -103,7 +103,8 @@
 	}
 	logLevel, _ := parseLogLevel(s.LogLevel)
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel}))
-	// memory_mb limits all memory of the process, not only the Go heap, so the heap limit must be well below memory_mb.
+	// memory_mb limits all memory of the process, not only that managed by the Go runtime, so the limit of the runtime
+	// must be well below memory_mb.
 	debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryMB * 0.55 * (1 << 20)))
 	if share := settings.Params.Limits.CPUShare; share < 1.5 {
 		runtime.GOMAXPROCS(1) // more threads than the CPU share only cause context switches
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -64,7 +64,7 @@
 	JSON    string `name:"json" type:"path" help:"File to which the report is also written as JSON."`
 }
 
-// Run runs the profile and prints the report. It returns an error if a rule of the protocol was broken.
+// Run runs the profile and prints the report. It returns an error if the report has violations of the protocol's rules.
 func (c *runCmd) Run(ctx context.Context) error {
 	profile, err := scale.LoadProfile(c.Profile)
 	if err != nil {
@@ -87,7 +87,7 @@
 		}
 	}
 	if len(report.Violations) > 0 {
-		return fmt.Errorf("%d rules were broken", len(report.Violations))
+		return fmt.Errorf("run %s: %d violations of the protocol's rules", c.Profile, len(report.Violations))
 	}
 	return nil
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -92,7 +92,7 @@
 }
 
 // RoundTrip checks a format in both directions: write must encode want as the stored bytes, read must decode the stored
-// bytes as want, and a change of any one byte must be detected.
+// bytes as want, and CheckDetectsByteChanges must pass.
 func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, write(want))
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -68,7 +68,8 @@
 	return s
 }
 
-// countLostLeases counts the lease expiries of the current workers. Each expiry starts a new agent epoch.
+// countLostLeases counts the lease expiries of the current workers. It computes them from the agent epochs, which begin
+// at 1 and increase with each expiry, and so also counts the reboots that injectFailures causes.
 func (r *region) countLostLeases() (expired int) {
 	for _, w := range r.environment.Cloud.Workers() {
 		if heartbeat := w.LastHeartbeat(); heartbeat != nil {
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -163,7 +163,7 @@
 	once    sync.Once
 }
 
-// enqueue queues a connection for the worker and reports false if the queue is full.
+// enqueue queues a connection for the worker. It returns false, without queueing the connection, if the queue is full.
 func (l *workerListener) enqueue(c net.Conn) bool {
 	select {
 	case l.conns <- c:
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -36,7 +36,7 @@
 	Limits   Limits   `toml:"limits" json:"limits"`
 }
 
-// Starts is the requested rate of task starts over time.
+// Starts describes the requested rate of task starts and its change over time.
 type Starts struct {
 	PerS float64 `toml:"per_s" json:"per_s"`
 	// Shape is shapeSteady, shapeRamp or shapeBurst.
@@ -48,7 +48,7 @@
 // Shapes of the rate of task starts over time.
 const (
 	shapeSteady = "steady"
-	shapeRamp   = "ramp"  // grows linearly from 0 to the full rate
+	shapeRamp   = "ramp"  // grows linearly from 0 to the full rate over the warm-up and the measurement
 	shapeBurst  = "burst" // the full rate in the middle third of the measurement, a fifth of it otherwise
 )
 
@@ -151,7 +151,7 @@
 	value, min, max float64
 }
 
-// ranges lists the fields that have a valid range.
+// ranges lists the fields whose values must be in a fixed range or in one that depends on other fields.
 func (p *Profile) ranges() []fieldRange {
 	workers := float64(p.Workers)
 	failures := &p.Failures
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -77,8 +77,8 @@
 	accepted, abandoned atomic.Int64
 }
 
-// startRegion starts a region's controllers and emulators, without submitting jobs. If it fails after some of them were
-// started, it returns the region together with the error.
+// startRegion starts a region's controllers and emulators, without submitting jobs. If it fails after it began to start
+// the controllers, it returns the region together with the error.
 func startRegion(ctx context.Context, profile *Profile, index, netByte int, program, dir string) (*region, error) {
 	regionNetwork, err := newNetwork(ctx, netByte)
 	if err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -25,7 +25,8 @@
 	maxStealShare = 0.1
 )
 
-// Run executes a profile. Before it returns, also if the context is cancelled, it stops everything that it started.
+// Run executes a profile. It stops everything that it started before it returns, even if it fails or the context is
+// cancelled.
 func Run(ctx context.Context, p Profile, o Options) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	return newReport(p, regions, before, after, lag), nil
 }
 
-// startRegions starts all regions. If it fails, it returns the regions that are running together with the error.
+// startRegions starts all regions. If it fails, it returns the regions started so far together with the error.
 func startRegions(ctx context.Context, p *Profile, o Options) (regions []*region, err error) {
 	if o.FirstNetByte == 0 {
 		o.FirstNetByte = defaultNetByte
--- a/internal/scale/workload.go
+++ b/internal/scale/workload.go
@@ -102,7 +102,8 @@
 // finishedJobsPerS is the rate at which submitFinishedBefore submits jobs.
 const finishedJobsPerS = 120
 
-// submitFinishedBefore submits the short jobs that have to finish before the measurement begins.
+// submitFinishedBefore submits the short jobs that are to finish before the measurement begins (see
+// Profile.FinishedBefore).
 func (r *region) submitFinishedBefore(ctx context.Context) {
 	for range r.profile.regionShare(r.profile.FinishedBefore, r.index) {
 		sleep(ctx, time.Second/finishedJobsPerS)
@@ -110,7 +111,8 @@
 	}
 }
 
-// injectFailures injects each kind of failure of the profile at random times.
+// injectFailures injects each kind of failure at random intervals, with the profile's mean rate, from the end of the
+// warm-up.
 func (r *region) injectFailures(ctx context.Context) {
 	f, regions := r.profile.Failures, float64(r.profile.Regions)
 	for _, failure := range []struct {
@@ -149,7 +151,8 @@
 	return fmt.Sprintf("zone-%d-%d", r.index, int(r.randomFloat()*float64(r.profile.ZonesPerRegion)))
 }
 
-// sampleWorkers returns up to n running workers, starting at a random one, of one zone or of all zones if zone is "".
+// sampleWorkers returns up to n workers of existing machines, starting at a random one. If zone is not "", it returns
+// only workers of that zone.
 func (r *region) sampleWorkers(n int, zone string) (sample []*emulator.Worker) {
 	workers := r.environment.Cloud.Workers()
 	offset := int(r.randomFloat() * float64(len(workers)))
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -23,7 +23,7 @@
 	Executable   string // path of the controller executable
 	Dir          string // directory for settings and logs
 	RestartDelay time.Duration
-	// OnEvent, if not nil, is called with a line of text at each start and exit.
+	// OnEvent, if not nil, is called with a line of text at each start, and at each exit before the context ends.
 	OnEvent func(string)
 
 	mu        sync.Mutex
@@ -36,8 +36,8 @@
 	}
 }
 
-// Run runs a controller and restarts it when it exits, until the context ends; it then returns nil. An error means that
-// the controller could not be started.
+// Run runs a controller and restarts it when it exits, until the context ends. An error means that the settings or the
+// log file could not be written, or that the process could not be started.
 func (s *Supervisor) Run(ctx context.Context, settings *config.Settings, args ...string) (err error) {
 	node := settings.Node
 	encoded, err := toml.Marshal(settings)
@@ -56,7 +56,7 @@
 	for {
 		cmd := exec.CommandContext(ctx, s.Executable, append([]string{"--config", settingsPath}, args...)...)
 		cmd.Stderr = logFile
-		// In a separate process group the controller does not receive Ctrl-C; this process kills it when the context
+		// In a separate process group, the controller does not receive Ctrl-C; CommandContext kills it when the context
 		// ends.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
