--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -60,7 +60,7 @@
 	return c.faultsOver
 }
 
-// checkPlaceableJobs records a violation for each accepted job that canPlaceNext has reported as placeable for longer
+// checkPlaceableJobs records a violation for each pending job that canPlaceNext has reported as placeable for longer
 // than maxUnusedCapacityDuration, given the free capacity of the machines.
 func (c *InvariantChecker) checkPlaceableJobs(free []freeCapacity) {
 	c.mu.Lock()
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -50,7 +50,7 @@
 // Addresses holds the listen addresses of a deployment.
 type Addresses struct {
 	Store, Cloud string
-	Users, Peers func(controller int) string // where a controller serves users and agents, and other controllers
+	Users, Peers func(controller int) string // Users: serves users and agents; Peers: serves other controllers
 	Worker       func(machine int) string    // of the agent of a machine
 }
 
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -47,7 +47,8 @@
 }
 
 // RecordUnanswered records that a poll of a job got no response, or one with an error status. Once faults are over, it
-// records a violation if all polls of an accepted job have failed for longer than maxUnansweredDuration.
+// records a violation if all polls of an accepted job whose cancellation was not requested have failed for longer than
+// maxUnansweredDuration.
 func (c *InvariantChecker) RecordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +80,8 @@
 	// unansweredSince is when the current series of failed polls began, once faults are over; zero if the latest poll
 	// was answered.
 	unansweredSince time.Time
-	// placeableSince is when the current period began in which the job has been pending although canPlaceNext is true
-	// for it, once faults are over; zero outside such periods.
+	// placeableSince is when the job last became placeable, that is pending with canPlaceNext true, once faults are
+	// over; zero while it is not placeable. A task start resets it.
 	placeableSince       time.Time
 	replicaUpSeconds     float64 // time that replicas were up after replicaStartupGrace, summed over replicas
 	replicaWantedSeconds float64 // time that replicas should have been up after replicaStartupGrace, over all replicas
@@ -146,8 +147,8 @@
 }
 
 // RecordStart records that a task starts on a machine. It checks that the job was submitted and may use the machine,
-// that the task is on no machine yet, that maxCancelDuration has not passed since a cancellation, and that the team
-// stays within its limits.
+// that the task is on no machine yet, that maxCancelDuration has not passed since the job's cancellation was confirmed,
+// and that the team stays within its limits.
 func (c *InvariantChecker) RecordStart(task string, worker *Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -158,7 +158,7 @@
 }
 
 // RefuseHost starts or stops refusing the requests of one host with 503, while the other hosts are served. While the
-// host is refused, its watches get no response, and its leases expire because they are not renewed.
+// host is refused, its watches get no response other than 410, and its leases expire because they are not renewed.
 func (s *KVStore) RefuseHost(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -52,16 +52,16 @@
 	return b.fetchDuration
 }
 
-// SetRuntimeFactor sets a factor on the owners' estimates of the runtime of tasks. Workers draw the actual runtimes
-// from the range around the resulting values.
+// SetRuntimeFactor sets a factor on the owners' estimates of the runtime of tasks. The actual runtime of a task also
+// depends on a random factor (see taskDuration).
 func (b *taskBehavior) SetRuntimeFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runtimeFactor = factor
 }
 
-// taskDuration returns the owner's estimate of a task's runtime, given in seconds, times the runtime factor. The worker
-// multiplies it by a random factor from 0.7 to 1.7.
+// taskDuration returns the owner's estimate of a task's runtime, given in seconds, times the runtime factor. The actual
+// runtime is the result times a random factor from 0.7 to 1.7, which the worker chooses.
 func (b *taskBehavior) taskDuration(estimateS float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -39,7 +39,8 @@
 	delayedCommands     int           // number of delayed command requests
 }
 
-// taskAttempt is one attempt of a task on a machine. It is kept until a controller sends a forget command.
+// taskAttempt is one attempt of a task on a machine. It is kept until a controller sends a forget command for the ended
+// attempt, the lease expires or the machine reboots.
 type taskAttempt struct {
 	id                string
 	attempt           uint64
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -28,8 +28,8 @@
 // them.
 func Updating() bool { return *update }
 
-// Check fails the test unless got equals the content of testdata/golden/NAME. Files with the extension .hex are stored
-// as hex dumps.
+// Check fails the test unless got equals the content of testdata/golden/NAME. With -update it writes got to the file
+// instead. Files with the extension .hex are stored as hex dumps.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -151,7 +151,7 @@
 	value, min, max float64
 }
 
-// ranges lists the fields whose values must be in a fixed range or in one that depends on other fields.
+// ranges lists the fields that Check compares with a range. Some bounds depend on other fields.
 func (p *Profile) ranges() []fieldRange {
 	workers := float64(p.Workers)
 	failures := &p.Failures
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// perSecond returns the summed rate of counters. A counter that a restart has reset counts as 0.
+// perSecond returns the summed rate of counters. A counter that is lower than before, because a restart has reset it,
+// counts as 0.
 func perSecond(before, after metricSamples, seconds float64, names ...string) (sum float64) {
 	for _, name := range names {
 		sum += max(0, after[name]-before[name]) / seconds
