--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -31,7 +31,7 @@
 	cachedImages    map[string]bool
 	controllerIndex int // controller that receives the heartbeats
 
-	hungUntil           time.Time     // the agent and the tasks make no progress until then
+	hungUntil           time.Time     // until this time, the agent and the tasks make no progress
 	failAllTasks        bool          // every task that runs on the machine fails
 	inboundPartitioned  bool          // heartbeats arrive; responses and commands are lost
 	outboundPartitioned bool          // heartbeats are lost; commands and probes arrive
@@ -39,7 +39,8 @@
 	delayedCommands     int           // number of delayed command requests
 }
 
-// taskAttempt is one attempt of a task on a machine. It is kept until a controller sends a forget command.
+// taskAttempt is one attempt of a task on a machine. It is kept until a controller sends a forget command for the ended
+// attempt, the lease expires or the machine reboots.
 type taskAttempt struct {
 	id                string
 	attempt           uint64
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -28,8 +28,8 @@
 // them.
 func Updating() bool { return *update }
 
-// Check fails the test unless got equals the content of testdata/golden/NAME. Files with the extension .hex are stored
-// as hex dumps.
+// Check fails the test unless got equals the content of testdata/golden/NAME. With -update it writes got to the file
+// instead. Files with the extension .hex are stored as hex dumps.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
@@ -92,7 +92,7 @@
 }
 
 // RoundTrip checks a format in both directions: write must encode want as the stored bytes, read must decode the stored
-// bytes as want, and a change of any one byte must be detected.
+// bytes as want, and CheckDetectsByteChanges must pass.
 func RoundTrip[T any](t testing.TB, name string, want T, write func(T) []byte, read func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, write(want))
