--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -53,7 +53,7 @@
 	return api.Serve(ctx, listener, &api.ConnLimiter{MaxConns: MaxConns}, Handler(service), logger)
 }
 
-// encoding is the encoding for operators, and for requests between controllers on behalf of operators.
+// encoding converts results into responses for operators, and for controllers that request them on behalf of operators.
 var encoding = api.Encoding{
 	Marshal: json.Marshal,
 	Problem: func(reason string) any { return &wire.AdminProblem{Error: reason} },
--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -19,8 +19,8 @@
 // tasks is therefore released before that time is over, even if its zone is partitioned from the leader only, unless a
 // controller in the zone has just received a report of the machine that lists no such task.
 //
-// While the cloud is unavailable, it cannot confirm a release, and nothing is released for these reasons: the partition
-// may end first.
+// While the cloud is unavailable, it cannot confirm a release, and no machine is released because of its tasks: the
+// partition may end first.
 package health
 
 import (
--- a/internal/agents/health/isolation.go
+++ b/internal/agents/health/isolation.go
@@ -81,7 +81,7 @@
 	return max(time.Second, config.Seconds(12*r.HeartbeatS/float64(machines)))
 }
 
-// Reach describes from whom a leader receives messages.
+// Reach describes how recently a leader received heartbeats, and whether it reaches another controller.
 type Reach struct {
 	SinceHeartbeat   Time // time since the last heartbeat of any machine
 	SinceGracePeriod Time // time since the machines' grace period for finding this leader ended; negative before that
@@ -98,9 +98,10 @@
 	Resign                               // most heartbeats are missing after probes too: let another controller lead
 )
 
-// CheckIsolation detects that the machines of all zones are silent at once and don't respond to probes, while another
-// controller is reachable. In that case this leader has lost its connection to them, and their leases would expire if
-// it stayed the leader.
+// CheckIsolation detects that this leader has lost its connection to the machines. While another controller is
+// reachable, either no heartbeat at all has arrived for longer than silenceLimit or at least nine in ten machines are
+// silent, in two or more zones if there are several, and probes do not change this. If the leader did not resign, the
+// machines' leases would expire.
 func (d *Detector) CheckIsolation(rules *Rules, census *Census, reach Reach, now Time) IsolationAction {
 	total, silent := census.Totals()
 	minZones := min(2, rules.Zones) // a partition of the only zone looks like isolation of the leader
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -174,8 +174,8 @@
 // ErrMalformed is returned for a report that cannot be decoded.
 var ErrMalformed = errors.New("lease: malformed renewal report")
 
-// Append encodes a report. Ages are in milliseconds, rounded down so that no renewal appears older than it is. Machines
-// are sorted by name to make the encoding deterministic.
+// Append appends the encoded report to b. Ages are in milliseconds, rounded down so that no renewal appears older than
+// it is. Machines are sorted by name to make the encoding deterministic.
 func (r RenewalReport) Append(b []byte) []byte {
 	b = codec.Uint(codec.Uint(b, uint64(r.Age/time.Millisecond)), uint64(len(r.RenewalAges)))
 	for _, m := range slices.Sorted(maps.Keys(r.RenewalAges)) {
@@ -184,7 +184,7 @@
 	return b
 }
 
-// ReadReport decodes a report.
+// ReadReport decodes a report. The error, if any, is ErrMalformed.
 func ReadReport(b []byte) (RenewalReport, error) {
 	r := codec.Reader{Data: b}
 	report := RenewalReport{Age: milliseconds(r.Uint()), RenewalAges: map[string]Time{}}
--- a/internal/agents/relay/codec.go
+++ b/internal/agents/relay/codec.go
@@ -81,7 +81,7 @@
 	return b
 }
 
-// ReadHeartbeat decodes an agent's heartbeat.
+// ReadHeartbeat decodes an agent's heartbeat. The error, if any, is ErrMalformed.
 func ReadHeartbeat(b []byte) (*wire.Heartbeat, error) {
 	r := &codec.Reader{Data: b}
 	report := readReport(r)
@@ -118,7 +118,7 @@
 	return report
 }
 
-// AppendCommands appends the encoding of direct commands to an agent.
+// AppendCommands appends the encoding of a batch of direct commands for an agent to b.
 func AppendCommands(b []byte, batch *wire.CommandBatch) []byte {
 	b = codec.Uint(codec.Uint(b, batch.FencingToken), batch.AgentEpoch)
 	b = codec.Uint(b, uint64(len(batch.Commands)))
@@ -131,7 +131,7 @@
 	return b
 }
 
-// ReadCommands decodes direct commands to an agent.
+// ReadCommands decodes a batch of direct commands for an agent. The error, if any, is ErrMalformed.
 func ReadCommands(b []byte) (*wire.CommandBatch, error) {
 	r := &codec.Reader{Data: b}
 	batch := &wire.CommandBatch{FencingToken: r.Uint(), AgentEpoch: r.Uint()}
@@ -170,7 +170,7 @@
 	return b
 }
 
-// ReadCommandResult decodes a CommandResult.
+// ReadCommandResult decodes a CommandResult. The error, if any, is ErrMalformed.
 func ReadCommandResult(b []byte) (CommandResult, error) {
 	r := &codec.Reader{Data: b}
 	result := CommandResult{Outcome: uint8(r.Max(math.MaxUint8))}
@@ -192,7 +192,7 @@
 // Append appends the encoding of an offer to b.
 func (o Offer) Append(b []byte) []byte { return codec.Bool(codec.String(b, o.Node), o.HasCapacity) }
 
-// ReadOffer decodes an Offer.
+// ReadOffer decodes an Offer. The error, if any, is ErrMalformed.
 func ReadOffer(b []byte) (Offer, error) {
 	r := &codec.Reader{Data: b}
 	offer := Offer{Node: r.String(), HasCapacity: r.Bool()}
@@ -202,10 +202,11 @@
 	return offer, nil
 }
 
-// AppendOfferResponse appends the leader's response to an offer: whether the follower is to relay heartbeats.
+// AppendOfferResponse appends the encoding of the leader's response to an offer to b: whether the follower is to relay
+// heartbeats.
 func AppendOfferResponse(b []byte, accepted bool) []byte { return codec.Bool(b, accepted) }
 
-// ReadOfferResponse decodes the response to an Offer.
+// ReadOfferResponse decodes the leader's response to an Offer. The error, if any, is ErrMalformed.
 func ReadOfferResponse(b []byte) (accepted bool, err error) {
 	r := &codec.Reader{Data: b}
 	accepted = r.Bool()
--- a/internal/agents/staleness/staleness_test.go
+++ b/internal/agents/staleness/staleness_test.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// TestInboundPartition checks that a response counts as lost if the agent's next heartbeat does not carry its token.
+// TestInboundPartition checks that a response counts as lost if the agent's next heartbeat does not carry the token of
+// that response.
 func TestInboundPartition(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.Accept(newStamp(1, 1, 100), Fresh, 0, true)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -119,13 +119,13 @@
 	return mux
 }
 
-// Errors for request bodies. Their texts are sent in the response.
+// Errors that reject a request because of its body. Their texts are sent in the response.
 var (
 	errBodyTooLarge     = errors.New("body too large")
 	errNoMachineOrEpoch = errors.New("no machine or session")
 )
 
-// readBody reads a request body of at most wire.MaxBody bytes.
+// readBody reads a request body. It returns an error if the body exceeds wire.MaxBody bytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > wire.MaxBody {
 		return nil, errBodyTooLarge
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -16,7 +16,8 @@
 	Problem func(reason string) any           // returns the message of an error response
 }
 
-// encoding is the encoding for users and agents, and for requests between controllers on behalf of users and agents.
+// encoding converts results into responses for users and agents, and for controllers that request them on behalf of
+// users and agents.
 var encoding = Encoding{
 	Marshal: wire.Marshal,
 	Problem: func(reason string) any { return &wire.Problem{Error: reason} },
--- a/internal/api/encode_test.go
+++ b/internal/api/encode_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		result             result.Result
 		status, retryAfter int
-		reason             string // in the wire.Problem of the body; "" if the body is no wire.Problem
+		reason             string // in the wire.Problem of the body; "" if the body is not a wire.Problem
 		empty              bool
 	}{
 		{result.Accepted{}, 201, 0, "", false},
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// ForUser runs a read on behalf of a user request, within the part of the budget that is available to users. Otherwise
-// users that poll while there is no leader could exhaust the budget and delay the next election.
+// ForUser runs a read on behalf of a user request, within the part of the budget that is available to users. Without
+// this limit, users that poll while there is no leader could exhaust the budget and delay the next election.
 func (c *Client) ForUser(ctx context.Context, timeout time.Duration, read func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	return read(ctx)
 }
 
-// request is a request to the store. operation describes it in errors.
+// request holds the parameters of an HTTP request to the key-value store. Errors name the request by its operation.
 type request struct {
 	operation    string
 	method, path string
@@ -108,8 +108,8 @@
 	})
 }
 
-// Range reads a page of the keys with a prefix that sort after the key after. The page has at most limit items, and
-// fewer if they are large.
+// Range reads a page of the items whose keys have the given prefix and sort after the key named by after. The page has
+// at most limit items, and fewer if they are large.
 func (c *Client) Range(ctx context.Context, prefix, after string, limit int) (*wire.Items, error) {
 	query := url.Values{"starts": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
@@ -171,8 +171,9 @@
 	})
 }
 
-// Watch returns the changes under a prefix after the revision after, and waits for up to hold if there are none. A
-// status error with code 410 means that the store no longer has all changes after that revision.
+// Watch returns the changes of keys with a prefix that were made after the given revision. If there are none, it waits
+// for one for up to hold. A status error with code 410 means that the store no longer has all changes after that
+// revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.Events, error) {
 	query := url.Values{"starts": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
 	var events wire.Events
--- a/internal/replication/candidacy/eligibility.go
+++ b/internal/replication/candidacy/eligibility.go
@@ -46,7 +46,8 @@
 	StatusTTL:          1500 * time.Millisecond,
 }
 
-// Status is what a node reports about itself in response to a ping.
+// Status is the response of a node to a ping: the node's own state, and the number of recent processes of the pinging
+// node.
 type Status struct {
 	Warm               bool // the node has read the log to its end, reaches the key-value store and is not fresh
 	RecentIncarnations int  // recent processes of the pinging node that the responder has seen, this one included
@@ -114,7 +115,7 @@
 	incarnations []incarnation // recent processes of the peer, newest last
 }
 
-// incarnation is one process of a peer, from its start to its end.
+// incarnation identifies a process of a peer, and records when this node first received a ping from that process.
 type incarnation struct {
 	id        uint64
 	firstSeen Time
@@ -169,8 +170,8 @@
 	return len(peer.incarnations)
 }
 
-// RecordLeader records whether a leader is known. If the leader is an earlier process of this node, it counts as a
-// known leader until this process has revoked the leader's lease.
+// RecordLeader records whether a leader is known. For a leader that is an earlier process of this node, known is true
+// until this process has revoked that leader's lease.
 func (e *Eligibility) RecordLeader(known bool, now Time) {
 	if !known && !e.leaderless {
 		e.leaderlessSince = now
@@ -178,8 +179,9 @@
 	e.leaderless, e.sawLeader = !known, e.sawLeader || known
 }
 
-// restartFactor returns the factor by which the periods of this process are multiplied. It doubles, up to maxDoublings
-// times, for each recent earlier process of this node that a reachable peer has counted.
+// restartFactor returns the factor by which the periods of this process are multiplied. The factor is doubled, up to
+// maxDoublings times, for each recent earlier process of this node. Their number is taken from the reachable peer that
+// has reported the most.
 func (e *Eligibility) restartFactor() Time {
 	incarnations := 1
 	for i := range e.peers {
@@ -190,8 +192,8 @@
 	return 1 << (min(incarnations, maxDoublings+1) - 1)
 }
 
-// IsFresh reports whether this process started less than FreshPeriod ago, where FreshPeriod is extended for recent
-// restarts of this node.
+// IsFresh reports whether this process started less than FreshPeriod ago, where FreshPeriod is multiplied by
+// restartFactor, up to MaxFreshPeriod.
 func (e *Eligibility) IsFresh(now Time) bool {
 	return now-e.startedAt < min(e.rules.MaxFreshPeriod, e.rules.FreshPeriod*e.restartFactor())
 }
@@ -230,7 +232,8 @@
 	return true, 0
 }
 
-// LeaderlessSince returns when RecordLeader first recorded that no leader is known, and false if a leader is known.
+// LeaderlessSince returns the start of the current period without a known leader. The second result is false if a
+// leader is known.
 func (e *Eligibility) LeaderlessSince() (Time, bool) { return e.leaderlessSince, e.leaderless }
 
 // HasWarmPeer reports whether a peer is reachable and its latest status, if still valid, says that it is warm.
--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -2,11 +2,11 @@
 // knowledge. It does no I/O.
 //
 // A node that can't read the log extends agents' leases only for a bounded time, since the tasks of a job that was
-// cancelled in the meantime must stop in time. While the key-value store is unavailable to all nodes, no change can be
-// confirmed that was not in the log before. But a node can't distinguish this case from a store that only this node
-// can't reach. What the node does know is when it was last complete, that is, when its replica of the log held every
-// committed batch. A batch that was confirmed after that, to a user or to the agent lease table of a leader, was
-// confirmed by a controller process that had seen the batch. So the node asks each of the other controllers, and
+// cancelled in the meantime must stop within the permitted time. While the key-value store is unavailable to all nodes,
+// no change can be confirmed that was not in the log before. But a node can't distinguish such an outage from the loss
+// of its own connection to the store. The node knows when it was last complete, that is, when its replica of the log
+// held every committed batch. A batch that was confirmed after that, to a user or to the agent lease table of a leader,
+// was confirmed by a controller process that had seen the batch. So the node asks each of the other controllers, and
 // requires that all report
 //
 //   - that their process started before this node was complete, so that any earlier process of the same controller had
@@ -82,7 +82,7 @@
 	startedAt   Time   // start of the round, before the first request was sent
 	completeAt  Time   // when this node was last complete
 	knownSeq    uint64 // last batch that this node has
-	confirmed   []bool // by peer: its report met both conditions
+	confirmed   []bool // by peer: its report met both conditions of the package comment
 	unconfirmed int    // number of peers not yet confirmed, plus one if the round can't succeed
 }
 
@@ -101,7 +101,8 @@
 	return round
 }
 
-// Record records the report of another controller, received now in response to a request of this round.
+// Record processes the report of another controller, received now in response to a request of this round. It marks that
+// controller as confirmed if the report meets both conditions of the package comment.
 func (r *BarrierRound) Record(node int, report WatermarkReport, now Time) {
 	age := report.Age - report.Age/driftDivisor // the peer's clock may be fast
 	if r.confirmed[node] || report.HighestSeq > r.knownSeq || now-age > r.completeAt {
@@ -111,8 +112,8 @@
 	r.unconfirmed--
 }
 
-// CompleteAt reports whether the reports of all peers met the conditions. If so, this node counts as complete at
-// completeAt, the start of the round.
+// CompleteAt reports whether the reports of all peers met both conditions of the package comment. If so, this node
+// counts as complete at completeAt, the start of the round.
 func (r *BarrierRound) CompleteAt() (completeAt Time, ok bool) {
 	return r.startedAt, r.unconfirmed == 0
 }
--- a/internal/replication/commitfence/commitfence_test.go
+++ b/internal/replication/commitfence/commitfence_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// runRound performs one round. If all reports meet the conditions, no batch that the requester lacks may have been
-// confirmed before it began.
+// runRound asks all other processes for watermark reports. If BarrierRound.CompleteAt accepts the reports, no batch
+// that the requester lacks may have been confirmed before the round began.
 func (h *history) runRound() {
 	startedAt := h.now
 	watermarks := &h.requester.watermarks
@@ -140,8 +140,8 @@
 
 // TestNothingConfirmedUnknown draws histories of several controllers: batches are committed; processes see them,
 // confirm them and end; the requester is complete at some time and asks later, while responses are delayed or lost. If
-// all reports of a round meet the conditions, no batch that the requester lacks may have been confirmed before the
-// round began.
+// BarrierRound.CompleteAt accepts the reports of a round, no batch that the requester lacks may have been confirmed
+// before the round began.
 func TestNothingConfirmedUnknown(t *testing.T) {
 	proven, unproven := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/replication/oplog/compact_test.go
+++ b/internal/replication/oplog/compact_test.go
@@ -248,10 +248,9 @@
 	})
 }
 
-// TestLateCopyOfADeletedBatch checks the case that the first copy of a batch's transaction is executed only after the
-// second copy, after newer batches, and after the compaction that deleted the batch. A reader must not mistake the
-// recreated batch for the end of the log, and the next compaction must delete the batch again rather than leave it
-// until another leader compacts.
+// TestLateCopyOfADeletedBatch delays the first copy of a batch's transaction until the second copy and newer batches
+// have been written and a compaction has deleted the batch. A reader must not mistake the recreated batch for the end
+// of the log, and the next compaction must delete the batch again rather than leave it until another leader compacts.
 func TestLateCopyOfADeletedBatch(t *testing.T) {
 	withStore(t, func(s *store) {
 		a := s.open("a")
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -11,7 +11,8 @@
 )
 
 // Fence is the key that authorizes compaction: the leader key, or the key of the compaction role. Every write of a
-// compaction requires it at its version. Term distinguishes the snapshots of one holder from those of other holders.
+// compaction requires that the key is still at Version. Term distinguishes the snapshots of one holder from those of
+// other holders.
 type Fence struct {
 	Key     string
 	Version uint64
--- a/internal/replication/oplog/golden_test.go
+++ b/internal/replication/oplog/golden_test.go
@@ -386,7 +386,7 @@
 }
 
 // TestGoldenTransactions checks that every request to the key-value store equals the recorded one, and that every
-// recorded response, which together hold every kind of stored value, is decoded correctly.
+// recorded response is decoded correctly. Together, the responses hold every kind of stored value.
 func TestGoldenTransactions(t *testing.T) {
 	for name, answer := range answers() {
 		b, err := wire.Marshal(answer)
--- a/internal/replication/oplog/partitioned.go
+++ b/internal/replication/oplog/partitioned.go
@@ -40,7 +40,7 @@
 type partitionRecords struct{ store *store }
 
 // maxTxnBytes stays below the key-value store's limit of 64 KiB per transaction. valueOverhead is an upper bound for
-// what a value takes besides its data.
+// the encoded size of a value without its data.
 const (
 	maxTxnBytes   = 60 << 10
 	valueOverhead = 256
--- a/internal/replication/oplog/roles.go
+++ b/internal/replication/oplog/roles.go
@@ -131,7 +131,7 @@
 		write = wire.Write{Put: key, Value: &wire.LogValue{Version: FormatVersion, Node: node}}
 	}
 	if _, err := r.store.client.Txn(ctx, &wire.Txn{Then: []wire.Write{write}}); err != nil {
-		return fmt.Errorf("oplog: write %s: %w", key, err)
+		return fmt.Errorf("oplog: set participation of node %s: %w", node, err)
 	}
 	return nil
 }
--- a/internal/replication/oplog/store.go
+++ b/internal/replication/oplog/store.go
@@ -52,8 +52,8 @@
 	lastUnansweredWrite atomic.Int64 // time of the latest unanswered write in Unix nanoseconds; 0 if none
 }
 
-// The data in a value is encoded as base64. envelopeBytes is what the other fields of the value take at most;
-// minDataBytes is the least size of data per value, even if the store's limit is lower.
+// The data in a value is encoded as base64. envelopeBytes is an upper bound for the encoded size of the value's other
+// fields. maxDataBytes is at least minDataBytes, even if the store's limit is lower.
 const (
 	envelopeBytes = 200
 	minDataBytes  = 256
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -77,7 +77,7 @@
 	}
 	var response wire.TxnResponse
 	if err := wire.Unmarshal(statusErr.Body, &response); err != nil || len(response.Failed) == 0 {
-		// The response does not name a failed condition, so commit sends the transaction again.
+		// The response names no failed condition or can't be decoded, so commit sends the transaction again.
 		s.logger.Warn("write conflict without failed conditions", "err", err)
 		return nil
 	}
--- a/internal/replication/singleton/singleton.go
+++ b/internal/replication/singleton/singleton.go
@@ -56,7 +56,7 @@
 	InitialBackoff Time // how long a node that made no progress does not acquire the role again; doubled each time
 	MaxBackoff     Time // upper bound of the backoff
 	RankDelay      Time // a node of rank n waits n times this period before it acquires a free role
-	SettleTime     Time // how long a holder must have led beside other live nodes before it releases the role to them
+	SettleTime     Time // how long a holder that is the leader keeps the role while other nodes are live
 }
 
 const (
@@ -97,8 +97,8 @@
 
 // ClusterView is what a node knows about the nodes of the cluster.
 type ClusterView struct {
-	// RolesDistributed reports whether all nodes take part in roles. While any runs a version without roles, the leader
-	// performs them itself.
+	// RolesDistributed reports whether all nodes take part in roles. While any node does not, the leader performs the
+	// roles itself.
 	RolesDistributed bool
 	LiveNodes        []string // responding nodes, this one included
 	Leader           string   // empty if unknown
@@ -127,7 +127,7 @@
 	reasonLeaderOffload = "others have less to do"
 )
 
-// Role is what one node knows about a role, and its state as a holder or candidate of that role.
+// Role is what one node knows about a role, and the node's own state as a holder or candidate of that role.
 type Role struct {
 	Name  RoleName
 	Node  string // this node
@@ -148,7 +148,7 @@
 	heldSince               Time
 	lastProgress            Time
 	progressed              bool // the role made progress in this term
-	betterHolderSince       Time // since when this node leads beside other live nodes, which are better holders; or 0
+	betterHolderSince       Time // start of the period as leader with other live nodes (better holders); 0: none
 	backoffUntil            Time
 	backoff                 Time
 	releasedWithoutProgress bool   // the role was released for lack of progress
@@ -214,12 +214,12 @@
 // StalledHolders returns the number of consecutive holders that made no progress.
 func (r *Role) StalledHolders() int { return r.stalledHolders }
 
-// IsCurrentTerm reports whether a result that a holder reports under its term is valid, that is, whether the term is
-// not older than that of the observed key.
+// IsCurrentTerm reports whether results that a holder reports under the given term are valid: the term must be set and
+// must not be older than that of the observed key.
 func (r *Role) IsCurrentTerm(term uint64) bool { return term != 0 && term >= r.holder.Term }
 
-// stallTimeout returns how long this node may hold the role without progress. The limit doubles for every full round of
-// live nodes that held the role one after the other without progress.
+// stallTimeout returns how long this node may hold the role without progress. The limit doubles each time the number of
+// consecutive holders without progress grows by the number of live nodes, until it reaches MaxBackoff or more.
 func (r *Role) stallTimeout(v *ClusterView) Time {
 	limit := r.Rules.StallTimeout
 	for rounds := r.stalledHolders / max(1, len(v.LiveNodes)); rounds > 0 && limit < r.Rules.MaxBackoff; rounds-- {
@@ -240,7 +240,7 @@
 	return endsStall
 }
 
-// RecordIdle records that the holder currently has nothing to do, which does not count as a lack of progress.
+// RecordIdle records that this node, as the holder, has nothing to do, which does not count as a lack of progress.
 func (r *Role) RecordIdle(now Time) {
 	if r.term != 0 {
 		r.lastProgress = now
@@ -280,7 +280,8 @@
 	return r.decideHeld(now, v)
 }
 
-// decideFree returns Acquire if this node, which does not hold the role, has to request it now.
+// decideFree returns Acquire if this node, which does not hold the role, has to request the role now, and NoAction
+// otherwise.
 func (r *Role) decideFree(now Time, v *ClusterView) Decision {
 	if !v.RolesDistributed || r.holder.Node != "" || now < r.backoffUntil ||
 		now < r.freeSince+Time(r.rank(v))*r.Rules.RankDelay {
@@ -291,7 +292,7 @@
 }
 
 // decideHeld returns Renew or Release if this node, which holds the role, has to renew its lease or release the role
-// now.
+// now, and NoAction otherwise. If the node is no longer guaranteed to hold the role, it records the loss of the role.
 func (r *Role) decideHeld(now Time, v *ClusterView) Decision {
 	switch {
 	case now >= r.trustedUntil:
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -10,7 +10,7 @@
 	"fieldhill/wire"
 )
 
-// Result is the result of a request. Only the types of this package implement it.
+// Result is the outcome of a request to a controller. Only the types of this package implement it.
 type Result interface{ isResult() }
 
 // Accepted means that this request recorded the job durably.
--- a/internal/rpc/link.go
+++ b/internal/rpc/link.go
@@ -202,7 +202,7 @@
 func (l *Link) Do(ctx context.Context, request *Request) (*Response, error) {
 	response, err := l.do(ctx, request)
 	if err != nil {
-		return nil, fmt.Errorf("rpc: operation %d to %s: %w", request.Op, l.Node, err)
+		return nil, fmt.Errorf("rpc: request with operation %d to node %s: %w", request.Op, l.Node, err)
 	}
 	return response, nil
 }
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -57,9 +57,10 @@
 	maxRetryAfter = 3600
 )
 
-// Errors returned by Link.Do.
+// Errors that Link.Do wraps in an error that names the operation and the node.
 var (
-	// ErrNotConnected means that the peer is currently unreachable, or that too many requests to it are pending.
+	// ErrNotConnected means that the request was not sent because there is no connection to the peer, or because too
+	// many requests to the peer are pending.
 	ErrNotConnected = errors.New("not connected")
 	// ErrTooLarge means that the request was not sent because it exceeds MaxBody.
 	ErrTooLarge = errors.New("request too large for a frame")
