--- a/internal/agents/health/health.go
+++ b/internal/agents/health/health.go
@@ -107,8 +107,8 @@
 	// MovableTasks reports whether urgent tasks on the machine may run in another zone, and returns the resources
 	// needed by its low-priority tasks that may run in another zone.
 	MovableTasks() (urgent bool, low Resources)
-	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called once
-	// per round and zone.
+	// FreeOutsideZone returns the free resources for low-priority tasks outside the machine's zone. It is called at
+	// most once per round and zone.
 	FreeOutsideZone() Resources
 	// ZoneMayBeAlive reports whether a controller in the machine's zone may be keeping the machine's tasks running.
 	ZoneMayBeAlive() bool
--- a/internal/agents/lease/renewal.go
+++ b/internal/agents/lease/renewal.go
@@ -134,10 +134,10 @@
 	return (bits.Len64(v|1) + payloadBits - 1) / payloadBits
 }
 
-// truncate refills a report with as many machines as fit into maxBytes. A reader assumes that a missing machine was
-// renewed no later than the start of the table, so Age is lowered to that of the most recently renewed machine that is
-// left out. This errs only towards later renewals. Suspect machines that this controller never renewed are listed
-// explicitly, so that the lowered Age does not apply to them.
+// truncate refills a report, in order of precedence, with the machines that fit into maxBytes. A reader assumes that a
+// missing machine was renewed no later than the start of the table, so Age is lowered to that of the most recently
+// renewed machine that is left out. This errs only towards later renewals. Suspect machines that this controller never
+// renewed are listed explicitly, so that the lowered Age does not apply to them.
 func (r *RenewalReport) truncate(entries []reportEntry, maxBytes int) {
 	rank := func(e reportEntry) int {
 		switch {
--- a/internal/agents/relay/table.go
+++ b/internal/agents/relay/table.go
@@ -69,7 +69,8 @@
 // Spreading reports whether agents are spread over the controllers.
 func (t *Table) Spreading() bool { return t.spreading }
 
-// RecordReport records that a machine's heartbeat arrived through a controller.
+// RecordReport records that a machine's heartbeat arrived through a controller. If the machine had been redirected,
+// RecordReport also updates the pause of the controller that the machine was redirected to.
 func (t *Table) RecordReport(machine string, controller int, now Time) {
 	previous, known := t.assignments[machine]
 	switch {
--- a/internal/agents/staleness/staleness.go
+++ b/internal/agents/staleness/staleness.go
@@ -46,8 +46,8 @@
 const (
 	Stale     Freshness = iota // not proven current: the machine is to be probed
 	Unproven                   // not proven current: the first message of a term, which may be a late duplicate
-	Fresh                      // newer than all messages received before
-	Restarted                  // the agent restarted after it sent the messages received before
+	Fresh                      // proven current: newer than all messages received before, if any
+	Restarted                  // restarted since the last message received before, or since the epoch in the log
 )
 
 // ProbeBaseline is the state of a Tracker when a probe was sent.
--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -84,7 +84,7 @@
 	return &rpc.Response{Status: http.StatusInternalServerError} // nil or an unknown type, which is a bug
 }
 
-// Message returns a response with an encoded message as its body.
+// Message returns a response with the encoded message as its body, or with status 500 if the message can't be encoded.
 func (e *Encoding) Message(status int, message any) *rpc.Response {
 	body, err := e.Marshal(message)
 	if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -38,8 +38,9 @@
 	// Terms counts the terms in which this controller was the leader.
 	Terms *metrics.Counter
 	// Relayed counts the agents' heartbeats that this controller forwarded to the leader and that the leader answered,
-	// AnsweredLocally the heartbeats that this controller answered because the leader did not answer in time, and
-	// Reassigned the agents that this controller redirected to another one.
+	// AnsweredLocally the heartbeats that this controller, as a relay, handled in the leader's place because too many
+	// were being forwarded, the leader was overloaded, or forwarding failed, and Reassigned the agents that this
+	// controller redirected to another one.
 	Relayed, AnsweredLocally, Reassigned *metrics.Counter
 	// NotAdmitted counts new jobs that were rejected because this controller was overloaded.
 	NotAdmitted *metrics.Counter
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/agent/agent.go
@@ -99,7 +99,8 @@
 	return &heartbeat, c.transport.Do(ctx, http.MethodGet, addr, wire.PathProbe, nil, &heartbeat, wire.MaxBody)
 }
 
-// SendCommands sends commands to an agent. It returns the heartbeat in the agent's response, or nil if there was none.
+// SendCommands sends commands to an agent. It returns the outcome, and the heartbeat in the agent's response; if the
+// response has no valid heartbeat, the heartbeat is nil and the error is set.
 func (c *Client) SendCommands(
 	ctx context.Context, addr string, batch *wire.CommandBatch,
 ) (CommandOutcome, *wire.Heartbeat, error) {
--- a/internal/platform/kvstore/kvstore.go
+++ b/internal/platform/kvstore/kvstore.go
@@ -1,8 +1,8 @@
 // Package kvstore is the client of the key-value store. It limits this node to its share of the store's request rate.
 //
-// A response with a status other than 200 is returned as a *msgpackhttp.StatusError, wrapped with the operation and the
-// key. After an error without a status, the outcome of the request is unknown, unless msgpackhttp.IsUnsent reports
-// true.
+// A response with a status other than 200 is returned as a *msgpackhttp.StatusError, wrapped in an error that names the
+// operation and its key, prefix or lease, if it has one. After an error without a status, the outcome of the request is
+// unknown, unless msgpackhttp.IsUnsent reports true.
 package kvstore
 
 import (
--- a/internal/platform/msgpackhttp/msgpackhttp.go
+++ b/internal/platform/msgpackhttp/msgpackhttp.go
@@ -84,9 +84,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Do sends a request and decodes the body of a 200 response into out. Any other status results in a *StatusError. After
-// an error without a status, the outcome of the request is unknown, unless IsUnsent reports true. A response of more
-// than limit bytes results in ErrTooLarge.
+// Do sends a request and decodes the body of a 200 response into out, unless out is nil. Any other status results in a
+// *StatusError. After an error without a status, the outcome of the request is unknown, unless IsUnsent reports true. A
+// response of more than limit bytes results in ErrTooLarge.
 func (c *Client) Do(ctx context.Context, method, addr, path string, in, out any, limit int64) error {
 	var body io.Reader
 	if in != nil {
--- a/internal/replication/election/election.go
+++ b/internal/replication/election/election.go
@@ -35,7 +35,8 @@
 // TrustPeriod is how long after sending a successful renewal the lease is guaranteed to last.
 const TrustPeriod = leaseTTL - leaseTTL/maxClockDriftDivisor - trustMargin
 
-// ErrTaken means that another node holds the key that was to be acquired.
+// ErrTaken means that the store refused to create the key that was to be acquired, for example because another node
+// holds the key.
 var ErrTaken = errors.New("key is held by another node")
 
 // Leadership is one term of this node as leader.
@@ -44,7 +45,8 @@
 	TrustedUntil time.Time // until when the lease is guaranteed to last without a further renewal
 }
 
-// Acquire tries once to become the leader of a new term. The error wraps ErrTaken if another node leads.
+// Acquire tries once to become the leader of a new term. The error wraps ErrTaken if the store refused the write of the
+// leader key, for example because another node leads.
 func Acquire(ctx context.Context, store *kvstore.Client, node string, logger *slog.Logger) (*Leadership, error) {
 	term, termVersion, err := readTerm(ctx, store)
 	if err != nil {
@@ -90,7 +92,7 @@
 // AcquireKey tries once to create a key attached to a lease of its own: the leader key, or that of a singleton role.
 // makeTxn returns the transaction that creates the key with a value that names the node and the lease. AcquireKey
 // returns the lease and the key's version. The lease lasts at least its TTL from the time of the call. The error wraps
-// ErrTaken if another node holds the key.
+// ErrTaken if the store refused the transaction, for example because another node holds the key.
 func AcquireKey(
 	ctx context.Context,
 	store *kvstore.Client,
@@ -122,7 +124,8 @@
 	return 0, 0, fmt.Errorf("election: acquire %s: %w", key, err)
 }
 
-// heldVersion returns the version of a key if this node holds it under the given lease.
+// heldVersion returns the version of a key if this node holds the key under the given lease; ok is false if it does
+// not, or if the key can't be read or decoded.
 func heldVersion(ctx context.Context, store *kvstore.Client, key, node string, lease uint64) (version uint64, ok bool) {
 	item, err := store.Get(ctx, key)
 	if err != nil {
@@ -136,8 +139,8 @@
 }
 
 // RenewUntilLost renews the lease of a leadership until the context ends, or until the lease has ended, in which case
-// the error wraps oplog.ErrDeposed. After every renewal it calls onRenewed with the time until which the leadership may
-// be trusted.
+// the error wraps oplog.ErrDeposed. After every successful renewal, RenewUntilLost calls onRenewed with the time until
+// which the lease is guaranteed to last.
 func RenewUntilLost(
 	ctx context.Context, store *kvstore.Client, leadership *Leadership, onRenewed func(until time.Time),
 ) error {
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -77,10 +77,10 @@
 }
 
 // Compact writes a snapshot that covers the batches up to seq and deletes the keys that it replaces, a few at a time.
-// The log can be loaded after every step: first the parts are written, then the manifest that names them, then the
-// replaced keys are deleted. No key is deleted before the manifest is known to name this snapshot. Otherwise a
-// compactor whose manifest the store refuses, because another compactor has replaced the previous one, would delete
-// batches that the current snapshot does not cover.
+// If the current snapshot covers these batches already, Compact does nothing. The log can be loaded after every step:
+// first the parts are written, then the manifest that names them, then the replaced keys are deleted. No key is deleted
+// before the manifest is known to name this snapshot. Otherwise a compactor whose manifest the store refuses, because
+// another compactor has replaced the previous one, would delete batches that the current snapshot does not cover.
 func (c *Compactor) Compact(ctx context.Context, seq uint64, snapshot []byte) error {
 	if err := c.compact(ctx, seq, snapshot); err != nil {
 		return fmt.Errorf("oplog: compact up to batch %d: %w", seq, err)
--- a/internal/replication/oplog/txn.go
+++ b/internal/replication/oplog/txn.go
@@ -37,8 +37,9 @@
 	maxRetryPause   = 300 * time.Millisecond
 )
 
-// commit sends a transaction, and sends it again unchanged until its outcome is known. If conditions of the transaction
-// failed, commit calls onConflict with their keys and returns its result.
+// commit sends a transaction, and sends it again unchanged until its outcome is known or the context ends. If
+// conditions of the transaction failed, commit calls onConflict with their keys and returns the result of onConflict.
+// If the store rejected the transaction as malformed, the error wraps ErrWriteRejected.
 func (s *store) commit(ctx context.Context, txn *wire.Txn, onConflict func(failed []string) error) error {
 	pause := firstRetryPause
 	for {
@@ -85,7 +86,8 @@
 }
 
 // Another copy of a transaction is sent whenever resendAfter passes without a response, or resendLatencyFactor times
-// the usual latency if that is longer. At most maxCopies are sent, the first included.
+// the usual latency if that is longer, provided that the write budget has room for the copy. At most maxCopies are
+// sent, the first included.
 const (
 	resendAfter         = 400 * time.Millisecond
 	resendLatencyFactor = 4
@@ -93,9 +95,9 @@
 )
 
 // send sends a transaction, and sends further copies of it while there is no response. Without further copies, a lost
-// response would delay all later writes until the request times out after two seconds. send returns the first response
-// that decides the outcome. The remaining copies may still be applied late, which is harmless for every transaction
-// that is sent here (see the package comment).
+// response would delay all later writes until the request times out after two seconds. send returns the first result
+// that decides the outcome, or the last error if none does. The remaining copies may still be applied late, which is
+// harmless for every transaction that is sent here (see the package comment).
 //
 // The requests of the remaining copies are cancelled when send returns. The results channel has room for the results of
 // all copies, so that the goroutines that send them do not block after send has returned.
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -47,9 +47,9 @@
 	RetryAfter time.Duration
 }
 
-// NotHandled means that the controller did not start or finish handling the request in time. Clients get the same
-// status as for Unavailable. Only after this failure may a controller that relayed a heartbeat to the leader answer the
-// agent in the leader's place.
+// NotHandled means that the controller did not start or finish handling the request, for example because it was busy or
+// stopping. Clients get the same status as for Unavailable. Only after this failure may a controller that relayed a
+// heartbeat to the leader answer the agent in the leader's place.
 type NotHandled struct {
 	Reason     string
 	RetryAfter time.Duration
--- a/internal/rpc/link.go
+++ b/internal/rpc/link.go
@@ -88,7 +88,8 @@
 // errMalformedResponse means that the peer sent a frame that is not a valid response.
 var errMalformedResponse = errors.New("malformed response")
 
-// runConn reads responses from a connection until it ends, and waits for its writer and keepalive goroutines.
+// runConn starts the writer and keepalive goroutines of a connection, reads responses until the connection ends, and
+// waits for the goroutines.
 func (l *Link) runConn(ctx context.Context, conn net.Conn) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -174,7 +175,8 @@
 	}
 }
 
-// readResponses delivers responses to the pending requests until the connection ends.
+// readResponses delivers responses to the pending requests until the connection ends or a frame is not a valid
+// response.
 func (l *Link) readResponses(conn net.Conn) error {
 	r := bufio.NewReaderSize(conn, readBufferSize)
 	for {
