--- a/internal/replication/commitfence/commitfence.go
+++ b/internal/replication/commitfence/commitfence.go
@@ -112,8 +112,9 @@
 	r.unconfirmed--
 }
 
-// CompleteAt reports whether the reports of all peers met both conditions of the package comment. If so, this node
-// counts as complete at completeAt, the start of the round.
+// CompleteAt reports whether the reports of all peers met both conditions of the package comment, and this process has
+// seen no batch that its replica lacked at the start of the round. If so, this node counts as complete at completeAt,
+// the start of the round.
 func (r *BarrierRound) CompleteAt() (completeAt Time, ok bool) {
 	return r.startedAt, r.unconfirmed == 0
 }
--- a/internal/replication/oplog/intake.go
+++ b/internal/replication/oplog/intake.go
@@ -105,7 +105,7 @@
 }
 
 // DeleteIntake deletes the intake records of jobs that are in the log. No request waits for these deletions, so they
-// use only the spare write budget.
+// yield to other writes for some time (commitPaced). The error wraps ErrDeposed if the leader key has changed.
 func (r intakeRecords) DeleteIntake(ctx context.Context, leader *Leader, jobs []uint64) error {
 	fence := leader.Fence().condition()
 	for len(jobs) > 0 {
--- a/internal/replication/oplog/log.go
+++ b/internal/replication/oplog/log.go
@@ -258,8 +258,8 @@
 	return batches, nil
 }
 
-// Append writes a batch and returns once it is committed. It repeats the same transaction until its outcome is known.
-// The error wraps ErrDeposed if the leader key has changed.
+// Append writes a batch and returns once it is committed. It repeats the same transaction until its outcome is known or
+// the context ends. The error wraps ErrDeposed if the leader key has changed.
 func (l *Log) Append(ctx context.Context, leader *Leader, b Batch) error {
 	key := batchKey(b.Seq)
 	err := l.store.commit(ctx, &wire.Txn{
