--- a/internal/api/encode.go
+++ b/internal/api/encode.go
@@ -16,7 +16,8 @@
 	Problem func(reason string) any           // returns the message of an error response
 }
 
-// encoding is the encoding for users and agents, and for requests between controllers on behalf of users and agents.
+// encoding converts results into responses for users and agents, and for controllers that request them on behalf of
+// users and agents.
 var encoding = Encoding{
 	Marshal: wire.Marshal,
 	Problem: func(reason string) any { return &wire.Problem{Error: reason} },
@@ -83,7 +84,7 @@
 	return &rpc.Response{Status: http.StatusInternalServerError} // nil or an unknown type, which is a bug
 }
 
-// Message returns a response with an encoded message as its body.
+// Message returns a response with the encoded message as its body, or with status 500 if the message can't be encoded.
 func (e *Encoding) Message(status int, message any) *rpc.Response {
 	body, err := e.Marshal(message)
 	if err != nil {
--- a/internal/replication/oplog/compaction.go
+++ b/internal/replication/oplog/compaction.go
@@ -11,7 +11,8 @@
 )
 
 // Fence is the key that authorizes compaction: the leader key, or the key of the compaction role. Every write of a
-// compaction requires it at its version. Term distinguishes the snapshots of one holder from those of other holders.
+// compaction requires that the key is still at Version. Term distinguishes the snapshots of one holder from those of
+// other holders.
 type Fence struct {
 	Key     string
 	Version uint64
@@ -76,10 +77,10 @@
 }
 
 // Compact writes a snapshot that covers the batches up to seq and deletes the keys that it replaces, a few at a time.
-// The log can be loaded after every step: first the parts are written, then the manifest that names them, then the
-// replaced keys are deleted. No key is deleted before the manifest is known to name this snapshot. Otherwise a
-// compactor whose manifest the store refuses, because another compactor has replaced the previous one, would delete
-// batches that the current snapshot does not cover.
+// If the current snapshot covers these batches already, Compact does nothing. The log can be loaded after every step:
+// first the parts are written, then the manifest that names them, then the replaced keys are deleted. No key is deleted
+// before the manifest is known to name this snapshot. Otherwise a compactor whose manifest the store refuses, because
+// another compactor has replaced the previous one, would delete batches that the current snapshot does not cover.
 func (c *Compactor) Compact(ctx context.Context, seq uint64, snapshot []byte) error {
 	if err := c.compact(ctx, seq, snapshot); err != nil {
 		return fmt.Errorf("oplog: compact up to batch %d: %w", seq, err)
