--- a/internal/model/apply.go
+++ b/internal/model/apply.go
@@ -32,8 +32,9 @@
 		"unknown task or machine, job cancelled, or task not waiting", e.Job, e.Task, e.Machine)
 }
 
-// Apply applies the log entry with sequence number seq. Late and repeated entries are ignored if they can occur in
-// normal operation. It returns an error for an entry that a leader must not log in the current state.
+// Apply applies the log entry with sequence number seq. Entries that can be late or repeated in normal operation are
+// ignored if they no longer apply. Apply returns an error if the kind of the entry is unknown, or if a leader must not
+// log the entry in the current state.
 func (m *Model) Apply(e *Entry, seq uint64, now Time) error {
 	switch e.Kind {
 	case EntryAccept:
@@ -139,8 +140,8 @@
 	}
 }
 
-// completeTask marks a task as completed. The attempt that completed it need not be the current one: its end may have
-// been logged before its completion was reported.
+// completeTask marks a task as completed. The attempt that completed the task need not be the current one: the end of
+// that attempt may have been logged before its completion was reported.
 func (m *Model) completeTask(e *Entry, seq uint64, now Time) {
 	j := m.Jobs[e.Job]
 	if j == nil || int(e.Task) >= len(j.Tasks) {
@@ -167,8 +168,8 @@
 	m.recordTaskCompletion(j)
 }
 
-// dropRun detaches a run from its machine and its job. A placed task becomes waiting again. If completeTask is the
-// caller, it then marks the task as completed.
+// dropRun detaches a run from its machine and its job, and marks its task as waiting again. completeTask, which also
+// calls dropRun, then marks the task as completed.
 func (m *Model) dropRun(r *Run, now Time) {
 	r.setPhase(Unseen)
 	j, machine := r.Job, r.Machine
@@ -187,7 +188,7 @@
 	}
 }
 
-// dropRuns drops all runs of a machine.
+// dropRuns drops all runs of a machine, and finishes the cancelled jobs that have no more runs.
 func (m *Model) dropRuns(machine *Machine, now Time) {
 	for len(machine.Runs) > 0 {
 		r := machine.Runs[0]
@@ -215,8 +216,8 @@
 	m.finishJob(j, final)
 }
 
-// addMachine creates the machine that an entry names. For a machine name that is already known only the address is
-// updated.
+// addMachine creates the machine that an entry describes. If a machine with that name exists, only its address is
+// updated; if a machine with that ID exists, the entry is ignored.
 func (m *Model) addMachine(e *Entry, now Time) {
 	if m.updateAddress(e.Info) || m.Machines[e.Machine] != nil {
 		return
@@ -235,8 +236,8 @@
 	}
 }
 
-// expireLease marks a machine as suspect and drops its runs, because its lease has certainly expired. This version does
-// not write the entry, but must apply those that older versions logged.
+// expireLease applies EntryLeaseExpired: it marks a machine as suspect and drops its runs, because its lease has
+// certainly expired. This version does not write such entries, but must apply those that older versions logged.
 func (m *Model) expireLease(id MachineID, seq uint64, now Time) {
 	m.setSuspect(id, true, seq)
 	if machine := m.Machines[id]; machine != nil {
--- a/internal/model/catalog.go
+++ b/internal/model/catalog.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// TypeOf returns the type of a machine.
+// TypeOf returns the catalog's entry for the type of a machine. The pointer is valid until a type is added.
 func (c *catalog) TypeOf(machine *Machine) *Type { return &c.Types[machine.Type] }
 
 // Fits reports whether a machine has enough free resources for a task of the job. It is false if the cloud has not
@@ -57,8 +57,8 @@
 		machine.Mem+j.Spec.MemoryGB <= t.MemoryGB+epsilon
 }
 
-// zonesFor returns the zones in which the cloud offers an allowed machine type that is large enough for a task of the
-// job.
+// zonesFor returns the zones that the job allows and in which the cloud offers an allowed machine type that is large
+// enough for a task of the job.
 func (c *catalog) zonesFor(s *wire.JobSpec) map[int32]bool {
 	zones := map[int32]bool{}
 	for i := range c.Types {
@@ -76,7 +76,8 @@
 	return zones
 }
 
-// CanEverRun returns the reason why a job can never run, or "" if it can.
+// CanEverRun returns the reason why a job can never run with the configured teams and the known machine types, or "" if
+// there is no such reason.
 func (m *Model) CanEverRun(s *wire.JobSpec) string {
 	team := m.teamByName[s.Team]
 	if team == nil {
--- a/internal/model/clone.go
+++ b/internal/model/clone.go
@@ -6,9 +6,10 @@
 )
 
 // Clone copies the state that scheduling reads and changes: jobs, runs, machines, teams and names. The copy and the
-// original can be used concurrently; immutable data (job specifications, machine details) is shared. Clone omits
-// state that only matters between a leader and its agents (commands in flight, failures to attribute), the final
-// states, which grow with the history, and the index of machines by name. Copying 10,000 runs takes a few milliseconds.
+// original can be used concurrently; immutable data (job specifications, machine details) is shared. Clone omits state
+// that only matters between a leader and its agents (commands in flight, failures to attribute), the final states,
+// which grow with the history, the index of machines by name, the tombstones and the intents. Copying 10,000 runs takes
+// a few milliseconds.
 func (m *Model) Clone() *Model {
 	c := &Model{
 		catalog:         m.catalog.clone(),
--- a/internal/model/commands.go
+++ b/internal/model/commands.go
@@ -6,9 +6,9 @@
 // next report.
 const maxCommands = 400
 
-// Commands returns the commands to send to a machine now. committed is the highest committed log sequence number: a
-// start is sent only after its placement is committed. inResponse means that the commands are sent in the response to
-// the last observed report rather than directly.
+// Commands returns the commands to send to a machine now. committed is the highest committed log sequence number:
+// commands for a run are sent only after its placement is committed. inResponse means that the commands are sent in the
+// response to the last observed report rather than directly.
 func (m *Model) Commands(machine *Machine, committed uint64, inResponse bool) []wire.Command {
 	commands := []wire.Command{}
 	for _, d := range machine.Contact.reapable {
@@ -36,8 +36,8 @@
 	if !d.exited {
 		return commandFor(d.key, wire.VerbStop, new(float64)), true
 	}
-	// If a start of the attempt arrived after the agent has forgotten it, the agent would run it again. So no start of
-	// it, by this leader or an earlier one, may be in flight.
+	// If a start arrived after the agent had forgotten the attempt, the agent would run the attempt again. So the
+	// attempt is forgotten only when no start of it, by this leader or an earlier one, can be in flight.
 	contact := &machine.Contact
 	_, open := contact.unresolvedStarts[d.key]
 	if open {
--- a/internal/model/completion_stats.go
+++ b/internal/model/completion_stats.go
@@ -3,8 +3,8 @@
 import "math"
 
 // CompletionStats counts the outcomes of the jobs of a class or team that this replica has read from the log; jobs that
-// ended before the snapshot from which it was restored are not included. A job counts as started when one of its tasks
-// is placed. Cancelled jobs cannot complete, so their tasks are not counted.
+// ended before the snapshot from which the replica was restored are not included. A job counts as started when one of
+// its tasks is placed or completed. Cancelled jobs cannot complete, so their tasks are not counted.
 type CompletionStats struct {
 	Jobs, Started, Done, Cancelled int
 	Tasks, TasksDone               int     // of jobs that were not cancelled
@@ -12,7 +12,8 @@
 	recent                         recentCompletions
 }
 
-// recentCompletions sums the completed jobs and tasks, weighted by RecencyWeight of the time since their acceptance.
+// recentCompletions sums the completed jobs and tasks, weighted by RecencyWeight of the time since this replica learned
+// of each job.
 type recentCompletions struct {
 	jobs, tasks float64 // sums of the weights as of decayedAt
 	decayedAt   Time
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -39,7 +39,7 @@
 	Type       *wire.MachineType
 }
 
-// NewAcceptance returns the entry that accepts a job. at is the wall-clock time of the acceptance in ms.
+// NewAcceptance returns the entry that accepts a job. wallTimeMS is the wall-clock time of the acceptance.
 func NewAcceptance(spec *wire.JobSpec, wallTimeMS int64) *Entry {
 	n, _ := wire.ParseJobID(spec.ID)
 	return &Entry{Kind: EntryAccept, Job: JobID(n), Spec: spec, WallTimeMS: wallTimeMS}
@@ -49,7 +49,7 @@
 func NewCancellation(job JobID) *Entry { return &Entry{Kind: EntryCancel, Job: job} }
 
 // NewPlacement returns the entry that allows an attempt of a task to be started on a machine. epoch is the only epoch
-// of the machine's agent in which it may be started.
+// of the machine's agent in which the attempt may be started.
 func NewPlacement(job JobID, task int32, attempt uint32, machine MachineID, epoch uint64) *Entry {
 	return &Entry{Kind: EntryPlace, Job: job, Task: task, Attempt: attempt, Machine: machine, AgentEpoch: epoch}
 }
@@ -64,7 +64,7 @@
 	return &Entry{Kind: EntryTaskDone, Job: job, Task: task, Attempt: attempt}
 }
 
-// NewMachine returns the entry that adds a machine, or updates its address. at is the current wall-clock time in ms.
+// NewMachine returns the entry that adds a machine, or updates its address. wallTimeMS is the current wall-clock time.
 func NewMachine(id MachineID, wallTimeMS int64, info *MachineInfo) *Entry {
 	return &Entry{Kind: EntryMachine, Machine: id, WallTimeMS: wallTimeMS, Info: info}
 }
--- a/internal/model/entry_codec.go
+++ b/internal/model/entry_codec.go
@@ -19,7 +19,7 @@
 // Error names the invalid ID.
 func (e *JobIDError) Error() string { return fmt.Sprintf("model: decode job: invalid job ID %q", e.ID) }
 
-// Append appends the encoded entry to b.
+// Append appends the encoded entry to b and returns the extended slice.
 func (e *Entry) Append(b []byte) []byte {
 	b = append(b, byte(e.Kind))
 	switch e.Kind {
@@ -156,7 +156,8 @@
 	return s
 }
 
-// specStrings returns the string fields of a job specification in stored order, and specNumbers the numeric ones.
+// specStrings returns the string fields of a job specification, except the optional Zone, in stored order. specNumbers
+// returns the numeric fields except Tasks and DeadlineS.
 func specStrings(s *wire.JobSpec) [6]*string {
 	return [...]*string{&s.ID, &s.Class, &s.Team, &s.Shape, &s.Priority, &s.Image}
 }
--- a/internal/model/failure_attribution.go
+++ b/internal/model/failure_attribution.go
@@ -24,11 +24,13 @@
 	maxBackoffDoublings = 5
 	// Number of machines on which a job must fail to be faulty.
 	minFaultyMachines = 2
-	// Number of jobs that are not faulty that must fail on a machine for it to be cordoned.
+	// Number of non-faulty jobs that must fail on a machine for the machine to be cordoned.
 	minFailedJobs = 2
 )
 
-// attributeFailure records a failure of a job on a machine. It reports whether the failure shows the job to be faulty.
+// attributeFailure records a failure of a job on a machine. If the job is faulty and not backing off, it starts a
+// backoff. It also updates whether the machine is cordoned or quarantined. It reports whether the failure made the job
+// faulty.
 func attributeFailure(machine *Machine, j *Job, now Time) (becameFaulty bool) {
 	machine.Health.addFailure(j)
 	if becameFaulty = j.addFailure(machine.ID, now); j.Observed.Faulty && now >= j.Scheduling.NotBefore {
@@ -41,7 +43,7 @@
 	return becameFaulty
 }
 
-// addFailure records a failure on a machine. It reports whether the failure shows the job to be faulty.
+// addFailure records a failure of the job on a machine. It reports whether the failure made the job faulty.
 func (j *Job) addFailure(machine MachineID, now Time) (becameFaulty bool) {
 	observed := &j.Observed
 	if observed.FailedOn == nil {
--- a/internal/model/gang_start.go
+++ b/internal/model/gang_start.go
@@ -5,7 +5,7 @@
 // first, the gang is stopped, the fetch is aborted and the next attempt fails the same way: a gang of four, with the
 // image cached on two of the machines, takes five attempts of 35 s each. So members with a cached image are started
 // only when those with long fetches are ready, and a gang whose members failed to start together is not stopped before
-// its fetches have ended.
+// its long fetches have ended.
 
 // IsLongFetch reports whether fetching a job's image on a machine may take longer than gang members with a cached image
 // wait for the others. The threshold is half of GangWait, because fetch rates vary by a third.
--- a/internal/model/image_cache.go
+++ b/internal/model/image_cache.go
@@ -12,7 +12,7 @@
 	lastUsed Time
 }
 
-// pendingFetch is the fetch of an image that runs on a machine wait for.
+// pendingFetch is an image fetch on a machine, with the number of runs that wait for it.
 type pendingFetch struct {
 	image       int32
 	waitingRuns int32
@@ -54,7 +54,7 @@
 }
 
 // evictImages drops the least recently used images until the cache is within the limit. It keeps the needed image and
-// the images of the machine's runs.
+// the images of the machine's runs, even if the cache then stays above the limit.
 func (machine *Machine) evictImages(limitGB float64, needed int32) {
 	cachedGB := 0.0
 	for _, c := range machine.cache {
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -98,7 +98,7 @@
 	// No task of the job is placed before this time, because an attempt failed for a reason that is likely to persist
 	// for a while.
 	NotBefore Time
-	// When the scheduler began to free capacity for the job on machines that have its image; 0: it is not doing so.
+	// When the scheduler last began to free capacity for the job on machines that have its image; 0: never.
 	LocalWaitSince Time
 	// The job and its team's earlier unfinished jobs together fit into the team's guarantee.
 	WithinGuarantee bool
@@ -226,7 +226,7 @@
 	return !j.Spec.Spread || inZone+1 <= (len(j.Tasks)+1)/2
 }
 
-// TeamLimitAllows reports whether n more tasks of the job stay within its team's quota. It is false if the team is not
+// TeamLimitAllows reports whether n more tasks of the job stay within its team's limits. It is false if the team is not
 // configured.
 func (j *Job) TeamLimitAllows(n int) bool {
 	t := j.Team
--- a/internal/model/job_table.go
+++ b/internal/model/job_table.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// jobTable is the replicated table of jobs. Live jobs are held in full; for all others only the final state is kept, a
-// few bytes each, and never deleted.
+// jobTable is the replicated table of jobs. Live jobs are held in full. Of every other job only the final state is
+// kept, which takes a few bytes and is never deleted.
 type jobTable struct {
 	// Live jobs: unfinished, or with runs that are not known to have ended.
 	Jobs map[JobID]*Job
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -38,8 +38,8 @@
 	cache         []cachedImage
 	fetches       []pendingFetch
 
-	// Only the leader may renew the agent's lease, because heartbeats have been missing for long. It is set and cleared
-	// by log entries.
+	// Only the leader may renew the agent's lease, because heartbeats have been missing for long. Suspect is set and
+	// cleared by log entries.
 	Suspect bool
 	// The machine's deletion may be in flight. Fencing tokens do not cover the cloud's deletion call: a call may be
 	// executed at any later time if its leader stalled before sending it, or the network delayed it. So the release is
@@ -59,7 +59,7 @@
 type MachineContact struct {
 	AgentEpoch uint64            // agent epoch of the last valid message
 	Reports    staleness.Tracker // report numbers and tokens received, to judge what a message proves
-	// Since when responses are known not to reach the agent; 0: not known.
+	// Since when responses do not seem to reach the agent; 0: they seem to reach it.
 	InboundPartitionSince Time
 	// Offset of the machine's fencing token from the lowest token of the term.
 	TokenOffset uint64
@@ -94,7 +94,7 @@
 	slowdown        average        // mean logarithm of the ratio of its tasks' durations to those of their peers
 	slowdownJobs    int            // number of series of consecutive tasks of one job in slowdown
 	lastSlowdownJob JobID          // job of the last task in slowdown
-	lastOnTimeStart Time           // latest start of a task that completed in time
+	lastOnTimeStart Time           // latest start of a task that took less than slowFactor times as long as its peers
 	slowFoundAt     Time           // when the machine was last found to be slow
 	slowCount       int            // how often the machine was found to be slow
 }
@@ -128,7 +128,7 @@
 }
 
 // MarkInboundPartition records that messages to the machine do not seem to arrive. The machine gets no new tasks until
-// one of its messages shows that they do.
+// one of its reports shows that messages to it arrive.
 func (machine *Machine) MarkInboundPartition(now Time) { machine.Contact.markInboundPartition(now) }
 
 func (c *MachineContact) markInboundPartition(now Time) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// SilentFor returns how long nothing has been received from the machine or, if that is longer, how long messages have
-// been known not to reach it.
+// SilentFor returns how long nothing has been received from the machine or, if that is longer, how long messages to the
+// machine have not seemed to arrive.
 func (machine *Machine) SilentFor(now Time) Time { return machine.Contact.silentFor(now) }
 
 func (c *MachineContact) silentFor(now Time) Time {
@@ -161,9 +161,10 @@
 }
 
 // LeaseExpired reports whether the lease of a suspect machine has certainly expired. others is the number of other
-// replicas, and ownRenewal this replica's last renewal. If all others have reported their last renewals, the lease runs
-// for duration from the latest of all renewals. Otherwise any replica may have renewed it until bound after the
-// suspicion was committed: bound is the maximum age of the log copy on which a replica may act.
+// replicas, and ownRenewal the time of this replica's last renewal. If all others have reported their last renewals,
+// the lease runs for duration from the latest of all renewals. Otherwise any replica may have renewed the lease until
+// the duration bound had passed since the suspicion was committed: bound is the maximum age of the log copy on which a
+// replica may act.
 func (machine *Machine) LeaseExpired(bound, duration, ownRenewal, now Time, others int) bool {
 	contact := &machine.Contact
 	if !machine.Suspect || contact.SuspectFrom == 0 {
@@ -181,7 +182,8 @@
 	return slices.ContainsFunc(machine.Runs, func(r *Run) bool { return r.Job.Cancelled })
 }
 
-// cancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
+// cancelledFor returns the longest time for which a job with a task on the machine has been cancelled: 0 if there is no
+// such job, and math.MaxInt64 if one was cancelled before this replica began to follow the log.
 func (machine *Machine) cancelledFor(now Time) (longest Time) {
 	for _, r := range machine.Runs {
 		switch {
--- a/internal/model/machine_table.go
+++ b/internal/model/machine_table.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// updateAddress reports whether a machine with the name in info is known. If so it stores the address in info, if there
-// is one: a machine that was provisioned without an address reports it later.
+// updateAddress reports whether a machine with the name in info is known. If so, and if info contains an address, that
+// address replaces the machine's: a machine that was provisioned without an address reports it later.
 func (t *machineTable) updateAddress(info *MachineInfo) (known bool) {
 	machine := t.MachinesByName[info.Name]
 	if machine != nil && info.Addr != "" {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -59,8 +59,8 @@
 }
 
 // BeginTerm makes this replica the leader. base is the lowest fencing token of the new term. The observations of
-// earlier terms are discarded, and all runs are marked as inherited, because commands of earlier leaders may still be
-// in flight.
+// machines in earlier terms are discarded, except their health and draining state, and all runs are marked as
+// inherited, because commands of earlier leaders may still be in flight.
 func (m *Model) BeginTerm(base uint64, now Time) {
 	m.MinToken = base
 	for _, machine := range m.MachinesInOrder {
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -21,10 +21,10 @@
 // committed for that bound plus a lease duration, the agent has ended all tasks on the machine, or will as soon as it
 // executes anything, and a start still in flight names an agent epoch that is over. This is not evidence that the tasks
 // have ended: a machine that hangs holds its tasks until it resumes. But no more work is lost by releasing the machine
-// at that point, and the cloud's response to the release is evidence. If the leader receives a report of the agent
-// meanwhile, it clears the suspicion before it responds. A leader whose term began after the entry counts the time from
-// its own election. (Older versions logged EntryLeaseExpired when the lease had expired. Apply still supports that
-// entry, and ends the machine's runs.)
+// at that point, and the cloud's response to the release is evidence that the tasks have ended. If the leader receives
+// a report of the agent meanwhile, it clears the suspicion before it responds. A leader whose term began after the
+// entry counts the time from its own election. (Older versions logged EntryLeaseExpired when the lease had expired.
+// Apply still supports that entry, and ends the machine's runs.)
 
 // noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources. In
 // that case the machine's actual usage differs from that in the model, and without a delay the job would be placed
@@ -38,7 +38,7 @@
 	Faulty            []*Job              // jobs that this report shows to be faulty
 	Slow              bool                // the report shows the machine to be slow
 	GangReadyMachines []*Machine          // machines whose held gang members may be started now
-	NeedsProbe        bool                // the report ends runs if it is current, which a probe must confirm
+	NeedsProbe        bool                // the report ends runs if it is current; a probe must confirm that it is
 }
 
 // IsStale reports whether the report does not prove the machine's current state, so that the machine must be probed.
@@ -57,7 +57,8 @@
 }
 
 // Observe evaluates an agent's report. The caller logs and applies the entries in the verdict. If the report responds
-// to a probe or a command, probe is the result of BeginProbe when that was sent; otherwise probe is nil.
+// to a probe or a command, probe is the result of the BeginProbe call made when the probe or command was sent;
+// otherwise probe is nil.
 func (m *Model) Observe(machine *Machine, r *wire.Heartbeat, probe *staleness.ProbeBaseline, now Time) ReportVerdict {
 	o := observation{model: m, machine: machine, report: r, isProbeResponse: probe != nil, now: now}
 	contact := &machine.Contact
@@ -192,7 +193,8 @@
 	exited := s.State == wire.TaskExited
 	if j := o.model.Jobs[k.job]; exited && s.Cause == wire.CauseDone && j != nil && !j.Cancelled &&
 		int(k.task) < len(j.Tasks) && j.Tasks[k.task].State == Waiting {
-		// A result that the agent kept across a change of leaders still counts.
+		// A completion still counts if the attempt no longer has a run, for example because the agent kept the result
+		// across a change of leaders.
 		o.log(NewCompletion(k.job, k.task, k.attempt))
 	}
 	o.machine.Contact.reapable = append(o.machine.Contact.reapable, reapableTask{key: k, exited: exited})
--- a/internal/model/reason_history.go
+++ b/internal/model/reason_history.go
@@ -12,8 +12,9 @@
 // maxReasonHistory is the number of reasons kept per job.
 const maxReasonHistory = 8
 
-// RecordReason adds the job's pending reason to the history if its code differs from that of the latest record. The
-// oldest record is dropped. RecordReason is called once per scheduling round, after the reason of the round is known.
+// RecordReason adds the job's pending reason to the history if its code differs from that of the latest record. If the
+// history is full, the oldest record is dropped. RecordReason is called once per scheduling round, after the reason of
+// the round is known.
 func (j *Job) RecordReason(now Time) {
 	if j.Scheduling.reasonHistory[0].Code == j.Scheduling.PendingReason.Code {
 		return
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// encodeAndDecode returns an entry after encoding and decoding.
+// encodeAndDecode encodes an entry and returns the result of decoding it. It fails the test if decoding fails or leaves
+// bytes unread.
 func encodeAndDecode(t *rapid.T, e *Entry) *Entry {
 	r := &codec.Reader{Data: e.Append(nil)}
 	decoded, err := ReadEntry(r)
--- a/internal/model/snapshot.go
+++ b/internal/model/snapshot.go
@@ -32,7 +32,8 @@
 	sectionEnd        = "end"
 )
 
-// ErrUnknownVersion is returned for a snapshot version that this program does not support.
+// ErrUnknownVersion is the cause that a CorruptSnapshotError reports for a snapshot version that this program does not
+// support.
 var ErrUnknownVersion = errors.New("unknown version")
 
 // CorruptSnapshotError reports a snapshot that cannot be decoded, and the section in which decoding failed.
@@ -49,7 +50,8 @@
 // Unwrap returns the cause: why the section cannot be decoded.
 func (e *CorruptSnapshotError) Unwrap() error { return e.Err }
 
-// Snapshot returns the encoded replicated state. Equal states have equal encodings.
+// Snapshot returns the encoded replicated state, with the inferred image caches of the machines. Equal states have
+// equal encodings.
 func (m *Model) Snapshot() []byte {
 	b := []byte{lastVersionWithoutIntents}
 	if len(m.Intents) > 0 {
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -4,7 +4,8 @@
 
 // This file estimates task durations and detects slow machines, both from completed tasks. Owners' estimates are often
 // wrong, at times most of them in the same direction, and a faulty machine may run its tasks much slower than others.
-// Both statistics are observations of the current leader and start empty in the next term of another one.
+// Both statistics are observations of the current leader and are not in the log, so another process that becomes the
+// leader starts without them.
 //
 // Durations are compared as ratios and therefore averaged as logarithms: half as long and twice as long have the same
 // weight. The peers of a task are the other tasks of its job, which share its estimate.
@@ -29,7 +30,7 @@
 	minComparedJobs     = 2          // jobs whose tasks must be slow, as the tasks of one job may differ by chance
 	slowFactor          = 1.8        // a machine is slow if its tasks take this many times as long as their peers
 	minTimedDuration    = Time(5e9)  // shorter tasks are not compared
-	slowPeriod          = Time(60e9) // a slow machine gets only services for this time, doubled with each detection
+	slowPeriod          = Time(60e9) // restriction of a slow machine to services, doubled with each detection, also the first
 	maxSlowDoublings    = 5
 	longSilence         = Time(10e9) // a machine that has been silent for longer may have hung
 )
@@ -70,7 +71,7 @@
 	took := now - r.StartedAt
 	if r.StartedAt == 0 || took < minTimedDuration || r.Inherited || r.Attempt > 1 && j.Spec.CheckpointIntervalS > 0 ||
 		r.StartedAt < machine.Contact.silenceEndedAt {
-		return false // start not observed, too short to compare, resumed from a checkpoint, or hung meanwhile
+		return false // start not observed, too short to compare, resumed from a checkpoint, or possibly hung meanwhile
 	}
 	logSeconds := math.Log(took.Seconds())
 	d.recordBias(j, logSeconds)
@@ -149,9 +150,9 @@
 	return true
 }
 
-// isLate reports whether a run has taken much longer than its peers and counts as evidence that its machine is slow. It
-// does not count if, since it started, another task was started on the machine and completed in time, the machine was
-// found to be slow, or the machine was silent for so long that it may have hung.
+// isLate reports whether a run has taken much longer than its peers and counts as evidence that its machine is slow. A
+// run does not count if, since it started, another task was started on the machine and took less than slowFactor times
+// as long as its peers, the machine was found to be slow, or the machine was silent for so long that it may have hung.
 func (machine *Machine) isLate(r *Run, now Time) bool {
 	peers := &r.Job.Observed.logDurations
 	if r.Job.Kind != Array || peers.weight < minComparedTasks {
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -133,7 +133,8 @@
 }
 
 // TestDetectSlowFromRunningTasks checks that DetectSlow finds a machine to be slow if running tasks of two jobs take
-// much longer than their peers, unless a task that started later on the machine has completed in time.
+// much longer than their peers, unless a task that started later on the machine has completed about as fast as its
+// peers.
 func TestDetectSlowFromRunningTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/model/term.go
+++ b/internal/model/term.go
@@ -5,8 +5,8 @@
 	"fieldhill/wire"
 )
 
-// leaderTerm holds the fencing tokens of the current leader's term. The tokens that agents have seen determine which
-// commands may still be executed.
+// leaderTerm holds the lowest fencing token of the current leader's term. The tokens that agents have seen determine
+// which commands may still be executed.
 type leaderTerm struct {
 	// The lowest fencing token of the current term.
 	MinToken uint64
@@ -36,17 +36,18 @@
 	}
 }
 
-// fenceStart raises a machine's token above that of a start that may be in flight, so that the start is rejected once
-// the agent has seen the new token. This needs no log write, because a leader may set the low bits of its tokens
-// freely.
+// fenceStart raises a machine's token above those of the starts of an attempt that got no response, so that the agent
+// rejects these starts once it has seen the new token. This needs no log write, because a leader may set the low bits
+// of its tokens freely.
 func (t *leaderTerm) fenceStart(machine *Machine, k runKey) {
 	if u := machine.Contact.unresolvedStarts[k]; u.unanswered >= t.Token(machine) {
 		machine.Contact.TokenOffset++
 	}
 }
 
-// startMayBeInFlight reports whether a direct start of a run may be in flight. If so, it raises the machine's token:
-// once the agent has seen the new token, it rejects the start in any epoch.
+// startMayBeInFlight reports whether a direct start of a run may be in flight. If a start got no response,
+// startMayBeInFlight also raises the machine's token: once the agent has seen the new token, it rejects the start in
+// any epoch.
 func (t *leaderTerm) startMayBeInFlight(machine *Machine, run *Run) bool {
 	_, open := machine.Contact.unresolvedStarts[run.key()]
 	if open {
@@ -55,13 +56,15 @@
 	return open
 }
 
-// BeginProbe returns the newest message received from a machine when a probe or a command is sent to it, for the call
-// of Observe with the agent's response. It must not be passed with any other report.
+// BeginProbe returns the baseline for a probe or a command that is about to be sent to a machine: the newest message
+// received from the machine so far. The baseline is passed to Observe with the agent's response, and with no other
+// report.
 func (t *leaderTerm) BeginProbe(machine *Machine) *staleness.ProbeBaseline {
 	return machine.Contact.Reports.ProbeBaseline()
 }
 
-// StartsSent records that commands, some of which may be starts, are being sent to a machine directly.
+// StartsSent records that commands, some of which may be starts, are being sent to a machine directly with the given
+// token.
 func (t *leaderTerm) StartsSent(machine *Machine, commands []wire.Command, token uint64) {
 	machine.Contact.startsSent(commands, token)
 }
@@ -91,7 +94,8 @@
 	return machine.Contact.hasPendingReap(committed)
 }
 
-// CancelledFor returns the longest time for which a job with a task on the machine has been cancelled.
+// CancelledFor returns the longest time for which a job with a task on the machine has been cancelled: 0 if there is no
+// such job, and math.MaxInt64 if one was cancelled before this replica began to follow the log.
 func (t *leaderTerm) CancelledFor(machine *Machine, now Time) Time { return machine.cancelledFor(now) }
 
 func (c *MachineContact) startsSent(commands []wire.Command, token uint64) {
