--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -30,7 +30,7 @@
 	minComparedJobs     = 2          // jobs whose tasks must be slow, as the tasks of one job may differ by chance
 	slowFactor          = 1.8        // a machine is slow if its tasks take this many times as long as their peers
 	minTimedDuration    = Time(5e9)  // shorter tasks are not compared
-	slowPeriod          = Time(60e9) // restriction of a slow machine to services, doubled with each detection, also the first
+	slowPeriod          = Time(60e9) // of restriction to services, doubled with each detection, also the first
 	maxSlowDoublings    = 5
 	longSilence         = Time(10e9) // a machine that has been silent for longer may have hung
 )
--- a/internal/scheduling/admission/admission.go
+++ b/internal/scheduling/admission/admission.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// rollInterval evaluates the current interval and starts the next one if the current one is over.
+// If the current interval is over, rollInterval evaluates it and starts the next one.
 func (g *Gate) rollInterval(now Time) {
 	if now-g.intervalStart < Interval {
 		return
--- a/internal/scheduling/autoscaler/arrivals.go
+++ b/internal/scheduling/autoscaler/arrivals.go
@@ -56,7 +56,7 @@
 func (a *arrivals) observe(m *model.Model, jobs []*model.Job, now model.Time) {
 	if !a.started {
 		a.started, a.startTime, a.lastDecay = true, now, now
-		// Jobs that exist at the start say nothing about the arrival rate.
+		// Jobs that exist at the first call say nothing about the arrival rate.
 		for _, j := range jobs {
 			a.seenJobs[j.ID] = true
 			a.updateClass(m, j)
@@ -89,7 +89,7 @@
 	}
 }
 
-// updateClass updates the statistics of a job's class and returns the class.
+// updateClass updates the statistics of a job's class, except the number of arrivals, and returns them.
 func (a *arrivals) updateClass(m *model.Model, j *model.Job) *jobClass {
 	c := a.classes[j.Class]
 	if c == nil {
--- a/internal/scheduling/autoscaler/autoscaler.go
+++ b/internal/scheduling/autoscaler/autoscaler.go
@@ -37,7 +37,7 @@
 	// Draining holds the machines that only low-priority work uses and whose price this work does not justify. They
 	// receive no new tasks and are released once empty.
 	Draining map[*model.Machine]bool
-	// ServiceHeadroom is the number of CPUs that low-priority work must leave free for services.
+	// ServiceHeadroom is the number of CPUs that work below production priority must leave free for services.
 	ServiceHeadroom float64
 	// ServiceSlots maps machines with GPUs to the number of service tasks that may be placed there because no other
 	// machine has room. All other machines with GPUs stay reserved for work that uses GPUs.
--- a/internal/scheduling/autoscaler/boot_times.go
+++ b/internal/scheduling/autoscaler/boot_times.go
@@ -26,7 +26,7 @@
 	// failed individually.
 	minOthersUp = 2
 	// maxBootSamples is the number of boots that bootStats.meanRatio approximately averages over; minBootSamples is the
-	// number of boots needed before it is used.
+	// number of boots needed before meanRatio is used.
 	maxBootSamples, minBootSamples = 6, 4
 	// nominalRatioMin and nominalRatioMax delimit the values of bootStats.meanRatio for which the boot time that the
 	// cloud states is used.
--- a/internal/scheduling/autoscaler/demand.go
+++ b/internal/scheduling/autoscaler/demand.go
@@ -66,15 +66,15 @@
 	}
 }
 
-// demands returns all demand, most urgent first, and the number of CPUs that low-priority work must leave free for
-// services.
+// demands returns all demand, most urgent first, and the number of CPUs that work below production priority must leave
+// free for services.
 func (a *Autoscaler) demands(m *model.Model, jobs []*model.Job, now model.Time) (all []demand, headroom float64) {
 	var urgent, low []demand
 	expiring, preemptible := runningDemand(m)
 	for _, j := range jobs {
 		n := j.Waiting() + expiring[j]
 		if n == 0 && !isPreemptible(j) || j.Team == nil || j.Cancelled || j.Observed.Faulty {
-			continue // faulty jobs do not justify provisioning machines
+			continue // nothing to place, or a job that does not justify provisioning machines, such as a faulty one
 		}
 		n = min(n, remainingTeamQuota(j, preemptible)+expiring[j])
 		d := a.jobDemand(m, j, n, now)
@@ -89,9 +89,9 @@
 	return slices.Concat(urgent, standby, low), headroom
 }
 
-// runningDemand returns the number of running tasks on suspect machines, by job, and the resources of running
-// preemptible work, by team. The tasks on suspect machines need other machines once their leases have expired, and
-// these machines can boot in the meantime.
+// runningDemand returns, by job, the number of gang and service tasks placed on suspect machines, and by team, the
+// resources of placed preemptible work. Cancelled jobs are not counted in the former. The tasks on suspect machines
+// need other machines once the leases of the suspect ones have expired; the other machines can boot before that.
 func runningDemand(m *model.Model) (expiring map[*model.Job]int, preemptible []scheduler.Resources) {
 	expiring = map[*model.Job]int{}
 	preemptible = make([]scheduler.Resources, len(m.Teams))
@@ -163,13 +163,14 @@
 	// minTaskSeconds is the lower bound of a task's expected run time; taskOverheadSeconds is added to the run time for
 	// placing and starting the task.
 	minTaskSeconds, taskOverheadSeconds = 5, 8
-	// defaultOnTimeShare is the share of the jobs of a class that must complete in time, unless an objective sets a
-	// higher share.
+	// defaultOnTimeShare is the share of the jobs of a class that must complete within their target time, unless an
+	// objective sets a higher share.
 	defaultOnTimeShare = 0.75
 )
 
 // requiredParallelism returns how many more tasks of an array must run concurrently for the array to complete within
-// completionBudgetShare of its target time.
+// completionBudgetShare of its target time. If less time is left than one task takes, it returns the number of waiting
+// tasks.
 func (a *Autoscaler) requiredParallelism(m *model.Model, j *model.Job, now model.Time) int {
 	taskSeconds := max(minTaskSeconds, m.ExpectedSeconds(j)) + taskOverheadSeconds
 	secondsLeft := a.completionTargetSeconds(j)*completionBudgetShare - (now - j.Observed.KnownSince).Seconds()
--- a/internal/scheduling/autoscaler/offers.go
+++ b/internal/scheduling/autoscaler/offers.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// cheapest returns the offer with the lowest cost for the remaining tasks of a demand, among those that can be
-// requested now.
+// cheapest returns the offer with the lowest cost per task for the remaining tasks of a demand, among the affordable
+// offers that can be requested now. The result is false if there is none.
 func (a *Autoscaler) cheapest(m *model.Model, d *demand, remaining int, now model.Time) (InstanceOffer, bool) {
 	var best InstanceOffer
 	found := false
--- a/internal/scheduling/autoscaler/packing.go
+++ b/internal/scheduling/autoscaler/packing.go
@@ -149,8 +149,8 @@
 	return n
 }
 
-// eachServiceMachine calls a function for the machines with GPUs that run services, in descending order of the CPUs
-// reserved for services, so that services occupy as few of them as possible.
+// eachServiceMachine calls a function for the machines with GPUs that run services, except the drain target, in
+// descending order of the CPUs that services use, so that services occupy as few of these machines as possible.
 func (p *planner) eachServiceMachine(each func(*slot)) {
 	var candidates []*slot
 	for _, s := range p.slots {
--- a/internal/scheduling/autoscaler/slot.go
+++ b/internal/scheduling/autoscaler/slot.go
@@ -42,8 +42,8 @@
 	return out
 }
 
-// isPackable reports whether demand may be packed onto a machine: the machine must be reachable, or booting in time,
-// and must not be quarantined or about to leave.
+// isPackable reports whether demand may be packed onto a machine: the machine must be reachable, or booting and not
+// overdue, and must not be quarantined, being released or about to be preempted by the cloud.
 func (a *Autoscaler) isPackable(m *model.Model, machine *model.Machine) bool {
 	if !m.TypeOf(machine).Known || machine.Health.Quarantined || machine.Releasing ||
 		machine.Lifecycle.PreemptionAt != 0 || machine.Lifecycle.BootOverdue ||
--- a/internal/scheduling/autoscaler/standby.go
+++ b/internal/scheduling/autoscaler/standby.go
@@ -25,7 +25,7 @@
 )
 
 // standbyDemands returns the standby demand of each class that needs it, in the order of class IDs, and the number of
-// CPUs that low-priority work must leave free for services.
+// CPUs that work below production priority must leave free for services.
 func (a *Autoscaler) standbyDemands(m *model.Model, jobs []*model.Job, now model.Time) ([]demand, float64) {
 	var standby []demand
 	headroom := 0.0
@@ -37,7 +37,7 @@
 		}
 		boot, fetch := a.coldStart(m, c)
 		if boot+fetch < targetSeconds*coldStartBudgetShare {
-			continue // a machine can be provisioned in time
+			continue // a machine can be provisioned within the start objective
 		}
 		rate := a.arrivals.tasksPerSecond(c, now)
 		var expected float64
--- a/internal/scheduling/explanation/constraints.go
+++ b/internal/scheduling/explanation/constraints.go
@@ -9,8 +9,8 @@
 	"fieldhill/wire"
 )
 
-// constraint is a reason why a job is waiting, with a way to lift it in a simulation. holds reports whether the reason
-// applies to the job and returns its figures; lift makes the reason no longer apply.
+// constraint is a possible reason why a job is waiting, with a way to lift it in a simulation. holds reports whether
+// the reason applies to the job and returns its figures; lift makes the reason no longer apply.
 type constraint struct {
 	code  pending.Code
 	holds func(s *simulation) (pending.Reason, bool)
--- a/internal/scheduling/explanation/explanation.go
+++ b/internal/scheduling/explanation/explanation.go
@@ -25,8 +25,8 @@
 // Finding is a reason that applies to the job, with the effect of lifting it.
 type Finding struct {
 	pending.Reason
-	Binding  bool        // lifting it alone changes the next round
-	IfLifted RoundResult // the next round with this reason lifted
+	Binding  bool        // lifting it alone improves the next round for the job
+	IfLifted RoundResult // the next round with this reason lifted, and with the wait for a busy machine lifted
 }
 
 // Analysis explains why a job is waiting.
@@ -36,7 +36,7 @@
 	Findings  []Finding         // the reasons that apply, in the order in which the scheduler checks them
 	Pairs     [][2]pending.Code // pairs of reasons that bind only together
 	AllLifted RoundResult       // the next round with every reason lifted
-	Complete  bool              // lifting every reason starts all waiting tasks
+	Complete  bool              // lifting every reason starts all waiting tasks, or at least one if the job is faulty
 	Truncated bool              // not all pairs were tried
 }
 
--- a/internal/scheduling/explanation/simulation.go
+++ b/internal/scheduling/explanation/simulation.go
@@ -156,7 +156,8 @@
 // maxAddedMachines limits the number of machines that addMachines adds to a simulation.
 const maxAddedMachines = 200
 
-// addMachines adds, for each type and zone that the job allows, an empty machine for each waiting task.
+// addMachines adds, for each type and zone that the job allows, an empty machine for each waiting task, up to
+// maxAddedMachines in total. Types on which a task does not fit are skipped.
 func (s *simulation) addMachines() {
 	need, added := scheduler.TaskDemand(s.job), 0
 	for index := range s.model.Types {
--- a/internal/scheduling/provisioner/provisioner.go
+++ b/internal/scheduling/provisioner/provisioner.go
@@ -42,8 +42,8 @@
 	Kind     ResultKind
 	ScaleOut ScaleOut
 	Machines []string
-	// Elapsed is the duration of a scale-out or of a machine listing; that of a listing is not sent to other
-	// controllers.
+	// Elapsed is the duration of the last request of a scale-out, or of a machine listing; the duration of a listing is
+	// not sent to other controllers.
 	Elapsed      time.Duration
 	Listing      []wire.ListedMachine
 	MachineTypes []wire.MachineType
--- a/internal/scheduling/scheduler/gang.go
+++ b/internal/scheduling/scheduler/gang.go
@@ -85,7 +85,7 @@
 }
 
 // placeOnFreeMachines places the gang on free machines. It reports whether the gang needs no further step in this
-// round: it is placed, or machines are free but it waits for another condition.
+// round: the gang is placed, or enough machines are free but the gang waits for another condition.
 func (g *gangPlacement) placeOnFreeMachines() bool {
 	r, p, j := g.round, g.placement, g.job
 	key, failedBefore := constraintKeyOf(j), j.Observed.FailedOn != nil
@@ -304,11 +304,11 @@
 }
 
 // preemptForImageLocality preempts work on machines that have the image of the gang, although machines without it are
-// free, if that loses less work than the members would lose while fetching the image. For gangs it replaces the wait
-// for a busy local machine in DAD: where a fetch takes ten times as long as the two rounds of that wait, preempting
-// low-priority work is quicker. Moreover, members with very different fetch times would not all start before the first
-// one times out. The function reports whether the gang waits for these machines, which it does for a limited share of
-// its start time limit.
+// free, if that loses less work than the members would lose while fetching the image. For gangs this preemption
+// replaces the wait for a busy local machine in DAD: where a fetch takes ten times as long as the two rounds of that
+// wait, preempting low-priority work is quicker. Moreover, members with very different fetch times would not all start
+// before the first one times out. The function reports whether the gang waits for these machines, which it does for a
+// limited share of its start time limit.
 func (g *gangPlacement) preemptForImageLocality(plan []*machineView) bool {
 	r, j := g.round, g.job
 	if r.directives.AwaitingHeartbeats || j.Spec.Spread || j.Observed.Faulty {
--- a/internal/scheduling/scheduler/moves.go
+++ b/internal/scheduling/scheduler/moves.go
@@ -88,9 +88,10 @@
 	}
 }
 
-// moveReplica moves a replica off the drain target. If no machine has free resources, it preempts low-priority work for
-// a replica and reserves the resources until the replica moves. Without this, low-priority work that fills all other
-// machines would keep the replicas on the drain target. It reports whether there was a suitable machine.
+// moveReplica moves a replica off the drain target. If withImage is true, the replica moves only to a machine that has
+// its image. If no machine has free resources, it preempts low-priority work for a replica and reserves the resources
+// until the replica moves. Without this, low-priority work that fills all other machines would keep the replicas on the
+// drain target. It reports whether there was a suitable machine.
 func (mv *moves) moveReplica(r *round, withImage bool) bool {
 	var best preemptionChoice
 	var bestNeed Resources
@@ -152,7 +153,8 @@
 }
 
 // evacuationCandidates lists the runs to move off machines that are being vacated. Machines that are being released are
-// skipped, because their runs end when the cloud confirms the release.
+// skipped, because their runs end when the cloud confirms the release. Suspect machines and those that have not
+// reported to this leader are skipped too.
 func evacuationCandidates(m *model.Model) (list []evacuationCandidate) {
 	for _, machine := range m.MachinesInOrder {
 		if !machine.IsLeaving() || !machine.Contact.Reported || machine.Releasing || machine.Suspect {
--- a/internal/scheduling/scheduler/placement.go
+++ b/internal/scheduling/scheduler/placement.go
@@ -203,7 +203,8 @@
 	return best
 }
 
-// shouldWait reports whether a task should wait for a better machine instead of using the best free one.
+// shouldWait reports whether a task should wait for a better machine instead of using the best free one. If so, it sets
+// the pending reason of the job.
 func (r *round) shouldWait(p *jobPlacement, best *candidate) bool {
 	j := p.job
 	switch {
--- a/internal/scheduling/scheduler/preempt.go
+++ b/internal/scheduling/scheduler/preempt.go
@@ -25,7 +25,8 @@
 func mayPreempt(run *model.Run, j *model.Job) bool {
 	if run.Job == j || !run.IsWanted() || run.Job.Kind == model.Service ||
 		run.Job.Scheduling.Rank >= j.Scheduling.Rank {
-		// A run that ranks above the job would be placed again before the job and preempted again, round after round.
+		// A run that does not rank below the job would be placed before the job again, and preempted again, in each
+		// further round.
 		return false
 	}
 	if run.Job.Priority < j.Priority {
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -75,7 +75,7 @@
 
 // missedObjectives returns how many completion objectives a job would miss if it were placed now and ran for the
 // expected time. Jobs that miss fewer objectives are served first. The result is -1 for a job whose start is overdue,
-// which is served before all others.
+// which is served before all other jobs of its rank and urgency.
 func (p *Params) missedObjectives(m *model.Model, j *model.Job, now model.Time) (missed int) {
 	if isStartOverdue(j, now) {
 		return -1
@@ -92,12 +92,13 @@
 	return missed
 }
 
-// startDeadline is the waiting time after which an array without any started task is served before other arrays
-// regardless of its size. Without it, the largest arrays would starve while smaller ones keep arriving.
+// startDeadline is the waiting time after which an array below high priority without any started task is served before
+// other arrays of its rank regardless of its size. Without it, the largest arrays would starve while smaller ones keep
+// arriving.
 const startDeadline = model.Time(120e9)
 
-// isStartOverdue reports whether an array has waited beyond startDeadline without starting. Its first task is then
-// placed before the tasks of other arrays, and its other tasks in the regular order.
+// isStartOverdue reports whether an array below high priority has waited beyond startDeadline without starting. Its
+// first task is then placed before the tasks of other arrays of its rank, and its other tasks in the regular order.
 func isStartOverdue(j *model.Job, now model.Time) bool {
 	return j.PlacedTasks+j.Done == 0 && now-j.Observed.KnownSince > startDeadline && servedShortestFirst(j)
 }
--- a/internal/scheduling/scheduler/round.go
+++ b/internal/scheduling/scheduler/round.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// preemptionDelayed reports whether it is too early to preempt other work for a job.
+// preemptionDelayed reports whether other work may not be preempted for a job yet: while the leader awaits heartbeats,
+// and until the job has waited for its preemption delay.
 func (r *round) preemptionDelayed(j *model.Job) bool {
 	return r.directives.AwaitingHeartbeats || r.now-j.Observed.KnownSince < r.params.preemptionDelay(j)
 }
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// DryRunCopy returns a scheduler for a dry run on m, a copy of the model; machines are matched by ID. The copy makes
-// the same decisions as s and shares no state with it.
+// DryRunCopy returns a scheduler for a dry run on m, a copy of the model; machines are matched by ID. The copy shares
+// no state with s and makes the same decisions, except that AwaitingHeartbeats and OnlyJob are not copied.
 func (s *Scheduler) DryRunCopy(m *model.Model) *Scheduler {
 	copied := New(s.Params)
 	copied.gpuDemand = maps.Clone(s.gpuDemand)
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// finish completes a run.
+// finish marks the task of a run as completed in the model.
 func (env *environment) finish(r *model.Run) {
 	env.apply(&model.Entry{Kind: model.EntryTaskDone, Job: r.Job.ID, Task: r.Task, Attempt: r.Attempt})
 }
--- a/internal/scheduling/scheduler/team_quota.go
+++ b/internal/scheduling/scheduler/team_quota.go
@@ -74,9 +74,9 @@
 }
 
 // mayPreemptInTeam reports whether a run may be preempted for a job of the same team that exceeds the team limit. The
-// run must have a lower rank. Otherwise the run would be placed again before the job and preempted again, round after
-// round: a gang ranked below the guaranteed arrays of its team can cause an unlimited number of preemptions in this way
-// (147,000 were counted) without ever starting.
+// run must have a lower rank. Otherwise the next round would place the run before the job again and preempt it again,
+// without limit: a gang ranked below the guaranteed arrays of its team caused 147,000 preemptions in this way without
+// ever starting.
 func mayPreemptInTeam(run *model.Run, j *model.Job) bool {
 	return run.Job.Priority < j.Priority && run.Job.Kind != model.Service &&
 		run.Job.Scheduling.Rank < j.Scheduling.Rank
--- a/internal/scheduling/scheduler/urgency.go
+++ b/internal/scheduling/scheduler/urgency.go
@@ -4,8 +4,8 @@
 
 // urgencyClass orders the gangs of a tier when there is not enough capacity for all of them. First come, first served
 // would make every gang of a burst late, because each would wait for earlier gangs that are late already. So gangs that
-// can still start in time go before those that cannot, which wait until their last start objective is near. Within a
-// class the gang with the least work goes first, because it releases its resources soonest.
+// can still meet their start objectives go before those that cannot, which wait until their last start objective is
+// near. Within a class the gang with the least work goes first, because it releases its resources soonest.
 //
 // The value is urgencyOverdue, or urgencyOnTime plus the number of start objectives that the gang misses. Among
 // low-priority arrays, new ones within a guarantee have the value urgencyOverdue, since they must start immediately.
