--- a/internal/model/delivery_order_test.go
+++ b/internal/model/delivery_order_test.go
@@ -114,7 +114,8 @@
 
 func (w exploredState) Violation() string { return w.violation }
 
-// report returns the next report of the agent.
+// report returns the agent's next report, with a new sequence number. It lists the attempt on the machine, if there is
+// one.
 func (w *exploredState) report() *wire.Heartbeat {
 	w.seq++
 	r := testReport(w.epoch, w.seq, w.token)
@@ -128,7 +129,8 @@
 	return r
 }
 
-// observe passes a report to the leader and applies the resulting entries.
+// observe passes a report to the leader and applies the resulting entries. It also injects the faults reapsEarly and
+// anyEpochTrusted.
 func (w *exploredState) observe(r *wire.Heartbeat, probe *staleness.ProbeBaseline) ReportVerdict {
 	machine := w.model.MachinesInOrder[0]
 	offset := machine.Contact.TokenOffset
@@ -155,7 +157,8 @@
 	return v
 }
 
-// execute applies commands to the simulated agent and detects violations.
+// execute applies commands to the simulated agent. It records a violation if an attempt starts while the task runs on
+// another machine, or after the end of the attempt was logged.
 func (w *exploredState) execute(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Verb {
@@ -206,7 +209,8 @@
 	return w
 }
 
-// followSteps returns the state after the named steps.
+// followSteps takes the named steps in order and returns the resulting state. It fails the test if one of them is not
+// possible.
 func followSteps(t *testing.T, w exploredState, names ...string) exploredState {
 	t.Helper()
 next:
--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -185,7 +185,8 @@
 	return decoded
 }
 
-// snapshotAndRestore returns a model restored from a snapshot of m.
+// snapshotAndRestore returns a model restored from a snapshot of m. It fails the test if the restored model gives a
+// different snapshot.
 func snapshotAndRestore(t *rapid.T, m *Model, seq uint64) *Model {
 	snapshot := m.Snapshot()
 	restored := New(params())
--- a/internal/model/task_speed.go
+++ b/internal/model/task_speed.go
@@ -30,7 +30,7 @@
 	minComparedJobs     = 2          // jobs whose tasks must be slow, as the tasks of one job may differ by chance
 	slowFactor          = 1.8        // a machine is slow if its tasks take this many times as long as their peers
 	minTimedDuration    = Time(5e9)  // shorter tasks are not compared
-	slowPeriod          = Time(60e9) // of restriction to services, doubled with each detection, also the first
+	slowPeriod          = Time(60e9) // base of the time for which a slow machine gets only services (see markSlow)
 	maxSlowDoublings    = 5
 	longSilence         = Time(10e9) // a machine that has been silent for longer may have hung
 )
@@ -112,8 +112,9 @@
 // may get further services, and its runs stay.
 func (machine *Machine) IsSlow(now Time) bool { return now < machine.Health.SlowUntil }
 
-// markSlow restricts the machine to services until SlowUntil. After that it gets other tasks again, since the cause may
-// have passed.
+// markSlow restricts the machine to services until SlowUntil. The restriction lasts twice slowPeriod the first time and
+// doubles with each further detection, up to maxSlowDoublings doublings of slowPeriod. After that it gets other tasks
+// again, since the cause may have passed.
 func (h *MachineHealth) markSlow(now Time) {
 	h.slowCount++
 	h.SlowUntil = now + slowPeriod<<min(h.slowCount, maxSlowDoublings)
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -47,7 +47,7 @@
 	// OnlyJob restricts the round to a single job; nil means all jobs. It is used for dry runs on a copy of the model.
 	OnlyJob *model.Job
 
-	// DrainTarget is the machine whose replicas are moved elsewhere, or nil.
+	// DrainTarget is the machine whose replicas are moved to other machines, or nil.
 	DrainTarget *model.Machine
 }
 
