--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -22,9 +22,9 @@
 // executes anything, and a start still in flight names an agent epoch that is over. This is not evidence that the tasks
 // have ended: a machine that hangs holds its tasks until it resumes. But no more work is lost by releasing the machine
 // at that point, and the cloud's response to the release is evidence that the tasks have ended. If the leader receives
-// a report of the agent meanwhile, it clears the suspicion before it responds. A leader whose term began after the
-// entry counts the time from its own election. (Older versions logged EntryLeaseExpired when the lease had expired.
-// Apply still supports that entry, and ends the machine's runs.)
+// a report from the agent before the release, it clears the suspicion before it responds. A leader whose term began
+// after the entry counts the time from its own election. (Older versions logged EntryLeaseExpired when the lease had
+// expired. Apply still supports that entry, and ends the machine's runs.)
 
 // noCapacityBackoff is how long a job is not placed after a machine rejected one of its tasks for lack of resources. In
 // that case the machine's actual usage differs from that in the model, and without a delay the job would be placed
--- a/internal/scheduling/scheduler/minimum_share_test.go
+++ b/internal/scheduling/scheduler/minimum_share_test.go
@@ -112,7 +112,7 @@
 }
 
 // TestUnderServedIsNotPreempted checks that more urgent work of a well-served class does not preempt under-served work,
-// and that more urgent work of a class that is under-served as well does.
+// and that more urgent work of another under-served class does.
 func TestUnderServedIsNotPreempted(t *testing.T) {
 	for _, wellServed := range []bool{true, false} {
 		env := newEnvironment(t, 3) // m0 and m2 in zone a, m1 in zone b; 12 CPUs in total
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -61,8 +61,8 @@
 }
 
 // servedShortestFirst reports whether a job is an array below high priority. Such arrays are served shortest first
-// instead of round-robin: with more work than capacity, round-robin makes every job late, whereas shortest first
-// completes most of them in time.
+// instead of round-robin: with more work than capacity, round-robin makes every job late, whereas shortest first lets
+// most of them meet their objectives.
 func servedShortestFirst(j *model.Job) bool {
 	return j.Kind == model.Array && j.Priority < model.High
 }
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -343,9 +343,9 @@
 	}
 }
 
-// TestGangsOnTimeFirst checks that in a burst of gangs those that can still start in time are served first, those with
-// the least work before the others, and that no gang is passed over beyond its last objective. In arrival order, each
-// gang would wait for earlier gangs that are late already, and nearly all gangs would be late.
+// TestGangsOnTimeFirst checks that in a burst of gangs those that can still meet their start objectives are served
+// first, those with the least work before the others, and that no gang is passed over beyond its last objective. In
+// arrival order, each gang would wait for earlier gangs that are late already, and nearly all gangs would be late.
 func TestGangsOnTimeFirst(t *testing.T) {
 	env := newEnvironment(t, 1)
 	s := New(Params{Beta: 0.8, Threshold: 0.5, Objectives: []config.Objective{
