--- a/internal/model/reference_test.go
+++ b/internal/model/reference_test.go
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// encodeAndDecode returns an entry after encoding and decoding.
+// encodeAndDecode encodes an entry and returns the result of decoding it. It fails the test if decoding fails or leaves
+// bytes unread.
 func encodeAndDecode(t *rapid.T, e *Entry) *Entry {
 	r := &codec.Reader{Data: e.Append(nil)}
 	decoded, err := ReadEntry(r)
@@ -184,7 +185,8 @@
 	return decoded
 }
 
-// snapshotAndRestore returns a model restored from a snapshot of m.
+// snapshotAndRestore returns a model restored from a snapshot of m. It fails the test if the restored model gives a
+// different snapshot.
 func snapshotAndRestore(t *rapid.T, m *Model, seq uint64) *Model {
 	snapshot := m.Snapshot()
 	restored := New(params())
--- a/internal/scheduling/scheduler/scheduler.go
+++ b/internal/scheduling/scheduler/scheduler.go
@@ -47,7 +47,7 @@
 	// OnlyJob restricts the round to a single job; nil means all jobs. It is used for dry runs on a copy of the model.
 	OnlyJob *model.Job
 
-	// DrainTarget is the machine whose replicas are moved elsewhere, or nil.
+	// DrainTarget is the machine whose replicas are moved to other machines, or nil.
 	DrainTarget *model.Machine
 }
 
@@ -124,8 +124,8 @@
 	}
 }
 
-// DryRunCopy returns a scheduler for a dry run on m, a copy of the model; machines are matched by ID. The copy makes
-// the same decisions as s and shares no state with it.
+// DryRunCopy returns a scheduler for a dry run on m, a copy of the model; machines are matched by ID. The copy shares
+// no state with s and makes the same decisions, except that AwaitingHeartbeats and OnlyJob are not copied.
 func (s *Scheduler) DryRunCopy(m *model.Model) *Scheduler {
 	copied := New(s.Params)
 	copied.gpuDemand = maps.Clone(s.gpuDemand)
