--- a/internal/controller/checks_test.go
+++ b/internal/controller/checks_test.go
@@ -10,8 +10,9 @@
 	"fieldhill/wire"
 )
 
-// checkConvergence requires that the cluster recovers after all faults have ended: every job is in a known state, no
-// task of a cancelled job runs, and the leader's replica lists exactly the machines in the cloud.
+// checkConvergence requires that the cluster recovers after all faults have ended. It cancels all jobs and requires
+// that each is then done, cancelled or unknown and has no running task, and that the leader's replica lists all
+// machines in the cloud, no others, and no open scale-out.
 func checkConvergence(t *testing.T, w *emulator.Environment, ids []string) {
 	t.Helper()
 	w.Checker.MarkFaultsOver()
@@ -51,8 +52,8 @@
 	}
 }
 
-// compareMachines returns an error if the machines in the cloud differ from those in a controller's replica of the log,
-// or if the log contains an open scale-out.
+// compareMachines returns an error if the number of machines in the cloud differs from that in a controller's replica
+// of the log, or if the replica contains an open scale-out.
 func compareMachines(w *emulator.Environment, node *Controller) (err error) {
 	node.loop.postAndWait(func() {
 		if intents := node.replica.model.Intents; len(intents) > 0 {
@@ -86,8 +87,8 @@
 	return unexpected
 }
 
-// waitServicesUp waits until as many replicas run as there are services, each of which has one, but at most for limit.
-// It returns the time waited.
+// waitServicesUp waits until the replicas of the single-replica services numbered 1 to services run, but at most for
+// limit. It returns the time waited.
 func waitServicesUp(w *emulator.Environment, services int, limit time.Duration) time.Duration {
 	began := time.Now()
 	for servicesUp(w, services) < services && time.Since(began) < limit {
@@ -96,7 +97,7 @@
 	return time.Since(began)
 }
 
-// checkMachinesKnown requires that the leader's replica lists exactly the machines in the cloud.
+// checkMachinesKnown requires that the leader's replica lists as many machines as the cloud and no open scale-out.
 func checkMachinesKnown(t *testing.T, w *emulator.Environment) {
 	t.Helper()
 	if err := compareMachines(w, nodeAt(findLeader())); err != nil {
@@ -104,7 +105,8 @@
 	}
 }
 
-// checkEpochsUnchanged requires that no agent's lease has expired and that the number of task starts is still starts.
+// checkEpochsUnchanged requires that every agent is still in epoch 1, so that no lease has expired, and that the number
+// of task starts equals starts.
 func checkEpochsUnchanged(t *testing.T, w *emulator.Environment, starts int, label string) {
 	t.Helper()
 	if k := w.Checker.Starts() - starts; k != 0 {
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// mustMarshal encodes a message in its wire format.
+// mustMarshal encodes a message in its wire format. It fails the test if the encoding fails.
 func mustMarshal(t *testing.T, message any) []byte {
 	t.Helper()
 	b, err := wire.Marshal(message)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -54,8 +54,8 @@
 	return -1
 }
 
-// leaderOrFirst returns the index of the leader, or 0 if there is none. Faults use it if they need a target in any
-// case.
+// leaderOrFirst returns the index of the leader, or 0 if there is none, so that a fault has a target even without a
+// leader.
 func leaderOrFirst() int { return max(0, findLeader()) }
 
 // currentTerm returns the leader's term, or 0 if there is no leader.
--- a/internal/controller/commit_pipeline_test.go
+++ b/internal/controller/commit_pipeline_test.go
@@ -149,7 +149,7 @@
 		time.Sleep(5 * time.Second)
 		leader.loop.postAndWait(func() {
 			if len(committedAtReport) != 2 || slices.Min(committedAtReport) < finalSeq {
-				t.Errorf("the last committed batches at the reports of the cancellation are %v, want two, at least %d",
+				t.Errorf("last committed batch at each report of the cancellation: got %v, want two, each at least %d",
 					committedAtReport, finalSeq)
 			}
 		})
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -16,7 +16,7 @@
 )
 
 // waitForLeader waits until a controller other than the one with index except leads. It returns the index of the leader
-// and the time waited, and fails the test if that exceeds within.
+// and the time waited, and fails the test if no such controller leads after the time within.
 func waitForLeader(t *testing.T, except int, within time.Duration) (i int, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -200,9 +200,9 @@
 	})
 }
 
-// TestIdleFollowerConnected checks that a follower of an idle log counts as connected to the store. Without this, if
-// the age of its replica decided, it would count as disconnected for a third of the time and forward requests to other
-// controllers.
+// TestIdleFollowerConnected checks that a follower of an idle log counts as connected to the store. If the connection
+// were judged by the age of the replica, the follower would count as disconnected for a third of the time and forward
+// requests to other controllers.
 func TestIdleFollowerConnected(t *testing.T) {
 	runCluster(t, 53, func(w *emulator.Environment) {
 		time.Sleep(30 * time.Second)
@@ -257,16 +257,16 @@
 		leads, _ := timeline.ReachedAfter(candidacy.Leading)
 		accounted, reached := timeline.ReachedAfter(candidacy.AgentsAccounted)
 		if !reached || leads > 500*time.Millisecond || accounted-leads < time.Second {
-			t.Errorf("leading after %v, want at most 500 ms; agents accounted for after %v (%v), want 1 s more",
-				leads, accounted, reached)
+			t.Errorf("leading after %v, want at most 500 ms; "+
+				"agents accounted for after %v (reached %v), want at least 1 s later", leads, accounted, reached)
 		}
 	})
 }
 
 // TestFailoverDuringZonePartition checks that a new leader does not wait for every machine of a partitioned zone. After
 // some unanswered probes, if it has received heartbeats only from agents of other zones, it stops waiting for the
-// zone's machines and probes those of other zones first. The log still places the tasks of the partitioned machines
-// there, and they are not started again.
+// zone's machines and probes those of other zones first. The log still places tasks on the partitioned machines,
+// and these tasks are not started again.
 func TestFailoverDuringZonePartition(t *testing.T) {
 	defer func(saved int) { maxSilentProbes = saved }(maxSilentProbes)
 	maxSilentProbes = 6
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -36,10 +36,10 @@
 	return func() {}
 }
 
-// TestCancelDuringFailover checks that the tasks of cancelled jobs end in time if jobs are cancelled within seconds of
-// a leader change, while their tasks fetch images or run. The leader changes ten times in two minutes, also during
-// store outages, with and without distributed singleton roles. The log of the test states how many tasks started after
-// the cancellation of their job was confirmed.
+// TestCancelDuringFailover checks that the tasks of cancelled jobs end by the cancellation deadline if jobs are
+// cancelled within seconds of a leader change, while their tasks fetch images or run. Ten faults within two minutes
+// make the leader change, also during store outages, with and without distributed singleton roles. The log of the test
+// states how many tasks started after the cancellation of their job was confirmed.
 func TestCancelDuringFailover(t *testing.T) {
 	defer func() { distributedRoles = false }()
 	for _, distributedRoles = range []bool{false, true} {
@@ -87,8 +87,8 @@
 	}
 }
 
-// submitAndCancel submits array job n and cancels it after some seconds, in the background, and adds a confirmed
-// cancellation to cancelled.
+// submitAndCancel submits array job n in the background, cancels it after 0.5 s to 7.5 s, and increments cancelled if
+// the cancellation is confirmed.
 func submitAndCancel(w *emulator.Environment, rng *rand.Rand, n int, cancelled *atomic.Int64) {
 	j := newHighArray(n, 1+rng.IntN(3), 0.25, 30)
 	j.Image = fmt.Sprint("img-", n%9)
@@ -102,9 +102,10 @@
 	}()
 }
 
-// TestCancelAsStoreRefusesLeader checks that the tasks of every job whose cancellation is confirmed end in time if the
-// store begins to refuse the leader's requests, but no other controller's, while jobs are being cancelled. A second
-// later, a store outage begins for all controllers that lasts longer than the cancellation deadline.
+// TestCancelAsStoreRefusesLeader checks that the tasks of every job whose cancellation is confirmed end by the
+// cancellation deadline if the store begins to refuse the leader's requests, but no other controller's, while jobs are
+// being cancelled. A second later, a store outage that lasts longer than the cancellation deadline begins for all
+// controllers.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
 	var confirmed atomic.Int64
 	runFaultCombination(t, 2, 72, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
@@ -238,8 +239,8 @@
 
 // TestTeamsAtQuota checks that no team exceeds its limit if jobs are cancelled while machines are partitioned or hang
 // and the leader changes, with every team at its limit and more jobs pending. The resources of a cancelled job count
-// towards the limit until its tasks are proven to have ended. That state must survive in the log and in its snapshots,
-// so the log is compacted every few batches. After the faults, each team has to use its whole limit again.
+// towards the limit until its tasks are proven to have ended. This accounting must survive in the log and its
+// snapshots, so the log is compacted every five batches. After the faults, each team has to use its whole limit again.
 func TestTeamsAtQuota(t *testing.T) {
 	defer func() { compactEvery = 0 }()
 	compactEvery = 5
@@ -254,7 +255,7 @@
 		time.Sleep(45 * time.Second)
 		q.checkAtLimit(t, "before the faults")
 		if t.Failed() {
-			t.Fatal("the fault combination did not occur")
+			t.Fatal("teams are not at their limits before the faults: the fault combination did not occur")
 		}
 		cancelledTasks := 0
 		for range 3 {
@@ -282,8 +283,8 @@
 	q.open[team] = append(q.open[team], j.ID)
 }
 
-// checkAtLimit checks that each team uses its limit, except for what a service of three CPUs and jobs of two CPUs may
-// leave unused.
+// checkAtLimit checks that each team leaves at most 1.5 CPUs of its limit unused. A service of three CPUs and jobs of
+// two CPUs need not fill the limit.
 func (q *quotaTest) checkAtLimit(t *testing.T, phase string) {
 	t.Helper()
 	teams := q.w.Params.Teams
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -144,8 +144,8 @@
 	},
 }
 
-// reclaimHalfOfTheMachines makes the cloud reclaim every second machine at second 100, when it has little capacity
-// left.
+// reclaimHalfOfTheMachines makes the cloud reclaim every second machine at second 100, and limits its capacity to two
+// machines per type, zone and kind.
 func reclaimHalfOfTheMachines(w *emulator.Environment, second int) {
 	if second != 100 {
 		return
@@ -215,9 +215,9 @@
 	}
 }
 
-// feasibleShare decides when the test requires that half of the work is served: only if, according to capacityModel,
-// this half needs at most this share of the capacity. It is below 1 because, unlike in the model, machines have to boot
-// and to fetch images, and their capacity is fragmented.
+// feasibleShare limits what the test requires: half of the work has to be served only if, according to capacityModel,
+// this half needs less than this share of the capacity. The limit is below 1 because, unlike in the model, machines
+// have to boot and to fetch images, and their capacity is fragmented.
 const feasibleShare = 0.7
 
 // runOverload submits the workloads of a scenario and then checks which jobs were served.
@@ -287,8 +287,8 @@
 		jobs, tasks, up := count.CompletedShares()
 		t.Logf("%s %s: %v", kind, name, count)
 		if jobs < 0.5 && needJobs < feasibleShare || tasks < 0.5 && needTasks < feasibleShare || up < 0.5 {
-			t.Errorf("%s %s: %.2f of jobs and %.2f of tasks served, services up %.2f of the time; want 0.5 if feasible",
-				kind, name, jobs, tasks, up)
+			t.Errorf("%s %s: %.2f of jobs and %.2f of tasks served, want at least 0.5 if feasible; "+
+				"services up %.2f of the time, want at least 0.5", kind, name, jobs, tasks, up)
 		}
 	}
 }
--- a/internal/controller/fault_combination_test.go
+++ b/internal/controller/fault_combination_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// zoneMachines returns the machines of a zone.
+// zoneMachines returns the provisioned machines of a zone.
 func zoneMachines(w *emulator.Environment, zone string) []*emulator.Worker {
 	return slices.DeleteFunc(w.Cloud.Workers(), func(worker *emulator.Worker) bool { return worker.Zone != zone })
 }
@@ -113,8 +113,8 @@
 
 // TestCancelledByNewLeaderDuringOutage makes the store refuse the requests of the leader only, so that another
 // controller takes over and confirms cancellations. A store outage for all controllers follows that lasts longer than
-// the cancellation deadline, while agents can reach the old leader only. The test does this twice. The invariant
-// checker requires that the tasks of cancelled jobs end in time.
+// the cancellation deadline, while agents can reach the old leader only. Each run repeats this sequence once. The
+// invariant checker requires that the tasks of cancelled jobs end by the cancellation deadline.
 func TestCancelledByNewLeaderDuringOutage(t *testing.T) {
 	runFaultCombination(t, 2, 41, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -144,8 +144,8 @@
 }
 
 // cancelByNewLeader makes the store refuse the leader's requests, cancels jobs through the next leader, and begins a
-// store outage during which the agents can reach the old leader only. If restartOthers is set, it restarts the
-// controllers that know of the cancellations.
+// store outage during which the agents can reach the old leader only. If restartOthers is set, it restarts all
+// controllers but the old leader, which is then the only one that did not restart after the cancellations.
 func cancelByNewLeader(t *testing.T, w *emulator.Environment, rng *rand.Rand, ids []string, restartOthers bool) {
 	t.Helper()
 	old := findLeader()
@@ -184,10 +184,9 @@
 	time.Sleep(40 * time.Second)
 }
 
-// TestLongOutage runs a store outage that lasts longer than the cancellation deadline. Controllers that can reach each
-// other prove to each other that no cancellation was confirmed that they don't know of, and tasks keep running. If a
-// controller was restarted during the outage or is unreachable, there is no such proof, and the stale renewal limit
-// applies: all tasks end.
+// TestLongOutage runs a store outage that lasts longer than the cancellation deadline. Controllers that can all reach
+// each other prove that they know of all confirmed cancellations, and tasks keep running. If a controller is restarted
+// during the outage or is unreachable, there is no such proof, and the stale renewal limit applies: all tasks end.
 func TestLongOutage(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -227,7 +226,8 @@
 }
 
 // TestRepeatedFailovers checks that no task is restarted while leadership moves back and forth, and while all
-// controllers are killed and started again one by one, also within a second and during an election.
+// controllers are killed and then started one after the other, with pauses of up to 200 ms or 4 s. In some cases, the
+// first controller is restarted during the election that it has begun.
 func TestRepeatedFailovers(t *testing.T) {
 	for _, maxPause := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(maxPause), func(t *testing.T) {
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestDelayedCommands delays direct commands (starts, stops and reaps) and their responses by seconds before the
-// machines execute the commands, within a term and, for odd seeds, across failovers. All jobs must end.
+// TestDelayedCommands makes machines execute direct commands (starts, stops and reaps) with a delay of 0.5 s to 14.5 s
+// and leave them unanswered, within a term and, for odd seeds, across failovers. All jobs must end.
 func TestDelayedCommands(t *testing.T) {
 	runFaultCombination(t, 2, 45, func(t *testing.T, w *emulator.Environment, seed uint64, rng *rand.Rand) {
 		startServices(w, 3)
@@ -374,8 +374,8 @@
 	}
 }
 
-// failoverWithUnreachableMachines makes two of the machines that run the six tasks of a job unreachable and restarts
-// the leader. It requires that no task is restarted if tasksStay is set, and that some are restarted otherwise.
+// failoverWithUnreachableMachines makes up to two of the machines that run the six tasks of a job unreachable and
+// restarts the leader. It requires that no task is restarted if tasksStay is set, and that at least one is otherwise.
 func failoverWithUnreachableMachines(
 	t *testing.T,
 	w *emulator.Environment,
@@ -509,7 +509,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// answeredRequests counts the users' requests that were answered.
+// answeredRequests counts the users' cancellations and polls that were answered with status 200.
 type answeredRequests struct {
 	cancelled, polled atomic.Int64
 }
@@ -542,8 +542,9 @@
 }
 
 // TestCancelDuringLeaderPartition partitions a leader from the store and the other controllers, but not from its agents
-// and users. Jobs are cancelled through the next leader, which the agents cannot reach for a while. The tasks of these
-// jobs must end in time, and the partitioned leader must not report a state that contradicts the cancellations.
+// and users. Jobs are cancelled through the next leader, which the agents cannot reach until the partition ends. The
+// tasks of these jobs must end by the cancellation deadline, and the partitioned leader must not report a state that
+// contradicts the cancellations.
 func TestCancelDuringLeaderPartition(t *testing.T) {
 	runFaultCombination(t, 2, 51, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 6)
@@ -586,7 +587,7 @@
 
 // TestDelayedTransactions checks store transactions that get no response and are applied two to twelve seconds later,
 // after newer ones of the same controller, while leaders change, the log is compacted repeatedly, jobs arrive through
-// the intake, and users cancel jobs. Every kind of write must have been delayed at least once. After a restart,
+// the intake, and users cancel jobs. Each listed kind of write must have been delayed at least once. After a restart,
 // controllers that load the log and its snapshot again must know everything that was reported to users.
 func TestDelayedTransactions(t *testing.T) {
 	defer func() { compactEvery = 0 }()
@@ -624,8 +625,8 @@
 	t.Log(delayed)
 }
 
-// submitDuringRestarts submits sixty jobs over more than a minute, polls and cancels some of them, and restarts the
-// leader now and then. It returns the IDs of the jobs.
+// submitDuringRestarts submits sixty jobs at intervals of up to 2.5 s, polls and cancels some of them, and restarts the
+// leader after a job with a probability of 1/8. It returns the IDs of the jobs.
 func submitDuringRestarts(w *emulator.Environment, rng *rand.Rand) (ids []string) {
 	for n := 100; n < 160; n++ {
 		j := newJobSpec(n, wire.Array, 1+rng.IntN(2), 2+10*rng.Float64())
--- a/internal/controller/fault_pairs_test.go
+++ b/internal/controller/fault_pairs_test.go
@@ -10,7 +10,8 @@
 	"fieldhill/wire"
 )
 
-// fault is a fault to inject. begin starts the fault and returns a function that ends it.
+// fault is one of the faults that TestFaultPairs combines in pairs. begin starts the fault and returns a function that
+// ends it.
 type fault struct {
 	name  string
 	begin func(w *emulator.Environment, rng *rand.Rand) (end func())
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -35,7 +35,8 @@
 	return busy[0]
 }
 
-// delayCommands delays the direct commands to all machines by d, and returns a function that removes the delay.
+// delayCommands delays the execution of direct commands by all machines by d and leaves the commands unanswered. It
+// returns a function that removes the delay.
 func delayCommands(w *emulator.Environment, d time.Duration) (end func()) {
 	all := w.Cloud.Workers()
 	for _, worker := range all {
@@ -48,7 +49,8 @@
 	}
 }
 
-// restrictAgentsTo partitions the agents from all controllers but the one with the given index, or ends that partition.
+// restrictAgentsTo partitions the agents from all controllers but the one with the given index if on is set, and ends
+// that partition otherwise.
 func restrictAgentsTo(w *emulator.Environment, node int, on bool) {
 	for k := range 3 {
 		if k != node {
@@ -57,14 +59,15 @@
 	}
 }
 
-// partitionAgents partitions the agents of both zones from a controller, or ends that partition.
+// partitionAgents partitions the agents of both zones from a controller if on is set, and ends that partition
+// otherwise.
 func partitionAgents(w *emulator.Environment, node int, on bool) {
 	w.PartitionWorkers("a", node, on)
 	w.PartitionWorkers("b", node, on)
 }
 
-// partitionZone partitions zone b, which consists of controller 1 and its agents, from controllers 0 and 2 in zone a,
-// or ends that partition.
+// partitionZone partitions controller 1 and the agents of zone b from controllers 0 and 2, which are in zone a, if on
+// is set, and ends that partition otherwise.
 func partitionZone(w *emulator.Environment, on bool) {
 	w.PartitionControllers(0, 1, on)
 	w.PartitionControllers(1, 2, on)
@@ -72,14 +75,16 @@
 	w.PartitionWorkers("b", 2, on)
 }
 
-// partitionControllers partitions the controllers from each other but not from the store, or ends that partition.
+// partitionControllers partitions the controllers from each other, but not from the store, if on is set, and ends that
+// partition otherwise.
 func partitionControllers(w *emulator.Environment, on bool) {
 	for k := range 3 {
 		w.PartitionControllers(k, (k+1)%3, on)
 	}
 }
 
-// partitionZoneAgents partitions the agents of zone b from all controllers, or ends that partition.
+// partitionZoneAgents partitions the agents of zone b from all controllers if on is set, and ends that partition
+// otherwise.
 func partitionZoneAgents(w *emulator.Environment, on bool) {
 	for i := range 3 {
 		w.PartitionWorkers("b", i, on)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -172,8 +172,8 @@
 
 // TestGoldenPeerRequests checks that the encoding of each request to another controller has not changed, and that
 // requests in this encoding are accepted. The golden file lists, for each request, its operation number, ID and body,
-// and the status with which this controller, which does not lead, responds to the request. A truncated body has to be
-// rejected as malformed.
+// and the status with which this controller responds to the request as a leader if it is a queue request, and as a
+// follower otherwise. A truncated body has to be rejected as malformed.
 func TestGoldenPeerRequests(t *testing.T) {
 	var all strings.Builder
 	withRecordingPeer(t, func(ctx context.Context, c *recordingPeer) {
--- a/internal/controller/job_lifecycle_test.go
+++ b/internal/controller/job_lifecycle_test.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestAllControllersLost checks that an accepted job runs to completion although all controllers have ended and were
-// started again, and that the final state of a completed job is still known.
+// TestAllControllersLost checks that an accepted job runs to completion although all controllers end and are started
+// again, and that the final state of a job that completed before is still known.
 func TestAllControllersLost(t *testing.T) {
 	runCluster(t, 2, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -76,7 +76,7 @@
 }
 
 // TestStoreOutage checks that running tasks survive a store outage that lasts for most of an agent's lease, and that
-// submissions during the outage are refused without delay.
+// submissions during the outage are refused within 300 ms.
 func TestStoreOutage(t *testing.T) {
 	runCluster(t, 3, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -10,8 +10,9 @@
 	"fieldhill/wire"
 )
 
-// TestFrozenLeader checks that a frozen leader is replaced within a lease period and does not act as a leader when it
-// continues: it does not release machines whose heartbeats it missed while it was frozen, and no task is started again.
+// TestFrozenLeader checks that new services start within 7 s although the leader is frozen, for 1.5 s to 60 s. If the
+// freeze outlasts the leader's lease, another controller replaces the leader. The frozen controller does not act as a
+// leader when it continues: it does not release machines whose heartbeats it missed, and no task is started again.
 func TestFrozenLeader(t *testing.T) {
 	runCluster(t, 20, func(w *emulator.Environment) {
 		startServices(w, 6)
@@ -33,8 +34,8 @@
 	})
 }
 
-// checkServedWhileFrozen freezes the leader and checks that another controller accepts a service immediately and that
-// the service runs after a failover. It returns ten seconds after the end of the freeze.
+// checkServedWhileFrozen freezes the leader and checks that another controller accepts a service within 200 ms and that
+// the service runs within 7 s of the start of the freeze. It returns ten seconds after the end of the freeze.
 func checkServedWhileFrozen(t *testing.T, w *emulator.Environment, s *wire.JobSpec, pause time.Duration) {
 	t.Helper()
 	i := findLeader()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -41,7 +41,7 @@
 // hostName returns the name of machine i in tests without an emulated cloud.
 func hostName(i int) string { return fmt.Sprintf("host-%06d", i) }
 
-// addMachine adds a machine to a controller's model.
+// addMachine adds a machine of zone a to a controller's model and returns it.
 func addMachine(t *testing.T, c *Controller, name string) *model.Machine {
 	t.Helper()
 	e := &model.Entry{Kind: model.EntryMachine, Machine: c.replica.model.NextMachine,
@@ -52,9 +52,9 @@
 	return c.replica.model.MachinesByName[name]
 }
 
-// TestRetentionOfLargeFleet checks that a controller that cannot reach the leader retains each agent that contacts it
-// for firstRetention and then redirects it, that it keeps an entry for each agent of a fleet of any size until then,
-// and that it deletes the entries later.
+// TestRetentionOfLargeFleet checks that a controller that cannot reach the leader retains each agent for firstRetention
+// after the agent's first contact and then redirects it, that it keeps an entry for each agent of a fleet of any size
+// until then, and that it has deleted the entries two minutes later.
 func TestRetentionOfLargeFleet(t *testing.T) {
 	for _, fleet := range largeFleets {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestRetentionOfUnknownNamesBounded checks that the number of entries stays bounded if heartbeats arrive under many
-// names that no machine has.
+// TestRetentionOfUnknownNamesBounded checks that the number of entries of retained agents stays bounded if heartbeats
+// arrive under many names that no machine has.
 func TestRetentionOfUnknownNamesBounded(t *testing.T) {
 	withIdleController(t, 2500, func(c *Controller) {
 		for i := range 200_000 {
--- a/internal/controller/machine_faults_test.go
+++ b/internal/controller/machine_faults_test.go
@@ -212,7 +212,7 @@
 }
 
 // TestSubmissionFlood submits one-task jobs at four per second for two minutes, while the store enforces its rate
-// limits. A quarter of the jobs is cancelled, some of them at the moment of their completion. Submissions must be
+// limits. About a quarter of the jobs are cancelled, some at the moment of their completion. Submissions must be
 // accepted, at most 2 % of them after more than a second; at most 1 % of the polls may be unanswered; all jobs must
 // end; and the queue of log batches must be short at the end.
 func TestSubmissionFlood(t *testing.T) {
@@ -235,7 +235,7 @@
 		}
 		if slow > floodJobs/50 || refused > 0 || unanswered > polls/100 {
 			t.Errorf("%d submissions took over a second, want at most %d; %d were refused, want none; "+
-				"%d polls were not answered in time, want at most %d",
+				"%d polls were not answered within 2 s, want at most %d",
 				slow, floodJobs/50, refused, unanswered, polls/100)
 		}
 		for n := range floodJobs {
@@ -250,14 +250,14 @@
 		leader.loop.postAndWait(func() {
 			if leader.term.ownTerm == nil || len(leader.term.ownTerm.commits.queue) > 2 ||
 				len(leader.replica.model.Jobs) > 3 {
-				t.Errorf("the log has fallen behind: %d unfinished jobs, want at most 3 and at most 2 queued batches",
-					len(leader.replica.model.Jobs))
+				t.Errorf("there is no leader, or the log has fallen behind: %d unfinished jobs, want at most 3 "+
+					"and at most 2 queued batches", len(leader.replica.model.Jobs))
 			}
 		})
 	})
 }
 
-// pollUntil polls random jobs, sixteen times per second, until done is closed.
+// pollUntil polls random jobs, about sixteen times per second, until done is closed.
 func (f *submissionFlood) pollUntil(done <-chan struct{}, rng *rand.Rand) {
 	for {
 		select {
@@ -269,7 +269,7 @@
 	}
 }
 
-// poll polls a job, and counts the poll as unanswered if it fails or takes longer than two seconds.
+// poll polls a job, and counts the poll as unanswered unless it returns status 200 or 404 within two seconds.
 func (f *submissionFlood) poll(id string) {
 	f.polls.Add(1)
 	began := time.Now()
--- a/internal/controller/machine_health_test.go
+++ b/internal/controller/machine_health_test.go
@@ -77,7 +77,8 @@
 
 // TestFaultyJobs checks that, if all tasks of several jobs fail on every machine, the failures are attributed to the
 // jobs: only the machine that is really faulty is released, other work continues, and the jobs are retried at a low
-// rate. Without this, two such jobs can cause the release of every machine that they ran on.
+// rate. If the failures were attributed to the machines, two such jobs could cause the release of every machine that
+// they ran on.
 func TestFaultyJobs(t *testing.T) {
 	runCluster(t, 19, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestZonePartition checks that agents that cannot reach the leader but can reach another controller keep their tasks
-// running, and that the tasks of a job cancelled during the partition end there in time.
+// running, and that the tasks of a job cancelled during the partition end there by the cancellation deadline.
 func TestZonePartition(t *testing.T) {
 	runCluster(t, 6, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -88,7 +88,7 @@
 }
 
 // TestPartitionedZoneNotReleased checks that a leader elected while a zone is partitioned does not release the zone's
-// machines, which are empty according to the log and have not sent this leader a heartbeat.
+// machines. At that time, they hold no tasks according to the log and have not sent this leader a heartbeat.
 func TestPartitionedZoneNotReleased(t *testing.T) {
 	runCluster(t, 15, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -131,8 +131,8 @@
 }
 
 // TestLeaderLosesStore checks that a leader that has lost only its connection to the store forwards users' requests to
-// the next leader. Without this, it refuses all requests until it can read the log again, while the load balancer still
-// routes users to it.
+// the next leader. Otherwise it would refuse all requests until it can read the log again, while the load balancer
+// still routes users to it.
 func TestLeaderLosesStore(t *testing.T) {
 	runCluster(t, 16, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -34,11 +34,10 @@
 	}
 }
 
-// TestRandomFaults injects every fault of the emulator, at random but with fixed seeds, and checks that the invariants
-// hold and that the deployment converges afterwards. Every other seed compacts the log every few batches: with the
-// default interval most runs would not compact it at all, and would not detect faults such as a compaction that deletes
-// too much after a failover. Half of the seeds distribute the singleton roles, and two of three assign agents to
-// relays.
+// TestRandomFaults injects faults of the emulator, at random but with fixed seeds, and checks that the invariants hold
+// and that the deployment converges afterwards. Every other seed compacts the log every ten batches: with the default
+// interval, most runs would not compact it at all, and would not detect faults such as a compaction that deletes too
+// much after a failover. Half of the seeds distribute the singleton roles, and two of three assign agents to relays.
 func TestRandomFaults(t *testing.T) {
 	savedThreshold := *relayThreshold
 	defer func() { compactEvery, distributedRoles, *relayThreshold = 0, false, savedThreshold }()
@@ -114,8 +113,8 @@
 }
 
 // randomFaults are the faults from which each step of a run draws one; i is the index of the controller that the fault
-// affects, if any. Lasting faults are ended by other entries. Entries that are nil do nothing. A seed selects faults by
-// index, so a change of the order changes what each seed injects.
+// affects, if any. A fault that lasts is ended by another entry or by endFaults. Entries that are nil do nothing. A
+// seed selects faults by index, so a change of the order changes what each seed injects.
 var randomFaults = [23]func(r *randomRun, i int){
 	0:  (*randomRun).toggleController,
 	1:  (*randomRun).toggleController,
@@ -140,7 +139,7 @@
 	22: (*randomRun).restartAll,
 }
 
-// toggleController crashes controller i if it is running and otherwise starts it.
+// toggleController stops controller i if it is running and otherwise starts it.
 func (r *randomRun) toggleController(i int) {
 	if r.up[i] {
 		r.w.StopAndWait(i)
@@ -161,7 +160,7 @@
 	}
 }
 
-// restartAll kills all controllers and starts them in sequence.
+// restartAll kills all running controllers and then starts them again in sequence.
 func (r *randomRun) restartAll(int) {
 	for k := range 3 {
 		if r.up[k] {
@@ -224,7 +223,8 @@
 	}
 }
 
-// endFaults ends all faults and starts all stopped controllers.
+// endFaults ends the lasting faults that the steps of the run have injected, except that the tasks of jobs chosen by
+// failJob continue to fail. It starts all stopped controllers.
 func (r *randomRun) endFaults() {
 	r.w.SetFaults(0, 0)
 	r.w.Store.SetOutage(false)
@@ -275,8 +275,8 @@
 	}
 }
 
-// injectBackgroundFault injects a random one of the faults listed at backgroundFaults. The fault ends after at most a
-// minute.
+// injectBackgroundFault injects a random one of the faults listed at backgroundFaults, apart from duplicated
+// heartbeats. The fault ends after at most a minute.
 func injectBackgroundFault(w *emulator.Environment, rng *rand.Rand, all []*emulator.Worker) {
 	target, wholeZone, i := all[rng.IntN(len(all))], rng.IntN(4) == 0, rng.IntN(3)
 	duration := randomSeconds(rng, 0, 60)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -112,7 +112,7 @@
 
 // TestRelayRenewsLeases checks that no agent loses its lease while the leader is too slow to answer heartbeats for the
 // duration of several leases. During that time, the relays renew the leases without the leader, within the stale
-// renewal limit, and send stop commands for the tasks of cancelled jobs.
+// renewal limit. Relays then also send stop commands for the tasks of cancelled jobs, which this test does not check.
 func TestRelayRenewsLeases(t *testing.T) {
 	withRelays(t, 62, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
@@ -139,7 +139,8 @@
 }
 
 // TestRelayRenewalBound checks that a relay that cannot read the log stops renewing leases after the stale renewal
-// limit, as any other controller does. It also checks that a controller that does not lead rejects a relayed heartbeat.
+// limit, as any other controller does. It also checks that a controller that does not lead rejects a relayed heartbeat,
+// and that the leader rejects a malformed one.
 func TestRelayRenewalBound(t *testing.T) {
 	withRelays(t, 63, func(w *emulator.Environment) {
 		leader := findLeader()
@@ -170,8 +171,8 @@
 	})
 }
 
-// TestMixedVersions checks that the leader assigns no agents to a controller of an older version, which does not
-// support relaying, and that no agent's lease expires.
+// TestMixedVersions checks that the leader assigns no agents to a controller that does not offer to relay, as one of an
+// older version does not, and that no agent's lease expires.
 func TestMixedVersions(t *testing.T) {
 	withRelays(t, 64, func(w *emulator.Environment) {
 		leaderIndex := findLeader()
--- a/internal/controller/singletons_test.go
+++ b/internal/controller/singletons_test.go
@@ -34,8 +34,8 @@
 }
 
 // TestProvisionerFailover checks that the provisioner can be a controller other than the leader, and that another
-// controller takes over within the lease duration if the provisioner is frozen. When the frozen controller resumes, its
-// provisioning has no effect.
+// controller takes over if the provisioner is frozen, and launches a machine within ten seconds of the freeze. When the
+// frozen controller resumes, its provisioning has no effect.
 func TestProvisionerFailover(t *testing.T) {
 	runClusterWithRoles(t, 41, func(w *emulator.Environment) {
 		time.Sleep(45 * time.Second) // long enough for the leader to hand over the roles that it acquired first
@@ -72,8 +72,8 @@
 	})
 }
 
-// waitLaunched waits until the cloud has launched more than before machines in total, but at most until limit after
-// began. It checks at the given interval and returns the time since began.
+// waitLaunched waits until the total number of machines that the cloud has launched differs from before, but at most
+// until limit after began. It checks at the given interval and returns the time since began.
 func waitLaunched(w *emulator.Environment, before int, began time.Time, limit, interval time.Duration) time.Duration {
 	for w.Cloud.Launched() == before && time.Since(began) < limit {
 		time.Sleep(interval)
--- a/internal/controller/staleness_test.go
+++ b/internal/controller/staleness_test.go
@@ -15,8 +15,8 @@
 
 // TestAgentRestart checks that the leader regards a machine as holding no tasks after its agent has restarted quickly
 // under the same name. The sequence numbers of its heartbeats may continue or start again at 1, and the restart may be
-// shortly after a failover or repeated. If an agent whose numbers start again at 1 is mistaken for a delayed duplicate
-// of its own heartbeats, it is answered but assigned nothing, and its replicas stay down permanently.
+// shortly after a failover or repeated. If the heartbeats of an agent whose numbers start again at 1 are mistaken for
+// delayed duplicates, the agent is answered but assigned nothing, and its replicas stay down permanently.
 func TestAgentRestart(t *testing.T) {
 	for _, resetNumbers := range []bool{false, true} {
 		for _, times := range []int{1, 3} {
@@ -164,7 +164,7 @@
 // TestInboundPartition checks that a machine whose heartbeats arrive at the controllers, but which nothing can reach,
 // is assigned no tasks, and that its tasks run on another machine after its lease has expired or it was released. The
 // partition affects one machine or a zone, with or without a failover. The invariant checker verifies that the tasks of
-// a job cancelled during the partition end in time.
+// a job cancelled during the partition end by the cancellation deadline.
 func TestInboundPartition(t *testing.T) {
 	oneMachine := func(w *emulator.Environment) []*emulator.Worker { return busyMachines(w)[:1] }
 	wholeZone := func(w *emulator.Environment) []*emulator.Worker { return zoneMachines(w, "b") }
@@ -352,8 +352,8 @@
 	}
 }
 
-// partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns the time until the leader
-// assigns no tasks to the zone's machines any more, at most 90 s. It does not end the partition.
+// partitionZoneUntilEvicted partitions the agents of zone b from all controllers, and returns the time until the
+// leader's model places no tasks on the zone's machines, at most about 90 s. It does not end the partition.
 func partitionZoneUntilEvicted(w *emulator.Environment) time.Duration {
 	partitionZoneAgents(w, true)
 	began := time.Now()
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -17,9 +17,9 @@
 // pollInterval is the pause between polls right after a job's state has changed.
 const pollInterval = 3 * time.Millisecond
 
-// submitAndObserve submits jobs, numbered from first, with the given pause in between, and cancels some of them, in
-// part immediately. It polls each job repeatedly right after its acceptance, its confirmed cancellation and its
-// completion.
+// submitAndObserve submits jobs, numbered from first, with the given pause in between, and cancels some of them, a part
+// of these within 4 ms after the first polls. It polls each job repeatedly right after its acceptance, its confirmed
+// cancellation and its completion.
 func submitAndObserve(w *emulator.Environment, rng *rand.Rand, first, jobs int, pause time.Duration) {
 	for n := first; n < first+jobs; n++ {
 		j := newHighArray(n, 1, 0.25, 1+4*rng.Float64())
@@ -122,8 +122,8 @@
 		begin: func(w *emulator.Environment, _ *rand.Rand) func() {
 			w.Store.DropResponses(0.4)
 			partitionControllers(w, true)
-			// Stop commands are sent with heartbeat responses. These are delayed, so that the tasks of a cancelled job
-			// do not end at once.
+			// Direct commands are delayed, so that the tasks of a cancelled job do not end at once. Stop commands are
+			// also sent with heartbeat responses.
 			endDelay := delayCommands(w, 10*time.Second)
 			return func() {
 				w.Store.DropResponses(0)
@@ -135,10 +135,11 @@
 }
 
 // TestStatusConsistency checks that no controller reports an older state of a job than any controller has reported
-// before, which the invariant checker verifies. Users poll all controllers within milliseconds, and resubmit, right
-// after a job was accepted, has ended or was confirmed as cancelled, through every path by which a controller answers.
-// The last two faults apply writes but lose their responses, while other controllers read the writes. Without a rule
-// for this case, a leader reports a job as running because it does not know yet that its cancellation was committed.
+// before, which the invariant checker verifies. Users poll all controllers and resubmit the job to them within
+// milliseconds after its acceptance, its end or its confirmed cancellation, through every path by which a controller
+// answers. The "lost responses" faults apply writes but drop their responses, while other controllers read the writes.
+// A leader whose write of a cancellation has an unknown outcome must not report the job as running, because another
+// controller may already have reported it as cancelled.
 func TestStatusConsistency(t *testing.T) {
 	for _, fault := range statusFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -174,8 +175,8 @@
 
 // TestCommitResponseLost checks the case in which the leader's write is applied and only its response is lost, while
 // the other controllers read the write. The leader must not contradict what they report of the job's acceptance,
-// cancellation or completion while it does not know the outcome of the write. Without a rule for this case, the leader
-// reports a job as running after others reported it as cancelled.
+// cancellation or completion while it does not know the outcome of the write: for example, it must not report a job as
+// running after others reported it as cancelled.
 func TestCommitResponseLost(t *testing.T) {
 	runFaultCombination(t, 2, 66, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -250,7 +251,8 @@
 }
 
 // TestCancelAtCompletion checks that a job is reported either as done or as cancelled, never as both, if users cancel
-// it at the moment at which its last task completes. No other faults are injected, and all users poll.
+// it at the moment at which its last task completes. No faults are injected, and users poll each job at all
+// controllers.
 func TestCancelAtCompletion(t *testing.T) {
 	runFaultCombination(t, 1, 62, func(t *testing.T, w *emulator.Environment, _ uint64, rng *rand.Rand) {
 		startServices(w, 2)
@@ -298,9 +300,9 @@
 }
 
 // TestInvalidRequests checks that jobs that can't run, lack a field or have an invalid one are refused permanently,
-// with the same status by the leader, by a follower that forwards the request, and by the intake. An accepted job is
-// never reported as refused, whatever is submitted under its ID, even while it is only in the intake. A cancellation of
-// a completed job returns that the job is done.
+// with the same status by the leader, by a follower that forwards the request, and by the intake. A submission with
+// the ID of an accepted job is never refused permanently, whatever else it contains, even while the job is only in the
+// intake. A cancellation of a completed job returns that the job is done.
 func TestInvalidRequests(t *testing.T) {
 	runCluster(t, 64, func(w *emulator.Environment) {
 		startServices(w, 1)
