--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -10,8 +10,8 @@
 	"fieldhill/internal/replication/oplog"
 )
 
-// TestEnqueue checks which batch of the queue an entry is added to: the last batch unless it is full or, with firstFit,
-// the first batch that has space.
+// TestEnqueue checks which batch of the queue an entry is added to: the last batch or, with firstFit, the first batch
+// that has space. An entry that does not fit there is added to a new batch at the end.
 func TestEnqueue(t *testing.T) {
 	const maxBatchBytes = 8
 	for name, test := range map[string]struct {
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -166,8 +166,8 @@
 }
 
 // TestMachineListingPublishedInFull checks that a provisioner that does not lead sends the leader all machines that the
-// log does not know. A limit on the number of machines per listing, for example 300, would withhold the others from the
-// leader.
+// log does not know, and that it also sends an empty listing. A limit on the number of machines per listing, for
+// example 300, would withhold the others from the leader.
 func TestMachineListingPublishedInFull(t *testing.T) {
 	const machines = 4000
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/pending_test.go
+++ b/internal/controller/pending_test.go
@@ -47,8 +47,8 @@
 }
 
 // TestPendingReasons checks that all controllers return the same reasons for a pending job, that a change of the
-// reasons is reported, that explanations start and stop no tasks, and that the missing leader is given as the reason
-// while there is none.
+// reasons is reported, that explanations start no tasks, and that the missing leader is given as the reason while there
+// is no leader.
 func TestPendingReasons(t *testing.T) {
 	runCluster(t, 31, func(w *emulator.Environment) {
 		time.Sleep(6 * time.Second)
@@ -123,7 +123,8 @@
 	}
 }
 
-// checkQueueListing requires that a controller lists exactly one job with a task pending because of the team's limit.
+// checkQueueListing requires that a controller lists exactly one job with a task pending because of the team's limit,
+// and no jobs of a team that has none.
 func checkQueueListing(t *testing.T, w *emulator.Environment, node int, pending string) {
 	t.Helper()
 	var queue wire.Queue
--- a/internal/controller/status_consistency_test.go
+++ b/internal/controller/status_consistency_test.go
@@ -222,8 +222,9 @@
 }
 
 // waitLeaderAgrees polls a job at the other controllers until one of them reports the state, and from then on also at
-// the leader until the leader reports the same state. The invariant checker compares the answers. waitLeaderAgrees adds
-// the leader's matching answers to agreed, and returns whether another controller reported the state.
+// the leader until the leader reports the same state, but at most 400 times. The invariant checker compares the
+// answers. waitLeaderAgrees adds the leader's matching answers to agreed, and returns whether another controller
+// reported the state.
 func waitLeaderAgrees(
 	w *emulator.Environment,
 	rng *rand.Rand,
