--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -49,8 +49,8 @@
 	return result.NoLeader{}
 }
 
-// cancelAsLeader cancels a job as the leader. If the model does not contain the job, it is first looked up in the
-// intake, because another controller may have accepted it there.
+// cancelAsLeader cancels a job as the leader. If the model does not contain the job, the leader first reads the job's
+// intake record, because another controller may have accepted the job.
 func (cn *cancellations) cancelAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -77,7 +77,8 @@
 	cd.send(term, machine, commands)
 }
 
-// directCommand is a direct command in flight to a machine.
+// directCommand records what was sent to a machine, and what was known of the machine at that time, until the outcome
+// is processed.
 type directCommand struct {
 	term     *leaderTerm
 	machine  *model.Machine
@@ -103,7 +104,8 @@
 	}()
 }
 
-// onCommandOutcome processes the outcome of a direct command and, if the agent responded, its status report.
+// onCommandOutcome updates the model by the outcome of a direct command and, if the agent responded, by its status
+// report. After an unknown outcome it probes the machine.
 func (cd *commandDispatcher) onCommandOutcome(
 	sent *directCommand, outcome agent.CommandOutcome, report *wire.Heartbeat, err error,
 ) {
@@ -177,7 +179,8 @@
 	cd.sendDirect(run.Machine)
 }
 
-// sendCommitted sends the pending commands of all marked machines after a commit, including those that waited for it.
+// sendCommitted runs after each commit. It sends the pending commands of all marked machines, including those in
+// dirtyAfterCommit.
 func (cd *commandDispatcher) sendCommitted(term *leaderTerm) {
 	for machine := range term.dispatch.dirtyAfterCommit {
 		term.dispatch.dirtyMachines[machine] = true
--- a/internal/controller/commit_fence.go
+++ b/internal/controller/commit_fence.go
@@ -38,15 +38,16 @@
 // barrierInterval is the interval between barrier rounds, and the timeout of the queries of one round.
 const barrierInterval = 2 * time.Second
 
-// replyWatermarks answers the watermark query of a controller that cannot reach the key-value store: with the age of
-// this process and the newest batch that it has known to be committed.
+// replyWatermarks answers the watermark query of a controller that cannot reach the key-value store. The answer
+// contains the age of this process and the newest batch that it has known to be committed.
 func (cf *commitFence) replyWatermarks(ctx context.Context) result.Result {
 	return cf.loop.answer(ctx, func(send func(result.Result)) {
 		send(result.Done{Body: cf.replica.watermarks.Report(cf.now()).Append(nil)})
 	})
 }
 
-// barrierRound is one round of querying all other controllers for their watermarks.
+// barrierRound collects the other controllers' watermarks, to find the latest time at which the local copy of the log
+// was complete.
 type barrierRound struct {
 	*commitfence.BarrierRound
 	generation int // replica.generation at the start of the round
--- a/internal/controller/commit_pipeline.go
+++ b/internal/controller/commit_pipeline.go
@@ -23,7 +23,7 @@
 	snapshotInterval int // batches between two compactions; overridden in tests
 }
 
-// newCommitPipeline returns a pipeline whose callbacks the caller has to set before it is used.
+// newCommitPipeline returns a pipeline. Before using it, the caller has to set afterCommit and compactsLog.
 func newCommitPipeline(env *environment, replica *replica, term *termState) *commitPipeline {
 	return &commitPipeline{
 		environment:      env,
@@ -177,7 +177,8 @@
 	commits.batches <- batch
 }
 
-// batchWait returns the remaining batching delay; pending is false if there is no batch whose write is being delayed.
+// batchWait returns the remaining batching delay of the next batch. pending is false if no batch is queued or the
+// writer is busy.
 func (cp *commitPipeline) batchWait() (wait time.Duration, pending bool) {
 	term := cp.term.ownTerm
 	if term == nil || term.commits.writeInFlight || len(term.commits.queue) == 0 {
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// makeAgentSide creates the components that deal with agents, machines and the cloud, without their dependencies.
+// makeAgentSide creates the components that deal with agents, machines and the cloud, and leaves their dependencies
+// unset.
 func makeAgentSide(c *Controller) {
 	env := c.environment
 	sockets, maxConns := env.settings.Params.Limits.MaxSockets, env.connLimiter.MaxConns
@@ -93,7 +94,7 @@
 	c.health = &machineHealth{environment: env}
 }
 
-// makeUserSide creates the components that deal with jobs, users and operators, without their dependencies.
+// makeUserSide creates the components that deal with jobs, users and operators, and leaves their dependencies unset.
 func makeUserSide(c *Controller) {
 	env := c.environment
 	writeRPS := env.settings.Params.KVStore.WriteRPS
--- a/internal/controller/eligibility.go
+++ b/internal/controller/eligibility.go
@@ -98,8 +98,8 @@
 	el.state.RecordLeader(true, el.now())
 }
 
-// leaderlessSince returns the time since which this controller has seen no leader. The second result is false if there
-// is a leader.
+// leaderlessSince returns the start of the current period without a known leader. The second result is false if a
+// leader is known.
 func (el *eligibility) leaderlessSince() (model.Time, bool) {
 	el.mu.Lock()
 	defer el.mu.Unlock()
--- a/internal/controller/event_loop.go
+++ b/internal/controller/event_loop.go
@@ -14,8 +14,9 @@
 //
 //   - workQueue takes heartbeats, results of operations that run in other goroutines, cancellations, and the short
 //     look-ups that a request makes before it enters requestQueue;
-//   - requestQueue takes users' submissions and status requests. The loop serves it after all waiting work, a few
-//     requests at a time, so that a flood of requests delays neither heartbeats nor cancellations.
+//   - requestQueue takes users' submissions and status requests. Before each group of at most maxRequestsPerIteration
+//     requests, the loop runs up to maxWorkPerIteration items of workQueue, so that a flood of requests delays neither
+//     heartbeats nor cancellations.
 //
 // Both queues are bounded. While a queue is full, requests and heartbeats are refused immediately with the advice to
 // retry; only post and postAndWait wait for space.
@@ -63,15 +64,16 @@
 	// workQueueSize is the capacity of workQueue; while it is full, heartbeats are refused.
 	workQueueSize       = 512
 	maintenanceInterval = 250 * time.Millisecond
-	// initialTimerPeriod is the first period of timers that are reset when needed; firing without having been reset is
-	// harmless.
+	// initialTimerPeriod is the first period of the round timer and the batch timer, which are reset when they are
+	// needed. It is harmless if they fire without having been reset.
 	initialTimerPeriod = time.Hour
 )
 
-// errQueueFull is the error for work that is refused because its queue is full: the loop has fallen behind.
+// errQueueFull is the error for work that is refused because workQueue or requestQueue is full.
 var errQueueFull = errors.New("controller: event loop queue full")
 
-// post queues work without waiting for it to run. It blocks while the queue is full, until the controller stops.
+// post queues work in workQueue and returns before the work runs. While the queue is full, it blocks until there is
+// space or the controller stops.
 func (el *eventLoop) post(work func()) {
 	select {
 	case el.workQueue <- work:
@@ -79,7 +81,7 @@
 	}
 }
 
-// tryPost queues work without waiting for space. If the queue is full, it returns errQueueFull.
+// tryPost queues work in workQueue without waiting for space. If the queue is full, it returns errQueueFull.
 func (el *eventLoop) tryPost(work func()) error {
 	select {
 	case el.workQueue <- work:
@@ -160,14 +162,14 @@
 }
 
 // answer runs handle in the loop and returns its result; handle must send exactly one result, immediately or later. If
-// the queue is full, or no result is sent before a time-out or the end of the context, answer returns a
-// result.NotHandled.
+// workQueue is full, or no result is sent within responseTimeout or before the context ends or the controller stops,
+// answer returns a result.NotHandled.
 func (el *eventLoop) answer(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPost, handle)
 }
 
-// Results of requests that the event loop did not answer: the queue was full, no result was sent in time, the request
-// was canceled, or the controller is stopping.
+// Results of requests that the event loop did not answer: the queue was full, no result was sent within
+// responseTimeout, the request was canceled, or the controller is stopping.
 var (
 	resultBusy     = result.NotHandled{Reason: "busy", RetryAfter: 2 * time.Second}
 	resultSlow     = result.NotHandled{Reason: "the state service is slow", RetryAfter: time.Second}
@@ -185,7 +187,8 @@
 	}
 }
 
-// answerRequest is like answer, but for users' requests: handle runs after all other waiting work.
+// answerRequest is like answer, but for users' requests: handle waits in requestQueue, so that it delays neither
+// heartbeats nor cancellations.
 func (el *eventLoop) answerRequest(ctx context.Context, handle func(send func(result.Result))) result.Result {
 	return el.awaitResult(ctx, el.tryPostRequest, handle)
 }
--- a/internal/controller/explanations.go
+++ b/internal/controller/explanations.go
@@ -121,8 +121,8 @@
 	return answer
 }
 
-// explainFromReplica explains a job without the leader's data: the missing leader is the only reason that it gives, and
-// it includes the age of the replica's data. It must run on the event loop.
+// explainFromReplica explains a job without the leader's data. The explanation contains the age of the replica's data,
+// and its only reason is that there is no leader. It must run on the event loop.
 func (ex *explanations) explainFromReplica(id model.JobID) result.Result {
 	job := ex.replica.model.Jobs[id]
 	switch {
@@ -283,8 +283,9 @@
 	}
 }
 
-// unsimulatedReasons lists the reasons that the simulation does not cover: those that block all jobs, those why the
-// cloud provides no more machines, and those why placed tasks are not running. It must run on the leader's event loop.
+// unsimulatedReasons lists the reasons that the simulation does not cover: why no job can be placed at all, why the
+// cloud provides no more machines, and why tasks of this job that were placed are not running yet. It must run on the
+// leader's event loop.
 func (ex *explanations) unsimulatedReasons(job *model.Job) (reasons []pending.Reason) {
 	term := ex.term.ownTerm
 	if !ex.term.isActive() {
@@ -300,7 +301,7 @@
 	return append(append(reasons, ex.cloudReasons(term, job)...), placedTaskReasons(job)...)
 }
 
-// cloudReasons returns the reasons why the cloud provides no more machines for the waiting tasks.
+// cloudReasons returns the reasons why the cloud provides no more machines for the waiting tasks of a job.
 func (ex *explanations) cloudReasons(term *leaderTerm, job *model.Job) []pending.Reason {
 	if job.Waiting() == 0 {
 		return nil
@@ -315,7 +316,7 @@
 	return []pending.Reason{{Code: pending.CloudRefused, Count: offers, Remaining: remaining}}
 }
 
-// placedTaskReasons returns the reasons why placed tasks are not running yet.
+// placedTaskReasons returns the reasons why tasks of a job that were placed are not running yet.
 func placedTaskReasons(job *model.Job) (reasons []pending.Reason) {
 	fetching := pending.Reason{Code: pending.FetchingImage}
 	awaitingGang := pending.Reason{Code: pending.AwaitingGang}
--- a/internal/controller/forwarder.go
+++ b/internal/controller/forwarder.go
@@ -9,8 +9,8 @@
 	"fieldhill/internal/rpc"
 )
 
-// forwarder provides request goroutines with the information whether this controller leads, and forwards requests to
-// the leader or to other controllers. The event loop publishes routing; any goroutine may read it.
+// forwarder tells request goroutines whether this controller leads, and forwards requests to the leader or to other
+// controllers. The event loop publishes routing; any goroutine may read it.
 type forwarder struct {
 	*environment
 	replica *replica
@@ -70,7 +70,8 @@
 	return view.leads, view.storeReachable()
 }
 
-// toLeader forwards a request to the leader. ok is false if the leader is unreachable or does not respond in time.
+// toLeader forwards a request to the leader. ok is false if no other controller is known to lead, or if the leader is
+// unreachable or does not respond within the timeout.
 func (fw *forwarder) toLeader(
 	ctx context.Context, request *rpc.Request, timeout time.Duration,
 ) (answer result.Forwarded, ok bool) {
@@ -90,7 +91,7 @@
 }
 
 // toOthers forwards a request to the other controllers, one after another, until one can answer it. It is used when
-// this controller may no longer lead, or cannot read the log, while another controller may be able to.
+// this controller may have lost leadership or cannot read the log, while another controller may be able to answer.
 func (fw *forwarder) toOthers(ctx context.Context, request *rpc.Request) (result.Forwarded, bool) {
 	for _, member := range fw.settings.Members {
 		link := fw.links[member.Node]
--- a/internal/controller/heartbeat_router.go
+++ b/internal/controller/heartbeat_router.go
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// renewRelayed renews the lease of an agent whose heartbeat the leader did not process in time, by the same rules and
-// limits as on a controller that cannot reach the leader. This keeps running tasks alive while the leader is
-// overloaded.
+// renewRelayed renews the lease of an agent whose heartbeat this relay could not forward for lack of a free slot, or
+// which the leader did not answer within relayTimeout or refused as overloaded. The rules and limits are those of a
+// controller that cannot reach the leader. This keeps running tasks alive while the leader is overloaded.
 func (hr *heartbeatRouter) renewRelayed(ctx context.Context, report *wire.Heartbeat) result.Result {
 	hr.metrics.AnsweredLocally.Inc()
 	return hr.loop.answer(ctx, func(send func(result.Result)) {
@@ -102,8 +102,8 @@
 	})
 }
 
-// onRelayedReport processes a heartbeat forwarded by a relay. If the event loop does not finish it in time, the relay
-// gets Overloaded and renews the lease itself.
+// onRelayedReport processes a heartbeat forwarded by a relay. If the event loop does not answer within responseTimeout
+// or its queue is full, the result is Overloaded, and the relay renews the lease itself.
 func (hr *heartbeatRouter) onRelayedReport(ctx context.Context, request *rpc.Request) result.Result {
 	report, err := relay.ReadHeartbeat(request.Body)
 	if err != nil || report.Machine == "" || report.AgentEpoch == 0 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -62,7 +62,7 @@
 }
 
 // rejectReport returns the response to a heartbeat that this leader must not process, or nil if the heartbeat is to be
-// processed. machine is nil if no log entry registers it.
+// processed. machine is nil if no log entry registers the sender.
 func (hb *heartbeats) rejectReport(machine *model.Machine, report *wire.Heartbeat) result.Result {
 	active := hb.term.isActive()
 	switch {
@@ -70,7 +70,7 @@
 		return result.Redirected{} // the machine's agent has accepted a later term than this one
 	case !hb.leases.mayRenew():
 		// No controller may extend leases beyond the stale renewal limit: a cancellation that the controller does not
-		// know of must take effect in time.
+		// know of must take effect within cancel_s.
 		return result.NoLeader{}
 	case !active && hb.leadership.hasPossibleSuccessor() && !hb.keepalives.retainsAgent(report.Machine, false):
 		return result.Redirected{} // another controller may be the leader, or soon will be
@@ -125,10 +125,10 @@
 	return hb.leases.renew(machine.Info.Name, token, commands)
 }
 
-// onSuspectReport processes the heartbeat of a suspect machine, whose lease is to expire. An answer renews the lease,
-// so a log entry must clear the suspicion first, and only if the machine responds to a probe now. Otherwise a duplicate
-// of a heartbeat from before the partition, or an agent that can send but receives nothing, would restart the wait for
-// the lease expiry again and again.
+// onSuspectReport processes the heartbeat of a suspect machine, whose lease is to expire. A response that renews the
+// lease is sent only after the machine has responded to a new probe, which clears the suspicion. Otherwise a duplicate
+// of a heartbeat from before the partition, or each heartbeat of an agent that can send but receives nothing, would
+// restart the wait for the lease expiry.
 func (hb *heartbeats) onSuspectReport(machine *model.Machine, report *wire.Heartbeat, send func(result.Result)) {
 	if machine.Contact.Reported {
 		hb.observe(machine, report, nil) // the epoch and sequence number are valid evidence despite the suspicion
@@ -257,9 +257,9 @@
 	return verdict
 }
 
-// applyVerdict logs the jobs that a report shows to fail on every machine, and marks the machines that need commands as
-// a result. firstByProbe reports whether this is the machine's first report in this term and was requested by this
-// controller.
+// applyVerdict logs the jobs that, according to the verdict on a report, fail on every machine, and marks the machines
+// that need commands because of the report. firstByProbe reports whether this is the machine's first report in this
+// term and was requested by this controller.
 func (hb *heartbeats) applyVerdict(machine *model.Machine, verdict *model.ReportVerdict, firstByProbe bool) {
 	for _, j := range verdict.Faulty {
 		hb.log.Info("job faulty, retrying with backoff", "job", j.Spec.ID, "class", j.Spec.Class,
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -31,7 +31,7 @@
 	dropPending  map[uint64]bool // jobs that are in the log or proposed, and whose records are to be deleted
 	droppable    []uint64        // jobs in dropPending that are committed, whose records can be deleted now
 	dropInFlight bool            // a deletion of records is in progress
-	rescanNeeded bool            // list the intake again after the deletion: records that wait for it were skipped
+	rescanNeeded bool            // list the intake again after the deletion: records in dropPending were skipped
 }
 
 const (
@@ -124,7 +124,8 @@
 	}()
 }
 
-// onDropped starts the next deletion after one has ended, or lists the intake again if records were skipped.
+// onDropped processes the end of a deletion, and starts the next one if further records can be deleted. Otherwise it
+// lists the intake again if records were skipped.
 func (in *intake) onDropped(term *leaderTerm, jobs []uint64, err error) {
 	term.intake.dropInFlight = false
 	if in.term.ownTerm != term {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -51,7 +51,7 @@
 }
 
 // answerAsLeader answers a request for a job's status from the leader's model. If the model does not contain the job,
-// it is first looked up in the intake.
+// the leader first reads the job's intake record, because another controller may have accepted the job.
 func (js *jobStatus) answerAsLeader(ctx context.Context, id string) result.Result {
 	jobNumber, ok := wire.ParseJobID(id)
 	if !ok {
@@ -126,8 +126,9 @@
 	return js.replica.model.FinalSeq(id), js.replica.model.Finals[id] != 0
 }
 
-// respondIfKnown reports whether a job is known, and sends the job's state once that state is committed. If the job
-// changes in the meantime, it also waits for the commit of that change. It must run on the leader's event loop.
+// respondIfKnown reports whether the model contains a job and, if so, sends the job's state once that state is
+// committed. If the job changes before the commit, the response waits for the commit of the change too. It must run on
+// the leader's event loop.
 func (js *jobStatus) respondIfKnown(id model.JobID, send func(result.Result)) bool {
 	seq, known := js.visibleSeq(id)
 	if !known {
@@ -152,7 +153,8 @@
 	return true
 }
 
-// isCommitted reports whether a batch is known to be committed. A replica applies only committed batches.
+// isCommitted reports whether a batch that the model contains is known to be committed. A follower's model contains
+// committed batches only.
 func (js *jobStatus) isCommitted(seq uint64) bool {
 	return js.term.ownTerm == nil || seq <= js.term.ownTerm.commits.committedSeq
 }
--- a/internal/controller/keepalives.go
+++ b/internal/controller/keepalives.go
@@ -24,7 +24,7 @@
 	term    *termState
 
 	noRedirectUntil map[string]time.Time // by machine: until when its agent is not redirected
-	lastSweep       time.Time            // when the two maps were last swept
+	lastSweep       time.Time            // when noRedirectUntil and clearedMachines were last swept
 	clearedMachines clearedMachines
 }
 
@@ -70,9 +70,9 @@
 	now := time.Now()
 	until, known := fk.noRedirectUntil[machine]
 	if !known || now.Sub(until) > returnWindow {
-		// This is the agent's first heartbeat here: the leader did not answer the agent, and its lease may be about to
-		// expire. The agent is retained before it is redirected, because its search for the leader takes long if no
-		// controller responds.
+		// This is the agent's first heartbeat here: the leader did not answer the agent, and the agent's lease may be
+		// about to expire. The agent is retained before it is redirected, because its search for the leader takes long
+		// if no controller responds.
 		until = now.Add(firstRetention)
 	} else if !leaderReached && now.After(until) {
 		until = now.Add(repeatRetention) // if the agent comes back, it cannot reach the leader either
@@ -87,7 +87,7 @@
 // renewAsFollower renews an agent's lease under the agent's own token while the leader cannot. It starts no tasks, and
 // stops those of jobs that the log shows as cancelled. The renewals end at the stale renewal limit, because this
 // controller may not know of later cancellations: the leases then expire, so that a job cancelled after the last log
-// read still loses its tasks in time.
+// read still loses its tasks within cancel_s.
 func (fk *followerKeepalives) renewAsFollower(report *wire.Heartbeat) result.Result {
 	machine := fk.replica.model.MachinesByName[report.Machine]
 	if machine != nil && (machine.Suspect || fk.leases.delayedStartPossible(machine, report)) {
@@ -131,10 +131,10 @@
 		(fk.term.ownTerm == nil || j.FinalSeq <= fk.term.ownTerm.commits.committedSeq)
 }
 
-// sweep removes expired entries about agents that sent heartbeats while this controller did not lead. Other entries are
-// kept at any fleet size, since an agent whose entry is lost would be retained for firstRetention each time and never
-// be redirected to the leader. Only if invented names exceed maxNoRedirectEntries are all entries of noRedirectUntil
-// removed.
+// sweep removes expired entries of noRedirectUntil and clearedMachines. Other entries are kept at any fleet size, since
+// an agent whose entry is lost would be retained for firstRetention each time and never be redirected to the leader.
+// The exception is a flood of invented names: if noRedirectUntil exceeds its limit (maxNoRedirectEntries), all its
+// entries are removed.
 func (fk *followerKeepalives) sweep(now time.Time) {
 	if now.Sub(fk.lastSweep) >= sweepInterval {
 		fk.lastSweep = now
@@ -151,8 +151,8 @@
 }
 
 // encode returns the IDs of the machines that hold a task of a cancelled job according to the log, but whose last
-// heartbeat to this controller as a follower was recent and listed none, as varints in at most maxBytes bytes. The
-// leader does not need the other machines.
+// heartbeat to this controller as a follower listed none and is not older than partitionReportTTL. The IDs are varints
+// in at most maxBytes bytes. The leader needs no information about machines that hold no such task.
 func (c clearedMachines) encode(m *model.Model, now time.Time, maxBytes int) (b []byte) {
 	for _, machine := range m.MachinesInOrder {
 		if at, ok := c[machine.ID]; ok && now.Sub(at) < partitionReportTTL && machine.HasCancelledTask() &&
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -12,9 +12,9 @@
 
 // leadership follows the log, stands for election, and begins and ends this controller's terms.
 //
-// Each method runs either in the replication goroutine (runReplication), which serves a term from the election to its
-// end, or in the event loop, as the method's comment says. The replication goroutine owns abstainUntil and loadFailing;
-// termState and replica are changed in the event loop only.
+// Methods run in the event loop if their comments say so. The others run in the replication goroutine (runReplication),
+// which serves a term from the election to its end, or in goroutines that it starts for the term. The replication
+// goroutine owns abstainUntil and loadFailing; termState and replica are changed in the event loop only.
 type leadership struct {
 	*environment
 	commits     *commitPipeline
@@ -217,9 +217,9 @@
 const failoverLogTimeout = 5 * time.Second
 
 // hasPossibleSuccessor reports whether another controller may become leader in place of this one, whose own lease as
-// the leader was not renewed in time. This is assumed if no other controller responds, since the others may be healthy
-// but unreachable, or if one of them reports that it follows the log. During a key-value store outage, all of them
-// report that they do not follow the log. It runs in the event loop.
+// the leader is not certain to be valid any more. This is assumed if no other controller responds, since the others may
+// be healthy but unreachable, or if one of them reports that it follows the log. During a key-value store outage, all
+// of them report that they do not follow the log. The method runs in the event loop.
 func (ls *leadership) hasPossibleSuccessor() bool {
 	return ls.forward.isIsolated() || ls.eligibility.hasWarmPeer()
 }
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -38,8 +38,8 @@
 
 // mayRenew reports whether this controller may renew leases now. A leader may do so while its leadership is trusted.
 // Any other controller may do so until its copy of the log is older than the stale renewal limit, so that cancellations
-// that it does not know of take effect in time. The check happens after the heartbeat was sent, and the lease counts
-// from the sending of the heartbeat, so a delay between this check and the response does not extend the lease.
+// that it does not know of take effect within cancel_s. The check happens after the heartbeat was sent, and the lease
+// counts from the sending of the heartbeat, so a delay between this check and the response does not extend the lease.
 func (lr *leaseRenewal) mayRenew() bool {
 	return lr.term.isActive() || time.Since(lr.fence.knownCommittedAt()) <= lr.settings.StaleRenewalLimit()
 }
@@ -57,7 +57,7 @@
 // cancelled longer ago than the stale renewal limit. Only the leader can fence such a start, and the machine's agent
 // cannot reach the leader. Tasks that the agent lists, in any state, are not started again and are stopped by
 // renewAsFollower; tasks that it does not list may still be started. The agent epoch to which the start was sent must
-// therefore end in time, so the agent's lease is renewed no longer than by a controller that does not know of the
+// therefore end within cancel_s, so the agent's lease is renewed no longer than by a controller that does not know of the
 // cancellation. Without this check, starts that are delayed by 70 s in a partitioned zone are executed when the
 // partition ends.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
@@ -92,9 +92,9 @@
 func (lr *leaseRenewal) retention() model.Time { return 2 * lr.leaseDuration() }
 
 // latestOwnRenewal returns the latest time from which a machine's lease may count, as far as this controller knows.
-// This is the later of two times: when this controller last renewed the lease, where earlier processes of this
-// controller are assumed to have renewed it until this process started; and the last heartbeat from the agent epoch
-// that holds the placed tasks, whose lease begins with the epoch.
+// This is the later of two times: the last renewal by this controller, whose earlier processes are assumed to have
+// renewed the lease until this process started; and the last heartbeat from the agent epoch that holds the placed
+// tasks, because an epoch's lease begins with the epoch.
 func (lr *leaseRenewal) latestOwnRenewal(machine *model.Machine) model.Time {
 	return max(lr.renewals.LastRenewal(machine.Info.Name, lr.now()-lr.retention()), machine.Contact.LastReport)
 }
@@ -129,8 +129,8 @@
 }
 
 // queryRenewals asks the other controllers, at most once per renewalQueryInterval, when they last renewed the leases of
-// the machines in each zone that has suspect machines with tasks. It also removes entries from the table of renewals
-// that are older than the retention period.
+// the machines in each zone that has suspect machines with tasks. On each call it also removes entries older than the
+// retention period from the table of renewals.
 func (lr *leaseRenewal) queryRenewals(term *leaderTerm) {
 	lr.renewals.Forget(lr.now() - lr.retention())
 	if time.Since(term.leases.lastRenewalQuery) < renewalQueryInterval {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -22,9 +22,9 @@
 }
 
 // zoneProbeLimit returns how many silent machines of one zone may be probed concurrently: a tenth of all sockets,
-// divided by the number of zones. The limit is per zone because an unanswered probe holds its slot for more than a
-// second: a zone whose machines do not answer must not keep machines of other zones from being probed before they count
-// as failed.
+// divided by the number of zones, but at least minZoneProbes. The limit is per zone because an unanswered probe holds
+// its slot for more than a second: a zone whose machines do not answer must not keep machines of other zones from being
+// probed before they count as failed.
 func zoneProbeLimit(sockets, zones int) int { return max(minZoneProbes, sockets/(10*max(1, zones))) }
 
 // followUpProbeLimit returns how many machines may be probed concurrently because of the content of their heartbeats;
@@ -34,6 +34,7 @@
 // relayedProbeLimit returns how many machines a relay may probe concurrently for the leader.
 func relayedProbeLimit(sockets int) int { return max(minRelayLimit, sockets/6) }
 
-// relayedLimit returns how many heartbeats, and how many direct commands, a relay may forward concurrently: at most
-// half as many as the connections that it accepts, because pings and users' requests share the link to the leader.
+// relayedLimit returns how many heartbeats, and how many direct commands, a relay may forward concurrently: half as
+// many as the connections that it accepts, because pings and users' requests share the link to the leader, but at least
+// minRelayLimit.
 func relayedLimit(connections int) int { return max(minRelayLimit, connections/2) }
--- a/internal/controller/log_compaction.go
+++ b/internal/controller/log_compaction.go
@@ -52,8 +52,8 @@
 	return compactor
 }
 
-// compactLog starts a compaction if the log has enough new batches and the model contains no uncommitted entries. If
-// the log has too few, it records that the role is idle.
+// compactLog starts a compaction if one is due and the model contains no uncommitted entries. If none is due, it
+// records that the role is idle.
 func (rs *singletonRoles) compactLog(role *singleton.Role, compactor *logCompactor) {
 	switch {
 	case compactor.busy:
@@ -83,7 +83,8 @@
 	}()
 }
 
-// compactionDue reports whether the log has enough batches since the last snapshot.
+// compactionDue reports whether the replica has applied snapshotInterval batches since the last snapshot. It is false
+// while the position of that snapshot is unknown or the log is not loaded.
 func (rs *singletonRoles) compactionDue(compactor *logCompactor) bool {
 	return compactor.seqKnown && (rs.replica.loaded || rs.term.ownTerm != nil) &&
 		rs.replica.appliedSeq >= compactor.snapshotSeq+uint64(rs.commits.snapshotInterval)
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -73,8 +73,8 @@
 	return config.Seconds(mh.settings.Params.Workers.CancelS * 3 / 4)
 }
 
-// checkMachineHealth checks all machines and applies the resulting actions: it releases machines that are silent,
-// quarantined or failed to boot, and those of a partitioned zone whose work is needed elsewhere.
+// checkMachineHealth checks all machines and applies the resulting actions: among others, it releases machines that are
+// silent, quarantined or failed to boot, and those of a partitioned zone whose work may run elsewhere.
 func (mh *machineHealth) checkMachineHealth(term *leaderTerm) {
 	now, rules := mh.now(), mh.healthRules()
 	census := &health.Census{}
@@ -107,8 +107,8 @@
 	}
 }
 
-// bootSettleTime is how long after the silence limit machines that are already running have to report to a new leader
-// before their boot counts as failed.
+// bootSettleTime is how long after the silence limit a new leader waits for the report of a machine that is already
+// running, before the machine's boot counts as failed.
 const bootSettleTime = 10 * time.Second
 
 // observeMachine returns the observations of a machine that package health evaluates.
@@ -198,7 +198,8 @@
 	}
 }
 
-// resign ends the term with errHeartbeatsMissing. No further decisions are made in this term.
+// resign ends the term with errHeartbeatsMissing. The term is no longer trusted from then on, so this controller does
+// not act as the leader any more.
 func (mh *machineHealth) resign(term *leaderTerm, census *health.Census) {
 	total, silent := census.Totals()
 	mh.log.Info("leadership resigned, heartbeats missing", "machines", total, "silent", silent)
@@ -224,7 +225,8 @@
 	return e.replica.model.CancelledFor(e.machine, e.now)
 }
 
-// Cleared reports whether a controller on the machine's side of a partition found no task of a cancelled job on it.
+// Cleared reports whether, according to a fresh partition report, a controller on the machine's side of a partition
+// found no task of a cancelled job on the machine.
 func (e *healthEvidence) Cleared() bool { return e.ownTerm.zones.isCleared(e.machine.ID) }
 
 // LeaseExpired reports whether the machine's lease has certainly expired.
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -51,9 +51,10 @@
 )
 
 // allMachinesReported reports whether every machine with tasks has reported to this leader, failed to respond to a
-// probe, or is in a zone found silent. An unresponsive machine gets no new tasks, and those that it holds count as
-// placed. Waiting for it would delay a new leader's first placements by a heartbeat interval, because among a thousand
-// machines there is nearly always one that does not respond.
+// probe, is suspect, or is in a zone found silent. It is false if there are no machines. An unresponsive machine gets
+// no new tasks, and those that it holds count as placed. Waiting for such a machine would delay a new leader's first
+// placements by a heartbeat interval, because among a thousand machines there is nearly always one that does not
+// respond.
 func (pr *probes) allMachinesReported() bool {
 	term := pr.term.ownTerm
 	for _, machine := range pr.replica.model.MachinesInOrder {
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -288,10 +288,10 @@
 // releaseUnlisted releases silent machines that are missing from the cloud's list, because they were preempted or have
 // failed. The list lags, may be older than the previous one, and takes time to read, during which machines can appear
 // on pages that were already read. So a machine counts as missing only if this leader has known it for longer than
-// these delays together. Even then the list does not prove that the machine is gone, so its tasks count as ended only
-// when the cloud confirms the release. Without this check, machines of one zone that are preempted together look like a
-// zone partition, during which they are not released, and tasks that must run in that zone wait for a minute and a
-// half.
+// minAge, which covers these delays. Even then the list does not prove that the machine is gone, so its tasks count as
+// ended only when the cloud confirms the release. Without this check, machines of one zone that are preempted together
+// look like a zone partition, during which they are not released, and tasks that must run in that zone wait for a
+// minute and a half.
 func (pv *provisioning) releaseUnlisted(rows []wire.ListedMachine, elapsed time.Duration) {
 	if pv.roles.rolesDistributed() {
 		return // the holder of the provisioning role reports only the rows that are not in the log
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -49,8 +49,8 @@
 			return false // cut off from the leader, this controller would answer from the log alone
 		}
 	}
-	// A controller that can reach neither the log nor another controller can only answer for the status of finished
-	// jobs, while the other controllers may be healthy.
+	// A controller that can reach neither the log nor another controller can report only the status of finished jobs,
+	// while the other controllers may be healthy.
 	return !rd.forward.isIsolated() || rd.term.isActive() ||
 		rd.term.ownTerm == nil && rd.replica.isStoreReachable()
 }
--- a/internal/controller/relay_agent.go
+++ b/internal/controller/relay_agent.go
@@ -40,7 +40,7 @@
 // slots is a counting semaphore.
 type slots chan struct{}
 
-// tryAcquire acquires a slot if one is free.
+// tryAcquire acquires a slot if one is free, and reports whether it did.
 func (s slots) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
--- a/internal/controller/relay_assignments.go
+++ b/internal/controller/relay_assignments.go
@@ -45,7 +45,7 @@
 var errNotForwarded = errors.New("controller: relay did not send the request")
 
 // onRelayOffer records another controller's offer to act as a relay, and whether that controller accepts more agents.
-// The response states whether the leader currently distributes agents across the controllers.
+// The response states whether the leader distributes agents across the controllers.
 func (ra *relayAssignments) onRelayOffer(ctx context.Context, request *rpc.Request) result.Result {
 	offer, err := relay.ReadOffer(request.Body)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return relay.Leader
 }
 
-// redirectTarget reports whether an agent is to send its heartbeats through another controller, and returns the node of
-// that controller.
+// redirectTarget records in the relay table that a machine's heartbeat arrived at the given controller, and reports
+// whether the agent is to send its heartbeats through another controller, whose node it returns.
 func (ra *relayAssignments) redirectTarget(machine *model.Machine, node int) (to string, move bool) {
 	term := ra.term.ownTerm
 	now := ra.now()
@@ -112,8 +112,9 @@
 	}
 }
 
-// sendCommands sends a direct command, through the given relay or, if via is nil, directly. If the relay is lost
-// meanwhile, the command may be executed at any later time, like a command that is delayed in the network.
+// sendCommands sends a direct command, through the given relay or, if via is nil, directly. If the relay is lost while
+// the command is in flight, the command may be executed at any later time, like a command that is delayed in the
+// network.
 func (ra *relayAssignments) sendCommands(
 	ctx context.Context, via *rpc.Link, addr string, batch *wire.CommandBatch,
 ) (agent.CommandOutcome, *wire.Heartbeat, error) {
@@ -148,9 +149,10 @@
 	return ra.links[ra.settings.Members[i-1].Node]
 }
 
-// routesTo returns the routes over which to probe a machine: first the one through the controller that receives the
-// machine's heartbeats, then one alternative. nil stands for a direct connection. The alternative keeps a leader that
-// is partitioned from agents from treating them as silent while a relay can reach them.
+// routesTo returns the routes over which to probe a machine; nil stands for a direct connection. The first route leads
+// through the relay that receives the machine's heartbeats, or is direct if there is none. While agents are
+// distributed, an alternative follows if there is one: it keeps a leader that is partitioned from agents from treating
+// them as silent while a relay can reach them.
 func (ra *relayAssignments) routesTo(machine *model.Machine) []*rpc.Link {
 	if !ra.term.ownTerm.assignments.table.Spreading() {
 		return []*rpc.Link{nil}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -210,9 +210,9 @@
 	err  error
 }
 
-// errNotLoaded reports that the replica cannot be read to the end of the log, because the log has not been loaded or
-// this controller leads.
-var errNotLoaded = errors.New("controller: replica not loaded")
+// errNotLoaded reports that the replica cannot catch up with the log, because the log has not been loaded or this
+// controller leads.
+var errNotLoaded = errors.New("controller: catch up with log: log not loaded, or this controller leads")
 
 // readLogEnd reads and applies all batches that follow the last batch applied.
 func (rp *replica) readLogEnd(ctx context.Context) error {
--- a/internal/controller/role_results.go
+++ b/internal/controller/role_results.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxListedBytes limits the size of the rows in one part of a listing. It leaves room in the message for the other
-	// fields.
+	// maxListedBytes limits the size of the rows in one part of a listing. It leaves room in the message for the role's
+	// term and the other fields of the result.
 	maxListedBytes = rpc.MaxBody - 1<<10
 	// resultTimeout limits the time for delivering all parts of a result to the leader; after that the next listing is
 	// due.
@@ -71,7 +71,9 @@
 	}()
 }
 
-// isInLog reports whether a row of the cloud's machine list contains nothing that is missing in the log.
+// isInLog reports whether the log already records everything that onMachineListed takes from a row of the cloud's
+// machine list: that the machine exists, its address and, if it has failed, its release. It is also true if the log
+// records that the machine was released.
 func (rs *singletonRoles) isInLog(row wire.ListedMachine) bool {
 	if rs.replica.model.Tombstones[row.Name] {
 		return true
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -49,7 +49,7 @@
 	loggedAt        time.Time                    // last time the roles held here were logged
 }
 
-// holding is the work in progress for a role that this controller holds.
+// holding is the state of one role's work on this controller.
 type holding struct {
 	term         uint64 // term of the role; 0 if this controller does not hold it
 	cancel       context.CancelFunc
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -15,8 +15,8 @@
 // submissions accepts jobs, each exactly once, no matter how often or at which controllers it is submitted. The leader
 // appends a job to the log; other controllers forward it to the leader or write it to the intake.
 //
-// Its methods run on request goroutines, except for functions that they post to the event loop. Only these functions
-// access the model and propose log entries.
+// Requests are handled on their own goroutines, which post functions to the event loop. Only these functions, and the
+// methods that they call, access the model and propose log entries.
 type submissions struct {
 	*environment
 	commits   *commitPipeline
@@ -55,8 +55,8 @@
 	// minForwardWait is the minimum time for which a submission waits for the leader's answer before it is also written
 	// to the intake.
 	minForwardWait = 60 * time.Millisecond
-	// forwardLatencyFactor is that time as a multiple of the leader's average latency, if that is more than
-	// minForwardWait.
+	// forwardLatencyFactor is the multiple of the leader's average latency for which a submission waits. The wait is at
+	// least minForwardWait and at most forwardTimeout.
 	forwardLatencyFactor = 3
 	// forwardLatencyWeight is the divisor of the latest sample in the moving average of the leader's latency.
 	forwardLatencyWeight = 4
@@ -107,8 +107,9 @@
 	return answers
 }
 
-// firstDecision returns the first of two answers that accepts or refuses the job: the leader's, which is nil if the
-// leader did neither, or the intake's. If there is no such answer, the intake's is returned.
+// firstDecision waits for the answers of the leader and of the intake, and returns the first one that accepts or
+// refuses the job. The leader's answer is nil if the leader did neither. If no answer accepts or refuses the job, the
+// intake's answer is returned.
 func firstDecision(forwarded, recorded <-chan result.Result) result.Result {
 	select {
 	case answer := <-forwarded:
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -43,7 +43,8 @@
 	maxSummaryLines = 10
 )
 
-// snapshot returns the data of the metrics page; ok is false if the event loop does not provide it in time.
+// snapshot returns the data of the metrics page; ok is false if the event loop's queue is full or the loop does not
+// provide the data within snapshotTimeout.
 func (tm *telemetry) snapshot() (view metrics.Snapshot, ok bool) {
 	views := make(chan metrics.Snapshot, 1)
 	if tm.loop.tryPost(func() { views <- tm.view() }) != nil {
@@ -112,7 +113,7 @@
 }
 
 // logPending logs the number of pending tasks by class and by reason, and the jobs that have been pending for longer
-// than longPendingThreshold.
+// than longPendingThreshold and whose reason has changed since it was last logged, at most maxSummaryLines of them.
 func (tm *telemetry) logPending(term *leaderTerm) {
 	classes, reasons, logged := map[string]int{}, map[string]int{}, map[model.JobID]pending.Code{}
 	var longPending []*model.Job
--- a/internal/controller/zone_liveness.go
+++ b/internal/controller/zone_liveness.go
@@ -29,14 +29,14 @@
 // zoneLivenessTerm is the state of zoneLiveness for one leadership term.
 type zoneLivenessTerm struct {
 	nodes                  map[string]*partitionedNode // by name: controllers that cannot reach this one
-	partitionQueryInFlight bool                        // a read of these controllers' reports is in flight
-	lastPartitionQuery     time.Time                   // when these controllers' reports were last read
+	partitionQueryInFlight bool                        // a read of the partition reports is in flight
+	lastPartitionQuery     time.Time                   // when the partition reports were last read
 }
 
 const (
 	// partitionReportInterval is the interval between the reports of a controller that cannot reach the leader.
 	partitionReportInterval = 5 * time.Second
-	// partitionReportTTL is how long such a report is valid.
+	// partitionReportTTL is how long a partition report counts after the leader found it to have changed.
 	partitionReportTTL = 2 * partitionReportInterval
 	// maxPartitionReportLag is how many log batches the sender of a report may be behind the leader for the report to
 	// count immediately when it is read for the first time.
@@ -81,8 +81,8 @@
 	return cleared
 }
 
-// isCleared reports whether a controller that cannot reach this one recently received a heartbeat from a machine and
-// found no task of a cancelled job there.
+// isCleared reports whether a controller that cannot reach this one found no task of a cancelled job on a machine,
+// according to a partition report that is fresh.
 func (zt *zoneLivenessTerm) isCleared(id model.MachineID) bool {
 	for _, node := range zt.nodes {
 		if node.clearedMachines[id] && node.isFresh() {
@@ -94,8 +94,9 @@
 
 // mayBeAlive reports whether work in a zone may continue without this controller, because a controller in the zone is
 // reachable, or reads the log and therefore renews the leases of the zone's agents. In the latter case the zone is
-// partitioned from the leader only, not from the log. If the controllers' reports were not read recently, the result is
-// true.
+// partitioned from the leader only, not from the log. The result is also true for this controller's own zone, and if
+// the partition reports, which controllers that cannot reach the leader write to the key-value store, were not read
+// within partitionReportTTL.
 func (zl *zoneLiveness) mayBeAlive(term *leaderTerm, zone string) bool {
 	if zone == zl.settings.Zone || term.zones.lastPartitionQuery.IsZero() ||
 		time.Since(term.zones.lastPartitionQuery) > partitionReportTTL {
@@ -115,8 +116,8 @@
 	return false
 }
 
-// queryIfDue reads which controllers cannot reach the leader, unless such a read is in flight or was completed
-// recently.
+// queryIfDue reads the partition reports from the key-value store, unless a read is in flight or was completed within
+// half of partitionReportInterval.
 func (zl *zoneLiveness) queryIfDue(term *leaderTerm) {
 	if term.zones.partitionQueryInFlight || time.Since(term.zones.lastPartitionQuery) <= partitionReportInterval/2 {
 		return
@@ -128,7 +129,8 @@
 	}()
 }
 
-// onPartitionedNodes processes the records of the controllers that reported that they cannot reach the leader.
+// onPartitionedNodes processes the result of a read of the partition reports. After an error, the results of earlier
+// reads remain in effect.
 func (zl *zoneLiveness) onPartitionedNodes(term *leaderTerm, records []oplog.PartitionedNode, err error) {
 	term.zones.partitionQueryInFlight = false
 	if zl.term.ownTerm != term || err != nil {
