--- a/internal/controller/command_dispatcher.go
+++ b/internal/controller/command_dispatcher.go
@@ -77,8 +77,8 @@
 	cd.send(term, machine, commands)
 }
 
-// directCommand records what was sent to a machine, and what was known of the machine at that time, until the outcome
-// is processed.
+// directCommand records the commands sent to a machine, and the token and term under which they were sent, until the
+// outcome is processed.
 type directCommand struct {
 	term     *leaderTerm
 	machine  *model.Machine
--- a/internal/controller/singleton_roles.go
+++ b/internal/controller/singleton_roles.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// followRoles processes changes of the roles' keys until a watch fails.
+// followRoles processes changes of the roles' keys until a watch fails or ctx ends.
 func (rs *singletonRoles) followRoles(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		changes, next, err := rs.oplog.FollowRoles(ctx, revision, roleWatchTimeout)
@@ -112,7 +112,8 @@
 	}
 }
 
-// withdrawFromRoles removes this controller's participation, which an earlier process may have registered.
+// withdrawFromRoles removes this controller's participation in the singleton roles, which an earlier process of the
+// node may have registered.
 func (rs *singletonRoles) withdrawFromRoles(ctx context.Context) {
 	changes, _, err := rs.oplog.Roles(ctx)
 	isOwn := func(change oplog.RoleUpdate) bool { return change.Participant == rs.settings.Node }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -244,9 +244,10 @@
 // slowWriteThreshold is the transaction latency from which the key-value store counts as slow.
 const slowWriteThreshold = 60 * time.Millisecond
 
-// answerWhenDurable sends the acceptance of a job as soon as the job is committed to the log. While the key-value store
-// is slow, it also writes an intake record, which is just as durable and faster: log batches are written one at a time,
-// so the job waits for the batch in progress and then for its own, while the record is written at once.
+// answerWhenDurable sends the acceptance of a job as soon as the job is durable, or result.NoLeader if the term ends
+// before that. A job is durable once it is committed to the log. While the key-value store is slow, answerWhenDurable
+// also writes an intake record, which is just as durable and faster: log batches are written one at a time, so the job
+// waits for the batch in progress and then for its own, while the record is written at once.
 func (sb *submissions) answerWhenDurable(
 	term *leaderTerm, seq uint64, entry *model.Entry, send func(result.Result),
 ) {
