--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -57,8 +57,8 @@
 // cancelled longer ago than the stale renewal limit. Only the leader can fence such a start, and the machine's agent
 // cannot reach the leader. Tasks that the agent lists, in any state, are not started again and are stopped by
 // renewAsFollower; tasks that it does not list may still be started. The agent epoch to which the start was sent must
-// therefore end within cancel_s, so the agent's lease is renewed no longer than by a controller that does not know of the
-// cancellation. Without this check, starts that are delayed by 70 s in a partitioned zone are executed when the
+// therefore end within cancel_s, so the agent's lease is renewed no longer than by a controller that does not know of
+// the cancellation. Without this check, starts that are delayed by 70 s in a partitioned zone are executed when the
 // partition ends.
 func (lr *leaseRenewal) delayedStartPossible(machine *model.Machine, report *wire.Heartbeat) bool {
 	for _, run := range machine.Runs {
