--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -235,8 +235,10 @@
 	}
 }
 
-// TestRelaySlotsByMaxSockets checks that a relay for a third of 4,000 or 10,000 machines has enough slots for the
-// heartbeats that arrive while the leader takes two thirds of a second to answer, and for as many commands.
+// TestRelaySlotsByMaxSockets checks how many heartbeats and how many commands a relay can handle concurrently with a
+// given limit on open sockets: at least 256 of each with 800 sockets. With 3,526 or 8,000 sockets, the slots must
+// suffice for the heartbeats that a third of 4,000 or 10,000 machines send while the leader takes two thirds of a
+// second to answer, and for as many commands.
 func TestRelaySlotsByMaxSockets(t *testing.T) {
 	for sockets, atLeast := range map[int]int{800: 256, 3526: 1000, 8000: 2400} {
 		withIdleController(t, sockets, func(c *Controller) {
--- a/internal/controller/term_components.go
+++ b/internal/controller/term_components.go
@@ -92,9 +92,11 @@
 }
 
 const (
-	maxLowPriorityPerRound = 400                   // low-priority placements per round, while the event loop keeps up
-	minLowPriorityPerRound = 4                     // the same while the event loop does not keep up
-	slowLoopThreshold      = 25 * time.Millisecond // delay of a maintenance run above which the loop does not keep up
+	maxLowPriorityPerRound = 400 // highest limit on low-priority placements per round
+	minLowPriorityPerRound = 4   // lowest limit on low-priority placements per round
+	// slowLoopThreshold is the delay of a maintenance run above which the event loop is considered overloaded and the
+	// limit on low-priority placements is halved.
+	slowLoopThreshold = 25 * time.Millisecond
 )
 
 // nextLowPriorityLimit returns how many low-priority tasks may be placed per round, given the previous limit and the
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -26,10 +26,12 @@
 
 // Cloud emulates a cloud provider: it provisions machines and starts a Worker on each one when it has booted.
 type Cloud struct {
-	environment   *Environment
-	machineTypes  []wire.MachineType
-	pageSize      int                             // number of machines on a page of the machine list
-	maxMachinesOf func(typ string, spot bool) int // per type, zone and kind; if nil, maxMachines applies
+	environment  *Environment
+	machineTypes []wire.MachineType
+	pageSize     int // number of machines on a page of the machine list
+	// maxMachinesOf returns the maximum number of spot or on-demand machines of a type in each zone. If it is nil,
+	// maxMachines applies.
+	maxMachinesOf func(typ string, spot bool) int
 
 	mu                 sync.Mutex
 	Machines           map[string]*Worker // existing machines by name
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -31,7 +31,7 @@
 	Production
 )
 
-// Final is the final state of a job.
+// Final is the state in which a job ended. jobTable keeps it in place of the Job once the job is no longer live.
 type Final uint8
 
 // Final states of a job.
--- a/internal/model/observe.go
+++ b/internal/model/observe.go
@@ -214,10 +214,11 @@
 	}
 }
 
-// recordProgress evaluates a run that is listed as not exited: it updates the machine's image cache and the time at
-// which the run started.
+// recordProgress evaluates a run that is listed as not exited: it fences a start that may be in flight, updates the
+// machine's image cache and the time at which the run started, and, if the image is new on the machine, collects the
+// machines on which held members of the run's gang may be started now.
 func (o *observation) recordProgress(run *Run) {
-	o.model.startMayBeInFlight(o.machine, run) // fence an open start now, so that it does not delay the run's end
+	o.model.startMayBeInFlight(o.machine, run) // fence a start in flight now, so that it does not delay the run's end
 	if run.Phase >= AwaitingGang {
 		if !o.machine.HasImage(run.Job.Image) {
 			o.verdict.GangReadyMachines = append(o.verdict.GangReadyMachines, run.Job.machinesAwaitingMember()...)
--- a/internal/model/task_speed_test.go
+++ b/internal/model/task_speed_test.go
@@ -49,7 +49,8 @@
 	return slow
 }
 
-// newSpeedFixture returns a leader with three machines that have reported and 30 jobs with the given estimate.
+// newSpeedFixture returns a fixture whose model has three machines that have reported and 30 jobs with the given
+// estimated run time in seconds.
 func newSpeedFixture(t *testing.T, estimate float64) *speedFixture {
 	t.Helper()
 	f := &speedFixture{test: t, model: New(params()), now: 1}
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -96,8 +96,10 @@
 
 // estimate is the estimated value of a metric at a region size, with its standard error.
 type estimate struct {
-	value, stdErr       float64
-	extrapolationFactor float64 // maximum over the parameters that contribute more than 2% of the value
+	value, stdErr float64
+	// extrapolationFactor is the ratio of the target size to the largest measured size: the maximum over the parameters
+	// whose extrapolation changes the value by more than 2%.
+	extrapolationFactor float64
 }
 
 // isStorageMetric reports whether a metric is an amount of stored data rather than a rate.
